--- a/crates/heathspur-capture/src/exchange.rs
+++ b/crates/heathspur-capture/src/exchange.rs
@@ -27,7 +27,12 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { head: 64 * 1024, message: 1024 * 1024, memory: 16 * 1024 * 1024, open: 1024 }
+        Limits {
+            head: 64 * 1024,
+            message: 1024 * 1024,
+            memory: 16 * 1024 * 1024,
+            open: 1024,
+        }
     }
 }
 
@@ -154,7 +159,13 @@
 
 impl Stream {
     fn new(mode: Mode) -> Stream {
-        Stream { mode, buffer: BytesMut::new(), times: VecDeque::new(), passed: (0, None), known: false }
+        Stream {
+            mode,
+            buffer: BytesMut::new(),
+            times: VecDeque::new(),
+            passed: (0, None),
+            known: false,
+        }
     }
 
     fn push(&mut self, time: Stamp, bytes: &[u8]) {
@@ -164,7 +175,10 @@
 
     /// The time of the first byte in the buffer, and the latest of the first `count`.
     fn span(&self, count: usize) -> (Stamp, Stamp) {
-        let first = self.times.front().map_or(Stamp::default(), |&(_, time)| time);
+        let first = self
+            .times
+            .front()
+            .map_or(Stamp::default(), |&(_, time)| time);
         let (mut seen, mut last) = (0, first);
         for &(length, time) in &self.times {
             if seen >= count {
@@ -229,7 +243,12 @@
 impl Exchanges {
     /// One that has seen nothing.
     pub fn new(limits: Limits) -> Exchanges {
-        Exchanges { limits, table: BTreeMap::new(), held: 0, found: VecDeque::new() }
+        Exchanges {
+            limits,
+            table: BTreeMap::new(),
+            held: 0,
+            found: VecDeque::new(),
+        }
     }
 
     /// The next of what was found. They should be taken after each event: nothing else bounds them.
@@ -248,7 +267,13 @@
             Event::Opened { conn, start, .. } => {
                 let middle = *start == crate::reassembly::Start::Middle;
                 // Of one that began earlier, the first bytes may be the middle of anything.
-                let mode = || if middle { Mode::Seeking(Cause::Hole) } else { Mode::Head };
+                let mode = || {
+                    if middle {
+                        Mode::Seeking(Cause::Hole)
+                    } else {
+                        Mode::Head
+                    }
+                };
                 let conn_state = Conn {
                     streams: [Stream::new(mode()), Stream::new(mode())],
                     requests: 0,
@@ -258,10 +283,17 @@
                 };
                 self.table.insert(*conn, conn_state);
             }
-            Event::Bytes { conn, side, time, bytes } => {
+            Event::Bytes {
+                conn,
+                side,
+                time,
+                bytes,
+            } => {
                 self.with(*conn, *side, |work| work.bytes(*time, bytes));
             }
-            Event::Hole { conn, side, length } => self.with(*conn, *side, |work| work.hole(*length)),
+            Event::Hole { conn, side, length } => {
+                self.with(*conn, *side, |work| work.hole(*length))
+            }
             Event::Ended { conn, side, .. } => self.with(*conn, *side, |work| work.ended()),
             Event::Closed { conn, .. } => {
                 for side in [Side::Client, Side::Server] {
@@ -269,7 +301,11 @@
                 }
                 if let Some(gone) = self.table.remove(conn) {
                     for message in gone.early {
-                        self.found.push_back(Found::Answer { conn: *conn, to: None, message });
+                        self.found.push_back(Found::Answer {
+                            conn: *conn,
+                            to: None,
+                            message,
+                        });
                     }
                 }
             }
@@ -277,14 +313,31 @@
     }
 
     fn with(&mut self, id: ConnId, side: Side, work: impl FnOnce(&mut Work<'_>)) {
-        let Some(conn) = self.table.get_mut(&id) else { return };
+        let Some(conn) = self.table.get_mut(&id) else {
+            return;
+        };
         let at = usize::from(side == Side::Server);
         let before = conn.streams[at].buffer.len();
-        work(&mut Work { id, side, at, limits: &self.limits, conn, found: &mut self.found });
+        work(&mut Work {
+            id,
+            side,
+            at,
+            limits: &self.limits,
+            conn,
+            found: &mut self.found,
+        });
         self.held = self.held + conn.streams[at].buffer.len() - before;
         if self.held > self.limits.memory {
             let held = conn.streams[at].buffer.len();
-            Work { id, side, at, limits: &self.limits, conn, found: &mut self.found }.lose(Cause::Memory);
+            Work {
+                id,
+                side,
+                at,
+                limits: &self.limits,
+                conn,
+                found: &mut self.found,
+            }
+            .lose(Cause::Memory);
             self.held = self.held + conn.streams[at].buffer.len() - held;
         }
     }
@@ -360,7 +413,9 @@
                 }
                 let kind = |line: &[u8]| match side {
                     Side::Client => request_line(line).map(|_| Kind::Request),
-                    Side::Server => status_line(line).map(|status| Kind::Answer { status, to_head }),
+                    Side::Server => {
+                        status_line(line).map(|status| Kind::Answer { status, to_head })
+                    }
                 };
                 match framing::head(&stream.buffer, limits.head, kind) {
                     Ok(None) => false,
@@ -420,11 +475,19 @@
     /// A message is whole: so many bytes at the front.
     fn whole(&mut self, end: usize) {
         let stream = self.stream();
-        let Mode::Body(head, _) = std::mem::replace(&mut stream.mode, Mode::Head) else { return };
+        let Mode::Body(head, _) = std::mem::replace(&mut stream.mode, Mode::Head) else {
+            return;
+        };
         let (first, last) = stream.span(end);
         let bytes = stream.use_up(end);
-        let message =
-            Message { bytes, line: head.first, fields: head.fields, body: head.end..end, first, last };
+        let message = Message {
+            bytes,
+            line: head.first,
+            fields: head.fields,
+            body: head.end..end,
+            first,
+            last,
+        };
         match self.side {
             Side::Client => self.request(message),
             Side::Server => self.answer(message),
@@ -434,9 +497,15 @@
     fn request(&mut self, message: Message) {
         let index = self.conn.requests;
         self.conn.requests += 1;
-        let head = message.request_line().is_some_and(|(method, _)| method == b"HEAD");
+        let head = message
+            .request_line()
+            .is_some_and(|(method, _)| method == b"HEAD");
         let last = message.last;
-        self.found.push_back(Found::Request { conn: self.id, index, message });
+        self.found.push_back(Found::Request {
+            conn: self.id,
+            index,
+            message,
+        });
         self.open(Open { index, head, last });
     }
 
@@ -452,15 +521,26 @@
         while let Some(early) = self.conn.early.pop_front() {
             if !self.conn.by_time || early.first >= last {
                 self.conn.open.pop_back();
-                self.found.push_back(Found::Answer { conn: self.id, to: Some(index), message: early });
+                self.found.push_back(Found::Answer {
+                    conn: self.id,
+                    to: Some(index),
+                    message: early,
+                });
                 break;
             }
-            self.found.push_back(Found::Answer { conn: self.id, to: None, message: early });
+            self.found.push_back(Found::Answer {
+                conn: self.id,
+                to: None,
+                message: early,
+            });
         }
     }
 
     fn answer(&mut self, message: Message) {
-        if message.status().is_some_and(|status| (100..200).contains(&status)) {
+        if message
+            .status()
+            .is_some_and(|status| (100..200).contains(&status))
+        {
             // Not the final one.
             return;
         }
@@ -469,19 +549,30 @@
             if conn.early.len() < self.limits.open {
                 conn.early.push_back(message);
             } else {
-                self.found.push_back(Found::Answer { conn: self.id, to: None, message });
+                self.found.push_back(Found::Answer {
+                    conn: self.id,
+                    to: None,
+                    message,
+                });
             }
             return;
         }
         let to = if conn.by_time {
             // The latest request that was whole before it; earlier ones lost their answers.
-            let before = conn.open.iter().rposition(|open| open.last <= message.first);
+            let before = conn
+                .open
+                .iter()
+                .rposition(|open| open.last <= message.first);
             before.and_then(|at| conn.open.drain(..=at).next_back())
         } else {
             conn.open.pop_front()
         };
         conn.by_time &= !conn.open.is_empty();
-        self.found.push_back(Found::Answer { conn: self.id, to: to.map(|open| open.index), message });
+        self.found.push_back(Found::Answer {
+            conn: self.id,
+            to: to.map(|open| open.index),
+            message,
+        });
     }
 
     /// A request or answer that is too large, or lost a part whose length is known, still counts in order.
@@ -491,7 +582,11 @@
                 let index = self.conn.requests;
                 self.conn.requests += 1;
                 let last = self.stream().span(1).0;
-                self.open(Open { index, head: false, last });
+                self.open(Open {
+                    index,
+                    head: false,
+                    last,
+                });
             }
             Side::Server => {
                 self.conn.open.pop_front();
@@ -506,7 +601,8 @@
             (Mode::Passing(left, _), Some(length)) if length <= *left => {
                 *left -= length;
                 if *left == 0 {
-                    let Mode::Passing(_, cause) = std::mem::replace(&mut stream.mode, Mode::Head) else {
+                    let Mode::Passing(_, cause) = std::mem::replace(&mut stream.mode, Mode::Head)
+                    else {
                         return;
                     };
                     self.tell(cause);
@@ -558,7 +654,13 @@
         let stream = self.stream();
         let cause = match &stream.mode {
             Mode::Over => return,
-            Mode::Body(Head { length: Length::UntilClose, .. }, _) => {
+            Mode::Body(
+                Head {
+                    length: Length::UntilClose,
+                    ..
+                },
+                _,
+            ) => {
                 let end = stream.buffer.len();
                 self.whole(end);
                 self.stream().mode = Mode::Over;
@@ -570,7 +672,11 @@
         let left = stream.buffer.len();
         stream.pass(left);
         stream.mode = Mode::Over;
-        let cause = if stream.known { cause } else { Cause::NotHttp.max(cause) };
+        let cause = if stream.known {
+            cause
+        } else {
+            Cause::NotHttp.max(cause)
+        };
         self.tell(cause);
     }
 
@@ -579,7 +685,13 @@
         let (id, side) = (self.id, self.side);
         let stream = self.stream();
         if let (bytes, Some(time)) = std::mem::take(&mut stream.passed) {
-            self.found.push_back(Found::Passed { conn: id, side, cause, bytes, time });
+            self.found.push_back(Found::Passed {
+                conn: id,
+                side,
+                cause,
+                bytes,
+                time,
+            });
         }
     }
 }
@@ -587,12 +699,15 @@
 /// Where the first message that can be recognised begins: a known method, a path and the version, or the
 /// version and three digits.
 fn recognise(bytes: &[u8], side: Side) -> Option<usize> {
-    const METHODS: [&[u8]; 7] = [b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"OPTIONS", b"PATCH"];
+    const METHODS: [&[u8]; 7] = [
+        b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"OPTIONS", b"PATCH",
+    ];
     if side == Side::Server {
         return memchr::memmem::find_iter(bytes, b"HTTP/1.1 ").find(|&at| {
             let status = bytes.get(at + 9..at + 12);
             let after = bytes.get(at + 12);
-            status.is_some_and(|s| s.iter().all(u8::is_ascii_digit)) && matches!(after, Some(b' ' | b'\r'))
+            status.is_some_and(|s| s.iter().all(u8::is_ascii_digit))
+                && matches!(after, Some(b' ' | b'\r'))
         });
     }
     memchr::memmem::find_iter(bytes, b" HTTP/1.1\r\n").find_map(|at| {
--- a/crates/heathspur-capture/src/file.rs
+++ b/crates/heathspur-capture/src/file.rs
@@ -254,7 +254,10 @@
             }
             match self.step() {
                 Err(cause) => {
-                    let damage = Damage { offset: self.offset(), cause };
+                    let damage = Damage {
+                        offset: self.offset(),
+                        cause,
+                    };
                     self.ended = Some(damage);
                     self.buffer = Vec::new();
                     self.base = damage.offset;
@@ -262,11 +265,24 @@
                 }
                 Ok(Step::More) => return Ok(None),
                 Ok(Step::Pass(count)) => self.pass(count),
-                Ok(Step::Packet { whole, data, time, link, wire_len, leg }) => {
+                Ok(Step::Packet {
+                    whole,
+                    data,
+                    time,
+                    link,
+                    wire_len,
+                    leg,
+                }) => {
                     let start = self.used;
                     self.used += whole;
                     let data = &self.buffer[start + data.start..start + data.end];
-                    return Ok(Some(Packet { time, link, data, wire_len, leg }));
+                    return Ok(Some(Packet {
+                        time,
+                        link,
+                        data,
+                        wire_len,
+                        leg,
+                    }));
                 }
             }
         }
@@ -279,11 +295,18 @@
         }
         let left = (self.buffer.len() - self.used) as u64;
         let damage = match &self.format {
-            _ if self.skip > 0 => {
-                Damage { offset: self.skip_from, cause: Cause::Cut(self.base - self.skip_from) }
-            }
-            Format::Unknown => Damage { offset: 0, cause: Cause::NoCapture },
-            _ if left > 0 => Damage { offset: self.offset(), cause: Cause::Cut(left) },
+            _ if self.skip > 0 => Damage {
+                offset: self.skip_from,
+                cause: Cause::Cut(self.base - self.skip_from),
+            },
+            Format::Unknown => Damage {
+                offset: 0,
+                cause: Cause::NoCapture,
+            },
+            _ if left > 0 => Damage {
+                offset: self.offset(),
+                cause: Cause::Cut(left),
+            },
             _ => return Ok(()),
         };
         self.ended = Some(damage);
@@ -307,9 +330,14 @@
         let bytes = &self.buffer[self.used..];
         match &mut self.format {
             Format::Unknown => {
-                let Some(magic) = bytes.first_chunk::<4>() else { return Ok(Step::More) };
+                let Some(magic) = bytes.first_chunk::<4>() else {
+                    return Ok(Step::More);
+                };
                 if *magic == [0x0a, 0x0d, 0x0d, 0x0a] {
-                    self.format = Format::Ng { big: false, interfaces: Vec::new() };
+                    self.format = Format::Ng {
+                        big: false,
+                        interfaces: Vec::new(),
+                    };
                     return Ok(Step::Pass(0));
                 }
                 if !matches!(
@@ -344,9 +372,14 @@
     if claimed as usize > PACKET {
         return Err(Cause::Length(claimed.into()));
     }
-    let parse =
-        if big { pcap_parser::pcap::parse_pcap_frame_be } else { pcap_parser::pcap::parse_pcap_frame };
-    let Ok((_, found)) = parse(bytes) else { return Ok(Step::More) };
+    let parse = if big {
+        pcap_parser::pcap::parse_pcap_frame_be
+    } else {
+        pcap_parser::pcap::parse_pcap_frame
+    };
+    let Ok((_, found)) = parse(bytes) else {
+        return Ok(Step::More);
+    };
     let per_second = if nanos { 1_000_000_000 } else { 1_000_000 };
     if found.ts_usec >= per_second || found.origlen < found.caplen {
         // No program writes a part of a second past a second, nor keeps more than there was.
@@ -355,7 +388,14 @@
     let unit = 1_000_000_000 / u64::from(per_second);
     let time = Stamp(u64::from(found.ts_sec) * 1_000_000_000 + u64::from(found.ts_usec) * unit);
     let whole = 16 + found.data.len();
-    Ok(Step::Packet { whole, data: 16..whole, time, link, wire_len: found.origlen, leg: None })
+    Ok(Step::Packet {
+        whole,
+        data: 16..whole,
+        time,
+        link,
+        wire_len: found.origlen,
+        leg: None,
+    })
 }
 
 fn block(bytes: &[u8], big: &mut bool, interfaces: &mut Vec<Interface>) -> Result<Step, Cause> {
@@ -391,7 +431,11 @@
     if word(bytes, length - 4, *big) as usize != length {
         return Err(Cause::Garbled);
     }
-    let parse = if *big { pcap_parser::pcapng::parse_block_be } else { pcap_parser::pcapng::parse_block_le };
+    let parse = if *big {
+        pcap_parser::pcapng::parse_block_be
+    } else {
+        pcap_parser::pcapng::parse_block_le
+    };
     let (_, found) = parse(&bytes[..length]).map_err(|_| Cause::Garbled)?;
     match found {
         Block::SectionHeader(_) => interfaces.clear(),
@@ -402,19 +446,28 @@
             interfaces.push(described(&found, *big)?);
         }
         Block::EnhancedPacket(found) => {
-            let interface = interfaces.get(found.if_id as usize).ok_or(Cause::Interface(found.if_id))?;
+            let interface = interfaces
+                .get(found.if_id as usize)
+                .ok_or(Cause::Interface(found.if_id))?;
             let data = found.packet_data();
             if data.len() > PACKET || found.caplen as usize > found.data.len() {
                 return Err(Cause::Garbled);
             }
             let units = u64::from(found.ts_high) << 32 | u64::from(found.ts_low);
-            let nanos =
-                interface.resolution.nanos(units) as i128 + i128::from(interface.offset) * 1_000_000_000;
+            let nanos = interface.resolution.nanos(units) as i128
+                + i128::from(interface.offset) * 1_000_000_000;
             let time = Stamp(nanos.clamp(0, u64::MAX.into()) as u64);
             let data = 28..28 + data.len();
             let wire_len = found.origlen.max(found.caplen);
             let (link, leg) = (interface.link, interface.leg);
-            return Ok(Step::Packet { whole: length, data, time, link, wire_len, leg });
+            return Ok(Step::Packet {
+                whole: length,
+                data,
+                time,
+                link,
+                wire_len,
+                leg,
+            });
         }
         Block::SimplePacket(found) => {
             let interface = interfaces.first().ok_or(Cause::Interface(0))?;
@@ -441,10 +494,23 @@
 fn described(found: &InterfaceDescriptionBlock<'_>, big: bool) -> Result<Interface, Cause> {
     let resolution = Resolution::of(found.if_tsresol).ok_or(Cause::Garbled)?;
     // The library reads the offset as little-endian whatever the section is.
-    let offset = if big { found.if_tsoffset.swap_bytes() } else { found.if_tsoffset };
-    let name = found.options.iter().find(|option| option.code == OptionCode::IfName);
+    let offset = if big {
+        found.if_tsoffset.swap_bytes()
+    } else {
+        found.if_tsoffset
+    };
+    let name = found
+        .options
+        .iter()
+        .find(|option| option.code == OptionCode::IfName);
     let leg = name.and_then(|name| Leg::named(name.as_bytes().unwrap_or_default()));
-    Ok(Interface { link: Link::of(found.linktype.0), leg, snap: found.snaplen, resolution, offset })
+    Ok(Interface {
+        link: Link::of(found.linktype.0),
+        leg,
+        snap: found.snaplen,
+        resolution,
+        offset,
+    })
 }
 
 fn word(bytes: &[u8], at: usize, big: bool) -> u32 {
--- a/crates/heathspur-capture/src/frame.rs
+++ b/crates/heathspur-capture/src/frame.rs
@@ -86,7 +86,11 @@
     /// With checksums looked at or not. Captures on a sender are full of wrong ones, since its network card
     /// fills them in later, so they are better left alone unless the capture was made on a tap.
     pub fn new(checksums: bool) -> Frames {
-        Frames { checksums, datagrams: BTreeMap::new(), given_up: 0 }
+        Frames {
+            checksums,
+            datagrams: BTreeMap::new(),
+            given_up: 0,
+        }
     }
 
     /// Datagrams of which pieces never came.
@@ -107,30 +111,52 @@
                 });
                 // Segments that the sender's card will cut have no length here; then what is there counts.
                 let claimed = usize::from(header.total_len()).saturating_sub(header.slice().len());
-                (IpAddr::V4(header.source_addr()), IpAddr::V4(header.destination_addr()), claimed, piece)
+                (
+                    IpAddr::V4(header.source_addr()),
+                    IpAddr::V4(header.destination_addr()),
+                    claimed,
+                    piece,
+                )
             }
             Some(LaxNetSlice::Ipv6(ip)) => {
                 let header = ip.header();
-                let piece = ip.extensions().clone().into_iter().find_map(|extension| match extension {
-                    Ipv6ExtensionSlice::Fragment(f) if f.is_fragmenting_payload() => {
-                        let f = f.to_header();
-                        Some(Piece {
-                            id: f.identification,
-                            offset: f.fragment_offset,
-                            more: f.more_fragments,
-                        })
-                    }
-                    _ => None,
-                });
-                let claimed =
-                    usize::from(header.payload_length()).saturating_sub(ip.extensions().slice().len());
-                (IpAddr::V6(header.source_addr()), IpAddr::V6(header.destination_addr()), claimed, piece)
+                let piece =
+                    ip.extensions()
+                        .clone()
+                        .into_iter()
+                        .find_map(|extension| match extension {
+                            Ipv6ExtensionSlice::Fragment(f) if f.is_fragmenting_payload() => {
+                                let f = f.to_header();
+                                Some(Piece {
+                                    id: f.identification,
+                                    offset: f.fragment_offset,
+                                    more: f.more_fragments,
+                                })
+                            }
+                            _ => None,
+                        });
+                let claimed = usize::from(header.payload_length())
+                    .saturating_sub(ip.extensions().slice().len());
+                (
+                    IpAddr::V6(header.source_addr()),
+                    IpAddr::V6(header.destination_addr()),
+                    claimed,
+                    piece,
+                )
             }
             Some(LaxNetSlice::Arp(_)) | None => {
-                return Err(if sliced.stop_err.is_some() { Passed::Headers } else { Passed::Other });
+                return Err(if sliced.stop_err.is_some() {
+                    Passed::Headers
+                } else {
+                    Passed::Other
+                });
             }
         };
-        let payload = sliced.net.as_ref().and_then(LaxNetSlice::ip_payload_ref).ok_or(Passed::Headers)?;
+        let payload = sliced
+            .net
+            .as_ref()
+            .and_then(LaxNetSlice::ip_payload_ref)
+            .ok_or(Passed::Headers)?;
         if payload.ip_number != IpNumber::TCP {
             return Err(Passed::Other);
         }
@@ -144,15 +170,27 @@
                 return Err(Passed::Checksum);
             }
             let found = made(packet.time, from, to, &tcp, 0);
-            return Ok(Segment { payload: Cow::Owned(tcp.payload().to_vec()), ..found });
+            return Ok(Segment {
+                payload: Cow::Owned(tcp.payload().to_vec()),
+                ..found
+            });
         }
-        let Some(TransportSlice::Tcp(tcp)) = &sliced.transport else { return Err(Passed::Headers) };
-        let lost = if payload.incomplete { whole.saturating_sub(payload.payload.len()) } else { 0 };
+        let Some(TransportSlice::Tcp(tcp)) = &sliced.transport else {
+            return Err(Passed::Headers);
+        };
+        let lost = if payload.incomplete {
+            whole.saturating_sub(payload.payload.len())
+        } else {
+            0
+        };
         if self.checksums && lost == 0 && !checks(tcp, from, to) {
             return Err(Passed::Checksum);
         }
         let found = made(packet.time, from, to, tcp, lost as u32);
-        Ok(Segment { payload: Cow::Borrowed(tcp.payload()), ..found })
+        Ok(Segment {
+            payload: Cow::Borrowed(tcp.payload()),
+            ..found
+        })
     }
 
     /// Adds a piece; the whole datagram's payload once all are there.
@@ -164,20 +202,31 @@
         payload: &[u8],
     ) -> Result<Vec<u8>, Passed> {
         let before = self.datagrams.len();
-        self.datagrams.retain(|_, datagram| time.since(datagram.begun) < PATIENCE);
+        self.datagrams
+            .retain(|_, datagram| time.since(datagram.begun) < PATIENCE);
         self.given_up += (before - self.datagrams.len()) as u64;
         let id = (ends.0, ends.1, piece.id, IpNumber::TCP.0);
         if !self.datagrams.contains_key(&id) && self.datagrams.len() >= DATAGRAMS {
-            let oldest = self.datagrams.iter().min_by_key(|(_, d)| d.begun).map(|(&id, _)| id);
+            let oldest = self
+                .datagrams
+                .iter()
+                .min_by_key(|(_, d)| d.begun)
+                .map(|(&id, _)| id);
             if let Some(oldest) = oldest {
                 self.datagrams.remove(&oldest);
                 self.given_up += 1;
             }
         }
-        let begin =
-            || Datagram { begun: time, whole: IpDefragBuf::new(IpNumber::TCP, Vec::new(), Vec::new()) };
+        let begin = || Datagram {
+            begun: time,
+            whole: IpDefragBuf::new(IpNumber::TCP, Vec::new(), Vec::new()),
+        };
         let datagram = self.datagrams.entry(id).or_insert_with(begin);
-        if datagram.whole.add(piece.offset, piece.more, payload).is_err() {
+        if datagram
+            .whole
+            .add(piece.offset, piece.more, payload)
+            .is_err()
+        {
             // Pieces that contradict each other are how some tell two readers different things.
             self.datagrams.remove(&id);
             return Err(Passed::BadPiece);
@@ -195,15 +244,17 @@
     let typed = |at: usize, header: usize| -> Result<LaxSlicedPacket<'a>, Passed> {
         let kind = data.get(at..at + 2).ok_or(Passed::Headers)?;
         let rest = data.get(header..).ok_or(Passed::Headers)?;
-        Ok(LaxSlicedPacket::from_ether_type(EtherType(u16::from_be_bytes([kind[0], kind[1]])), rest))
+        Ok(LaxSlicedPacket::from_ether_type(
+            EtherType(u16::from_be_bytes([kind[0], kind[1]])),
+            rest,
+        ))
     };
     match packet.link {
         Link::Ethernet => LaxSlicedPacket::from_ethernet(data).map_err(|_| Passed::Headers),
         Link::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| Passed::Headers),
         // The family's number differs between systems, and the first four bits of IP tell the same.
-        Link::Loopback => {
-            LaxSlicedPacket::from_ip(data.get(4..).ok_or(Passed::Headers)?).map_err(|_| Passed::Headers)
-        }
+        Link::Loopback => LaxSlicedPacket::from_ip(data.get(4..).ok_or(Passed::Headers)?)
+            .map_err(|_| Passed::Headers),
         Link::Cooked => typed(14, 16),
         Link::Cooked2 => typed(0, 20),
         Link::Other(_) => Err(Passed::Link),
@@ -227,8 +278,12 @@
 
 fn checks(tcp: &TcpSlice<'_>, from: IpAddr, to: IpAddr) -> bool {
     let sum = match (from, to) {
-        (IpAddr::V4(from), IpAddr::V4(to)) => tcp.calc_checksum_ipv4(from.octets(), to.octets()).ok(),
-        (IpAddr::V6(from), IpAddr::V6(to)) => tcp.calc_checksum_ipv6(from.octets(), to.octets()).ok(),
+        (IpAddr::V4(from), IpAddr::V4(to)) => {
+            tcp.calc_checksum_ipv4(from.octets(), to.octets()).ok()
+        }
+        (IpAddr::V6(from), IpAddr::V6(to)) => {
+            tcp.calc_checksum_ipv6(from.octets(), to.octets()).ok()
+        }
         _ => None,
     };
     sum == Some(tcp.checksum())
--- a/crates/heathspur-capture/src/half.rs
+++ b/crates/heathspur-capture/src/half.rs
@@ -170,7 +170,13 @@
                 odd.out_of_order += u64::from(!self.pieces.contains_key(&from));
             }
             let skip = (before as usize).min(payload.len());
-            self.add(time, from, &payload[skip..], length - before - (payload.len() - skip) as u64, odd);
+            self.add(
+                time,
+                from,
+                &payload[skip..],
+                length - before - (payload.len() - skip) as u64,
+                odd,
+            );
         }
         self.advance();
     }
@@ -181,7 +187,11 @@
         let off = i64::from(seq.wrapping_sub(next_seq) as i32);
         if self.end.is_none() {
             // An end that lies nowhere near is one for now.
-            let at = if off.abs() > AHEAD { next } else { next.saturating_add_signed(off) };
+            let at = if off.abs() > AHEAD {
+                next
+            } else {
+                next.saturating_add_signed(off)
+            };
             self.end = Some((at.max(next), reset));
         }
         self.advance();
@@ -194,13 +204,22 @@
 
     /// Bytes before what waits will not come any more: the first gap becomes a hole. False if there is none.
     pub fn give_up_gap(&mut self) -> bool {
-        let Some((seq, next)) = self.next else { return false };
+        let Some((seq, next)) = self.next else {
+            return false;
+        };
         let first = self.pieces.keys().next().copied();
         let end = self.end.map(|(at, _)| at);
-        let Some(to) = [first, end].into_iter().flatten().min().filter(|&to| to > next) else {
+        let Some(to) = [first, end]
+            .into_iter()
+            .flatten()
+            .min()
+            .filter(|&to| to > next)
+        else {
             return false;
         };
-        self.given.push_back(Given::Hole { length: Some(to - next) });
+        self.given.push_back(Given::Hole {
+            length: Some(to - next),
+        });
         self.tail.clear();
         self.next = Some((seq.wrapping_add((to - next) as u32), to));
         self.advance();
@@ -242,11 +261,18 @@
 
     fn fill(&mut self, time: Stamp, from: u64, to: u64, payload: Option<&[u8]>, odd: &mut Odd) {
         let mut at = from;
-        let before = self.pieces.range(..=from).next_back().map(|(&start, _)| start);
+        let before = self
+            .pieces
+            .range(..=from)
+            .next_back()
+            .map(|(&start, _)| start);
         let begin = before.unwrap_or(from);
         // What overlaps, in order: the gaps between are filled, the rest is compared.
-        let overlapping: Vec<(u64, u64)> =
-            self.pieces.range(begin..to).map(|(&start, piece)| (start, start + piece.len())).collect();
+        let overlapping: Vec<(u64, u64)> = self
+            .pieces
+            .range(begin..to)
+            .map(|(&start, piece)| (start, start + piece.len()))
+            .collect();
         let (mut same, mut other) = (false, false);
         for (start, end) in overlapping {
             if end <= at {
@@ -255,7 +281,9 @@
             if start > at {
                 self.put(time, at, start.min(to), from, payload);
             }
-            if let (Some(payload), Some(Piece::Bytes { bytes, .. })) = (payload, self.pieces.get(&start)) {
+            if let (Some(payload), Some(Piece::Bytes { bytes, .. })) =
+                (payload, self.pieces.get(&start))
+            {
                 let (low, high) = (start.max(from), end.min(to));
                 let ours = &payload[(low - from) as usize..(high - from) as usize];
                 let theirs = &bytes[(low - start) as usize..(high - start) as usize];
@@ -275,32 +303,52 @@
     }
 
     fn recover(&mut self, start: u64, end: u64, from: u64, to: u64, payload: &[u8], time: Stamp) {
-        let Some(Piece::Lost { time: lost_at, .. }) = self.pieces.remove(&start) else { return };
+        let Some(Piece::Lost { time: lost_at, .. }) = self.pieces.remove(&start) else {
+            return;
+        };
         let (low, high) = (start.max(from), end.min(to));
         if start < low {
-            self.pieces.insert(start, Piece::Lost { time: lost_at, length: low - start });
+            self.pieces.insert(
+                start,
+                Piece::Lost {
+                    time: lost_at,
+                    length: low - start,
+                },
+            );
         }
         self.put(time, low, high, from, Some(payload));
         if high < end {
-            self.pieces.insert(high, Piece::Lost { time: lost_at, length: end - high });
+            self.pieces.insert(
+                high,
+                Piece::Lost {
+                    time: lost_at,
+                    length: end - high,
+                },
+            );
         }
     }
 
     fn put(&mut self, time: Stamp, at: u64, to: u64, from: u64, payload: Option<&[u8]>) {
         let piece = match payload {
             Some(payload) => {
-                let bytes = Bytes::copy_from_slice(&payload[(at - from) as usize..(to - from) as usize]);
+                let bytes =
+                    Bytes::copy_from_slice(&payload[(at - from) as usize..(to - from) as usize]);
                 self.held += bytes.len();
                 Piece::Bytes { time, bytes }
             }
-            None => Piece::Lost { time, length: to - at },
+            None => Piece::Lost {
+                time,
+                length: to - at,
+            },
         };
         self.pieces.insert(at, piece);
     }
 
     /// Gives all that follows without a gap.
     fn advance(&mut self) {
-        let Some((mut seq, mut next)) = self.next else { return };
+        let Some((mut seq, mut next)) = self.next else {
+            return;
+        };
         while let Some(entry) = self.pieces.first_entry() {
             if *entry.key() != next {
                 break;
@@ -325,7 +373,9 @@
                 Piece::Lost { .. } => {
                     // Its packet was cut when it was captured: no other copy is to be waited for.
                     self.tail.clear();
-                    self.given.push_back(Given::Hole { length: Some(length) });
+                    self.given.push_back(Given::Hole {
+                        length: Some(length),
+                    });
                 }
             }
             next += length;
--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -73,7 +73,9 @@
 
     /// The one of that name.
     pub fn named(name: &[u8]) -> Option<Leg> {
-        Leg::ALL.into_iter().find(|leg| leg.name().as_bytes() == name)
+        Leg::ALL
+            .into_iter()
+            .find(|leg| leg.name().as_bytes() == name)
     }
 }
 
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -80,7 +80,11 @@
 
     /// What was read so far.
     pub fn tally(&self) -> Tally {
-        Tally { tcp: self.assembler.counts(), pieces_given_up: self.frames.given_up(), ..self.tally.clone() }
+        Tally {
+            tcp: self.assembler.counts(),
+            pieces_given_up: self.frames.given_up(),
+            ..self.tally.clone()
+        }
     }
 
     /// Bytes that are held: of incomplete messages, and of what waits for a gap.
@@ -103,7 +107,8 @@
                 }
             };
             self.tally.packets += 1;
-            self.tally.cut_packets += u64::from((packet.data.len() as u64) < packet.wire_len.into());
+            self.tally.cut_packets +=
+                u64::from((packet.data.len() as u64) < packet.wire_len.into());
             if packet.time > Stamp::default() {
                 self.tally.first.get_or_insert(packet.time);
                 self.tally.last = self.tally.last.max(packet.time);
@@ -116,7 +121,12 @@
             match self.frames.segment(&packet) {
                 Ok(segment) => {
                     self.assembler.segment(&segment);
-                    hand_on(&mut self.assembler, &mut self.exchanges, &mut self.tally, &mut found);
+                    hand_on(
+                        &mut self.assembler,
+                        &mut self.exchanges,
+                        &mut self.tally,
+                        &mut found,
+                    );
                 }
                 Err(cause) => *self.tally.passed.entry(cause).or_default() += 1,
             }
@@ -129,7 +139,12 @@
             self.tally.damage = Some(damage);
         }
         self.assembler.finish();
-        hand_on(&mut self.assembler, &mut self.exchanges, &mut self.tally, &mut found);
+        hand_on(
+            &mut self.assembler,
+            &mut self.exchanges,
+            &mut self.tally,
+            &mut found,
+        );
     }
 }
 
--- a/crates/heathspur-capture/src/reassembly.rs
+++ b/crates/heathspur-capture/src/reassembly.rs
@@ -181,7 +181,10 @@
     /// One that has seen nothing.
     pub fn new(limits: Limits) -> Assembler {
         Assembler {
-            limits: Limits { connections: limits.connections.max(1), ..limits },
+            limits: Limits {
+                connections: limits.connections.max(1),
+                ..limits
+            },
             table: HashMap::new(),
             waiting: BTreeMap::new(),
             next_id: 0,
@@ -229,7 +232,9 @@
             }
             self.open(pair, segment, Start::Middle);
         }
-        let Some(connection) = self.table.get_mut(&pair) else { return };
+        let Some(connection) = self.table.get_mut(&pair) else {
+            return;
+        };
         connection.seen = connection.seen.max(segment.time);
         if connection.over.is_some() {
             self.counts.odd.after_end += u64::from(!segment.payload.is_empty());
@@ -240,13 +245,27 @@
         let seq = segment.seq.wrapping_add(u32::from(segment.syn));
         let payload = &segment.payload[..];
         let half = &mut connection.halves[side];
-        half.segment(segment.time, seq, payload, segment.lost.into(), &mut self.counts.odd);
+        half.segment(
+            segment.time,
+            seq,
+            payload,
+            segment.lost.into(),
+            &mut self.counts.odd,
+        );
         if segment.rst {
             // One that answers a SYN carries no number of its own.
-            let at = if segment.seq == 0 && !half.started() { 0 } else { seq };
+            let at = if segment.seq == 0 && !half.started() {
+                0
+            } else {
+                seq
+            };
             half.ends_at(at, true);
         } else if segment.fin {
-            half.ends_at(seq.wrapping_add(payload.len() as u32).wrapping_add(segment.lost), false);
+            half.ends_at(
+                seq.wrapping_add(payload.len() as u32)
+                    .wrapping_add(segment.lost),
+                false,
+            );
         }
         self.settle(pair, segment.time);
         self.give_up_gaps(pair);
@@ -254,8 +273,12 @@
 
     /// The capture is over: all that waits is given, and all connections end.
     pub fn finish(&mut self) {
-        let mut left: Vec<(ConnId, Pair)> =
-            self.table.iter().filter(|(_, c)| c.over.is_none()).map(|(&pair, c)| (c.id, pair)).collect();
+        let mut left: Vec<(ConnId, Pair)> = self
+            .table
+            .iter()
+            .filter(|(_, c)| c.over.is_none())
+            .map(|(&pair, c)| (c.id, pair))
+            .collect();
         left.sort_unstable();
         for (_, pair) in left {
             self.close(pair, End::CaptureEnd);
@@ -270,7 +293,10 @@
             match connection.syn[side] {
                 // Sent again.
                 Some(seq) if seq == segment.seq => return,
-                None if answers && connection.over.is_none() && !connection.halves[side].started() => {
+                None if answers
+                    && connection.over.is_none()
+                    && !connection.halves[side].started() =>
+                {
                     connection.syn[side] = Some(segment.seq);
                     connection.halves[side].starts_at(segment.seq.wrapping_add(1));
                     return;
@@ -295,8 +321,11 @@
             Start::Handshake => segment.ack.is_none(),
             Start::Middle => self.guess_client(segment),
         };
-        let (client, server) =
-            if from_client { (segment.from, segment.to) } else { (segment.to, segment.from) };
+        let (client, server) = if from_client {
+            (segment.from, segment.to)
+        } else {
+            (segment.to, segment.from)
+        };
         let id = ConnId(self.next_id);
         self.next_id += 1;
         self.counts.connections += 1;
@@ -320,7 +349,13 @@
             }
         }
         self.table.insert(pair, connection);
-        self.events.push_back(Event::Opened { conn: id, client, server, time: segment.time, start });
+        self.events.push_back(Event::Opened {
+            conn: id,
+            client,
+            server,
+            time: segment.time,
+            start,
+        });
     }
 
     /// Whether the sender of the first payload that was seen is the client: by what it says, else by ports.
@@ -340,18 +375,34 @@
 
     /// Moves what is ready to the events, and ends what is over.
     fn settle(&mut self, pair: Pair, time: Stamp) {
-        let Some(connection) = self.table.get_mut(&pair) else { return };
+        let Some(connection) = self.table.get_mut(&pair) else {
+            return;
+        };
         let conn = connection.id;
         let mut reset = false;
-        for (half, side) in connection.halves.iter_mut().zip([Side::Client, Side::Server]) {
+        for (half, side) in connection
+            .halves
+            .iter_mut()
+            .zip([Side::Client, Side::Server])
+        {
             while let Some(given) = half.take() {
                 self.events.push_back(match given {
-                    Given::Bytes { time, bytes } => Event::Bytes { conn, side, time, bytes },
+                    Given::Bytes { time, bytes } => Event::Bytes {
+                        conn,
+                        side,
+                        time,
+                        bytes,
+                    },
                     Given::Hole { length } => Event::Hole { conn, side, length },
                     Given::End { reset: by_reset } => {
                         reset |= by_reset;
                         let end = if by_reset { End::Reset } else { End::Closed };
-                        Event::Ended { conn, side, end, time }
+                        Event::Ended {
+                            conn,
+                            side,
+                            end,
+                            time,
+                        }
                     }
                 });
             }
@@ -374,7 +425,9 @@
     /// Ends a connection: what waits is given first. It is remembered for a while.
     fn close(&mut self, pair: Pair, end: End) {
         let now = self.now;
-        let Some(connection) = self.table.get_mut(&pair) else { return };
+        let Some(connection) = self.table.get_mut(&pair) else {
+            return;
+        };
         if connection.over.replace(now).is_some() {
             return;
         }
@@ -383,22 +436,37 @@
             half.flush(false);
         }
         self.settle(pair, now);
-        let Some(connection) = self.table.get_mut(&pair) else { return };
+        let Some(connection) = self.table.get_mut(&pair) else {
+            return;
+        };
         for (half, side) in connection.halves.iter().zip([Side::Client, Side::Server]) {
             if !half.ended() {
-                self.events.push_back(Event::Ended { conn, side, end, time: now });
+                self.events.push_back(Event::Ended {
+                    conn,
+                    side,
+                    end,
+                    time: now,
+                });
             }
         }
         connection.halves = [Half::new(), Half::new()];
         self.held -= std::mem::take(&mut connection.held);
         self.waiting.remove(&conn);
-        self.events.push_back(Event::Closed { conn, end, time: now });
+        self.events.push_back(Event::Closed {
+            conn,
+            end,
+            time: now,
+        });
     }
 
     /// Gives up what waits for too long behind one gap, in bytes or in capture time, and the largest while
     /// memory is short. Times are looked at an eighth of the limit apart, so a segment costs no search.
     fn give_up_gaps(&mut self, pair: Pair) {
-        if self.table.get(&pair).is_some_and(|c| c.held > self.limits.gap_bytes) {
+        if self
+            .table
+            .get(&pair)
+            .is_some_and(|c| c.held > self.limits.gap_bytes)
+        {
             let bytes = self.limits.gap_bytes;
             self.give_up(pair, |half| half.held() > bytes);
         }
@@ -406,14 +474,23 @@
             self.swept = self.now;
             let (now, time) = (self.now, self.limits.gap_time);
             for pair in self.waiting.values().copied().collect::<Vec<_>>() {
-                self.give_up(pair, |half| half.waits_since().is_some_and(|since| now.since(since) > time));
+                self.give_up(pair, |half| {
+                    half.waits_since()
+                        .is_some_and(|since| now.since(since) > time)
+                });
             }
         }
         while self.held > self.limits.memory {
             let held = |pair: &&Pair| self.table.get(pair).map_or(0, |c| c.held);
-            let Some(pair) = self.waiting.values().max_by_key(held).copied() else { return };
-            let Some(connection) = self.table.get_mut(&pair) else { return };
-            let Some(half) = connection.halves.iter_mut().max_by_key(|half| half.held()) else { return };
+            let Some(pair) = self.waiting.values().max_by_key(held).copied() else {
+                return;
+            };
+            let Some(connection) = self.table.get_mut(&pair) else {
+                return;
+            };
+            let Some(half) = connection.halves.iter_mut().max_by_key(|half| half.held()) else {
+                return;
+            };
             self.counts.gaps_for_memory += 1;
             if !half.give_up_gap() {
                 return;
@@ -423,7 +500,9 @@
     }
 
     fn give_up(&mut self, pair: Pair, late: impl Fn(&Half) -> bool) {
-        let Some(connection) = self.table.get_mut(&pair) else { return };
+        let Some(connection) = self.table.get_mut(&pair) else {
+            return;
+        };
         let mut given_up = 0;
         for half in &mut connection.halves {
             while late(half) && half.give_up_gap() {
@@ -440,13 +519,17 @@
     /// sixteenth of the table goes at once, so that a flood of new ones costs no search for each.
     fn make_room(&mut self) {
         let (now, linger) = (self.now, self.limits.linger);
-        self.table.retain(|_, c| c.over.is_none_or(|since| now.since(since) < linger));
+        self.table
+            .retain(|_, c| c.over.is_none_or(|since| now.since(since) < linger));
         let most = self.limits.connections - (self.limits.connections / 16).max(1);
         if self.table.len() <= most {
             return;
         }
-        let mut by_age: Vec<(bool, Stamp, ConnId, Pair)> =
-            self.table.iter().map(|(&pair, c)| (c.over.is_none(), c.seen, c.id, pair)).collect();
+        let mut by_age: Vec<(bool, Stamp, ConnId, Pair)> = self
+            .table
+            .iter()
+            .map(|(&pair, c)| (c.over.is_none(), c.seen, c.id, pair))
+            .collect();
         by_age.sort_unstable_by_key(|&(open, seen, id, _)| (open, seen, id));
         for (open, _, _, pair) in by_age.into_iter().take(self.table.len() - most) {
             if open {
--- a/crates/heathspur-capture/src/write.rs
+++ b/crates/heathspur-capture/src/write.rs
@@ -4,8 +4,8 @@
 use crate::{Side, Stamp};
 use etherparse::PacketBuilder;
 use pcap_parser::pcapng::{
-    EnhancedPacketBlock, InterfaceDescriptionBlock, InterfaceStatisticsBlock, OptionCode, PcapNGOption,
-    SectionHeaderBlock,
+    EnhancedPacketBlock, InterfaceDescriptionBlock, InterfaceStatisticsBlock, OptionCode,
+    PcapNGOption, SectionHeaderBlock,
 };
 use pcap_parser::{LegacyPcapBlock, Linktype, PcapHeader, ToVec};
 use std::borrow::Cow;
@@ -65,7 +65,10 @@
         linktype: Linktype(link),
         reserved: 0,
         snaplen: 0,
-        options: vec![option(OptionCode::IfName, name.as_bytes()), option(OptionCode::IfTsresol, &[9])],
+        options: vec![
+            option(OptionCode::IfName, name.as_bytes()),
+            option(OptionCode::IfTsresol, &[9]),
+        ],
         block_len2: 0,
         if_tsresol: 9,
         if_tsoffset: 0,
@@ -75,12 +78,20 @@
 
 /// The start of a pcapng file: the section and its interfaces, by name, all with raw IP.
 pub fn ng_start(interfaces: &[&str]) -> Vec<u8> {
-    let described = interfaces.iter().flat_map(|name| ng_interface(RAW_IP, name));
+    let described = interfaces
+        .iter()
+        .flat_map(|name| ng_interface(RAW_IP, name));
     ng_section().into_iter().chain(described).collect()
 }
 
 /// A packet of a pcapng file. A comment stands with it where there is one.
-pub fn ng_packet(interface: u32, time: Stamp, data: &[u8], wire_len: u32, comment: &str) -> Vec<u8> {
+pub fn ng_packet(
+    interface: u32,
+    time: Stamp,
+    data: &[u8],
+    wire_len: u32,
+    comment: &str,
+) -> Vec<u8> {
     let options = match comment {
         "" => Vec::new(),
         text => vec![option(OptionCode::Comment, text.as_bytes())],
@@ -109,14 +120,21 @@
         if_id: interface,
         ts_high: (time.0 >> 32) as u32,
         ts_low: time.0 as u32,
-        options: vec![option(OptionCode(4), &taken), option(OptionCode(5), &left_out)],
+        options: vec![
+            option(OptionCode(4), &taken),
+            option(OptionCode(5), &left_out),
+        ],
         block_len2: 0,
     };
     block.to_vec().unwrap_or_default()
 }
 
 fn option(code: OptionCode, value: &[u8]) -> PcapNGOption<'_> {
-    PcapNGOption { code, len: value.len() as u16, value: Cow::Borrowed(value) }
+    PcapNGOption {
+        code,
+        len: value.len() as u16,
+        value: Cow::Borrowed(value),
+    }
 }
 
 /// What a made-up segment carries beside its payload.
@@ -185,18 +203,29 @@
 impl Talk {
     /// A conversation that has not begun. The first sequence numbers are the caller's to choose.
     pub fn new(client: SocketAddr, server: SocketAddr, first: [u32; 2]) -> Talk {
-        Talk { ends: [client, server], seq: first, finished: [false; 2] }
+        Talk {
+            ends: [client, server],
+            seq: first,
+            finished: [false; 2],
+        }
     }
 
     /// The three packets of its handshake.
     pub fn open(&mut self) -> [Vec<u8>; 3] {
-        let syn = Flags { syn: true, ..Flags::default() };
+        let syn = Flags {
+            syn: true,
+            ..Flags::default()
+        };
         let [client, server] = self.ends;
         let first = segment(client, server, (self.seq[0], None), syn, &[]);
         self.seq[0] = self.seq[0].wrapping_add(1);
         let second = segment(server, client, (self.seq[1], Some(self.seq[0])), syn, &[]);
         self.seq[1] = self.seq[1].wrapping_add(1);
-        [first, second, self.packet(Side::Client, Flags::default(), &[])]
+        [
+            first,
+            second,
+            self.packet(Side::Client, Flags::default(), &[]),
+        ]
     }
 
     /// Segments with what a side said, each up to [`SEGMENT`] bytes of it.
@@ -219,7 +248,14 @@
         if std::mem::replace(&mut self.finished[at(side)], true) {
             return None;
         }
-        let packet = self.packet(side, Flags { fin: true, ..Flags::default() }, &[]);
+        let packet = self.packet(
+            side,
+            Flags {
+                fin: true,
+                ..Flags::default()
+            },
+            &[],
+        );
         self.seq[at(side)] = self.seq[at(side)].wrapping_add(1);
         Some(packet)
     }
@@ -227,7 +263,14 @@
     /// A side breaks it off.
     pub fn reset(&mut self, side: Side) -> Vec<u8> {
         self.finished = [true; 2];
-        self.packet(side, Flags { rst: true, ..Flags::default() }, &[])
+        self.packet(
+            side,
+            Flags {
+                rst: true,
+                ..Flags::default()
+            },
+            &[],
+        )
     }
 
     fn packet(&self, side: Side, flags: Flags, payload: &[u8]) -> Vec<u8> {
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -8,7 +8,11 @@
 
 /// The same cases on every machine and run.
 fn seeded(cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
@@ -19,7 +23,9 @@
         let mut script = Script::open(4000 + n as u16);
         let mut bytes = Vec::new();
         for (i, &length) in bodies.iter().enumerate() {
-            let body: Vec<u8> = (0..length).map(|b| (usize::from(b) * 7 + i + n) as u8).collect();
+            let body: Vec<u8> = (0..length)
+                .map(|b| (usize::from(b) * 7 + i + n) as u8)
+                .collect();
             let request = request(i as u64, &body);
             script.say(Side::Client, &request, segment);
             script.say(Side::Server, &answer(200, b"ok"), 1000);
@@ -47,7 +53,10 @@
         }
     }
     for (conn, _, message) in &read.requests {
-        by_port.entry(ports[conn]).or_default().push(message.bytes.to_vec());
+        by_port
+            .entry(ports[conn])
+            .or_default()
+            .push(message.bytes.to_vec());
     }
     by_port.into_values().collect()
 }
@@ -58,26 +67,29 @@
     // How far each packet slips back, and whether a copy follows.
     let slips = prop::collection::vec((0_u64..12, any::<bool>()), 400);
     seeded(150)
-        .run(&(bodies, 30_usize..700, slips), |(bodies, segment, slips)| {
-            let (packets, sent) = conversations(&bodies, segment);
-            let mut scrambled = Vec::new();
-            for (at, (time, packet)) in packets.into_iter().enumerate() {
-                let (slip, copy) = slips[at % slips.len()];
-                // A handshake out of order is another test's matter.
-                let slip = if time <= 3 * MS { 0 } else { slip * MS };
-                if copy {
-                    scrambled.push((time + slip + 20 * MS, packet.clone()));
+        .run(
+            &(bodies, 30_usize..700, slips),
+            |(bodies, segment, slips)| {
+                let (packets, sent) = conversations(&bodies, segment);
+                let mut scrambled = Vec::new();
+                for (at, (time, packet)) in packets.into_iter().enumerate() {
+                    let (slip, copy) = slips[at % slips.len()];
+                    // A handshake out of order is another test's matter.
+                    let slip = if time <= 3 * MS { 0 } else { slip * MS };
+                    if copy {
+                        scrambled.push((time + slip + 20 * MS, packet.clone()));
+                    }
+                    scrambled.push((time + slip, packet));
                 }
-                scrambled.push((time + slip, packet));
-            }
-            scrambled.sort_by_key(|(at, _)| *at);
-            let read = read(&pcap(&scrambled), Options::default(), 333);
-            prop_assert_eq!(requests_by_connection(&read), sent);
-            prop_assert_eq!(read.tally.holes, 0);
-            prop_assert_eq!(read.tally.tcp.odd.conflicting, 0);
-            prop_assert!(read.answers.iter().all(|(_, to, _)| to.is_some()));
-            Ok(())
-        })
+                scrambled.sort_by_key(|(at, _)| *at);
+                let read = read(&pcap(&scrambled), Options::default(), 333);
+                prop_assert_eq!(requests_by_connection(&read), sent);
+                prop_assert_eq!(read.tally.holes, 0);
+                prop_assert_eq!(read.tally.tcp.odd.conflicting, 0);
+                prop_assert!(read.answers.iter().all(|(_, to, _)| to.is_some()));
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
@@ -88,8 +100,14 @@
     seeded(150)
         .run(&(bodies, 50_usize..400, lost), |(bodies, segment, lost)| {
             let (packets, sent) = conversations(&bodies, segment);
-            let keep = |(at, (time, _)): &(usize, Timed)| *time <= 3 * MS || !lost.contains(&(at % 200));
-            let kept: Vec<Timed> = packets.into_iter().enumerate().filter(keep).map(|(_, p)| p).collect();
+            let keep =
+                |(at, (time, _)): &(usize, Timed)| *time <= 3 * MS || !lost.contains(&(at % 200));
+            let kept: Vec<Timed> = packets
+                .into_iter()
+                .enumerate()
+                .filter(keep)
+                .map(|(_, p)| p)
+                .collect();
             let read = read(&pcap(&kept), Options::default(), 1 << 16);
             for (found, sent) in requests_by_connection(&read).iter().zip(&sent) {
                 // What comes out is a part of what went in, in its order, and never made up.
@@ -109,8 +127,18 @@
 fn tight() -> Options {
     Options {
         checksums: false,
-        reassembly: Limits { connections: 8, memory: 4000, gap_bytes: 1500, ..Limits::default() },
-        exchange: exchange::Limits { head: 600, message: 2000, memory: 5000, open: 4 },
+        reassembly: Limits {
+            connections: 8,
+            memory: 4000,
+            gap_bytes: 1500,
+            ..Limits::default()
+        },
+        exchange: exchange::Limits {
+            head: 600,
+            message: 2000,
+            memory: 5000,
+            open: 4,
+        },
     }
 }
 
@@ -137,23 +165,31 @@
     let bodies = prop::collection::vec(prop::collection::vec(0_u16..600, 1..5), 1..12);
     let changes = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..60);
     seeded(300)
-        .run(&(bodies, 20_usize..500, changes, any::<bool>()), |(bodies, segment, changes, ng)| {
-            let (packets, _) = conversations(&bodies, segment);
-            let mut file = if ng { heathspur_capture::write::ng_start(&["a"]) } else { pcap(&[]) };
-            for (at, packet) in &packets {
-                let (time, length) = (heathspur_capture::Stamp(START + at), packet.len() as u32);
-                file.extend(match ng {
-                    true => heathspur_capture::write::ng_packet(0, time, packet, length, ""),
-                    false => heathspur_capture::write::pcap_record(time, packet, length),
-                });
-            }
-            for (at, byte) in changes {
-                let at = at.index(file.len());
-                file[at] = byte;
-            }
-            let read = read(&file, tight(), 700);
-            prop_assert!(read.most_held <= 16_000, "{}", read.most_held);
-            Ok(())
-        })
+        .run(
+            &(bodies, 20_usize..500, changes, any::<bool>()),
+            |(bodies, segment, changes, ng)| {
+                let (packets, _) = conversations(&bodies, segment);
+                let mut file = if ng {
+                    heathspur_capture::write::ng_start(&["a"])
+                } else {
+                    pcap(&[])
+                };
+                for (at, packet) in &packets {
+                    let (time, length) =
+                        (heathspur_capture::Stamp(START + at), packet.len() as u32);
+                    file.extend(match ng {
+                        true => heathspur_capture::write::ng_packet(0, time, packet, length, ""),
+                        false => heathspur_capture::write::pcap_record(time, packet, length),
+                    });
+                }
+                for (at, byte) in changes {
+                    let at = at.index(file.len());
+                    file[at] = byte;
+                }
+                let read = read(&file, tight(), 700);
+                prop_assert!(read.most_held <= 16_000, "{}", read.most_held);
+                Ok(())
+            },
+        )
         .unwrap();
 }
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -26,7 +26,13 @@
 }
 
 fn classic(big: bool, nanos: bool, link: u32, records: &[(u32, u32, &[u8], u32)]) -> Vec<u8> {
-    let w = |n: u32| if big { n.to_be_bytes() } else { n.to_le_bytes() };
+    let w = |n: u32| {
+        if big {
+            n.to_be_bytes()
+        } else {
+            n.to_le_bytes()
+        }
+    };
     let mut out = Vec::new();
     out.extend(w(if nanos { 0xa1b2_3c4d } else { 0xa1b2_c3d4 }));
     out.extend(if big { [0, 2, 0, 4] } else { [2, 0, 4, 0] });
@@ -50,7 +56,10 @@
         for piece in [1, 7, 4096] {
             let (found, end) = packets(&file, piece);
             let first = (7_000_005_000, b"abc".to_vec(), 3, Link::Ethernet);
-            assert_eq!(found, [first, (8_000_000_000, b"de".to_vec(), 900, Link::Ethernet)]);
+            assert_eq!(
+                found,
+                [first, (8_000_000_000, b"de".to_vec(), 900, Link::Ethernet)]
+            );
             assert_eq!(end, Ok(()));
         }
     }
@@ -58,7 +67,13 @@
 
 /// A block of pcapng with its lengths right.
 fn block(big: bool, kind: u32, body: &[u8]) -> Vec<u8> {
-    let w = |n: u32| if big { n.to_be_bytes() } else { n.to_le_bytes() };
+    let w = |n: u32| {
+        if big {
+            n.to_be_bytes()
+        } else {
+            n.to_le_bytes()
+        }
+    };
     let padded = body.len().next_multiple_of(4);
     let length = w(12 + padded as u32);
     let padding = vec![0; padded - body.len()];
@@ -66,21 +81,62 @@
 }
 
 fn section(big: bool) -> Vec<u8> {
-    let w = |n: u32| if big { n.to_be_bytes() } else { n.to_le_bytes() };
+    let w = |n: u32| {
+        if big {
+            n.to_be_bytes()
+        } else {
+            n.to_le_bytes()
+        }
+    };
     let version = if big { [0, 1, 0, 0] } else { [1, 0, 0, 0] };
-    block(big, 0x0a0d_0d0a, &[&w(0x1a2b_3c4d)[..], &version, &[0xff; 8]].concat())
+    block(
+        big,
+        0x0a0d_0d0a,
+        &[&w(0x1a2b_3c4d)[..], &version, &[0xff; 8]].concat(),
+    )
 }
 
 fn interface(big: bool, link: u16, resolution: u8, offset: i64) -> Vec<u8> {
-    let s = |n: u16| if big { n.to_be_bytes() } else { n.to_le_bytes() };
-    let offset = if big { offset.to_be_bytes() } else { offset.to_le_bytes() };
-    let options = [&s(9)[..], &s(1), &[resolution, 0, 0, 0], &s(14), &s(8), &offset, &[0; 4]].concat();
+    let s = |n: u16| {
+        if big {
+            n.to_be_bytes()
+        } else {
+            n.to_le_bytes()
+        }
+    };
+    let offset = if big {
+        offset.to_be_bytes()
+    } else {
+        offset.to_le_bytes()
+    };
+    let options = [
+        &s(9)[..],
+        &s(1),
+        &[resolution, 0, 0, 0],
+        &s(14),
+        &s(8),
+        &offset,
+        &[0; 4],
+    ]
+    .concat();
     block(big, 1, &[&s(link)[..], &[0; 2], &[0; 4], &options].concat())
 }
 
 fn enhanced(big: bool, interface: u32, units: u64, data: &[u8]) -> Vec<u8> {
-    let w = |n: u32| if big { n.to_be_bytes() } else { n.to_le_bytes() };
-    let words = [interface, (units >> 32) as u32, units as u32, data.len() as u32, 4000];
+    let w = |n: u32| {
+        if big {
+            n.to_be_bytes()
+        } else {
+            n.to_le_bytes()
+        }
+    };
+    let words = [
+        interface,
+        (units >> 32) as u32,
+        units as u32,
+        data.len() as u32,
+        4000,
+    ];
     block(big, 6, &[&words.map(w).concat(), data].concat())
 }
 
@@ -111,8 +167,14 @@
                 (4_500_000_000, b"third", Link::Ip),
                 (1_500_000_000, b"fourth", Link::Cooked2),
             ];
-            let found: Vec<_> = found.iter().map(|(t, d, w, l)| (*t, &d[..], *w, *l)).collect();
-            assert_eq!(found, expected.map(|(time, data, link)| (time, data, 4000, link)));
+            let found: Vec<_> = found
+                .iter()
+                .map(|(t, d, w, l)| (*t, &d[..], *w, *l))
+                .collect();
+            assert_eq!(
+                found,
+                expected.map(|(time, data, link)| (time, data, 4000, link))
+            );
             assert_eq!(end, Ok(()));
         }
     }
@@ -125,14 +187,31 @@
     file.extend([9, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0x7f, 1, 0, 0, 0]);
     let (found, end) = packets(&file, 5);
     assert_eq!(found.len(), 1);
-    assert_eq!(end, Err(Damage { offset: place, cause: Cause::Length(0x7fff_ffff) }));
+    assert_eq!(
+        end,
+        Err(Damage {
+            offset: place,
+            cause: Cause::Length(0x7fff_ffff)
+        })
+    );
 
-    let mut file = [section(false), interface(false, 1, 6, 0), enhanced(false, 0, 1, b"abc")].concat();
+    let mut file = [
+        section(false),
+        interface(false, 1, 6, 0),
+        enhanced(false, 0, 1, b"abc"),
+    ]
+    .concat();
     let place = file.len() as u64;
     file.extend([6, 0, 0, 0, 0, 0, 0, 0x40, 0, 0, 0, 0, 0, 0, 0, 0]);
     let (found, end) = packets(&file, 5);
     assert_eq!(found.len(), 1);
-    assert_eq!(end, Err(Damage { offset: place, cause: Cause::Length(0x4000_0000) }));
+    assert_eq!(
+        end,
+        Err(Damage {
+            offset: place,
+            cause: Cause::Length(0x4000_0000)
+        })
+    );
 }
 
 #[test]
@@ -143,7 +222,16 @@
     assert_eq!(packets(&file, 1 << 20).0.len(), 1);
     let cut = &file[..start.len() + 1000];
     let (found, end) = packets(cut, 100);
-    assert_eq!((found.len(), end), (0, Err(Damage { offset: start.len() as u64, cause: Cause::Cut(1000) })));
+    assert_eq!(
+        (found.len(), end),
+        (
+            0,
+            Err(Damage {
+                offset: start.len() as u64,
+                cause: Cause::Cut(1000)
+            })
+        )
+    );
 }
 
 #[test]
@@ -186,9 +274,22 @@
     for (file, ends) in [(whole, ends), (ng, ng_ends)] {
         for cut in 0..file.len() {
             let (found, end) = packets(&file[..cut], 64);
-            assert_eq!(found.len(), ends.iter().filter(|end| **end <= cut).count(), "{cut}");
+            assert_eq!(
+                found.len(),
+                ends.iter().filter(|end| **end <= cut).count(),
+                "{cut}"
+            );
             let at_an_end = ends.contains(&cut) || end.is_ok();
-            assert!(at_an_end || matches!(end, Err(Damage { cause: Cause::Cut(_) | Cause::NoCapture, .. })));
+            assert!(
+                at_an_end
+                    || matches!(
+                        end,
+                        Err(Damage {
+                            cause: Cause::Cut(_) | Cause::NoCapture,
+                            ..
+                        })
+                    )
+            );
         }
         assert_eq!(packets(&file, 64).0.len(), ends.len());
     }
@@ -197,6 +298,9 @@
 #[test]
 fn what_is_no_capture_says_so() {
     for text in [&b""[..], b"a,b\n1,2\n", &[0; 100]] {
-        assert_eq!(packets(text, 10).1.map_err(|d| d.cause), Err(Cause::NoCapture));
+        assert_eq!(
+            packets(text, 10).1.map_err(|d| d.cause),
+            Err(Cause::NoCapture)
+        );
     }
 }
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -8,11 +8,23 @@
 use std::net::SocketAddr;
 
 fn ip(payload: &[u8]) -> Vec<u8> {
-    segment(client(4000), server(), (1, Some(2)), Flags::default(), payload)
+    segment(
+        client(4000),
+        server(),
+        (1, Some(2)),
+        Flags::default(),
+        payload,
+    )
 }
 
 fn packet(link: Link, data: &[u8]) -> Packet<'_> {
-    Packet { time: Stamp(START), link, data, wire_len: data.len() as u32, leg: None }
+    Packet {
+        time: Stamp(START),
+        link,
+        data,
+        wire_len: data.len() as u32,
+        leg: None,
+    }
 }
 
 fn found<'a>(frames: &mut Frames, link: Link, data: &'a [u8]) -> Result<Segment<'a>, Passed> {
@@ -36,16 +48,29 @@
     ];
     for (link, data) in packets {
         let segment = found(&mut Frames::new(true), link, &data).unwrap();
-        assert_eq!((segment.from, segment.to), (client(4000), server()), "{link:?}");
-        assert_eq!((&segment.payload[..], segment.lost), (&b"hello"[..], 0), "{link:?}");
+        assert_eq!(
+            (segment.from, segment.to),
+            (client(4000), server()),
+            "{link:?}"
+        );
+        assert_eq!(
+            (&segment.payload[..], segment.lost),
+            (&b"hello"[..], 0),
+            "{link:?}"
+        );
     }
-    assert_eq!(found(&mut Frames::new(false), Link::Other(147), &ip), Err(Passed::Link));
+    assert_eq!(
+        found(&mut Frames::new(false), Link::Other(147), &ip),
+        Err(Passed::Link)
+    );
 }
 
 #[test]
 fn ipv6_with_extension_headers_is_read() {
-    let (from, to): (SocketAddr, SocketAddr) =
-        ("[fd00::7]:4000".parse().unwrap(), "[fd00::1]:6565".parse().unwrap());
+    let (from, to): (SocketAddr, SocketAddr) = (
+        "[fd00::7]:4000".parse().unwrap(),
+        "[fd00::1]:6565".parse().unwrap(),
+    );
     let plain = segment(from, to, (1, Some(2)), Flags::default(), b"hello");
     let options = [6, 0, 1, 4, 0, 0, 0, 0];
     let mut extended = [&plain[..40], &options, &plain[40..]].concat();
@@ -54,7 +79,10 @@
     extended[4..6].copy_from_slice(&length.to_be_bytes());
     for data in [plain, extended] {
         let segment = found(&mut Frames::new(true), Link::Ip, &data).unwrap();
-        assert_eq!((segment.from, segment.to, &segment.payload[..]), (from, to, &b"hello"[..]));
+        assert_eq!(
+            (segment.from, segment.to, &segment.payload[..]),
+            (from, to, &b"hello"[..])
+        );
     }
 }
 
@@ -64,11 +92,20 @@
     for kept in 40..140 {
         let data = &whole[..kept];
         let segment = Frames::new(true)
-            .segment(&Packet { wire_len: whole.len() as u32, ..packet(Link::Ip, data) })
+            .segment(&Packet {
+                wire_len: whole.len() as u32,
+                ..packet(Link::Ip, data)
+            })
             .unwrap();
-        assert_eq!((segment.payload.len(), segment.lost as usize), (kept - 40, 140 - kept));
+        assert_eq!(
+            (segment.payload.len(), segment.lost as usize),
+            (kept - 40, 140 - kept)
+        );
     }
-    assert_eq!(found(&mut Frames::new(false), Link::Ip, &whole[..30]), Err(Passed::Headers));
+    assert_eq!(
+        found(&mut Frames::new(false), Link::Ip, &whole[..30]),
+        Err(Passed::Headers)
+    );
 }
 
 #[test]
@@ -76,7 +113,10 @@
     let mut data = ip(b"hello");
     *data.last_mut().unwrap() ^= 1;
     assert!(found(&mut Frames::new(false), Link::Ip, &data).is_ok());
-    assert_eq!(found(&mut Frames::new(true), Link::Ip, &data), Err(Passed::Checksum));
+    assert_eq!(
+        found(&mut Frames::new(true), Link::Ip, &data),
+        Err(Passed::Checksum)
+    );
 }
 
 /// A packet of IPv4 in pieces of 8 times that many bytes.
@@ -104,7 +144,13 @@
         for &n in &order[..3] {
             assert_eq!(found(&mut frames, Link::Ip, &pieces[n]), Err(Passed::Piece));
         }
-        assert_eq!(found(&mut frames, Link::Ip, &pieces[order[3]]).unwrap().payload.len(), 200);
+        assert_eq!(
+            found(&mut frames, Link::Ip, &pieces[order[3]])
+                .unwrap()
+                .payload
+                .len(),
+            200
+        );
     }
 }
 
@@ -113,13 +159,25 @@
     let whole = ip(&[1; 200]);
     let mut frames = Frames::new(false);
     for id in 0..1000 {
-        assert_eq!(found(&mut frames, Link::Ip, &pieces(&whole, 8, id)[0]), Err(Passed::Piece));
+        assert_eq!(
+            found(&mut frames, Link::Ip, &pieces(&whole, 8, id)[0]),
+            Err(Passed::Piece)
+        );
     }
     assert_eq!(frames.given_up(), 1000 - 64);
-    let late = Packet { time: Stamp(START + 16_000_000_000), ..packet(Link::Ip, &whole) };
+    let late = Packet {
+        time: Stamp(START + 16_000_000_000),
+        ..packet(Link::Ip, &whole)
+    };
     assert!(frames.segment(&late).is_ok());
     let pieces = pieces(&whole, 8, 5);
-    assert_eq!(frames.segment(&Packet { data: &pieces[0], ..late }), Err(Passed::Piece));
+    assert_eq!(
+        frames.segment(&Packet {
+            data: &pieces[0],
+            ..late
+        }),
+        Err(Passed::Piece)
+    );
     assert_eq!(frames.given_up(), 1000);
 }
 
@@ -138,8 +196,10 @@
 
 #[test]
 fn pieces_of_ipv6_are_put_together() {
-    let (from, to): (SocketAddr, SocketAddr) =
-        ("[fd00::7]:4000".parse().unwrap(), "[fd00::1]:6565".parse().unwrap());
+    let (from, to): (SocketAddr, SocketAddr) = (
+        "[fd00::7]:4000".parse().unwrap(),
+        "[fd00::1]:6565".parse().unwrap(),
+    );
     let whole = segment(from, to, (1, Some(2)), Flags::default(), &[7; 100]);
     let parts: Vec<_> = whole[40..].chunks(48).collect();
     let last = parts.len() - 1;
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -6,7 +6,11 @@
 use heathspur_capture::{Item, Options, Side};
 use heathspur_rig::capture::*;
 
-const NONE: Flags = Flags { syn: false, fin: false, rst: false };
+const NONE: Flags = Flags {
+    syn: false,
+    fin: false,
+    rst: false,
+};
 
 fn all(packets: &[Timed]) -> Read {
     read(&pcap(packets), Options::default(), 1000)
@@ -16,7 +20,11 @@
 fn three(segment: usize) -> Script {
     let mut script = Script::open(4000);
     for number in 0..3 {
-        script.say(Side::Client, &request(number, &[b'a' + number as u8; 300]), segment);
+        script.say(
+            Side::Client,
+            &request(number, &[b'a' + number as u8; 300]),
+            segment,
+        );
         script.say(Side::Server, &answer(200 + number as u16, b"done"), 1000);
     }
     script.close();
@@ -25,8 +33,19 @@
 
 fn is_whole(read: &Read) {
     assert_eq!(read.bodies(), [[b'a'; 300], [b'b'; 300], [b'c'; 300]]);
-    let answers: Vec<_> = read.answers.iter().map(|(_, to, m)| (*to, m.status())).collect();
-    assert_eq!(answers, [(Some(0), Some(200)), (Some(1), Some(201)), (Some(2), Some(202))]);
+    let answers: Vec<_> = read
+        .answers
+        .iter()
+        .map(|(_, to, m)| (*to, m.status()))
+        .collect();
+    assert_eq!(
+        answers,
+        [
+            (Some(0), Some(200)),
+            (Some(1), Some(201)),
+            (Some(2), Some(202))
+        ]
+    );
     assert_eq!(read.passed, []);
     assert_eq!(read.tally.holes, 0);
 }
@@ -59,14 +78,26 @@
     is_whole(&read);
     assert_eq!(read.tally.tcp.odd.out_of_order, 1);
     let first = &read.requests[0].2;
-    assert_eq!((first.first.0 - START, first.last.0 - START), (4 * MS, 7 * MS));
+    assert_eq!(
+        (first.first.0 - START, first.last.0 - START),
+        (4 * MS, 7 * MS)
+    );
 }
 
 #[test]
 fn copies_are_dropped_and_the_first_of_two_that_differ_stands() {
     let mut script = three(100);
-    let copies: Vec<_> = script.packets.iter().map(|(at, p)| (at + MS / 2, p.clone())).collect();
-    script.packets = script.packets.into_iter().zip(copies).flat_map(|(a, b)| [a, b]).collect();
+    let copies: Vec<_> = script
+        .packets
+        .iter()
+        .map(|(at, p)| (at + MS / 2, p.clone()))
+        .collect();
+    script.packets = script
+        .packets
+        .into_iter()
+        .zip(copies)
+        .flat_map(|(a, b)| [a, b])
+        .collect();
     let read = all(&script.packets);
     is_whole(&read);
     assert!(read.tally.tcp.odd.repeated > 10);
@@ -97,10 +128,17 @@
     let mut packets: Vec<Timed> = talk.open().into_iter().map(|p| (MS, p)).collect();
     let bytes = request(1, b"0123456789");
     let part = |from: usize, to: usize| {
-        segment(client(4000), server(), (11 + from as u32, Some(21)), NONE, &bytes[from..to])
+        segment(
+            client(4000),
+            server(),
+            (11 + from as u32, Some(21)),
+            NONE,
+            &bytes[from..to],
+        )
     };
-    for (at, (from, to)) in
-        [(40, 60), (30, 50), (55, 70), (20, 25), (10, 45), (0, 12)].into_iter().enumerate()
+    for (at, (from, to)) in [(40, 60), (30, 50), (55, 70), (20, 25), (10, 45), (0, 12)]
+        .into_iter()
+        .enumerate()
     {
         packets.push(((2 + at as u64) * MS, part(from, to)));
     }
@@ -117,11 +155,20 @@
     let read = all(&script.packets);
     assert_eq!(read.bodies(), [[b'b'; 300], [b'c'; 300]]);
     assert_eq!((read.tally.holes, read.tally.missing_bytes), (1, 100));
-    let [Found::Passed { side: Side::Client, cause: Cause::Hole, .. }] = read.passed[..] else {
+    let [Found::Passed {
+        side: Side::Client,
+        cause: Cause::Hole,
+        ..
+    }] = read.passed[..]
+    else {
         panic!("{:?}", read.passed)
     };
     // The answer to what was lost is not taken for another's.
-    let answers: Vec<_> = read.answers.iter().map(|(_, to, m)| (*to, m.status())).collect();
+    let answers: Vec<_> = read
+        .answers
+        .iter()
+        .map(|(_, to, m)| (*to, m.status()))
+        .collect();
     assert_eq!(answers[1..], [(Some(1), Some(201)), (Some(2), Some(202))]);
 }
 
@@ -136,8 +183,10 @@
             script.say(Side::Client, &request(number, &[b'b'; 300]), 100);
         }
         // Nothing ends: what is given was given up.
-        let mut pipeline =
-            heathspur_capture::Pipeline::new(Options { reassembly: limits, ..Options::default() });
+        let mut pipeline = heathspur_capture::Pipeline::new(Options {
+            reassembly: limits,
+            ..Options::default()
+        });
         let mut requests = 0;
         pipeline.feed(&pcap(&script.packets), |item| {
             requests += u64::from(matches!(item, Item::Message(Found::Request { .. })));
@@ -147,7 +196,13 @@
     assert_eq!(run(Limits::default(), 0), (0, 0));
     let (requests, given_up) = run(Limits::default(), 1000 * MS);
     assert!(requests >= 3 && given_up == 1, "{requests} {given_up}");
-    let (requests, given_up) = run(Limits { gap_bytes: 900, ..Limits::default() }, 0);
+    let (requests, given_up) = run(
+        Limits {
+            gap_bytes: 900,
+            ..Limits::default()
+        },
+        0,
+    );
     assert!(requests >= 3 && given_up == 1, "{requests} {given_up}");
 }
 
@@ -159,9 +214,15 @@
         let first = read.bodies().first().map(|body| body[0]);
         assert!(from < 5 || first != Some(b'a'), "{from}");
         for (_, _, message) in &read.requests {
-            assert!(message.bytes.starts_with(b"POST /svc/pay HTTP/1.1\r\n"), "{from}");
+            assert!(
+                message.bytes.starts_with(b"POST /svc/pay HTTP/1.1\r\n"),
+                "{from}"
+            );
         }
-        let Some(Item::Connection(Event::Opened { client: c, start, .. })) = read.connections.first() else {
+        let Some(Item::Connection(Event::Opened {
+            client: c, start, ..
+        })) = read.connections.first()
+        else {
             continue;
         };
         assert_eq!(*start, Start::Middle);
@@ -169,14 +230,21 @@
         assert!(*c == client(4000) || from > 3, "{from}");
     }
     // Ports that are named settle it.
-    let limits = Limits { servers: vec![6565], ..Limits::default() };
+    let limits = Limits {
+        servers: vec![6565],
+        ..Limits::default()
+    };
     for from in 3..script.packets.len() - 2 {
         let read = read(
             &pcap(&script.packets[from..]),
-            Options { reassembly: limits.clone(), ..Options::default() },
+            Options {
+                reassembly: limits.clone(),
+                ..Options::default()
+            },
             99,
         );
-        let Some(Item::Connection(Event::Opened { client: c, .. })) = read.connections.first() else {
+        let Some(Item::Connection(Event::Opened { client: c, .. })) = read.connections.first()
+        else {
             panic!()
         };
         assert_eq!(*c, client(4000), "{from}");
@@ -188,16 +256,42 @@
     let script = three(100);
     let mut file = heathspur_capture::write::pcap_header(101, 0);
     for (at, (time, packet)) in script.packets.iter().enumerate() {
-        let kept = if at == 5 { packet.len() - 30 } else { packet.len() };
+        let kept = if at == 5 {
+            packet.len() - 30
+        } else {
+            packet.len()
+        };
         let time = heathspur_capture::Stamp(START + time);
-        file.extend(heathspur_capture::write::pcap_record(time, &packet[..kept], packet.len() as u32));
+        file.extend(heathspur_capture::write::pcap_record(
+            time,
+            &packet[..kept],
+            packet.len() as u32,
+        ));
     }
     let read = read(&file, Options::default(), 512);
     assert_eq!(read.bodies(), [[b'b'; 300], [b'c'; 300]]);
-    assert_eq!((read.tally.holes, read.tally.missing_bytes, read.tally.cut_packets), (1, 30, 1));
+    assert_eq!(
+        (
+            read.tally.holes,
+            read.tally.missing_bytes,
+            read.tally.cut_packets
+        ),
+        (1, 30, 1)
+    );
     // The place of the next request was known, so order still tells whose answer is whose.
-    let answers: Vec<_> = read.answers.iter().map(|(_, to, m)| (*to, m.status())).collect();
-    assert_eq!(answers, [(Some(0), Some(200)), (Some(1), Some(201)), (Some(2), Some(202))]);
+    let answers: Vec<_> = read
+        .answers
+        .iter()
+        .map(|(_, to, m)| (*to, m.status()))
+        .collect();
+    assert_eq!(
+        answers,
+        [
+            (Some(0), Some(200)),
+            (Some(1), Some(201)),
+            (Some(2), Some(202))
+        ]
+    );
 }
 
 #[test]
@@ -229,7 +323,10 @@
     script.put(late);
     let read = all(&script.packets);
     is_whole(&read);
-    assert_eq!((read.tally.tcp.connections, read.tally.tcp.odd.after_end), (1, 1));
+    assert_eq!(
+        (read.tally.tcp.connections, read.tally.tcp.odd.after_end),
+        (1, 1)
+    );
 }
 
 #[test]
@@ -252,7 +349,10 @@
         let read = all(&script.packets);
         assert_eq!(read.bodies(), [b"old", b"new"]);
         assert_eq!(read.tally.tcp.connections, 2);
-        assert_eq!(ends(&read)[0], if ended { End::Closed } else { End::Replaced });
+        assert_eq!(
+            ends(&read)[0],
+            if ended { End::Closed } else { End::Replaced }
+        );
     }
 }
 
@@ -261,16 +361,49 @@
     let bytes = request(1, b"abc");
     let syn = Flags { syn: true, ..NONE };
     let packets = [
-        (MS, segment(client(4000), server(), (99, None), syn, &bytes[..20])),
-        (2 * MS, segment(server(), client(4000), (49, Some(120)), syn, &[])),
-        (3 * MS, segment(client(4000), server(), (120, Some(50)), NONE, &bytes[20..])),
+        (
+            MS,
+            segment(client(4000), server(), (99, None), syn, &bytes[..20]),
+        ),
+        (
+            2 * MS,
+            segment(server(), client(4000), (49, Some(120)), syn, &[]),
+        ),
+        (
+            3 * MS,
+            segment(client(4000), server(), (120, Some(50)), NONE, &bytes[20..]),
+        ),
         // The byte before the next, with a value of its own.
-        (4 * MS, segment(client(4000), server(), (99 + bytes.len() as u32, Some(50)), NONE, b"\0")),
-        (5 * MS, segment(client(4000), server(), (100 + bytes.len() as u32, Some(50)), NONE, &bytes)),
+        (
+            4 * MS,
+            segment(
+                client(4000),
+                server(),
+                (99 + bytes.len() as u32, Some(50)),
+                NONE,
+                b"\0",
+            ),
+        ),
+        (
+            5 * MS,
+            segment(
+                client(4000),
+                server(),
+                (100 + bytes.len() as u32, Some(50)),
+                NONE,
+                &bytes,
+            ),
+        ),
     ];
     let read = all(&packets);
     assert_eq!(read.bodies(), [b"abc", b"abc"]);
-    assert_eq!((read.tally.tcp.odd.keep_alives, read.tally.tcp.odd.conflicting), (1, 0));
+    assert_eq!(
+        (
+            read.tally.tcp.odd.keep_alives,
+            read.tally.tcp.odd.conflicting
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -278,7 +411,13 @@
     let mut script = Script::open(4000);
     script.say(Side::Client, &request(1, b"abc"), 1000);
     let far = |number: u64, seq: u32| {
-        segment(client(4000), server(), (seq, Some(91)), NONE, &request(number, b"far"))
+        segment(
+            client(4000),
+            server(),
+            (seq, Some(91)),
+            NONE,
+            &request(number, b"far"),
+        )
     };
     let length = request(1, b"far").len() as u32;
     for n in 0..6 {
@@ -286,12 +425,18 @@
     }
     let read = all(&script.packets);
     assert_eq!(read.requests.len(), 1 + 4);
-    assert_eq!((read.tally.tcp.odd.stray, read.tally.tcp.odd.resynchronised), (3, 1));
+    assert_eq!(
+        (read.tally.tcp.odd.stray, read.tally.tcp.odd.resynchronised),
+        (3, 1)
+    );
 }
 
 #[test]
 fn memory_is_bounded_over_all_connections_and_what_gives_way_is_counted() {
-    let limits = Limits { memory: 50_000, ..Limits::default() };
+    let limits = Limits {
+        memory: 50_000,
+        ..Limits::default()
+    };
     let mut packets = Vec::new();
     for port in 0..200 {
         let mut script = Script::open(4000 + port);
@@ -301,7 +446,14 @@
         packets.extend(script.packets);
     }
     packets.sort_by_key(|(at, _)| *at);
-    let read = read(&pcap(&packets), Options { reassembly: limits, ..Options::default() }, 100);
+    let read = read(
+        &pcap(&packets),
+        Options {
+            reassembly: limits,
+            ..Options::default()
+        },
+        100,
+    );
     assert!(read.most_held < 51_000 + 200 * 1600, "{}", read.most_held);
     assert!(read.tally.tcp.gaps_for_memory > 100, "{:?}", read.tally.tcp);
     assert_eq!(read.tally.holes, 200);
@@ -309,7 +461,10 @@
 
 #[test]
 fn a_flood_of_connections_pushes_the_longest_unseen_out() {
-    let limits = Limits { connections: 64, ..Limits::default() };
+    let limits = Limits {
+        connections: 64,
+        ..Limits::default()
+    };
     let mut script = Script::open(4000);
     for port in 0..1000 {
         let mut other = Script::open(10_000 + port);
@@ -320,7 +475,14 @@
         // One that goes on talking stays.
         script.say(Side::Client, &request(u64::from(port), b"stay"), 1000);
     }
-    let read = read(&pcap(&script.packets), Options { reassembly: limits, ..Options::default() }, 1000);
+    let read = read(
+        &pcap(&script.packets),
+        Options {
+            reassembly: limits,
+            ..Options::default()
+        },
+        1000,
+    );
     assert_eq!(read.requests.len(), 2000);
     assert!(read.tally.tcp.evicted > 900);
     assert_eq!(read.tally.tcp.connections, 1001);
@@ -339,21 +501,47 @@
     for status in [201, 202] {
         script.say(Side::Server, &answer(status, b"x"), 100);
     }
-    script.say(Side::Server, b"HTTP/1.1 203 To a HEAD\r\nContent-Length: 900\r\n\r\n", 100);
-    script.say(Side::Server, b"HTTP/1.1 204 Nothing\r\n\r\nHTTP/1.1 200 Unasked\r\n\r\nup to the end", 100);
+    script.say(
+        Side::Server,
+        b"HTTP/1.1 203 To a HEAD\r\nContent-Length: 900\r\n\r\n",
+        100,
+    );
+    script.say(
+        Side::Server,
+        b"HTTP/1.1 204 Nothing\r\n\r\nHTTP/1.1 200 Unasked\r\n\r\nup to the end",
+        100,
+    );
     script.close();
     let read = all(&script.packets);
-    let requests: Vec<_> = read.requests.iter().map(|(_, index, m)| (*index, m.bytes.len())).collect();
+    let requests: Vec<_> = read
+        .requests
+        .iter()
+        .map(|(_, index, m)| (*index, m.bytes.len()))
+        .collect();
     assert_eq!(requests[..2], [(0, chunked.len()), (2, 20)]);
     assert_eq!(requests[2].0, 3);
-    let [Found::Passed { cause: Cause::TooLarge, bytes, .. }] = read.passed[..] else {
+    let [Found::Passed {
+        cause: Cause::TooLarge,
+        bytes,
+        ..
+    }] = read.passed[..]
+    else {
         panic!("{:?}", read.passed)
     };
     assert_eq!(bytes, large.len() as u64);
-    let answers: Vec<_> =
-        read.answers.iter().map(|(_, to, m)| (*to, m.status().unwrap(), m.body().len())).collect();
+    let answers: Vec<_> = read
+        .answers
+        .iter()
+        .map(|(_, to, m)| (*to, m.status().unwrap(), m.body().len()))
+        .collect();
     assert_eq!(
         answers,
-        [(Some(0), 201, 1), (Some(1), 202, 1), (Some(2), 203, 0), (Some(3), 204, 0), (None, 200, 13)]
+        [
+            (Some(0), 201, 1),
+            (Some(1), 202, 1),
+            (Some(2), 203, 0),
+            (Some(3), 204, 0),
+            (None, 200, 13)
+        ]
     );
 }
--- a/crates/heathspur-drill/src/lib.rs
+++ b/crates/heathspur-drill/src/lib.rs
@@ -65,7 +65,11 @@
     loop {
         line.clear();
         if input.read_until(b'\n', &mut line)? == 0 {
-            return if now.is_none() { Ok(()) } else { Err(Fault::CutOff { number }) };
+            return if now.is_none() {
+                Ok(())
+            } else {
+                Err(Fault::CutOff { number })
+            };
         }
         number += 1;
         if line.iter().all(u8::is_ascii_whitespace) {
@@ -94,7 +98,12 @@
             (In::Enlist(start), Some(_)) => {
                 let (settings, names) = heathspur_settings::read(start.facts);
                 let server = Server::new(settings, start.init_seed);
-                let fresh = Instance { server, names, events: Vec::new(), touched: true };
+                let fresh = Instance {
+                    server,
+                    names,
+                    events: Vec::new(),
+                    touched: true,
+                };
                 instances.insert(start.server_id, fresh);
             }
             (In::Halt(m), Some(_)) => drop(instances.remove(&m.server_id)),
@@ -114,32 +123,75 @@
     Ok(match message {
         In::Demand(d) => {
             let (id, known) = (d.server_id, instances.get(&d.server_id));
-            (id, known.map(|i| wire::request(d, &i.names)).transpose()?.map(Event::Request))
+            (
+                id,
+                known
+                    .map(|i| wire::request(d, &i.names))
+                    .transpose()?
+                    .map(Event::Request),
+            )
         }
         In::Ended(m) => {
-            let (id, outcome, latency) =
-                (RequestId(m.ticket), wire::outcome(m.rc)?, Span::from_secs(m.rtt_s));
-            (m.server_id, Some(Event::Done { id, outcome, latency }))
+            let (id, outcome, latency) = (
+                RequestId(m.ticket),
+                wire::outcome(m.rc)?,
+                Span::from_secs(m.rtt_s),
+            );
+            (
+                m.server_id,
+                Some(Event::Done {
+                    id,
+                    outcome,
+                    latency,
+                }),
+            )
         }
         In::CameBack(m) => {
-            let (id, outcome, latency) =
-                (RequestId(m.ticket), wire::outcome(m.rc)?, Span::from_secs(m.rtt_s));
-            (m.server_id, Some(Event::Called { id, outcome, latency }))
+            let (id, outcome, latency) = (
+                RequestId(m.ticket),
+                wire::outcome(m.rc)?,
+                Span::from_secs(m.rtt_s),
+            );
+            (
+                m.server_id,
+                Some(Event::Called {
+                    id,
+                    outcome,
+                    latency,
+                }),
+            )
         }
         In::WantsCall(m) => (m.server_id, Some(Event::NeedsCall(RequestId(m.ticket)))),
         In::Abandoned(m) => (m.server_id, Some(Event::Gone(RequestId(m.ticket)))),
-        In::Drain(m) => (m.server_id, Some(Event::Drain(Span::from_secs(m.patience_left_s)))),
+        In::Drain(m) => (
+            m.server_id,
+            Some(Event::Drain(Span::from_secs(m.patience_left_s))),
+        ),
         In::TickDue(m) => {
-            let token = m.token.parse().map(Token).map_err(|_| format!("no timer {:?}", m.token))?;
+            let token = m
+                .token
+                .parse()
+                .map(Token)
+                .map_err(|_| format!("no timer {:?}", m.token))?;
             let known = instances.get(&m.server_id);
-            (m.server_id, known.map(|i| Event::Timer { token, gauges: i.names.meters.read(&m.gauge) }))
+            (
+                m.server_id,
+                known.map(|i| Event::Timer {
+                    token,
+                    gauges: i.names.meters.read(&m.gauge),
+                }),
+            )
+        }
+        In::Begin(_) | In::Turn(_) | In::Enlist(_) | In::Halt(_) => {
+            return Err("out of place".into())
         }
-        In::Begin(_) | In::Turn(_) | In::Enlist(_) | In::Halt(_) => return Err("out of place".into()),
     })
 }
 
 fn write_actions(id: u64, actions: &[Action], reply: &mut Vec<u8>) -> io::Result<()> {
-    actions.iter().try_for_each(|a| write_line(&wire::action(id, a), reply))
+    actions
+        .iter()
+        .try_for_each(|a| write_line(&wire::action(id, a), reply))
 }
 
 fn write_line(out: &Out<'_>, reply: &mut Vec<u8>) -> io::Result<()> {
--- a/crates/heathspur-drill/src/wire.rs
+++ b/crates/heathspur-drill/src/wire.rs
@@ -115,11 +115,19 @@
 
 /// A request in the decisions' terms; the error says what the settings do not name.
 pub fn request(d: Demand, names: &Names) -> Result<Request, String> {
-    let class = names.classes.iter().position(|n| *n == d.kind).ok_or(format!("no class {:?}", d.kind))?;
+    let class = names
+        .classes
+        .iter()
+        .position(|n| *n == d.kind)
+        .ok_or(format!("no class {:?}", d.kind))?;
     let tenant = match &d.client_group {
-        Some(serde_json::Value::String(name)) => {
-            Some(names.tenants.iter().position(|n| n == name).ok_or(format!("no tenant {name:?}"))?)
-        }
+        Some(serde_json::Value::String(name)) => Some(
+            names
+                .tenants
+                .iter()
+                .position(|n| n == name)
+                .ok_or(format!("no tenant {name:?}"))?,
+        ),
         _ => None,
     };
     Ok(Request {
@@ -194,12 +202,24 @@
     };
 }
 out!(One { ticket: u64 });
-out!(Call { ticket: u64, limit_s: f64 });
-out!(Pin { ticket: u64, ttl_s: f64 });
-out!(Health { enable: bool, cached: bool });
+out!(Call {
+    ticket: u64,
+    limit_s: f64
+});
+out!(Pin {
+    ticket: u64,
+    ttl_s: f64
+});
+out!(Health {
+    enable: bool,
+    cached: bool
+});
 out!(Stamp { level: f64 });
 out!(Idle { ttl_s: f64 });
-out!(Sleep { wait_s: f64, token: String });
+out!(Sleep {
+    wait_s: f64,
+    token: String
+});
 
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -221,28 +241,58 @@
 
 /// An action in the simulator's words.
 pub fn action(server_id: u64, action: &Action) -> Out<'_> {
-    let one = |id: &RequestId| One { server_id, ticket: id.0 };
+    let one = |id: &RequestId| One {
+        server_id,
+        ticket: id.0,
+    };
     match action {
         Action::Run(id) => Out::Execute(one(id)),
         Action::Stop(id) => Out::Yank(one(id)),
-        Action::Refuse { id, stay_away, last } => Out::Busy(Busy {
+        Action::Refuse {
+            id,
+            stay_away,
+            last,
+        } => Out::Busy(Busy {
             server_id,
             ticket: id.0,
             not_before_for_s: stay_away.map(Span::secs),
             last: *last,
         }),
         Action::Fail(id) => Out::FinishError(one(id)),
-        Action::Call { id, limit } => Out::Call(Call { server_id, ticket: id.0, limit_s: limit.secs() }),
+        Action::Call { id, limit } => Out::Call(Call {
+            server_id,
+            ticket: id.0,
+            limit_s: limit.secs(),
+        }),
         Action::Skip(id) => Out::Skip(one(id)),
-        Action::Keep { id, ttl } => Out::Pin(Pin { server_id, ticket: id.0, ttl_s: ttl.secs() }),
+        Action::Keep { id, ttl } => Out::Pin(Pin {
+            server_id,
+            ticket: id.0,
+            ttl_s: ttl.secs(),
+        }),
         Action::Forget(id) => Out::Forget(one(id)),
         Action::Reuse(id) => Out::Attach(one(id)),
-        Action::Health { good, stored } => Out::Health(Health { server_id, enable: *good, cached: *stored }),
-        Action::Say(level) => Out::Stamp(Stamp { server_id, level: *level }),
-        Action::CloseIdle(span) => Out::Idle(Idle { server_id, ttl_s: span.secs() }),
-        Action::Timer { after, token } => {
-            Out::Sleep(Sleep { server_id, wait_s: after.secs(), token: token.0.to_string() })
-        }
-        Action::Log(text) => Out::Remark(Remark { server_id, message: text }),
+        Action::Health { good, stored } => Out::Health(Health {
+            server_id,
+            enable: *good,
+            cached: *stored,
+        }),
+        Action::Say(level) => Out::Stamp(Stamp {
+            server_id,
+            level: *level,
+        }),
+        Action::CloseIdle(span) => Out::Idle(Idle {
+            server_id,
+            ttl_s: span.secs(),
+        }),
+        Action::Timer { after, token } => Out::Sleep(Sleep {
+            server_id,
+            wait_s: after.secs(),
+            token: token.0.to_string(),
+        }),
+        Action::Log(text) => Out::Remark(Remark {
+            server_id,
+            message: text,
+        }),
     }
 }
--- a/crates/heathspur-drill/tests/wire.rs
+++ b/crates/heathspur-drill/tests/wire.rs
@@ -75,10 +75,22 @@
 fn a_request_is_run_called_for_and_ended() {
     let input = batch(1.0, &[enlist(5)])
         + &batch(1.01, &[demand(5, 11, "pay")])
-        + &batch(1.02, &[json!({"WANTS_CALL": {"server-id": 5, "ticket": 11}})])
-        + &batch(1.05, &[json!({"CAME_BACK": {"server-id": 5, "ticket": 11, "rc": 0, "rtt-s": 0.03}})])
-        + &batch(1.06, &[json!({"ENDED": {"server-id": 5, "ticket": 11, "rc": 0, "rtt-s": 0.05}})])
-        + &batch(1.07, &[json!({"TICK_DUE": {"server-id": 5, "token": "0", "gauge": [0.5, 1, 0.1, 3]}})]);
+        + &batch(
+            1.02,
+            &[json!({"WANTS_CALL": {"server-id": 5, "ticket": 11}})],
+        )
+        + &batch(
+            1.05,
+            &[json!({"CAME_BACK": {"server-id": 5, "ticket": 11, "rc": 0, "rtt-s": 0.03}})],
+        )
+        + &batch(
+            1.06,
+            &[json!({"ENDED": {"server-id": 5, "ticket": 11, "rc": 0, "rtt-s": 0.05}})],
+        )
+        + &batch(
+            1.07,
+            &[json!({"TICK_DUE": {"server-id": 5, "token": "0", "gauge": [0.5, 1, 0.1, 3]}})],
+        );
     let replies = play(&input).unwrap();
     assert_eq!(replies.len(), 6);
     assert!(replies[0]
@@ -109,7 +121,10 @@
     let replies = play(&input).unwrap();
     assert!(replies[0].iter().any(|v| v["STAMP"]["level"] == json!(1.0)));
     let busy = replies[1].iter().find(|v| !v["BUSY"].is_null()).unwrap();
-    assert_eq!(busy["BUSY"], json!({"server-id": 5, "ticket": 11, "not-before-for-s": 1.0}));
+    assert_eq!(
+        busy["BUSY"],
+        json!({"server-id": 5, "ticket": 11, "not-before-for-s": 1.0})
+    );
 }
 
 #[test]
@@ -125,14 +140,20 @@
 
 #[test]
 fn events_for_unknown_servers_and_requests_are_harmless() {
-    let ended = |server| json!({"ENDED": {"server-id": server, "ticket": 77, "rc": 125, "rtt-s": 0.1}});
+    let ended =
+        |server| json!({"ENDED": {"server-id": server, "ticket": 77, "rc": 125, "rtt-s": 0.1}});
     let input = batch(1.0, &[enlist(5), ended(5), ended(6), demand(6, 1, "look")])
         + &batch(
             1.1,
-            &[json!({"ABANDONED": {"server-id": 5, "ticket": 77}}), json!({"HALT": {"server-id": 9}})],
+            &[
+                json!({"ABANDONED": {"server-id": 5, "ticket": 77}}),
+                json!({"HALT": {"server-id": 9}}),
+            ],
         );
     let replies = play(&input).unwrap();
-    assert!(replies[0].iter().all(|v| !has(std::slice::from_ref(v), "EXECUTE", 1)));
+    assert!(replies[0]
+        .iter()
+        .all(|v| !has(std::slice::from_ref(v), "EXECUTE", 1)));
     assert!(replies[1].is_empty());
 }
 
@@ -140,14 +161,28 @@
 fn only_servers_with_an_event_act() {
     let input = batch(1.0, &[enlist(5), enlist(6)]) + &batch(9.0, &[demand(6, 1, "look")]);
     let replies = play(&input).unwrap();
-    assert!(replies[1].iter().all(|v| v.as_object().unwrap().values().all(|f| f["server-id"] == json!(6))));
+    assert!(replies[1].iter().all(|v| v
+        .as_object()
+        .unwrap()
+        .values()
+        .all(|f| f["server-id"] == json!(6))));
 }
 
 #[test]
 fn replies_do_not_depend_on_what_else_a_process_hosts() {
     let own = |id: u64| {
-        batch(1.0, &[enlist(id), demand(id, 1, "look"), demand(id, 2, "pay"), demand(id, 3, "look")])
-            + &batch(1.5, &[json!({"ENDED": {"server-id": id, "ticket": 2, "rc": 0, "rtt-s": 0.4}})])
+        batch(
+            1.0,
+            &[
+                enlist(id),
+                demand(id, 1, "look"),
+                demand(id, 2, "pay"),
+                demand(id, 3, "look"),
+            ],
+        ) + &batch(
+            1.5,
+            &[json!({"ENDED": {"server-id": id, "ticket": 2, "rc": 0, "rtt-s": 0.4}})],
+        )
     };
     let both = batch(
         1.0,
@@ -168,7 +203,11 @@
             json!({"ENDED": {"server-id": 2, "ticket": 2, "rc": 0, "rtt-s": 0.4}}),
         ],
     );
-    let (one, two, both) = (play(&own(1)).unwrap(), play(&own(2)).unwrap(), play(&both).unwrap());
+    let (one, two, both) = (
+        play(&own(1)).unwrap(),
+        play(&own(2)).unwrap(),
+        play(&both).unwrap(),
+    );
     for i in 0..2 {
         assert_eq!(both[i], [one[i].clone(), two[i].clone()].concat());
     }
@@ -179,14 +218,35 @@
     let begin = "{\"BEGIN_BATCH\":{\"t-s\":1.0}}\n";
     let cases = [
         ("not json\n".to_string(), "line 1: "),
-        (format!("{begin}{{\"NOISE\":{{}}}}\n"), "line 2: unknown variant `NOISE`"),
-        (format!("{begin}{{\"DEMAND\":{{\"server-id\":1}}}}\n"), "line 2: missing field `ticket`"),
+        (
+            format!("{begin}{{\"NOISE\":{{}}}}\n"),
+            "line 2: unknown variant `NOISE`",
+        ),
+        (
+            format!("{begin}{{\"DEMAND\":{{\"server-id\":1}}}}\n"),
+            "line 2: missing field `ticket`",
+        ),
         (begin.to_string(), "line 1: input ended inside a batch"),
-        (format!("{begin}{begin}"), "line 2: a batch begins inside another"),
-        ("{\"YOUR_TURN\":{}}\n".to_string(), "line 1: a message outside a batch"),
-        (batch(1.0, &[enlist(1), demand(1, 2, "sing")]), "line 3: no class \"sing\""),
         (
-            batch(1.0, &[enlist(1), json!({"ENDED": {"server-id": 1, "ticket": 2, "rc": 99}})]),
+            format!("{begin}{begin}"),
+            "line 2: a batch begins inside another",
+        ),
+        (
+            "{\"YOUR_TURN\":{}}\n".to_string(),
+            "line 1: a message outside a batch",
+        ),
+        (
+            batch(1.0, &[enlist(1), demand(1, 2, "sing")]),
+            "line 3: no class \"sing\"",
+        ),
+        (
+            batch(
+                1.0,
+                &[
+                    enlist(1),
+                    json!({"ENDED": {"server-id": 1, "ticket": 2, "rc": 99}}),
+                ],
+            ),
             "line 3: no outcome 99",
         ),
     ];
--- a/crates/heathspur-emulator/src/beliefs.rs
+++ b/crates/heathspur-emulator/src/beliefs.rs
@@ -21,7 +21,12 @@
 impl Beliefs {
     /// Nobody is up, and nobody knows of anybody.
     pub fn new(members: usize) -> Beliefs {
-        Beliefs { members, up: vec![false; members], held: vec![Held::Gone; members * members], wrong: 0 }
+        Beliefs {
+            members,
+            up: vec![false; members],
+            held: vec![Held::Gone; members * members],
+            wrong: 0,
+        }
     }
 
     fn is_wrong(&self, by: usize, of: usize) -> bool {
@@ -72,7 +77,10 @@
     /// Running members that hold `of` gone, and running members but for `of`.
     pub fn know_gone(&self, of: usize) -> (usize, usize) {
         let others = (0..self.members).filter(|&by| by != of && self.up[by]);
-        let know = others.clone().filter(|&by| self.held[by * self.members + of] == Held::Gone).count();
+        let know = others
+            .clone()
+            .filter(|&by| self.held[by * self.members + of] == Held::Gone)
+            .count();
         (know, others.count())
     }
 
--- a/crates/heathspur-emulator/src/experiment.rs
+++ b/crates/heathspur-emulator/src/experiment.rs
@@ -62,7 +62,9 @@
 pub fn play(plan: &Plan) -> Vec<Play> {
     let next = AtomicU64::new(0);
     let plays = Mutex::new(Vec::new());
-    let workers = std::thread::available_parallelism().map_or(1, usize::from).min(plan.seeds as usize);
+    let workers = std::thread::available_parallelism()
+        .map_or(1, usize::from)
+        .min(plan.seeds as usize);
     std::thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| loop {
@@ -71,7 +73,10 @@
                     return;
                 }
                 let play = play_seed(plan, plan.first_seed.wrapping_add(at));
-                plays.lock().expect("no play panics while it holds the list").push(play);
+                plays
+                    .lock()
+                    .expect("no play panics while it holds the list")
+                    .push(play);
             });
         }
     });
@@ -87,8 +92,13 @@
         true => Fleet::standing(plan.members, plan.zones, settings, seed),
         false => Fleet::new(plan.members, plan.zones, settings, seed),
     };
-    let mut player =
-        Player { fleet, courses: Vec::new(), watched: Vec::new(), up_ms: 0, samples: Vec::new() };
+    let mut player = Player {
+        fleet,
+        courses: Vec::new(),
+        watched: Vec::new(),
+        up_ms: 0,
+        samples: Vec::new(),
+    };
     if !plan.standing {
         player.watch(usize::MAX, Kind::Restart, None);
     }
@@ -111,7 +121,8 @@
 
 impl Player {
     fn watch(&mut self, fault: usize, kind: Kind, gone: Option<usize>) {
-        self.watched.push((self.courses.len(), self.fleet.now, gone));
+        self.watched
+            .push((self.courses.len(), self.fleet.now, gone));
         let course = Course {
             fault,
             kind,
@@ -161,7 +172,9 @@
         while self.fleet.now < end {
             let before = self.fleet.now;
             self.fleet.step();
-            let up = (0..self.fleet.nodes.len()).filter(|&i| self.fleet.beliefs.is_up(i)).count() as u64;
+            let up = (0..self.fleet.nodes.len())
+                .filter(|&i| self.fleet.beliefs.is_up(i))
+                .count() as u64;
             self.up_ms += up * (self.fleet.now - before);
             self.look();
             if self.fleet.now / SAMPLE_MS > before / SAMPLE_MS {
@@ -202,8 +215,16 @@
     fn finish(self, seed: u64, plan: &Plan) -> Play {
         let false_deaths = false_deaths(&self.fleet, plan);
         let seconds = (self.up_ms as f64 / 1e3).max(1e-3);
-        let sum = |part: &dyn Fn(&(u64, u64)) -> u64| self.fleet.sent.iter().map(part).sum::<u64>() as f64;
-        let most = self.fleet.sent.iter().map(|(_, bytes)| *bytes).max().unwrap_or(0);
+        let sum = |part: &dyn Fn(&(u64, u64)) -> u64| {
+            self.fleet.sent.iter().map(part).sum::<u64>() as f64
+        };
+        let most = self
+            .fleet
+            .sent
+            .iter()
+            .map(|(_, bytes)| *bytes)
+            .max()
+            .unwrap_or(0);
         let mut samples = self.samples;
         for at in (1..samples.len()).rev() {
             samples[at].1 -= samples[at - 1].1;
@@ -228,7 +249,12 @@
 fn false_deaths(fleet: &Fleet, plan: &Plan) -> u64 {
     let at = |fault: &Fault| fault.at.0.as_millis() as u64;
     let is_false = |seen: &&crate::Seen| {
-        let Some(of) = seen.of.0.strip_prefix('m').and_then(|n| n.parse::<usize>().ok()) else {
+        let Some(of) = seen
+            .of
+            .0
+            .strip_prefix('m')
+            .and_then(|n| n.parse::<usize>().ok())
+        else {
             return false;
         };
         let before = plan.faults.iter().filter(|fault| at(fault) <= seen.at);
@@ -245,9 +271,16 @@
                 _ => {}
             }
         }
-        up && split.or(cut).is_none_or(|split| (of < split) == (seen.by < split))
+        up && split
+            .or(cut)
+            .is_none_or(|split| (of < split) == (seen.by < split))
     };
-    fleet.seen.iter().filter(|seen| seen.to == Some(State::Dead)).filter(is_false).count() as u64
+    fleet
+        .seen
+        .iter()
+        .filter(|seen| seen.to == Some(State::Dead))
+        .filter(is_false)
+        .count() as u64
 }
 
 /// The value at a quantile, 0 to 1, of what came; `None` where any did not come, or there is nothing.
--- a/crates/heathspur-emulator/src/fleet.rs
+++ b/crates/heathspur-emulator/src/fleet.rs
@@ -78,7 +78,10 @@
 
 /// The address of member `i`.
 pub fn address(i: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::new(10, (i >> 16) as u8, (i >> 8) as u8, i as u8), 7946)
+    SocketAddrV4::new(
+        Ipv4Addr::new(10, (i >> 16) as u8, (i >> 8) as u8, i as u8),
+        7946,
+    )
 }
 
 fn index(address: SocketAddrV4) -> usize {
@@ -158,7 +161,13 @@
         node.next_incarnation += 1_000;
         let seeds = vec![address(0)];
         let seed = self.rng.random::<u64>();
-        let mut core = Members::new(self.settings.clone(), node.member.clone(), incarnation, seeds, seed);
+        let mut core = Members::new(
+            self.settings.clone(),
+            node.member.clone(),
+            incarnation,
+            seeds,
+            seed,
+        );
         core.know(known.iter().cloned());
         let mut out = Vec::new();
         core.handle(node.clock as u64, Event::Join, &mut out);
@@ -222,7 +231,14 @@
             let clock = node.clock as u64;
             let from = address(flight.from);
             if let Some(core) = self.nodes[flight.to].core.as_mut() {
-                core.handle(clock, Event::Datagram { from, bytes: &flight.bytes }, &mut out);
+                core.handle(
+                    clock,
+                    Event::Datagram {
+                        from,
+                        bytes: &flight.bytes,
+                    },
+                    &mut out,
+                );
             }
             self.act(flight.to, out);
         }
@@ -252,7 +268,12 @@
                     if let Some(of) = id.0.strip_prefix('m').and_then(|n| n.parse().ok()) {
                         self.beliefs.set(i, of, to);
                     }
-                    self.seen.push(Seen { at: self.now, by: i, of: id, to });
+                    self.seen.push(Seen {
+                        at: self.now,
+                        by: i,
+                        of: id,
+                        to,
+                    });
                 }
                 Action::Incarnation(_) | Action::Refused(_) => {}
             }
@@ -268,21 +289,31 @@
         if self.faults.loss > 0.0 && self.rng.random::<f64>() < self.faults.loss {
             return;
         }
-        let copies = if self.faults.duplicate > 0.0 && self.rng.random::<f64>() < self.faults.duplicate {
-            2
-        } else {
-            1
-        };
+        let copies =
+            if self.faults.duplicate > 0.0 && self.rng.random::<f64>() < self.faults.duplicate {
+                2
+            } else {
+                1
+            };
         for _ in 0..copies {
-            let jitter =
-                if self.faults.jitter_ms > 0 { self.rng.random_range(0..=self.faults.jitter_ms) } else { 0 };
+            let jitter = if self.faults.jitter_ms > 0 {
+                self.rng.random_range(0..=self.faults.jitter_ms)
+            } else {
+                0
+            };
             let at = self.now
                 + self.faults.delay_ms.max(1)
                 + jitter
                 + self.nodes[to].slow_ms
                 + self.nodes[from].slow_ms;
             self.order += 1;
-            self.queue.push(Reverse(InFlight { at, order: self.order, to, from, bytes: bytes.clone() }));
+            self.queue.push(Reverse(InFlight {
+                at,
+                order: self.order,
+                to,
+                from,
+                bytes: bytes.clone(),
+            }));
         }
     }
 
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -144,16 +144,22 @@
 impl Fault {
     fn check(&self, plan: &Plan) -> Result<(), (&'static str, String)> {
         let (needs_member, needs_span, needs_share) = match self.kind {
-            Kind::Crash | Kind::Restart | Kind::Leave | Kind::Clock | Kind::Partition | Kind::Cut => {
-                (true, false, false)
-            }
+            Kind::Crash
+            | Kind::Restart
+            | Kind::Leave
+            | Kind::Clock
+            | Kind::Partition
+            | Kind::Cut => (true, false, false),
             Kind::Pause | Kind::Slow => (true, true, false),
             Kind::Loss | Kind::Duplicate => (false, false, true),
             Kind::Delay => (false, true, false),
             Kind::Heal => (false, false, false),
         };
         let said = |name: &'static str, is: bool, needed: bool| match (is, needed) {
-            (true, false) => Err((name, format!("{} is not expected with this kind", &name[1..]))),
+            (true, false) => Err((
+                name,
+                format!("{} is not expected with this kind", &name[1..]),
+            )),
             (false, true) => Err((name, format!("{} is expected with this kind", &name[1..]))),
             _ => Ok(()),
         };
@@ -162,13 +168,23 @@
         said("@share", self.share.is_some(), needs_share)?;
         said("@other", self.other.is_some(), self.kind == Kind::Cut)?;
         said("@rate", self.rate.is_some(), self.kind == Kind::Clock)?;
-        said("@jitter", self.jitter.is_some(), self.kind == Kind::Delay && self.jitter.is_some())?;
+        said(
+            "@jitter",
+            self.jitter.is_some(),
+            self.kind == Kind::Delay && self.jitter.is_some(),
+        )?;
         for (name, member) in [("@member", self.member), ("@other", self.other)] {
             if member.is_some_and(|m| m >= plan.members) {
-                return Err((name, format!("under {} is expected, the number of members", plan.members)));
+                return Err((
+                    name,
+                    format!("under {} is expected, the number of members", plan.members),
+                ));
             }
         }
-        if self.share.is_some_and(|share| !(0.0..=1.0).contains(&share)) {
+        if self
+            .share
+            .is_some_and(|share| !(0.0..=1.0).contains(&share))
+        {
             return Err(("@share", "0 to 1 is expected".into()));
         }
         if self.rate.is_some_and(|rate| !(0.5..=2.0).contains(&rate)) {
@@ -214,7 +230,10 @@
     fn check(&self) -> Result<(), Mistake> {
         let mistake = |path: &str, what: &str| Err(Mistake(path.to_string(), what.to_string()));
         if self.xmlns != NAMESPACE {
-            let what = format!("the namespace `{}` where `{NAMESPACE}` is expected", self.xmlns);
+            let what = format!(
+                "the namespace `{}` where `{NAMESPACE}` is expected",
+                self.xmlns
+            );
             return mistake("", &what);
         }
         if !(2..=2_000).contains(&self.members) {
@@ -240,7 +259,10 @@
                 return mistake(&format!("fault[{at}].{name}"), &what);
             }
             if at > 0 && self.faults[at - 1].at.0 > fault.at.0 {
-                return mistake(&format!("fault[{at}].@at"), "the order of times is expected");
+                return mistake(
+                    &format!("fault[{at}].@at"),
+                    "the order of times is expected",
+                );
             }
         }
         Ok(())
--- a/crates/heathspur-emulator/tests/members.rs
+++ b/crates/heathspur-emulator/tests/members.rs
@@ -10,7 +10,10 @@
 /// A fleet that has come to one view.
 fn settled(members: usize, seed: u64, settings: Settings) -> Fleet {
     let mut fleet = Fleet::new(members, 3, settings, seed);
-    assert!(fleet.run_while(30_000, Fleet::settled), "not one view after 30 s");
+    assert!(
+        fleet.run_while(30_000, Fleet::settled),
+        "not one view after 30 s"
+    );
     fleet
 }
 
@@ -37,7 +40,10 @@
 #[test]
 fn fifty_join_through_one_seed_and_all_see_all() {
     let mut fleet = fleet(50, 1);
-    assert!(fleet.run_while(30_000, Fleet::settled), "not one view after 30 s");
+    assert!(
+        fleet.run_while(30_000, Fleet::settled),
+        "not one view after 30 s"
+    );
     assert_eq!(fleet.false_deaths(|_, _| true), 0);
 }
 
@@ -45,15 +51,31 @@
 fn a_crash_is_known_to_all_then_the_restart_rejoins_higher() {
     let mut fleet = fleet(30, 2);
     assert!(fleet.run_while(30_000, Fleet::settled));
-    let before = fleet.nodes[7].core.as_ref().map(|c| c.incarnation()).unwrap();
+    let before = fleet.nodes[7]
+        .core
+        .as_ref()
+        .map(|c| c.incarnation())
+        .unwrap();
     let at = fleet.now;
     fleet.crash(7);
     let all = fleet.running_but(7);
-    assert!(fleet.run_while(at + 15_000, |f| f.know_gone(7) == all), "not all knew of the crash in 15 s");
+    assert!(
+        fleet.run_while(at + 15_000, |f| f.know_gone(7) == all),
+        "not all knew of the crash in 15 s"
+    );
     fleet.start(7);
     let at = fleet.now;
-    assert!(fleet.run_while(at + 20_000, Fleet::settled), "the restarted member did not rejoin");
-    let after = fleet.nodes[3].core.as_ref().unwrap().entry(&fleet.nodes[7].member.id).unwrap().incarnation;
+    assert!(
+        fleet.run_while(at + 20_000, Fleet::settled),
+        "the restarted member did not rejoin"
+    );
+    let after = fleet.nodes[3]
+        .core
+        .as_ref()
+        .unwrap()
+        .entry(&fleet.nodes[7].member.id)
+        .unwrap()
+        .incarnation;
     assert!(after > before, "incarnation {after} not above {before}");
 }
 
@@ -68,7 +90,10 @@
     assert!(fleet.know_gone(0) >= 11);
     fleet.faults.sides.clear();
     let at = fleet.now;
-    assert!(fleet.run_while(at + 60_000, Fleet::settled), "the halves did not merge within 60 s");
+    assert!(
+        fleet.run_while(at + 60_000, Fleet::settled),
+        "the halves did not merge within 60 s"
+    );
 }
 
 #[test]
@@ -78,13 +103,22 @@
 
 #[test]
 fn without_lifeguard_the_same_slow_member_is_taken_for_dead() {
-    assert!(slow_member(Settings { lifeguard: false, ..Settings::default() }) > 0);
+    assert!(
+        slow_member(Settings {
+            lifeguard: false,
+            ..Settings::default()
+        }) > 0
+    );
 }
 
 #[test]
 fn a_pause_of_three_seconds_is_refuted_in_time() {
     let mut fleet = settled(12, 5, Settings::default());
-    assert_eq!(deaths_under(&mut fleet, 20_000, |f| f.nodes[4].paused_until = f.now + 3_000), 0);
+    assert_eq!(
+        deaths_under(&mut fleet, 20_000, |f| f.nodes[4].paused_until =
+            f.now + 3_000),
+        0
+    );
     assert!(fleet.settled());
 }
 
@@ -109,19 +143,39 @@
     fleet.crash(2);
     let all = fleet.running_but(2);
     assert!(fleet.run_while(at + 10_000, |f| f.know_gone(2) == all));
-    assert!(fleet.seen.iter().filter(|s| s.of.0 == "m2").all(|s| s.to != Some(State::Dead)));
+    assert!(fleet
+        .seen
+        .iter()
+        .filter(|s| s.of.0 == "m2")
+        .all(|s| s.to != Some(State::Dead)));
 }
 
 #[test]
 fn halves_apart_for_longer_than_the_dead_are_kept_meet_again_through_the_seeds() {
-    let settings = Settings { dead_keep_ms: 30_000, ..Settings::default() };
+    let settings = Settings {
+        dead_keep_ms: 30_000,
+        ..Settings::default()
+    };
     let mut fleet = settled(12, 8, settings);
     fleet.faults.sides = Faults::split(12, 5);
     let at = fleet.now;
     fleet.run_until(at + 120_000);
     // Each half has forgotten the other.
-    assert!(fleet.nodes[0].core.as_ref().unwrap().entry(&fleet.nodes[9].member.id).is_none());
-    assert!(fleet.nodes[9].core.as_ref().unwrap().entry(&fleet.nodes[0].member.id).is_none());
+    assert!(fleet.nodes[0]
+        .core
+        .as_ref()
+        .unwrap()
+        .entry(&fleet.nodes[9].member.id)
+        .is_none());
+    assert!(fleet.nodes[9]
+        .core
+        .as_ref()
+        .unwrap()
+        .entry(&fleet.nodes[0].member.id)
+        .is_none());
     fleet.faults.sides.clear();
-    assert!(fleet.run_while(at + 240_000, Fleet::settled), "the halves did not merge within 120 s");
+    assert!(
+        fleet.run_while(at + 240_000, Fleet::settled),
+        "the halves did not merge within 120 s"
+    );
 }
--- a/crates/heathspur-front/src/announce.rs
+++ b/crates/heathspur-front/src/announce.rs
@@ -168,7 +168,11 @@
                 let next = self.next;
                 self.close(|_| false);
                 let actions = std::mem::take(&mut self.actions);
-                *self = Schedule { next, actions, ..Schedule::new(now) };
+                *self = Schedule {
+                    next,
+                    actions,
+                    ..Schedule::new(now)
+                };
             }
             Event::Up(line) => {
                 if let Some(entry) = self.remove(line, |step| step == Step::Dial) {
@@ -177,8 +181,21 @@
                 }
             }
             Event::Lost { line, late } => match self.remove(line, |step| step != Step::Idle) {
-                Some(Entry { step: Step::Told(told), kept, .. }) => {
-                    self.ended(now, line, told, kept, Outcome::Lost { late, why: Failure::Lost });
+                Some(Entry {
+                    step: Step::Told(told),
+                    kept,
+                    ..
+                }) => {
+                    self.ended(
+                        now,
+                        line,
+                        told,
+                        kept,
+                        Outcome::Lost {
+                            late,
+                            why: Failure::Lost,
+                        },
+                    );
                 }
                 Some(_) => self.failed(now, Failure::Lost),
                 None => {}
@@ -186,20 +203,31 @@
             Event::Sent(line) => {
                 let Some(ready) = self.ready else { return };
                 if let Some(entry) = self.remove(line, |step| step == Step::Idle) {
-                    let told = Step::Told(Told { said: ready, counts: true });
+                    let told = Step::Told(Told {
+                        said: ready,
+                        counts: true,
+                    });
                     self.push(line, told, now, Some(now + ANSWER), entry.kept);
                     self.due = now + PATIENCE;
                 }
             }
             Event::Spent(line) => {
                 // One that was kept may end at any time.
-                if self.remove(line, |step| step == Step::Idle).is_some_and(|entry| !entry.kept) {
+                if self
+                    .remove(line, |step| step == Step::Idle)
+                    .is_some_and(|entry| !entry.kept)
+                {
                     self.failed(now, Failure::Spent);
                 }
             }
             Event::Answered { line, status, open } => {
                 let entry = self.remove(line, |step| matches!(step, Step::Told(_)));
-                if let Some(Entry { step: Step::Told(told), kept, .. }) = entry {
+                if let Some(Entry {
+                    step: Step::Told(told),
+                    kept,
+                    ..
+                }) = entry
+                {
                     self.ended(now, line, told, kept, Outcome::Answered { status, open });
                 }
             }
@@ -219,14 +247,23 @@
         }
         if self.due <= now {
             if let Some(entry) = self.lines.iter().find(|entry| entry.step == Step::Idle) {
-                return Some(Action::Report { line: entry.line, ready });
+                return Some(Action::Report {
+                    line: entry.line,
+                    ready,
+                });
             }
         }
         if self.dial_from().is_some_and(|at| at <= now) {
             let beside = self.lines.iter().any(|entry| entry.step == Step::Dial);
             let line = Line(self.next);
             self.next += 1;
-            self.push(line, Step::Dial, now, Some(now + if beside { SECOND_DIAL } else { DIAL }), false);
+            self.push(
+                line,
+                Step::Dial,
+                now,
+                Some(now + if beside { SECOND_DIAL } else { DIAL }),
+                false,
+            );
             return Some(Action::Dial(line));
         }
         None
@@ -235,7 +272,11 @@
     /// When there is something to do again without an event. It may lie in the past.
     pub fn wake(&self) -> Option<Duration> {
         self.ready?;
-        let due = self.lines.iter().any(|entry| entry.step == Step::Idle).then_some(self.due);
+        let due = self
+            .lines
+            .iter()
+            .any(|entry| entry.step == Step::Idle)
+            .then_some(self.due);
         let limits = self.lines.iter().filter_map(|entry| entry.until);
         limits.chain(due).chain(self.dial_from()).min()
     }
@@ -248,7 +289,10 @@
         }
         let from = self.dial_at.max(self.due.saturating_sub(self.took));
         Some(match self.lines.first() {
-            Some(Entry { step: Step::Told(Told { counts: false, .. }), .. }) => from,
+            Some(Entry {
+                step: Step::Told(Told { counts: false, .. }),
+                ..
+            }) => from,
             Some(entry) => from.max(entry.since + PATIENCE),
             None => from,
         })
@@ -257,8 +301,15 @@
     /// A step has taken too long.
     fn give_up(&mut self, now: Duration, line: Line) {
         match self.remove(line, |_| true) {
-            Some(Entry { step: Step::Told(told), kept, .. }) => {
-                let outcome = Outcome::Lost { late: true, why: Failure::Late };
+            Some(Entry {
+                step: Step::Told(told),
+                kept,
+                ..
+            }) => {
+                let outcome = Outcome::Lost {
+                    late: true,
+                    why: Failure::Late,
+                };
                 self.ended(now, line, told, kept, outcome);
             }
             _ => self.failed(now, Failure::Late),
@@ -326,13 +377,29 @@
         });
     }
 
-    fn push(&mut self, line: Line, step: Step, since: Duration, until: Option<Duration>, kept: bool) {
-        self.lines.push(Entry { line, step, since, until, kept });
+    fn push(
+        &mut self,
+        line: Line,
+        step: Step,
+        since: Duration,
+        until: Option<Duration>,
+        kept: bool,
+    ) {
+        self.lines.push(Entry {
+            line,
+            step,
+            since,
+            until,
+            kept,
+        });
     }
 
     /// Takes the line out if it is at such a step.
     fn remove(&mut self, line: Line, fits: impl Fn(Step) -> bool) -> Option<Entry> {
-        let at = self.lines.iter().position(|entry| entry.line == line && fits(entry.step))?;
+        let at = self
+            .lines
+            .iter()
+            .position(|entry| entry.line == line && fits(entry.step))?;
         Some(self.lines.remove(at))
     }
 }
--- a/crates/heathspur-front/src/permits.rs
+++ b/crates/heathspur-front/src/permits.rs
@@ -61,7 +61,13 @@
 impl<T> Permits<T> {
     /// So many, at least one.
     pub fn new(most: usize) -> Permits<T> {
-        Permits { open: 0, most: most.max(1), next: 0, idle: BTreeMap::new(), lingering: BTreeMap::new() }
+        Permits {
+            open: 0,
+            most: most.max(1),
+            next: 0,
+            idle: BTreeMap::new(),
+            lingering: BTreeMap::new(),
+        }
     }
 
     /// Connections that hold a permit.
@@ -84,7 +90,15 @@
     /// A connection becomes idle, after a whole request or as a new one; its number until it is idle no more.
     pub fn idle(&mut self, now: Duration, heard: bool, leave: T) -> u64 {
         let number = self.number();
-        self.idle.insert(number, Idle { heard, begun: false, since: now, leave });
+        self.idle.insert(
+            number,
+            Idle {
+                heard,
+                begun: false,
+                since: now,
+                leave,
+            },
+        );
         number
     }
 
@@ -127,7 +141,10 @@
         let free = self.most - self.open;
         let mut lingering = None;
         if free == 0 {
-            lingering = self.lingering.pop_first().map(|(_, leave)| (leave, Asked::Lingering));
+            lingering = self
+                .lingering
+                .pop_first()
+                .map(|(_, leave)| (leave, Asked::Lingering));
         }
         let leaving = self.lingering.len();
         if free + leaving >= self.reserve() {
@@ -138,10 +155,21 @@
 
     /// The first in rank is to leave; one in the midst of a request only if it has to be.
     fn ask_one(&mut self, now: Duration, must: bool) -> Option<(T, Asked)> {
-        let first = self.idle.iter().map(|(&number, idle)| (idle.rank(now), number)).min();
+        let first = self
+            .idle
+            .iter()
+            .map(|(&number, idle)| (idle.rank(now), number))
+            .min();
         let (_, number) = first.filter(|&(rank, _)| rank < 3 || must)?;
         let leaver = self.idle.remove(&number)?;
-        Some((leaver.leave, if leaver.begun { Asked::Begun } else { Asked::Idle }))
+        Some((
+            leaver.leave,
+            if leaver.begun {
+                Asked::Begun
+            } else {
+                Asked::Idle
+            },
+        ))
     }
 
     fn number(&mut self) -> u64 {
--- a/crates/heathspur-front/src/reload.rs
+++ b/crates/heathspur-front/src/reload.rs
@@ -44,7 +44,10 @@
         return Ok(());
     }
     let what = format!("it is of another server or customer: {other:?}, not {own:?}");
-    Err(Foreign { field: field.to_string(), what })
+    Err(Foreign {
+        field: field.to_string(),
+        what,
+    })
 }
 
 /// Whether another configuration is this server's: of its name, its address and its tier, and of a customer whose
@@ -57,12 +60,26 @@
     if other.store.is_some() != own.store.is_some() {
         check_same("store", &other.store, &own.store)?;
     }
-    check_same("settings.services", &other.classes.len(), &own.classes.len())?;
-    for (i, (class, same)) in other.settings.classes.iter().zip(&own.settings.classes).enumerate() {
+    check_same(
+        "settings.services",
+        &other.classes.len(),
+        &own.classes.len(),
+    )?;
+    for (i, (class, same)) in other
+        .settings
+        .classes
+        .iter()
+        .zip(&own.settings.classes)
+        .enumerate()
+    {
         let field = |name| format!("settings.services[{i}].{name}");
         check_same(&field("name"), &other.classes[i], &own.classes[i])?;
         check_same(&field("effect"), &class.effect, &same.effect)?;
-        check_same(&field("dedup-window-s"), &class.window.secs(), &same.window.secs())?;
+        check_same(
+            &field("dedup-window-s"),
+            &class.window.secs(),
+            &same.window.secs(),
+        )?;
     }
     check_same("settings.realms", &other.tenants.len(), &own.tenants.len())?;
     for (i, (tenant, same)) in other.tenants.iter().zip(own.tenants).enumerate() {
@@ -74,14 +91,26 @@
 /// The fields that hold from the start on and in which a later configuration of this server's differs. The seed is new
 /// with each start, and so is what the settings say of that moment.
 pub fn differs(own: &View<'_>, other: &View<'_>) -> Vec<&'static str> {
-    let at_start = |settings: &Settings| Settings { servers: 0, callers: 0, cold: false, ..settings.clone() };
+    let at_start = |settings: &Settings| Settings {
+        servers: 0,
+        callers: 0,
+        cold: false,
+        ..settings.clone()
+    };
     let fields = [
         ("stop_ms", own.stop != other.stop),
         ("limits.memory_mb", own.memory != other.memory),
         ("limits.sockets", own.sockets != other.sockets),
-        ("settings", at_start(own.settings) != at_start(other.settings)),
+        (
+            "settings",
+            at_start(own.settings) != at_start(other.settings),
+        ),
     ];
-    fields.into_iter().filter(|(_, differs)| *differs).map(|(field, _)| field).collect()
+    fields
+        .into_iter()
+        .filter(|(_, differs)| *differs)
+        .map(|(field, _)| field)
+        .collect()
 }
 
 #[cfg(test)]
--- a/crates/heathspur-front/tests/unit/announce.rs
+++ b/crates/heathspur-front/tests/unit/announce.rs
@@ -59,8 +59,16 @@
     Up(Line),
     Lost(Line),
     Spent(Line),
-    Answer { line: Line, status: u16, open: bool, said: bool },
-    Taken { said: bool, epoch: u32 },
+    Answer {
+        line: Line,
+        status: u16,
+        open: bool,
+        said: bool,
+    },
+    Taken {
+        said: bool,
+        epoch: u32,
+    },
     Change(usize),
 }
 
@@ -153,7 +161,10 @@
         let before = (self.now, self.dials, self.told);
         self.act();
         let busy = self.schedule.wake().is_some_and(|at| ms(at) <= self.now);
-        assert!(!busy || before != (self.now, self.dials, self.told), "it wakes for nothing");
+        assert!(
+            !busy || before != (self.now, self.dials, self.told),
+            "it wakes for nothing"
+        );
     }
 
     fn happen(&mut self, happens: Happens) {
@@ -167,7 +178,12 @@
                 self.gone(line);
                 self.handle(Event::Spent(line));
             }
-            Happens::Answer { line, status, open, said } => {
+            Happens::Answer {
+                line,
+                status,
+                open,
+                said,
+            } => {
                 self.report_ended(line);
                 if !open {
                     self.gone(line);
@@ -181,10 +197,16 @@
                 self.act();
                 // The older report may have been taken last: what holds is told again, at once where a line is there.
                 if open && said != self.ready && self.open.contains(&line) {
-                    assert_eq!(self.sent[sent..], [(self.now, self.ready)], "the last word was {said}");
+                    assert_eq!(
+                        self.sent[sent..],
+                        [(self.now, self.ready)],
+                        "the last word was {said}"
+                    );
                 }
             }
-            Happens::Taken { said, epoch } if epoch == self.epoch => self.taken.push((self.now, said)),
+            Happens::Taken { said, epoch } if epoch == self.epoch => {
+                self.taken.push((self.now, said))
+            }
             Happens::Taken { .. } => {}
             Happens::Change(i) => match self.plan.changes[i].1 {
                 Change::Ready(ready) => {
@@ -204,7 +226,11 @@
     }
 
     fn report_ended(&mut self, line: Line) {
-        if self.under_way.iter().any(|(other, said)| *other == line && *said != self.ready) {
+        if self
+            .under_way
+            .iter()
+            .any(|(other, said)| *other == line && *said != self.ready)
+        {
             self.outdated.push((self.now, self.ready, self.sent.len()));
         }
         self.under_way.retain(|(other, _)| *other != line);
@@ -213,7 +239,8 @@
     fn gone(&mut self, line: Line) {
         self.report_ended(line);
         self.open.retain(|other| *other != line);
-        self.ahead.retain(|(_, happens)| happens.line() != Some(line));
+        self.ahead
+            .retain(|(_, happens)| happens.line() != Some(line));
     }
 
     fn act(&mut self) {
@@ -243,11 +270,14 @@
     }
 
     fn report(&mut self, line: Line, ready: bool) {
-        assert!(self.open.contains(&line) && self.under_way.iter().all(|(other, _)| *other != line));
+        assert!(
+            self.open.contains(&line) && self.under_way.iter().all(|(other, _)| *other != line)
+        );
         assert_eq!(ready, self.ready);
         let fate = self.plan.reports[self.told % self.plan.reports.len()];
         self.told += 1;
-        self.ahead.retain(|(_, happens)| happens.line() != Some(line));
+        self.ahead
+            .retain(|(_, happens)| happens.line() != Some(line));
         if fate.spent {
             self.gone(line);
             return self.handle(Event::Spent(line));
@@ -260,11 +290,25 @@
         }
         self.kept.push(line);
         if let Some(wait) = fate.taken {
-            self.after(wait, Happens::Taken { said: ready, epoch: self.epoch });
+            self.after(
+                wait,
+                Happens::Taken {
+                    said: ready,
+                    epoch: self.epoch,
+                },
+            );
         }
         match (fate.ends, fate.status) {
             (Some(wait), Some(status)) => {
-                self.after(wait, Happens::Answer { line, status, open: fate.open, said: ready });
+                self.after(
+                    wait,
+                    Happens::Answer {
+                        line,
+                        status,
+                        open: fate.open,
+                        said: ready,
+                    },
+                );
             }
             (Some(wait), None) => self.after(wait, Happens::Lost(line)),
             (None, _) => {}
@@ -276,7 +320,12 @@
     fn gaps(&self) -> (u64, u64) {
         let longest = |times: &[(u64, bool)]| {
             let ends = times.iter().skip(1).map(|(at, _)| *at).chain([END]);
-            times.iter().zip(ends).map(|((at, _), next)| next - at).max().unwrap_or(END)
+            times
+                .iter()
+                .zip(ends)
+                .map(|((at, _), next)| next - at)
+                .max()
+                .unwrap_or(END)
         };
         (longest(&self.sent), longest(&self.taken))
     }
@@ -296,9 +345,14 @@
 
 fn any_report() -> impl Strategy<Value = Fate> {
     let status = prop_oneof![6 => Just(Some(204)), 1 => Just(Some(500)), 1 => Just(None)];
-    let ends =
-        prop_oneof![3 => (0..400u64).prop_map(Some), 2 => (0..2500u64).prop_map(Some), 1 => Just(None)];
-    let rest = (prop::option::of(0..2500u64), ends, status, 0..8u8, 0..1500u64);
+    let ends = prop_oneof![3 => (0..400u64).prop_map(Some), 2 => (0..2500u64).prop_map(Some), 1 => Just(None)];
+    let rest = (
+        prop::option::of(0..2500u64),
+        ends,
+        status,
+        0..8u8,
+        0..1500u64,
+    );
     (0..10u8, breaks(), rest).prop_map(|(spent, breaks, (taken, ends, status, open, idle))| Fate {
         spent: spent == 0,
         breaks,
@@ -312,15 +366,17 @@
 
 /// A report that is taken and answered within the limit; the connection may end at any time behind it.
 fn well_told(limit: u64) -> impl Strategy<Value = Fate> {
-    (breaks(), 0..=limit, 0..=limit, 0..6u8, 0..4000u64).prop_map(|(breaks, one, other, open, idle)| Fate {
-        spent: false,
-        breaks,
-        taken: Some(one.min(other)),
-        ends: Some(one.max(other)),
-        status: Some(204),
-        open: open > 0,
-        idle,
-    })
+    (breaks(), 0..=limit, 0..=limit, 0..6u8, 0..4000u64).prop_map(
+        |(breaks, one, other, open, idle)| Fate {
+            spent: false,
+            breaks,
+            taken: Some(one.min(other)),
+            ends: Some(one.max(other)),
+            status: Some(204),
+            open: open > 0,
+            idle,
+        },
+    )
 }
 
 fn changes(moves: bool) -> impl Strategy<Value = Vec<(u64, Change)>> {
@@ -338,12 +394,23 @@
     report: impl Strategy<Value = Fate>,
     changes: impl Strategy<Value = Vec<(u64, Change)>>,
 ) -> impl Strategy<Value = Plan> {
-    let (dials, reports) = (prop::collection::vec(dial, 1..12), prop::collection::vec(report, 1..24));
-    (dials, reports, changes).prop_map(|(dials, reports, changes)| Plan { dials, reports, changes })
+    let (dials, reports) = (
+        prop::collection::vec(dial, 1..12),
+        prop::collection::vec(report, 1..24),
+    );
+    (dials, reports, changes).prop_map(|(dials, reports, changes)| Plan {
+        dials,
+        reports,
+        changes,
+    })
 }
 
 fn well(limit: u64) -> impl Strategy<Value = Plan> {
-    plan((0..=WELL).prop_map(Dialled::Up), well_told(limit), changes(false))
+    plan(
+        (0..=WELL).prop_map(Dialled::Up),
+        well_told(limit),
+        changes(false),
+    )
 }
 
 proptest! {
--- a/crates/heathspur-front/tests/unit/announce_model.rs
+++ b/crates/heathspur-front/tests/unit/announce_model.rs
@@ -70,12 +70,22 @@
 impl Reports {
     /// One change, in a time past a period, and past the patience with what was begun then.
     fn long(mutant: Mutant) -> Reports {
-        Reports { mutant, steps: 12, changes: 1, ends: false }
+        Reports {
+            mutant,
+            steps: 12,
+            changes: 1,
+            ends: false,
+        }
     }
 
     /// There and back, in a time past the patience.
     fn back(mutant: Mutant) -> Reports {
-        Reports { mutant, steps: 3, changes: 2, ends: true }
+        Reports {
+            mutant,
+            steps: 3,
+            changes: 2,
+            ends: true,
+        }
     }
 }
 
@@ -91,7 +101,13 @@
             match action {
                 Action::Dial(line) => self.lines.push((line, At::Dial)),
                 Action::Report { line, ready } => {
-                    self.set(line, At::Told { said: ready, taken: false });
+                    self.set(
+                        line,
+                        At::Told {
+                            said: ready,
+                            taken: false,
+                        },
+                    );
                     self.owed &= ready != self.ready;
                     self.schedule.handle(now, Event::Sent(line));
                 }
@@ -108,7 +124,10 @@
     }
 
     fn at(&self, line: Line) -> Option<&At> {
-        self.lines.iter().find(|(other, _)| *other == line).map(|(_, at)| at)
+        self.lines
+            .iter()
+            .find(|(other, _)| *other == line)
+            .map(|(_, at)| at)
     }
 
     /// A report ends, and its line.
@@ -118,7 +137,9 @@
     }
 
     fn is_told(&self) -> bool {
-        self.lines.iter().any(|(_, at)| matches!(at, At::Told { .. }))
+        self.lines
+            .iter()
+            .any(|(_, at)| matches!(at, At::Told { .. }))
     }
 }
 
@@ -191,32 +212,61 @@
                 world.faults += 1;
                 let idle = world.at(line) == Some(&At::Idle);
                 world.ends(line);
-                let event = if idle { Event::Spent(line) } else { Event::Lost { line, late: false } };
+                let event = if idle {
+                    Event::Spent(line)
+                } else {
+                    Event::Lost { line, late: false }
+                };
                 world.handle(event, mutant);
             }
             Move::Taken(line) => {
-                let Some(At::Told { said, .. }) = world.at(line).cloned() else { return None };
+                let Some(At::Told { said, .. }) = world.at(line).cloned() else {
+                    return None;
+                };
                 world.crossed |= world.entry == Some(world.ready) && said != world.ready;
                 world.entry = Some(said);
                 let at = world.lines.iter_mut().find(|(other, _)| *other == line)?;
                 at.1 = At::Told { said, taken: true };
             }
             Move::Answered(line) => {
-                let Some(At::Told { said, .. }) = world.at(line).cloned() else { return None };
+                let Some(At::Told { said, .. }) = world.at(line).cloned() else {
+                    return None;
+                };
                 world.ends(line);
                 world.lines.push((line, At::Idle));
                 if mutant == Mutant::NotAgain && said != world.ready {
                     world.schedule.ready = Some(said);
-                    world.schedule.handle(world.now(), Event::Answered { line, status: 204, open: true });
+                    world.schedule.handle(
+                        world.now(),
+                        Event::Answered {
+                            line,
+                            status: 204,
+                            open: true,
+                        },
+                    );
                     world.schedule.ready = Some(world.ready);
                     world.handle(Event::Ready(world.ready), mutant);
                 } else {
-                    world.handle(Event::Answered { line, status: 204, open: true }, mutant);
+                    world.handle(
+                        Event::Answered {
+                            line,
+                            status: 204,
+                            open: true,
+                        },
+                        mutant,
+                    );
                 }
             }
             Move::Closed(line) => {
                 world.ends(line);
-                world.handle(Event::Answered { line, status: 204, open: false }, mutant);
+                world.handle(
+                    Event::Answered {
+                        line,
+                        status: 204,
+                        open: false,
+                    },
+                    mutant,
+                );
             }
         }
         Some(world)
@@ -224,24 +274,40 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("rule: two lines at most", |_, w: &World| w.lines.len() <= MOST),
-            Property::always("rule: what is wrong in the list is being put right", |_, w: &World| {
-                // A report is on its way, or one is due as soon as there is a line: after a failure's pause, if any.
-                let pause = AGAIN * u32::from(w.faults);
-                w.entry.is_none_or(|entry| entry == w.ready)
-                    || w.is_told()
-                    || w.schedule.due <= w.now() + pause
-            }),
-            Property::always("rule: what holds is told as soon as there is a line", |_, w: &World| {
-                let idle = w.lines.iter().any(|(_, at)| *at == At::Idle);
-                !w.owed || !idle && w.schedule.due <= w.now()
-            }),
-            Property::always("rule: a line is had for it, or dialled after the pause", |_, w: &World| {
-                let under_way = w.lines.iter().any(|(_, at)| *at == At::Dial) || w.lines.len() == MOST;
-                !w.owed || under_way || w.schedule.wake().is_some_and(|at| at <= w.now() + AGAIN)
+            Property::always("rule: two lines at most", |_, w: &World| {
+                w.lines.len() <= MOST
             }),
+            Property::always(
+                "rule: what is wrong in the list is being put right",
+                |_, w: &World| {
+                    // A report is on its way, or one is due as soon as there is a line: after a failure's pause, if any.
+                    let pause = AGAIN * u32::from(w.faults);
+                    w.entry.is_none_or(|entry| entry == w.ready)
+                        || w.is_told()
+                        || w.schedule.due <= w.now() + pause
+                },
+            ),
+            Property::always(
+                "rule: what holds is told as soon as there is a line",
+                |_, w: &World| {
+                    let idle = w.lines.iter().any(|(_, at)| *at == At::Idle);
+                    !w.owed || !idle && w.schedule.due <= w.now()
+                },
+            ),
+            Property::always(
+                "rule: a line is had for it, or dialled after the pause",
+                |_, w: &World| {
+                    let under_way =
+                        w.lines.iter().any(|(_, at)| *at == At::Dial) || w.lines.len() == MOST;
+                    !w.owed
+                        || under_way
+                        || w.schedule.wake().is_some_and(|at| at <= w.now() + AGAIN)
+                },
+            ),
             Property::sometimes("an older report is taken last", |_, w: &World| w.crossed),
-            Property::sometimes("and is put right", |_, w: &World| w.crossed && w.entry == Some(w.ready)),
+            Property::sometimes("and is put right", |_, w: &World| {
+                w.crossed && w.entry == Some(w.ready)
+            }),
             Property::sometimes("a second dial", |_, w: &World| {
                 w.lines.iter().filter(|(_, at)| *at == At::Dial).count() == MOST
             }),
@@ -269,9 +335,15 @@
 #[test]
 fn each_mutant_is_found() {
     for mutant in [Mutant::NotAgain, Mutant::NotAtOnce, Mutant::NotClosed] {
-        let checker = Reports::long(mutant).checker().threads(2).finish_when(HasDiscoveries::AnyFailures);
+        let checker = Reports::long(mutant)
+            .checker()
+            .threads(2)
+            .finish_when(HasDiscoveries::AnyFailures);
         let found = checker.spawn_bfs().join().discoveries();
-        let rules: Vec<_> = found.keys().filter(|name| name.starts_with("rule")).collect();
+        let rules: Vec<_> = found
+            .keys()
+            .filter(|name| name.starts_with("rule"))
+            .collect();
         println!("{mutant:?}: {rules:?}");
         assert!(!rules.is_empty(), "{mutant:?} breaks no rule");
     }
--- a/crates/heathspur-front/tests/unit/permits.rs
+++ b/crates/heathspur-front/tests/unit/permits.rs
@@ -29,15 +29,27 @@
     permits.idle(AT, false, "idle");
     // One is about to leave where two are to be free: so one of the idle is asked too.
     let asked = permits.make_room(AT);
-    assert_eq!(asked, [Some(("first", Asked::Lingering)), Some(("idle", Asked::Idle))]);
+    assert_eq!(
+        asked,
+        [
+            Some(("first", Asked::Lingering)),
+            Some(("idle", Asked::Idle))
+        ]
+    );
 }
 
 /// What a connection of the model does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Doing {
     Work,
-    Idle { begun: bool, since: Duration, number: u64 },
-    Lingers { number: u64 },
+    Idle {
+        begun: bool,
+        since: Duration,
+        number: u64,
+    },
+    Lingers {
+        number: u64,
+    },
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -66,8 +78,12 @@
 
 /// One of the idle that comes before all others.
 fn first(conns: &[Conn], now: Duration) -> Option<Conn> {
-    let orders: [&dyn Fn(&Conn) -> bool; 4] =
-        [&|c| c.is_slow(now) && !c.is_begun(), &|c| c.is_slow(now), &|c| !c.is_begun(), &|_| true];
+    let orders: [&dyn Fn(&Conn) -> bool; 4] = [
+        &|c| c.is_slow(now) && !c.is_begun(),
+        &|c| c.is_slow(now),
+        &|c| !c.is_begun(),
+        &|_| true,
+    ];
     let idle = conns.iter().filter(|c| !c.asked);
     let numbered = idle.filter_map(|c| match c.doing {
         Doing::Idle { number, .. } => Some((number, *c)),
--- a/crates/heathspur-front/tests/unit/reload.rs
+++ b/crates/heathspur-front/tests/unit/reload.rs
@@ -60,15 +60,31 @@
 }
 
 fn few() -> impl Strategy<Value = Few> {
-    let class =
-        || (rarely("a", "b"), rarely(Effect::Keyed, Effect::Unsafe), rarely(1_000, 2_000), rarely(1, 2));
+    let class = || {
+        (
+            rarely("a", "b"),
+            rarely(Effect::Keyed, Effect::Unsafe),
+            rarely(1_000, 2_000),
+            rarely(1, 2),
+        )
+    };
     let classes = rarely(2usize, 1).prop_flat_map(move |n| prop::collection::vec(class(), n));
     let tenants = rarely(2usize, 0).prop_flat_map(|n| prop::collection::vec(rarely("t", "u"), n));
     let store = prop_oneof![7 => Just(Some(1)), 7 => Just(Some(2)), 1 => Just(None)];
     let own = (rarely("n1", "n2"), rarely(1u16, 2), store, classes, tenants);
-    let start = (rarely(1u64, 2), rarely(1usize, 2), rarely(1usize, 2), 0..3u64, 0..3u64, any::<bool>());
+    let start = (
+        rarely(1u64, 2),
+        rarely(1usize, 2),
+        rarely(1usize, 2),
+        0..3u64,
+        0..3u64,
+        any::<bool>(),
+    );
     (own, start).prop_map(
-        |((name, listen, store, classes, tenants), (stop, memory, sockets, servers, callers, cold))| Few {
+        |(
+            (name, listen, store, classes, tenants),
+            (stop, memory, sockets, servers, callers, cold),
+        )| Few {
             name,
             listen: address(listen),
             store: store.map(address),
@@ -76,7 +92,10 @@
             memory,
             sockets,
             settings: Settings {
-                classes: classes.iter().map(|(_, e, window, worth)| class_of(*e, *window, *worth)).collect(),
+                classes: classes
+                    .iter()
+                    .map(|(_, e, window, worth)| class_of(*e, *window, *worth))
+                    .collect(),
                 servers,
                 callers,
                 cold,
@@ -94,12 +113,21 @@
         ("name".to_string(), few.name.to_string()),
         ("listen".to_string(), few.listen.to_string()),
         ("store".to_string(), few.store.is_some().to_string()),
-        ("settings.services".to_string(), few.classes.len().to_string()),
+        (
+            "settings.services".to_string(),
+            few.classes.len().to_string(),
+        ),
     ];
     for (i, (name, class)) in few.classes.iter().zip(&few.settings.classes).enumerate() {
         fields.push((format!("settings.services[{i}].name"), name.clone()));
-        fields.push((format!("settings.services[{i}].effect"), format!("{:?}", class.effect)));
-        fields.push((format!("settings.services[{i}].dedup-window-s"), class.window.0.to_string()));
+        fields.push((
+            format!("settings.services[{i}].effect"),
+            format!("{:?}", class.effect),
+        ));
+        fields.push((
+            format!("settings.services[{i}].dedup-window-s"),
+            class.window.0.to_string(),
+        ));
     }
     fields.push(("settings.realms".to_string(), few.tenants.len().to_string()));
     let realms = few.tenants.iter().enumerate();
--- a/crates/heathspur-load/src/audit.rs
+++ b/crates/heathspur-load/src/audit.rs
@@ -44,7 +44,12 @@
     fn new() -> Part {
         // Three digits over an hour: the bounds are in order, so this can't fail.
         let latency = Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds in order");
-        Part { due: 0, statuses: BTreeMap::new(), others: BTreeMap::new(), latency }
+        Part {
+            due: 0,
+            statuses: BTreeMap::new(),
+            others: BTreeMap::new(),
+            latency,
+        }
     }
 
     /// Milliseconds at a quantile of latency.
@@ -110,13 +115,17 @@
     /// A request has ended, at this time from the start in nanoseconds.
     pub fn ended(&mut self, send: &Send, end: End, at: u64) {
         self.second(send.at).due += 1;
-        let part = self.parts.entry((send.target, send.class)).or_insert_with(Part::new);
+        let part = self
+            .parts
+            .entry((send.target, send.class))
+            .or_insert_with(Part::new);
         part.due += 1;
         match end {
             End::Answered(status, digest) => {
                 *part.statuses.entry(status).or_default() += 1;
                 if status == 200 {
-                    part.latency.saturating_record(at.saturating_sub(send.at) / 1000);
+                    part.latency
+                        .saturating_record(at.saturating_sub(send.at) / 1000);
                     self.second(at).served += 1;
                     self.compare(send, digest);
                 } else if status == 503 {
--- a/crates/heathspur-load/src/plan.rs
+++ b/crates/heathspur-load/src/plan.rs
@@ -169,14 +169,22 @@
     fn check(&self) -> Result<(), Mistake> {
         let mistake = |path: String, what: &str| Err(Mistake(path, what.to_string()));
         if self.xmlns != NAMESPACE {
-            let what = format!("the namespace `{}` where `{NAMESPACE}` is expected", self.xmlns);
+            let what = format!(
+                "the namespace `{}` where `{NAMESPACE}` is expected",
+                self.xmlns
+            );
             return mistake(String::new(), &what);
         }
-        for (name, count) in
-            [("target", self.targets.len()), ("stage", self.stages.len()), ("class", self.classes.len())]
-        {
+        for (name, count) in [
+            ("target", self.targets.len()),
+            ("stage", self.stages.len()),
+            ("class", self.classes.len()),
+        ] {
             if !(1..=100).contains(&count) {
-                return mistake(String::new(), &format!("1 to 100 elements `{name}` are expected"));
+                return mistake(
+                    String::new(),
+                    &format!("1 to 100 elements `{name}` are expected"),
+                );
             }
         }
         if !(10..=600_000).contains(&self.patience.0.as_millis()) {
@@ -187,7 +195,10 @@
         }
         for (at, target) in self.targets.iter().enumerate() {
             if !(1..=10_000).contains(&target.connections) {
-                return mistake(format!("target[{at}].@connections"), "1 to 10000 is expected");
+                return mistake(
+                    format!("target[{at}].@connections"),
+                    "1 to 10000 is expected",
+                );
             }
             if !(1..=1_000).contains(&target.part) {
                 return mistake(format!("target[{at}].@part"), "1 to 1000 is expected");
@@ -198,14 +209,20 @@
                 return mistake(format!("stage[{at}].@duration"), "24 h at most is expected");
             }
             if !(stage.rate > 0.0 && stage.rate <= 100_000.0) {
-                return mistake(format!("stage[{at}].@rate"), "above 0, 100000 at most is expected");
+                return mistake(
+                    format!("stage[{at}].@rate"),
+                    "above 0, 100000 at most is expected",
+                );
             }
         }
         for (at, class) in self.classes.iter().enumerate() {
             let path = |name: &str| format!("class[{at}].@{name}");
             let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
             if class.name.is_empty() || !class.name.bytes().all(plain) {
-                return mistake(path("name"), "letters, digits, `-`, `_` and `.` are expected");
+                return mistake(
+                    path("name"),
+                    "letters, digits, `-`, `_` and `.` are expected",
+                );
             }
             if !(1..=1_000).contains(&class.part) {
                 return mistake(path("part"), "1 to 1000 is expected");
@@ -219,8 +236,15 @@
             if class.body.0 > 64 << 10 {
                 return mistake(path("body"), "64 KiB at most is expected");
             }
-            if class.tenant.as_ref().is_some_and(|t| t.is_empty() || !t.bytes().all(plain)) {
-                return mistake(path("tenant"), "letters, digits, `-`, `_` and `.` are expected");
+            if class
+                .tenant
+                .as_ref()
+                .is_some_and(|t| t.is_empty() || !t.bytes().all(plain))
+            {
+                return mistake(
+                    path("tenant"),
+                    "letters, digits, `-`, `_` and `.` are expected",
+                );
             }
         }
         Ok(())
--- a/crates/heathspur-load/src/schedule.rs
+++ b/crates/heathspur-load/src/schedule.rs
@@ -74,7 +74,10 @@
 
     /// How long all stages last, in nanoseconds.
     pub fn length(plan: &Plan) -> u64 {
-        plan.stages.iter().map(|stage| stage.duration.0.as_nanos() as u64).sum()
+        plan.stages
+            .iter()
+            .map(|stage| stage.duration.0.as_nanos() as u64)
+            .sum()
     }
 
     /// The next first try of the stages.
@@ -85,16 +88,25 @@
             let mean = 1e9 / stage.rate;
             self.at += match stage.arrivals {
                 Arrivals::Regular => mean,
-                Arrivals::Poisson => Exp::new(1.0 / mean).map_or(mean, |gaps| gaps.sample(&mut self.rng)),
+                Arrivals::Poisson => {
+                    Exp::new(1.0 / mean).map_or(mean, |gaps| gaps.sample(&mut self.rng))
+                }
                 // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
                 Arrivals::Bursts => LogNormal::new(mean.ln() - BURSTS * BURSTS / 2.0, BURSTS)
                     .map_or(mean, |gaps| gaps.sample(&mut self.rng)),
             };
             if self.at < length as f64 {
-                let target = self.draw(|plan| plan.targets.iter().map(|target| target.part).collect());
+                let target =
+                    self.draw(|plan| plan.targets.iter().map(|target| target.part).collect());
                 let class = self.draw(|plan| plan.classes.iter().map(|class| class.part).collect());
                 let number = self.new_number();
-                return Some(Send { at: self.began + self.at as u64, number, first: number, target, class });
+                return Some(Send {
+                    at: self.began + self.at as u64,
+                    number,
+                    first: number,
+                    target,
+                    class,
+                });
             }
             (self.began, self.at, self.stage) = (self.began + length, 0.0, self.stage + 1);
         }
@@ -132,7 +144,12 @@
         let after = Exp::new(1.0 / mean).map_or(mean, |gaps| gaps.sample(&mut self.rng));
         let target = self.draw(|plan| plan.targets.iter().map(|target| target.part).collect());
         let number = self.new_number();
-        self.repeats.push(Reverse(Send { at: first.at + after as u64, number, target, ..*first }));
+        self.repeats.push(Reverse(Send {
+            at: first.at + after as u64,
+            number,
+            target,
+            ..*first
+        }));
     }
 }
 
--- a/crates/heathspur-measure/src/cost.rs
+++ b/crates/heathspur-measure/src/cost.rs
@@ -41,7 +41,12 @@
     let seconds = start.elapsed().as_secs_f64();
     let micros = (daemon.cpu_nanos() - before) as f64 / 1000.0 / REQUESTS as f64;
     let peak = peak_kib(daemon.process.0.id()).unwrap_or(0);
-    Play { rate: REQUESTS as f64 / seconds, micros, peak, good }
+    Play {
+        rate: REQUESTS as f64 / seconds,
+        micros,
+        peak,
+        good,
+    }
 }
 
 /// So many requests, over connections that each wait for their answer; how many were served.
@@ -60,7 +65,10 @@
             })
         })
         .collect();
-    callers.into_iter().map(|caller| caller.join().unwrap_or(0)).sum()
+    callers
+        .into_iter()
+        .map(|caller| caller.join().unwrap_or(0))
+        .sum()
 }
 
 /// 2,000 keyed requests of 500 keys, one after another; each key has a body of its own.
@@ -68,7 +76,11 @@
     let mut client = Client::to(address);
     for n in 0..2_000_u64 {
         let key = n % 500;
-        client.send(&request(n | 1 << 40, Some(&format!("key-{key}")), format!("pay-{key}").as_bytes()));
+        client.send(&request(
+            n | 1 << 40,
+            Some(&format!("key-{key}")),
+            format!("pay-{key}").as_bytes(),
+        ));
         client.answer();
     }
 }
@@ -95,12 +107,21 @@
         drive(daemon.address);
         daemon.process.terminate();
         daemon.process.wait();
-        let files = std::fs::read_dir(&records).into_iter().flatten().flatten().map(|entry| entry.path());
-        let most = daemon.runs.lock().map_or(u64::MAX, |runs| runs.values().copied().max().unwrap_or(0));
+        let files = std::fs::read_dir(&records)
+            .into_iter()
+            .flatten()
+            .flatten()
+            .map(|entry| entry.path());
+        let most = daemon
+            .runs
+            .lock()
+            .map_or(u64::MAX, |runs| runs.values().copied().max().unwrap_or(0));
         (files.collect::<Vec<_>>(), most)
     };
     let (first, ran_first) = record("first", &keyed);
-    let [file] = &first[..] else { panic!("one file was expected: {first:?}") };
+    let [file] = &first[..] else {
+        panic!("one file was expected: {first:?}")
+    };
     let (second, ran_second) = record("second", &|address| {
         let target = address.to_string();
         let replayed = Command::new(built("heathspurctl"))
@@ -111,9 +132,22 @@
         println!("{}", String::from_utf8_lossy(&replayed.stdout));
     });
     let requests = |files: &[PathBuf]| {
-        let bytes = files.iter().flat_map(|file| std::fs::read(file).unwrap_or_default()).collect::<Vec<_>>();
-        let read = read(&bytes, Options { checksums: true, ..Options::default() }, 1 << 16);
-        read.requests.into_iter().map(|(_, _, message)| message.bytes).collect::<Vec<_>>()
+        let bytes = files
+            .iter()
+            .flat_map(|file| std::fs::read(file).unwrap_or_default())
+            .collect::<Vec<_>>();
+        let read = read(
+            &bytes,
+            Options {
+                checksums: true,
+                ..Options::default()
+            },
+            1 << 16,
+        );
+        read.requests
+            .into_iter()
+            .map(|(_, _, message)| message.bytes)
+            .collect::<Vec<_>>()
     };
     let (before, after) = (requests(&first), requests(&second));
     table.row(
@@ -132,7 +166,10 @@
 
 pub fn measure(folder: &Path, baseline: &Path, table: &mut Table) {
     let daemon = built("heathspurd");
-    let (headers, full) = (operator(folder, "headers", "headers"), operator(folder, "full", "full"));
+    let (headers, full) = (
+        operator(folder, "headers", "headers"),
+        operator(folder, "full", "full"),
+    );
     let ways: [(&str, &Path, Option<&Path>); 4] = [
         ("before", baseline, None),
         ("off", &daemon, None),
@@ -151,7 +188,12 @@
             plays[way].push(play(program, folder, operator));
         }
     }
-    let least = |way: usize| plays[way].iter().map(|play| play.micros).fold(f64::MAX, f64::min);
+    let least = |way: usize| {
+        plays[way]
+            .iter()
+            .map(|play| play.micros)
+            .fold(f64::MAX, f64::min)
+    };
     let median = |way: usize| {
         let mut all: Vec<f64> = plays[way].iter().map(|play| play.micros).collect();
         all.sort_by(f64::total_cmp);
@@ -175,10 +217,21 @@
     }
     let before = instructions(baseline, folder);
     let off = instructions(&daemon, folder);
-    table.tell("instructions a request, before and with recording off", format!("{before:.0}, {off:.0}"));
+    table.tell(
+        "instructions a request, before and with recording off",
+        format!("{before:.0}, {off:.0}"),
+    );
     let ratio = off / before;
-    table.row("their ratio", format!("{ratio:.4}"), "at most 1.02", ratio <= 1.02);
-    table.figure(format!("instructions off/before {ratio:.4}, CPU full/before {:.3}", least(3) / least(0)));
+    table.row(
+        "their ratio",
+        format!("{ratio:.4}"),
+        "at most 1.02",
+        ratio <= 1.02,
+    );
+    table.figure(format!(
+        "instructions off/before {ratio:.4}, CPU full/before {:.3}",
+        least(3) / least(0)
+    ));
 }
 
 /// Instructions a request, as valgrind's callgrind counts them: plays differ by a tenth in time on cores, and by
@@ -188,15 +241,21 @@
         let out = folder.join("callgrind.out");
         let mut command = Command::new("valgrind");
         command.args(["--tool=callgrind", "--log-file=/dev/null"]);
-        command.arg(format!("--callgrind-out-file={}", out.display())).arg(program);
+        command
+            .arg(format!("--callgrind-out-file={}", out.display()))
+            .arg(program);
         let mut daemon = start(command, folder, None);
         load(daemon.address, requests, 0);
         daemon.process.terminate();
         daemon.process.wait();
         let text = std::fs::read_to_string(&out).unwrap_or_default();
-        let total =
-            text.lines().find_map(|line| line.strip_prefix("totals: ").or(line.strip_prefix("summary: ")));
-        total.and_then(|total| total.trim().parse::<f64>().ok()).unwrap_or(f64::NAN)
+        let total = text.lines().find_map(|line| {
+            line.strip_prefix("totals: ")
+                .or(line.strip_prefix("summary: "))
+        });
+        total
+            .and_then(|total| total.trim().parse::<f64>().ok())
+            .unwrap_or(f64::NAN)
     };
     let (few, many) = (500, 4_500);
     (counted(many) - counted(few)) / (many - few) as f64
--- a/crates/heathspur-measure/src/daemon.rs
+++ b/crates/heathspur-measure/src/daemon.rs
@@ -45,10 +45,17 @@
             further = std::fs::read_to_string(operator).is_ok_and(|text| text.contains("<http2"));
         }
         let mut child = command.spawn().expect("the daemon starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("a pipe")).lines().map_while(Result::ok);
+        let mut lines = BufReader::new(child.stderr.take().expect("a pipe"))
+            .lines()
+            .map_while(Result::ok);
         let mut next = |words: &str| {
-            let line = lines.find(|line| line.contains(words)).expect("the daemon says where it listens");
-            line.rsplit(' ').next().and_then(|a| a.parse::<SocketAddr>().ok()).expect("an address")
+            let line = lines
+                .find(|line| line.contains(words))
+                .expect("the daemon says where it listens");
+            line.rsplit(' ')
+                .next()
+                .and_then(|a| a.parse::<SocketAddr>().ok())
+                .expect("an address")
         };
         let address = next("listening on");
         let http2 = further.then(|| next("listening for"));
@@ -62,7 +69,12 @@
                 }
             }
         });
-        Daemon { process: Running(child), address, http2, runs }
+        Daemon {
+            process: Running(child),
+            address,
+            http2,
+            runs,
+        }
     }
 
     /// Its memory at rest, in KiB.
@@ -70,7 +82,8 @@
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.0.id()));
         let text = status.unwrap_or_default();
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        line.and_then(|line| line.trim().split(' ').next()?.parse().ok()).unwrap_or(0)
+        line.and_then(|line| line.trim().split(' ').next()?.parse().ok())
+            .unwrap_or(0)
     }
 
     /// Time on cores that its threads have had, in nanoseconds.
--- a/crates/heathspur-measure/src/http2/abuse.rs
+++ b/crates/heathspur-measure/src/http2/abuse.rs
@@ -36,7 +36,10 @@
                 let _ = times.record(late.as_micros() as u64);
             }
         }
-        (served as f64 / count as f64, times.value_at_quantile(0.99) as f64 / 1000.0)
+        (
+            served as f64 / count as f64,
+            times.value_at_quantile(0.99) as f64 / 1000.0,
+        )
     });
     for n in 0..count {
         thread::sleep(at(n).saturating_duration_since(Instant::now()));
@@ -77,8 +80,12 @@
     }
 }
 
-const HEAD: [(&str, &str); 4] =
-    [(":method", "POST"), (":scheme", "http"), (":path", "/svc/look"), (":authority", "b")];
+const HEAD: [(&str, &str); 4] = [
+    (":method", "POST"),
+    (":scheme", "http"),
+    (":path", "/svc/look"),
+    (":authority", "b"),
+];
 
 /// Connections that do something once and then hold still, again and again until the stop.
 fn hold(address: SocketAddr, stop: &AtomicBool, count: usize, each: impl Fn(&mut Caller)) {
@@ -124,21 +131,45 @@
             let block = caller.block(&HEAD);
             caller.raw(&frame(HEADERS, 0, 1, &block));
         };
-        flood(address, stop, ended, open, |_| frame(CONTINUATION, 0, 1, &[]).repeat(100))
+        flood(address, stop, ended, open, |_| {
+            frame(CONTINUATION, 0, 1, &[]).repeat(100)
+        })
+    }),
+    ("SETTINGS", |address, stop, ended| {
+        flood(address, stop, ended, |_| {}, |_| settings(&[]).repeat(100))
     }),
-    ("SETTINGS", |address, stop, ended| flood(address, stop, ended, |_| {}, |_| settings(&[]).repeat(100))),
     ("PING", |address, stop, ended| {
-        flood(address, stop, ended, |_| {}, |_| frame(PING, 0, 0, &[0; 8]).repeat(100))
+        flood(
+            address,
+            stop,
+            ended,
+            |_| {},
+            |_| frame(PING, 0, 0, &[0; 8]).repeat(100),
+        )
     }),
     ("PRIORITY", |address, stop, ended| {
-        flood(address, stop, ended, |_| {}, |_| frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(100))
+        flood(
+            address,
+            stop,
+            ended,
+            |_| {},
+            |_| frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(100),
+        )
     }),
     ("empty DATA", |address, stop, ended| {
         let open = |caller: &mut Caller| assert_eq!(caller.open(&HEAD, false), 1);
-        flood(address, stop, ended, open, |_| frame(DATA, 0, 1, &[]).repeat(100))
+        flood(address, stop, ended, open, |_| {
+            frame(DATA, 0, 1, &[]).repeat(100)
+        })
     }),
     ("windows of 1", |address, stop, ended| {
-        flood(address, stop, ended, |_| {}, |_| frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(100))
+        flood(
+            address,
+            stop,
+            ended,
+            |_| {},
+            |_| frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(100),
+        )
     }),
     ("HPACK tables up and down", |address, stop, ended| {
         flood(
@@ -146,7 +177,11 @@
             stop,
             ended,
             |_| {},
-            |_| [settings(&[(1, 0)]), settings(&[(1, 1 << 16)])].concat().repeat(50),
+            |_| {
+                [settings(&[(1, 0)]), settings(&[(1, 1 << 16)])]
+                    .concat()
+                    .repeat(50)
+            },
         )
     }),
     ("header bombs", |address, stop, ended| {
@@ -157,14 +192,22 @@
             ended,
             |_| {},
             |caller| {
-                let (id, block) =
-                    (caller.new_stream(), caller.block(&[&HEAD[..], &[("x-large", &large)]].concat()));
+                let (id, block) = (
+                    caller.new_stream(),
+                    caller.block(&[&HEAD[..], &[("x-large", &large)]].concat()),
+                );
                 frame(HEADERS, END_HEADERS | END_STREAM, id, &block)
             },
         )
     }),
     ("windows that overflow", |address, stop, ended| {
-        flood(address, stop, ended, |_| {}, |_| frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()))
+        flood(
+            address,
+            stop,
+            ended,
+            |_| {},
+            |_| frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
+        )
     }),
     ("requests that stop half way", |address, stop, _| {
         hold(address, stop, 50, |caller| {
@@ -175,15 +218,28 @@
             }
         })
     }),
-    ("connections that never say the preface, or speak HTTP/1.1", |address, stop, _| {
-        hold(address, stop, 200, |caller| {
-            if caller.socket().local_addr().is_ok_and(|address| address.port() % 2 == 0) {
-                let _ = caller.try_raw(b"GET / HTTP/1.1\r\n\r\n");
-            }
-        })
-    }),
+    (
+        "connections that never say the preface, or speak HTTP/1.1",
+        |address, stop, _| {
+            hold(address, stop, 200, |caller| {
+                if caller
+                    .socket()
+                    .local_addr()
+                    .is_ok_and(|address| address.port() % 2 == 0)
+                {
+                    let _ = caller.try_raw(b"GET / HTTP/1.1\r\n\r\n");
+                }
+            })
+        },
+    ),
     ("frames that make no sense", |address, stop, ended| {
-        flood(address, stop, ended, |_| {}, |_| frame(HEADERS, END_HEADERS, 1, &[0xff; 40]))
+        flood(
+            address,
+            stop,
+            ended,
+            |_| {},
+            |_| frame(HEADERS, END_HEADERS, 1, &[0xff; 40]),
+        )
     }),
 ];
 
@@ -200,7 +256,10 @@
     );
     let mut least = f64::INFINITY;
     for (name, abuse) in ABUSES {
-        let (stop, ended) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        let (stop, ended) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicU64::new(0)),
+        );
         let (stopped, counted) = (stop.clone(), ended.clone());
         let abuser = thread::spawn(move || abuse(address, &stopped, &counted));
         let (share, p99) = good(address);
@@ -219,6 +278,9 @@
             kept >= KEPT,
         );
     }
-    table.tell("memory after all of them", format!("{:.1} MiB", daemon.resident_kib() as f64 / 1024.0));
+    table.tell(
+        "memory after all of them",
+        format!("{:.1} MiB", daemon.resident_kib() as f64 / 1024.0),
+    );
     table.figure(format!("kept beside abuse {:.2}% at least", least * 100.0));
 }
--- a/crates/heathspur-measure/src/http2/cost.rs
+++ b/crates/heathspur-measure/src/http2/cost.rs
@@ -17,9 +17,13 @@
     let mut caller = Caller::to(address);
     let mut good = 0;
     for first in (0..requests).step_by(at_once as usize) {
-        let ids: Vec<u32> =
-            (first..first + at_once).map(|n| caller.ask(from + n, None, b"4929001234567890")).collect();
-        good += ids.into_iter().filter(|id| caller.answer(*id).0 == 200).count() as u64;
+        let ids: Vec<u32> = (first..first + at_once)
+            .map(|n| caller.ask(from + n, None, b"4929001234567890"))
+            .collect();
+        good += ids
+            .into_iter()
+            .filter(|id| caller.answer(*id).0 == 200)
+            .count() as u64;
     }
     good
 }
@@ -34,17 +38,28 @@
         let micros = (daemon.cpu_nanos() - before) as f64 / 1000.0 / REQUESTS as f64;
         table.row(
             &format!("{name}, one connection"),
-            format!("{:.0}/s, {micros:.1} us of CPU a request, {good} served", REQUESTS as f64 / seconds),
+            format!(
+                "{:.0}/s, {micros:.1} us of CPU a request, {good} served",
+                REQUESTS as f64 / seconds
+            ),
             "all served",
             good == REQUESTS,
         );
         micros
     };
-    let http1 = each("HTTP/1.1, one request at a time", 0, &|count, from| load(daemon.address, count, from));
-    let single =
-        each("HTTP/2, one request at a time", 1 << 44, &|count, from| streams(address, count, from, 1));
-    each("HTTP/2, ten requests at a time", 1 << 45, &|count, from| streams(address, count, from, 10));
-    let (before, now) = (instructions(baseline, folder), instructions(&built("heathspurd"), folder));
+    let http1 = each("HTTP/1.1, one request at a time", 0, &|count, from| {
+        load(daemon.address, count, from)
+    });
+    let single = each("HTTP/2, one request at a time", 1 << 44, &|count, from| {
+        streams(address, count, from, 1)
+    });
+    each("HTTP/2, ten requests at a time", 1 << 45, &|count, from| {
+        streams(address, count, from, 10)
+    });
+    let (before, now) = (
+        instructions(baseline, folder),
+        instructions(&built("heathspurd"), folder),
+    );
     let ratio = now / before;
     table.row(
         "instructions a request over HTTP/1.1, before and now",
@@ -52,5 +67,8 @@
         "1.02 at most",
         ratio <= 1.02,
     );
-    table.figure(format!("HTTP/2 to HTTP/1.1 {:.2}, HTTP/1.1 to before {ratio:.4}", single / http1));
+    table.figure(format!(
+        "HTTP/2 to HTTP/1.1 {:.2}, HTTP/1.1 to before {ratio:.4}",
+        single / http1
+    ));
 }
--- a/crates/heathspur-measure/src/http2/drain.rs
+++ b/crates/heathspur-measure/src/http2/drain.rs
@@ -38,7 +38,13 @@
 }
 
 /// One caller: half of its streams before the notice, the rest during the drain.
-fn play(address: SocketAddr, seed: u64, connection: u64, half: &Barrier, sent: &AtomicUsize) -> Played {
+fn play(
+    address: SocketAddr,
+    seed: u64,
+    connection: u64,
+    half: &Barrier,
+    sent: &AtomicUsize,
+) -> Played {
     let mut rng = StdRng::seed_from_u64(seed << 16 | connection);
     let stalled = rng.random_bool(0.1);
     let mut caller = Caller::with(address, if stalled { &[(INITIAL_WINDOW, 0)] } else { &[] });
@@ -87,9 +93,16 @@
     let (mut answered, mut refused, mut reset, mut begun, mut past, mut codes) = (0, 0, 0, 0, 0, 0);
     for seed in 1..=drains {
         let bounds = "<streams connection=\"128\" all=\"6000\"/><patience stalled=\"60 s\"/>";
-        let manner = Manner { work: Duration::from_millis(60), result: None, calls: false };
+        let manner = Manner {
+            work: Duration::from_millis(60),
+            result: None,
+            calls: false,
+        };
         let (mut daemon, address) = start(folder, "drain", bounds, manner);
-        let (half, sent) = (Arc::new(Barrier::new(CONNECTIONS as usize + 1)), Arc::new(AtomicUsize::new(0)));
+        let (half, sent) = (
+            Arc::new(Barrier::new(CONNECTIONS as usize + 1)),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let callers: Vec<_> = (0..CONNECTIONS)
             .map(|connection| {
                 let (half, sent) = (half.clone(), sent.clone());
@@ -114,7 +127,11 @@
             reset += played.reset;
             begun += played.begun;
             past += played.past.len() as u64;
-            ran_past += played.past.iter().filter(|body| runs.contains_key(&STANDARD.encode(body))).count();
+            ran_past += played
+                .past
+                .iter()
+                .filter(|body| runs.contains_key(&STANDARD.encode(body)))
+                .count();
         }
     }
     table.tell(
@@ -124,9 +141,24 @@
              {past} past the last stream"
         ),
     );
-    table.row("streams that were read and not answered", lost.to_string(), "0", lost == 0);
-    table.row("runs of streams that were refused or past the last", ran_past.to_string(), "0", ran_past == 0);
-    table.row("requests that ran more than once", doubled.to_string(), "0", doubled == 0);
+    table.row(
+        "streams that were read and not answered",
+        lost.to_string(),
+        "0",
+        lost == 0,
+    );
+    table.row(
+        "runs of streams that were refused or past the last",
+        ran_past.to_string(),
+        "0",
+        ran_past == 0,
+    );
+    table.row(
+        "requests that ran more than once",
+        doubled.to_string(),
+        "0",
+        doubled == 0,
+    );
     table.row(
         "longest stop, and exit codes other than 0",
         format!("{:.2} s, {codes}", longest.as_secs_f64()),
--- a/crates/heathspur-measure/src/http2/mod.rs
+++ b/crates/heathspur-measure/src/http2/mod.rs
@@ -44,7 +44,13 @@
         settings["settings"]["family-info"]["key-kb"] = json!(0.5);
         settings["settings"]["family-info"]["mem-limit-kb"] = json!(900_000.0);
     };
-    let daemon = Daemon::start(Command::new(built("heathspurd")), folder, Some(&operator), manner, edit);
+    let daemon = Daemon::start(
+        Command::new(built("heathspurd")),
+        folder,
+        Some(&operator),
+        manner,
+        edit,
+    );
     let address = daemon.http2.expect("the port is on");
     (daemon, address)
 }
--- a/crates/heathspur-measure/src/http2/repeats.rs
+++ b/crates/heathspur-measure/src/http2/repeats.rs
@@ -35,9 +35,17 @@
     let mut results: HashMap<u64, Vec<u8>> = HashMap::new();
     for n in 0..REQUESTS / CALLERS {
         // Four tries of each key on the whole, spread over its time; one in ten callers shares another's keys.
-        let owner = if rng.random_bool(0.1) { (caller + 1) % CALLERS } else { caller };
+        let owner = if rng.random_bool(0.1) {
+            (caller + 1) % CALLERS
+        } else {
+            caller
+        };
         let number = (owner << 32) + (n / (4 * KEYS)) * KEYS + rng.random_range(0..KEYS);
-        let (txn, key, body) = (caller << 40 | n, format!("key-{number}"), format!("pay-{number}"));
+        let (txn, key, body) = (
+            caller << 40 | n,
+            format!("key-{number}"),
+            format!("pay-{number}"),
+        );
         let (status, result) = if rng.random_bool(0.4) {
             client.send(&request(txn, Some(&key), body.as_bytes()));
             let (status, _, result) = client.answer();
@@ -77,10 +85,16 @@
 }
 
 pub fn measure(folder: &Path, table: &mut Table) {
-    let manner = Manner { work: Duration::from_millis(1), result: None, calls: false };
+    let manner = Manner {
+        work: Duration::from_millis(1),
+        result: None,
+        calls: false,
+    };
     let (daemon, address) = start(folder, "repeats", "", manner);
     let http1 = daemon.address;
-    let callers: Vec<_> = (0..CALLERS).map(|n| thread::spawn(move || caller(address, http1, n))).collect();
+    let callers: Vec<_> = (0..CALLERS)
+        .map(|n| thread::spawn(move || caller(address, http1, n)))
+        .collect();
     let mut all = Counts::default();
     for caller in callers {
         let counts = caller.join().expect("a caller");
@@ -102,8 +116,26 @@
             runs.len()
         ),
     );
-    table.row("keys that ran twice", doubled.to_string(), "0", doubled == 0);
-    table.row("keys with two results", all.differ.to_string(), "0", all.differ == 0);
-    table.row("requests without an answer", all.unanswered.to_string(), "0", all.unanswered == 0);
-    table.figure(format!("double runs {doubled}, unanswered {}", all.unanswered));
+    table.row(
+        "keys that ran twice",
+        doubled.to_string(),
+        "0",
+        doubled == 0,
+    );
+    table.row(
+        "keys with two results",
+        all.differ.to_string(),
+        "0",
+        all.differ == 0,
+    );
+    table.row(
+        "requests without an answer",
+        all.unanswered.to_string(),
+        "0",
+        all.unanswered == 0,
+    );
+    table.figure(format!(
+        "double runs {doubled}, unanswered {}",
+        all.unanswered
+    ));
 }
--- a/crates/heathspur-measure/src/http2/stalled.rs
+++ b/crates/heathspur-measure/src/http2/stalled.rs
@@ -25,7 +25,11 @@
         ("50 connections that grant all and read nothing", 50, false),
     ] {
         let bounds = "<streams connection=\"1000\" all=\"4000\"/><patience stalled=\"60 s\"/>";
-        let manner = Manner { work: Duration::ZERO, result: Some(ANSWER), calls: false };
+        let manner = Manner {
+            work: Duration::ZERO,
+            result: Some(ANSWER),
+            calls: false,
+        };
         let (daemon, address) = start(folder, "stalled", bounds, manner);
         let before = daemon.resident_kib();
         let callers: Vec<_> = (0..connections)
@@ -34,10 +38,17 @@
                     let window = if small_windows { 0 } else { 1 << 30 };
                     let mut caller = Caller::with(address, &[(INITIAL_WINDOW, window)]);
                     if !small_windows {
-                        caller.raw(&heathspur_rig::http2::frame(8, 0, 0, &(1u32 << 30).to_be_bytes()));
+                        caller.raw(&heathspur_rig::http2::frame(
+                            8,
+                            0,
+                            0,
+                            &(1u32 << 30).to_be_bytes(),
+                        ));
                     }
                     // It writes and never reads; what it can't write it leaves.
-                    let _ = caller.socket().set_write_timeout(Some(Duration::from_secs(2)));
+                    let _ = caller
+                        .socket()
+                        .set_write_timeout(Some(Duration::from_secs(2)));
                     for n in 0..STREAMS {
                         let id = caller.new_stream();
                         let bytes = caller.request_bytes(id, connection << 16 | n, None, b"x");
@@ -49,7 +60,10 @@
                 })
             })
             .collect();
-        let callers: Vec<_> = callers.into_iter().map(|caller| caller.join().expect("a caller")).collect();
+        let callers: Vec<_> = callers
+            .into_iter()
+            .map(|caller| caller.join().expect("a caller"))
+            .collect();
         let (start, mut seen) = (Instant::now(), Vec::new());
         while start.elapsed() < WATCH {
             seen.push(daemon.resident_kib());
--- a/crates/heathspur-measure/src/large.rs
+++ b/crates/heathspur-measure/src/large.rs
@@ -16,8 +16,9 @@
 fn make(file: &Path, size: u64) -> std::io::Result<u64> {
     let mut out = BufWriter::with_capacity(1 << 20, File::create(file)?);
     let mut written = out.write(&write::pcap_header(write::RAW_IP, 0))? as u64;
-    let mut talks: Vec<_> =
-        (0..CONNECTIONS).map(|n| write::Talk::new(client(10_000 + n), server(), [u32::from(n), 7])).collect();
+    let mut talks: Vec<_> = (0..CONNECTIONS)
+        .map(|n| write::Talk::new(client(10_000 + n), server(), [u32::from(n), 7]))
+        .collect();
     let (mut now, mut requests) = (0, 0);
     let put = |out: &mut BufWriter<File>, packet: &[u8], now: u64| -> std::io::Result<u64> {
         let record = write::pcap_record(Stamp(START + now), packet, packet.len() as u32);
@@ -34,7 +35,10 @@
         for talk in &mut talks {
             now += MS / 50;
             requests += 1;
-            for (side, bytes) in [(Side::Client, &request(requests, &body)), (Side::Server, &reply)] {
+            for (side, bytes) in [
+                (Side::Client, &request(requests, &body)),
+                (Side::Server, &reply),
+            ] {
                 for packet in talk.say(side, bytes) {
                     written += put(&mut out, &packet, now)?;
                 }
@@ -69,25 +73,38 @@
         let _ = std::io::Read::read_to_string(&mut out, &mut said);
     }
     let _ = std::fs::remove_file(&file);
-    let found = said
-        .lines()
-        .map(str::trim)
-        .any(|line| line.strip_prefix("requests").is_some_and(|rest| rest.trim() == requests.to_string()));
+    let found = said.lines().map(str::trim).any(|line| {
+        line.strip_prefix("requests")
+            .is_some_and(|rest| rest.trim() == requests.to_string())
+    });
     let speed = size as f64 / 1e6 / seconds;
-    table.row("requests found in the large file", requests.to_string(), "all", found && status.success());
-    table.tell("reading speed", format!("{speed:.0} MB/s ({} MiB in {seconds:.1} s)", size >> 20));
+    table.row(
+        "requests found in the large file",
+        requests.to_string(),
+        "all",
+        found && status.success(),
+    );
+    table.tell(
+        "reading speed",
+        format!("{speed:.0} MB/s ({} MiB in {seconds:.1} s)", size >> 20),
+    );
     table.row(
         "peak memory of reading",
         format!("{:.1} MiB", peak as f64 / 1024.0),
         "under 64",
         peak < 64 * 1024,
     );
-    table.figure(format!("reads {speed:.0} MB/s in {:.0} MiB", peak as f64 / 1024.0));
+    table.figure(format!(
+        "reads {speed:.0} MB/s in {:.0} MiB",
+        peak as f64 / 1024.0
+    ));
 }
 
 /// The most memory that a process has had, in KiB.
 pub fn peak_kib(id: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))?;
     line.trim().trim_end_matches(" kB").parse().ok()
 }
--- a/crates/heathspur-measure/src/main.rs
+++ b/crates/heathspur-measure/src/main.rs
@@ -66,7 +66,11 @@
     let folder = std::env::temp_dir().join(format!("heathspur-measure-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder for the measurement's files");
     let done = match what {
-        What::Pcap { baseline, results, large } => {
+        What::Pcap {
+            baseline,
+            results,
+            large,
+        } => {
             let mut table = Table::new("pcap");
             storm::measure(&folder, &results, &mut table);
             large::measure(&folder, large << 20, &mut table);
@@ -74,7 +78,11 @@
             cost::measure(&folder, &baseline, &mut table);
             table.finish(&results)
         }
-        What::Http2 { baseline, results, drains } => {
+        What::Http2 {
+            baseline,
+            results,
+            drains,
+        } => {
             let mut table = Table::new("http2");
             http2::measure(&folder, &baseline, drains, &mut table);
             table.finish(&results)
