--- a/crates/heathspur-measure/src/members.rs
+++ b/crates/heathspur-measure/src/members.rs
@@ -26,12 +26,16 @@
 
 /// Plays an example in the emulator, with these parts of its text replaced.
 fn play(folder: &Path, example: &str, changes: &[(&str, &str)]) -> Value {
-    let mut text = std::fs::read_to_string(experiments().join(example)).expect("the example is there");
+    let mut text =
+        std::fs::read_to_string(experiments().join(example)).expect("the example is there");
     for (from, to) in changes {
         assert!(text.contains(from), "{example} has no {from}");
         text = text.replace(from, to);
     }
-    let (plan, report) = (folder.join(example), folder.join(format!("{example}-report")));
+    let (plan, report) = (
+        folder.join(example),
+        folder.join(format!("{example}-report")),
+    );
     std::fs::write(&plan, text).expect("the plan is written");
     let run = Command::new(built("heathspurctl"))
         .arg("experiment")
@@ -40,7 +44,11 @@
         .arg(&report)
         .output();
     let run = run.expect("the experiment runs");
-    assert!(run.status.success(), "{}", String::from_utf8_lossy(&run.stderr));
+    assert!(
+        run.status.success(),
+        "{}",
+        String::from_utf8_lossy(&run.stderr)
+    );
     let told = std::fs::read(report.join("report.json")).expect("a report");
     serde_json::from_slice(&told).expect("the report is JSON")
 }
@@ -77,8 +85,12 @@
         let start = Instant::now();
         let since = |came: bool| came.then(|| start.elapsed().as_millis() as u64);
         first.push(since(fleet.comes(LONG, |f| f.know_dead(victim) > 0)));
-        most.push(since(fleet.comes(LONG, |f| f.know_dead(victim) * 100 >= (count - 1) * 99)));
-        all.push(since(fleet.comes(LONG, |f| f.know_dead(victim) == count - 1)));
+        most.push(since(
+            fleet.comes(LONG, |f| f.know_dead(victim) * 100 >= (count - 1) * 99),
+        ));
+        all.push(since(
+            fleet.comes(LONG, |f| f.know_dead(victim) == count - 1),
+        ));
         fleet.run(victim);
         let start = Instant::now();
         let since = |came: bool| came.then(|| start.elapsed().as_millis() as u64);
@@ -87,7 +99,11 @@
     let known = all.iter().all(Option::is_some) && back.iter().all(Option::is_some);
     let spread = |mut times: Vec<Option<u64>>| {
         times.sort_by_key(|t| t.unwrap_or(u64::MAX));
-        format!("{}, {}", seconds(times[times.len() / 2]), seconds(times[times.len() - 1]))
+        format!(
+            "{}, {}",
+            seconds(times[times.len() / 2]),
+            seconds(times[times.len() - 1])
+        )
     };
     table.row(
         &format!("{count} processes, {CRASHES} kills: first death, 99%, all, back in one view; p50, worst"),
@@ -103,16 +119,24 @@
         fleet.all_deaths() == expected,
     );
     let (datagrams, bytes) = (&fleet.relay.came.0, &fleet.relay.came.1);
-    let before = (datagrams.load(Ordering::Relaxed), bytes.load(Ordering::Relaxed));
+    let before = (
+        datagrams.load(Ordering::Relaxed),
+        bytes.load(Ordering::Relaxed),
+    );
     std::thread::sleep(Duration::from_secs(10));
-    let sent = (datagrams.load(Ordering::Relaxed) - before.0, bytes.load(Ordering::Relaxed) - before.1);
+    let sent = (
+        datagrams.load(Ordering::Relaxed) - before.0,
+        bytes.load(Ordering::Relaxed) - before.1,
+    );
     let each = |sum: u64| sum as f64 / 10.0 / count as f64;
     table.tell(
         &format!("{count} processes, calm: datagrams and bytes (UDP's payload) a member a second"),
         format!("{:.1}, {:.0}", each(sent.0), each(sent.1)),
     );
     if count == 15 {
-        fleet.relay.set(|r| r.sides = (0..count).map(|i| (i >= 5) as u8).collect());
+        fleet
+            .relay
+            .set(|r| r.sides = (0..count).map(|i| (i >= 5) as u8).collect());
         fleet.wait(Duration::from_secs(10));
         fleet.relay.set(|r| r.sides.clear());
         let start = Instant::now();
@@ -139,9 +163,21 @@
     let holds = members < 1_000 || all.is_some_and(|ms| ms <= KNOWN_MS);
     let part = |name| both(crash, name);
     table.row(
-        &format!("{members} emulated, 20 seeds, a crash: suspected, first death, 99%, all; p50, p99"),
-        format!("{}; {}; {}; {} s", part("noticed_ms"), part("first_ms"), part("most_ms"), part("all_ms")),
-        if members < 1_000 { "-" } else { "all within 5 s" },
+        &format!(
+            "{members} emulated, 20 seeds, a crash: suspected, first death, 99%, all; p50, p99"
+        ),
+        format!(
+            "{}; {}; {}; {} s",
+            part("noticed_ms"),
+            part("first_ms"),
+            part("most_ms"),
+            part("all_ms")
+        ),
+        if members < 1_000 {
+            "-"
+        } else {
+            "all within 5 s"
+        },
         holds,
     );
     table.tell(
@@ -155,9 +191,10 @@
             "1000 emulated, the same with suspicion 2: all know; p50, p99",
             format!("{} s", both(&careful["courses"][0], "all_ms")),
         );
-        for (chart, title) in
-            [("views", "What 1,000 members hold that is not so"), ("traffic", "Bytes a member")]
-        {
+        for (chart, title) in [
+            ("views", "What 1,000 members hold that is not so"),
+            ("traffic", "Bytes a member"),
+        ] {
             let file = format!("members-crash-{chart}.svg");
             let from = folder.join(format!("{example}-report/{chart}.svg"));
             if std::fs::copy(from, results.join(&file)).is_ok() {
@@ -169,7 +206,10 @@
 
 /// A slow member, with and without loss, against plain SWIM.
 fn slow(folder: &Path, table: &mut Table) {
-    let many = [("share=\"0.1\"", "share=\"0\""), ("members=\"100\"", "members=\"1000\"")];
+    let many = [
+        ("share=\"0.1\"", "share=\"0\""),
+        ("members=\"100\"", "members=\"1000\""),
+    ];
     let calm = play(folder, "slow-member.xml", &many);
     let deaths = number(&calm, "false_deaths");
     table.row(
@@ -178,10 +218,15 @@
         "0",
         deaths == 0.0,
     );
-    table.figure(format!("false deaths in an hour with a slow member: {deaths}"));
+    table.figure(format!(
+        "false deaths in an hour with a slow member: {deaths}"
+    ));
     let a_member_hour = |changes: &[(&str, &str)]| {
         let report = play(folder, "slow-member.xml", changes);
-        let (deaths, hours) = (number(&report, "false_deaths"), number(&report, "member_hours"));
+        let (deaths, hours) = (
+            number(&report, "false_deaths"),
+            number(&report, "member_hours"),
+        );
         (deaths / hours, number(&report, "bytes"))
     };
     let (mut said, mut holds) = (Vec::new(), true);
@@ -190,7 +235,9 @@
         let (ours, ours_bytes) = a_member_hour(&[("suspicion=\"1\"", &suspicion)]);
         let plain = format!("{suspicion} lifeguard=\"false\"");
         let (swim, swim_bytes) = a_member_hour(&[("suspicion=\"1\"", &plain)]);
-        said.push(format!("{ours:.4} against {swim:.3} ({ours_bytes:.0} and {swim_bytes:.0} bytes)"));
+        said.push(format!(
+            "{ours:.4} against {swim:.3} ({ours_bytes:.0} and {swim_bytes:.0} bytes)"
+        ));
         holds &= ours < swim;
     }
     table.row(
@@ -215,11 +262,17 @@
         ];
         let changes: Vec<(&str, &str)> = changes
             .into_iter()
-            .chain([("seeds=\"20\"", "seeds=\"2\""), ("member=\"70\"", "member=\"7\"")])
+            .chain([
+                ("seeds=\"20\"", "seeds=\"2\""),
+                ("member=\"70\"", "member=\"7\""),
+            ])
             .collect();
         let report = play(folder, "slow-member.xml", &changes);
         last = number(&report, "bytes");
-        said.push(format!("{members}: {:.1}, {last:.0}", number(&report, "datagrams")));
+        said.push(format!(
+            "{members}: {:.1}, {last:.0}",
+            number(&report, "datagrams")
+        ));
     }
     table.row(
         "calm, emulated: datagrams and bytes (IP and UDP counted in) that a member sends a second, by members",
--- a/crates/heathspur-measure/src/storm.rs
+++ b/crates/heathspur-measure/src/storm.rs
@@ -31,7 +31,9 @@
 }
 
 fn request(connection: u64, n: u64, lots: &mut StdRng) -> Vec<u8> {
-    let body: Vec<u8> = (0..lots.random_range(0..1800)).map(|_| lots.random()).collect();
+    let body: Vec<u8> = (0..lots.random_range(0..1800))
+        .map(|_| lots.random())
+        .collect();
     let head = format!(
         "POST /svc/pay HTTP/1.1\r\nX-Txn: {connection:08x}{n:08x}\r\nX-Txn-Key: {:032x}\r\nContent-Length: {}\r\n\r\n",
         connection * EACH + n,
@@ -54,7 +56,12 @@
             script.now = script.now.max(offset + n * SECONDS * 1000 * MS / EACH);
             script.say(Side::Client, &bytes, 700);
             let index = requests.entry(connection).or_default().len();
-            parts.resize_with(script.packets.len(), || Some(Part { connection, request: index }));
+            parts.resize_with(script.packets.len(), || {
+                Some(Part {
+                    connection,
+                    request: index,
+                })
+            });
             requests.entry(connection).or_default().push(bytes);
             script.say(Side::Server, &answer(200, b"done"), 1400);
             parts.resize_with(script.packets.len(), || None);
@@ -67,13 +74,26 @@
     let mut timed: Vec<(u64, Vec<u8>, usize, usize)> = Vec::new();
     for (id, ((at, packet), part)) in packets.iter().enumerate() {
         let client = part.is_some();
-        let fate = if client { lots.random_range(0..1000) } else { 1000 };
+        let fate = if client {
+            lots.random_range(0..1000)
+        } else {
+            1000
+        };
         let whole = packet.len();
-        let slip = if client && fate % 10 == 0 { lots.random_range(0..4) * MS } else { 0 };
+        let slip = if client && fate % 10 == 0 {
+            lots.random_range(0..4) * MS
+        } else {
+            0
+        };
         match fate {
             // Missing, and cut by the snap length.
             0..2 => {}
-            2..4 => timed.push((at + slip, packet[..whole - 20.min(whole - 40)].to_vec(), whole, id)),
+            2..4 => timed.push((
+                at + slip,
+                packet[..whole - 20.min(whole - 40)].to_vec(),
+                whole,
+                id,
+            )),
             4..40 => {
                 timed.push((at + slip, packet.clone(), whole, id));
                 timed.push((at + slip + 3 * MS, packet.clone(), whole, id));
@@ -96,8 +116,14 @@
     }
     let mut broken: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
     for (id, (_, part)) in packets.iter().enumerate() {
-        if let Some(part) = part.as_ref().filter(|_| !there.get(&id).copied().unwrap_or(false)) {
-            broken.entry(part.connection).or_default().push(part.request);
+        if let Some(part) = part
+            .as_ref()
+            .filter(|_| !there.get(&id).copied().unwrap_or(false))
+        {
+            broken
+                .entry(part.connection)
+                .or_default()
+                .push(part.request);
         }
     }
     let mut lost = 0;
@@ -113,13 +139,21 @@
     }
     let path = folder.join("storm.pcap");
     std::fs::write(&path, file).expect("the capture is written");
-    Storm { file: path, whole: requests, lost }
+    Storm {
+        file: path,
+        whole: requests,
+        lost,
+    }
 }
 
 /// The connection that a request belongs to, as its id tells.
 fn connection(bytes: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(&bytes[..bytes.len().min(80)]).into_owned();
-    let id = text.split("X-Txn: ").nth(1).and_then(|rest| rest.get(..8)).unwrap_or("");
+    let id = text
+        .split("X-Txn: ")
+        .nth(1)
+        .and_then(|rest| rest.get(..8))
+        .unwrap_or("");
     u64::from_str_radix(id, 16).unwrap_or(u64::MAX)
 }
 
@@ -128,7 +162,13 @@
     let run = Command::new(built("heathspurctl"))
         .args(["pcap", "replay"])
         .arg(&storm.file)
-        .args(["--to-server", &sink.address.to_string(), "--speed", speed, "--report"])
+        .args([
+            "--to-server",
+            &sink.address.to_string(),
+            "--speed",
+            speed,
+            "--report",
+        ])
         .arg(report)
         .output()
         .expect("the replay runs");
@@ -142,20 +182,40 @@
 pub fn measure(folder: &Path, results: &Path, table: &mut Table) {
     let storm = make(folder, 42);
     let whole: usize = storm.whole.values().map(Vec::len).sum();
-    table.tell("requests written", format!("{} over {CONNECTIONS} connections", CONNECTIONS * EACH));
-    table.tell("requests that lost a part in the file", storm.lost.to_string());
+    table.tell(
+        "requests written",
+        format!("{} over {CONNECTIONS} connections", CONNECTIONS * EACH),
+    );
+    table.tell(
+        "requests that lost a part in the file",
+        storm.lost.to_string(),
+    );
     for speed in ["1", "10"] {
         let report = folder.join(format!("report-{speed}"));
         let (received, told) = replay(&storm, speed, &report);
         let mut by_connection: BTreeMap<u64, Vec<Vec<u8>>> = BTreeMap::new();
         for request in &received {
-            by_connection.entry(connection(&request.bytes)).or_default().push(request.bytes.clone());
+            by_connection
+                .entry(connection(&request.bytes))
+                .or_default()
+                .push(request.bytes.clone());
         }
-        let expected: BTreeMap<_, _> = storm.whole.iter().filter(|(_, list)| !list.is_empty()).collect();
+        let expected: BTreeMap<_, _> = storm
+            .whole
+            .iter()
+            .filter(|(_, list)| !list.is_empty())
+            .collect();
         let same = by_connection.len() == expected.len()
-            && expected.iter().all(|(connection, list)| by_connection.get(connection) == Some(list));
+            && expected
+                .iter()
+                .all(|(connection, list)| by_connection.get(connection) == Some(list));
         let what = format!("whole requests received, byte for byte in order, speed {speed}");
-        table.row(&what, format!("{} of {whole}", received.len()), "all, nothing else", same);
+        table.row(
+            &what,
+            format!("{} of {whole}", received.len()),
+            "all, nothing else",
+            same,
+        );
         let audit = &told["audit"];
         let number = |name: &str| audit["lateness"][name].as_f64().unwrap_or(f64::MAX);
         let drift = audit["drift_ms_per_s"].as_f64().unwrap_or(f64::MAX);
@@ -165,16 +225,27 @@
             "under 5",
             drift < 5.0,
         );
-        let late = format!("{:.3}, {:.3}, {:.3} ms", number("p50_ms"), number("p99_ms"), number("max_ms"));
+        let late = format!(
+            "{:.3}, {:.3}, {:.3} ms",
+            number("p50_ms"),
+            number("p99_ms"),
+            number("max_ms")
+        );
         table.tell(&format!("lateness p50, p99, max, speed {speed}"), late);
-        table.figure(format!("speed {speed}: {}/{whole} drift {drift:.3} ms/s", received.len()));
+        table.figure(format!(
+            "speed {speed}: {}/{whole} drift {drift:.3} ms/s",
+            received.len()
+        ));
         if speed == "1" {
             for chart in ["rates.svg", "latency.svg"] {
                 let _ = std::fs::copy(report.join(chart), results.join(format!("pcap-{chart}")));
             }
         }
     }
-    let info = Command::new(built("heathspurctl")).args(["pcap", "info"]).arg(&storm.file).output();
+    let info = Command::new(built("heathspurctl"))
+        .args(["pcap", "info"])
+        .arg(&storm.file)
+        .output();
     let info = info
         .map(|out| String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
         .unwrap_or_default();
@@ -182,9 +253,20 @@
         .lines()
         .filter(|l| l.contains("passed over") || l.contains("at byte"))
         .map(|l| {
-            l.rsplit("storm.pcap: ").next().unwrap_or(l).split_whitespace().collect::<Vec<_>>().join(" ")
+            l.rsplit("storm.pcap: ")
+                .next()
+                .unwrap_or(l)
+                .split_whitespace()
+                .collect::<Vec<_>>()
+                .join(" ")
         })
         .collect();
-    let told = listed.iter().any(|l| l.contains("Hole")) && listed.iter().any(|l| l.contains("at byte"));
-    table.row("what is not whole is listed with its cause", listed.join("; "), "holes and the cut end", told);
+    let told =
+        listed.iter().any(|l| l.contains("Hole")) && listed.iter().any(|l| l.contains("at byte"));
+    table.row(
+        "what is not whole is listed with its cause",
+        listed.join("; "),
+        "holes and the cut end",
+        told,
+    );
 }
--- a/crates/heathspur-measure/src/table.rs
+++ b/crates/heathspur-measure/src/table.rs
@@ -14,13 +14,23 @@
 impl Table {
     pub fn new(name: &'static str) -> Table {
         let where_run = "Everything on loopback, against stand-ins of this repository.";
-        Table { name, rows: Vec::new(), figures: Vec::new(), charts: Vec::new(), where_run }
+        Table {
+            name,
+            rows: Vec::new(),
+            figures: Vec::new(),
+            charts: Vec::new(),
+            where_run,
+        }
     }
 
     /// A row with what is asked of it.
     pub fn row(&mut self, what: &str, got: String, asked: &str, holds: bool) {
-        println!("{:<4} {what}: {got} ({asked})", if holds { "ok" } else { "FAIL" });
-        self.rows.push((what.to_string(), got, asked.to_string(), holds));
+        println!(
+            "{:<4} {what}: {got} ({asked})",
+            if holds { "ok" } else { "FAIL" }
+        );
+        self.rows
+            .push((what.to_string(), got, asked.to_string(), holds));
     }
 
     /// A row that only tells.
@@ -51,7 +61,10 @@
         page += &format!("{}\n\n", self.where_run);
         page += "| what | measured | asked | holds |\n| --- | --- | --- | --- |\n";
         for (what, got, asked, holds) in &self.rows {
-            page += &format!("| {what} | {got} | {asked} | {} |\n", if *holds { "yes" } else { "no" });
+            page += &format!(
+                "| {what} | {got} | {asked} | {} |\n",
+                if *holds { "yes" } else { "no" }
+            );
         }
         for (title, chart) in [("Requests a second", "rates"), ("Latency", "latency")] {
             let file = format!("{}-{chart}.svg", self.name);
@@ -70,10 +83,15 @@
 
 fn machine() -> String {
     let cpus = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
-    let model = cpus.lines().find_map(|line| line.strip_prefix("model name")).unwrap_or(": unknown");
+    let model = cpus
+        .lines()
+        .find_map(|line| line.strip_prefix("model name"))
+        .unwrap_or(": unknown");
     let model = model.trim_start_matches(['\t', ' ', ':']);
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let date = std::process::Command::new("date").arg("+%Y-%m-%d").output();
-    let date = date.map(|out| String::from_utf8_lossy(&out.stdout).trim().to_string()).unwrap_or_default();
+    let date = date
+        .map(|out| String::from_utf8_lossy(&out.stdout).trim().to_string())
+        .unwrap_or_default();
     format!("{date}, {cores} cores of {model}.")
 }
--- a/crates/heathspur-members/src/core.rs
+++ b/crates/heathspur-members/src/core.rs
@@ -139,7 +139,10 @@
 impl Entry {
     /// State and incarnation as known here.
     pub fn record(&self) -> Record {
-        Record { state: self.state, incarnation: self.incarnation }
+        Record {
+            state: self.state,
+            incarnation: self.incarnation,
+        }
     }
 }
 
@@ -258,7 +261,8 @@
                 let mut within = |span: u64| now + self.rng.random_range(0..span.max(1));
                 self.next_probe = within(self.settings.period_ms);
                 self.next_gossip = within(self.settings.gossip_ms);
-                self.next_push_pull = within(self.settings.push_pull_every_ms(1 + self.table.len()));
+                self.next_push_pull =
+                    within(self.settings.push_pull_every_ms(1 + self.table.len()));
                 self.tick(out);
             }
             Event::Leave => self.leave(out),
@@ -294,7 +298,14 @@
             let (state, since, suspicion) = (State::Alive, self.now, None);
             self.table.insert(
                 member.id.clone(),
-                Entry { member, state, incarnation, since, suspicion, round_trip_ms: 0 },
+                Entry {
+                    member,
+                    state,
+                    incarnation,
+                    since,
+                    suspicion,
+                    round_trip_ms: 0,
+                },
             );
             self.joined = true;
             self.version += 1;
@@ -304,9 +315,17 @@
     /// The view now.
     pub fn view(&self) -> View {
         let mut members = vec![(self.me.clone(), self.my_state(), self.incarnation)];
-        members.extend(self.table.values().map(|e| (e.member.clone(), e.state, e.incarnation)));
+        members.extend(
+            self.table
+                .values()
+                .map(|e| (e.member.clone(), e.state, e.incarnation)),
+        );
         members.sort_by(|a, b| a.0.id.cmp(&b.0.id));
-        View { version: self.version, incarnation: self.incarnation, members }
+        View {
+            version: self.version,
+            incarnation: self.incarnation,
+            members,
+        }
     }
 
     /// The version of the view; it rises with every change.
@@ -365,7 +384,12 @@
     }
 
     pub(crate) fn me_update(&self) -> Update {
-        Update { state: self.my_state(), incarnation: self.incarnation, by: None, member: self.me.clone() }
+        Update {
+            state: self.my_state(),
+            incarnation: self.incarnation,
+            by: None,
+            member: self.me.clone(),
+        }
     }
 
     /// Members counted for SWIM's scaling: those live, this one too.
@@ -409,7 +433,11 @@
 
     fn expire_suspicions(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let suspects = self.tally.suspects.iter().filter_map(|id| self.table.get(id));
+        let suspects = self
+            .tally
+            .suspects
+            .iter()
+            .filter_map(|id| self.table.get(id));
         let due: Vec<Id> = suspects
             .filter(|e| e.suspicion.as_ref().is_some_and(|s| s.deadline() <= now))
             .map(|e| e.member.id.clone())
@@ -418,8 +446,16 @@
             self.ask_last_words(out);
         }
         for id in due {
-            let Some(dead) = self.table.get(&id).and_then(|e| e.record().expire()) else { continue };
-            self.set(&id, dead.state, dead.incarnation, Cause::SuspicionTimeout, out);
+            let Some(dead) = self.table.get(&id).and_then(|e| e.record().expire()) else {
+                continue;
+            };
+            self.set(
+                &id,
+                dead.state,
+                dead.incarnation,
+                Cause::SuspicionTimeout,
+                out,
+            );
             if let Some(entry) = self.table.get(&id) {
                 self.spread.push(Update {
                     state: State::Dead,
@@ -435,13 +471,19 @@
     fn ask_last_words(&mut self, out: &mut Vec<Action>) {
         let mut asked = Vec::new();
         for id in &self.tally.suspects {
-            let Some(entry) = self.table.get_mut(id) else { continue };
+            let Some(entry) = self.table.get_mut(id) else {
+                continue;
+            };
             if entry.suspicion.as_mut().is_some_and(|s| s.asks(self.now)) {
                 asked.push(id.clone());
             }
         }
         for id in asked {
-            if let Some((to, first)) = self.table.get(&id).map(|e| (e.member.address, self.accusation(e))) {
+            if let Some((to, first)) = self
+                .table
+                .get(&id)
+                .map(|e| (e.member.address, self.accusation(e)))
+            {
                 self.send_with(to, Body::Gossip, Some(first), out);
             }
         }
@@ -483,7 +525,11 @@
         let counts = self.refusals();
         let total = counts.total();
         if total > self.told {
-            out.push(Action::Refused(Told { counts, new: total - self.told, last_sender: self.last_sender }));
+            out.push(Action::Refused(Told {
+                counts,
+                new: total - self.told,
+                last_sender: self.last_sender,
+            }));
             self.told = total;
         }
     }
@@ -523,7 +569,8 @@
             self.joined = true;
         }
         // What a newcomer is told of the fleet, the fleet knows: it does not tell it on.
-        let known_there = matches!(envelope.body, Body::PushPull { .. }) && self.now < self.fresh_until;
+        let known_there =
+            matches!(envelope.body, Body::PushPull { .. }) && self.now < self.fresh_until;
         let mut of_me = false;
         for update in &envelope.updates {
             // One word about this member a datagram: each may be answered, and a datagram must not buy many.
@@ -542,7 +589,11 @@
                     self.send(from, Body::Ack { seq }, true, out);
                 }
             }
-            Body::PingReq { seq, target, address } => self.relay(from, seq, target, address, out),
+            Body::PingReq {
+                seq,
+                target,
+                address,
+            } => self.relay(from, seq, target, address, out),
             Body::Ack { seq } => self.acked(seq, from, out),
             Body::Nack { seq } => {
                 if let Some(probe) = self.probes.iter_mut().find(|p| p.seq == seq) {
--- a/crates/heathspur-members/src/exchange.rs
+++ b/crates/heathspur-members/src/exchange.rs
@@ -20,8 +20,12 @@
     }
 
     pub(crate) fn gossip_now(&mut self, out: &mut Vec<Action>) {
-        let mut targets: Vec<SocketAddrV4> =
-            self.table.values().filter(|e| e.state.live()).map(|e| e.member.address).collect();
+        let mut targets: Vec<SocketAddrV4> = self
+            .table
+            .values()
+            .filter(|e| e.state.live())
+            .map(|e| e.member.address)
+            .collect();
         targets.shuffle(&mut self.rng);
         targets.truncate(self.settings.fanout);
         for to in targets {
@@ -30,12 +34,24 @@
     }
 
     pub(crate) fn push_pull(&mut self, out: &mut Vec<Action>) {
-        let live: Vec<SocketAddrV4> =
-            self.table.values().filter(|e| e.state.live()).map(|e| e.member.address).collect();
+        let live: Vec<SocketAddrV4> = self
+            .table
+            .values()
+            .filter(|e| e.state.live())
+            .map(|e| e.member.address)
+            .collect();
         // Seeds that nobody live stands at count with the dead: a half that was away for longer than the dead
         // are kept is met through them.
-        let lost = self.seeds.iter().copied().filter(|seed| !live.contains(seed));
-        let dead = self.table.values().filter(|e| e.state == State::Dead).map(|e| e.member.address);
+        let lost = self
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| !live.contains(seed));
+        let dead = self
+            .table
+            .values()
+            .filter(|e| e.state == State::Dead)
+            .map(|e| e.member.address);
         let dead: Vec<SocketAddrV4> = dead.chain(lost).collect();
         // Now and then a dead one: after a partition heals, that is how the halves find each other again.
         let pool = if !dead.is_empty() && (live.is_empty() || self.rng.random_range(0..3) == 0) {
@@ -71,8 +87,12 @@
         out.push(Action::Incarnation(self.incarnation));
         self.probes.clear();
         self.spread.push(self.me_update());
-        let mut targets: Vec<SocketAddrV4> =
-            self.table.values().filter(|e| e.state.live()).map(|e| e.member.address).collect();
+        let mut targets: Vec<SocketAddrV4> = self
+            .table
+            .values()
+            .filter(|e| e.state.live())
+            .map(|e| e.member.address)
+            .collect();
         targets.shuffle(&mut self.rng);
         targets.truncate(self.settings.fanout * 2);
         for to in targets {
@@ -90,8 +110,11 @@
             by: (e.state == State::Suspect || e.state == State::Dead).then(|| self.accuser(e)),
             member: e.member.clone(),
         }));
-        let mut part =
-            Envelope { from: self.me.id.clone(), body: Body::PushPull { reply }, updates: Vec::new() };
+        let mut part = Envelope {
+            from: self.me.id.clone(),
+            body: Body::PushPull { reply },
+            updates: Vec::new(),
+        };
         let mut len = wire::encoded_len(&part);
         for update in updates {
             let more = wire::update_len(&update);
@@ -107,7 +130,13 @@
         self.emit(to, &part, out);
     }
 
-    pub(crate) fn send(&mut self, to: SocketAddrV4, body: Body, with_me: bool, out: &mut Vec<Action>) {
+    pub(crate) fn send(
+        &mut self,
+        to: SocketAddrV4,
+        body: Body,
+        with_me: bool,
+        out: &mut Vec<Action>,
+    ) {
         let first = with_me.then(|| self.me_update());
         self.send_with(to, body, first, out);
     }
@@ -121,13 +150,19 @@
         first: Option<Update>,
         out: &mut Vec<Action>,
     ) {
-        let mut envelope = Envelope { from: self.me.id.clone(), body, updates: Vec::new() };
+        let mut envelope = Envelope {
+            from: self.me.id.clone(),
+            body,
+            updates: Vec::new(),
+        };
         let first = first.unwrap_or_else(|| self.me_update());
         let skip = first.member.id.clone();
         envelope.updates.push(first);
         let room = wire::LARGEST.saturating_sub(wire::encoded_len(&envelope) + 4);
         let limit = self.settings.retransmits(self.live_count());
-        envelope.updates.extend(self.spread.take(room, limit, Some(&skip)));
+        envelope
+            .updates
+            .extend(self.spread.take(room, limit, Some(&skip)));
         self.emit(to, &envelope, out);
     }
 
@@ -144,7 +179,13 @@
     }
 
     /// Answers a tool's question with as many rows as fit in a datagram no longer than the question's.
-    pub(crate) fn answer(&mut self, to: SocketAddrV4, ask: &Ask, room: usize, out: &mut Vec<Action>) {
+    pub(crate) fn answer(
+        &mut self,
+        to: SocketAddrV4,
+        ask: &Ask,
+        room: usize,
+        out: &mut Vec<Action>,
+    ) {
         let from = ask.after.as_ref().map_or(Bound::Unbounded, Bound::Excluded);
         let me = ask.after.as_ref().is_none_or(|id| self.me.id > *id);
         // Only what may fit is looked at: a flood of questions does not walk a whole table each.
@@ -161,14 +202,31 @@
             .collect();
         if me {
             let member = self.me.clone();
-            rows.push(Row { member, state: self.my_state(), incarnation: self.incarnation, for_ms: 0 });
+            rows.push(Row {
+                member,
+                state: self.my_state(),
+                incarnation: self.incarnation,
+                for_ms: 0,
+            });
             rows.sort_by(|a, b| a.member.id.cmp(&b.member.id));
             rows.truncate(ROWS);
         }
         let (version, awareness, refused) = (self.version, self.awareness, self.refusals().total());
         let members = 1 + self.table.len() as u32;
-        let seen = Seen { seq: ask.seq, version, members, awareness, refused, more: true, rows: Vec::new() };
-        let mut envelope = Envelope { from: self.me.id.clone(), body: Body::Seen(seen), updates: Vec::new() };
+        let seen = Seen {
+            seq: ask.seq,
+            version,
+            members,
+            awareness,
+            refused,
+            more: true,
+            rows: Vec::new(),
+        };
+        let mut envelope = Envelope {
+            from: self.me.id.clone(),
+            body: Body::Seen(seen),
+            updates: Vec::new(),
+        };
         // The count of rows may take a byte more than it does while there are none.
         let mut len = wire::encoded_len(&envelope) + 1;
         rows.retain(|row| {
@@ -180,7 +238,11 @@
                 Some(row) => {
                     let last = &row.member.id;
                     self.me.id > *last
-                        || self.table.range((Bound::Excluded(last), Bound::Unbounded)).next().is_some()
+                        || self
+                            .table
+                            .range((Bound::Excluded(last), Bound::Unbounded))
+                            .next()
+                            .is_some()
                 }
                 None => me || self.table.range((from, Bound::Unbounded)).next().is_some(),
             };
--- a/crates/heathspur-members/src/member.rs
+++ b/crates/heathspur-members/src/member.rs
@@ -73,7 +73,11 @@
     pub fn well_formed(&self) -> bool {
         let fits = |s: &str| s.len() <= LONGEST_NAME;
         let levels = self.near <= WHOLE && self.wants <= WHOLE;
-        levels && !self.id.0.is_empty() && fits(&self.id.0) && fits(&self.zone) && fits(&self.region)
+        levels
+            && !self.id.0.is_empty()
+            && fits(&self.id.0)
+            && fits(&self.zone)
+            && fits(&self.region)
     }
 }
 
--- a/crates/heathspur-members/src/merge.rs
+++ b/crates/heathspur-members/src/merge.rs
@@ -50,10 +50,17 @@
         }
         let known = entry.record();
         let id = update.member.id.clone();
-        match known.hear(Record { state: update.state, incarnation: update.incarnation }) {
+        match known.hear(Record {
+            state: update.state,
+            incarnation: update.incarnation,
+        }) {
             Heard::Alive => {
                 self.table.get_mut(&id).expect("present").member = update.member.clone();
-                let cause = if known.state == State::Alive { Cause::Heard } else { Cause::Refuted };
+                let cause = if known.state == State::Alive {
+                    Cause::Heard
+                } else {
+                    Cause::Refuted
+                };
                 self.set(&id, State::Alive, update.incarnation, cause, out);
                 self.spread.push(update.clone());
             }
@@ -69,7 +76,10 @@
                 let by = update.by.clone().unwrap_or_else(|| sender.clone());
                 self.suspect(&id, update.incarnation, by, Cause::Heard, out);
                 if convicted {
-                    let entry = self.table.get_mut(&id).filter(|e| e.incarnation == update.incarnation);
+                    let entry = self
+                        .table
+                        .get_mut(&id)
+                        .filter(|e| e.incarnation == update.incarnation);
                     if let Some(suspicion) = entry.and_then(|e| e.suspicion.as_mut()) {
                         suspicion.convict();
                     }
@@ -112,8 +122,14 @@
             cause: Cause::Joined,
         });
         if news {
-            let (state, incarnation, member) = (State::Alive, update.incarnation, update.member.clone());
-            self.spread.push(Update { state, incarnation, by: None, member });
+            let (state, incarnation, member) =
+                (State::Alive, update.incarnation, update.member.clone());
+            self.spread.push(Update {
+                state,
+                incarnation,
+                by: None,
+                member,
+            });
         }
         if update.state == State::Suspect {
             let by = update.by.clone().unwrap_or_else(|| id.clone());
@@ -125,7 +141,10 @@
         if self.leaving {
             return;
         }
-        let said = Record { state: update.state, incarnation: update.incarnation };
+        let said = Record {
+            state: update.state,
+            incarnation: update.incarnation,
+        };
         let Some(higher) = record::refute(self.incarnation, said) else {
             // Refuted already, and who says so has not heard: it is told, or it alone would take this member for dead.
             if self.settings.lifeguard && said.state != State::Alive {
@@ -151,24 +170,42 @@
     }
 
     /// `by` suspects `id` at `incarnation`: a new suspicion, or a confirmation of one running.
-    pub(crate) fn suspect(&mut self, id: &Id, incarnation: u64, by: Id, cause: Cause, out: &mut Vec<Action>) {
+    pub(crate) fn suspect(
+        &mut self,
+        id: &Id,
+        incarnation: u64,
+        by: Id,
+        cause: Cause,
+        out: &mut Vec<Action>,
+    ) {
         let count = self.live_count();
         let (mut least, mut most) = self.settings.suspicion_ms(count);
         let lifeguard = self.settings.lifeguard;
         // No more confirmations are waited for than there are others to give them.
-        let expected = if lifeguard { self.settings.indirect.min(count.saturating_sub(2)) } else { 0 };
+        let expected = if lifeguard {
+            self.settings.indirect.min(count.saturating_sub(2))
+        } else {
+            0
+        };
         let now = self.now;
         // Who is slow by its own word, or as was seen here, refutes as slowly.
         let slow = self.table.get(id).map_or(0, |entry| self.usual_wait(entry));
         (least, most) = (least + slow, most + slow);
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         let Some(suspected) = entry.record().suspect(incarnation) else {
             if lifeguard && entry.state == State::Suspect && incarnation == entry.incarnation {
                 if let Some(suspicion) = entry.suspicion.as_mut() {
                     if suspicion.confirm(by.clone()) {
                         // A confirmation is news too: others' timers shorten by it.
                         let (by, member) = (Some(by), entry.member.clone());
-                        self.spread.push(Update { state: State::Suspect, incarnation, by, member });
+                        self.spread.push(Update {
+                            state: State::Suspect,
+                            incarnation,
+                            by,
+                            member,
+                        });
                     }
                 }
             }
@@ -179,12 +216,26 @@
         entry.suspicion = Some(Suspicion::new(now, least, most, expected, by.clone()));
         let member = entry.member.clone();
         self.set(id, suspected.state, suspected.incarnation, cause, out);
-        self.spread.push(Update { state: State::Suspect, incarnation, by: Some(by), member });
+        self.spread.push(Update {
+            state: State::Suspect,
+            incarnation,
+            by: Some(by),
+            member,
+        });
     }
 
-    pub(crate) fn set(&mut self, id: &Id, to: State, incarnation: u64, cause: Cause, out: &mut Vec<Action>) {
+    pub(crate) fn set(
+        &mut self,
+        id: &Id,
+        to: State,
+        incarnation: u64,
+        cause: Cause,
+        out: &mut Vec<Action>,
+    ) {
         let now = self.now;
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         let changed = entry.state != to;
         entry.incarnation = incarnation;
         if to != State::Suspect {
@@ -195,7 +246,12 @@
             self.tally.add(id, to);
             entry.state = to;
             entry.since = now;
-            out.push(Action::Changed { id: id.clone(), to: Some(to), incarnation, cause });
+            out.push(Action::Changed {
+                id: id.clone(),
+                to: Some(to),
+                incarnation,
+                cause,
+            });
         }
         self.version += 1;
     }
--- a/crates/heathspur-members/src/probe.rs
+++ b/crates/heathspur-members/src/probe.rs
@@ -36,11 +36,19 @@
 impl Members {
     pub(crate) fn relay_nacks(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
-        let (due, kept): (Vec<Relay>, Vec<Relay>) = self.relays.drain(..).partition(|r| r.nack_at <= now);
+        let (due, kept): (Vec<Relay>, Vec<Relay>) =
+            self.relays.drain(..).partition(|r| r.nack_at <= now);
         self.relays = kept;
         for relay in due {
             if self.settings.lifeguard {
-                self.send(relay.asker, Body::Nack { seq: relay.asker_seq }, false, out);
+                self.send(
+                    relay.asker,
+                    Body::Nack {
+                        seq: relay.asker_seq,
+                    },
+                    false,
+                    out,
+                );
             }
         }
     }
@@ -70,7 +78,9 @@
         if self.probes.len() >= PROBES {
             return;
         }
-        let Some(target) = self.next_target() else { return };
+        let Some(target) = self.next_target() else {
+            return;
+        };
         let seq = self.next_seq();
         let entry = &self.table[&target];
         let address = entry.member.address;
@@ -98,20 +108,32 @@
         if !self.settings.lifeguard {
             return 0;
         }
-        (2 * entry.round_trip_ms.max(self.round_trip_ms).max(entry.member.lag_ms as u64))
-            .min(LONGEST_WAIT * self.settings.period_ms)
+        (2 * entry
+            .round_trip_ms
+            .max(self.round_trip_ms)
+            .max(entry.member.lag_ms as u64))
+        .min(LONGEST_WAIT * self.settings.period_ms)
     }
 
     pub(crate) fn accusation(&self, entry: &Entry) -> Update {
         let (by, member) = (Some(self.me.id.clone()), entry.member.clone());
-        Update { state: State::Suspect, incarnation: entry.incarnation, by, member }
+        Update {
+            state: State::Suspect,
+            incarnation: entry.incarnation,
+            by,
+            member,
+        }
     }
 
     fn probe_failed(&mut self, probe: Probe, out: &mut Vec<Action>) {
         if self.settings.lifeguard {
             // Missing nacks say that the fault may be ours: our own accusations slow down.
             let missing = probe.nacks_expected.saturating_sub(probe.nacks);
-            let delta = if probe.nacks_expected == 0 { 1 } else { missing };
+            let delta = if probe.nacks_expected == 0 {
+                1
+            } else {
+                missing
+            };
             self.awareness = (self.awareness + delta).min(self.settings.awareness_max);
         }
         let (target, me) = (probe.target.clone(), self.me.id.clone());
@@ -120,11 +142,16 @@
             self.late.pop_front();
         }
         self.late.push_back(probe);
-        let Some(entry) = self.table.get(&target) else { return };
+        let Some(entry) = self.table.get(&target) else {
+            return;
+        };
         let (begins, incarnation) = (entry.state == State::Alive, entry.incarnation);
         self.suspect(&target, incarnation, me, Cause::ProbeMissed, out);
         // The suspect hears it now, not with the next probe: all of its time is for refuting.
-        let entry = self.table.get(&target).filter(|_| begins && self.settings.lifeguard);
+        let entry = self
+            .table
+            .get(&target)
+            .filter(|_| begins && self.settings.lifeguard);
         if let Some((to, first)) = entry.map(|e| (e.member.address, self.accusation(e))) {
             self.send_with(to, Body::Gossip, Some(first), out);
         }
@@ -134,7 +161,9 @@
         let probe = &mut self.probes[at];
         probe.indirect_sent = true;
         let (seq, target) = (probe.seq, probe.target.clone());
-        let Some(address) = self.table.get(&target).map(|e| e.member.address) else { return };
+        let Some(address) = self.table.get(&target).map(|e| e.member.address) else {
+            return;
+        };
         let mut helpers: Vec<SocketAddrV4> = self
             .table
             .values()
@@ -146,10 +175,27 @@
         self.probes[at].nacks_expected = helpers.len() as u32;
         if self.settings.lifeguard {
             // The first one, or its ack, may just have been lost.
-            self.send(address, Body::Ping { seq, target: target.clone() }, true, out);
+            self.send(
+                address,
+                Body::Ping {
+                    seq,
+                    target: target.clone(),
+                },
+                true,
+                out,
+            );
         }
         for helper in helpers {
-            self.send(helper, Body::PingReq { seq, target: target.clone(), address }, false, out);
+            self.send(
+                helper,
+                Body::PingReq {
+                    seq,
+                    target: target.clone(),
+                    address,
+                },
+                false,
+                out,
+            );
         }
     }
 
@@ -163,8 +209,12 @@
                     return Some(id);
                 }
             }
-            self.order =
-                self.table.values().filter(|e| e.state.live()).map(|e| e.member.id.clone()).collect();
+            self.order = self
+                .table
+                .values()
+                .filter(|e| e.state.live())
+                .map(|e| e.member.id.clone())
+                .collect();
             self.order.shuffle(&mut self.rng);
             self.next_in_order = 0;
         }
@@ -184,7 +234,12 @@
         }
         let seq = self.next_seq();
         let nack_at = self.now + self.settings.probe_timeout_ms * 4 / 5;
-        self.relays.push(Relay { seq, asker, asker_seq, nack_at });
+        self.relays.push(Relay {
+            seq,
+            asker,
+            asker_seq,
+            nack_at,
+        });
         self.send(address, Body::Ping { seq, target }, true, out);
     }
 
@@ -203,19 +258,34 @@
         }
         if let Some(i) = self.relays.iter().position(|r| r.seq == seq) {
             let relay = self.relays.swap_remove(i);
-            self.send(relay.asker, Body::Ack { seq: relay.asker_seq }, true, out);
+            self.send(
+                relay.asker,
+                Body::Ack {
+                    seq: relay.asker_seq,
+                },
+                true,
+                out,
+            );
         }
     }
 
     /// How long the member itself took; what came through others says nothing of that.
     fn learn_round_trip(&mut self, probe: &Probe, from: SocketAddrV4) {
         let took = self.now - probe.started;
-        let Some(entry) = self.table.get_mut(&probe.target).filter(|e| e.member.address == from) else {
+        let Some(entry) = self
+            .table
+            .get_mut(&probe.target)
+            .filter(|e| e.member.address == from)
+        else {
             return;
         };
         // A longer one counts at once, shorter ones bit by bit.
         let known = entry.round_trip_ms;
-        entry.round_trip_ms = if took >= known { took } else { known - (known - took).div_ceil(4) };
+        entry.round_trip_ms = if took >= known {
+            took
+        } else {
+            known - (known - took).div_ceil(4)
+        };
         // Here all are taken together: one that is slow is not the usual.
         self.round_trip_ms = (7 * self.round_trip_ms + took) / 8;
         // In steps, so that others' views do not change with every probe here.
--- a/crates/heathspur-members/src/record.rs
+++ b/crates/heathspur-members/src/record.rs
@@ -35,13 +35,16 @@
 impl Record {
     /// What is said of the member whose record this is.
     pub fn hear(self, said: Record) -> Heard {
-        let (newer, older) = (said.incarnation > self.incarnation, said.incarnation < self.incarnation);
+        let (newer, older) = (
+            said.incarnation > self.incarnation,
+            said.incarnation < self.incarnation,
+        );
         match said.state {
             State::Alive if newer => Heard::Alive,
             State::Alive if !older && self.state == State::Alive => Heard::Same,
-            State::Suspect | State::Dead if self.state.live() && !older => {
-                Heard::Accused { convicted: said.state == State::Dead }
-            }
+            State::Suspect | State::Dead if self.state.live() && !older => Heard::Accused {
+                convicted: said.state == State::Dead,
+            },
             State::Left if !older && self.state != State::Left => Heard::Left,
             _ => Heard::Stale,
         }
@@ -51,12 +54,18 @@
     pub fn suspect(self, incarnation: u64) -> Option<Record> {
         let begins = self.state == State::Alive || incarnation > self.incarnation;
         let holds = self.state.live() && incarnation >= self.incarnation;
-        (holds && begins).then_some(Record { state: State::Suspect, incarnation })
+        (holds && begins).then_some(Record {
+            state: State::Suspect,
+            incarnation,
+        })
     }
 
     /// The record once a suspicion has run out; only a suspect is taken for dead.
     pub fn expire(self) -> Option<Record> {
-        (self.state == State::Suspect).then_some(Record { state: State::Dead, ..self })
+        (self.state == State::Suspect).then_some(Record {
+            state: State::Dead,
+            ..self
+        })
     }
 }
 
--- a/crates/heathspur-members/src/settings.rs
+++ b/crates/heathspur-members/src/settings.rs
@@ -80,7 +80,10 @@
     pub fn check(&self) -> Result<(), OutOfBounds> {
         let within = |ok: bool, name| if ok { Ok(()) } else { Err(OutOfBounds(name)) };
         within((50..=60_000).contains(&self.period_ms), "period")?;
-        within(self.probe_timeout_ms >= 10 && self.probe_timeout_ms < self.period_ms, "probe-timeout")?;
+        within(
+            self.probe_timeout_ms >= 10 && self.probe_timeout_ms < self.period_ms,
+            "probe-timeout",
+        )?;
         within(self.indirect <= 8, "indirect")?;
         within((1..=20).contains(&self.suspicion_mult), "suspicion")?;
         within((1..=20).contains(&self.suspicion_max_mult), "suspicion-max")?;
@@ -105,7 +108,8 @@
 
     /// How long suspicion lasts at least and at most among `members`, in milliseconds.
     pub fn suspicion_ms(&self, members: usize) -> (u64, u64) {
-        let least = (self.suspicion_mult as f64 * Settings::scale(members) * self.period_ms as f64) as u64;
+        let least =
+            (self.suspicion_mult as f64 * Settings::scale(members) * self.period_ms as f64) as u64;
         (least, least * self.suspicion_max_mult)
     }
 
@@ -116,7 +120,11 @@
 
     /// The time between push-pulls among `members`: doubled in steps past 32, so that bytes stay flat.
     pub fn push_pull_every_ms(&self, members: usize) -> u64 {
-        let steps = if members > 32 { ((members as f64).log2() - 5.0).ceil() as u64 + 1 } else { 1 };
+        let steps = if members > 32 {
+            ((members as f64).log2() - 5.0).ceil() as u64 + 1
+        } else {
+            1
+        };
         self.push_pull_ms * steps
     }
 }
--- a/crates/heathspur-members/src/spread.rs
+++ b/crates/heathspur-members/src/spread.rs
@@ -22,12 +22,17 @@
 impl Spread {
     /// An empty queue holding at most `bound` updates.
     pub fn new(bound: usize) -> Spread {
-        Spread { pending: Vec::new(), bound, dropped: 0 }
+        Spread {
+            pending: Vec::new(),
+            bound,
+            dropped: 0,
+        }
     }
 
     /// Queues an update; one of the same member before it is replaced.
     pub fn push(&mut self, update: Update) {
-        self.pending.retain(|p| p.update.member.id != update.member.id);
+        self.pending
+            .retain(|p| p.update.member.id != update.member.id);
         if self.pending.len() >= self.bound {
             // The one sent most has done most of its work already.
             if let Some(most) = (0..self.pending.len()).max_by_key(|&i| self.pending[i].sent) {
@@ -36,7 +41,11 @@
             }
         }
         let len = update_len(&update);
-        self.pending.push(Pending { update, sent: 0, len });
+        self.pending.push(Pending {
+            update,
+            sent: 0,
+            len,
+        });
     }
 
     /// Whether nothing waits.
--- a/crates/heathspur-members/src/wire.rs
+++ b/crates/heathspur-members/src/wire.rs
@@ -161,7 +161,9 @@
     if bytes.len() > LARGEST {
         return Err(Refusal::Oversized);
     }
-    let [m0, m1, version, rest @ ..] = bytes else { return Err(Refusal::Garbage) };
+    let [m0, m1, version, rest @ ..] = bytes else {
+        return Err(Refusal::Garbage);
+    };
     if [*m0, *m1] != MAGIC {
         return Err(Refusal::Garbage);
     }
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -26,12 +26,24 @@
 
 fn deliver(core: &mut Members, from: SocketAddrV4, envelope: &Envelope) -> Vec<Action> {
     let mut out = Vec::new();
-    core.handle(1, Event::Datagram { from, bytes: &wire::encode(envelope).unwrap() }, &mut out);
+    core.handle(
+        1,
+        Event::Datagram {
+            from,
+            bytes: &wire::encode(envelope).unwrap(),
+        },
+        &mut out,
+    );
     out
 }
 
 fn alive(i: u8, incarnation: u64) -> Update {
-    Update { state: State::Alive, incarnation, by: None, member: member(i) }
+    Update {
+        state: State::Alive,
+        incarnation,
+        by: None,
+        member: member(i),
+    }
 }
 
 #[test]
@@ -39,53 +51,98 @@
     let mut core = core();
     let from = member(9).address;
     let mut out = Vec::new();
-    core.handle(1, Event::Datagram { from, bytes: b"GET / HTTP/1.1\r\n" }, &mut out);
-    core.handle(1, Event::Datagram { from, bytes: &[0u8; LARGEST + 1] }, &mut out);
-    let mut good =
-        wire::encode(&Envelope { from: Id("m9".into()), body: Body::Gossip, updates: vec![] }).unwrap();
+    core.handle(
+        1,
+        Event::Datagram {
+            from,
+            bytes: b"GET / HTTP/1.1\r\n",
+        },
+        &mut out,
+    );
+    core.handle(
+        1,
+        Event::Datagram {
+            from,
+            bytes: &[0u8; LARGEST + 1],
+        },
+        &mut out,
+    );
+    let mut good = wire::encode(&Envelope {
+        from: Id("m9".into()),
+        body: Body::Gossip,
+        updates: vec![],
+    })
+    .unwrap();
     good[2] = 99;
     core.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
     good[2] = wire::VERSION;
     good.pop();
     core.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
     let counts = core.refusals();
-    assert_eq!((counts.garbage, counts.oversized, counts.version), (2, 1, 1));
+    assert_eq!(
+        (counts.garbage, counts.oversized, counts.version),
+        (2, 1, 1)
+    );
     assert_eq!(core.view().members.len(), 1);
     core.handle(2_000, Event::Tick, &mut out);
-    assert!(out
-        .iter()
-        .any(|a| matches!(a, Action::Refused(told) if told.new == 4 && told.last_sender == Some(from))));
+    assert!(out.iter().any(
+        |a| matches!(a, Action::Refused(told) if told.new == 4 && told.last_sender == Some(from))
+    ));
 }
 
 #[test]
 fn another_address_under_a_known_id_is_refused() {
     let mut core = core();
-    let envelope = Envelope { from: Id("m1".into()), body: Body::Gossip, updates: vec![alive(1, 5)] };
+    let envelope = Envelope {
+        from: Id("m1".into()),
+        body: Body::Gossip,
+        updates: vec![alive(1, 5)],
+    };
     deliver(&mut core, member(1).address, &envelope);
     let mut thief = alive(1, 50);
     thief.member.address = member(66).address;
     deliver(
         &mut core,
         member(2).address,
-        &Envelope { from: Id("m2".into()), body: Body::Gossip, updates: vec![thief] },
+        &Envelope {
+            from: Id("m2".into()),
+            body: Body::Gossip,
+            updates: vec![thief],
+        },
     );
     let entry = core.entry(&Id("m1".into())).unwrap();
-    assert_eq!((entry.member.address, entry.incarnation), (member(1).address, 5));
+    assert_eq!(
+        (entry.member.address, entry.incarnation),
+        (member(1).address, 5)
+    );
     assert_eq!(core.refusals().conflict, 1);
 }
 
 #[test]
 fn updates_from_the_far_future_are_dropped() {
     let mut core = core();
-    let envelope = Envelope { from: Id("m1".into()), body: Body::Gossip, updates: vec![alive(1, 5)] };
+    let envelope = Envelope {
+        from: Id("m1".into()),
+        body: Body::Gossip,
+        updates: vec![alive(1, 5)],
+    };
     deliver(&mut core, member(1).address, &envelope);
-    let far = Update { state: State::Dead, incarnation: 1 << 50, by: None, member: member(1) };
+    let far = Update {
+        state: State::Dead,
+        incarnation: 1 << 50,
+        by: None,
+        member: member(1),
+    };
     let mut about_me = far.clone();
     about_me.member = member(0);
     deliver(
         &mut core,
         member(1).address,
-        &Envelope { from: Id("m1".into()), body: Body::Gossip, updates: vec![far, about_me] },
+        &Envelope {
+            from: Id("m1".into()),
+            body: Body::Gossip,
+            updates: vec![far, about_me],
+        },
     );
     assert_eq!(core.entry(&Id("m1".into())).unwrap().state, State::Alive);
     assert_eq!(core.incarnation(), 10);
@@ -95,34 +152,66 @@
 #[test]
 fn a_suspicion_of_itself_is_refuted_with_a_higher_incarnation() {
     let mut core = core();
-    let suspect = Update { state: State::Suspect, incarnation: 12, by: None, member: member(0) };
+    let suspect = Update {
+        state: State::Suspect,
+        incarnation: 12,
+        by: None,
+        member: member(0),
+    };
     let out = deliver(
         &mut core,
         member(1).address,
-        &Envelope { from: Id("m1".into()), body: Body::Gossip, updates: vec![suspect] },
+        &Envelope {
+            from: Id("m1".into()),
+            body: Body::Gossip,
+            updates: vec![suspect],
+        },
     );
     assert_eq!(core.incarnation(), 13);
     assert!(out.contains(&Action::Incarnation(13)));
-    assert!(out.iter().any(|a| matches!(a, Action::Send { to, .. } if *to == member(1).address)));
+    assert!(out
+        .iter()
+        .any(|a| matches!(a, Action::Send { to, .. } if *to == member(1).address)));
 }
 
 #[test]
 fn the_table_stops_at_its_bound() {
-    let settings = Settings { max_members: 5, ..Settings::default() };
+    let settings = Settings {
+        max_members: 5,
+        ..Settings::default()
+    };
     let mut core = Members::new(settings, member(0), 1, vec![], 1);
     let updates = (1..20).map(|i| alive(i, 1)).collect();
-    deliver(&mut core, member(1).address, &Envelope { from: Id("m1".into()), body: Body::Gossip, updates });
+    deliver(
+        &mut core,
+        member(1).address,
+        &Envelope {
+            from: Id("m1".into()),
+            body: Body::Gossip,
+            updates,
+        },
+    );
     assert_eq!(core.view().members.len(), 5);
     assert_eq!(core.refusals().table_full, 15);
 }
 
 #[test]
 fn one_address_gets_its_share_of_a_second_and_no_more() {
-    let settings = Settings { per_peer_per_second: 10, ..Settings::default() };
+    let settings = Settings {
+        per_peer_per_second: 10,
+        ..Settings::default()
+    };
     let mut core = Members::new(settings, member(0), 1, vec![], 1);
     let mut out = Vec::new();
     for _ in 0..50 {
-        core.handle(1, Event::Datagram { from: member(3).address, bytes: b"x" }, &mut out);
+        core.handle(
+            1,
+            Event::Datagram {
+                from: member(3).address,
+                bytes: b"x",
+            },
+            &mut out,
+        );
     }
     assert_eq!((core.refusals().garbage, core.refusals().rate), (10, 40));
 }
@@ -132,25 +221,44 @@
     let mut core = core();
     let updates: Vec<Update> = (1..200).map(|i| alive(i, 1)).collect();
     for chunk in updates.chunks(10) {
-        let envelope = Envelope { from: Id("m1".into()), body: Body::Gossip, updates: chunk.to_vec() };
+        let envelope = Envelope {
+            from: Id("m1".into()),
+            body: Body::Gossip,
+            updates: chunk.to_vec(),
+        };
         deliver(&mut core, member(1).address, &envelope);
     }
-    let push =
-        Envelope { from: Id("m7".into()), body: Body::PushPull { reply: true }, updates: vec![alive(7, 1)] };
+    let push = Envelope {
+        from: Id("m7".into()),
+        body: Body::PushPull { reply: true },
+        updates: vec![alive(7, 1)],
+    };
     let out = deliver(&mut core, member(7).address, &push);
     let parts: Vec<&Vec<u8>> = out
         .iter()
-        .filter_map(|a| if let Action::Send { bytes, .. } = a { Some(bytes) } else { None })
+        .filter_map(|a| {
+            if let Action::Send { bytes, .. } = a {
+                Some(bytes)
+            } else {
+                None
+            }
+        })
         .collect();
     assert!(parts.len() >= 3);
     assert!(parts.iter().all(|p| p.len() <= LARGEST));
-    let carried: usize = parts.iter().map(|p| wire::decode(p).unwrap().updates.len()).sum();
+    let carried: usize = parts
+        .iter()
+        .map(|p| wire::decode(p).unwrap().updates.len())
+        .sum();
     assert_eq!(carried, 200);
 }
 
 #[test]
 fn datagrams_from_ever_new_addresses_do_not_grow_the_count_of_peers() {
-    let settings = Settings { max_members: 8, ..Settings::default() };
+    let settings = Settings {
+        max_members: 8,
+        ..Settings::default()
+    };
     let mut core = Members::new(settings, member(0), 1, vec![], 1);
     let mut out = Vec::new();
     for port in 0..5_000u16 {
@@ -164,10 +272,19 @@
 #[test]
 fn who_accuses_it_at_an_incarnation_it_has_left_behind_is_told_the_new_one() {
     let mut core = core();
-    let mut suspect = Update { state: State::Suspect, incarnation: 12, by: None, member: member(0) };
+    let mut suspect = Update {
+        state: State::Suspect,
+        incarnation: 12,
+        by: None,
+        member: member(0),
+    };
     let accuse = |core: &mut Members, by: u8, suspect: &Update| {
         let updates = vec![suspect.clone()];
-        let envelope = Envelope { from: Id(format!("m{by}")), body: Body::Gossip, updates };
+        let envelope = Envelope {
+            from: Id(format!("m{by}")),
+            body: Body::Gossip,
+            updates,
+        };
         deliver(core, member(by).address, &envelope)
     };
     accuse(&mut core, 1, &suspect);
@@ -175,9 +292,14 @@
     suspect.state = State::Dead;
     let out = accuse(&mut core, 2, &suspect);
     assert_eq!(core.incarnation(), 13);
-    let [Action::Send { to, bytes }] = &out[..] else { panic!("{out:?}") };
+    let [Action::Send { to, bytes }] = &out[..] else {
+        panic!("{out:?}")
+    };
     let told = &wire::decode(bytes).unwrap().updates[0];
-    assert_eq!((*to, told.state, told.incarnation), (member(2).address, State::Alive, 13));
+    assert_eq!(
+        (*to, told.state, told.incarnation),
+        (member(2).address, State::Alive, 13)
+    );
 }
 
 #[test]
@@ -185,22 +307,41 @@
     let accused = |incarnations: std::ops::Range<u64>| {
         let mut core = core();
         core.know((1..9).map(|i| (member(i), 5)));
-        let accuse = |incarnation| Update { state: State::Suspect, incarnation, by: None, member: member(0) };
+        let accuse = |incarnation| Update {
+            state: State::Suspect,
+            incarnation,
+            by: None,
+            member: member(0),
+        };
         let updates = incarnations.map(accuse).collect();
-        let envelope = Envelope { from: Id("m1".into()), body: Body::Gossip, updates };
+        let envelope = Envelope {
+            from: Id("m1".into()),
+            body: Body::Gossip,
+            updates,
+        };
         deliver(&mut core, member(1).address, &envelope).len()
     };
     // Stale ones, and such as each have to be refuted.
-    assert_eq!((accused(3..15), accused(12..24)), (accused(3..4), accused(12..13)));
+    assert_eq!(
+        (accused(3..15), accused(12..24)),
+        (accused(3..4), accused(12..13))
+    );
 }
 
 #[test]
 fn what_a_member_holds_and_wants_is_spread_beyond_those_it_speaks_to() {
-    let (mut core, mut other) = (core(), Members::new(Settings::default(), member(1), 10, vec![], 2));
+    let (mut core, mut other) = (
+        core(),
+        Members::new(Settings::default(), member(1), 10, vec![], 2),
+    );
     core.know((1..4).map(|i| (member(i), 5)));
     other.know([(member(0), 10), (member(2), 5)]);
     let mut out = Vec::new();
-    let stand = Stand { epoch: 3, near: 4, wants: 2 };
+    let stand = Stand {
+        epoch: 3,
+        near: 4,
+        wants: 2,
+    };
     core.set_stand(stand, &mut out);
     assert!(out.contains(&Action::Incarnation(11)));
     let sent = out.iter().find_map(|a| match a {
@@ -208,18 +349,27 @@
         _ => None,
     });
     let mut passed = Vec::new();
-    other.handle(1, Event::Datagram { from: member(0).address, bytes: &sent.unwrap() }, &mut passed);
+    other.handle(
+        1,
+        Event::Datagram {
+            from: member(0).address,
+            bytes: &sent.unwrap(),
+        },
+        &mut passed,
+    );
     let held = &other.entry(&Id("m0".into())).unwrap().member;
     assert_eq!((held.epoch, held.near, held.wants), (3, 4, 2));
     // It passes that on.
     (1..1_000).for_each(|now| other.handle(now, Event::Tick, &mut passed));
     let tells = |bytes: &[u8]| {
         let updates = wire::decode(bytes).unwrap().updates;
-        updates.iter().any(|u| u.member.id.0 == "m0" && u.member.epoch == 3 && u.incarnation == 11)
+        updates
+            .iter()
+            .any(|u| u.member.id.0 == "m0" && u.member.epoch == 3 && u.incarnation == 11)
     };
-    assert!(passed
-        .iter()
-        .any(|a| matches!(a, Action::Send { to, bytes } if *to == member(2).address && tells(bytes))));
+    assert!(passed.iter().any(
+        |a| matches!(a, Action::Send { to, bytes } if *to == member(2).address && tells(bytes))
+    ));
     // The same again is no news.
     out.clear();
     core.set_stand(stand, &mut out);
@@ -230,14 +380,30 @@
 fn ask_all(core: &mut Members, padding: usize) -> Vec<wire::Row> {
     let (mut rows, mut after) = (Vec::<wire::Row>::new(), None);
     for seq in 0..100 {
-        let ask = wire::Ask { seq, after: after.clone(), padding: vec![0; padding] };
-        let ask = Envelope { from: Id("?".into()), body: Body::Ask(ask), updates: vec![] };
+        let ask = wire::Ask {
+            seq,
+            after: after.clone(),
+            padding: vec![0; padding],
+        };
+        let ask = Envelope {
+            from: Id("?".into()),
+            body: Body::Ask(ask),
+            updates: vec![],
+        };
         let asked = wire::encode(&ask).unwrap().len();
         let out = deliver(core, member(99).address, &ask);
-        let [Action::Send { to, bytes }] = &out[..] else { panic!("{} actions", out.len()) };
+        let [Action::Send { to, bytes }] = &out[..] else {
+            panic!("{} actions", out.len())
+        };
         assert_eq!(*to, member(99).address);
-        assert!(bytes.len() <= asked, "{} bytes to a question of {asked}", bytes.len());
-        let Body::Seen(seen) = wire::decode(bytes).unwrap().body else { panic!("no part of a view") };
+        assert!(
+            bytes.len() <= asked,
+            "{} bytes to a question of {asked}",
+            bytes.len()
+        );
+        let Body::Seen(seen) = wire::decode(bytes).unwrap().body else {
+            panic!("no part of a view")
+        };
         assert_eq!((seen.seq, seen.members), (seq, 60));
         rows.extend(seen.rows);
         after = rows.last().map(|row| row.member.id.clone());
@@ -258,14 +424,27 @@
         assert!(ids.is_sorted() && ids.len() == 60, "{}", ids.len());
     }
     assert_eq!(core.view().members.len(), 60);
-    let short = wire::Ask { seq: 1, after: None, padding: vec![] };
-    let short = Envelope { from: Id("?".into()), body: Body::Ask(short), updates: vec![] };
+    let short = wire::Ask {
+        seq: 1,
+        after: None,
+        padding: vec![],
+    };
+    let short = Envelope {
+        from: Id("?".into()),
+        body: Body::Ask(short),
+        updates: vec![],
+    };
     assert!(deliver(&mut core, member(99).address, &short).is_empty());
 }
 
 fn suspicion(of: u8, by: u8) -> Update {
     let by = Some(Id(format!("m{by}")));
-    Update { state: State::Suspect, incarnation: 5, by, member: member(of) }
+    Update {
+        state: State::Suspect,
+        incarnation: 5,
+        by,
+        member: member(of),
+    }
 }
 
 /// When a suspect is taken for dead, if the accusations come at 1 ms, each passed on by another member.
@@ -274,7 +453,11 @@
     core.know((1..10).map(|i| (member(i), 5)));
     for (sender, accuser) in accusations {
         let updates = vec![suspicion(1, *accuser)];
-        let envelope = Envelope { from: Id(format!("m{sender}")), body: Body::Gossip, updates };
+        let envelope = Envelope {
+            from: Id(format!("m{sender}")),
+            body: Body::Gossip,
+            updates,
+        };
         deliver(&mut core, member(*sender).address, &envelope);
     }
     let mut out = Vec::new();
@@ -282,7 +465,8 @@
         .step_by(50)
         .find(|now| {
             core.handle(*now, Event::Tick, &mut out);
-            core.entry(&Id("m1".into())).is_some_and(|e| e.state == State::Dead)
+            core.entry(&Id("m1".into()))
+                .is_some_and(|e| e.state == State::Dead)
         })
         .expect("taken for dead")
 }
@@ -300,9 +484,16 @@
     let mut core = core();
     core.know([(member(1), 1_700_000_000_000)]);
     let back = alive(1, 1_700_000_000_000 + 366 * 86_400_000);
-    let envelope = Envelope { from: Id("m1".into()), body: Body::Gossip, updates: vec![back.clone()] };
+    let envelope = Envelope {
+        from: Id("m1".into()),
+        body: Body::Gossip,
+        updates: vec![back.clone()],
+    };
     deliver(&mut core, member(1).address, &envelope);
-    assert_eq!(core.entry(&Id("m1".into())).unwrap().incarnation, back.incarnation);
+    assert_eq!(
+        core.entry(&Id("m1".into())).unwrap().incarnation,
+        back.incarnation
+    );
     assert_eq!(core.refusals().future, 0);
 }
 
@@ -317,8 +508,14 @@
         core.handle(now, Event::Tick, &mut out);
     }
     let said = |a: &Action| {
-        let Action::Send { bytes, .. } = a else { return false };
-        wire::decode(bytes).unwrap().updates.iter().any(|u| u.state == State::Left && u.member.id.0 == "m0")
+        let Action::Send { bytes, .. } = a else {
+            return false;
+        };
+        wire::decode(bytes)
+            .unwrap()
+            .updates
+            .iter()
+            .any(|u| u.state == State::Left && u.member.id.0 == "m0")
     };
     assert!(out.iter().skip(first).filter(|a| said(a)).count() >= 6);
     // It probes nobody any more.
--- a/crates/heathspur-members/tests/model.rs
+++ b/crates/heathspur-members/tests/model.rs
@@ -75,14 +75,19 @@
 
     fn set(&mut self, by: usize, of: usize, to: Record) {
         let before = self.nodes[by].view[of];
-        self.skipped |= to.state == State::Dead && before.is_some_and(|b| b.state != State::Suspect);
+        self.skipped |=
+            to.state == State::Dead && before.is_some_and(|b| b.state != State::Suspect);
         self.back |= before.is_some_and(|b| to.incarnation < b.incarnation);
         self.nodes[by].view[of] = Some(to);
     }
 
     fn accuse(&mut self, by: usize, of: usize, incarnation: u64, mutant: Mutant) {
-        let Some(known) = self.nodes[by].view[of] else { return };
-        let Some(mut suspected) = known.suspect(incarnation) else { return };
+        let Some(known) = self.nodes[by].view[of] else {
+            return;
+        };
+        let Some(mut suspected) = known.suspect(incarnation) else {
+            return;
+        };
         if mutant == Mutant::NoSuspicion {
             suspected.state = State::Dead;
         }
@@ -102,13 +107,18 @@
         let Some(known) = self.nodes[by].view[of] else {
             // A newcomer; the dead are none.
             if said.state.live() {
-                self.nodes[by].view[of] = Some(Record { state: State::Alive, ..said });
+                self.nodes[by].view[of] = Some(Record {
+                    state: State::Alive,
+                    ..said
+                });
             }
             return;
         };
         match known.hear(said) {
             Heard::Alive => self.set(by, of, said),
-            Heard::Accused { convicted: true } if mutant == Mutant::DeathOverrides => self.set(by, of, said),
+            Heard::Accused { convicted: true } if mutant == Mutant::DeathOverrides => {
+                self.set(by, of, said)
+            }
             Heard::Accused { .. } => self.accuse(by, of, said.incarnation, mutant),
             Heard::Left => self.set(by, of, said),
             Heard::Same | Heard::Stale => {}
@@ -117,26 +127,41 @@
 
     fn tell(&mut self, from: usize, to: usize, mutant: Mutant) {
         let view = self.nodes[from].view;
-        for (of, said) in view.iter().enumerate().filter_map(|(of, said)| Some((of, (*said)?))) {
+        for (of, said) in view
+            .iter()
+            .enumerate()
+            .filter_map(|(of, said)| Some((of, (*said)?)))
+        {
             self.hear(to, of, said, mutant);
         }
         // Its own record last: what it refutes by has the last word.
         let incarnation = self.nodes[from].incarnation;
-        self.hear(to, from, Record { state: State::Alive, incarnation }, mutant);
+        self.hear(
+            to,
+            from,
+            Record {
+                state: State::Alive,
+                incarnation,
+            },
+            mutant,
+        );
     }
 
     /// Whom one would tell: everyone, the dead too, since that is how halves meet.
     fn told(&self, from: usize, mutant: Mutant) -> Vec<usize> {
         let dead = |to: usize| self.nodes[from].view[to].is_some_and(|r| !r.state.live());
         let skip = |to: usize| mutant == Mutant::DeadNotTold && dead(to);
-        (0..MEMBERS).filter(|&to| to != from && self.reaches(from, to) && !skip(to)).collect()
+        (0..MEMBERS)
+            .filter(|&to| to != from && self.reaches(from, to) && !skip(to))
+            .collect()
     }
 
     /// From here on no fault: probes fail only where nobody answers, and a suspect has its time to refute.
     fn calm_round(&mut self, mutant: Mutant) {
         let suspects: Vec<(usize, usize)> = pairs()
             .filter(|&(by, of)| {
-                self.nodes[by].up && self.nodes[by].view[of].is_some_and(|r| r.state == State::Suspect)
+                self.nodes[by].up
+                    && self.nodes[by].view[of].is_some_and(|r| r.state == State::Suspect)
             })
             .collect();
         for (by, of) in pairs() {
@@ -162,18 +187,29 @@
 
     /// All that live hold all that live alive, at their incarnation, and none of the others.
     fn agrees(&self) -> bool {
-        pairs().filter(|(by, _)| self.nodes[*by].up).all(|(by, of)| {
-            let held = self.nodes[by].view[of].filter(|r| r.state.live());
-            match self.nodes[of].up {
-                true => held == Some(Record { state: State::Alive, incarnation: self.nodes[of].incarnation }),
-                false => held.is_none(),
-            }
-        })
+        pairs()
+            .filter(|(by, _)| self.nodes[*by].up)
+            .all(|(by, of)| {
+                let held = self.nodes[by].view[of].filter(|r| r.state.live());
+                match self.nodes[of].up {
+                    true => {
+                        held == Some(Record {
+                            state: State::Alive,
+                            incarnation: self.nodes[of].incarnation,
+                        })
+                    }
+                    false => held.is_none(),
+                }
+            })
     }
 }
 
 fn pairs() -> impl Iterator<Item = (usize, usize)> {
-    (0..MEMBERS).flat_map(|by| (0..MEMBERS).filter(move |of| *of != by).map(move |of| (by, of)))
+    (0..MEMBERS).flat_map(|by| {
+        (0..MEMBERS)
+            .filter(move |of| *of != by)
+            .map(move |of| (by, of))
+    })
 }
 
 impl Model for Swim {
@@ -181,13 +217,22 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let alive = Record { state: State::Alive, incarnation: 1 };
+        let alive = Record {
+            state: State::Alive,
+            incarnation: 1,
+        };
         let nodes = std::array::from_fn(|i| Node {
             up: true,
             incarnation: 1,
             view: std::array::from_fn(|of| (of != i).then_some(alive)),
         });
-        vec![Fleet { nodes, apart: None, faults: 0, skipped: false, back: false }]
+        vec![Fleet {
+            nodes,
+            apart: None,
+            faults: 0,
+            skipped: false,
+            back: false,
+        }]
     }
 
     fn actions(&self, state: &Fleet, moves: &mut Vec<Move>) {
@@ -208,7 +253,9 @@
         for (by, of) in pairs().filter(|(by, _)| state.nodes[*by].up) {
             match state.nodes[by].view[of].map(|r| r.state) {
                 // Loss makes anyone miss a probe, but counts as a fault where the member would have answered.
-                Some(State::Alive) if !state.reaches(by, of) || may_fail => moves.push(Move::Miss(by, of)),
+                Some(State::Alive) if !state.reaches(by, of) || may_fail => {
+                    moves.push(Move::Miss(by, of))
+                }
                 Some(State::Suspect) => moves.push(Move::Expire(by, of)),
                 _ => {}
             }
@@ -266,28 +313,50 @@
                     calm.agrees()
                 },
             ),
-            Property::always("rule: nobody is taken for dead who was not suspect before", |_, s: &Fleet| {
-                !s.skipped
-            }),
-            Property::always("rule: no incarnation held goes back", |_, s: &Fleet| !s.back),
-            Property::sometimes("one that lives is taken for dead, and comes back", |_, s: &Fleet| {
-                s.nodes[0].up && s.nodes[0].incarnation > 1 && s.faults == 1 && s.agrees()
+            Property::always(
+                "rule: nobody is taken for dead who was not suspect before",
+                |_, s: &Fleet| !s.skipped,
+            ),
+            Property::always("rule: no incarnation held goes back", |_, s: &Fleet| {
+                !s.back
             }),
+            Property::sometimes(
+                "one that lives is taken for dead, and comes back",
+                |_, s: &Fleet| {
+                    s.nodes[0].up && s.nodes[0].incarnation > 1 && s.faults == 1 && s.agrees()
+                },
+            ),
             Property::sometimes("the others hold a crashed one dead", |_, s: &Fleet| {
-                !s.nodes[2].up && (0..2).all(|by| s.nodes[by].view[2].is_some_and(|r| r.state == State::Dead))
+                !s.nodes[2].up
+                    && (0..2).all(|by| s.nodes[by].view[2].is_some_and(|r| r.state == State::Dead))
             }),
         ]
     }
 }
 
 fn broken_by(mutant: Mutant) -> Vec<&'static str> {
-    let checker = Swim { mutant }.checker().threads(4).finish_when(HasDiscoveries::AnyFailures);
-    checker.spawn_bfs().join().discoveries().into_keys().filter(|name| name.starts_with("rule")).collect()
+    let checker = Swim { mutant }
+        .checker()
+        .threads(4)
+        .finish_when(HasDiscoveries::AnyFailures);
+    checker
+        .spawn_bfs()
+        .join()
+        .discoveries()
+        .into_keys()
+        .filter(|name| name.starts_with("rule"))
+        .collect()
 }
 
 #[test]
 fn views_agree_again_after_every_history_of_faults() {
-    let checker = Swim { mutant: Mutant::None }.checker().threads(4).spawn_bfs().join();
+    let checker = Swim {
+        mutant: Mutant::None,
+    }
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join();
     checker.assert_properties();
     assert!(checker.is_done());
     println!("{} states", checker.unique_state_count());
@@ -295,7 +364,12 @@
 
 #[test]
 fn each_mutant_is_found() {
-    for mutant in [Mutant::NoRefutation, Mutant::DeathOverrides, Mutant::NoSuspicion, Mutant::DeadNotTold] {
+    for mutant in [
+        Mutant::NoRefutation,
+        Mutant::DeathOverrides,
+        Mutant::NoSuspicion,
+        Mutant::DeadNotTold,
+    ] {
         let found = broken_by(mutant);
         assert!(!found.is_empty(), "{mutant:?} breaks no rule");
     }
--- a/crates/heathspur-operator/src/failover.rs
+++ b/crates/heathspur-operator/src/failover.rs
@@ -63,7 +63,8 @@
     }
 
     pub(crate) fn check(&self, members: Option<&Members>) -> Result<(), Mistake> {
-        let mistake = |path: &str, what: &str| Err(Mistake(format!("failover{path}"), what.to_string()));
+        let mistake =
+            |path: &str, what: &str| Err(Mistake(format!("failover{path}"), what.to_string()));
         let Some(members) = members else {
             return mistake(
                 "",
@@ -75,13 +76,22 @@
         }
         for (at, replica) in self.replica.iter().enumerate() {
             if replica.zone.is_empty() || replica.zone.len() > 48 {
-                return mistake(&format!(".replica[{at}].@zone"), "1 to 48 bytes are expected");
+                return mistake(
+                    &format!(".replica[{at}].@zone"),
+                    "1 to 48 bytes are expected",
+                );
             }
             if self.home(&replica.zone) != Some(at) {
-                return mistake(&format!(".replica[{at}].@zone"), "one replica a zone is expected");
+                return mistake(
+                    &format!(".replica[{at}].@zone"),
+                    "one replica a zone is expected",
+                );
             }
             if !replica.address.is_ipv4() {
-                return mistake(&format!(".replica[{at}].@address"), "an IPv4 address is expected");
+                return mistake(
+                    &format!(".replica[{at}].@address"),
+                    "an IPv4 address is expected",
+                );
             }
         }
         if self.home(&members.zone).is_none() {
@@ -89,10 +99,34 @@
             return mistake("", &what);
         }
         for (name, span, least, most, said) in [
-            ("dwell", self.dwell, 1_000, 600_000, "1 s to 10 min is expected"),
-            ("leave", self.leave, 100, 60_000, "100 ms to 1 min is expected"),
-            ("back", self.back, 100, 600_000, "100 ms to 10 min is expected"),
-            ("check", self.check, 100, 60_000, "100 ms to 1 min is expected"),
+            (
+                "dwell",
+                self.dwell,
+                1_000,
+                600_000,
+                "1 s to 10 min is expected",
+            ),
+            (
+                "leave",
+                self.leave,
+                100,
+                60_000,
+                "100 ms to 1 min is expected",
+            ),
+            (
+                "back",
+                self.back,
+                100,
+                600_000,
+                "100 ms to 10 min is expected",
+            ),
+            (
+                "check",
+                self.check,
+                100,
+                60_000,
+                "100 ms to 1 min is expected",
+            ),
         ] {
             if !(least..=most).contains(&span.0.as_millis()) {
                 return mistake(&format!(".@{name}"), said);
--- a/crates/heathspur-operator/src/http2.rs
+++ b/crates/heathspur-operator/src/http2.rs
@@ -41,7 +41,10 @@
 
 impl Default for Streams {
     fn default() -> Streams {
-        Streams { connection: 128, all: 1024 }
+        Streams {
+            connection: 128,
+            all: 1024,
+        }
     }
 }
 
@@ -62,7 +65,11 @@
 
 impl Default for Request {
     fn default() -> Request {
-        Request { header_list: Size(8 << 10), body: Size(2 << 10), whole: Span(Duration::from_secs(2)) }
+        Request {
+            header_list: Size(8 << 10),
+            body: Size(2 << 10),
+            whole: Span(Duration::from_secs(2)),
+        }
     }
 }
 
@@ -87,7 +94,12 @@
 impl Default for Memory {
     fn default() -> Memory {
         let (answers, connection) = (Size(4 << 20), Size(512 << 10));
-        Memory { answers, connection, stream: Size(32 << 10), receive: Size(4 << 20) }
+        Memory {
+            answers,
+            connection,
+            stream: Size(32 << 10),
+            receive: Size(4 << 20),
+        }
     }
 }
 
@@ -105,7 +117,10 @@
 
 impl Default for Patience {
     fn default() -> Patience {
-        Patience { stalled: Span(Duration::from_secs(5)), round_trip: Span(Duration::from_millis(500)) }
+        Patience {
+            stalled: Span(Duration::from_secs(5)),
+            round_trip: Span(Duration::from_millis(500)),
+        }
     }
 }
 
@@ -115,30 +130,74 @@
     pub fn most(&self) -> u64 {
         let request = self.request.body.0 + 1024;
         let open = u64::from(self.streams.all).saturating_mul(request);
-        self.memory.answers.0.saturating_add(self.memory.receive.0).saturating_add(open)
+        self.memory
+            .answers
+            .0
+            .saturating_add(self.memory.receive.0)
+            .saturating_add(open)
     }
 
     pub(crate) fn check(&self, memory: Option<u64>) -> Result<(), Mistake> {
         let mistake = |path: &str, what: String| Err(Mistake(format!("http2.{path}"), what));
-        for (path, count) in
-            [("streams.@connection", self.streams.connection), ("streams.@all", self.streams.all)]
-        {
+        for (path, count) in [
+            ("streams.@connection", self.streams.connection),
+            ("streams.@all", self.streams.all),
+        ] {
             if !(1..=10_000).contains(&count) {
                 return mistake(path, "1 to 10000 is expected".into());
             }
         }
         if self.streams.connection > self.streams.all {
-            let what = format!("{} at most is expected, as many as of all", self.streams.all);
+            let what = format!(
+                "{} at most is expected, as many as of all",
+                self.streams.all
+            );
             return mistake("streams.@connection", what);
         }
         let (kib, mib, gib) = (1 << 10, 1 << 20, 1 << 30);
         let sizes = [
-            ("request.@header-list", self.request.header_list, kib, 64 * kib, "1 KiB to 64 KiB"),
-            ("request.@body", self.request.body, kib, 64 * kib, "1 KiB to 64 KiB"),
-            ("memory.@answers", self.memory.answers, 64 * kib, gib, "64 KiB to 1 GiB"),
-            ("memory.@connection", self.memory.connection, 16 * kib, gib, "16 KiB to 1 GiB"),
-            ("memory.@stream", self.memory.stream, 16 * kib, mib, "16 KiB to 1 MiB"),
-            ("memory.@receive", self.memory.receive, 64 * kib, gib, "64 KiB to 1 GiB"),
+            (
+                "request.@header-list",
+                self.request.header_list,
+                kib,
+                64 * kib,
+                "1 KiB to 64 KiB",
+            ),
+            (
+                "request.@body",
+                self.request.body,
+                kib,
+                64 * kib,
+                "1 KiB to 64 KiB",
+            ),
+            (
+                "memory.@answers",
+                self.memory.answers,
+                64 * kib,
+                gib,
+                "64 KiB to 1 GiB",
+            ),
+            (
+                "memory.@connection",
+                self.memory.connection,
+                16 * kib,
+                gib,
+                "16 KiB to 1 GiB",
+            ),
+            (
+                "memory.@stream",
+                self.memory.stream,
+                16 * kib,
+                mib,
+                "16 KiB to 1 MiB",
+            ),
+            (
+                "memory.@receive",
+                self.memory.receive,
+                64 * kib,
+                gib,
+                "64 KiB to 1 GiB",
+            ),
         ];
         for (path, size, least, most, words) in sizes {
             if !(least..=most).contains(&size.0) {
@@ -152,9 +211,27 @@
             return mistake("memory.@connection", what);
         }
         let spans = [
-            ("request.@whole", self.request.whole, 100, 60_000, "100 ms to 60 s"),
-            ("patience.@stalled", self.patience.stalled, 100, 60_000, "100 ms to 60 s"),
-            ("patience.@round-trip", self.patience.round_trip, 10, 10_000, "10 ms to 10 s"),
+            (
+                "request.@whole",
+                self.request.whole,
+                100,
+                60_000,
+                "100 ms to 60 s",
+            ),
+            (
+                "patience.@stalled",
+                self.patience.stalled,
+                100,
+                60_000,
+                "100 ms to 60 s",
+            ),
+            (
+                "patience.@round-trip",
+                self.patience.round_trip,
+                10,
+                10_000,
+                "10 ms to 10 s",
+            ),
         ];
         for (path, span, least, most, words) in spans {
             if !(least..=most).contains(&span.0.as_millis()) {
--- a/crates/heathspur-operator/src/lib.rs
+++ b/crates/heathspur-operator/src/lib.rs
@@ -72,7 +72,11 @@
 
 impl Default for Log {
     fn default() -> Log {
-        Log { format: Format::Plain, level: Level::Info, lines_per_second: lines() }
+        Log {
+            format: Format::Plain,
+            level: Level::Info,
+            lines_per_second: lines(),
+        }
     }
 }
 
@@ -166,7 +170,11 @@
 
 impl Default for Files {
     fn default() -> Files {
-        Files { size: file_size(), age: file_age(), keep: file_keep() }
+        Files {
+            size: file_size(),
+            age: file_age(),
+            keep: file_keep(),
+        }
     }
 }
 
@@ -185,7 +193,9 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { memory: budget_memory() }
+        Budget {
+            memory: budget_memory(),
+        }
     }
 }
 
@@ -220,7 +230,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::Unread(file, e) => write!(f, "{}: {e}", file.display()),
-            Fault::Wrong { file, line, element, what } => {
+            Fault::Wrong {
+                file,
+                line,
+                element,
+                what,
+            } => {
                 write!(f, "{}:{line}: {element}: {what}", file.display())
             }
         }
@@ -248,12 +263,16 @@
         element,
         what,
     };
-    let places = Places::of(text, root).map_err(|(line, element, what)| wrong((line, element), what))?;
+    let places =
+        Places::of(text, root).map_err(|(line, element, what)| wrong((line, element), what))?;
     let mut from = quick_xml::de::Deserializer::from_str(text);
     let read: Result<T, _> = serde_path_to_error::deserialize(&mut from);
     let read = read.map_err(|e| {
         let what = e.inner().to_string();
-        wrong(places.find(&e.path().to_string(), &what), locate::plain(&what))
+        wrong(
+            places.find(&e.path().to_string(), &what),
+            locate::plain(&what),
+        )
     })?;
     check(&read).map_err(|Mistake(path, what)| wrong(places.find(&path, ""), what))?;
     Ok(read)
@@ -268,7 +287,12 @@
     let length = std::fs::metadata(file).map_err(unread)?.len();
     if length > LONGEST {
         let what = format!("{length} bytes, where {LONGEST} at most are expected");
-        return Err(Fault::Wrong { file: file.to_path_buf(), line: 1, element: root.into(), what });
+        return Err(Fault::Wrong {
+            file: file.to_path_buf(),
+            line: 1,
+            element: root.into(),
+            what,
+        });
     }
     std::fs::read_to_string(file).map_err(unread)
 }
@@ -288,14 +312,22 @@
     /// # Errors
     /// The first mistake found, with its place.
     pub fn parse(text: &str, file: &Path, memory: Option<u64>) -> Result<Operator, Fault> {
-        parse(text, file, "operator", |operator: &Operator| operator.check(memory))
+        parse(text, file, "operator", |operator: &Operator| {
+            operator.check(memory)
+        })
     }
 
     /// What the schema can't say, and the bounds of values with units.
     fn check(&self, memory: Option<u64>) -> Result<(), Mistake> {
         let mistake = |path: &str, what: String| Err(Mistake(path.to_string(), what));
         if self.xmlns != NAMESPACE {
-            return mistake("", format!("the namespace `{}` where `{NAMESPACE}` is expected", self.xmlns));
+            return mistake(
+                "",
+                format!(
+                    "the namespace `{}` where `{NAMESPACE}` is expected",
+                    self.xmlns
+                ),
+            );
         }
         if !(1..=10_000).contains(&self.log.lines_per_second) {
             return mistake("log.@lines-per-second", "1 to 10000 is expected".into());
@@ -309,7 +341,9 @@
         if let Some(failover) = &self.failover {
             failover.check(self.members.as_ref())?;
         }
-        let Some(record) = &self.record else { return Ok(()) };
+        let Some(record) = &self.record else {
+            return Ok(());
+        };
         if record.directory.as_os_str().is_empty() {
             return mistake("record.@directory", "a folder is expected".into());
         }
@@ -322,7 +356,10 @@
         }
         let size = record.files.size;
         if !(64 << 10..=16 << 30).contains(&size.0) {
-            return mistake("record.files.@size", format!("{size} where 64 KiB to 16 GiB is expected"));
+            return mistake(
+                "record.files.@size",
+                format!("{size} where 64 KiB to 16 GiB is expected"),
+            );
         }
         if !(1..=86_400).contains(&record.files.age.0.as_secs()) {
             return mistake("record.files.@age", "1 s to 24 h is expected".into());
@@ -332,12 +369,16 @@
         }
         let budget = record.budget.memory;
         if !(64 << 10..=1 << 30).contains(&budget.0) {
-            return mistake("record.budget.@memory", format!("{budget} where 64 KiB to 1 GiB is expected"));
+            return mistake(
+                "record.budget.@memory",
+                format!("{budget} where 64 KiB to 1 GiB is expected"),
+            );
         }
         if let Some(memory) = memory.filter(|memory| budget.0 > memory / 4) {
             let most = Size(memory / 4);
-            let what =
-                format!("{budget} where {most} at most is expected, a quarter of the process's memory");
+            let what = format!(
+                "{budget} where {most} at most is expected, a quarter of the process's memory"
+            );
             return mistake("record.budget.@memory", what);
         }
         for (at, mask) in record.mask.iter().enumerate() {
--- a/crates/heathspur-operator/src/locate.rs
+++ b/crates/heathspur-operator/src/locate.rs
@@ -19,7 +19,11 @@
     pub fn of(text: &str, root: &'static str) -> Result<Places, (usize, String, String)> {
         let mut reader = Reader::from_str(text);
         reader.config_mut().check_comments = true;
-        let mut lines = Lines { text: text.as_bytes(), at: 0, line: 1 };
+        let mut lines = Lines {
+            text: text.as_bytes(),
+            at: 0,
+            line: 1,
+        };
         let mut places = BTreeMap::new();
         // The path of each open element, and how many children of each name it has had.
         let mut open: Vec<(String, BTreeMap<String, usize>)> = Vec::new();
@@ -27,7 +31,9 @@
         loop {
             let at = reader.buffer_position() as usize;
             let event = reader.read_event();
-            let name = open.last().map_or(root.to_string(), |(path, _)| last(path, root).to_string());
+            let name = open
+                .last()
+                .map_or(root.to_string(), |(path, _)| last(path, root).to_string());
             let event = event.map_err(|e| {
                 let place = reader.error_position().min(text.len() as u64) as usize;
                 (lines.of(place), name.clone(), e.to_string())
@@ -36,7 +42,11 @@
                 Event::Start(start) | Event::Empty(start) => {
                     let line = lines.of(skip_space(text.as_bytes(), at));
                     if open.len() >= DEEPEST {
-                        return Err((line, name, "elements stand too deep in each other".to_string()));
+                        return Err((
+                            line,
+                            name,
+                            "elements stand too deep in each other".to_string(),
+                        ));
                     }
                     let path = enter(start, line, root, &mut open, &mut roots, &mut places)?;
                     if matches!(event, Event::Start(_)) {
@@ -62,15 +72,25 @@
         if roots != 1 {
             return Err((1, root.into(), format!("one element `{root}` is expected")));
         }
-        Ok(Places { lines: places, root })
+        Ok(Places {
+            lines: places,
+            root,
+        })
     }
 
     /// Line and name for a path as serde gives it. An element or attribute that is unknown is looked for below
     /// the path, by the name that the error quotes.
     pub fn find(&self, path: &str, what: &str) -> (usize, String) {
-        let path = if path == "." { String::new() } else { path.replace("[0]", "") };
+        let path = if path == "." {
+            String::new()
+        } else {
+            path.replace("[0]", "")
+        };
         let path = &path[..];
-        let quoted = |start: &str| what.strip_prefix(start).and_then(|rest| rest.split('`').next());
+        let quoted = |start: &str| {
+            what.strip_prefix(start)
+                .and_then(|rest| rest.split('`').next())
+        };
         if let Some(again) = quoted("duplicate field `") {
             let second = format!("{}[1]", join(path, again));
             if let Some(line) = self.lines.get(&second) {
@@ -93,7 +113,12 @@
             }
             match path.rfind('.') {
                 Some(at) => path = &path[..at],
-                None => return (self.lines.get("").copied().unwrap_or(1), shown("", self.root)),
+                None => {
+                    return (
+                        self.lines.get("").copied().unwrap_or(1),
+                        shown("", self.root),
+                    )
+                }
             }
         }
     }
@@ -125,7 +150,11 @@
         }
         Some((parent, children)) => {
             let count = children.entry(name.clone()).or_default();
-            let index = if *count > 0 { format!("[{count}]") } else { String::new() };
+            let index = if *count > 0 {
+                format!("[{count}]")
+            } else {
+                String::new()
+            };
             *count += 1;
             join(parent, &format!("{name}{index}"))
         }
@@ -134,8 +163,14 @@
         let attribute = attribute.map_err(|e| (line, name.clone(), e.to_string()))?;
         let key = format!("@{}", String::from_utf8_lossy(attribute.key.as_ref()));
         let before = &start[..];
-        let place = (attribute.key.as_ref().as_ptr() as usize).saturating_sub(before.as_ptr() as usize);
-        let below = before.get(..place).unwrap_or(&[]).iter().filter(|b| **b == b'\n').count();
+        let place =
+            (attribute.key.as_ref().as_ptr() as usize).saturating_sub(before.as_ptr() as usize);
+        let below = before
+            .get(..place)
+            .unwrap_or(&[])
+            .iter()
+            .filter(|b| **b == b'\n')
+            .count();
         places.entry(join(&path, &key)).or_insert(line + below);
     }
     places.entry(path.clone()).or_insert(line);
@@ -163,13 +198,20 @@
 /// `element`, or `element@attribute`.
 fn shown(path: &str, root: &str) -> String {
     match path.rsplit_once('@') {
-        Some((element, attribute)) => format!("{}@{attribute}", last(element.trim_end_matches('.'), root)),
+        Some((element, attribute)) => {
+            format!("{}@{attribute}", last(element.trim_end_matches('.'), root))
+        }
         None => last(path, root).to_string(),
     }
 }
 
 fn skip_space(text: &[u8], at: usize) -> usize {
-    at + text.get(at..).unwrap_or(&[]).iter().take_while(|b| b.is_ascii_whitespace()).count()
+    at + text
+        .get(at..)
+        .unwrap_or(&[])
+        .iter()
+        .take_while(|b| b.is_ascii_whitespace())
+        .count()
 }
 
 /// Line numbers of places that come in order.
@@ -182,7 +224,10 @@
 impl Lines<'_> {
     fn of(&mut self, place: usize) -> usize {
         let to = place.clamp(self.at, self.text.len());
-        self.line += self.text[self.at..to].iter().filter(|b| **b == b'\n').count();
+        self.line += self.text[self.at..to]
+            .iter()
+            .filter(|b| **b == b'\n')
+            .count();
         self.at = to;
         self.line
     }
--- a/crates/heathspur-operator/src/members.rs
+++ b/crates/heathspur-operator/src/members.rs
@@ -76,7 +76,8 @@
 
 impl Members {
     pub(crate) fn check(&self) -> Result<(), Mistake> {
-        let mistake = |path: &str, what: &str| Err(Mistake(format!("members.{path}"), what.to_string()));
+        let mistake =
+            |path: &str, what: &str| Err(Mistake(format!("members.{path}"), what.to_string()));
         if self.id.is_empty() || self.id.len() > 48 {
             return mistake("@id", "1 to 48 bytes are expected");
         }
@@ -88,7 +89,10 @@
             || !self.advertise.as_ref().is_none_or(v4)
             || !self.seed.iter().all(|s| v4(&s.address))
         {
-            return mistake("@listen", "IPv4 addresses are expected, here, in advertise and in seeds");
+            return mistake(
+                "@listen",
+                "IPv4 addresses are expected, here, in advertise and in seeds",
+            );
         }
         let period = self.period.0.as_millis();
         if !(50..=60_000).contains(&period) {
@@ -96,7 +100,10 @@
         }
         let timeout = self.probe_timeout.0.as_millis();
         if timeout < 10 || timeout >= period {
-            return mistake("@probe-timeout", "10 ms or more, and under the period, is expected");
+            return mistake(
+                "@probe-timeout",
+                "10 ms or more, and under the period, is expected",
+            );
         }
         if !(1..=20).contains(&self.suspicion) {
             return mistake("@suspicion", "1 to 20 is expected");
--- a/crates/heathspur-operator/tests/read.rs
+++ b/crates/heathspur-operator/tests/read.rs
@@ -139,7 +139,10 @@
 fn every_mistake_names_file_line_element_and_what_was_expected() {
     for (inner, words) in INVALID.iter().chain(&OUT_OF_BOUNDS) {
         let said = read(&file(inner)).expect_err(inner);
-        assert!(said.contains(words), "{inner}\n  says   {said}\n  wanted {words}");
+        assert!(
+            said.contains(words),
+            "{inner}\n  says   {said}\n  wanted {words}"
+        );
     }
 }
 
@@ -149,17 +152,32 @@
         ("", "o.xml:1: operator: one element"),
         ("<config/>", "o.xml:1: config: one element `operator`"),
         ("<operator/>", "o.xml:1: operator: the namespace `` where"),
-        ("<operator xmlns=\"urn:other\"/>", "o.xml:1: operator: the namespace `urn:other`"),
-        ("<operator xmlns=\"urn:heathspur:operator:1\">\n<log>\n", "o.xml:3: log: `</log>` is expected"),
-        ("<operator xmlns=\"urn:heathspur:operator:1\">\n<log></record></operator>", "o.xml:2"),
+        (
+            "<operator xmlns=\"urn:other\"/>",
+            "o.xml:1: operator: the namespace `urn:other`",
+        ),
+        (
+            "<operator xmlns=\"urn:heathspur:operator:1\">\n<log>\n",
+            "o.xml:3: log: `</log>` is expected",
+        ),
+        (
+            "<operator xmlns=\"urn:heathspur:operator:1\">\n<log></record></operator>",
+            "o.xml:2",
+        ),
         (
             "<operator xmlns=\"urn:heathspur:operator:1\">\n<!-- a -- b -->\n</operator>",
             "o.xml:2: operator: ",
         ),
-        ("<!DOCTYPE operator [<!ENTITY a \"b\">]>\n<operator/>", "o.xml:1: operator: no document type"),
+        (
+            "<!DOCTYPE operator [<!ENTITY a \"b\">]>\n<operator/>",
+            "o.xml:1: operator: no document type",
+        ),
     ] {
         let said = read(text).expect_err(text);
-        assert!(said.contains(words), "{text}\n  says   {said}\n  wanted {words}");
+        assert!(
+            said.contains(words),
+            "{text}\n  says   {said}\n  wanted {words}"
+        );
     }
     let deep = file(&["<a>"; 100].concat());
     assert!(read(&deep).unwrap_err().contains("too deep"));
@@ -173,17 +191,26 @@
     assert_eq!(operator.log, Default::default());
     assert!(schema_takes(text));
     // What stands in its comments is valid as well, and has the defaults that the schema tells.
-    let shown = text.split("<!--").find(|part| part.contains("<record")).unwrap();
+    let shown = text
+        .split("<!--")
+        .find(|part| part.contains("<record"))
+        .unwrap();
     let record = &shown[shown.find("<record").unwrap()..shown.find("</record>").unwrap() + 9];
     let text = file(record);
     assert!(schema_takes(&text));
     let record = read(&text).unwrap().record.unwrap();
     assert_eq!((record.files, record.budget), Default::default());
-    assert_eq!((record.contents, record.links, record.mask.len()), (Contents::Headers, false, 1));
+    assert_eq!(
+        (record.contents, record.links, record.mask.len()),
+        (Contents::Headers, false, 1)
+    );
     let shown = &shown_in(include_str!("../../../deploy/operator.xml"), "http2");
     assert!(schema_takes(&file(shown)));
     let http2 = read(&file(shown)).unwrap().http2.unwrap();
-    let bare = read(&file("<http2 listen=\"127.0.0.1:8443\"/>")).unwrap().http2.unwrap();
+    let bare = read(&file("<http2 listen=\"127.0.0.1:8443\"/>"))
+        .unwrap()
+        .http2
+        .unwrap();
     assert_eq!(http2, bare);
 }
 
@@ -196,10 +223,15 @@
 #[test]
 fn what_the_port_for_http2_may_hold_is_held_against_the_memory_of_the_process() {
     let text = file("<http2 listen=\"127.0.0.1:1\">\n<memory answers=\"20 MiB\"/></http2>");
-    let parse = |memory| Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string());
+    let parse = |memory| {
+        Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
+    };
     assert!(parse(64 << 20).is_ok());
     let said = parse(32 << 20).unwrap_err();
-    assert!(said.contains("o.xml:4: memory: 27 MiB in all") && said.contains("16 MiB at most"), "{said}");
+    assert!(
+        said.contains("o.xml:4: memory: 27 MiB in all") && said.contains("16 MiB at most"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -218,8 +250,13 @@
 #[test]
 fn the_budget_is_held_against_the_memory_of_the_process() {
     let text = file("<record directory=\"/x\">\n<budget memory=\"9 MiB\"/></record>");
-    let parse = |memory| Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string());
+    let parse = |memory| {
+        Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
+    };
     assert!(parse(36 << 20).is_ok());
     let said = parse(32 << 20).unwrap_err();
-    assert!(said.contains("o.xml:4: budget@memory: 9 MiB where 8 MiB at most"), "{said}");
+    assert!(
+        said.contains("o.xml:4: budget@memory: 9 MiB where 8 MiB at most"),
+        "{said}"
+    );
 }
--- a/crates/heathspur-record/src/files.rs
+++ b/crates/heathspur-record/src/files.rs
@@ -47,8 +47,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Closed,
-    Open { since_ms: u64, bytes: u64 },
-    Failed { until_ms: u64, wait_ms: u64, left_out: u64 },
+    Open {
+        since_ms: u64,
+        bytes: u64,
+    },
+    Failed {
+        until_ms: u64,
+        wait_ms: u64,
+        left_out: u64,
+    },
 }
 
 /// The files of a recording.
@@ -68,25 +75,47 @@
     pub fn new(prefix: &str, limits: Limits, there: impl IntoIterator<Item = String>) -> Files {
         let prefix = format!("{prefix}-");
         let ours = |name: &String| {
-            let rest = name.strip_prefix(&prefix).and_then(|rest| rest.strip_suffix(".pcapng"));
-            rest.is_some_and(|rest| rest.len() == 20 && rest.bytes().all(|b| b.is_ascii_digit() || b == b'-'))
+            let rest = name
+                .strip_prefix(&prefix)
+                .and_then(|rest| rest.strip_suffix(".pcapng"));
+            rest.is_some_and(|rest| {
+                rest.len() == 20 && rest.bytes().all(|b| b.is_ascii_digit() || b == b'-')
+            })
         };
         let names: BTreeSet<String> = there.into_iter().filter(ours).collect();
-        let time = |name: &String| name[prefix.len()..].split('-').next().and_then(|ms| ms.parse().ok());
+        let time = |name: &String| {
+            name[prefix.len()..]
+                .split('-')
+                .next()
+                .and_then(|ms| ms.parse().ok())
+        };
         let latest_ms = names.iter().filter_map(time).max().unwrap_or(0);
-        let limits = Limits { keep: limits.keep.max(1), ..limits };
-        Files { prefix, limits, state: State::Closed, names, number: 0, latest_ms }
+        let limits = Limits {
+            keep: limits.keep.max(1),
+            ..limits
+        };
+        Files {
+            prefix,
+            limits,
+            state: State::Closed,
+            names,
+            number: 0,
+            latest_ms,
+        }
     }
 
     /// What is to be done with blocks that are ready now. `unix_ms` goes into names.
     pub fn step(&mut self, now_ms: u64, unix_ms: u64) -> Step {
         match &mut self.state {
             State::Open { since_ms, bytes }
-                if *bytes < self.limits.size && now_ms.saturating_sub(*since_ms) < self.limits.age_ms =>
+                if *bytes < self.limits.size
+                    && now_ms.saturating_sub(*since_ms) < self.limits.age_ms =>
             {
                 Step::Write
             }
-            State::Failed { until_ms, left_out, .. } if now_ms < *until_ms => {
+            State::Failed {
+                until_ms, left_out, ..
+            } if now_ms < *until_ms => {
                 *left_out += 1;
                 Step::LeaveOut
             }
@@ -98,7 +127,11 @@
         self.latest_ms = self.latest_ms.max(unix_ms);
         let unix_ms = self.latest_ms;
         // Thirteen digits until the year 2286, and a number for files of one millisecond.
-        let make = format!("{}{unix_ms:013}-{:06}.pcapng", self.prefix, self.number % 1_000_000);
+        let make = format!(
+            "{}{unix_ms:013}-{:06}.pcapng",
+            self.prefix,
+            self.number % 1_000_000
+        );
         self.number += 1;
         let most = self.limits.keep - 1;
         let over = self.names.len().saturating_sub(most);
@@ -108,7 +141,13 @@
 
     /// The file of the last [`Step::Change`] was made, and so many bytes written to it.
     pub fn made(&mut self, now_ms: u64, name: &str, bytes: u64) -> Option<Notice> {
-        let before = std::mem::replace(&mut self.state, State::Open { since_ms: now_ms, bytes });
+        let before = std::mem::replace(
+            &mut self.state,
+            State::Open {
+                since_ms: now_ms,
+                bytes,
+            },
+        );
         self.names.insert(name.to_string());
         match before {
             State::Failed { left_out, .. } => Some(Notice::GoesOn(left_out)),
@@ -132,10 +171,16 @@
     /// not gone on with.
     pub fn failed(&mut self, now_ms: u64) -> Option<Notice> {
         let (wait_ms, left_out, first) = match self.state {
-            State::Failed { wait_ms, left_out, .. } => ((2 * wait_ms).min(LONGEST_WAIT_MS), left_out, false),
+            State::Failed {
+                wait_ms, left_out, ..
+            } => ((2 * wait_ms).min(LONGEST_WAIT_MS), left_out, false),
             _ => (FIRST_WAIT_MS, 0, true),
         };
-        self.state = State::Failed { until_ms: now_ms + wait_ms, wait_ms, left_out: left_out + 1 };
+        self.state = State::Failed {
+            until_ms: now_ms + wait_ms,
+            wait_ms,
+            left_out: left_out + 1,
+        };
         first.then_some(Notice::Stopped)
     }
 }
--- a/crates/heathspur-record/src/recorder.rs
+++ b/crates/heathspur-record/src/recorder.rs
@@ -127,8 +127,11 @@
             // The first numbers tell connections apart that use the same ports one after another.
             let first = (ends.number as u32).wrapping_mul(0x9e37_79b9);
             let talk = Talk::new(ends.client, ends.server, [first, !first]);
-            let mut conversation =
-                Conversation { talk, veils: [Veil::default(), Veil::default()], heard: time };
+            let mut conversation = Conversation {
+                talk,
+                veils: [Veil::default(), Veil::default()],
+                heard: time,
+            };
             if !opened {
                 // Its start was left out, and with it where in a message it stands.
                 for veil in &mut conversation.veils {
@@ -137,14 +140,25 @@
             }
             self.table.insert(ends.number, conversation);
         }
-        let Some(conversation) = self.table.get_mut(&ends.number) else { return out };
+        let Some(conversation) = self.table.get_mut(&ends.number) else {
+            return out;
+        };
         conversation.heard = conversation.heard.max(time);
         let mut packets: Vec<(Stamp, Vec<u8>, String)> = Vec::new();
         match &event.seen {
             Seen::Opened => {
-                packets.extend(conversation.talk.open().map(|packet| (time, packet, String::new())));
+                packets.extend(
+                    conversation
+                        .talk
+                        .open()
+                        .map(|packet| (time, packet, String::new())),
+                );
             }
-            Seen::Said { side, bytes, missed } => {
+            Seen::Said {
+                side,
+                bytes,
+                missed,
+            } => {
                 conversation.said(&self.terms, *side, time, bytes, *missed, &mut packets);
             }
             Seen::Closed { by, reset } => {
@@ -166,14 +180,23 @@
         }
         for (time, packet, comment) in packets {
             self.taken[leg] += 1;
-            out.extend(write::ng_packet(ends.leg as u32, time, &packet, packet.len() as u32, &comment));
+            out.extend(write::ng_packet(
+                ends.leg as u32,
+                time,
+                &packet,
+                packet.len() as u32,
+                &comment,
+            ));
         }
         out
     }
 
     /// The statistics of all legs, as a file's last words.
     pub fn end(&self, time: Stamp) -> Vec<u8> {
-        Leg::ALL.into_iter().flat_map(|leg| self.statistics(leg, time)).collect()
+        Leg::ALL
+            .into_iter()
+            .flat_map(|leg| self.statistics(leg, time))
+            .collect()
     }
 
     fn statistics(&self, leg: Leg, time: Stamp) -> Vec<u8> {
@@ -186,7 +209,11 @@
             return;
         }
         // Seldom: the front has fewer connections than this where the platform bounds descriptors.
-        let oldest = self.table.iter().min_by_key(|(_, c)| c.heard).map(|(&number, _)| number);
+        let oldest = self
+            .table
+            .iter()
+            .min_by_key(|(_, c)| c.heard)
+            .map(|(&number, _)| number);
         if let Some(oldest) = oldest {
             self.table.remove(&oldest);
             self.made_room += 1;
@@ -226,8 +253,12 @@
         let mut given = Vec::new();
         self.veils[at].lose_track(&mut given);
         for (time, bytes) in given {
-            packets
-                .extend(self.talk.say(side, &bytes).into_iter().map(|packet| (time, packet, String::new())));
+            packets.extend(
+                self.talk
+                    .say(side, &bytes)
+                    .into_iter()
+                    .map(|packet| (time, packet, String::new())),
+            );
         }
     }
 }
--- a/crates/heathspur-record/src/veil.rs
+++ b/crates/heathspur-record/src/veil.rs
@@ -52,7 +52,11 @@
 
 impl Default for Veil {
     fn default() -> Veil {
-        Veil { place: Place::Head, held: BytesMut::new(), times: VecDeque::new() }
+        Veil {
+            place: Place::Head,
+            held: BytesMut::new(),
+            times: VecDeque::new(),
+        }
     }
 }
 
@@ -63,7 +67,13 @@
     }
 
     /// Takes bytes and gives those that may be recorded now, with the times at which they came.
-    pub fn pass(&mut self, terms: &Terms, time: Stamp, bytes: &Bytes, out: &mut Vec<(Stamp, Bytes)>) {
+    pub fn pass(
+        &mut self,
+        terms: &Terms,
+        time: Stamp,
+        bytes: &Bytes,
+        out: &mut Vec<(Stamp, Bytes)>,
+    ) {
         if terms.clear() {
             out.push((time, bytes.clone()));
             return;
@@ -79,12 +89,19 @@
                     let over = terms.bodies.then_some(0..count);
                     self.give(count, over, out);
                     let left = left - count as u64;
-                    self.place = if left == 0 { Place::Head } else { Place::Body(left) };
+                    self.place = if left == 0 {
+                        Place::Head
+                    } else {
+                        Place::Body(left)
+                    };
                 }
                 Place::Head => {
                     // An answer whose body lasts to the end, or in chunks, is never written here.
                     let kind = |line: &[u8]| match line.starts_with(b"HTTP/1.") {
-                        true => status_line(line).map(|status| Kind::Answer { status, to_head: false }),
+                        true => status_line(line).map(|status| Kind::Answer {
+                            status,
+                            to_head: false,
+                        }),
                         false => request_line(line).map(|_| Kind::Request),
                     };
                     match framing::head(&self.held, HEAD, kind) {
@@ -120,23 +137,38 @@
 
     fn mask(&mut self, terms: &Terms, fields: std::ops::Range<usize>) {
         let base = self.held.as_ptr() as usize;
-        let named =
-            |name: &[u8]| terms.fields.iter().any(|known| name.eq_ignore_ascii_case(known.as_bytes()));
-        let found = Fields::over(&self.held[fields]).filter_map(Result::ok).filter(|(name, _)| named(name));
-        let places: Vec<_> = found.map(|(_, value)| (value.as_ptr() as usize - base, value.len())).collect();
+        let named = |name: &[u8]| {
+            terms
+                .fields
+                .iter()
+                .any(|known| name.eq_ignore_ascii_case(known.as_bytes()))
+        };
+        let found = Fields::over(&self.held[fields])
+            .filter_map(Result::ok)
+            .filter(|(name, _)| named(name));
+        let places: Vec<_> = found
+            .map(|(_, value)| (value.as_ptr() as usize - base, value.len()))
+            .collect();
         for (at, length) in places {
             self.held[at..at + length].fill(OVER);
         }
     }
 
     /// Gives so many bytes at the front, in the pieces that they came in.
-    fn give(&mut self, count: usize, over: Option<std::ops::Range<usize>>, out: &mut Vec<(Stamp, Bytes)>) {
+    fn give(
+        &mut self,
+        count: usize,
+        over: Option<std::ops::Range<usize>>,
+        out: &mut Vec<(Stamp, Bytes)>,
+    ) {
         if let Some(over) = over {
             self.held[over].fill(OVER);
         }
         let mut left = count;
         while left > 0 {
-            let Some((length, time)) = self.times.front_mut() else { return };
+            let Some((length, time)) = self.times.front_mut() else {
+                return;
+            };
             let part = left.min(*length);
             *length -= part;
             let time = *time;
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -12,15 +12,28 @@
 
 fn ends(number: u64) -> Ends {
     let client = std::net::SocketAddr::from(([127, 0, 0, 1], 40_000 + number as u16));
-    Ends { number, leg: Leg::Front, client, server: "127.0.0.1:6565".parse().unwrap() }
+    Ends {
+        number,
+        leg: Leg::Front,
+        client,
+        server: "127.0.0.1:6565".parse().unwrap(),
+    }
 }
 
 fn event(number: u64, ms: u64, seen: Seen) -> Event {
-    Event { ends: ends(number), time: Stamp(START + ms * MS), seen }
+    Event {
+        ends: ends(number),
+        time: Stamp(START + ms * MS),
+        seen,
+    }
 }
 
 fn said(side: Side, bytes: &[u8]) -> Seen {
-    Seen::Said { side, bytes: Bytes::copy_from_slice(bytes), missed: 0 }
+    Seen::Said {
+        side,
+        bytes: Bytes::copy_from_slice(bytes),
+        missed: 0,
+    }
 }
 
 fn recorded(terms: Terms, events: &[Event]) -> Vec<u8> {
@@ -43,7 +56,14 @@
         event(1, 20, said(Side::Server, &answer(200, b"approved"))),
         event(1, 30, said(Side::Client, &second)),
         event(1, 31, said(Side::Server, &answer(503, b""))),
-        event(1, 40, Seen::Closed { by: Side::Client, reset: false }),
+        event(
+            1,
+            40,
+            Seen::Closed {
+                by: Side::Client,
+                reset: false,
+            },
+        ),
     ]
 }
 
@@ -51,42 +71,111 @@
 fn what_was_said_comes_back_byte_for_byte_with_its_times_and_its_end() {
     let read = read(
         &recorded(Terms::default(), &conversation()),
-        Options { checksums: true, ..Options::default() },
+        Options {
+            checksums: true,
+            ..Options::default()
+        },
         97,
     );
-    let requests: Vec<_> = read.requests.iter().map(|(_, _, m)| m.bytes.to_vec()).collect();
+    let requests: Vec<_> = read
+        .requests
+        .iter()
+        .map(|(_, _, m)| m.bytes.to_vec())
+        .collect();
     assert_eq!(requests, [request(1, b"4929001234567890"), request(2, b"")]);
     let first = &read.requests[0].2;
-    assert_eq!((first.first.0 - START, first.last.0 - START), (5 * MS, 9 * MS));
-    let answers: Vec<_> =
-        read.answers.iter().map(|(_, to, m)| (*to, m.status(), m.body().to_vec())).collect();
-    assert_eq!(answers, [(Some(0), Some(200), b"approved".to_vec()), (Some(1), Some(503), Vec::new())]);
-    assert!(matches!(read.connections[0], Item::Connection(Read::Opened { start: Start::Handshake, .. })));
-    assert!(matches!(read.connections.last(), Some(Item::Connection(Read::Closed { end: End::Closed, .. }))));
-    assert_eq!((read.tally.holes, read.tally.damage, read.tally.passed.len()), (0, None, 0));
+    assert_eq!(
+        (first.first.0 - START, first.last.0 - START),
+        (5 * MS, 9 * MS)
+    );
+    let answers: Vec<_> = read
+        .answers
+        .iter()
+        .map(|(_, to, m)| (*to, m.status(), m.body().to_vec()))
+        .collect();
+    assert_eq!(
+        answers,
+        [
+            (Some(0), Some(200), b"approved".to_vec()),
+            (Some(1), Some(503), Vec::new())
+        ]
+    );
+    assert!(matches!(
+        read.connections[0],
+        Item::Connection(Read::Opened {
+            start: Start::Handshake,
+            ..
+        })
+    ));
+    assert!(matches!(
+        read.connections.last(),
+        Some(Item::Connection(Read::Closed {
+            end: End::Closed,
+            ..
+        }))
+    ));
+    assert_eq!(
+        (read.tally.holes, read.tally.damage, read.tally.passed.len()),
+        (0, None, 0)
+    );
 }
 
 #[test]
 fn a_reset_comes_back_as_one() {
     let mut events = conversation();
-    *events.last_mut().unwrap() = event(1, 40, Seen::Closed { by: Side::Server, reset: true });
-    let read = read(&recorded(Terms::default(), &events), Options::default(), 1000);
-    assert!(matches!(read.connections.last(), Some(Item::Connection(Read::Closed { end: End::Reset, .. }))));
+    *events.last_mut().unwrap() = event(
+        1,
+        40,
+        Seen::Closed {
+            by: Side::Server,
+            reset: true,
+        },
+    );
+    let read = read(
+        &recorded(Terms::default(), &events),
+        Options::default(),
+        1000,
+    );
+    assert!(matches!(
+        read.connections.last(),
+        Some(Item::Connection(Read::Closed {
+            end: End::Reset,
+            ..
+        }))
+    ));
     assert_eq!(read.requests.len(), 2);
 }
 
 #[test]
 fn bodies_and_named_fields_are_overwritten_however_the_bytes_came() {
-    let whole: Vec<u8> = (0..3).flat_map(|n| request(n, b"4929001234567890")).collect();
-    let reply: Vec<u8> = (0..3).flat_map(|_| answer(200, b"4929001234567890")).collect();
-    let terms = Terms { bodies: true, fields: vec!["x-TXN".into()] };
+    let whole: Vec<u8> = (0..3)
+        .flat_map(|n| request(n, b"4929001234567890"))
+        .collect();
+    let reply: Vec<u8> = (0..3)
+        .flat_map(|_| answer(200, b"4929001234567890"))
+        .collect();
+    let terms = Terms {
+        bodies: true,
+        fields: vec!["x-TXN".into()],
+    };
     for piece in [1, 7, 60, 1000] {
         let mut events = vec![event(1, 0, Seen::Opened)];
         for (n, part) in whole.chunks(piece).enumerate() {
             events.push(event(1, 1 + n as u64, said(Side::Client, part)));
         }
-        events.extend(reply.chunks(piece).map(|part| event(1, 900, said(Side::Server, part))));
-        events.push(event(1, 901, Seen::Closed { by: Side::Client, reset: false }));
+        events.extend(
+            reply
+                .chunks(piece)
+                .map(|part| event(1, 900, said(Side::Server, part))),
+        );
+        events.push(event(
+            1,
+            901,
+            Seen::Closed {
+                by: Side::Client,
+                reset: false,
+            },
+        ));
         let file = recorded(terms.clone(), &events);
         assert!(!file.windows(4).any(|four| four == b"4929"), "{piece}");
         let read = read(&file, Options::default(), 1000);
@@ -103,7 +192,10 @@
 
 #[test]
 fn what_is_no_http_is_overwritten_whole_and_so_is_what_follows_a_loss() {
-    let terms = Terms { bodies: true, fields: Vec::new() };
+    let terms = Terms {
+        bodies: true,
+        fields: Vec::new(),
+    };
     let secret = b"PAN=4929001234567890 and more of the like\r\n\r\n";
     let mut after = event(2, 3, said(Side::Client, b"4929001234567890"));
     if let Seen::Said { missed, .. } = &mut after.seen {
@@ -112,17 +204,33 @@
     let events = [
         event(1, 0, Seen::Opened),
         event(1, 1, said(Side::Client, secret)),
-        event(1, 2, Seen::Closed { by: Side::Client, reset: false }),
+        event(
+            1,
+            2,
+            Seen::Closed {
+                by: Side::Client,
+                reset: false,
+            },
+        ),
         event(2, 0, Seen::Opened),
         event(2, 1, said(Side::Client, &request(1, b"")[..40])),
         after,
-        event(2, 4, Seen::Closed { by: Side::Client, reset: false }),
+        event(
+            2,
+            4,
+            Seen::Closed {
+                by: Side::Client,
+                reset: false,
+            },
+        ),
         // The start of this one was left out.
         event(3, 5, said(Side::Server, b"4929001234567890 HTTP/1.1")),
     ];
     let file = recorded(terms, &events);
     assert!(!file.windows(4).any(|four| four == b"4929"));
-    assert!(file.windows(24).any(|text| text == b"70 bytes before this pac"));
+    assert!(file
+        .windows(24)
+        .any(|text| text == b"70 bytes before this pac"));
     let read = read(&file, Options::default(), 1000);
     assert_eq!((read.requests.len(), read.tally.missing_bytes), (0, 70));
 }
@@ -141,51 +249,84 @@
 
 #[test]
 fn any_bytes_in_any_pieces_come_back_as_they_went_in_or_as_long() {
-    let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
-    let mut cases = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]));
+    let config = Config {
+        cases: 200,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut cases =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]));
     let piece = (any::<bool>(), prop::collection::vec(any::<u8>(), 1..80));
-    let start =
-        prop::sample::select(vec![request(1, b"abc"), answer(200, b"abc"), b"GET / ".to_vec(), Vec::new()]);
+    let start = prop::sample::select(vec![
+        request(1, b"abc"),
+        answer(200, b"abc"),
+        b"GET / ".to_vec(),
+        Vec::new(),
+    ]);
     cases
-        .run(&(start, prop::collection::vec(piece, 0..30), any::<bool>()), |(start, pieces, bodies)| {
-            let mut events = vec![event(1, 0, Seen::Opened)];
-            if !start.is_empty() {
-                events.push(event(1, 0, said(Side::Client, &start)));
-            }
-            let mut sent = [start.clone(), Vec::new()];
-            for (n, (client, bytes)) in pieces.iter().enumerate() {
-                let side = if *client { Side::Client } else { Side::Server };
-                sent[usize::from(!client)].extend(bytes);
-                events.push(event(1, n as u64, said(side, bytes)));
-            }
-            events.push(event(1, 99, Seen::Closed { by: Side::Server, reset: false }));
-            let file = recorded(Terms { bodies, fields: Vec::new() }, &events);
-            let mut reader = heathspur_capture::file::Reader::new();
-            let mut frames = heathspur_capture::frame::Frames::new(true);
-            let mut assembler = heathspur_capture::reassembly::Assembler::new(Default::default());
-            reader.feed(&file);
-            while let Some(packet) = reader.next_packet().unwrap() {
-                assembler.segment(&frames.segment(&packet).unwrap());
-            }
-            assembler.finish();
-            let mut got = [Vec::new(), Vec::new()];
-            while let Some(found) = assembler.take() {
-                prop_assert!(!matches!(found, Read::Hole { .. }), "a hole");
-                if let Read::Bytes { side, bytes, .. } = found {
-                    got[usize::from(side == Side::Server)].extend_from_slice(&bytes);
+        .run(
+            &(start, prop::collection::vec(piece, 0..30), any::<bool>()),
+            |(start, pieces, bodies)| {
+                let mut events = vec![event(1, 0, Seen::Opened)];
+                if !start.is_empty() {
+                    events.push(event(1, 0, said(Side::Client, &start)));
                 }
-            }
-            for (got, sent) in got.iter().zip(&sent) {
-                prop_assert_eq!(got.len(), sent.len());
-                prop_assert!(bodies || got == sent);
-                prop_assert!(got.iter().zip(sent).all(|(got, sent)| got == sent || *got == b'x'));
-            }
-            Ok(())
-        })
+                let mut sent = [start.clone(), Vec::new()];
+                for (n, (client, bytes)) in pieces.iter().enumerate() {
+                    let side = if *client { Side::Client } else { Side::Server };
+                    sent[usize::from(!client)].extend(bytes);
+                    events.push(event(1, n as u64, said(side, bytes)));
+                }
+                events.push(event(
+                    1,
+                    99,
+                    Seen::Closed {
+                        by: Side::Server,
+                        reset: false,
+                    },
+                ));
+                let file = recorded(
+                    Terms {
+                        bodies,
+                        fields: Vec::new(),
+                    },
+                    &events,
+                );
+                let mut reader = heathspur_capture::file::Reader::new();
+                let mut frames = heathspur_capture::frame::Frames::new(true);
+                let mut assembler =
+                    heathspur_capture::reassembly::Assembler::new(Default::default());
+                reader.feed(&file);
+                while let Some(packet) = reader.next_packet().unwrap() {
+                    assembler.segment(&frames.segment(&packet).unwrap());
+                }
+                assembler.finish();
+                let mut got = [Vec::new(), Vec::new()];
+                while let Some(found) = assembler.take() {
+                    prop_assert!(!matches!(found, Read::Hole { .. }), "a hole");
+                    if let Read::Bytes { side, bytes, .. } = found {
+                        got[usize::from(side == Side::Server)].extend_from_slice(&bytes);
+                    }
+                }
+                for (got, sent) in got.iter().zip(&sent) {
+                    prop_assert_eq!(got.len(), sent.len());
+                    prop_assert!(bodies || got == sent);
+                    prop_assert!(got
+                        .iter()
+                        .zip(sent)
+                        .all(|(got, sent)| got == sent || *got == b'x'));
+                }
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
-const LIMITS: Limits = Limits { size: 1000, age_ms: 5000, keep: 3 };
+const LIMITS: Limits = Limits {
+    size: 1000,
+    age_ms: 5000,
+    keep: 3,
+};
 
 fn make(step: Step) -> (String, Vec<String>) {
     match step {
@@ -204,7 +345,10 @@
     ];
     let mut files = Files::new("n1", LIMITS, there.map(String::from));
     let (first, delete) = make(files.step(0, 100));
-    assert_eq!((&first[..], delete.len()), ("n1-0000000000100-000000.pcapng", 0));
+    assert_eq!(
+        (&first[..], delete.len()),
+        ("n1-0000000000100-000000.pcapng", 0)
+    );
     assert_eq!(files.made(0, &first, 300), None);
     assert_eq!(files.step(10, 110), Step::Write);
     files.wrote(700);
@@ -246,7 +390,10 @@
             step => break make(step).0,
         }
     };
-    assert_eq!(files.made(now, &name, 10), Some(Notice::GoesOn(left_out + tries + 1)));
+    assert_eq!(
+        files.made(now, &name, 10),
+        Some(Notice::GoesOn(left_out + tries + 1))
+    );
     // A write that fails in the middle closes the file; the next try is soon again.
     assert_eq!(files.failed(now), Some(Notice::Stopped));
     assert!(matches!(files.step(now + 500, now), Step::Change { .. }));
--- a/crates/heathspur-replay/src/audit.rs
+++ b/crates/heathspur-replay/src/audit.rs
@@ -145,7 +145,11 @@
     counts: Counts,
     terms: Terms<'_>,
 ) -> Audit {
-    let mut audit = Audit { requests: plan.sends.len() as u64, counts, ..Audit::default() };
+    let mut audit = Audit {
+        requests: plan.sends.len() as u64,
+        counts,
+        ..Audit::default()
+    };
     let (mut late, mut latency, mut before) = (Collect::new(), Collect::new(), Collect::new());
     let mut seconds: BTreeMap<u64, Vec<Nanos>> = BTreeMap::new();
     let mut keys: HashMap<(u64, &[u8]), Vec<u64>> = HashMap::new();
@@ -155,14 +159,22 @@
             audit.sent += 1;
             let lateness = sent.saturating_sub(outcome.intended);
             late.add(lateness);
-            seconds.entry(outcome.intended / SECOND).or_default().push(lateness);
+            seconds
+                .entry(outcome.intended / SECOND)
+                .or_default()
+                .push(lateness);
         }
         if let Some(answer) = &request.answer {
             before.add(answer.last.saturating_sub(request.last));
         }
         let was = request.answer.as_ref();
         match outcome.end {
-            End::Answered { status, digest, last, .. } => {
+            End::Answered {
+                status,
+                digest,
+                last,
+                ..
+            } => {
                 audit.answered += 1;
                 *audit.statuses.entry(status).or_default() += 1;
                 let took = last.saturating_sub(outcome.intended);
@@ -189,8 +201,10 @@
             None => audit.compared.neither += 1,
         }
     }
-    audit.keys_differ =
-        keys.values().filter(|results| results.iter().any(|r| *r != results[0])).count() as u64;
+    audit.keys_differ = keys
+        .values()
+        .filter(|results| results.iter().any(|r| *r != results[0]))
+        .count() as u64;
     audit.lateness = late.times();
     audit.latency = latency.times();
     audit.recorded_latency = before.times();
@@ -203,10 +217,17 @@
         return None;
     }
     // The head ends at the first empty line; a request that was found has one.
-    let end = request.bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 2;
+    let end = request
+        .bytes
+        .windows(4)
+        .position(|four| four == b"\r\n\r\n")?
+        + 2;
     let line = request.bytes.iter().position(|b| *b == b'\n')? + 1;
-    let mut fields = heathspur_wire::http::Fields::over(request.bytes.get(line..end)?).filter_map(Result::ok);
-    fields.find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes())).map(|(_, value)| value)
+    let mut fields =
+        heathspur_wire::http::Fields::over(request.bytes.get(line..end)?).filter_map(Result::ok);
+    fields
+        .find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()))
+        .map(|(_, value)| value)
 }
 
 /// The largest change of the median from a second to the next that has requests.
--- a/crates/heathspur-replay/src/plan.rs
+++ b/crates/heathspur-replay/src/plan.rs
@@ -142,7 +142,11 @@
 ///
 /// # Errors
 /// Options outside their bounds, no request, too many.
-pub fn plan(recorded: &[Recorded], opened: &BTreeMap<u64, u64>, options: &Options) -> Result<Plan, Fault> {
+pub fn plan(
+    recorded: &[Recorded],
+    opened: &BTreeMap<u64, u64>,
+    options: &Options,
+) -> Result<Plan, Fault> {
     let bounded = |name, value: f64| {
         if (0.001..=1000.0).contains(&value) {
             Ok(value)
@@ -150,7 +154,10 @@
             Err(Fault::Bounds(name, value))
         }
     };
-    let (speed, load) = (bounded("speed", options.speed)?, bounded("load", options.load)?);
+    let (speed, load) = (
+        bounded("speed", options.speed)?,
+        bounded("load", options.load)?,
+    );
     if !(1..=10_000).contains(&options.repeat) {
         return Err(Fault::Bounds("repeat", options.repeat.into()));
     }
@@ -159,12 +166,26 @@
         let at = r.first - start;
         at >= options.from && options.to.is_none_or(|to| at < to)
     };
-    let chosen: Vec<usize> = (0..recorded.len()).filter(|&n| within(&recorded[n])).collect();
-    let begin = chosen.iter().map(|&n| recorded[n].first).min().ok_or(Fault::Empty)?;
-    let end = chosen.iter().map(|&n| recorded[n].last).max().unwrap_or(begin);
+    let chosen: Vec<usize> = (0..recorded.len())
+        .filter(|&n| within(&recorded[n]))
+        .collect();
+    let begin = chosen
+        .iter()
+        .map(|&n| recorded[n].first)
+        .min()
+        .ok_or(Fault::Empty)?;
+    let end = chosen
+        .iter()
+        .map(|&n| recorded[n].last)
+        .max()
+        .unwrap_or(begin);
     let scaled = |time: u64| (time as f64 / speed).round() as Nanos;
     // One turn lasts to its last answer or request, and a little, so that turns do not overlap.
-    let answered = chosen.iter().filter_map(|&n| recorded[n].answer.as_ref()).map(|a| a.last).max();
+    let answered = chosen
+        .iter()
+        .filter_map(|&n| recorded[n].answer.as_ref())
+        .map(|a| a.last)
+        .max();
     let turn = scaled(answered.unwrap_or(end).max(end) - begin) + AHEAD;
 
     let mut by_conn: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
@@ -172,7 +193,10 @@
         by_conn.entry(recorded[n].conn).or_default().push(n);
     }
     let mut lots = StdRng::seed_from_u64(options.seed);
-    let mut plan = Plan { copies: options.repeat > 1 || load > 1.0, ..Plan::default() };
+    let mut plan = Plan {
+        copies: options.repeat > 1 || load > 1.0,
+        ..Plan::default()
+    };
     for round in 0..u64::from(options.repeat) {
         for (conn, requests) in &by_conn {
             // A whole connection is in or out: a part of one would be another conversation.
@@ -182,11 +206,25 @@
                 if plan.sends.len() + requests.len() > options.most {
                     return Err(Fault::TooMany(options.most));
                 }
-                let shift = if copy == 0 { 0 } else { lots.random_range(0..SPREAD) };
+                let shift = if copy == 0 {
+                    0
+                } else {
+                    lots.random_range(0..SPREAD)
+                };
                 let shift = round * turn + shift;
                 let number = round * (load.ceil() as u64) + copy;
-                lane(&mut plan, recorded, requests, number, |time| shift + scaled(time - begin), options);
-                let opened = opened.get(conn).filter(|at| **at >= begin).map(|at| shift + scaled(at - begin));
+                lane(
+                    &mut plan,
+                    recorded,
+                    requests,
+                    number,
+                    |time| shift + scaled(time - begin),
+                    options,
+                );
+                let opened = opened
+                    .get(conn)
+                    .filter(|at| **at >= begin)
+                    .map(|at| shift + scaled(at - begin));
                 if let Some(lane) = plan.lanes.last_mut() {
                     let first = plan.sends[lane.sends[0]].at;
                     lane.open = opened.unwrap_or(first.saturating_sub(AHEAD)).min(first);
@@ -195,7 +233,12 @@
         }
     }
     order(&mut plan, recorded);
-    plan.end = plan.sends.iter().map(|send| send.at).max().ok_or(Fault::Empty)?;
+    plan.end = plan
+        .sends
+        .iter()
+        .map(|send| send.at)
+        .max()
+        .ok_or(Fault::Empty)?;
     Ok(plan)
 }
 
--- a/crates/heathspur-replay/src/renew.rs
+++ b/crates/heathspur-replay/src/renew.rs
@@ -81,7 +81,9 @@
                 digits(value.len(), |block| hash((self.seed, "id", place, block)))
             } else if is(&self.names.key) {
                 changed.keys += 1;
-                digits(value.len(), |block| hash((self.seed, "key", copy, value, block)))
+                digits(value.len(), |block| {
+                    hash((self.seed, "key", copy, value, block))
+                })
             } else if let (true, Some(stamp)) = (is(&self.names.stamp), number(value)) {
                 changed.stamps += 1;
                 let waited = (times.recorded / 1_000_000).saturating_sub(stamp);
--- a/crates/heathspur-replay/src/runner.rs
+++ b/crates/heathspur-replay/src/runner.rs
@@ -224,12 +224,30 @@
             wake: None,
             idle: None,
         };
-        let outcome = |send: &crate::plan::Send| Outcome { intended: send.at, sent: None, end: End::Open };
-        let timers = plan.lanes.iter().enumerate().map(|(n, lane)| Reverse((lane.open, Timer::Look(n))));
+        let outcome = |send: &crate::plan::Send| Outcome {
+            intended: send.at,
+            sent: None,
+            end: End::Open,
+        };
+        let timers = plan
+            .lanes
+            .iter()
+            .enumerate()
+            .map(|(n, lane)| Reverse((lane.open, Timer::Look(n))));
         Runner {
             plan,
-            limits: Limits { connections: limits.connections.max(1), ..limits },
-            lanes: plan.lanes.iter().map(|l| Lane { wake: Some(l.open), ..lane.clone() }).collect(),
+            limits: Limits {
+                connections: limits.connections.max(1),
+                ..limits
+            },
+            lanes: plan
+                .lanes
+                .iter()
+                .map(|l| Lane {
+                    wake: Some(l.open),
+                    ..lane.clone()
+                })
+                .collect(),
             outcomes: plan.sends.iter().map(outcome).collect(),
             timers: timers.collect(),
             idle: BTreeSet::new(),
@@ -274,8 +292,24 @@
                 }
             }
             Event::Failed(lane, failure) => self.failed(now, lane, failure),
-            Event::Answer { lane, status, digest, first, close } => {
-                self.answered(now, lane, End::Answered { status, digest, first, last: now }, close);
+            Event::Answer {
+                lane,
+                status,
+                digest,
+                first,
+                close,
+            } => {
+                self.answered(
+                    now,
+                    lane,
+                    End::Answered {
+                        status,
+                        digest,
+                        first,
+                        last: now,
+                    },
+                    close,
+                );
             }
             Event::Closed(lane) => self.closed(now, lane),
         }
@@ -396,7 +430,8 @@
         self.open += 1;
         self.counts.most_open = self.counts.most_open.max(self.open);
         self.outcomes[send].sent = Some(now);
-        self.timers.push(Reverse((now + self.limits.answer, Timer::Answer(send))));
+        self.timers
+            .push(Reverse((now + self.limits.answer, Timer::Answer(send))));
         self.actions.push(Action::Send(send));
     }
 
@@ -415,8 +450,13 @@
     /// Closes the resting connection that is needed last; it is made again in time. One that is needed soon
     /// stays: it would only take the room back.
     fn make_room(&mut self, now: Nanos) -> bool {
-        let last = self.idle.first().filter(|(Reverse(until), _)| *until > now + 2 * AHEAD);
-        let Some((Reverse(until), lane)) = last.copied() else { return false };
+        let last = self
+            .idle
+            .first()
+            .filter(|(Reverse(until), _)| *until > now + 2 * AHEAD);
+        let Some((Reverse(until), lane)) = last.copied() else {
+            return false;
+        };
         self.counts.made_room += 1;
         self.close(lane);
         self.wake(lane, until.saturating_sub(AHEAD));
@@ -444,7 +484,12 @@
         state.state = State::Waiting;
         state.failure = failure;
         let longest = self.limits.longest_backoff;
-        let wait = self.limits.backoff.saturating_mul(1 << state.failures.min(20)).min(longest).max(1);
+        let wait = self
+            .limits
+            .backoff
+            .saturating_mul(1 << state.failures.min(20))
+            .min(longest)
+            .max(1);
         state.failures += 1;
         let wait = wait / 2 + self.lots.random_range(0..=wait / 2);
         self.timers.push(Reverse((now + wait, Timer::Again(lane))));
--- a/crates/heathspur-replay/tests/common/mod.rs
+++ b/crates/heathspur-replay/tests/common/mod.rs
@@ -17,7 +17,18 @@
     let first = START + at_ms * MS;
     let answer = answered_ms.map(|ms| {
         let at = first + ms * MS;
-        RecordedAnswer { status: 200, first: at, last: at, digest: 9 }
+        RecordedAnswer {
+            status: 200,
+            first: at,
+            last: at,
+            digest: 9,
+        }
     });
-    Recorded { conn, first, last: first, bytes: Bytes::from(text), answer }
+    Recorded {
+        conn,
+        first,
+        last: first,
+        bytes: Bytes::from(text),
+        answer,
+    }
 }
--- a/crates/heathspur-replay/tests/plan.rs
+++ b/crates/heathspur-replay/tests/plan.rs
@@ -22,13 +22,19 @@
 }
 
 fn times(plan: &Plan) -> Vec<(usize, u64)> {
-    plan.sends.iter().map(|send| (send.recorded, send.at / MS)).collect()
+    plan.sends
+        .iter()
+        .map(|send| (send.recorded, send.at / MS))
+        .collect()
 }
 
 #[test]
 fn by_default_all_is_as_it_was() {
     let plan = made(&Options::default());
-    assert_eq!(times(&plan), [(0, 0), (2, 50), (1, 100), (3, 110), (4, 1000)]);
+    assert_eq!(
+        times(&plan),
+        [(0, 0), (2, 50), (1, 100), (3, 110), (4, 1000)]
+    );
     assert_eq!(plan.lanes.len(), 2);
     assert_eq!(plan.lanes[0].sends, [0, 2, 3]);
     assert_eq!(plan.lanes[1].sends, [1, 4]);
@@ -39,24 +45,52 @@
 #[test]
 fn speed_keeps_the_proportions() {
     assert_eq!(
-        times(&made(&Options { speed: 10.0, ..Options::default() })),
+        times(&made(&Options {
+            speed: 10.0,
+            ..Options::default()
+        })),
         [(0, 0), (2, 5), (1, 10), (3, 11), (4, 100)]
     );
-    assert_eq!(made(&Options { speed: 0.5, ..Options::default() }).end, 2000 * MS);
+    assert_eq!(
+        made(&Options {
+            speed: 0.5,
+            ..Options::default()
+        })
+        .end,
+        2000 * MS
+    );
 }
 
 #[test]
 fn a_part_of_the_time_is_cut_out_and_begins_at_once() {
-    let options = Options { from: 60 * MS, to: Some(1000 * MS), ..Options::default() };
+    let options = Options {
+        from: 60 * MS,
+        to: Some(1000 * MS),
+        ..Options::default()
+    };
     assert_eq!(times(&made(&options)), [(1, 0), (3, 10)]);
-    let nothing = Options { from: 5000 * MS, ..Options::default() };
-    assert_eq!(plan(&recording(), &BTreeMap::new(), &nothing), Err(Fault::Empty));
+    let nothing = Options {
+        from: 5000 * MS,
+        ..Options::default()
+    };
+    assert_eq!(
+        plan(&recording(), &BTreeMap::new(), &nothing),
+        Err(Fault::Empty)
+    );
 }
 
 #[test]
 fn the_order_of_cause_is_kept_only_where_an_answer_came_before() {
-    let plan = made(&Options { causal: true, speed: 2.0, ..Options::default() });
-    let waits: Vec<_> = plan.sends.iter().map(|send| send.after_answer.map(|wait| wait / MS)).collect();
+    let plan = made(&Options {
+        causal: true,
+        speed: 2.0,
+        ..Options::default()
+    });
+    let waits: Vec<_> = plan
+        .sends
+        .iter()
+        .map(|send| send.after_answer.map(|wait| wait / MS))
+        .collect();
     // The second request of connection 1 came 70 ms after the answer to the first; the third came before the
     // answer to the second, so its client did not wait.
     assert_eq!(waits, [None, None, Some(35), None, None]);
@@ -64,36 +98,76 @@
 
 #[test]
 fn turns_follow_each_other_and_copies_are_told_apart() {
-    let plan = made(&Options { repeat: 3, ..Options::default() });
+    let plan = made(&Options {
+        repeat: 3,
+        ..Options::default()
+    });
     assert!(plan.copies);
     assert_eq!((plan.sends.len(), plan.lanes.len()), (15, 6));
-    let turn = |copy: u64| plan.sends.iter().filter(move |send| send.copy == copy).map(|send| send.at);
+    let turn = |copy: u64| {
+        plan.sends
+            .iter()
+            .filter(move |send| send.copy == copy)
+            .map(|send| send.at)
+    };
     for copy in 1..3 {
         assert!(turn(copy).min() > turn(copy - 1).max());
         let shift = turn(copy).min().unwrap();
-        assert!(turn(copy).zip(turn(0)).all(|(late, first)| late - shift == first));
+        assert!(turn(copy)
+            .zip(turn(0))
+            .all(|(late, first)| late - shift == first));
     }
 }
 
 #[test]
 fn load_takes_or_copies_whole_connections() {
-    let many: Vec<Recorded> =
-        (0..400).flat_map(|c| [request(c, c, "k", None), request(c, c + 9, "k", None)]).collect();
-    for (load, least, most) in [(0.25, 70, 130), (1.0, 400, 400), (2.5, 950, 1050), (3.0, 1200, 1200)] {
-        let options = Options { load, ..Options::default() };
+    let many: Vec<Recorded> = (0..400)
+        .flat_map(|c| [request(c, c, "k", None), request(c, c + 9, "k", None)])
+        .collect();
+    for (load, least, most) in [
+        (0.25, 70, 130),
+        (1.0, 400, 400),
+        (2.5, 950, 1050),
+        (3.0, 1200, 1200),
+    ] {
+        let options = Options {
+            load,
+            ..Options::default()
+        };
         let plan = plan(&many, &BTreeMap::new(), &options).unwrap();
-        assert!((least..=most).contains(&plan.lanes.len()), "{load}: {}", plan.lanes.len());
+        assert!(
+            (least..=most).contains(&plan.lanes.len()),
+            "{load}: {}",
+            plan.lanes.len()
+        );
         assert!(plan.lanes.iter().all(|lane| lane.sends.len() == 2));
         assert_eq!(plan.copies, load > 1.0);
-        assert_eq!(plan, heathspur_replay::plan::plan(&many, &BTreeMap::new(), &options).unwrap());
+        assert_eq!(
+            plan,
+            heathspur_replay::plan::plan(&many, &BTreeMap::new(), &options).unwrap()
+        );
     }
 }
 
 #[test]
 fn connections_open_when_they_did_and_never_after_their_first_request() {
     let opened = BTreeMap::from([(1, START), (2, START + 20 * MS)]);
-    let plan = plan(&recording(), &opened, &Options { speed: 2.0, ..Options::default() }).unwrap();
-    assert_eq!(plan.lanes.iter().map(|lane| lane.open / MS).collect::<Vec<_>>(), [0, 10]);
+    let plan = plan(
+        &recording(),
+        &opened,
+        &Options {
+            speed: 2.0,
+            ..Options::default()
+        },
+    )
+    .unwrap();
+    assert_eq!(
+        plan.lanes
+            .iter()
+            .map(|lane| lane.open / MS)
+            .collect::<Vec<_>>(),
+        [0, 10]
+    );
     let late = BTreeMap::from([(2, START + 70 * MS)]);
     let plan = heathspur_replay::plan::plan(&recording(), &late, &Options::default()).unwrap();
     assert_eq!(plan.lanes[1].open / MS, 50);
@@ -102,19 +176,58 @@
 #[test]
 fn what_lies_outside_its_bounds_is_refused() {
     let fault = |options: Options| plan(&recording(), &BTreeMap::new(), &options).unwrap_err();
-    assert_eq!(fault(Options { speed: 0.0, ..Options::default() }), Fault::Bounds("speed", 0.0));
-    assert!(matches!(fault(Options { load: f64::NAN, ..Options::default() }), Fault::Bounds("load", _)));
-    assert_eq!(fault(Options { repeat: 0, ..Options::default() }), Fault::Bounds("repeat", 0.0));
-    assert_eq!(fault(Options { most: 4, ..Options::default() }), Fault::TooMany(4));
-    assert_eq!(plan(&[], &BTreeMap::new(), &Options::default()), Err(Fault::Empty));
+    assert_eq!(
+        fault(Options {
+            speed: 0.0,
+            ..Options::default()
+        }),
+        Fault::Bounds("speed", 0.0)
+    );
+    assert!(matches!(
+        fault(Options {
+            load: f64::NAN,
+            ..Options::default()
+        }),
+        Fault::Bounds("load", _)
+    ));
+    assert_eq!(
+        fault(Options {
+            repeat: 0,
+            ..Options::default()
+        }),
+        Fault::Bounds("repeat", 0.0)
+    );
+    assert_eq!(
+        fault(Options {
+            most: 4,
+            ..Options::default()
+        }),
+        Fault::TooMany(4)
+    );
+    assert_eq!(
+        plan(&[], &BTreeMap::new(), &Options::default()),
+        Err(Fault::Empty)
+    );
 }
 
 fn renewed(n: usize, place: u64, copy: u64) -> (Bytes, Changed) {
-    let names = Names { id: "x-txn".into(), key: "X-Txn-Key".into(), stamp: "X-Ingress-Time".into() };
+    let names = Names {
+        id: "x-txn".into(),
+        key: "X-Txn-Key".into(),
+        stamp: "X-Ingress-Time".into(),
+    };
     let request = &recording()[n];
-    let end = request.bytes.windows(4).position(|four| four == b"\r\n\r\n").unwrap() + 2;
+    let end = request
+        .bytes
+        .windows(4)
+        .position(|four| four == b"\r\n\r\n")
+        .unwrap()
+        + 2;
     let fields = request.bytes.iter().position(|b| *b == b'\n').unwrap() + 1..end;
-    let times = Times { recorded: request.first, now_ms: 1_800_000_000_000 };
+    let times = Times {
+        recorded: request.first,
+        now_ms: 1_800_000_000_000,
+    };
     Renewer::new(names, 5).renew(&request.bytes, fields, (place, copy), times)
 }
 
@@ -127,7 +240,14 @@
 #[test]
 fn renewed_requests_have_fresh_ids_and_share_keys_within_a_copy_only() {
     let (one, changed) = renewed(0, 0, 0);
-    assert_eq!(changed, Changed { ids: 1, keys: 1, stamps: 1 });
+    assert_eq!(
+        changed,
+        Changed {
+            ids: 1,
+            keys: 1,
+            stamps: 1
+        }
+    );
     // Requests 0 and 2 were recorded with the same key.
     let (repeat, other, copy) = (renewed(2, 1, 0).0, renewed(1, 2, 0).0, renewed(0, 3, 1).0);
     let key = |bytes: &Bytes| field(bytes, "X-Txn-Key");
--- a/crates/heathspur-replay/tests/runner.rs
+++ b/crates/heathspur-replay/tests/runner.rs
@@ -24,7 +24,12 @@
 
 impl Target {
     fn good(ms: u64) -> Target {
-        Target { refuses: vec![false], answers: vec![Some(ms)], last_every: usize::MAX, hangs: false }
+        Target {
+            refuses: vec![false],
+            answers: vec![Some(ms)],
+            last_every: usize::MAX,
+            hangs: false,
+        }
     }
 }
 
@@ -75,7 +80,13 @@
                             // Answers of one connection come in order.
                             *busy = (*busy).max(now + ms * MS) + 1;
                             let close = n % target.last_every == 0;
-                            let event = Event::Answer { lane, status: 200, digest: 9, first: *busy, close };
+                            let event = Event::Answer {
+                                lane,
+                                status: 200,
+                                digest: 9,
+                                first: *busy,
+                                close,
+                            };
                             (*busy, event)
                         }
                     };
@@ -93,8 +104,13 @@
         }
         let timer = runner.next_time();
         let event = events.keys().next().copied();
-        now = now
-            .max([timer, event.map(|(at, _)| at)].into_iter().flatten().min().expect("something is to come"));
+        now = now.max(
+            [timer, event.map(|(at, _)| at)]
+                .into_iter()
+                .flatten()
+                .min()
+                .expect("something is to come"),
+        );
         if let Some((at, (alive, event))) = event
             .filter(|(at, _)| *at <= now)
             .and_then(|key| events.remove_entry(&key))
@@ -113,12 +129,19 @@
             }
         }
     }
-    Played { outcomes: runner.outcomes().to_vec(), sent, counts: runner.counts(), ended: now }
+    Played {
+        outcomes: runner.outcomes().to_vec(),
+        sent,
+        counts: runner.counts(),
+        ended: now,
+    }
 }
 
 fn recording(conns: u64, each: u64, gap_ms: u64) -> Vec<Recorded> {
     let one = |conn: u64, n: u64| request(conn, conn + n * gap_ms, &format!("{conn}-{n}"), Some(3));
-    let mut all: Vec<_> = (0..conns).flat_map(|conn| (0..each).map(move |n| one(conn, n))).collect();
+    let mut all: Vec<_> = (0..conns)
+        .flat_map(|conn| (0..each).map(move |n| one(conn, n)))
+        .collect();
     all.sort_by_key(|request| request.first);
     all
 }
@@ -141,24 +164,43 @@
 fn every_request_leaves_at_its_time_on_its_connection_and_in_order() {
     let recorded = recording(50, 20, 40);
     for speed in [1.0, 10.0] {
-        let plan = schedule(&recorded, &Options { speed, ..Options::default() });
+        let plan = schedule(
+            &recorded,
+            &Options {
+                speed,
+                ..Options::default()
+            },
+        );
         let played = play(&plan, Limits::default(), &Target::good(3));
         assert_eq!(
-            played.sent.iter().map(|(send, _)| *send).collect::<Vec<_>>(),
+            played
+                .sent
+                .iter()
+                .map(|(send, _)| *send)
+                .collect::<Vec<_>>(),
             (0..1000).collect::<Vec<_>>()
         );
         // The first of all leave as soon as their connection is there, which takes a millisecond.
-        assert!(played.sent.iter().all(|(send, at)| at - plan.sends[*send].at <= MS));
+        assert!(played
+            .sent
+            .iter()
+            .all(|(send, at)| at - plan.sends[*send].at <= MS));
         let audit = audit(
             &recorded,
             &plan,
             &played.outcomes,
             played.counts,
-            Terms { key: "X-Txn-Key", late_after: None },
+            Terms {
+                key: "X-Txn-Key",
+                late_after: None,
+            },
         );
         assert!(audit.whole() && !audit.breaks_a_rule(), "{audit:?}");
         assert_eq!((audit.compared.same, audit.counts.connected), (1000, 50));
-        assert!(audit.lateness.max_ms <= 1.01 && audit.drift_ms_per_s <= 1.0, "{audit:?}");
+        assert!(
+            audit.lateness.max_ms <= 1.01 && audit.drift_ms_per_s <= 1.0,
+            "{audit:?}"
+        );
     }
 }
 
@@ -168,28 +210,56 @@
     let slow = Target::good(100);
     let clock = schedule(&recorded, &Options::default());
     let played = play(&clock, Limits::default(), &slow);
-    assert!(played.sent.iter().all(|(send, at)| at - clock.sends[*send].at <= MS));
+    assert!(played
+        .sent
+        .iter()
+        .all(|(send, at)| at - clock.sends[*send].at <= MS));
     assert!(played.counts.most_open > 5);
-    let causal = schedule(&recorded, &Options { causal: true, ..Options::default() });
+    let causal = schedule(
+        &recorded,
+        &Options {
+            causal: true,
+            ..Options::default()
+        },
+    );
     let played = play(&causal, Limits::default(), &slow);
     assert_eq!(played.counts.most_open, 1);
     let times: Vec<u64> = played.sent.iter().map(|(_, at)| at / MS).collect();
     // 100 ms for the answer and the 7 ms that the recorded client took after each.
-    assert!(times.windows(2).all(|pair| pair[1] - pair[0] == 107), "{times:?}");
-    let none_late = played.outcomes.iter().all(|o| o.sent.unwrap() - o.intended <= MS);
-    assert!(none_late, "a wait for the target is not the sender's lateness");
+    assert!(
+        times.windows(2).all(|pair| pair[1] - pair[0] == 107),
+        "{times:?}"
+    );
+    let none_late = played
+        .outcomes
+        .iter()
+        .all(|o| o.sent.unwrap() - o.intended <= MS);
+    assert!(
+        none_late,
+        "a wait for the target is not the sender's lateness"
+    );
 }
 
 #[test]
 fn a_refusing_target_is_tried_with_growing_waits_and_what_was_due_is_counted() {
     let recorded = recording(4, 100, 50);
     let plan = schedule(&recorded, &Options::default());
-    let never = Target { refuses: vec![true], ..Target::good(3) };
+    let never = Target {
+        refuses: vec![true],
+        ..Target::good(3)
+    };
     let played = play(&plan, Limits::default(), &never);
     assert_eq!(unsent(&played), BTreeMap::from([(Unsent::Refused, 400)]));
     // Five seconds and the second of patience, at half a second to a second each after the first few.
-    assert!((4 * 6..4 * 30).contains(&played.counts.failed), "{:?}", played.counts);
-    let at_first = Target { refuses: [vec![true; 8], vec![false; 1000]].concat(), ..Target::good(3) };
+    assert!(
+        (4 * 6..4 * 30).contains(&played.counts.failed),
+        "{:?}",
+        played.counts
+    );
+    let at_first = Target {
+        refuses: [vec![true; 8], vec![false; 1000]].concat(),
+        ..Target::good(3)
+    };
     let played = play(&plan, Limits::default(), &at_first);
     assert_eq!(unsent(&played), BTreeMap::new());
     assert_eq!(played.sent.len(), 400);
@@ -199,13 +269,30 @@
 fn what_was_written_to_a_connection_that_breaks_is_lost_and_never_sent_again() {
     let recorded = recording(5, 40, 20);
     let plan = schedule(&recorded, &Options::default());
-    let breaks = Target { answers: vec![Some(3), Some(3), Some(3), None], ..Target::good(3) };
+    let breaks = Target {
+        answers: vec![Some(3), Some(3), Some(3), None],
+        ..Target::good(3)
+    };
     let played = play(&plan, Limits::default(), &breaks);
     let once: BTreeSet<_> = played.sent.iter().map(|(send, _)| *send).collect();
     assert_eq!((once.len(), played.sent.len()), (200, 200));
-    let broken = played.outcomes.iter().filter(|o| o.end == End::Broken).count();
-    assert!(broken >= 50 && played.counts.broken >= 40, "{broken} {:?}", played.counts);
-    let audit = audit(&recorded, &plan, &played.outcomes, played.counts, Terms::default());
+    let broken = played
+        .outcomes
+        .iter()
+        .filter(|o| o.end == End::Broken)
+        .count();
+    assert!(
+        broken >= 50 && played.counts.broken >= 40,
+        "{broken} {:?}",
+        played.counts
+    );
+    let audit = audit(
+        &recorded,
+        &plan,
+        &played.outcomes,
+        played.counts,
+        Terms::default(),
+    );
     assert_eq!(audit.broken as usize, broken);
     assert_eq!(audit.answered as usize, 200 - broken);
     assert!(!audit.whole());
@@ -215,18 +302,42 @@
 fn a_last_answer_costs_a_new_connection_and_nothing_else() {
     let recorded = recording(3, 60, 30);
     let plan = schedule(&recorded, &Options::default());
-    let played = play(&plan, Limits::default(), &Target { last_every: 4, ..Target::good(3) });
-    assert!(played.outcomes.iter().all(|o| matches!(o.end, End::Answered { .. })));
+    let played = play(
+        &plan,
+        Limits::default(),
+        &Target {
+            last_every: 4,
+            ..Target::good(3)
+        },
+    );
+    assert!(played
+        .outcomes
+        .iter()
+        .all(|o| matches!(o.end, End::Answered { .. })));
     assert!(played.counts.connected >= 40);
-    assert!(played.sent.iter().all(|(send, at)| at - plan.sends[*send].at <= MS));
+    assert!(played
+        .sent
+        .iter()
+        .all(|(send, at)| at - plan.sends[*send].at <= MS));
 }
 
 #[test]
 fn a_silent_target_ends_the_replay_in_bounded_time_and_memory() {
     let recorded = recording(10, 100, 10);
     let plan = schedule(&recorded, &Options::default());
-    let limits = Limits { open: 64, answer: 2_000 * MS, ..Limits::default() };
-    let played = play(&plan, limits, &Target { hangs: true, ..Target::good(3) });
+    let limits = Limits {
+        open: 64,
+        answer: 2_000 * MS,
+        ..Limits::default()
+    };
+    let played = play(
+        &plan,
+        limits,
+        &Target {
+            hangs: true,
+            ..Target::good(3)
+        },
+    );
     assert_eq!(played.counts.most_open, 64);
     assert!(unsent(&played)[&Unsent::Budget] > 800);
     assert!(played.outcomes.iter().any(|o| o.end == End::TimedOut));
@@ -236,25 +347,40 @@
 #[test]
 fn few_connections_are_shared_by_closing_those_needed_last() {
     // Two hundred connections that each speak once in ten seconds, at other times.
-    let mut recorded: Vec<_> =
-        (0..200).flat_map(|c| (0..3).map(move |n| request(c, c * 50 + n * 10_000, "k", Some(3)))).collect();
+    let mut recorded: Vec<_> = (0..200)
+        .flat_map(|c| (0..3).map(move |n| request(c, c * 50 + n * 10_000, "k", Some(3))))
+        .collect();
     recorded.sort_by_key(|request| request.first);
     let plan = schedule(&recorded, &Options::default());
-    let limits = Limits { connections: 10, ..Limits::default() };
+    let limits = Limits {
+        connections: 10,
+        ..Limits::default()
+    };
     let played = play(&plan, limits, &Target::good(3));
     assert_eq!(unsent(&played), BTreeMap::new());
     assert!(played.counts.made_room > 300 && played.counts.most_connections <= 10);
     // With none to spare, what can't leave in time is told as such.
-    let limits = Limits { connections: 1, late: 20 * MS, ..Limits::default() };
-    let played = play(&schedule(&recording(30, 5, 5), &Options::default()), limits, &Target::good(500));
+    let limits = Limits {
+        connections: 1,
+        late: 20 * MS,
+        ..Limits::default()
+    };
+    let played = play(
+        &schedule(&recording(30, 5, 5), &Options::default()),
+        limits,
+        &Target::good(500),
+    );
     assert!(unsent(&played)[&Unsent::Exhausted] > 50);
 }
 
 #[test]
 fn where_descriptors_run_out_a_resting_connection_makes_room() {
     // The second connection is needed while the first rests for long.
-    let recorded =
-        [request(1, 0, "a", Some(3)), request(2, 500, "b", Some(3)), request(1, 5000, "c", Some(3))];
+    let recorded = [
+        request(1, 0, "a", Some(3)),
+        request(2, 500, "b", Some(3)),
+        request(1, 5000, "c", Some(3)),
+    ];
     let plan = schedule(&recorded, &Options::default());
     let mut runner = Runner::new(&plan, Limits::default(), 3);
     let (mut actions, mut now) = (Vec::new(), 0);
@@ -265,7 +391,13 @@
         }
         actions.retain(|action| *action != wanted);
     };
-    let answer = |lane, now| Event::Answer { lane, status: 200, digest: 9, first: now, close: false };
+    let answer = |lane, now| Event::Answer {
+        lane,
+        status: 200,
+        digest: 9,
+        first: now,
+        close: false,
+    };
     until(&mut runner, Action::Connect(0), &mut now);
     runner.event(now, Event::Connected(0));
     until(&mut runner, Action::Send(0), &mut now);
@@ -289,12 +421,27 @@
 
 #[test]
 fn one_key_with_two_results_is_told() {
-    let recorded =
-        vec![request(1, 0, "same", None), request(1, 50, "same", None), request(1, 90, "other", None)];
+    let recorded = vec![
+        request(1, 0, "same", None),
+        request(1, 50, "same", None),
+        request(1, 90, "other", None),
+    ];
     let plan = schedule(&recorded, &Options::default());
-    let ended = |digest| End::Answered { status: 200, digest, first: 9 * MS, last: 9 * MS };
-    let outcomes = [1, 2, 3].map(|digest| Outcome { intended: 0, sent: Some(0), end: ended(digest) });
-    let terms = Terms { key: "x-txn-key", late_after: Some(5 * MS) };
+    let ended = |digest| End::Answered {
+        status: 200,
+        digest,
+        first: 9 * MS,
+        last: 9 * MS,
+    };
+    let outcomes = [1, 2, 3].map(|digest| Outcome {
+        intended: 0,
+        sent: Some(0),
+        end: ended(digest),
+    });
+    let terms = Terms {
+        key: "x-txn-key",
+        late_after: Some(5 * MS),
+    };
     let found = audit(&recorded, &plan, &outcomes, Default::default(), terms);
     assert_eq!((found.keys_differ, found.late), (1, 3));
     assert!(found.breaks_a_rule());
@@ -302,8 +449,13 @@
 
 #[test]
 fn against_any_target_each_request_ends_once_and_the_bounds_hold() {
-    let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
-    let mut cases = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]));
+    let config = Config {
+        cases: 200,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut cases =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]));
     let target = (
         prop::collection::vec(prop::bool::weighted(0.3), 1..20),
         prop::collection::vec(prop::option::weighted(0.9, 0_u64..400), 1..20),
@@ -317,21 +469,48 @@
             &(target, shape, bounds),
             |((refuses, answers, last_every, hangs), shape, (connections, open, causal))| {
                 let recorded = recording(shape.0, shape.1, shape.2);
-                let plan = schedule(&recorded, &Options { causal, ..Options::default() });
-                let limits = Limits { connections, open, answer: 1_000 * MS, ..Limits::default() };
-                let played = play(&plan, limits, &Target { refuses, answers, last_every, hangs });
+                let plan = schedule(
+                    &recorded,
+                    &Options {
+                        causal,
+                        ..Options::default()
+                    },
+                );
+                let limits = Limits {
+                    connections,
+                    open,
+                    answer: 1_000 * MS,
+                    ..Limits::default()
+                };
+                let played = play(
+                    &plan,
+                    limits,
+                    &Target {
+                        refuses,
+                        answers,
+                        last_every,
+                        hangs,
+                    },
+                );
                 let once: BTreeSet<_> = played.sent.iter().map(|(send, _)| *send).collect();
                 prop_assert_eq!(once.len(), played.sent.len());
                 prop_assert!(played.counts.most_open <= open);
                 for (n, outcome) in played.outcomes.iter().enumerate() {
                     prop_assert!(outcome.end != End::Open);
                     prop_assert_eq!(outcome.sent.is_some(), once.contains(&n));
-                    prop_assert_eq!(outcome.sent.is_none(), matches!(outcome.end, End::Unsent(_)));
+                    prop_assert_eq!(
+                        outcome.sent.is_none(),
+                        matches!(outcome.end, End::Unsent(_))
+                    );
                     prop_assert!(outcome.sent.is_none_or(|sent| sent >= outcome.intended));
                 }
                 for lane in &plan.lanes {
-                    let order: Vec<_> =
-                        played.sent.iter().filter(|(s, _)| lane.sends.contains(s)).map(|(s, _)| *s).collect();
+                    let order: Vec<_> = played
+                        .sent
+                        .iter()
+                        .filter(|(s, _)| lane.sends.contains(s))
+                        .map(|(s, _)| *s)
+                        .collect();
                     let mut sorted = order.clone();
                     sorted.sort_by_key(|send| lane.sends.iter().position(|one| one == send));
                     prop_assert_eq!(order, sorted);
--- a/crates/heathspur-rig/src/capture.rs
+++ b/crates/heathspur-rig/src/capture.rs
@@ -29,7 +29,11 @@
 
 impl Script {
     pub fn new(port: u16) -> Script {
-        Script { talk: Talk::new(client(port), server(), [u32::MAX - 700, 90]), packets: Vec::new(), now: 0 }
+        Script {
+            talk: Talk::new(client(port), server(), [u32::MAX - 700, 90]),
+            packets: Vec::new(),
+            now: 0,
+        }
     }
 
     pub fn open(port: u16) -> Script {
@@ -67,7 +71,11 @@
 pub fn pcap(packets: &[Timed]) -> Vec<u8> {
     let mut out = write::pcap_header(write::RAW_IP, 0);
     for (at, packet) in packets {
-        out.extend(write::pcap_record(Stamp(START + at), packet, packet.len() as u32));
+        out.extend(write::pcap_record(
+            Stamp(START + at),
+            packet,
+            packet.len() as u32,
+        ));
     }
     out
 }
@@ -84,7 +92,10 @@
 
 impl Read {
     pub fn bodies(&self) -> Vec<Vec<u8>> {
-        self.requests.iter().map(|(_, _, message)| message.body().to_vec()).collect()
+        self.requests
+            .iter()
+            .map(|(_, _, message)| message.body().to_vec())
+            .collect()
     }
 }
 
@@ -92,8 +103,14 @@
     let mut pipeline = Pipeline::new(options);
     let mut read = Read::default();
     let take = |read: &mut Read, item: Item| match item {
-        Item::Message(Found::Request { conn, index, message }) => read.requests.push((conn, index, message)),
-        Item::Message(Found::Answer { conn, to, message }) => read.answers.push((conn, to, message)),
+        Item::Message(Found::Request {
+            conn,
+            index,
+            message,
+        }) => read.requests.push((conn, index, message)),
+        Item::Message(Found::Answer { conn, to, message }) => {
+            read.answers.push((conn, to, message))
+        }
         Item::Message(passed) => read.passed.push(passed),
         Item::Connection(event) => read.connections.push(Item::Connection(event)),
     };
@@ -109,12 +126,17 @@
 }
 
 pub fn request(number: u64, body: &[u8]) -> Vec<u8> {
-    let head =
-        format!("POST /svc/pay HTTP/1.1\r\nX-Txn: {number:016x}\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "POST /svc/pay HTTP/1.1\r\nX-Txn: {number:016x}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     [head.as_bytes(), body].concat()
 }
 
 pub fn answer(status: u16, body: &[u8]) -> Vec<u8> {
-    let head = format!("HTTP/1.1 {status} OK\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 {status} OK\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     [head.as_bytes(), body].concat()
 }
--- a/crates/heathspur-rig/src/fleet.rs
+++ b/crates/heathspur-rig/src/fleet.rs
@@ -132,12 +132,23 @@
                     server.failover.push((Instant::now(), said.to_string()));
                 }
                 // "members: m1 is alive at incarnation 17, joined"
-                let Some(said) = line.split("members: ").nth(1) else { continue };
+                let Some(said) = line.split("members: ").nth(1) else {
+                    continue;
+                };
                 let words: Vec<&str> = said.split([' ', ',']).collect();
-                let [member, "is", state, "at", "incarnation", incarnation, ..] = words[..] else { continue };
+                let [member, "is", state, "at", "incarnation", incarnation, ..] = words[..] else {
+                    continue;
+                };
                 let (member, state) = (member.to_string(), state.to_string());
-                server.view.insert(member.clone(), (state.clone(), incarnation.parse().unwrap_or(0)));
-                server.changes.push(Change { at: Instant::now(), member, state });
+                server.view.insert(
+                    member.clone(),
+                    (state.clone(), incarnation.parse().unwrap_or(0)),
+                );
+                server.changes.push(Change {
+                    at: Instant::now(),
+                    member,
+                    state,
+                });
             }
         }
     }
@@ -168,30 +179,41 @@
     }
 
     pub fn holds(&self, by: usize, of: usize, state: &str) -> bool {
-        self.servers[by].view.get(&format!("m{of}")).is_some_and(|(s, _)| s == state)
+        self.servers[by]
+            .view
+            .get(&format!("m{of}"))
+            .is_some_and(|(s, _)| s == state)
     }
 
     /// The servers that run.
     pub fn up(&self) -> Vec<usize> {
-        (0..self.servers.len()).filter(|&i| self.servers[i].rig.is_some()).collect()
+        (0..self.servers.len())
+            .filter(|&i| self.servers[i].rig.is_some())
+            .collect()
     }
 
     /// Every running server holds every other running one alive.
     pub fn one_view(&self) -> bool {
         let up = self.up();
-        up.iter().all(|&a| up.iter().all(|&b| a == b || self.holds(a, b, "alive")))
+        up.iter()
+            .all(|&a| up.iter().all(|&b| a == b || self.holds(a, b, "alive")))
     }
 
     /// How many running servers hold this one dead.
     pub fn know_dead(&self, of: usize) -> usize {
-        self.up().into_iter().filter(|&by| by != of && self.holds(by, of, "dead")).count()
+        self.up()
+            .into_iter()
+            .filter(|&by| by != of && self.holds(by, of, "dead"))
+            .count()
     }
 
     /// Times that a server logged this one's death.
     pub fn deaths(&self, of: usize) -> usize {
         let id = format!("m{of}");
         let changes = self.servers.iter().flat_map(|s| &s.changes);
-        changes.filter(|c| c.member == id && c.state == "dead").count()
+        changes
+            .filter(|c| c.member == id && c.state == "dead")
+            .count()
     }
 
     pub fn all_deaths(&self) -> usize {
--- a/crates/heathspur-rig/src/http2.rs
+++ b/crates/heathspur-rig/src/http2.rs
@@ -134,11 +134,18 @@
 
     /// The other half of its connection: whoever has it reads, and says nothing.
     pub fn reader(&self) -> Caller {
-        Caller { mannered: false, ..Caller::over(self.stream.try_clone().unwrap()) }
+        Caller {
+            mannered: false,
+            ..Caller::over(self.stream.try_clone().unwrap())
+        }
     }
 
     pub fn block(&mut self, fields: &[(&str, &str)]) -> Vec<u8> {
-        self.encoder.encode(fields.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())))
+        self.encoder.encode(
+            fields
+                .iter()
+                .map(|(name, value)| (name.as_bytes(), value.as_bytes())),
+        )
     }
 
     /// A number for a stream that was not used yet.
@@ -168,7 +175,14 @@
         let mut fields = vec![
             (":method", "POST"),
             (":scheme", "http"),
-            (":path", if key.is_some() { "/svc/pay" } else { "/svc/look" }),
+            (
+                ":path",
+                if key.is_some() {
+                    "/svc/pay"
+                } else {
+                    "/svc/look"
+                },
+            ),
             (":authority", "backend.local"),
             ("x-txn", &txn),
             ("x-ingress-time", &now),
@@ -192,8 +206,12 @@
     }
 
     pub fn get(&mut self, path: &str) -> u32 {
-        let fields =
-            [(":method", "GET"), (":scheme", "http"), (":path", path), (":authority", "backend.local")];
+        let fields = [
+            (":method", "GET"),
+            (":scheme", "http"),
+            (":path", path),
+            (":authority", "backend.local"),
+        ];
         self.open(&fields, true)
     }
 
@@ -204,8 +222,12 @@
                 let length = u32::from_be_bytes([0, *a, *b, *c]) as usize;
                 if rest.len() >= length {
                     let stream = u32::from_be_bytes([*d, *e, *f, *g]);
-                    let frame =
-                        Frame { kind: *kind, flags: *flags, stream, payload: rest[..length].to_vec() };
+                    let frame = Frame {
+                        kind: *kind,
+                        flags: *flags,
+                        stream,
+                        payload: rest[..length].to_vec(),
+                    };
                     self.buffer.drain(..9 + length);
                     return Some(frame);
                 }
@@ -222,19 +244,30 @@
 
     /// Takes one frame in; false at the end.
     pub fn take(&mut self) -> bool {
-        let Some(Frame { kind, flags, stream, payload }) = self.frame() else { return false };
+        let Some(Frame {
+            kind,
+            flags,
+            stream,
+            payload,
+        }) = self.frame()
+        else {
+            return false;
+        };
         let word = |at: usize| u32::from_be_bytes(payload[at..at + 4].try_into().unwrap());
         match kind {
             SETTINGS if flags & ACK == 0 => {
                 for entry in payload.chunks(6) {
                     let id = u16::from_be_bytes([entry[0], entry[1]]);
-                    self.settings.insert(id, u32::from_be_bytes(entry[2..6].try_into().unwrap()));
+                    self.settings
+                        .insert(id, u32::from_be_bytes(entry[2..6].try_into().unwrap()));
                 }
                 if self.mannered {
                     self.try_raw(&frame(SETTINGS, ACK, 0, &[]));
                 }
             }
-            PING if flags & ACK == 0 && self.mannered => drop(self.try_raw(&frame(PING, ACK, 0, &payload))),
+            PING if flags & ACK == 0 && self.mannered => {
+                drop(self.try_raw(&frame(PING, ACK, 0, &payload)))
+            }
             GOAWAY => self.goaways.push((word(0), word(4))),
             RST_STREAM => {
                 // After a whole answer it only says that the rest of the request is not wanted.
@@ -244,7 +277,9 @@
                 if kind == HEADERS {
                     let fields = self.decoder.decode(&payload).unwrap();
                     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-                    let fields = fields.into_iter().map(|(name, value)| (text(name), text(value)));
+                    let fields = fields
+                        .into_iter()
+                        .map(|(name, value)| (text(name), text(value)));
                     self.coming.entry(stream).or_default().fields.extend(fields);
                 } else {
                     if self.mannered && !payload.is_empty() {
@@ -257,7 +292,8 @@
                     let coming = self.coming.remove(&stream).unwrap_or_default();
                     let fields: Fields = coming.fields.into_iter().collect();
                     let status = fields[":status"].parse().unwrap();
-                    self.ended.insert(stream, Ended::Answer(status, fields, coming.body));
+                    self.ended
+                        .insert(stream, Ended::Answer(status, fields, coming.body));
                 }
             }
             _ => {}
--- a/crates/heathspur-rig/src/proxy.rs
+++ b/crates/heathspur-rig/src/proxy.rs
@@ -43,7 +43,9 @@
     thread::spawn(move || {
         for (number, front) in listener.incoming().flatten().enumerate() {
             counts.connections.fetch_add(1, Ordering::Relaxed);
-            let Ok(back) = TcpStream::connect(target) else { continue };
+            let Ok(back) = TcpStream::connect(target) else {
+                continue;
+            };
             let mut lots = StdRng::seed_from_u64(seed ^ (number as u64) << 20);
             let fate = lots.random_range(0..1000);
             let at = lots.random_range(0..faults.within.max(1));
@@ -53,7 +55,9 @@
                 _ => Fate::Whole,
             };
             for (from, to, fate) in [(&front, &back, fate), (&back, &front, Fate::Whole)] {
-                let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { continue };
+                let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
+                    continue;
+                };
                 let (lots, counts) = (StdRng::seed_from_u64(lots.random()), counts.clone());
                 thread::spawn(move || pass(from, to, faults, fate, lots, &counts));
             }
@@ -70,7 +74,14 @@
     Silent(usize),
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, faults: Faults, fate: Fate, mut lots: StdRng, done: &Done) {
+fn pass(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    faults: Faults,
+    fate: Fate,
+    mut lots: StdRng,
+    done: &Done,
+) {
     let _ = to.set_nodelay(true);
     let mut left = match fate {
         Fate::Whole => usize::MAX,
@@ -86,8 +97,16 @@
         let over = read > left;
         left -= rest.len();
         while !rest.is_empty() {
-            let most = if faults.split == 0 { rest.len() } else { faults.split.min(rest.len()) };
-            let size = if faults.split == 0 { most } else { lots.random_range(1..=most) };
+            let most = if faults.split == 0 {
+                rest.len()
+            } else {
+                faults.split.min(rest.len())
+            };
+            let size = if faults.split == 0 {
+                most
+            } else {
+                lots.random_range(1..=most)
+            };
             let (piece, after) = rest.split_at(size);
             rest = after;
             if !faults.delay.is_zero() {
--- a/crates/heathspur-rig/src/relay.rs
+++ b/crates/heathspur-rig/src/relay.rs
@@ -61,13 +61,20 @@
 impl Relay {
     /// A relay for `members` members, on free loopback ports.
     pub fn start(members: usize) -> Relay {
-        let sockets: Vec<UdpSocket> = (0..members).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let sockets: Vec<UdpSocket> = (0..members)
+            .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
+            .collect();
         let ports: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
         // Free ports for the members themselves: all bound, read, and only then let go, so that none comes twice.
-        let free: Vec<UdpSocket> = (0..members).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let free: Vec<UdpSocket> = (0..members)
+            .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
+            .collect();
         let real: Vec<SocketAddr> = free.iter().map(|s| s.local_addr().unwrap()).collect();
         drop(free);
-        let rules = Arc::new(Mutex::new(Rules { slow: vec![Duration::ZERO; members], ..Rules::default() }));
+        let rules = Arc::new(Mutex::new(Rules {
+            slow: vec![Duration::ZERO; members],
+            ..Rules::default()
+        }));
         let sockets: Arc<Vec<UdpSocket>> = Arc::new(sockets);
         let came = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
         // Bounded: past it a delayed datagram is lost, as on a full link.
@@ -76,11 +83,17 @@
         let targets = real.clone();
         thread::spawn(move || delayed(queue, out, targets));
         for to in 0..members {
-            let (sockets, rules, real, later) = (sockets.clone(), rules.clone(), real.clone(), later.clone());
+            let (sockets, rules, real, later) =
+                (sockets.clone(), rules.clone(), real.clone(), later.clone());
             let came = came.clone();
             thread::spawn(move || forward(to, sockets, rules, real, later, came));
         }
-        Relay { ports, real, rules, came }
+        Relay {
+            ports,
+            real,
+            rules,
+            came,
+        }
     }
 
     /// Changes the rules.
@@ -101,9 +114,13 @@
     let mut draw = StdRng::seed_from_u64(0x2545_f491_4f6c_dd1d ^ to as u64);
     let mut chance = move || draw.random::<f64>();
     loop {
-        let Ok((len, source)) = sockets[to].recv_from(&mut buffer) else { continue };
+        let Ok((len, source)) = sockets[to].recv_from(&mut buffer) else {
+            continue;
+        };
         // Members send from the socket they listen on, so the source tells who sent.
-        let Some(from) = real.iter().position(|r| *r == source) else { continue };
+        let Some(from) = real.iter().position(|r| *r == source) else {
+            continue;
+        };
         came.0.fetch_add(1, Ordering::Relaxed);
         came.1.fetch_add(len as u64, Ordering::Relaxed);
         let rules = rules.lock().unwrap().clone();
@@ -118,7 +135,12 @@
                 // Out of the sender's relay port, so that the receiver sees the address it knows the sender by.
                 let _ = sockets[from].send_to(&bytes, real[to]);
             } else {
-                let _ = later.try_send(Later { at: Instant::now() + wait, from, to, bytes });
+                let _ = later.try_send(Later {
+                    at: Instant::now() + wait,
+                    from,
+                    to,
+                    bytes,
+                });
             }
         }
     }
@@ -128,7 +150,9 @@
     let mut waiting: Vec<Later> = Vec::new();
     loop {
         let next = waiting.iter().map(|l| l.at).min();
-        let wait = next.map_or(Duration::from_millis(50), |at| at.saturating_duration_since(Instant::now()));
+        let wait = next.map_or(Duration::from_millis(50), |at| {
+            at.saturating_duration_since(Instant::now())
+        });
         match queue.recv_timeout(wait) {
             Ok(later) if waiting.len() < DELAYED => waiting.push(later),
             Ok(_) => {}
--- a/crates/heathspur-rig/src/replica.rs
+++ b/crates/heathspur-rig/src/replica.rs
@@ -26,7 +26,11 @@
     pub fn start() -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let mut replica = Replica { address, state: Arc::new(State::default()), accepts: None };
+        let mut replica = Replica {
+            address,
+            state: Arc::new(State::default()),
+            accepts: None,
+        };
         replica.accept(listener);
         replica
     }
@@ -64,7 +68,9 @@
 
     /// Each call takes so long from now on.
     pub fn slow(&self, delay: Duration) {
-        self.state.delay_ms.store(delay.as_millis() as u64, Ordering::SeqCst);
+        self.state
+            .delay_ms
+            .store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// Calls that it agreed to so far.
@@ -95,7 +101,9 @@
             return None;
         }
         let words: Vec<_> = line.split_whitespace().collect();
-        let ["CALL", id, _, length] = words[..] else { continue };
+        let ["CALL", id, _, length] = words[..] else {
+            continue;
+        };
         let mut body = vec![0; length.parse::<usize>().ok()? + 2];
         reader.read_exact(&mut body).ok()?;
         let under_way = 1 + state.under_way.fetch_add(1, Ordering::SeqCst);
