--- a/crates/heathspur-rig/src/scripted.rs
+++ b/crates/heathspur-rig/src/scripted.rs
@@ -52,7 +52,11 @@
 
 pub fn write_config(text: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
-    let name = format!("heathspurd-{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "heathspurd-{}-{}.json",
+        std::process::id(),
+        COUNT.fetch_add(1, Ordering::Relaxed)
+    );
     let file = std::env::temp_dir().join(name);
     std::fs::write(&file, text).unwrap();
     file
@@ -62,11 +66,17 @@
 /// one that runs; tests lie a folder below.
 pub fn built(name: &str) -> PathBuf {
     if let Some(folder) = std::env::var_os("HEATHSPUR_PROGRAMS") {
-        return PathBuf::from(folder).join(name).canonicalize().expect("the program is there");
+        return PathBuf::from(folder)
+            .join(name)
+            .canonicalize()
+            .expect("the program is there");
     }
     let this = std::env::current_exe().unwrap();
     let folders = this.ancestors().skip(1).take(3);
-    folders.map(|folder| folder.join(name)).find(|file| file.is_file()).expect("the program is built")
+    folders
+        .map(|folder| folder.join(name))
+        .find(|file| file.is_file())
+        .expect("the program is built")
 }
 
 pub fn program(file: &PathBuf) -> Command {
@@ -112,7 +122,9 @@
                 stream.set_read_timeout(Some(NEVER)).unwrap();
                 return stream;
             }
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => thread::sleep(Duration::from_millis(1)),
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
+                thread::sleep(Duration::from_millis(1))
+            }
             Err(e) => panic!("{e}"),
         }
         assert!(start.elapsed() < NEVER, "no connection came");
@@ -183,14 +195,26 @@
         // Where membership is on, its first lines may come before.
         let mut early = Vec::new();
         let said = loop {
-            let line = lines.recv_timeout(NEVER).expect("the server says where it listens");
+            let line = lines
+                .recv_timeout(NEVER)
+                .expect("the server says where it listens");
             if !line.contains("members: ") && !line.contains("failover: ") {
                 break line;
             }
             early.push(line);
         };
         let address = said.rsplit(' ').next().unwrap().parse().expect(&said);
-        Rig { process, address, vm, store, reports, early, lines, config, file }
+        Rig {
+            process,
+            address,
+            vm,
+            store,
+            reports,
+            early,
+            lines,
+            config,
+            file,
+        }
     }
 
     /// New addresses for all peers: the configuration's file is replaced and the program told so.
@@ -212,7 +236,12 @@
 
     /// Where it listens for another protocol, as it says next.
     pub fn further(&self) -> SocketAddr {
-        self.logs("listening for").rsplit(' ').next().unwrap().parse().unwrap()
+        self.logs("listening for")
+            .rsplit(' ')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap()
     }
 
     /// Waits for a line of the log that holds these words, and gives it.
@@ -238,7 +267,11 @@
     /// The same before `BANNER`.
     pub fn open_link(&self) -> Vm {
         let stream = accept(&self.vm);
-        let mut vm = Vm { reader: BufReader::new(stream), resumed_at: 0, index: 0 };
+        let mut vm = Vm {
+            reader: BufReader::new(stream),
+            resumed_at: 0,
+            index: 0,
+        };
         let hello = vm.line();
         assert_eq!(hello["verb"], "CONNECT");
         vm.resumed_at = hello["index"].as_u64().unwrap();
@@ -297,7 +330,10 @@
     /// The next command, of whatever kind.
     pub fn line(&mut self) -> Value {
         let mut line = String::new();
-        assert!(self.reader.read_line(&mut line).unwrap() > 0, "the link was closed");
+        assert!(
+            self.reader.read_line(&mut line).unwrap() > 0,
+            "the link was closed"
+        );
         serde_json::from_str(&line).unwrap()
     }
 
@@ -310,7 +346,9 @@
             if command["verb"] != "TOP" {
                 return command;
             }
-            self.say(json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]}));
+            self.say(
+                json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]}),
+            );
         }
     }
 
@@ -369,14 +407,18 @@
                 let command: Value = serde_json::from_str(&line).unwrap();
                 let task = command["task"].as_str().unwrap_or_default();
                 let mut reply = match command["verb"].as_str() {
-                    Some("APPLY") => json!({"verb": "AWAIT", "task": task, "bytes": command["bytes"]}),
+                    Some("APPLY") => {
+                        json!({"verb": "AWAIT", "task": task, "bytes": command["bytes"]})
+                    }
                     Some("RESOLVE" | "STUB") => {
                         json!({"verb": "VALUE", "task": task, "outcome": "complete", "spent": 3, "bytes": "ZG9uZQ=="})
                     }
                     Some("BREAK") => {
                         json!({"verb": "VALUE", "task": task, "outcome": "cancelled", "spent": 3})
                     }
-                    _ => json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]}),
+                    _ => {
+                        json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]})
+                    }
                 };
                 if reply["verb"] != "TOPS" {
                     self.index += 1;
@@ -395,7 +437,9 @@
         for _ in 0..count {
             let command = self.line();
             assert_eq!(command["verb"], "TOP", "{command}");
-            self.say(json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]}));
+            self.say(
+                json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]}),
+            );
         }
     }
 
@@ -404,7 +448,11 @@
         let command = self.command();
         assert_eq!(command["verb"], "APPLY", "{command}");
         let text = |field: &str| command[field].as_str().unwrap().to_string();
-        (text("task"), text("handler"), STANDARD.decode(text("bytes")).unwrap())
+        (
+            text("task"),
+            text("handler"),
+            STANDARD.decode(text("bytes")).unwrap(),
+        )
     }
 
     pub fn value(&mut self, task: &str, outcome: &str, body: &[u8]) {
@@ -498,7 +546,9 @@
                 None => break,
             };
         }
-        let length = fields.get("content-length").map_or(0, |n| n.parse().unwrap());
+        let length = fields
+            .get("content-length")
+            .map_or(0, |n| n.parse().unwrap());
         let mut body = vec![0; length];
         self.0.read_exact(&mut body).unwrap();
         Some((first.trim_end().to_string(), fields, body))
@@ -507,7 +557,9 @@
     /// Status, fields and body of the next answer.
     pub fn answer(&mut self) -> (u16, Fields, Vec<u8>) {
         let (first, fields, body) = self.message().expect("an answer");
-        let status = first.strip_prefix("HTTP/1.1 ").unwrap()[..3].parse().unwrap();
+        let status = first.strip_prefix("HTTP/1.1 ").unwrap()[..3]
+            .parse()
+            .unwrap();
         (status, fields, body)
     }
 
@@ -524,18 +576,27 @@
 }
 
 pub fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis()
 }
 
 /// A request to `look`, or to `pay` where it has a key.
 pub fn request(txn: u64, key: Option<&str>, body: &[u8]) -> Vec<u8> {
     let class = if key.is_some() { "pay" } else { "look" };
-    let mut text = format!("POST /svc/{class} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {txn:016x}\r\n");
-    text += &format!("X-Ingress-Time: {}\r\nX-Router: 4\r\nX-Merchant: north\r\n", unix_ms());
+    let mut text =
+        format!("POST /svc/{class} HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {txn:016x}\r\n");
+    text += &format!(
+        "X-Ingress-Time: {}\r\nX-Router: 4\r\nX-Merchant: north\r\n",
+        unix_ms()
+    );
     if let Some(key) = key {
         text += &format!("X-Txn-Key: {key}\r\n");
     }
-    text +=
-        &format!("X-Working-Set-Kb: 24.5\r\nX-Shed-Order: 0.6250\r\nContent-Length: {}\r\n\r\n", body.len());
+    text += &format!(
+        "X-Working-Set-Kb: 24.5\r\nX-Shed-Order: 0.6250\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     [text.as_bytes(), body].concat()
 }
--- a/crates/heathspur-rig/src/sink.rs
+++ b/crates/heathspur-rig/src/sink.rs
@@ -31,7 +31,11 @@
 
 impl Default for Manner {
     fn default() -> Manner {
-        Manner { work: Duration::ZERO, break_after: 0, close: false }
+        Manner {
+            work: Duration::ZERO,
+            break_after: 0,
+            close: false,
+        }
     }
 }
 
@@ -51,7 +55,11 @@
                 let (all, manner) = (all.clone(), manner.clone());
                 // A connection of a replay is one thread here; they rest on reads.
                 let serve = move || serve(stream, connection, &manner, &all);
-                if thread::Builder::new().stack_size(128 * 1024).spawn(serve).is_err() {
+                if thread::Builder::new()
+                    .stack_size(128 * 1024)
+                    .spawn(serve)
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -71,13 +79,21 @@
         while let Some(end) = whole(&buffer) {
             let bytes: Vec<u8> = buffer.drain(..end).collect();
             let to_head = bytes.starts_with(b"HEAD ");
-            all.lock().unwrap().push(Received { connection, at: Instant::now(), bytes });
+            all.lock().unwrap().push(Received {
+                connection,
+                at: Instant::now(),
+                bytes,
+            });
             count += 1;
             if manner.break_after > 0 && count % manner.break_after == 0 {
                 return;
             }
             thread::sleep(manner.work);
-            let close = if manner.close { "Connection: close\r\n" } else { "" };
+            let close = if manner.close {
+                "Connection: close\r\n"
+            } else {
+                ""
+            };
             let body = if to_head { "" } else { "done" };
             let answer = format!("HTTP/1.1 200 OK\r\n{close}Content-Length: 4\r\n\r\n{body}");
             if stream.write_all(answer.as_bytes()).is_err() || manner.close {
@@ -93,7 +109,10 @@
 
 /// Where the request at the front ends, once it is whole.
 fn whole(bytes: &[u8]) -> Option<usize> {
-    let found = head(bytes, 64 * 1024, |line| request_line(line).map(|_| Kind::Request)).ok()??;
+    let found = head(bytes, 64 * 1024, |line| {
+        request_line(line).map(|_| Kind::Request)
+    })
+    .ok()??;
     let end = match found.length {
         Length::Bytes(length) => found.end + length as usize,
         Length::Chunked => Chunks::new(found.end).end(bytes).ok()??,
--- a/crates/heathspur-rig/src/swift.rs
+++ b/crates/heathspur-rig/src/swift.rs
@@ -70,7 +70,11 @@
         let command: Value = serde_json::from_str(&line).ok()?;
         let reply = match command["verb"].as_str()? {
             "APPLY" => {
-                due.send((Instant::now() + manner.work, ended(&command, runs, manner, 0)?)).ok()?;
+                due.send((
+                    Instant::now() + manner.work,
+                    ended(&command, runs, manner, 0)?,
+                ))
+                .ok()?;
                 continue;
             }
             _ => said(&command),
@@ -85,20 +89,28 @@
 fn said(command: &Value) -> Value {
     match command["verb"].as_str() {
         Some("CONNECT") => json!({"verb": "BANNER", "outcome": "hot", "spent": 60_000}),
-        Some("TOP") => json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]}),
+        Some("TOP") => {
+            json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 0, 0.1, 2]})
+        }
         _ => Value::Null,
     }
 }
 
 /// The end of a run, which is counted.
 fn ended(command: &Value, runs: &Runs, manner: Manner, index: u64) -> Option<Value> {
-    *runs.lock().ok()?.entry(command["bytes"].as_str()?.to_string()).or_default() += 1;
+    *runs
+        .lock()
+        .ok()?
+        .entry(command["bytes"].as_str()?.to_string())
+        .or_default() += 1;
     let bytes = match manner.result {
         None => command["bytes"].clone(),
         Some(count) => json!(STANDARD.encode(vec![b'r'; count])),
     };
-    Some(json!({"verb": "VALUE", "index": index, "task": command["task"], "outcome": "complete", "spent": 0,
-        "bytes": bytes}))
+    Some(
+        json!({"verb": "VALUE", "index": index, "task": command["task"], "outcome": "complete", "spent": 0,
+        "bytes": bytes}),
+    )
 }
 
 fn link(stream: TcpStream, runs: &Runs, manner: Manner) -> Option<()> {
@@ -152,7 +164,10 @@
             thread::spawn(move || {
                 let mut chunk = [0; 4096];
                 while matches!(stream.read(&mut chunk), Ok(n) if n > 0) {
-                    if stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").is_err() {
+                    if stream
+                        .write_all(b"HTTP/1.1 204 No Content\r\n\r\n")
+                        .is_err()
+                    {
                         return;
                     }
                 }
--- a/crates/heathspur-rig/src/toy.rs
+++ b/crates/heathspur-rig/src/toy.rs
@@ -23,20 +23,28 @@
 pub fn run(file: &Path) -> Outcome {
     let config: Value = serde_json::from_slice(&std::fs::read(file)?)?;
     let listen = |what: &str| -> Result<TcpListener, Box<dyn Error + Send + Sync>> {
-        let address = config[what].as_str().ok_or(format!("the configuration names no {what}"))?;
+        let address = config[what]
+            .as_str()
+            .ok_or(format!("the configuration names no {what}"))?;
         Ok(TcpListener::bind(address)?)
     };
     let calls = Arc::new(calling_classes(&config["settings"]));
     let links = listen("vm")?;
     let parts = [
         (listen("store")?, store as fn(TcpStream) -> Outcome, "store"),
-        (listen("announce")?, announce as fn(TcpStream) -> Outcome, "announce"),
+        (
+            listen("announce")?,
+            announce as fn(TcpStream) -> Outcome,
+            "announce",
+        ),
     ];
     for (listener, serve, name) in parts {
         thread::spawn(move || each(listener, name, serve));
     }
     println!("toy: ready");
-    each(links, "interpreter", move |stream| interpreter(stream, &calls));
+    each(links, "interpreter", move |stream| {
+        interpreter(stream, &calls)
+    });
     Ok(())
 }
 
@@ -59,9 +67,20 @@
 /// Names of the classes whose requests call below.
 fn calling_classes(settings: &Value) -> Vec<String> {
     let calls = settings["family-info"]["calls-by-class"].as_array();
-    let names = settings["services"].as_array().into_iter().flatten().filter_map(|c| c["name"].as_str());
-    let calls = calls.into_iter().flatten().map(|c| c.as_bool().unwrap_or(false));
-    names.zip(calls).filter(|(_, calls)| *calls).map(|(name, _)| name.to_string()).collect()
+    let names = settings["services"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|c| c["name"].as_str());
+    let calls = calls
+        .into_iter()
+        .flatten()
+        .map(|c| c.as_bool().unwrap_or(false));
+    names
+        .zip(calls)
+        .filter(|(_, calls)| *calls)
+        .map(|(name, _)| name.to_string())
+        .collect()
 }
 
 /// One line to the server, with the number of a notice where it is one.
@@ -83,11 +102,17 @@
     });
     for line in BufReader::new(stream.try_clone()?).lines() {
         let command: Value = serde_json::from_str(&line?)?;
-        let (task, bytes) = (command["task"].clone(), command["bytes"].as_str().unwrap_or("").to_string());
+        let (task, bytes) = (
+            command["task"].clone(),
+            command["bytes"].as_str().unwrap_or("").to_string(),
+        );
         match command["verb"].as_str().unwrap_or("") {
             "CONNECT" => {
                 let ms = start.elapsed().as_millis() as u64;
-                say(&stream, json!({"verb": "BANNER", "outcome": "hot", "spent": ms}))?;
+                say(
+                    &stream,
+                    json!({"verb": "BANNER", "outcome": "hot", "spent": ms}),
+                )?;
             }
             "TOP" => {
                 say(
@@ -100,7 +125,14 @@
                 notices.send(json!({"verb": "AWAIT", "task": task, "bytes": bytes}))?;
             }
             verb @ ("APPLY" | "RESOLVE" | "STUB") => {
-                println!("toy: {} {task}", if verb == "APPLY" { "running" } else { "going on with" });
+                println!(
+                    "toy: {} {task}",
+                    if verb == "APPLY" {
+                        "running"
+                    } else {
+                        "going on with"
+                    }
+                );
                 let notices = notices.clone();
                 thread::spawn(move || -> Outcome {
                     thread::sleep(WORK);
@@ -111,7 +143,8 @@
                 });
             }
             "BREAK" => {
-                let stopped = json!({"verb": "VALUE", "task": task, "outcome": "cancelled", "spent": 0});
+                let stopped =
+                    json!({"verb": "VALUE", "task": task, "outcome": "cancelled", "spent": 0});
                 notices.send(stopped)?;
             }
             other => println!("toy: {other} is not for a toy"),
--- a/crates/heathspur-route/src/health.rs
+++ b/crates/heathspur-route/src/health.rs
@@ -27,9 +27,11 @@
     match outcome {
         Outcome::Ok | Outcome::Moot => Some(true),
         Outcome::Cancelled => None,
-        Outcome::Error | Outcome::Full | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
-            Some(false)
-        }
+        Outcome::Error
+        | Outcome::Full
+        | Outcome::Timeout
+        | Outcome::ConnectFailed
+        | Outcome::Reset => Some(false),
     }
 }
 
@@ -66,7 +68,11 @@
         }
         let mean = self.typical();
         let quiet = self.quiet.get_or_insert(mean);
-        let over = if mean > *quiet { QUIET_RISE_MS } else { QUIET_FALL_MS };
+        let over = if mean > *quiet {
+            QUIET_RISE_MS
+        } else {
+            QUIET_FALL_MS
+        };
         *quiet += (mean - *quiet) * (1.0 - (-(elapsed_ms as f64) / over).exp());
     }
 
@@ -108,7 +114,13 @@
     /// [`CHECKED`]: what answers a check may still serve no call.
     pub fn level(&self) -> Option<u8> {
         let health = self.seen()?;
-        let level = (OVERPROVISIONING * health * f64::from(WHOLE)).round().min(f64::from(WHOLE)) as u8;
-        Some(if self.timed < 1.0 { level.min(CHECKED) } else { level })
+        let level = (OVERPROVISIONING * health * f64::from(WHOLE))
+            .round()
+            .min(f64::from(WHOLE)) as u8;
+        Some(if self.timed < 1.0 {
+            level.min(CHECKED)
+        } else {
+            level
+        })
     }
 }
--- a/crates/heathspur-route/src/pick.rs
+++ b/crates/heathspur-route/src/pick.rs
@@ -17,15 +17,25 @@
 impl Picker {
     /// All near until there is a plan.
     pub fn new(zones: Vec<String>, home: usize) -> Picker {
-        let mut plan = Plan { shares: vec![0; zones.len()], may: vec![0; zones.len()] };
+        let mut plan = Plan {
+            shares: vec![0; zones.len()],
+            may: vec![0; zones.len()],
+        };
         plan.shares[home] = 1_000;
-        Picker { owed: vec![0; zones.len()], zones, home, plan, budget: Budget::default() }
+        Picker {
+            owed: vec![0; zones.len()],
+            zones,
+            home,
+            plan,
+            budget: Budget::default(),
+        }
     }
 
     /// A new plan. Calls under way keep their places.
     pub fn set(&mut self, plan: Plan) {
         let zones = self.zones.iter().zip(&plan.may);
-        self.budget.set(zones.map(|(zone, may)| (zone.clone(), *may, 1)));
+        self.budget
+            .set(zones.map(|(zone, may)| (zone.clone(), *may, 1)));
         self.plan = plan;
         // What was owed by another plan is void.
         self.owed.fill(0);
@@ -44,9 +54,12 @@
             return Some(due);
         }
         // Another far one that takes a share may have room where this one has none.
-        let far =
-            (0..self.zones.len()).filter(|&at| at != self.home && at != due && self.plan.shares[at] > 0);
-        [due].into_iter().chain(far).find(|&at| self.budget.take(&self.zones[at]))
+        let far = (0..self.zones.len())
+            .filter(|&at| at != self.home && at != due && self.plan.shares[at] > 0);
+        [due]
+            .into_iter()
+            .chain(far)
+            .find(|&at| self.budget.take(&self.zones[at]))
     }
 
     /// A call that was picked is over, with whatever end.
--- a/crates/heathspur-route/src/register.rs
+++ b/crates/heathspur-route/src/register.rs
@@ -20,7 +20,10 @@
 
 impl Decision {
     /// Before anything was decided.
-    pub const FIRST: Decision = Decision { epoch: 0, near: WHOLE };
+    pub const FIRST: Decision = Decision {
+        epoch: 0,
+        near: WHOLE,
+    };
 
     /// Whether it takes the place of another one: the higher epoch, or the same and less near. Moving away is the
     /// safe side, since the far side is bounded by its spare capacity.
@@ -44,7 +47,12 @@
 
 impl Default for Pace {
     fn default() -> Pace {
-        Pace { dwell: 30_000, leave: 1_000, back: 10_000, band: 2 }
+        Pace {
+            dwell: 30_000,
+            leave: 1_000,
+            back: 10_000,
+            band: 2,
+        }
     }
 }
 
@@ -76,12 +84,23 @@
     /// All near, nothing decided. A restarted instance begins so and takes over what its zone holds.
     pub fn new(pace: Pace) -> Register {
         let held = Decision::FIRST;
-        Register { pace, held, wants: held.near, seen: 0, worse: false, rest: 0, alone: false }
+        Register {
+            pace,
+            held,
+            wants: held.near,
+            seen: 0,
+            worse: false,
+            rest: 0,
+            alone: false,
+        }
     }
 
     /// What is said to others.
     pub fn voice(&self) -> Voice {
-        Voice { held: self.held, wants: self.wants }
+        Voice {
+            held: self.held,
+            wants: self.wants,
+        }
     }
 
     /// What the zone holds, as known here.
@@ -126,7 +145,10 @@
         self.alone = 1 + others.len() < quorum;
         if !self.alone && self.rest == 0 {
             if let Some(near) = self.quorum_wants(others, quorum) {
-                self.held = Decision { epoch: self.held.epoch + 1, near };
+                self.held = Decision {
+                    epoch: self.held.epoch + 1,
+                    near,
+                };
                 self.rest = self.pace.dwell;
             }
         }
@@ -148,7 +170,13 @@
             (self.worse, self.seen) = (worse, 0);
         }
         self.seen = self.seen.saturating_add(elapsed);
-        if self.seen >= if worse { self.pace.leave } else { self.pace.back } {
+        if self.seen
+            >= if worse {
+                self.pace.leave
+            } else {
+                self.pace.back
+            }
+        {
             (self.wants, self.seen) = (level, 0);
         }
     }
@@ -156,7 +184,11 @@
     /// The level furthest from what is held that a quorum wants or goes beyond. Two quorums share a member, so they
     /// can't want both ways at once.
     fn quorum_wants(&self, others: &[Voice], quorum: usize) -> Option<u8> {
-        let mut wants: Vec<u8> = others.iter().map(|other| other.wants).chain([self.wants]).collect();
+        let mut wants: Vec<u8> = others
+            .iter()
+            .map(|other| other.wants)
+            .chain([self.wants])
+            .collect();
         wants.sort_unstable();
         let at_most = wants[quorum - 1];
         let at_least = wants[wants.len() - quorum];
--- a/crates/heathspur-route/src/shares.rs
+++ b/crates/heathspur-route/src/shares.rs
@@ -32,14 +32,21 @@
     let moved = u32::from(WHOLE - near.min(WHOLE)) * 100;
     let weight = |other: &Other| u64::from(other.spare) * u64::from(other.near.min(WHOLE));
     let fit = |same_region: bool| -> Vec<&Other> {
-        others.iter().filter(|o| o.same_region == same_region && weight(o) > 0).collect()
+        others
+            .iter()
+            .filter(|o| o.same_region == same_region && weight(o) > 0)
+            .collect()
     };
     let mut chosen = fit(true);
     if chosen.is_empty() {
         chosen = fit(false);
     }
     if moved == 0 || chosen.is_empty() {
-        return Shares { near: 1_000, far: Vec::new(), panic: moved > 0 };
+        return Shares {
+            near: 1_000,
+            far: Vec::new(),
+            panic: moved > 0,
+        };
     }
     let all: u64 = chosen.iter().map(|o| weight(o)).sum();
     let part = |o: &Other| (u64::from(moved) * weight(o) / all) as u16;
@@ -48,5 +55,9 @@
     let given: u32 = far.iter().map(|(_, part)| u32::from(*part)).sum();
     far[0].1 += (moved - given) as u16;
     far.retain(|(_, part)| *part > 0);
-    Shares { near: 1_000 - moved as u16, far, panic: false }
+    Shares {
+        near: 1_000 - moved as u16,
+        far,
+        panic: false,
+    }
 }
--- a/crates/heathspur-route/src/spare.rs
+++ b/crates/heathspur-route/src/spare.rs
@@ -5,7 +5,9 @@
 
 /// A far zone's spare capacity as its members report it: the admission's cap less what is in flight, summed.
 pub fn spare(members: impl Iterator<Item = (u32, u32)>) -> u32 {
-    members.map(|(cap, in_flight)| cap.saturating_sub(in_flight)).sum()
+    members
+        .map(|(cap, in_flight)| cap.saturating_sub(in_flight))
+        .sum()
 }
 
 /// Requests and calls under way to other zones, each given back once.
@@ -19,7 +21,9 @@
 impl Budget {
     /// A new view: what each zone has spare, and how many instances send there (this one too).
     pub fn set(&mut self, zones: impl Iterator<Item = (String, u32, usize)>) {
-        self.may = zones.map(|(zone, spare, senders)| (zone, spare / senders.max(1) as u32)).collect();
+        self.may = zones
+            .map(|(zone, spare, senders)| (zone, spare / senders.max(1) as u32))
+            .collect();
     }
 
     /// Takes a place on the way to a zone; false where it has none left for this instance.
--- a/crates/heathspur-route/src/zone.rs
+++ b/crates/heathspur-route/src/zone.rs
@@ -58,7 +58,13 @@
 impl Failover {
     /// All near, nothing decided. `home` is the place of the own zone among the zones with a replica.
     pub fn new(zones: Vec<String>, home: usize, region: String, pace: Pace) -> Failover {
-        Failover { zones, home, region, health: Health::default(), register: Register::new(pace) }
+        Failover {
+            zones,
+            home,
+            region,
+            health: Health::default(),
+            register: Register::new(pace),
+        }
     }
 
     /// Calls to the own zone's replica that ended since: well, with the natural logarithms of their times in
@@ -76,9 +82,16 @@
     pub fn step(&mut self, elapsed_ms: u32, peers: &[Peer]) -> Step {
         self.health.pass(u64::from(elapsed_ms));
         let mine = |peer: &&Peer| peer.zone == self.zones[self.home];
-        let voices: Vec<Voice> = peers.iter().filter(mine).filter(|p| p.live).map(|p| p.voice).collect();
+        let voices: Vec<Voice> = peers
+            .iter()
+            .filter(mine)
+            .filter(|p| p.live)
+            .map(|p| p.voice)
+            .collect();
         let zone = 1 + peers.iter().filter(mine).count();
-        let decided = self.register.step(elapsed_ms, self.health.level(), &voices, zone);
+        let decided = self
+            .register
+            .step(elapsed_ms, self.health.level(), &voices, zone);
         let near = self.register.near();
         let check = near < crate::WHOLE || self.register.voice().wants < crate::WHOLE;
         Step {
@@ -109,13 +122,30 @@
             })
             .collect();
         let told = shares(near, &others);
-        let mut plan = Plan { shares: vec![0; self.zones.len()], may: vec![0; self.zones.len()] };
+        let mut plan = Plan {
+            shares: vec![0; self.zones.len()],
+            may: vec![0; self.zones.len()],
+        };
         plan.shares[self.home] = told.near;
-        for (z, name) in self.zones.iter().enumerate().filter(|(z, _)| *z != self.home) {
-            plan.shares[z] = told.far.iter().find(|(zone, _)| zone == name).map_or(0, |(_, part)| *part);
+        for (z, name) in self
+            .zones
+            .iter()
+            .enumerate()
+            .filter(|(z, _)| *z != self.home)
+        {
+            plan.shares[z] = told
+                .far
+                .iter()
+                .find(|(zone, _)| zone == name)
+                .map_or(0, |(_, part)| *part);
             // All who moved may send there, this one too.
-            let senders = 1 + live().filter(|p| p.zone != *name && p.voice.held.near < crate::WHOLE).count();
-            let room = others.iter().find(|o| o.zone == *name).map_or(0, |o| o.spare);
+            let senders = 1 + live()
+                .filter(|p| p.zone != *name && p.voice.held.near < crate::WHOLE)
+                .count();
+            let room = others
+                .iter()
+                .find(|o| o.zone == *name)
+                .map_or(0, |o| o.spare);
             plan.may[z] = room / senders as u32;
         }
         plan
--- a/crates/heathspur-route/tests/model.rs
+++ b/crates/heathspur-route/tests/model.rs
@@ -12,7 +12,12 @@
 const ZONES: usize = 2;
 const EACH: usize = 2;
 const ALL: usize = ZONES * EACH;
-const PACE: Pace = Pace { dwell: 3, leave: 1, back: 2, band: 2 };
+const PACE: Pace = Pace {
+    dwell: 3,
+    leave: 1,
+    back: 2,
+    band: 2,
+};
 /// Replicas that change and instances that are cut off, in one history.
 const FAULTS: u8 = 3;
 /// Steps without a fault after which all instances of a zone hold what is right.
@@ -82,7 +87,10 @@
 impl Fleet {
     fn step(&mut self, mutant: Mutant) {
         let newest = |fleet: &Fleet, z: usize| {
-            (0..ALL).filter(|&i| zone(i) == z).map(|i| fleet.instances[i].register.held().epoch).max()
+            (0..ALL)
+                .filter(|&i| zone(i) == z)
+                .map(|i| fleet.instances[i].register.held().epoch)
+                .max()
         };
         let before: Vec<_> = (0..ZONES).map(|z| newest(self, z)).collect();
         for i in 0..ALL {
@@ -95,7 +103,9 @@
             }
             let others: &[Voice] = if hears { &[voice] } else { &[] };
             let known = if mutant == Mutant::NoQuorum { 1 } else { EACH };
-            self.instances[i].register.step(1, Some(sight), others, known);
+            self.instances[i]
+                .register
+                .step(1, Some(sight), others, known);
         }
         for (z, before) in before.into_iter().enumerate() {
             self.since[z] = (self.since[z] + 1).min(PACE.dwell);
@@ -127,15 +137,27 @@
 
     fn init_states(&self) -> Vec<Fleet> {
         let pace = match self.mutant {
-            Mutant::NoHysteresis => Pace { dwell: 0, back: 0, ..PACE },
+            Mutant::NoHysteresis => Pace {
+                dwell: 0,
+                back: 0,
+                ..PACE
+            },
             _ => PACE,
         };
         let register = Register::new(pace);
-        let senders = if self.mutant == Mutant::SpareNotShared { 1 } else { EACH };
+        let senders = if self.mutant == Mutant::SpareNotShared {
+            1
+        } else {
+            EACH
+        };
         let instance = |i: usize| {
             let mut budget = Budget::default();
             budget.set([((1 - zone(i)).to_string(), SPARE, senders)].into_iter());
-            Instance { heard: register.voice(), register: register.clone(), budget }
+            Instance {
+                heard: register.voice(),
+                register: register.clone(),
+                budget,
+            }
         };
         vec![Fleet {
             instances: std::array::from_fn(instance),
@@ -169,7 +191,11 @@
             if zone(i) == 0 && state.instances[i].register.near() < WHOLE {
                 moves.push(Move::Hand(i));
             }
-            if state.instances[i].budget.under_way(&(1 - zone(i)).to_string()) > 0 {
+            if state.instances[i]
+                .budget
+                .under_way(&(1 - zone(i)).to_string())
+                > 0
+            {
                 moves.push(Move::Done(i));
             }
         }
@@ -195,13 +221,18 @@
                     return None;
                 }
             }
-            Move::Done(i) => state.instances[i].budget.give_back(&(1 - zone(i)).to_string()),
+            Move::Done(i) => state.instances[i]
+                .budget
+                .give_back(&(1 - zone(i)).to_string()),
         }
         Some(state)
     }
 
     fn within_boundary(&self, state: &Fleet) -> bool {
-        state.instances.iter().all(|i| i.register.held().epoch <= HIGHEST)
+        state
+            .instances
+            .iter()
+            .all(|i| i.register.held().epoch <= HIGHEST)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -242,7 +273,13 @@
 
 #[test]
 fn zones_decide_in_common_in_every_order_of_events() {
-    let checker = Failover { mutant: Mutant::None }.checker().threads(4).spawn_bfs().join();
+    let checker = Failover {
+        mutant: Mutant::None,
+    }
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join();
     checker.assert_properties();
     assert!(checker.is_done());
     println!("{} states", checker.unique_state_count());
@@ -250,9 +287,20 @@
 
 #[test]
 fn each_mutant_is_found() {
-    for mutant in [Mutant::NoQuorum, Mutant::NoHysteresis, Mutant::NotTakenOver, Mutant::SpareNotShared] {
-        let checker = Failover { mutant }.checker().threads(4).finish_when(HasDiscoveries::AnyFailures);
+    for mutant in [
+        Mutant::NoQuorum,
+        Mutant::NoHysteresis,
+        Mutant::NotTakenOver,
+        Mutant::SpareNotShared,
+    ] {
+        let checker = Failover { mutant }
+            .checker()
+            .threads(4)
+            .finish_when(HasDiscoveries::AnyFailures);
         let found = checker.spawn_bfs().join().discoveries();
-        assert!(found.keys().any(|name| name.starts_with("rule")), "{mutant:?} breaks no rule");
+        assert!(
+            found.keys().any(|name| name.starts_with("rule")),
+            "{mutant:?} breaks no rule"
+        );
     }
 }
--- a/crates/heathspur-settings/src/lib.rs
+++ b/crates/heathspur-settings/src/lib.rs
@@ -173,7 +173,13 @@
 impl Meters {
     /// Reads the values in the order of the settings.
     pub fn read(&self, values: &[f64]) -> Gauges {
-        let find = |name: &str| self.0.iter().position(|n| n == name).and_then(|i| values.get(i)).copied();
+        let find = |name: &str| {
+            self.0
+                .iter()
+                .position(|n| n == name)
+                .and_then(|i| values.get(i))
+                .copied()
+        };
         Gauges {
             cpu: find("cpu_busy"),
             runnable: find("runnable"),
@@ -218,9 +224,19 @@
     let weights = goal.whole + goal.worst_class + goal.worst_tenant + goal.worst_window;
     let settings = Settings {
         classes: classes.collect(),
-        tenants: facts.realms.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
+        tenants: facts
+            .realms
+            .iter()
+            .map(|t| Tenant {
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         over_share_worth: facts.over_share_worth,
-        worth_by: if facts.worth_by == "work" { WorthBy::Work } else { WorthBy::Request },
+        worth_by: if facts.worth_by == "work" {
+            WorthBy::Work
+        } else {
+            WorthBy::Request
+        },
         servers: facts.servers,
         callers: info.upstreams,
         cores: info.n_cores,
@@ -257,8 +273,15 @@
         deep_checks: info.deep_checks,
         idle: Span::from_secs(info.idle_s),
         fresh: Span::from_secs(info.fresh_s),
-        advice: facts.caps.retry_after.then(|| Span::from_secs(facts.caps.max_retry_after_s)),
-        worst_class_weight: if weights > 0.0 { goal.worst_class / weights } else { 0.0 },
+        advice: facts
+            .caps
+            .retry_after
+            .then(|| Span::from_secs(facts.caps.max_retry_after_s)),
+        worst_class_weight: if weights > 0.0 {
+            goal.worst_class / weights
+        } else {
+            0.0
+        },
         tick: Span::from_secs(facts.tick_s),
     };
     let names = Names {
--- a/crates/heathspur-settings/tests/read.rs
+++ b/crates/heathspur-settings/tests/read.rs
@@ -36,21 +36,57 @@
     let (s, names) = parsed(facts());
     let effects: Vec<_> = s.classes.iter().map(|c| c.effect).collect();
     assert_eq!(effects, [Effect::Safe, Effect::Keyed, Effect::Unsafe]);
-    assert_eq!((s.classes[0].aim, s.classes[0].give_up), (Span(2_300_000), Span(5_900_000)));
-    assert_eq!((s.classes[0].aim_stretch, s.classes[0].calls, s.classes[0].skip_worth), (1.5, true, 0.6));
     assert_eq!(
-        (s.classes[1].window, s.classes[1].late_worth, s.classes[1].calls),
+        (s.classes[0].aim, s.classes[0].give_up),
+        (Span(2_300_000), Span(5_900_000))
+    );
+    assert_eq!(
+        (
+            s.classes[0].aim_stretch,
+            s.classes[0].calls,
+            s.classes[0].skip_worth
+        ),
+        (1.5, true, 0.6)
+    );
+    assert_eq!(
+        (
+            s.classes[1].window,
+            s.classes[1].late_worth,
+            s.classes[1].calls
+        ),
         (Span(21_951_000), 0.2, false)
     );
-    assert_eq!((s.tenants[0].quota_per_s, s.over_share_worth, s.worth_by), (26.0, 0.05, WorthBy::Work));
-    assert_eq!((s.cores, s.memory_kb, s.run_factor, s.key_kb), (6, 49584.0, 8.0, 120.66));
-    assert_eq!((s.halt, s.cold, s.free_value), (Halt::Pause, true, FreeValue::Weight));
-    let shared = Dependency::Shared { part: 0.4, over: Span(5_000_000), linger: Span(200_000) };
+    assert_eq!(
+        (s.tenants[0].quota_per_s, s.over_share_worth, s.worth_by),
+        (26.0, 0.05, WorthBy::Work)
+    );
+    assert_eq!(
+        (s.cores, s.memory_kb, s.run_factor, s.key_kb),
+        (6, 49584.0, 8.0, 120.66)
+    );
+    assert_eq!(
+        (s.halt, s.cold, s.free_value),
+        (Halt::Pause, true, FreeValue::Weight)
+    );
+    let shared = Dependency::Shared {
+        part: 0.4,
+        over: Span(5_000_000),
+        linger: Span(200_000),
+    };
     assert_eq!((s.dependency, s.servers, s.callers), (shared, 10, 3));
-    assert_eq!((s.advice, s.idle, s.tick), (Some(Span(1_000_000)), Span(30_000_000), Span(2_000)));
-    assert_eq!((s.drain_grace, s.answer_slack), (Span(2_500_000), Span(60_000)));
+    assert_eq!(
+        (s.advice, s.idle, s.tick),
+        (Some(Span(1_000_000)), Span(30_000_000), Span(2_000))
+    );
+    assert_eq!(
+        (s.drain_grace, s.answer_slack),
+        (Span(2_500_000), Span(60_000))
+    );
     assert!((s.worst_class_weight - 0.15).abs() < 1e-9);
-    assert_eq!((names.classes[2].as_str(), names.tenants[0].as_str()), ("wire-out", "baltic-fleet"));
+    assert_eq!(
+        (names.classes[2].as_str(), names.tenants[0].as_str()),
+        ("wire-out", "baltic-fleet")
+    );
     assert!(names.cancel_seen);
 }
 
@@ -58,18 +94,34 @@
 fn gauges_are_known_by_their_place_in_the_settings() {
     let (_, names) = parsed(facts());
     let read = names.meters.read(&[40.0, 0.5]);
-    assert_eq!((read.connections, read.cpu, read.runnable, read.memory), (Some(40.0), Some(0.5), None, None));
+    assert_eq!(
+        (read.connections, read.cpu, read.runnable, read.memory),
+        (Some(40.0), Some(0.5), None, None)
+    );
 }
 
 #[test]
 fn what_is_absent_is_off() {
     let mut bare = facts();
-    for field in ["realms", "caps", "goal", "tick-s", "worth-by", "over-share-worth"] {
+    for field in [
+        "realms",
+        "caps",
+        "goal",
+        "tick-s",
+        "worth-by",
+        "over-share-worth",
+    ] {
         bare.as_object_mut().unwrap().remove(field);
     }
     bare["family-info"] = json!({"n-cores": 1, "mem-limit-kb": 10.0});
     let (s, names) = parsed(bare);
     assert!(s.tenants.is_empty() && !names.cancel_seen);
-    assert_eq!((s.halt, s.dependency, s.free_value), (Halt::None, Dependency::None, FreeValue::None));
-    assert_eq!((s.advice, s.worst_class_weight, s.worth_by), (None, 0.0, WorthBy::Request));
+    assert_eq!(
+        (s.halt, s.dependency, s.free_value),
+        (Halt::None, Dependency::None, FreeValue::None)
+    );
+    assert_eq!(
+        (s.advice, s.worst_class_weight, s.worth_by),
+        (None, 0.0, WorthBy::Request)
+    );
 }
--- a/crates/heathspur-streams/src/drain.rs
+++ b/crates/heathspur-streams/src/drain.rs
@@ -38,7 +38,10 @@
 impl Drain {
     /// A connection that is open. `patience` is how long its round trip is waited for, in microseconds.
     pub fn new(patience: u64) -> Drain {
-        Drain { stage: Stage::Open, patience }
+        Drain {
+            stage: Stage::Open,
+            patience,
+        }
     }
 
     /// Where it stands.
--- a/crates/heathspur-streams/src/ledger.rs
+++ b/crates/heathspur-streams/src/ledger.rs
@@ -40,7 +40,12 @@
 impl Ledger {
     /// An empty one.
     pub fn new(bounds: Bounds) -> Ledger {
-        Ledger { bounds, held: 0, accounts: BTreeMap::new(), order: Default::default() }
+        Ledger {
+            bounds,
+            held: 0,
+            accounts: BTreeMap::new(),
+            order: Default::default(),
+        }
     }
 
     /// Bytes that wait over all connections.
@@ -56,11 +61,17 @@
             account.parts.push_back((part, bytes));
         });
         let mut gone = Vec::new();
-        while self.accounts.get(&holder).is_some_and(|account| account.bytes > self.bounds.connection) {
+        while self
+            .accounts
+            .get(&holder)
+            .is_some_and(|account| account.bytes > self.bounds.connection)
+        {
             self.drop_oldest(holder, &mut gone);
         }
         while self.held > self.bounds.all {
-            let Some(&(_, most)) = self.order.last() else { break };
+            let Some(&(_, most)) = self.order.last() else {
+                break;
+            };
             self.drop_oldest(most, &mut gone);
         }
         gone
--- a/crates/heathspur-streams/src/life.rs
+++ b/crates/heathspur-streams/src/life.rs
@@ -122,7 +122,10 @@
 impl Life {
     /// One whose header block is whole. `most` bounds its body in bytes.
     pub fn new(most: u32) -> Life {
-        Life { state: State::Body { held: 0 }, most }
+        Life {
+            state: State::Body { held: 0 },
+            most,
+        }
     }
 
     /// Where it stands.
@@ -150,14 +153,18 @@
                 (S::Body { held: held + bytes }, Action::Keep)
             }
             (S::Body { .. }, E::Data { end: true, .. }) => (S::Given, Action::HandIn),
-            (S::Body { .. }, E::Wrong { status }) => (S::Over(End::Answered), Action::Say { status }),
+            (S::Body { .. }, E::Wrong { status }) => {
+                (S::Over(End::Answered), Action::Say { status })
+            }
             (S::Body { .. }, E::Late) => (S::Over(End::Answered), Action::Say { status: 408 }),
             // Nothing of it was handed in, so nothing ran.
             (S::Body { .. }, E::Shut) => (S::Over(End::Refused), Action::Refuse),
             (S::Body { .. }, E::Reset) => (S::Over(End::Reset), Action::None),
             (S::Body { .. }, E::Lost) => (S::Over(End::Lost), Action::None),
             // Not owed yet, or without an answer to drop.
-            (S::Body { .. }, E::Answer { .. } | E::Window { .. } | E::Crowded) => (self.state, Action::None),
+            (S::Body { .. }, E::Answer { .. } | E::Window { .. } | E::Crowded) => {
+                (self.state, Action::None)
+            }
 
             (S::Given, E::Answer { bytes: 0 }) => (S::Over(End::Answered), Action::Head),
             (S::Given, E::Answer { bytes }) => (S::Answering { left: bytes }, Action::Head),
@@ -165,7 +172,9 @@
             (S::Given, E::Reset) => (S::Over(End::Reset), Action::TellGone),
             (S::Given, E::Lost) => (S::Over(End::Lost), Action::TellGone),
             // It was read before the end and is answered.
-            (S::Given, E::Shut | E::Late | E::Crowded | E::Window { .. }) => (self.state, Action::None),
+            (S::Given, E::Shut | E::Late | E::Crowded | E::Window { .. }) => {
+                (self.state, Action::None)
+            }
             (S::Given, E::Data { .. } | E::Wrong { .. }) => (self.state, Action::None),
 
             (S::Answering { left }, E::Window { room: 0 }) => (S::Blocked { left }, Action::None),
@@ -181,8 +190,12 @@
                 (S::Over(End::Dropped), Action::Drop)
             }
             // The owner has given its answer and booked it out: nobody is to be told.
-            (S::Answering { .. } | S::Blocked { .. }, E::Reset) => (S::Over(End::Reset), Action::None),
-            (S::Answering { .. } | S::Blocked { .. }, E::Lost) => (S::Over(End::Lost), Action::None),
+            (S::Answering { .. } | S::Blocked { .. }, E::Reset) => {
+                (S::Over(End::Reset), Action::None)
+            }
+            (S::Answering { .. } | S::Blocked { .. }, E::Lost) => {
+                (S::Over(End::Lost), Action::None)
+            }
             (S::Answering { .. } | S::Blocked { .. }, _) => (self.state, Action::None),
         }
     }
--- a/crates/heathspur-streams/src/meter.rs
+++ b/crates/heathspur-streams/src/meter.rs
@@ -64,7 +64,14 @@
 impl Meter {
     /// The account of a connection that has sent its preface and nothing else.
     pub fn new(now: Time) -> Meter {
-        Meter { head: [0; HEAD], got: 0, skip: 0, balance: CREDIT, at: now, counts: Counts::default() }
+        Meter {
+            head: [0; HEAD],
+            got: 0,
+            skip: 0,
+            balance: CREDIT,
+            at: now,
+            counts: Counts::default(),
+        }
     }
 
     /// Takes bytes as they came, in pieces of any size.
--- a/crates/heathspur-streams/src/share.rs
+++ b/crates/heathspur-streams/src/share.rs
@@ -51,9 +51,19 @@
 impl Share {
     /// A front without connections. Bounds of 0 count as 1.
     pub fn new(bounds: Bounds) -> Share {
-        let bounds = Bounds { connection: bounds.connection.max(1), all: bounds.all.max(1), ..bounds };
+        let bounds = Bounds {
+            connection: bounds.connection.max(1),
+            all: bounds.all.max(1),
+            ..bounds
+        };
         let allowed = u64::from(bounds.all) * PART;
-        Share { bounds, connections: 0, open: 0, allowed, shrunk: None }
+        Share {
+            bounds,
+            connections: 0,
+            open: 0,
+            allowed,
+            shrunk: None,
+        }
     }
 
     /// A connection has come.
--- a/crates/heathspur-streams/tests/bounds.rs
+++ b/crates/heathspur-streams/tests/bounds.rs
@@ -10,7 +10,11 @@
 use std::collections::BTreeMap;
 
 fn share(connection: u32, all: u32) -> Share {
-    Share::new(share::Bounds { connection, all, receive: 4 << 20 })
+    Share::new(share::Bounds {
+        connection,
+        all,
+        receive: 4 << 20,
+    })
 }
 
 #[test]
@@ -80,20 +84,32 @@
 
 #[test]
 fn who_holds_most_gives_way_and_the_oldest_answer_first() {
-    let mut ledger = Ledger::new(ledger::Bounds { connection: 100, all: 140 });
+    let mut ledger = Ledger::new(ledger::Bounds {
+        connection: 100,
+        all: 140,
+    });
     let (stalled, good) = (Holder(1), Holder(2));
     for n in 0..9 {
         assert!(ledger.hold(stalled, Part(n), 10).is_empty());
     }
     assert!(ledger.hold(good, Part(1), 30).is_empty());
     // The budget of all is used up: the stalled one pays for the good one's answer.
-    assert_eq!(ledger.hold(good, Part(3), 40), [(stalled, Part(0)), (stalled, Part(1))]);
+    assert_eq!(
+        ledger.hold(good, Part(3), 40),
+        [(stalled, Part(0)), (stalled, Part(1))]
+    );
     // Its own bound holds for it as well.
-    let mut alone = Ledger::new(ledger::Bounds { connection: 100, all: 1000 });
+    let mut alone = Ledger::new(ledger::Bounds {
+        connection: 100,
+        all: 1000,
+    });
     for n in 0..10 {
         alone.hold(stalled, Part(n), 10);
     }
-    assert_eq!(alone.hold(stalled, Part(10), 15), [(stalled, Part(0)), (stalled, Part(1))]);
+    assert_eq!(
+        alone.hold(stalled, Part(10), 15),
+        [(stalled, Part(0)), (stalled, Part(1))]
+    );
     // One that is larger than all there is never waits.
     assert_eq!(alone.hold(good, Part(1), 2000), [(good, Part(1))]);
 }
@@ -220,7 +236,10 @@
         &request[..],
         &request,
         &reset,
-        &[frame(WINDOW_UPDATE, 0, &[0; 4]), frame(WINDOW_UPDATE, 0, &[0; 4])],
+        &[
+            frame(WINDOW_UPDATE, 0, &[0; 4]),
+            frame(WINDOW_UPDATE, 0, &[0; 4]),
+        ],
     ]
     .concat();
     assert_eq!(
@@ -248,15 +267,30 @@
 #[test]
 fn a_drain_names_the_highest_id_then_the_last_stream_and_refuses_what_follows() {
     let mut drain = Drain::new(1_000);
-    assert_eq!((drain.tick(Time(9)), drain.pong(), drain.takes()), (Step::None, Step::None, true));
+    assert_eq!(
+        (drain.tick(Time(9)), drain.pong(), drain.takes()),
+        (Step::None, Step::None, true)
+    );
     assert_eq!(drain.leave(Time(10)), Step::Announce);
-    assert_eq!((drain.leave(Time(11)), drain.next()), (Step::None, Some(Time(1_010))));
+    assert_eq!(
+        (drain.leave(Time(11)), drain.next()),
+        (Step::None, Some(Time(1_010)))
+    );
     assert!(drain.takes() && !drain.is_over(0));
     let mut silent = drain.clone();
     assert_eq!(drain.pong(), Step::Fix);
-    assert_eq!((drain.takes(), drain.is_over(1), drain.is_over(0)), (false, false, true));
-    assert_eq!((silent.tick(Time(1_009)), silent.tick(Time(1_010))), (Step::None, Step::Fix));
-    assert_eq!((silent.stage(), silent.pong(), silent.shut()), (Stage::Last, Step::None, Step::None));
+    assert_eq!(
+        (drain.takes(), drain.is_over(1), drain.is_over(0)),
+        (false, false, true)
+    );
+    assert_eq!(
+        (silent.tick(Time(1_009)), silent.tick(Time(1_010))),
+        (Step::None, Step::Fix)
+    );
+    assert_eq!(
+        (silent.stage(), silent.pong(), silent.shut()),
+        (Stage::Last, Step::None, Step::None)
+    );
     let mut at_once = Drain::new(1_000);
     assert_eq!((at_once.shut(), at_once.takes()), (Step::Fix, false));
 }
--- a/crates/heathspur-streams/tests/life.rs
+++ b/crates/heathspur-streams/tests/life.rs
@@ -6,9 +6,18 @@
 const MOST: u32 = 10;
 
 const EVENTS: [Event; 12] = [
-    Event::Data { bytes: 4, end: false },
-    Event::Data { bytes: 4, end: true },
-    Event::Data { bytes: 99, end: true },
+    Event::Data {
+        bytes: 4,
+        end: false,
+    },
+    Event::Data {
+        bytes: 4,
+        end: true,
+    },
+    Event::Data {
+        bytes: 99,
+        end: true,
+    },
     Event::Wrong { status: 400 },
     Event::Late,
     Event::Reset,
@@ -25,11 +34,25 @@
     let mut life = Life::new(MOST);
     let path: &[Event] = match state {
         State::Body { held: 0 } => &[],
-        State::Given => &[Event::Data { bytes: 4, end: true }],
-        State::Answering { .. } => &[Event::Data { bytes: 4, end: true }, Event::Answer { bytes: 6 }],
-        State::Blocked { .. } => {
-            &[Event::Data { bytes: 4, end: true }, Event::Answer { bytes: 6 }, Event::Window { room: 0 }]
-        }
+        State::Given => &[Event::Data {
+            bytes: 4,
+            end: true,
+        }],
+        State::Answering { .. } => &[
+            Event::Data {
+                bytes: 4,
+                end: true,
+            },
+            Event::Answer { bytes: 6 },
+        ],
+        State::Blocked { .. } => &[
+            Event::Data {
+                bytes: 4,
+                end: true,
+            },
+            Event::Answer { bytes: 6 },
+            Event::Window { room: 0 },
+        ],
         State::Over(End::Reset) => &[Event::Reset],
         other => panic!("{other:?}"),
     };
@@ -50,7 +73,13 @@
     let gone = over(End::Reset);
     let stays = |state: State| (state, A::None);
     let said = |status| (over(End::Answered), A::Say { status });
-    let sent = (S::Answering { left: 2 }, A::Send { bytes: 4, end: false });
+    let sent = (
+        S::Answering { left: 2 },
+        A::Send {
+            bytes: 4,
+            end: false,
+        },
+    );
     let dropped = (over(End::Dropped), A::Drop);
     // In the order of EVENTS.
     let table: [(State, [(State, Action); 12]); 5] = [
@@ -128,7 +157,11 @@
         for (event, (after, action)) in EVENTS.into_iter().zip(outcomes) {
             let mut life = at(state);
             let got = life.on(event);
-            assert_eq!((life.state(), got), (after, action), "{event:?} in {state:?}");
+            assert_eq!(
+                (life.state(), got),
+                (after, action),
+                "{event:?} in {state:?}"
+            );
         }
     }
 }
@@ -137,12 +170,36 @@
 fn a_body_may_come_in_pieces_and_no_longer_than_its_bound() {
     let mut life = Life::new(MOST);
     for _ in 0..MOST {
-        assert_eq!(life.on(Event::Data { bytes: 1, end: false }), Action::Keep);
+        assert_eq!(
+            life.on(Event::Data {
+                bytes: 1,
+                end: false
+            }),
+            Action::Keep
+        );
     }
     let mut longer = life.clone();
-    assert_eq!(life.on(Event::Data { bytes: 0, end: true }), Action::HandIn);
-    assert_eq!(longer.on(Event::Data { bytes: 1, end: true }), Action::Say { status: 413 });
-    assert_eq!(Life::new(MOST).on(Event::Data { bytes: u32::MAX, end: false }), Action::Say { status: 413 });
+    assert_eq!(
+        life.on(Event::Data {
+            bytes: 0,
+            end: true
+        }),
+        Action::HandIn
+    );
+    assert_eq!(
+        longer.on(Event::Data {
+            bytes: 1,
+            end: true
+        }),
+        Action::Say { status: 413 }
+    );
+    assert_eq!(
+        Life::new(MOST).on(Event::Data {
+            bytes: u32::MAX,
+            end: false
+        }),
+        Action::Say { status: 413 }
+    );
 }
 
 fn any_event() -> impl Strategy<Value = Event> {
--- a/crates/heathspur-streams/tests/model.rs
+++ b/crates/heathspur-streams/tests/model.rs
@@ -136,7 +136,9 @@
     }
 
     fn tell(&mut self, at: usize, event: Event, mutant: Mutant) {
-        let Some(life) = &mut self.streams[at].life else { return };
+        let Some(life) = &mut self.streams[at].life else {
+            return;
+        };
         match life.on(event) {
             Todo::TellGone => self.gone(at, mutant),
             Todo::HandIn => {
@@ -160,8 +162,16 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<Server> {
-        let stream = Stream { life: None, work: Work::Unknown, answers: 0, past: false };
-        let conn = Conn { drain: Drain::new(1), alive: true };
+        let stream = Stream {
+            life: None,
+            work: Work::Unknown,
+            answers: 0,
+            past: false,
+        };
+        let conn = Conn {
+            drain: Drain::new(1),
+            alive: true,
+        };
         vec![Server {
             streams: std::array::from_fn(|_| stream.clone()),
             conns: std::array::from_fn(|_| conn.clone()),
@@ -199,7 +209,12 @@
         if matches!(state.run, Run::Going(_)) {
             moves.push(Move::EndRun);
         }
-        for (at, conn) in state.conns.iter().enumerate().filter(|(_, conn)| conn.alive) {
+        for (at, conn) in state
+            .conns
+            .iter()
+            .enumerate()
+            .filter(|(_, conn)| conn.alive)
+        {
             moves.push(Move::Lose(at));
             if matches!(conn.drain.stage(), Stage::Announced(_)) {
                 moves.extend([Move::Pong(at), Move::Timeout(at)]);
@@ -218,7 +233,10 @@
         match step {
             Move::Open(at) => {
                 let drain = &state.conns[ON[at]].drain;
-                let (takes, past) = (drain.takes() || mutant == Mutant::TakesPastLast, !drain.takes());
+                let (takes, past) = (
+                    drain.takes() || mutant == Mutant::TakesPastLast,
+                    !drain.takes(),
+                );
                 let mut life = Life::new(BODY);
                 if !takes && life.on(Event::Shut) != Todo::Refuse {
                     return None;
@@ -226,7 +244,14 @@
                 let stream = &mut state.streams[at];
                 (stream.life, stream.past) = (Some(life), past);
             }
-            Move::Body(at) => state.tell(at, Event::Data { bytes: 1, end: true }, mutant),
+            Move::Body(at) => state.tell(
+                at,
+                Event::Data {
+                    bytes: 1,
+                    end: true,
+                },
+                mutant,
+            ),
             Move::Reset(at) => {
                 state.tell(at, Event::Reset, mutant);
                 if mutant == Mutant::AnsweredTwice && state.streams[at].answers > 0 {
@@ -265,11 +290,14 @@
                 state.answer(at);
             }
             Move::EndRun => {
-                let Run::Going(runner) = state.run else { return None };
+                let Run::Going(runner) = state.run else {
+                    return None;
+                };
                 state.run = Run::Ended;
                 state.answer(runner);
                 for at in 0..STREAMS {
-                    if state.streams[at].work == Work::Waiting && mutant != Mutant::WaitingForgotten {
+                    if state.streams[at].work == Work::Waiting && mutant != Mutant::WaitingForgotten
+                    {
                         state.answer(at);
                     }
                 }
@@ -302,7 +330,10 @@
                 "rule 1: whoever was handed in is owed by somebody, until answered once",
                 |_, s: &Server| {
                     s.streams.iter().all(|stream| {
-                        let given = stream.life.as_ref().is_some_and(|life| life.state() == State::Given);
+                        let given = stream
+                            .life
+                            .as_ref()
+                            .is_some_and(|life| life.state() == State::Given);
                         let owed = match stream.work {
                             Work::Held | Work::Running => true,
                             Work::Waiting => matches!(s.run, Run::Going(_)),
@@ -315,34 +346,43 @@
             Property::always(
                 "rule 1: what is over was answered, unless its caller went or let it lie",
                 |_, s: &Server| {
-                    s.streams.iter().filter_map(|stream| Some((stream, stream.life.as_ref()?))).all(
-                        |(stream, life)| match life.state() {
-                            State::Over(End::Answered) => stream.answers == 1 || stream.work == Work::Unknown,
+                    s.streams
+                        .iter()
+                        .filter_map(|stream| Some((stream, stream.life.as_ref()?)))
+                        .all(|(stream, life)| match life.state() {
+                            State::Over(End::Answered) => {
+                                stream.answers == 1 || stream.work == Work::Unknown
+                            }
                             State::Over(End::Refused) => stream.work == Work::Unknown,
                             _ => true,
-                        },
-                    )
+                        })
                 },
             ),
-            Property::always("rule 2: the key runs once, and is not refused once it ran", |_, s: &Server| {
-                s.runs <= 1 && !s.refused_after_run
-            }),
-            Property::always("rule 3: nothing runs that came past the last stream", |_, s: &Server| {
-                !s.ran_past
-            }),
+            Property::always(
+                "rule 2: the key runs once, and is not refused once it ran",
+                |_, s: &Server| s.runs <= 1 && !s.refused_after_run,
+            ),
+            Property::always(
+                "rule 3: nothing runs that came past the last stream",
+                |_, s: &Server| !s.ran_past,
+            ),
             Property::sometimes(
                 "a repeat on another connection has the result of a stream that was reset",
                 |_, s: &Server| {
                     s.runs == 1
-                        && s.streams[0].life.as_ref().is_some_and(|l| l.state() == State::Over(End::Reset))
+                        && s.streams[0]
+                            .life
+                            .as_ref()
+                            .is_some_and(|l| l.state() == State::Over(End::Reset))
                         && s.streams[0].work == Work::Done
                         && s.streams[2].answers == 1
                         && s.run == Run::Ended
                 },
             ),
-            Property::sometimes("all that was read is answered at the drain", |_, s: &Server| {
-                s.shut && s.streams.iter().all(|stream| stream.answers == 1)
-            }),
+            Property::sometimes(
+                "all that was read is answered at the drain",
+                |_, s: &Server| s.shut && s.streams.iter().all(|stream| stream.answers == 1),
+            ),
         ]
     }
 }
@@ -370,8 +410,11 @@
         Mutant::AnsweredTwice,
     ] {
         let checker = check(mutant);
-        let found: Vec<_> =
-            checker.discoveries().into_keys().filter(|name| name.starts_with("rule")).collect();
+        let found: Vec<_> = checker
+            .discoveries()
+            .into_keys()
+            .filter(|name| name.starts_with("rule"))
+            .collect();
         assert!(!found.is_empty(), "{mutant:?} breaks no rule");
     }
 }
--- a/crates/heathspur-wire/src/framing.rs
+++ b/crates/heathspur-wire/src/framing.rs
@@ -63,7 +63,11 @@
 ) -> Result<Option<Head>, Fault> {
     let within = &bytes[..bytes.len().min(limit)];
     let Some(at) = memchr::memmem::find(within, b"\r\n\r\n") else {
-        return if bytes.len() >= limit { Err(Fault::HeadTooLarge) } else { Ok(None) };
+        return if bytes.len() >= limit {
+            Err(Fault::HeadTooLarge)
+        } else {
+            Ok(None)
+        };
     };
     let end = at + 4;
     let line = memchr::memmem::find(&bytes[..end], b"\r\n").ok_or(Fault::Malformed)?;
@@ -79,7 +83,11 @@
                 return Err(Fault::BadLength);
             }
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            let last = value.rsplit(|&b| b == b',').next().unwrap_or(value).trim_ascii();
+            let last = value
+                .rsplit(|&b| b == b',')
+                .next()
+                .unwrap_or(value)
+                .trim_ascii();
             chunked = last.eq_ignore_ascii_case(b"chunked");
             if !chunked && kind == Kind::Request {
                 return Err(Fault::Coded);
@@ -87,16 +95,24 @@
         }
     }
     let length = match kind {
-        Kind::Answer { to_head: true, .. } | Kind::Answer { status: 100..=199 | 204 | 304, .. } => {
-            Length::Bytes(0)
-        }
+        Kind::Answer { to_head: true, .. }
+        | Kind::Answer {
+            status: 100..=199 | 204 | 304,
+            ..
+        } => Length::Bytes(0),
         _ if chunked && told.is_some() => return Err(Fault::BadLength),
         _ if chunked => Length::Chunked,
         Kind::Request => Length::Bytes(told.unwrap_or(0)),
         Kind::Answer { .. } => told.map_or(Length::UntilClose, Length::Bytes),
     };
     let close = says_close(Fields::over(&bytes[fields.clone()]));
-    Ok(Some(Head { first: 0..line, fields, end, length, close }))
+    Ok(Some(Head {
+        first: 0..line,
+        fields,
+        end,
+        length,
+        close,
+    }))
 }
 
 /// Looks for the end of a chunked body that comes in pieces, without looking at any byte of a chunk.
@@ -118,9 +134,16 @@
     /// A size that is none, or a line or trailers past their bound of 4 KiB.
     pub fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, Fault> {
         while self.trailers.is_none() {
-            let Some(rest) = bytes.get(self.at..) else { return Ok(None) };
-            let Some(line) = memchr::memmem::find(&rest[..rest.len().min(CHUNK_LINE)], b"\r\n") else {
-                return if rest.len() >= CHUNK_LINE { Err(Fault::BadLength) } else { Ok(None) };
+            let Some(rest) = bytes.get(self.at..) else {
+                return Ok(None);
+            };
+            let Some(line) = memchr::memmem::find(&rest[..rest.len().min(CHUNK_LINE)], b"\r\n")
+            else {
+                return if rest.len() >= CHUNK_LINE {
+                    Err(Fault::BadLength)
+                } else {
+                    Ok(None)
+                };
             };
             let size = size(&rest[..line]).ok_or(Fault::BadLength)?;
             if size == 0 {
@@ -128,13 +151,18 @@
             } else {
                 let end = self.at as u64 + line as u64 + 2 + size;
                 let after = usize::try_from(end + 2).map_err(|_| Fault::BodyTooLarge)?;
-                if bytes.get(end as usize..after).is_some_and(|end| end != b"\r\n") {
+                if bytes
+                    .get(end as usize..after)
+                    .is_some_and(|end| end != b"\r\n")
+                {
                     return Err(Fault::BadLength);
                 }
                 self.at = after;
             }
         }
-        let Some(from) = self.trailers else { return Ok(None) };
+        let Some(from) = self.trailers else {
+            return Ok(None);
+        };
         let rest = &bytes[from..];
         if rest.starts_with(b"\r\n") {
             return Ok(Some(from + 2));
--- a/crates/heathspur-wire/src/http.rs
+++ b/crates/heathspur-wire/src/http.rs
@@ -76,14 +76,20 @@
 impl Reader {
     /// A reader that has seen nothing yet.
     pub fn new(limits: Limits) -> Reader {
-        Reader { limits, seen: 0, message: None }
+        Reader {
+            limits,
+            seen: 0,
+            message: None,
+        }
     }
 
     /// The message at the front of `bytes`, once it is whole; the reader is then ready for the next, which
     /// starts where that message's body ends.
     pub fn read(&mut self, bytes: &[u8]) -> Result<Option<Message>, Fault> {
         if self.message.is_none() {
-            let Some(head) = self.head_end(bytes)? else { return Ok(None) };
+            let Some(head) = self.head_end(bytes)? else {
+                return Ok(None);
+            };
             self.message = Some(parse(bytes, head, self.limits)?);
         }
         match self.message.take_if(|m| bytes.len() >= m.body.end) {
@@ -128,7 +134,11 @@
     if length > limits.body as u64 {
         return Err(Fault::BodyTooLarge);
     }
-    Ok(Message { first: 0..line, fields, body: head..head + length as usize })
+    Ok(Message {
+        first: 0..line,
+        fields,
+        body: head..head + length as usize,
+    })
 }
 
 /// Decimal digits and nothing else.
@@ -162,7 +172,8 @@
         let end = memchr::memmem::find(self.rest, b"\r\n").unwrap_or(self.rest.len());
         let line = &self.rest[..end];
         self.rest = self.rest.get(end + 2..).unwrap_or(&[]);
-        let field = memchr::memchr(b':', line).map(|colon| (&line[..colon], line[colon + 1..].trim_ascii()));
+        let field = memchr::memchr(b':', line)
+            .map(|colon| (&line[..colon], line[colon + 1..].trim_ascii()));
         Some(match field {
             Some((name, value))
                 if token(name) && value.iter().all(|&b| b == b'\t' || b >= b' ' && b != 127) =>
@@ -176,7 +187,10 @@
 
 /// The characters of a method or a field's name.
 fn token(name: &[u8]) -> bool {
-    !name.is_empty() && name.iter().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b))
+    !name.is_empty()
+        && name
+            .iter()
+            .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b))
 }
 
 /// Method and target of a request's first line.
@@ -206,12 +220,20 @@
 pub fn says_close(fields: Fields<'_>) -> bool {
     fields.filter_map(Result::ok).any(|(name, value)| {
         name.eq_ignore_ascii_case(b"connection")
-            && value.split(|&b| b == b',').any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
+            && value
+                .split(|&b| b == b',')
+                .any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
     })
 }
 
 /// Appends an answer. Each field is a name and a number; a body without bytes is told as such.
-pub fn write_answer(out: &mut Vec<u8>, status: u16, fields: &[(&str, f64)], last: Last, body: &[u8]) {
+pub fn write_answer(
+    out: &mut Vec<u8>,
+    status: u16,
+    fields: &[(&str, f64)],
+    last: Last,
+    body: &[u8],
+) {
     out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
     for (name, value) in fields {
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
@@ -226,7 +248,8 @@
 /// Appends a call to another service.
 pub fn write_call(out: &mut Vec<u8>, method: &str, target: &str, host: &str, body: &[u8]) {
     let length = body.len();
-    let head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n");
+    let head =
+        format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n");
     out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(body);
 }
--- a/crates/heathspur-wire/src/interpreter.rs
+++ b/crates/heathspur-wire/src/interpreter.rs
@@ -127,7 +127,9 @@
     let task = line.task.clone().ok_or_else(|| need("task"));
     let body = || {
         let text = line.bytes.as_deref().unwrap_or("");
-        STANDARD.decode(text).map_err(|e| Nonsense(format!("bytes are no base64: {e}")))
+        STANDARD
+            .decode(text)
+            .map_err(|e| Nonsense(format!("bytes are no base64: {e}")))
     };
     let outcome = line.outcome.as_deref();
     Ok(match &*line.verb {
@@ -151,16 +153,26 @@
             },
             body: body()?,
         },
-        "AWAIT" => Notice::Await { index: index?, task: task?, body: body()? },
-        "TOPS" => {
-            Notice::Tops { nonce: line.nonce.clone().ok_or_else(|| need("nonce"))?, readings: line.readings }
-        }
+        "AWAIT" => Notice::Await {
+            index: index?,
+            task: task?,
+            body: body()?,
+        },
+        "TOPS" => Notice::Tops {
+            nonce: line.nonce.clone().ok_or_else(|| need("nonce"))?,
+            readings: line.readings,
+        },
         "ERROR" => Notice::Refused {
             command: line.outcome.clone().unwrap_or_default(),
             task: line.task.clone().unwrap_or_default(),
         },
         "TRACE" => Notice::Trace { index: index? },
-        other => return Err(Nonsense(format!("no notice {:?}", other.chars().take(40).collect::<String>()))),
+        other => {
+            return Err(Nonsense(format!(
+                "no notice {:?}",
+                other.chars().take(40).collect::<String>()
+            )))
+        }
     })
 }
 
--- a/crates/heathspur-wire/src/store.rs
+++ b/crates/heathspur-wire/src/store.rs
@@ -52,7 +52,11 @@
 pub fn read(bytes: &[u8]) -> Result<Option<Reply>, Nonsense> {
     let window = &bytes[..bytes.len().min(LINE)];
     let Some(end) = memchr::memmem::find(window, b"\r\n") else {
-        return if bytes.len() >= LINE { Err(Nonsense) } else { Ok(None) };
+        return if bytes.len() >= LINE {
+            Err(Nonsense)
+        } else {
+            Ok(None)
+        };
     };
     let mut words = bytes[..end].split(|&b| b == b' ');
     let (id, word) = (words.next().unwrap_or(b""), words.next().unwrap_or(b""));
@@ -70,12 +74,24 @@
     };
     let from = end + 2;
     let Some(length) = length else {
-        return Ok(Some(Reply { id: 0..id.len(), word, body: from..from, end: from }));
+        return Ok(Some(Reply {
+            id: 0..id.len(),
+            word,
+            body: from..from,
+            end: from,
+        }));
     };
-    let length = crate::http::number(length).filter(|&n| n <= REPLY as u64).ok_or(Nonsense)? as usize;
+    let length = crate::http::number(length)
+        .filter(|&n| n <= REPLY as u64)
+        .ok_or(Nonsense)? as usize;
     let body = from..from + length;
     match bytes.get(body.end..body.end + 2) {
-        Some(b"\r\n") => Ok(Some(Reply { id: 0..id.len(), word, end: body.end + 2, body })),
+        Some(b"\r\n") => Ok(Some(Reply {
+            id: 0..id.len(),
+            word,
+            end: body.end + 2,
+            body,
+        })),
         Some(_) => Err(Nonsense),
         None => Ok(None),
     }
--- a/crates/heathspur-wire/tests/http.rs
+++ b/crates/heathspur-wire/tests/http.rs
@@ -2,7 +2,10 @@
 
 use heathspur_wire::http::*;
 
-const LIMITS: Limits = Limits { head: 512, body: 64 };
+const LIMITS: Limits = Limits {
+    head: 512,
+    body: 64,
+};
 
 fn read(bytes: &[u8]) -> Result<Option<Message>, Fault> {
     Reader::new(LIMITS).read(bytes)
@@ -12,7 +15,8 @@
     read(bytes).unwrap_err()
 }
 
-const TWO: &[u8] = b"POST /svc/look HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\nX-Txn:  a b \r\n\r\nab\r\nc\
+const TWO: &[u8] =
+    b"POST /svc/look HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\nX-Txn:  a b \r\n\r\nab\r\nc\
     GET /status/live HTTP/1.1\r\n\r\n";
 
 #[test]
@@ -23,19 +27,32 @@
             held.extend_from_slice(part);
             while let Some(m) = reader.read(&held).unwrap() {
                 let fields: Vec<_> = Fields::over(&held[m.fields.clone()])
-                    .map(|f| f.map(|(n, v)| (n.to_ascii_lowercase(), v.to_vec())).unwrap())
+                    .map(|f| {
+                        f.map(|(n, v)| (n.to_ascii_lowercase(), v.to_vec()))
+                            .unwrap()
+                    })
                     .collect();
-                found.push((held[m.first.clone()].to_vec(), fields, held[m.body.clone()].to_vec()));
+                found.push((
+                    held[m.first.clone()].to_vec(),
+                    fields,
+                    held[m.body.clone()].to_vec(),
+                ));
                 held.drain(..m.body.end);
             }
         }
         assert!(held.is_empty(), "split at {split}");
         assert_eq!(found.len(), 2, "split at {split}");
-        assert_eq!(request_line(&found[0].0), Ok((&b"POST"[..], &b"/svc/look"[..])));
+        assert_eq!(
+            request_line(&found[0].0),
+            Ok((&b"POST"[..], &b"/svc/look"[..]))
+        );
         assert_eq!(found[0].1[1], (b"content-length".to_vec(), b"5".to_vec()));
         assert_eq!(found[0].1[2], (b"x-txn".to_vec(), b"a b".to_vec()));
         assert_eq!(found[0].2, b"ab\r\nc");
-        assert_eq!(request_line(&found[1].0), Ok((&b"GET"[..], &b"/status/live"[..])));
+        assert_eq!(
+            request_line(&found[1].0),
+            Ok((&b"GET"[..], &b"/status/live"[..]))
+        );
         assert!(found[1].2.is_empty());
     }
 }
@@ -68,8 +85,13 @@
 
 #[test]
 fn a_body_at_its_bound_is_taken_and_one_past_it_is_not() {
-    let with =
-        |n: usize| format!("POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n{}", "b".repeat(n)).into_bytes();
+    let with = |n: usize| {
+        format!(
+            "POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n{}",
+            "b".repeat(n)
+        )
+        .into_bytes()
+    };
     assert_eq!(read(&with(64)).unwrap().unwrap().body.len(), 64);
     assert_eq!(fault(&with(65)), Fault::BodyTooLarge);
     assert_eq!(Fault::BodyTooLarge.status(), 413);
@@ -77,7 +99,16 @@
 
 #[test]
 fn a_length_must_be_one_number() {
-    for bad in ["x", "-1", "+1", "1 1", "", "0x1", "99999999999999999999999", "1,1"] {
+    for bad in [
+        "x",
+        "-1",
+        "+1",
+        "1 1",
+        "",
+        "0x1",
+        "99999999999999999999999",
+        "1,1",
+    ] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: {bad}\r\n\r\n");
         assert_eq!(fault(text.as_bytes()), Fault::BadLength, "{bad:?}");
     }
@@ -87,8 +118,18 @@
 
 #[test]
 fn codings_and_lines_that_are_no_fields_are_refused() {
-    assert_eq!(fault(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), Fault::Coded);
-    for bad in ["no colon", " folded: x", ": empty", "sp ace: x", "a: b\u{1}c", "a: bare\nb: x"] {
+    assert_eq!(
+        fault(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Fault::Coded
+    );
+    for bad in [
+        "no colon",
+        " folded: x",
+        ": empty",
+        "sp ace: x",
+        "a: b\u{1}c",
+        "a: bare\nb: x",
+    ] {
         let text = format!("GET / HTTP/1.1\r\n{bad}\r\n\r\n");
         assert_eq!(fault(text.as_bytes()), Fault::Malformed, "{bad:?}");
     }
@@ -105,35 +146,71 @@
         "GET /\u{e4} HTTP/1.1",
         "GET / HTTP/1.1 ",
     ] {
-        assert_eq!(request_line(bad.as_bytes()), Err(Fault::Malformed), "{bad:?}");
+        assert_eq!(
+            request_line(bad.as_bytes()),
+            Err(Fault::Malformed),
+            "{bad:?}"
+        );
     }
     assert_eq!(status_line(b"HTTP/1.1 204 No Content"), Ok(204));
     assert_eq!(status_line(b"HTTP/1.1 204"), Ok(204));
-    for bad in ["HTTP/1.0 204 x", "HTTP/1.1 2", "HTTP/1.1 2045", "HTTP/1.1 abc", ""] {
-        assert_eq!(status_line(bad.as_bytes()), Err(Fault::Malformed), "{bad:?}");
+    for bad in [
+        "HTTP/1.0 204 x",
+        "HTTP/1.1 2",
+        "HTTP/1.1 2045",
+        "HTTP/1.1 abc",
+        "",
+    ] {
+        assert_eq!(
+            status_line(bad.as_bytes()),
+            Err(Fault::Malformed),
+            "{bad:?}"
+        );
     }
 }
 
 #[test]
 fn close_is_heard_among_other_words() {
-    assert!(says_close(Fields::over(b"connection: Keep-Alive , CLOSE\r\n")));
-    assert!(!says_close(Fields::over(b"connection: keep-alive\r\nx-close: close\r\n")));
+    assert!(says_close(Fields::over(
+        b"connection: Keep-Alive , CLOSE\r\n"
+    )));
+    assert!(!says_close(Fields::over(
+        b"connection: keep-alive\r\nx-close: close\r\n"
+    )));
 }
 
 #[test]
 fn what_is_written_is_read_back() {
     let mut out = Vec::new();
-    write_answer(&mut out, 503, &[("X-Throttle-Ms", 250.0), ("X-Capacity", 0.125)], Last::Yes, b"\0\xff");
+    write_answer(
+        &mut out,
+        503,
+        &[("X-Throttle-Ms", 250.0), ("X-Capacity", 0.125)],
+        Last::Yes,
+        b"\0\xff",
+    );
     let m = read(&out).unwrap().unwrap();
     assert_eq!(status_line(&out[m.first.clone()]), Ok(503));
     assert!(says_close(Fields::over(&out[m.fields.clone()])));
     assert!(Fields::over(&out[m.fields.clone()]).any(|f| f == Ok((b"X-Throttle-Ms", b"250"))));
     assert!(Fields::over(&out[m.fields.clone()]).any(|f| f == Ok((b"X-Capacity", b"0.125"))));
-    assert_eq!((&out[m.body.clone()], m.body.end), (&b"\0\xff"[..], out.len()));
+    assert_eq!(
+        (&out[m.body.clone()], m.body.end),
+        (&b"\0\xff"[..], out.len())
+    );
     out.clear();
-    write_call(&mut out, "PUT", "/announce/n3", "host", br#"{"accepting":"true"}"#);
+    write_call(
+        &mut out,
+        "PUT",
+        "/announce/n3",
+        "host",
+        br#"{"accepting":"true"}"#,
+    );
     let m = read(&out).unwrap().unwrap();
-    assert_eq!(request_line(&out[m.first]), Ok((&b"PUT"[..], &b"/announce/n3"[..])));
+    assert_eq!(
+        request_line(&out[m.first]),
+        Ok((&b"PUT"[..], &b"/announce/n3"[..]))
+    );
     assert_eq!(m.body.len(), 20);
 }
 
@@ -155,7 +232,9 @@
     ];
     let mut state = 7u64;
     let mut draw = move || {
-        state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        state = state
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (state >> 33) as usize
     };
     for _ in 0..20_000 {
--- a/crates/heathspur/src/decide.rs
+++ b/crates/heathspur/src/decide.rs
@@ -174,7 +174,10 @@
     /// Learns from a run of that size by its hint that took so many seconds.
     fn learn_run(&mut self, took: f64, size: f64) {
         if self.run.count > 0.0 {
-            self.follows.add((took / self.run.value.max(1e-6) - 1.0) * (size - 1.0), RUN_WEIGHT);
+            self.follows.add(
+                (took / self.run.value.max(1e-6) - 1.0) * (size - 1.0),
+                RUN_WEIGHT,
+            );
             self.squares.add((size - 1.0) * (size - 1.0), RUN_WEIGHT);
         }
         self.run.add(took / size, RUN_WEIGHT);
@@ -183,7 +186,11 @@
     /// A request's size as far as hints have told run times so far; all of it until shown otherwise.
     fn telling(&self, size: f64) -> f64 {
         let shown = self.squares.count >= HINT_SAMPLES && self.squares.value > HINT_SPREAD;
-        let part = if shown { (self.follows.value / self.squares.value).clamp(0.0, 1.0) } else { 1.0 };
+        let part = if shown {
+            (self.follows.value / self.squares.value).clamp(0.0, 1.0)
+        } else {
+            1.0
+        };
         1.0 + (size - 1.0) * part
     }
 }
@@ -276,25 +283,42 @@
 impl Server {
     /// A server that has just started, with nothing but its settings.
     pub fn new(set: Settings, seed: u64) -> Server {
-        let (n, cores, servers) = (set.classes.len(), set.cores.max(1) as f64, set.servers.max(1) as f64);
+        let (n, cores, servers) = (
+            set.classes.len(),
+            set.cores.max(1) as f64,
+            set.servers.max(1) as f64,
+        );
         // The lines by worth: that of the class, less beyond a tenant's share.
-        let worth =
-            |line: &usize| set.classes[line / 2].worth * [1.0, set.over_share_worth.max(0.01)][line % 2];
+        let worth = |line: &usize| {
+            set.classes[line / 2].worth * [1.0, set.over_share_worth.max(0.01)][line % 2]
+        };
         let mut order: Vec<usize> = (0..2 * n).collect();
         order.sort_by(|a, b| worth(b).total_cmp(&worth(a)));
         let share = |t: &Tenant| {
             let rate = t.quota_per_s / servers;
-            TenantShare { tokens: rate * QUOTA_BURST + QUOTA_CHANCE, arrivals: 0.0, rate }
+            TenantShare {
+                tokens: rate * QUOTA_BURST + QUOTA_CHANCE,
+                arrivals: 0.0,
+                rate,
+            }
         };
         Server {
             random: seed,
             holds: vec![VecDeque::new(); 2 * n],
             order,
-            controls: (0..n).map(|_| Control { budget: MIN_BUDGET, ..Control::default() }).collect(),
+            controls: (0..n)
+                .map(|_| Control {
+                    budget: MIN_BUDGET,
+                    ..Control::default()
+                })
+                .collect(),
             tenants: set.tenants.iter().map(share).collect(),
             cap: cores,
             fit: 1.0,
-            taken: Mean { value: 1.0, count: 1.0 / FAST },
+            taken: Mean {
+                value: 1.0,
+                count: 1.0 / FAST,
+            },
             call_cap: match set.dependency {
                 Dependency::Shared { part, .. } => PART_LEAST * part,
                 _ => 1.0,
@@ -314,22 +338,35 @@
             self.born = Some(now);
             (self.paced_at, self.progress, self.period_at) = (now, now, now);
             self.draw_first_call();
-            self.out.push(Action::Health { good: true, stored: self.set.deep_checks });
+            self.out.push(Action::Health {
+                good: true,
+                stored: self.set.deep_checks,
+            });
             swept = true;
         }
         for event in events {
             match event {
                 Event::Request(r) => self.take(r),
-                Event::Done { id, outcome, latency } => self.done(*id, *outcome, *latency),
+                Event::Done {
+                    id,
+                    outcome,
+                    latency,
+                } => self.done(*id, *outcome, *latency),
                 Event::NeedsCall(id) => self.needs_call(*id),
-                Event::Called { id, outcome, latency } => self.called(*id, *outcome, *latency),
+                Event::Called {
+                    id,
+                    outcome,
+                    latency,
+                } => self.called(*id, *outcome, *latency),
                 Event::Gone(id) => self.gone(*id),
                 Event::Drain(left) => self.leave(*left),
                 Event::Timer { gauges, .. } => {
                     (self.open, swept) = (gauges.connections.unwrap_or(0.0), true);
                     self.busy = gauges.cpu;
-                    self.on_disk =
-                        self.on_core - gauges.runnable.map_or(self.on_core, |r| self.on_core.min(r as usize));
+                    self.on_disk = self.on_core
+                        - gauges
+                            .runnable
+                            .map_or(self.on_core, |r| self.on_core.min(r as usize));
                 }
             }
         }
@@ -338,7 +375,10 @@
             if self.now - self.period_at >= Span::from_secs(PERIOD) {
                 self.control();
             }
-            self.out.push(Action::Timer { after: Span::from_secs(SWEEP), token: Token(0) });
+            self.out.push(Action::Timer {
+                after: Span::from_secs(SWEEP),
+                token: Token(0),
+            });
         }
         self.calls();
         self.dispatch();
@@ -365,12 +405,15 @@
         let class = &self.set.classes[k];
         let (effect, window) = (class.effect, class.window);
         let arrived = self.now - r.waited;
-        let due = r.patience.map_or(arrived + class.give_up, |left| self.now + left);
+        let due = r
+            .patience
+            .map_or(arrived + class.give_up, |left| self.now + left);
         let cost = r.cost.unwrap_or(1.0).max(1e-6);
         self.controls[k].cost.add(cost, SLOW);
         let size = (cost / self.controls[k].cost.value).clamp(1.0 / SIZE_MOST, SIZE_MOST);
         let run = self.controls[k].run.or(RUN_GUESS * class.aim.secs());
-        let aim_span = Span::from_secs(class.aim.secs() + class.aim_stretch * run * size).min(class.give_up);
+        let aim_span =
+            Span::from_secs(class.aim.secs() + class.aim_stretch * run * size).min(class.give_up);
         // A told patience tells the age of the first try only where more of it is left than an answer may be
         // late: a try may be given up long before the client is. No first try is younger than this one.
         let late_span = Span(class.give_up.0 - aim_span.0);
@@ -399,7 +442,9 @@
         let line = req.line;
         let admitted = effect != Effect::Keyed || self.link(r.id, &mut req, window);
         self.reqs.insert(r.id, req);
-        let too_late = self.drain.is_some_and(|(since, _)| arrived > since + self.set.drain_grace);
+        let too_late = self
+            .drain
+            .is_some_and(|(since, _)| arrived > since + self.set.drain_grace);
         if self.now + self.margin() >= due || too_late || !admitted || self.stalled {
             self.give_up(r.id);
         } else if self.group_ran(r.id) {
@@ -413,7 +458,9 @@
     /// Whether a request is within its tenant's local share. Further tries spend nothing: they take the
     /// standing that their tenant has now.
     fn within_share(&mut self, tenant: usize, retry: bool) -> bool {
-        let Some(t) = self.tenants.get_mut(tenant) else { return true };
+        let Some(t) = self.tenants.get_mut(tenant) else {
+            return true;
+        };
         let (within, spent) = (t.tokens >= 1.0, f64::from(u8::from(!retry)));
         t.arrivals += spent;
         t.tokens -= if within { spent } else { 0.0 };
@@ -425,15 +472,22 @@
     /// Each try is entered when read, so a repeat is known while the first is held, run or remembered.
     fn link(&mut self, id: RequestId, req: &mut Req, window: Span) -> bool {
         let now = self.now;
-        let root = req.repeats.map_or(id, |prior| self.links.get(&prior).copied().unwrap_or(prior));
+        let root = req
+            .repeats
+            .map_or(id, |prior| self.links.get(&prior).copied().unwrap_or(prior));
         // A repeat of what we know nothing of: some try of it has run.
         let ran = req.repeats.is_some() && !self.groups.contains_key(&root);
         let leave = KEY_LEAVES * self.set.cores as f64 * self.kb.value * self.set.run_factor;
         let (most, entries) = (HOLD_MEMORY * self.set.memory_kb, (self.entries + 1) as f64);
-        let fits = entries * self.set.key_kb <= most - leave && self.memory + self.set.key_kb <= most;
+        let fits =
+            entries * self.set.key_kb <= most - leave && self.memory + self.set.key_kb <= most;
         let forget_at = now + Span(2 * window.0);
-        let group =
-            self.groups.entry(root).or_insert(Group { ran, entry: None, held: Vec::new(), forget_at });
+        let group = self.groups.entry(root).or_insert(Group {
+            ran,
+            entry: None,
+            held: Vec::new(),
+            forget_at,
+        });
         group.forget_at = forget_at;
         self.links.insert(id, root);
         req.root = Some(root);
@@ -455,13 +509,16 @@
 
     fn group_ran(&self, id: RequestId) -> bool {
         let root = self.reqs.get(&id).and_then(|r| r.root);
-        root.and_then(|root| self.groups.get(&root)).is_some_and(|g| g.ran)
+        root.and_then(|root| self.groups.get(&root))
+            .is_some_and(|g| g.ran)
     }
 
     /// Answers a repeat with the result of the try that runs or ran; fails it where memory is short, since
     /// one that waits for a result can no longer be shed.
     fn attach(&mut self, id: RequestId) {
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+        let Some(req) = self.reqs.get_mut(&id) else {
+            return;
+        };
         req.phase = Phase::Attached;
         if req.repeats.is_some() && self.memory <= HOLD_MEMORY * self.set.memory_kb {
             self.out.push(Action::Reuse(id));
@@ -515,7 +572,11 @@
     /// Drops what has ended from a hold's head; true when something is left.
     fn trim(&mut self, line: usize) -> bool {
         while let Some(id) = self.holds[line].front() {
-            if self.reqs.get(id).is_some_and(|r| r.phase == Phase::Held && r.owed) {
+            if self
+                .reqs
+                .get(id)
+                .is_some_and(|r| r.phase == Phase::Held && r.owed)
+            {
                 return true;
             }
             self.holds[line].pop_front();
@@ -525,7 +586,9 @@
 
     fn start(&mut self, id: RequestId, extra: f64) {
         let crowd = self.on_core as f64 + 1.0;
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+        let Some(req) = self.reqs.get_mut(&id) else {
+            return;
+        };
         (req.phase, req.ran, req.crowd, req.began) = (Phase::Running, true, crowd, self.now);
         let control = &mut self.controls[req.class];
         if req.line % 2 == 0 {
@@ -543,7 +606,12 @@
         if let Some(group) = root.and_then(|root| self.groups.get_mut(&root)) {
             group.ran = true;
             for other in std::mem::take(&mut group.held) {
-                if other != id && self.reqs.get(&other).is_some_and(|r| r.owed && r.phase == Phase::Held) {
+                if other != id
+                    && self
+                        .reqs
+                        .get(&other)
+                        .is_some_and(|r| r.owed && r.phase == Phase::Held)
+                {
                     self.attach(other);
                 }
             }
@@ -554,7 +622,9 @@
 
     fn needs_call(&mut self, id: RequestId) {
         self.progress = self.now;
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+        let Some(req) = self.reqs.get_mut(&id) else {
+            return;
+        };
         if req.phase != Phase::Running {
             return;
         }
@@ -581,7 +651,11 @@
             let room = most > 0.0;
             let r = &self.reqs[&id];
             let class = &self.set.classes[r.class];
-            let useful = if class.late_worth > 0.0 { r.due } else { r.aim.min(r.due) };
+            let useful = if class.late_worth > 0.0 {
+                r.due
+            } else {
+                r.aim.min(r.due)
+            };
             let left = (useful - self.margin()) - self.now;
             let waited = (self.now - reached).secs() > SKIP_WAIT * class.aim.secs();
             let hopeless = (r.aim - self.now).secs() < self.call_time.value;
@@ -591,7 +665,11 @@
             } else if r.tries >= tries || left.0 == 0 {
                 self.give_up(id);
             } else if room {
-                let mut limit = if can_skip { Span::from_secs(left.secs() * 0.5) } else { left };
+                let mut limit = if can_skip {
+                    Span::from_secs(left.secs() * 0.5)
+                } else {
+                    left
+                };
                 let mut usual = self.call_time;
                 if self.shared().is_some() {
                     // A place in the dependency is worth more to a call that must be made.
@@ -622,13 +700,17 @@
     /// stay under our part of it, so no servers together push the dependency over. The pace: calls in hand
     /// come to `call_cap` in the mean, which may be far less than one.
     fn call_room(&mut self, can_skip: bool) -> f64 {
-        let Some((part, over, linger)) = self.shared() else { return f64::MAX };
+        let Some((part, over, linger)) = self.shared() else {
+            return f64::MAX;
+        };
         self.count_hands();
         let usual = CALL_HANG * self.call_time.or(linger);
         let whole = PART_USED * part * over - linger;
         let left = whole - self.promised - self.spent.iter().map(|s| s.1).sum::<f64>();
         let kept = if can_skip { PACE_KEPT } else { 0.0 };
-        let saved = self.rare_call().map_or(PACE_BURST * self.call_cap, |call| PACE_SLOT * call);
+        let saved = self
+            .rare_call()
+            .map_or(PACE_BURST * self.call_cap, |call| PACE_SLOT * call);
         let in_slot = self.rare_call().is_none() || self.pace < saved;
         let paced = self.call_cap >= 1.0 || in_slot && self.pace >= kept * saved;
         let at_once = (self.calling as f64) < self.call_cap.max(1.0).floor();
@@ -638,7 +720,9 @@
     /// Our part of a shared dependency, the seconds of its mean, and of an abandoned call there. The mean
     /// is longer than told where the part is so small that it would never hold one usual call.
     fn shared(&self) -> Option<(f64, f64, f64)> {
-        let Dependency::Shared { part, over, linger } = self.set.dependency else { return None };
+        let Dependency::Shared { part, over, linger } = self.set.dependency else {
+            return None;
+        };
         let (part, linger) = (part.max(1e-6), linger.secs());
         let one = 2.0 * (linger + self.call_time.or(linger));
         Some((part, over.secs().max(one / (PART_USED * part)), linger))
@@ -649,7 +733,9 @@
     /// is worth less than a call in the time of the mean. A cold one pays twice, since the process before it
     /// spent on the same time. Hurts one that starts alone: it waits all the same.
     fn draw_first_call(&mut self) {
-        let Some((part, over, linger)) = self.shared() else { return };
+        let Some((part, over, linger)) = self.shared() else {
+            return;
+        };
         let first = FIRST_LINGERS * linger * [1.0, 2.0][usize::from(self.set.cold)];
         self.pace = -self.chance() * (first / (PART_USED * part)).min(over) * self.call_cap;
     }
@@ -659,14 +745,19 @@
     /// at a moment that is each server's own. Else all that are idle would begin one when requests reach
     /// them at once. Hurts where requests are rare: the first waits for the slot, though nobody else calls.
     fn rare_call(&self) -> Option<f64> {
-        let Dependency::Shared { over, linger, .. } = self.set.dependency else { return None };
+        let Dependency::Shared { over, linger, .. } = self.set.dependency else {
+            return None;
+        };
         let call = self.call_time.or(linger.secs());
         (call > self.call_cap * over.secs()).then_some(call)
     }
 
     /// Brings what calls in hand and ended calls take up to now.
     fn count_hands(&mut self) {
-        let (passed, over) = ((self.now - self.paced_at).secs(), self.shared().map_or(0.0, |s| s.1));
+        let (passed, over) = (
+            (self.now - self.paced_at).secs(),
+            self.shared().map_or(0.0, |s| s.1),
+        );
         self.paced_at = self.now;
         let (most, least) = (PACE_BURST * self.call_cap, -over * self.call_cap);
         let pace = (self.pace + (self.call_cap - self.calling as f64) * passed).max(least);
@@ -681,13 +772,18 @@
     }
 
     fn called(&mut self, id: RequestId, outcome: Outcome, latency: Span) {
-        let Some(req) = self.reqs.get(&id) else { return };
-        let Phase::Calling(since, limit) = req.phase else { return };
+        let Some(req) = self.reqs.get(&id) else {
+            return;
+        };
+        let Phase::Calling(since, limit) = req.phase else {
+            return;
+        };
         let effect = self.set.classes[req.class].effect;
         let (owed, tries) = (req.owed, req.tries);
         self.call_ended(outcome, since, limit);
         if matches!(outcome, Outcome::Ok | Outcome::Full) {
-            self.taken.add(f64::from(u8::from(outcome == Outcome::Ok)), FAST);
+            self.taken
+                .add(f64::from(u8::from(outcome == Outcome::Ok)), FAST);
         }
         if matches!(outcome, Outcome::Ok | Outcome::Timeout) {
             self.call_time.add(latency.secs(), FAST);
@@ -696,7 +792,10 @@
             self.call_quiet.add(latency.secs(), SLOW);
             return self.resume(id);
         }
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let never_ran = matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         let wait = CALL_BACKOFF * f64::from(1u32 << tries.min(8)) * (0.5 + self.chance());
         // What is not tried again is given up in this batch.
         let again = if tries < self.call_tries() { wait } else { 0.0 };
@@ -712,7 +811,9 @@
     fn call_ended(&mut self, outcome: Outcome, since: Time, limit: f64) {
         self.count_hands();
         self.calling -= 1;
-        let Some((part, over, linger)) = self.shared() else { return };
+        let Some((part, over, linger)) = self.shared() else {
+            return;
+        };
         self.promised -= limit + linger;
         let took = (self.now - since).secs();
         let rest = match outcome {
@@ -722,11 +823,14 @@
             Outcome::Full => (self.call_time.or(linger) - took).max(0.0),
             _ => 0.0,
         };
-        self.spent.push_back((self.now + Span::from_secs(rest + over), took + rest));
+        self.spent
+            .push_back((self.now + Span::from_secs(rest + over), took + rest));
         self.pace -= rest;
         // Growth of a part of a call is for calls held back, and for none that was turned away.
-        let (step, binds) =
-            ((PART_LEAST * part).min(1.0), self.call_cap >= 1.0 || 1 + self.calling < self.at_calls);
+        let (step, binds) = (
+            (PART_LEAST * part).min(1.0),
+            self.call_cap >= 1.0 || 1 + self.calling < self.at_calls,
+        );
         if self.call_time.value > CALL_STRETCH * self.call_quiet.value {
             self.call_cap = (self.call_cap * CALL_CUT).max(step);
         } else if binds && outcome != Outcome::Full && self.calling as f64 + 2.0 > self.call_cap {
@@ -736,7 +840,9 @@
 
     /// A request goes on from its call.
     fn resume(&mut self, id: RequestId) {
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+        let Some(req) = self.reqs.get_mut(&id) else {
+            return;
+        };
         req.phase = Phase::Running;
         req.away += (self.now - req.reached).secs();
         self.at_calls -= 1;
@@ -781,14 +887,20 @@
     /// A run has ended, in time or in vain (late, or nobody waits): whatever the cause, a crowd, a slow
     /// machine or short patience, less is started then. Hurts where late answers earn something.
     fn learn_fit(&mut self, in_time: bool) {
-        let part = if in_time { VAIN_PART / (1.0 - VAIN_PART) } else { -1.0 };
+        let part = if in_time {
+            VAIN_PART / (1.0 - VAIN_PART)
+        } else {
+            -1.0
+        };
         self.fit = (self.fit * (1.0 + FIT_STEP * part)).clamp(FIT_LEAST, 1.0);
     }
 
     /// Nobody waits any longer: what is held is gone, what runs is stopped. What stands at a call ends by
     /// itself. Keyed work goes on, since a repeat may still want its result.
     fn gone(&mut self, id: RequestId) {
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+        let Some(req) = self.reqs.get_mut(&id) else {
+            return;
+        };
         let (phase, owed) = (req.phase, std::mem::replace(&mut req.owed, false));
         let stops = phase == Phase::Running && self.set.halt != Halt::None && req.root.is_none();
         let took = (self.now - req.began).secs();
@@ -814,7 +926,9 @@
     /// again does no harm, else an error. What runs is stopped.
     fn give_up(&mut self, id: RequestId) {
         let group_ran = self.group_ran(id);
-        let Some(req) = self.reqs.get(&id).filter(|r| r.owed) else { return };
+        let Some(req) = self.reqs.get(&id).filter(|r| r.owed) else {
+            return;
+        };
         let safe = self.set.classes[req.class].effect == Effect::Safe;
         let waits_below = matches!(req.phase, Phase::AtCall(_) | Phase::Calling(..));
         if safe && !waits_below || !req.ran && !group_ran && req.phase != Phase::Attached {
@@ -823,12 +937,19 @@
             let full = ADVICE_PART.max(self.turned.value);
             let parts = [full, full.min(ADVICE_OVER * self.set.servers as f64)];
             let part = if away { 1.0 } else { parts[req.line % 2] };
-            let stay_away = self.set.advice.map(|most| Span::from_secs(most.secs() * part));
+            let stay_away = self
+                .set
+                .advice
+                .map(|most| Span::from_secs(most.secs() * part));
             // Elsewhere is worth a try with enough time left, certain only where patience is told.
             let left = (req.aim - self.now).secs();
             let last = !away && (!req.told || left < ELSEWHERE * self.run_time(req));
             self.turned.add(1.0, FAST);
-            self.out.push(Action::Refuse { id, stay_away, last });
+            self.out.push(Action::Refuse {
+                id,
+                stay_away,
+                last,
+            });
         } else {
             self.out.push(Action::Fail(id));
         }
@@ -837,8 +958,12 @@
 
     /// A try of a keyed request that never ran has ended: with the last such try goes the entry.
     fn leave_group(&mut self, id: RequestId) {
-        let Some(root) = self.links.get(&id) else { return };
-        let Some(group) = self.groups.get_mut(root) else { return };
+        let Some(root) = self.links.get(&id) else {
+            return;
+        };
+        let Some(group) = self.groups.get_mut(root) else {
+            return;
+        };
         group.held.retain(|&other| other != id);
         if !group.ran && group.held.is_empty() {
             if let Some((entry, _)) = group.entry.take() {
@@ -853,7 +978,12 @@
     fn remove(&mut self, id: RequestId) -> Option<Req> {
         let req = self.reqs.remove(&id)?;
         let held = matches!(req.phase, Phase::Held | Phase::Attached);
-        self.memory -= req.kb * if held { 1.0 } else { self.set.run_factor.max(1.0) };
+        self.memory -= req.kb
+            * if held {
+                1.0
+            } else {
+                self.set.run_factor.max(1.0)
+            };
         if req.phase == Phase::Running {
             self.on_core -= 1;
             self.controls[req.class].running -= 1;
@@ -909,7 +1039,11 @@
         let wanted = self.on_core >= self.set.cores as usize && held > 1;
         for &line in &self.order {
             for id in &self.holds[line] {
-                let Some(r) = self.reqs.get(id).filter(|r| r.owed && r.phase == Phase::Held) else {
+                let Some(r) = self
+                    .reqs
+                    .get(id)
+                    .filter(|r| r.owed && r.phase == Phase::Held)
+                else {
                     continue;
                 };
                 let run = self.run_time(r);
@@ -920,7 +1054,9 @@
                 let fit = if wanted { self.fit } else { 1.0 };
                 // With nobody else for the slot nothing is gained by turning away what is large.
                 let tried = if wanted { run } else { run.min(RUN_MOST * aim) };
-                if tried > fit.max(FIT_RUN) * left || queued && ahead / self.cap + tried > fit * left {
+                if tried > fit.max(FIT_RUN) * left
+                    || queued && ahead / self.cap + tried > fit * left
+                {
                     found.push(*id);
                 } else {
                     ahead += run;
@@ -932,7 +1068,11 @@
 
     /// Work has stalled when much runs and nothing moves: then everything goes elsewhere until it does.
     fn watch_stall(&mut self) {
-        let run = self.controls.iter().map(|c| c.run.value).fold(0.0, f64::max);
+        let run = self
+            .controls
+            .iter()
+            .map(|c| c.run.value)
+            .fold(0.0, f64::max);
         let quiet = (self.now - self.progress).secs();
         let much = 2 * self.on_core >= self.set.cores as usize;
         let stalled = much && quiet > STALL.max(STALL_RUNS * run) || self.stalled && quiet > PERIOD;
@@ -940,9 +1080,19 @@
         if stalled != self.stalled {
             self.stalled = stalled;
             let good = !stalled && self.drain.is_none();
-            self.out.push(Action::Health { good, stored: self.set.deep_checks || !good });
-            let what = if stalled { "work has stalled" } else { "work moves again" };
-            let text = format!("{what}: {} on the cores, none ended for {quiet:.1} s", self.on_core);
+            self.out.push(Action::Health {
+                good,
+                stored: self.set.deep_checks || !good,
+            });
+            let what = if stalled {
+                "work has stalled"
+            } else {
+                "work moves again"
+            };
+            let text = format!(
+                "{what}: {} on the cores, none ended for {quiet:.1} s",
+                self.on_core
+            );
             self.out.push(Action::Log(text));
         }
     }
@@ -954,8 +1104,15 @@
         for r in self.reqs.values_mut() {
             r.due = r.due.min(stop);
         }
-        self.out.push(Action::Health { good: false, stored: true });
-        let text = format!("leaving: {} requests to answer in {:.1} s", self.reqs.len(), left.secs());
+        self.out.push(Action::Health {
+            good: false,
+            stored: true,
+        });
+        let text = format!(
+            "leaving: {} requests to answer in {:.1} s",
+            self.reqs.len(),
+            left.secs()
+        );
         self.out.push(Action::Log(text));
         self.signal();
     }
@@ -992,10 +1149,18 @@
         let saturated = self.controls.iter().map(|c| c.budget).sum::<f64>() > self.cap;
         for k in 0..self.controls.len() {
             let aim = self.set.classes[k].aim.secs();
-            let head = if self.trim(2 * k) { self.reqs.get(&self.holds[2 * k][0]) } else { None };
+            let head = if self.trim(2 * k) {
+                self.reqs.get(&self.holds[2 * k][0])
+            } else {
+                None
+            };
             let oldest = head.map(|r| (self.now - r.arrived).secs());
             let c = &mut self.controls[k];
-            let wait = if c.starts > 0.0 { Some(c.wait_sum / c.starts) } else { oldest };
+            let wait = if c.starts > 0.0 {
+                Some(c.wait_sum / c.starts)
+            } else {
+                oldest
+            };
             let held = c.used / passed.max(SWEEP);
             (c.wait_sum, c.starts, c.used) = (0.0, 0.0, 0.0);
             let Some(wait) = wait else { continue };
@@ -1037,20 +1202,32 @@
         let clear = unread + held.map(|r| self.run_time(r)).sum::<f64>() / self.cap;
         let over = clear / (CLEAR_PART * self.tightest()) - 1.0;
         let top = 1.0 - 1.0 / self.set.classes.len().max(1) as f64;
-        let step = if over > 0.0 { LEVEL_UP * over.min(1.0) } else { LEVEL_DOWN * over };
+        let step = if over > 0.0 {
+            LEVEL_UP * over.min(1.0)
+        } else {
+            LEVEL_DOWN * over
+        };
         self.level = (self.level + step).clamp(0.0, top);
         match self.set.free_value {
             FreeValue::None => {}
             FreeValue::Level => self.say(if leaving { 1.0 } else { self.level }),
             FreeValue::Weight => self.say(if leaving { 0.0 } else { 1.0 - self.level }),
             // For each caller as much as would fill us, since one may carry nearly all traffic.
-            FreeValue::Credit => self.say(if leaving { 0.0 } else { 2.0 * self.cap * (1.0 - self.level) }),
+            FreeValue::Credit => self.say(if leaving {
+                0.0
+            } else {
+                2.0 * self.cap * (1.0 - self.level)
+            }),
         }
     }
 
     /// Seconds of the tightest aim.
     fn tightest(&self) -> f64 {
-        self.set.classes.iter().map(|c| c.aim.secs()).fold(f64::MAX, f64::min)
+        self.set
+            .classes
+            .iter()
+            .map(|c| c.aim.secs())
+            .fold(f64::MAX, f64::min)
     }
 
     fn say(&mut self, value: f64) {
@@ -1075,7 +1252,11 @@
         let room = 2.0 * self.open >= self.set.callers as f64;
         let pressed = self.unread.value > QUEUE_PART;
         let busy = self.busy.is_none_or(|b| b >= IDLE_BUSY);
-        self.shut = if pressed { self.now + self.set.idle } else { self.shut };
+        self.shut = if pressed {
+            self.now + self.set.idle
+        } else {
+            self.shut
+        };
         let factor = match idle / read.max(1.0) {
             _ if room || pressed => f64::MAX,
             _ if self.now < self.shut => [1.0, IDLE_EASE][usize::from(!busy)],
@@ -1096,7 +1277,11 @@
     /// Running requests on the cores that this server survives: fewer while it may still be cold.
     fn crowd(&self) -> f64 {
         let age = self.born.map_or(0.0, |b| (self.now - b).secs());
-        let start = if self.set.cold { self.set.start_capacity } else { 1.0 };
+        let start = if self.set.cold {
+            self.set.start_capacity
+        } else {
+            1.0
+        };
         let warm = (start + (1.0 - start) * age / self.set.warm_up.secs().max(SWEEP)).min(1.0);
         self.set.cores as f64 * (1.0 + (self.set.fall_multiple - 1.0) * warm)
     }
@@ -1104,7 +1289,13 @@
     /// Keeps held memory under its bound: the newest of the line worth least goes first.
     fn shed_for_memory(&mut self) {
         while self.memory > HOLD_MEMORY * self.set.memory_kb {
-            let Some(line) = self.order.iter().rev().copied().find(|&l| !self.holds[l].is_empty()) else {
+            let Some(line) = self
+                .order
+                .iter()
+                .rev()
+                .copied()
+                .find(|&l| !self.holds[l].is_empty())
+            else {
                 return;
             };
             if let Some(id) = self.holds[line].pop_back() {
@@ -1133,7 +1324,10 @@
 
     /// A number from 0 to 1 that only the seed decides.
     fn chance(&mut self) -> f64 {
-        self.random = self.random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.random = self
+            .random
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.random >> 33) as f64 / (1u64 << 31) as f64
     }
 }
--- a/crates/heathspur/tests/common/mod.rs
+++ b/crates/heathspur/tests/common/mod.rs
@@ -17,7 +17,11 @@
         worth,
         late_worth: 0.0,
         effect,
-        window: if effect == Effect::Keyed { ms(20_000) } else { ms(0) },
+        window: if effect == Effect::Keyed {
+            ms(20_000)
+        } else {
+            ms(0)
+        },
         calls,
         skip_worth: 0.0,
     }
@@ -141,7 +145,10 @@
             }
             let (at, token) = self.timers.remove(i);
             self.now = self.now.max(at);
-            self.batch(&[Event::Timer { token, gauges: self.gauges }]);
+            self.batch(&[Event::Timer {
+                token,
+                gauges: self.gauges,
+            }]);
         }
         self.now = end;
     }
@@ -150,7 +157,10 @@
     pub fn arrive(&mut self, mut r: Request, identity: u64) {
         let arrived = self.now - r.waited;
         if self.set.classes[r.class.0].effect == Effect::Keyed && r.repeats.is_none() {
-            let entry = self.entries.get(&identity).filter(|(_, until)| *until >= arrived);
+            let entry = self
+                .entries
+                .get(&identity)
+                .filter(|(_, until)| *until >= arrived);
             r.repeats = entry.map(|(id, _)| *id);
         }
         self.track(&r, identity);
@@ -160,7 +170,10 @@
     pub fn track(&mut self, r: &Request, identity: u64) {
         let class = &self.set.classes[r.class.0];
         let arrived = self.now - r.waited;
-        let due = r.patience.map_or(arrived + class.give_up, |p| self.now + p).max(self.now);
+        let due = r
+            .patience
+            .map_or(arrived + class.give_up, |p| self.now + p)
+            .max(self.now);
         let known = Known {
             class: r.class.0,
             state: State::Held,
@@ -178,12 +191,18 @@
 
     pub fn done(&mut self, id: u64, outcome: Outcome) {
         let id = RequestId(id);
-        let Some(k) = self.known.remove(&id) else { return };
+        let Some(k) = self.known.remove(&id) else {
+            return;
+        };
         if !k.answered && matches!(outcome, Outcome::Ok | Outcome::Error) {
             *self.answers.entry(id).or_default() += 1;
         }
         let latency = self.now - k.since;
-        self.batch(&[Event::Done { id, outcome, latency }]);
+        self.batch(&[Event::Done {
+            id,
+            outcome,
+            latency,
+        }]);
     }
 
     pub fn needs_call(&mut self, id: u64) {
@@ -200,10 +219,21 @@
         };
         let k = self.known.get_mut(&RequestId(id)).expect("known");
         let latency = self.now - k.since;
-        k.state = if outcome == Outcome::Ok { State::Running } else { State::AtCall };
-        let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        k.state = if outcome == Outcome::Ok {
+            State::Running
+        } else {
+            State::AtCall
+        };
+        let never_ran = matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         k.may_call = safe || never_ran;
-        self.batch(&[Event::Called { id: RequestId(id), outcome, latency }]);
+        self.batch(&[Event::Called {
+            id: RequestId(id),
+            outcome,
+            latency,
+        }]);
     }
 
     pub fn gone(&mut self, id: u64) {
@@ -233,7 +263,11 @@
         self.check();
         let ended = std::mem::take(&mut self.stopped);
         if !ended.is_empty() {
-            let cancelled = |id| Event::Done { id, outcome: Outcome::Cancelled, latency: ms(1) };
+            let cancelled = |id| Event::Done {
+                id,
+                outcome: Outcome::Cancelled,
+                latency: ms(1),
+            };
             self.batch(&ended.into_iter().map(cancelled).collect::<Vec<_>>());
         }
         self.last = actions;
@@ -241,9 +275,15 @@
 
     fn answer(&mut self, id: RequestId) {
         let now = self.now;
-        let k = self.known.get_mut(&id).unwrap_or_else(|| panic!("answered {id:?}, which is not known"));
+        let k = self
+            .known
+            .get_mut(&id)
+            .unwrap_or_else(|| panic!("answered {id:?}, which is not known"));
         assert!(!k.answered, "{id:?} answered twice");
-        assert!(now <= k.due + self.set.answer_slack, "{id:?} answered after its due time");
+        assert!(
+            now <= k.due + self.set.answer_slack,
+            "{id:?} answered after its due time"
+        );
         k.answered = true;
         *self.answers.entry(id).or_default() += 1;
         if matches!(k.state, State::Held | State::Attached) {
@@ -255,19 +295,28 @@
         match action {
             Action::Run(id) => {
                 let now = self.now;
-                let k = self.known.get_mut(id).unwrap_or_else(|| panic!("ran {id:?}, which is not known"));
+                let k = self
+                    .known
+                    .get_mut(id)
+                    .unwrap_or_else(|| panic!("ran {id:?}, which is not known"));
                 assert_eq!(k.state, State::Held, "{id:?} run while it is not held");
                 let effect = self.set.classes[k.class].effect;
                 assert!(effect == Effect::Safe || !k.ran, "{id:?} run again");
                 if effect == Effect::Keyed {
                     let window = self.set.classes[k.class].window;
                     if let Some(&before) = self.keyed_runs.get(&k.identity) {
-                        assert!(k.arrived > before + window, "{id:?}: an effect twice in its window");
+                        assert!(
+                            k.arrived > before + window,
+                            "{id:?}: an effect twice in its window"
+                        );
                     }
                     self.keyed_runs.insert(k.identity, k.arrived);
                 }
                 if let Some((since, _)) = self.drain {
-                    assert!(k.arrived <= since + self.set.drain_grace, "{id:?} run past the grace");
+                    assert!(
+                        k.arrived <= since + self.set.drain_grace,
+                        "{id:?} run past the grace"
+                    );
                 }
                 (k.state, k.ran, k.since) = (State::Running, true, now);
             }
@@ -288,7 +337,10 @@
                 assert!(safe || !k.ran, "{id:?} refused after it ran");
                 if self.set.classes[k.class].effect == Effect::Keyed {
                     let window = self.set.classes[k.class].window;
-                    let ran = self.keyed_runs.get(&k.identity).is_some_and(|&at| k.arrived <= at + window);
+                    let ran = self
+                        .keyed_runs
+                        .get(&k.identity)
+                        .is_some_and(|&at| k.arrived <= at + window);
                     assert!(!ran, "{id:?} refused though a try of it ran");
                 }
                 self.answer(*id);
@@ -303,7 +355,10 @@
             }
             Action::Skip(id) => {
                 let k = self.known.get_mut(id).expect("skips for what is known");
-                assert!(self.set.classes[k.class].skip_worth > 0.0, "{id:?} skipped a call it needs");
+                assert!(
+                    self.set.classes[k.class].skip_worth > 0.0,
+                    "{id:?} skipped a call it needs"
+                );
                 k.state = State::Running;
             }
             Action::Keep { id, ttl } => {
@@ -325,14 +380,33 @@
         for (id, k) in &self.known {
             let running = matches!(k.state, State::Running | State::AtCall | State::Calling);
             memory += k.kb * if running { self.set.run_factor } else { 1.0 };
-            assert!(k.answered || now <= k.due + self.set.answer_slack, "{id:?} lost: {k:?}");
+            assert!(
+                k.answered || now <= k.due + self.set.answer_slack,
+                "{id:?} lost: {k:?}"
+            );
             if let Some((_, stop)) = self.drain {
-                assert!(k.answered || now < stop, "{id:?} not answered before the stop");
+                assert!(
+                    k.answered || now < stop,
+                    "{id:?} not answered before the stop"
+                );
             }
         }
-        memory += self.entries.values().filter(|(_, until)| *until >= now).count() as f64 * self.set.key_kb;
-        assert!(memory <= self.set.memory_kb, "memory {memory} over {}", self.set.memory_kb);
-        let crowd = self.known.values().filter(|k| k.state == State::Running).count() as f64;
+        memory += self
+            .entries
+            .values()
+            .filter(|(_, until)| *until >= now)
+            .count() as f64
+            * self.set.key_kb;
+        assert!(
+            memory <= self.set.memory_kb,
+            "memory {memory} over {}",
+            self.set.memory_kb
+        );
+        let crowd = self
+            .known
+            .values()
+            .filter(|k| k.state == State::Running)
+            .count() as f64;
         let limit = self.set.cores as f64 * self.set.fall_multiple;
         assert!(crowd <= limit, "{crowd} on the cores, {limit} survivable");
     }
@@ -342,16 +416,32 @@
     }
 
     pub fn in_state(&self, state: State) -> Vec<u64> {
-        self.known.iter().filter(|(_, k)| k.state == state).map(|(id, _)| id.0).collect()
+        self.known
+            .iter()
+            .filter(|(_, k)| k.state == state)
+            .map(|(id, _)| id.0)
+            .collect()
     }
 
     pub fn ran(&self) -> Vec<u64> {
-        let run = |a: &Action| if let Action::Run(id) = a { Some(id.0) } else { None };
+        let run = |a: &Action| {
+            if let Action::Run(id) = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        };
         self.all.iter().filter_map(run).collect()
     }
 
     pub fn refused(&self) -> Vec<u64> {
-        let refused = |a: &Action| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None };
+        let refused = |a: &Action| {
+            if let Action::Refuse { id, .. } = a {
+                Some(id.0)
+            } else {
+                None
+            }
+        };
         self.all.iter().filter_map(refused).collect()
     }
 }
--- a/crates/heathspur/tests/control.rs
+++ b/crates/heathspur/tests/control.rs
@@ -23,7 +23,13 @@
 
 /// Lets one request start in this period that has waited so long.
 fn period(b: &mut Bench, id: u64, waited: u64) {
-    b.arrive(Request { waited: ms(waited), ..request(id, 0) }, id);
+    b.arrive(
+        Request {
+            waited: ms(waited),
+            ..request(id, 0)
+        },
+        id,
+    );
     b.pass(ms(520));
 }
 
@@ -61,13 +67,22 @@
     // Two classes starve behind long runs. Unbounded, their control would wind up with every period; held to
     // the slots that they have, budgets stay within the cap for each and come down once waits do.
     let mut set = settings();
-    set.classes = vec![class(1.0, Effect::Unsafe, false), class(2.0, Effect::Unsafe, false)];
+    set.classes = vec![
+        class(1.0, Effect::Unsafe, false),
+        class(2.0, Effect::Unsafe, false),
+    ];
     for c in &mut set.classes {
         (c.aim, c.give_up) = (ms(20_000), ms(60_000));
     }
     let mut b = Bench::new(set);
     for id in 1..=12 {
-        b.arrive(Request { waited: ms(12_000), ..request(id, (id % 2) as usize) }, id);
+        b.arrive(
+            Request {
+                waited: ms(12_000),
+                ..request(id, (id % 2) as usize)
+            },
+            id,
+        );
     }
     b.pass(ms(3000));
     let cap = b.server.cap();
--- a/crates/heathspur/tests/fleet.rs
+++ b/crates/heathspur/tests/fleet.rs
@@ -75,7 +75,10 @@
 
 impl Chance {
     fn next(&mut self) -> f64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = self
+            .0
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         let mixed = (self.0 ^ (self.0 >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
         (mixed >> 11) as f64 / (1u64 << 53) as f64
     }
@@ -179,14 +182,21 @@
 
     fn after(&mut self, secs: f64, i: usize, due: Due) {
         self.planned += 1;
-        self.due.insert((self.now + Span::from_secs(secs), self.planned), (i, self.lives, due));
+        self.due.insert(
+            (self.now + Span::from_secs(secs), self.planned),
+            (i, self.lives, due),
+        );
     }
 
     /// All start in the same moment, with work waiting for each.
     fn start(&mut self) {
         let now = self.secs();
         for instance in &self.instances {
-            for k in instance.known.values().filter(|k| k.state == State::Calling) {
+            for k in instance
+                .known
+                .values()
+                .filter(|k| k.state == State::Calling)
+            {
                 let call = &mut self.calls[k.call];
                 call.until = call.until.min(now + LINGER);
             }
@@ -196,13 +206,20 @@
         for i in 0..self.plan.instances {
             let seed = (self.chance.next() * (1u64 << 53) as f64) as u64;
             let server = Server::new(self.set.clone(), seed);
-            self.instances.push(Instance { server, known: BTreeMap::new() });
+            self.instances.push(Instance {
+                server,
+                known: BTreeMap::new(),
+            });
             let mut events = Vec::new();
             for _ in 0..self.plan.at_start {
                 events.push(self.read(i));
             }
             self.batch(i, &events);
-            let first = if self.plan.in_step { 0.0 } else { self.chance.next() };
+            let first = if self.plan.in_step {
+                0.0
+            } else {
+                self.chance.next()
+            };
             self.after((0.5 + first) / self.plan.rate.max(1e-9), i, Due::Arrive);
         }
     }
@@ -213,7 +230,15 @@
         let class = (self.ids % 2) as usize;
         let due = self.now + self.set.classes[class].give_up;
         let (state, since) = (State::Held, self.now);
-        let known = Known { class, state, since, due, answered: false, called: false, call: 0 };
+        let known = Known {
+            class,
+            state,
+            since,
+            due,
+            answered: false,
+            called: false,
+            call: 0,
+        };
         self.instances[i].known.insert(id, known);
         if self.chance.next() < self.plan.leave {
             let after = 3.0 * self.chance.next();
@@ -226,15 +251,24 @@
         let now = self.now;
         let event = match due {
             Due::Restart => return self.start(),
-            Due::Timer(token) => Event::Timer { token, gauges: Gauges::default() },
+            Due::Timer(token) => Event::Timer {
+                token,
+                gauges: Gauges::default(),
+            },
             Due::Arrive => {
                 let every = 1.0 / self.plan.rate.max(1e-9);
-                let jitter = if self.plan.in_step { 1.0 } else { 2.0 * self.chance.next() };
+                let jitter = if self.plan.in_step {
+                    1.0
+                } else {
+                    2.0 * self.chance.next()
+                };
                 self.after(every * jitter, i, Due::Arrive);
                 self.read(i)
             }
             Due::Worked(id) => {
-                let Some(k) = self.instances[i].known.get_mut(&id) else { return };
+                let Some(k) = self.instances[i].known.get_mut(&id) else {
+                    return;
+                };
                 if k.state != State::Running {
                     return;
                 }
@@ -246,27 +280,50 @@
                     let served = !k.answered;
                     self.served += usize::from(served);
                     self.instances[i].known.remove(&id);
-                    Event::Done { id, outcome: Outcome::Ok, latency }
+                    Event::Done {
+                        id,
+                        outcome: Outcome::Ok,
+                        latency,
+                    }
                 }
             }
             Due::Called(id, outcome) => {
-                let Some(k) = self.instances[i].known.get_mut(&id) else { return };
+                let Some(k) = self.instances[i].known.get_mut(&id) else {
+                    return;
+                };
                 if k.state != State::Calling {
                     return;
                 }
                 let latency = now - k.since;
                 if k.answered {
                     self.instances[i].known.remove(&id);
-                    return self.batch(i, &[Event::Done { id, outcome: Outcome::Cancelled, latency }]);
+                    return self.batch(
+                        i,
+                        &[Event::Done {
+                            id,
+                            outcome: Outcome::Cancelled,
+                            latency,
+                        }],
+                    );
                 }
-                k.state = if outcome == Outcome::Ok { State::Running } else { State::AtCall };
+                k.state = if outcome == Outcome::Ok {
+                    State::Running
+                } else {
+                    State::AtCall
+                };
                 if outcome == Outcome::Ok {
                     self.after(0.005, i, Due::Worked(id));
                 }
-                Event::Called { id, outcome, latency }
+                Event::Called {
+                    id,
+                    outcome,
+                    latency,
+                }
             }
             Due::Leaves(id) => {
-                let Some(k) = self.instances[i].known.get_mut(&id).filter(|k| !k.answered) else { return };
+                let Some(k) = self.instances[i].known.get_mut(&id).filter(|k| !k.answered) else {
+                    return;
+                };
                 k.answered = true;
                 let state = k.state;
                 if matches!(state, State::Held | State::Attached) {
@@ -282,7 +339,9 @@
     /// A request that nobody waits for any longer ends at its call; the call stays in hand for a while.
     fn at_call_ends(&mut self, i: usize, id: RequestId) {
         let now = self.secs();
-        let Some(k) = self.instances[i].known.get(&id) else { return };
+        let Some(k) = self.instances[i].known.get(&id) else {
+            return;
+        };
         if !k.answered || !matches!(k.state, State::AtCall | State::Calling) {
             return;
         }
@@ -292,12 +351,21 @@
         }
         let latency = self.now - k.since;
         self.instances[i].known.remove(&id);
-        self.batch(i, &[Event::Done { id, outcome: Outcome::Cancelled, latency }]);
+        self.batch(
+            i,
+            &[Event::Done {
+                id,
+                outcome: Outcome::Cancelled,
+                latency,
+            }],
+        );
     }
 
     fn batch(&mut self, i: usize, events: &[Event]) {
         let mut actions = Vec::new();
-        self.instances[i].server.decide(self.now, events, &mut actions);
+        self.instances[i]
+            .server
+            .decide(self.now, events, &mut actions);
         let mut ended = Vec::new();
         for action in actions {
             self.apply(i, action, &mut ended);
@@ -307,7 +375,10 @@
         }
         let slack = self.set.answer_slack;
         for (id, k) in &self.instances[i].known {
-            assert!(k.answered || self.now <= k.due + slack, "{id:?} lost: {k:?}");
+            assert!(
+                k.answered || self.now <= k.due + slack,
+                "{id:?} lost: {k:?}"
+            );
         }
     }
 
@@ -315,28 +386,41 @@
         let now = self.now;
         match action {
             Action::Run(id) => {
-                let k = self.instances[i].known.get_mut(&id).expect("runs what is known");
+                let k = self.instances[i]
+                    .known
+                    .get_mut(&id)
+                    .expect("runs what is known");
                 assert_eq!(k.state, State::Held, "{id:?} run while it is not held");
                 (k.state, k.since) = (State::Running, now);
                 self.after(0.02, i, Due::Worked(id));
             }
             Action::Call { id, limit } => {
                 let at = self.calls.len();
-                let k = self.instances[i].known.get_mut(&id).expect("calls for what is known");
+                let k = self.instances[i]
+                    .known
+                    .get_mut(&id)
+                    .expect("calls for what is known");
                 assert_eq!(k.state, State::AtCall, "{id:?} stands at no call");
                 (k.state, k.since, k.call) = (State::Calling, now, at);
                 self.call(i, id, limit.secs());
             }
             Action::Skip(id) => {
-                let k = self.instances[i].known.get_mut(&id).expect("skips for what is known");
-                assert!(self.set.classes[k.class].skip_worth > 0.0, "{id:?} skipped a call it needs");
+                let k = self.instances[i]
+                    .known
+                    .get_mut(&id)
+                    .expect("skips for what is known");
+                assert!(
+                    self.set.classes[k.class].skip_worth > 0.0,
+                    "{id:?} skipped a call it needs"
+                );
                 k.state = State::Running;
                 self.skipped += 1;
                 self.after(0.005, i, Due::Worked(id));
             }
             Action::Refuse { id, stay_away, .. } => {
                 let at = self.secs();
-                self.away.extend(stay_away.map(|span| (at, at + span.secs())));
+                self.away
+                    .extend(stay_away.map(|span| (at, at + span.secs())));
                 self.answer(i, id, ended);
             }
             Action::Fail(id) => {
@@ -344,10 +428,20 @@
                 self.answer(i, id, ended);
             }
             Action::Stop(id) => {
-                let k = self.instances[i].known.get(&id).expect("stops what is known");
+                let k = self.instances[i]
+                    .known
+                    .get(&id)
+                    .expect("stops what is known");
                 assert!(k.answered, "{id:?} stopped while it is owed");
                 self.instances[i].known.remove(&id);
-                self.batch(i, &[Event::Done { id, outcome: Outcome::Cancelled, latency: ms(1) }]);
+                self.batch(
+                    i,
+                    &[Event::Done {
+                        id,
+                        outcome: Outcome::Cancelled,
+                        latency: ms(1),
+                    }],
+                );
             }
             Action::Timer { after, token } => self.after(after.secs(), i, Due::Timer(token)),
             _ => {}
@@ -355,7 +449,10 @@
     }
 
     fn answer(&mut self, i: usize, id: RequestId, ended: &mut Vec<RequestId>) {
-        let k = self.instances[i].known.get_mut(&id).expect("answers what is known");
+        let k = self.instances[i]
+            .known
+            .get_mut(&id)
+            .expect("answers what is known");
         assert!(!k.answered, "{id:?} answered twice");
         k.answered = true;
         match k.state {
@@ -369,8 +466,16 @@
     fn call(&mut self, i: usize, id: RequestId, limit: f64) {
         let now = self.secs();
         let full = now >= self.plan.full.0 && now < self.plan.full.1;
-        let slow = if now >= self.plan.slow.0 && now < self.plan.slow.1 { self.plan.slow.2 } else { 1.0 };
-        let takes = if full { 0.002 } else { self.plan.call * slow * (0.8 + 0.4 * self.chance.next()) };
+        let slow = if now >= self.plan.slow.0 && now < self.plan.slow.1 {
+            self.plan.slow.2
+        } else {
+            1.0
+        };
+        let takes = if full {
+            0.002
+        } else {
+            self.plan.call * slow * (0.8 + 0.4 * self.chance.next())
+        };
         let outcome = match (full, takes > limit) {
             (true, _) => Outcome::Full,
             (_, true) => Outcome::Timeout,
@@ -389,7 +494,12 @@
             let (from, to) = (look as f64 * LOOK - 1e-6, look as f64 * LOOK + window);
             let within = |c: &Held| (c.until.min(to) - c.from.max(from)).max(0.0);
             hands = hands.max(self.calls.iter().map(within).sum::<f64>() / window);
-            begun = begun.max(self.calls.iter().filter(|c| c.from >= from && c.from < to).count());
+            begun = begun.max(
+                self.calls
+                    .iter()
+                    .filter(|c| c.from >= from && c.from < to)
+                    .count(),
+            );
         }
         (hands, begun)
     }
@@ -408,7 +518,10 @@
 /// Plays a plan under a few seeds and holds the sum of what all send against the sum of their parts.
 fn holds(plan: &Plan, seeds: u64) {
     for seed in 1..=seeds {
-        let fleet = Fleet::play(Plan { seed, ..plan.clone() });
+        let fleet = Fleet::play(Plan {
+            seed,
+            ..plan.clone()
+        });
         let (hands, begun) = fleet.most(OVER);
         let (sum, allowed) = (fleet.sum(), fleet.allowed(OVER));
         assert!(
@@ -426,7 +539,14 @@
 }
 
 /// Parts far below one, near it and above, each with the seconds of a usual call.
-const PARTS: [(f64, f64); 6] = [(0.05, 0.4), (0.1, 0.4), (0.25, 1.0), (0.5, 1.0), (1.0, 0.4), (2.5, 0.4)];
+const PARTS: [(f64, f64); 6] = [
+    (0.05, 0.4),
+    (0.1, 0.4),
+    (0.25, 1.0),
+    (0.5, 1.0),
+    (1.0, 0.4),
+    (2.5, 0.4),
+];
 
 #[test]
 fn a_cold_fleet_with_work_waiting_keeps_to_the_sum_of_its_parts() {
@@ -440,51 +560,108 @@
 #[test]
 fn a_cold_fleet_with_few_requests_keeps_to_the_sum_of_its_parts() {
     for (part, call) in PARTS {
-        holds(&Plan { at_start: 1, rate: 0.2, ..Plan::new(30, part, call) }, 2);
+        holds(
+            &Plan {
+                at_start: 1,
+                rate: 0.2,
+                ..Plan::new(30, part, call)
+            },
+            2,
+        );
     }
 }
 
 #[test]
 fn a_fleet_that_starts_again_at_once_keeps_to_the_sum_of_its_parts() {
     for (part, call) in PARTS {
-        holds(&Plan { restarts: vec![10.0], ..Plan::new(30, part, call) }, 2);
+        holds(
+            &Plan {
+                restarts: vec![10.0],
+                ..Plan::new(30, part, call)
+            },
+            2,
+        );
     }
 }
 
 #[test]
 fn a_fleet_whose_dependency_slows_keeps_to_the_sum_of_its_parts() {
-    for (part, call) in [(0.05, 0.05), (0.1, 0.2), (0.25, 0.4), (0.5, 0.4), (1.0, 0.2), (2.5, 0.2)] {
-        holds(&Plan { slow: (10.0, 16.0, 6.0), ..Plan::new(30, part, call) }, 2);
+    for (part, call) in [
+        (0.05, 0.05),
+        (0.1, 0.2),
+        (0.25, 0.4),
+        (0.5, 0.4),
+        (1.0, 0.2),
+        (2.5, 0.2),
+    ] {
+        holds(
+            &Plan {
+                slow: (10.0, 16.0, 6.0),
+                ..Plan::new(30, part, call)
+            },
+            2,
+        );
     }
 }
 
 #[test]
 fn a_fleet_whose_callers_leave_keeps_to_the_sum_of_its_parts() {
     for (part, call) in PARTS {
-        holds(&Plan { leave: 0.3, ..Plan::new(30, part, call) }, 2);
+        holds(
+            &Plan {
+                leave: 0.3,
+                ..Plan::new(30, part, call)
+            },
+            2,
+        );
     }
 }
 
 #[test]
 fn calls_turned_away_are_paid_for_and_come_back_out_of_step() {
     for (part, call) in [(0.05, 0.4), (0.25, 0.4)] {
-        holds(&Plan { full: (8.0, 14.0), ..Plan::new(30, part, call) }, 2);
+        holds(
+            &Plan {
+                full: (8.0, 14.0),
+                ..Plan::new(30, part, call)
+            },
+            2,
+        );
     }
     for (part, call) in PARTS {
-        let fleet = Fleet::play(Plan { full: (8.0, 14.0), ..Plan::new(30, part, call) });
+        let fleet = Fleet::play(Plan {
+            full: (8.0, 14.0),
+            ..Plan::new(30, part, call)
+        });
         let (hands, _) = fleet.most(OVER);
-        assert!(hands <= fleet.sum(), "{hands:.2} of {:.2}: {:?}", fleet.sum(), fleet.plan);
-        assert!(fleet.calls.iter().any(|c| c.from >= 14.0), "no call came back: {:?}", fleet.plan);
+        assert!(
+            hands <= fleet.sum(),
+            "{hands:.2} of {:.2}: {:?}",
+            fleet.sum(),
+            fleet.plan
+        );
+        assert!(
+            fleet.calls.iter().any(|c| c.from >= 14.0),
+            "no call came back: {:?}",
+            fleet.plan
+        );
     }
 }
 
 /// Holds the calls begun in a window against what the sum of the parts allows, chance among it.
 fn begins_no_more(plan: &Plan) {
     for seed in 1..=3 {
-        let fleet = Fleet::play(Plan { seed, ..plan.clone() });
+        let fleet = Fleet::play(Plan {
+            seed,
+            ..plan.clone()
+        });
         let (_, begun) = fleet.most(OVER);
         let allowed = fleet.allowed(OVER);
-        assert!(begun as f64 <= allowed, "{begun} calls begun, {allowed:.1} allowed: {:?}", fleet.plan);
+        assert!(
+            begun as f64 <= allowed,
+            "{begun} calls begun, {allowed:.1} allowed: {:?}",
+            fleet.plan
+        );
         // They do go out: a tenth of what is wanted or paid for in the whole run, at least.
         let pays = fleet.sum() * fleet.plan.length / fleet.plan.call;
         let least = 0.1 * pays.min(fleet.ids as f64);
@@ -500,7 +677,13 @@
 #[test]
 fn requests_that_reach_an_idle_fleet_at_once_begin_no_more_calls_than_its_parts_allow() {
     for instances in [20, 30] {
-        for (part, call) in [(0.02, 0.4), (0.05, 0.4), (0.1, 1.0), (0.25, 1.0), (1.0, 0.4)] {
+        for (part, call) in [
+            (0.02, 0.4),
+            (0.05, 0.4),
+            (0.1, 1.0),
+            (0.25, 1.0),
+            (1.0, 0.4),
+        ] {
             let rare = Plan {
                 in_step: true,
                 at_start: 0,
@@ -518,7 +701,10 @@
 fn calls_that_are_turned_away_count_as_begun_where_a_part_holds_some() {
     for instances in [20, 30] {
         for (part, call) in [(0.5, 1.0), (1.0, 0.4), (2.5, 0.4)] {
-            begins_no_more(&Plan { full: (8.0, 14.0), ..Plan::new(instances, part, call) });
+            begins_no_more(&Plan {
+                full: (8.0, 14.0),
+                ..Plan::new(instances, part, call)
+            });
         }
     }
 }
@@ -527,11 +713,18 @@
 fn a_lone_start_waits_for_its_first_call_no_longer_than_its_part_pays_for_one() {
     for part in [0.1, 0.25, 0.5, 1.0, 2.5] {
         for seed in 1..=5 {
-            let fleet = Fleet::play(Plan { seed, ..Plan::new(1, part, 0.1) });
+            let fleet = Fleet::play(Plan {
+                seed,
+                ..Plan::new(1, part, 0.1)
+            });
             let first = fleet.calls.first().map_or(f64::MAX, |c| c.from);
             // Twice four lingers, paid by nine tenths of the part; half a second until the next request wants one.
             let pays = 2.0 * 4.0 * LINGER / (0.9 * part);
-            assert!(first <= pays + 0.5, "first call after {first:.2} s, {pays:.2} paid: {:?}", fleet.plan);
+            assert!(
+                first <= pays + 0.5,
+                "first call after {first:.2} s, {pays:.2} paid: {:?}",
+                fleet.plan
+            );
         }
     }
 }
--- a/crates/heathspur/tests/guards.rs
+++ b/crates/heathspur/tests/guards.rs
@@ -10,13 +10,21 @@
     b.arrive(request(1, 1), 1);
     b.arrive(request(2, 2), 2);
     b.pass(ms(8000));
-    assert!(b.all.contains(&Action::Fail(RequestId(1))) && b.all.contains(&Action::Fail(RequestId(2))));
+    assert!(
+        b.all.contains(&Action::Fail(RequestId(1))) && b.all.contains(&Action::Fail(RequestId(2)))
+    );
 }
 
 #[test]
 fn a_request_read_after_its_due_time_is_answered_at_once() {
     let mut b = Bench::new(settings());
-    b.arrive(Request { waited: ms(7000), ..request(1, 0) }, 1);
+    b.arrive(
+        Request {
+            waited: ms(7000),
+            ..request(1, 0)
+        },
+        1,
+    );
     assert_eq!(b.refused(), [1]);
 }
 
@@ -51,7 +59,10 @@
 #[test]
 fn repeats_in_one_batch_and_in_a_chain_run_once() {
     let mut b = Bench::new(settings());
-    let r = |id, prior: Option<u64>| Request { repeats: prior.map(RequestId), ..request(id, 1) };
+    let r = |id, prior: Option<u64>| Request {
+        repeats: prior.map(RequestId),
+        ..request(id, 1)
+    };
     let tries = [r(1, None), r(2, Some(1)), r(3, Some(2))];
     for t in &tries {
         b.track(t, 77);
@@ -73,13 +84,22 @@
     b.gone(10);
     b.done(1, Outcome::Ok);
     assert_eq!(b.ran().last(), Some(&11));
-    assert!(b.entries.contains_key(&77), "its entry went with the first try");
+    assert!(
+        b.entries.contains_key(&77),
+        "its entry went with the first try"
+    );
 }
 
 #[test]
 fn a_repeat_of_something_unknown_never_runs() {
     let mut b = Bench::new(settings());
-    b.arrive(Request { repeats: Some(RequestId(999)), ..request(1, 1) }, 5);
+    b.arrive(
+        Request {
+            repeats: Some(RequestId(999)),
+            ..request(1, 1)
+        },
+        5,
+    );
     assert!(b.ran().is_empty());
     b.pass(ms(8000));
     assert!(b.refused().is_empty());
@@ -110,7 +130,10 @@
     }
     let kept = b.entries.len() as f64 * b.set.key_kb;
     assert!(kept > 0.7 * b.set.memory_kb, "keys use only {kept}");
-    assert!(!b.refused().is_empty(), "nothing was ever refused for want of an entry");
+    assert!(
+        !b.refused().is_empty(),
+        "nothing was ever refused for want of an entry"
+    );
     let before = b.ran().len();
     b.arrive(request(500, 2), 500);
     assert_eq!(b.ran().len(), before + 1, "no room left to run");
@@ -134,7 +157,10 @@
         b.arrive(request(1, 1), 1);
         b.needs_call(1);
         b.called(1, outcome);
-        assert!(!b.last.iter().any(|a| matches!(a, Action::Call { .. })), "no pause");
+        assert!(
+            !b.last.iter().any(|a| matches!(a, Action::Call { .. })),
+            "no pause"
+        );
         b.pass(ms(500));
         assert_eq!(b.in_state(State::Calling), [1], "{outcome:?}");
     }
@@ -175,7 +201,11 @@
 #[test]
 fn calls_at_once_stay_under_our_part_of_a_shared_dependency() {
     let mut set = settings();
-    set.dependency = Dependency::Shared { part: 2.5, over: ms(5000), linger: ms(200) };
+    set.dependency = Dependency::Shared {
+        part: 2.5,
+        over: ms(5000),
+        linger: ms(200),
+    };
     let mut b = Bench::new(set);
     for id in 1..=4 {
         b.arrive(request(id, 0), id);
@@ -199,14 +229,21 @@
 #[test]
 fn an_abandoned_call_counts_while_it_lingers() {
     let mut set = settings();
-    set.dependency = Dependency::Shared { part: 1.0, over: ms(5000), linger: ms(200) };
+    set.dependency = Dependency::Shared {
+        part: 1.0,
+        over: ms(5000),
+        linger: ms(200),
+    };
     let mut b = Bench::new(set);
     b.arrive(request(1, 0), 1);
     b.arrive(request(2, 0), 2);
     b.needs_call(1);
     b.called(1, Outcome::Timeout);
     b.needs_call(2);
-    assert!(b.in_state(State::Calling).is_empty(), "called while ours still lingers");
+    assert!(
+        b.in_state(State::Calling).is_empty(),
+        "called while ours still lingers"
+    );
     b.pass(ms(900));
     assert_eq!(b.in_state(State::Calling).len(), 1);
 }
@@ -215,7 +252,11 @@
 /// of them were called: each call takes `time` ms.
 fn small_part(part: f64, time: u64, rounds: u64) -> Vec<(u64, Time)> {
     let mut set = settings();
-    set.dependency = Dependency::Shared { part, over: ms(5000), linger: ms(200) };
+    set.dependency = Dependency::Shared {
+        part,
+        over: ms(5000),
+        linger: ms(200),
+    };
     set.classes[0].skip_worth = 0.6;
     set.memory_kb = 1e6;
     let mut b = Bench::new(set);
@@ -250,7 +291,10 @@
     let made = small_part(0.4, 400, 60);
     assert!(made.len() > 5, "{}", made.len());
     for &(_, from) in &made {
-        let within = made.iter().filter(|m| m.1 >= from && m.1 < from + ms(5000)).count();
+        let within = made
+            .iter()
+            .filter(|m| m.1 >= from && m.1 < from + ms(5000))
+            .count();
         assert!(within as f64 * 0.4 <= 2.0, "{within} calls within 5 s");
     }
 }
@@ -275,7 +319,10 @@
         b.arrive(request(id, 2), id);
     }
     b.leave(ms(3000));
-    assert!(b.last.contains(&Action::Health { good: false, stored: true }));
+    assert!(b.last.contains(&Action::Health {
+        good: false,
+        stored: true
+    }));
     b.pass(ms(1500));
     let ran = b.ran().len();
     b.done(1, Outcome::Ok);
@@ -294,16 +341,27 @@
     }
     b.arrive(request(9, 0), 9);
     b.pass(ms(1500));
-    assert!(b.all.contains(&Action::Health { good: false, stored: true }));
+    assert!(b.all.contains(&Action::Health {
+        good: false,
+        stored: true
+    }));
     assert_eq!(b.refused(), [9]);
     b.arrive(request(10, 0), 10);
-    let away = Action::Refuse { id: RequestId(10), stay_away: Some(ms(1000)), last: false };
+    let away = Action::Refuse {
+        id: RequestId(10),
+        stay_away: Some(ms(1000)),
+        last: false,
+    };
     assert!(b.last.contains(&away), "{:?}", b.last);
     b.done(1, Outcome::Ok);
     b.pass(ms(100));
     b.arrive(request(11, 0), 11);
     assert!(b.running().contains(&11));
-    let health = b.all.iter().filter(|a| matches!(a, Action::Health { .. })).count();
+    let health = b
+        .all
+        .iter()
+        .filter(|a| matches!(a, Action::Health { .. }))
+        .count();
     assert_eq!(health, 3, "flapped");
 }
 
@@ -355,11 +413,22 @@
     b.done(1, Outcome::Ok);
     let id = RequestId(1);
     b.batch(&[
-        Event::Done { id, outcome: Outcome::Ok, latency: ms(1) },
+        Event::Done {
+            id,
+            outcome: Outcome::Ok,
+            latency: ms(1),
+        },
         Event::NeedsCall(id),
-        Event::Called { id, outcome: Outcome::Ok, latency: ms(1) },
+        Event::Called {
+            id,
+            outcome: Outcome::Ok,
+            latency: ms(1),
+        },
         Event::Gone(id),
-        Event::Timer { token: Token(99), gauges: Gauges::default() },
+        Event::Timer {
+            token: Token(99),
+            gauges: Gauges::default(),
+        },
     ]);
     b.arrive(request(2, 0), 2);
     assert_eq!(b.running(), [2]);
@@ -368,7 +437,11 @@
 /// A server at a shared dependency with room, taught a quiet call time of 100 ms.
 fn taught_calls() -> Bench {
     let mut set = settings();
-    set.dependency = Dependency::Shared { part: 6.0, over: ms(5000), linger: ms(200) };
+    set.dependency = Dependency::Shared {
+        part: 6.0,
+        over: ms(5000),
+        linger: ms(200),
+    };
     set.classes[0].skip_worth = 0.6;
     set.memory_kb = 1e6;
     let mut b = Bench::new(set);
@@ -391,7 +464,11 @@
     for id in 1..=4 {
         b.needs_call(id);
     }
-    assert!(b.in_state(State::Calling).len() <= 2, "{:?}", b.in_state(State::Calling));
+    assert!(
+        b.in_state(State::Calling).len() <= 2,
+        "{:?}",
+        b.in_state(State::Calling)
+    );
 }
 
 #[test]
@@ -406,7 +483,10 @@
         while let Some(&id) = b.in_state(State::Calling).first() {
             most = most.max(b.in_state(State::Calling).len());
             b.pass(ms(time));
-            if b.known.get(&RequestId(id)).is_some_and(|k| !k.answered && k.state == State::Calling) {
+            if b.known
+                .get(&RequestId(id))
+                .is_some_and(|k| !k.answered && k.state == State::Calling)
+            {
                 b.called(id, Outcome::Ok);
             }
             b.done(id, Outcome::Ok);
@@ -429,7 +509,13 @@
     let mut b = taught_calls();
     b.arrive(request(1, 0), 1);
     b.needs_call(1);
-    let limit = |a: &Action| if let Action::Call { limit, .. } = a { Some(*limit) } else { None };
+    let limit = |a: &Action| {
+        if let Action::Call { limit, .. } = a {
+            Some(*limit)
+        } else {
+            None
+        }
+    };
     let given = b.last.iter().find_map(limit).expect("a call");
     assert!(given > ms(200) && given < ms(1000), "{given:?}");
 }
@@ -444,7 +530,13 @@
         b.called(id, Outcome::Ok);
         b.done(id, Outcome::Ok);
     }
-    let limit = |a: &Action| if let Action::Call { limit, .. } = a { Some(*limit) } else { None };
+    let limit = |a: &Action| {
+        if let Action::Call { limit, .. } = a {
+            Some(*limit)
+        } else {
+            None
+        }
+    };
     b.arrive(request(1, 0), 1);
     b.needs_call(1);
     assert!(b.last.iter().find_map(limit).expect("a call") < ms(500));
@@ -470,7 +562,13 @@
             b.done(id, Outcome::Ok);
         }
     }
-    let given = |a: &Action| if let Action::CloseIdle(span) = a { Some(*span) } else { None };
+    let given = |a: &Action| {
+        if let Action::CloseIdle(span) = a {
+            Some(*span)
+        } else {
+            None
+        }
+    };
     b.all[before..].iter().filter_map(given).collect()
 }
 
@@ -506,19 +604,40 @@
     // Nothing ends any more: what comes is turned away.
     b.arrive(request(99, 2), 99);
     let given = idle_times(&mut b, 100, |_| 60.0, false);
-    assert!(given.windows(2).all(|w| w[0] < w[1]) && given.len() > 1, "{given:?}");
+    assert!(
+        given.windows(2).all(|w| w[0] < w[1]) && given.len() > 1,
+        "{given:?}"
+    );
 }
 
 /// The time that idle connections stay, after each of so many requests: four a second that waited unread so
 /// long, and are served.
 fn stays(b: &mut Bench, from: u64, n: u64, waited: Span) -> Vec<Span> {
-    let given = |a: &Action| if let Action::CloseIdle(span) = a { Some(*span) } else { None };
+    let given = |a: &Action| {
+        if let Action::CloseIdle(span) = a {
+            Some(*span)
+        } else {
+            None
+        }
+    };
     let mut stays = Vec::new();
     for id in from..from + n {
-        b.arrive(Request { waited, ..request(id, 0) }, id);
+        b.arrive(
+            Request {
+                waited,
+                ..request(id, 0)
+            },
+            id,
+        );
         b.pass(ms(250));
         b.done(id, Outcome::Ok);
-        stays.push(b.all.iter().filter_map(given).next_back().unwrap_or(b.set.idle));
+        stays.push(
+            b.all
+                .iter()
+                .filter_map(given)
+                .next_back()
+                .unwrap_or(b.set.idle),
+        );
     }
     stays
 }
@@ -526,8 +645,16 @@
 /// A server that closes idle connections early, and what it gave them as requests then waited unread for half
 /// of their aim.
 fn unread_waits(cpu: Option<f64>) -> (Bench, Vec<Span>) {
-    let mut b = Bench::new(Settings { callers: 500, idle: ms(10_000), ..settings() });
-    b.gauges = Gauges { connections: Some(100.0), cpu, ..Gauges::default() };
+    let mut b = Bench::new(Settings {
+        callers: 500,
+        idle: ms(10_000),
+        ..settings()
+    });
+    b.gauges = Gauges {
+        connections: Some(100.0),
+        cpu,
+        ..Gauges::default()
+    };
     stays(&mut b, 0, 60, ms(0));
     let given = stays(&mut b, 100, 8, ms(1000));
     (b, given)
@@ -539,12 +666,18 @@
         let (mut b, given) = unread_waits(cpu);
         let early = given[0];
         assert!(early < ms(2000), "not closed early: {early:?}");
-        assert!(given.iter().all(|&s| s == early || s == b.set.idle), "by steps: {given:?}");
+        assert!(
+            given.iter().all(|&s| s == early || s == b.set.idle),
+            "by steps: {given:?}"
+        );
         assert_eq!(given.last(), Some(&b.set.idle));
         // The mean of the waits takes some 10 requests to fall, and an idle time is 40.
         let calm = stays(&mut b, 200, 80, ms(0));
         let first = calm.iter().position(|&s| s < b.set.idle);
-        assert!(first.is_some_and(|n| (45..56).contains(&n)), "{cpu:?}: opened at {first:?}");
+        assert!(
+            first.is_some_and(|n| (45..56).contains(&n)),
+            "{cpu:?}: opened at {first:?}"
+        );
         assert!(calm.last() < Some(&ms(2000)), "{calm:?}");
     }
 }
@@ -562,7 +695,10 @@
 #[test]
 fn after_a_flood_idle_connections_are_closed_early_on_idle_cores_only() {
     for (cpu, early) in [(Some(0.3), true), (Some(0.9), false), (None, false)] {
-        let mut b = Bench::new(Settings { callers: 500, ..settings() });
+        let mut b = Bench::new(Settings {
+            callers: 500,
+            ..settings()
+        });
         b.gauges.cpu = cpu.map(|_| 0.9);
         b.arrive(request(99, 2), 99);
         // Nothing ends: what comes is turned away, to the last.
@@ -571,7 +707,9 @@
         let before = b.all.len();
         b.gauges.cpu = cpu;
         b.pass(ms(8000));
-        let closed = b.all[before..].iter().any(|a| matches!(a, Action::CloseIdle(s) if *s < ms(20_000)));
+        let closed = b.all[before..]
+            .iter()
+            .any(|a| matches!(a, Action::CloseIdle(s) if *s < ms(20_000)));
         assert_eq!(closed, early, "{cpu:?}");
     }
 }
@@ -602,7 +740,15 @@
         }
         b.pass(ms(20));
     }
-    let made = |a: &&Action| matches!(a, Action::Call { id: RequestId(1), .. });
+    let made = |a: &&Action| {
+        matches!(
+            a,
+            Action::Call {
+                id: RequestId(1),
+                ..
+            }
+        )
+    };
     (b.all.iter().filter(made).count(), b.now - began)
 }
 
@@ -621,11 +767,23 @@
     let mut set = settings();
     (set.cores, set.memory_kb) = (1, 1200.0);
     let mut b = Bench::new(set);
-    b.arrive(Request { held_kb: 50.0, ..request(1, 1) }, 7);
+    b.arrive(
+        Request {
+            held_kb: 50.0,
+            ..request(1, 1)
+        },
+        7,
+    );
     assert_eq!(b.running(), [1]);
     // The driver fails when memory is passed.
     for id in 2..30 {
-        b.arrive(Request { held_kb: 50.0, ..request(id, 1) }, 7);
+        b.arrive(
+            Request {
+                held_kb: 50.0,
+                ..request(id, 1)
+            },
+            7,
+        );
     }
     assert!(!b.in_state(State::Attached).is_empty());
     assert!(b.answers[&RequestId(29)] == 1 && b.refused().is_empty());
@@ -636,7 +794,11 @@
     let mut b = Bench::new(settings());
     for id in 1..200 {
         b.arrive(request(id, 0), id);
-        assert_eq!(b.running(), [id], "the slots of runs that never began are free");
+        assert_eq!(
+            b.running(),
+            [id],
+            "the slots of runs that never began are free"
+        );
         b.done(id, Outcome::Moot);
     }
 }
@@ -645,7 +807,10 @@
 /// calls must not wait for room at calls where nothing stands at one: nothing would ever free it.
 #[test]
 fn work_that_calls_goes_on_when_the_cap_has_grown_to_the_crowd() {
-    let mut b = Bench::new(Settings { memory_kb: 1e6, ..settings() });
+    let mut b = Bench::new(Settings {
+        memory_kb: 1e6,
+        ..settings()
+    });
     let (mut next, mut ended) = (1, 0);
     for _ in 0..6_000 {
         // Always more than can run, and each run takes as long however many there are.
--- a/crates/heathspur/tests/margin.rs
+++ b/crates/heathspur/tests/margin.rs
@@ -11,7 +11,13 @@
 fn server(halt: Halt) -> Bench {
     let effects = [Effect::Safe, Effect::Safe, Effect::Unsafe];
     let classes = effects.map(|effect| class(1.0, effect, false)).to_vec();
-    Bench::new(Settings { classes, halt, cores: CORES, memory_kb: 1e6, ..settings() })
+    Bench::new(Settings {
+        classes,
+        halt,
+        cores: CORES,
+        memory_kb: 1e6,
+        ..settings()
+    })
 }
 
 /// Runs one after the other, each alone on the cores; what is stopped meanwhile does not end.
@@ -58,7 +64,13 @@
 fn tried(b: &mut Bench, r: Request, others: u64) -> bool {
     let id = next(b);
     fill(b, 2);
-    b.arrive(Request { id: RequestId(id), ..r }, id);
+    b.arrive(
+        Request {
+            id: RequestId(id),
+            ..r
+        },
+        id,
+    );
     for other in id + 1..=id + others {
         b.arrive(request(other, 0), other);
     }
@@ -68,14 +80,24 @@
     clear(b);
     b.pass(ms(20));
     let ran = b.ran();
-    assert_eq!(ran.contains(&id), !refused, "neither run nor refused with advice");
-    assert!((id + 1..=id + others).all(|other| ran.contains(&other)), "one with time was turned away");
+    assert_eq!(
+        ran.contains(&id),
+        !refused,
+        "neither run nor refused with advice"
+    );
+    assert!(
+        (id + 1..=id + others).all(|other| ran.contains(&other)),
+        "one with time was turned away"
+    );
     !refused
 }
 
 /// Judged by class 0 with 0.8 s left of its aim, though it has only now come.
 fn tight() -> Request {
-    Request { patience: Some(ms(4800)), ..request(0, 0) }
+    Request {
+        patience: Some(ms(4800)),
+        ..request(0, 0)
+    }
 }
 
 #[test]
@@ -109,8 +131,25 @@
     // Means past the aim are bounded, so a class is always tried: the hint multiplies what is bounded.
     runs(&mut b, 10, 2, 3000);
     assert!(tried(&mut b, request(0, 2), 0));
-    assert!(!tried(&mut b, Request { cost: Some(4.0), ..request(0, 2) }, 1));
-    assert!(tried(&mut b, Request { cost: Some(4.0), ..request(0, 2) }, 0), "nobody else for the slot");
+    assert!(!tried(
+        &mut b,
+        Request {
+            cost: Some(4.0),
+            ..request(0, 2)
+        },
+        1
+    ));
+    assert!(
+        tried(
+            &mut b,
+            Request {
+                cost: Some(4.0),
+                ..request(0, 2)
+            },
+            0
+        ),
+        "nobody else for the slot"
+    );
     assert!(tried(&mut b, request(0, 2), 0));
 }
 
@@ -121,11 +160,20 @@
         let mut b = server(Halt::Drop);
         for i in 0..40 {
             let id = b.now.0;
-            b.arrive(Request { cost: Some([0.5, 1.5][i % 2]), ..request(id, 0) }, id);
+            b.arrive(
+                Request {
+                    cost: Some([0.5, 1.5][i % 2]),
+                    ..request(id, 0)
+                },
+                id,
+            );
             b.pass(ms(took[i % 2]));
             b.done(id, Outcome::Ok);
         }
-        let large = Request { cost: Some(4.0), ..request(0, 0) };
+        let large = Request {
+            cost: Some(4.0),
+            ..request(0, 0)
+        };
         assert_eq!(tried(&mut b, large, 1), !believed, "{took:?}");
     }
 }
@@ -136,7 +184,13 @@
     runs(&mut b, 2, 0, 100);
     assert!(tried(&mut b, tight(), 0));
     runs(&mut b, 10, 0, 2100);
-    assert_eq!(b.all.iter().filter(|a| matches!(a, Action::Stop(_))).count(), 10);
+    assert_eq!(
+        b.all
+            .iter()
+            .filter(|a| matches!(a, Action::Stop(_)))
+            .count(),
+        10
+    );
     assert!(!tried(&mut b, tight(), 0));
     // One left early tells nothing of its length: it does not count as short.
     left(&mut b, 60, 0, 20);
@@ -151,7 +205,13 @@
     runs(&mut b, 20, 0, 2500);
     assert!(!tried(&mut b, tight(), 0));
     // Nor were these served: the advice says that nearly all is turned away.
-    let advice = |a: &Action| if let Action::Refuse { stay_away, .. } = a { *stay_away } else { None };
+    let advice = |a: &Action| {
+        if let Action::Refuse { stay_away, .. } = a {
+            *stay_away
+        } else {
+            None
+        }
+    };
     assert!(b.all.iter().rev().find_map(advice).expect("advice") > ms(800));
 }
 
@@ -164,25 +224,46 @@
     ];
     for (kind, vain) in vain.iter().enumerate() {
         let mut b = server(Halt::Drop);
-        let queued = Request { waited: ms(300), ..request(0, 0) };
+        let queued = Request {
+            waited: ms(300),
+            ..request(0, 0)
+        };
         runs(&mut b, 20, 0, 500);
         assert!(tried(&mut b, tight(), 1) && tried(&mut b, queued.clone(), 1));
         vain(&mut b);
-        assert!(!tried(&mut b, tight(), 1), "{kind}: started with its mean just left");
-        assert!(!tried(&mut b, queued.clone(), 1), "{kind}: the line may take all that is left");
+        assert!(
+            !tried(&mut b, tight(), 1),
+            "{kind}: started with its mean just left"
+        );
+        assert!(
+            !tried(&mut b, queued.clone(), 1),
+            "{kind}: the line may take all that is left"
+        );
         assert!(tried(&mut b, tight(), 0), "{kind}: alone in the line");
         // On free cores, alone or first of two, and judged before it is started.
         for n in 1..=2 {
-            let requests = [Request { id: RequestId(1), ..tight() }, request(2, 0)];
+            let requests = [
+                Request {
+                    id: RequestId(1),
+                    ..tight()
+                },
+                request(2, 0),
+            ];
             requests[..n].iter().for_each(|r| b.track(r, r.id.0));
             let mut events: Vec<_> = requests[..n].iter().cloned().map(Event::Request).collect();
-            events.push(Event::Timer { token: Token(9), gauges: b.gauges });
+            events.push(Event::Timer {
+                token: Token(9),
+                gauges: b.gauges,
+            });
             b.batch(&events);
             assert_eq!(b.running(), [1, 2][..n], "{kind}: on free cores");
             clear(&mut b);
         }
         runs(&mut b, 130, 1, 40);
-        assert!(tried(&mut b, tight(), 1) && tried(&mut b, queued, 1), "{kind}: not widened");
+        assert!(
+            tried(&mut b, tight(), 1) && tried(&mut b, queued, 1),
+            "{kind}: not widened"
+        );
     }
 }
 
@@ -195,7 +276,14 @@
     assert_eq!(b.refused().len() as u64, CORES);
     assert!(tried(&mut b, tight(), 1));
     for _ in 0..10 {
-        assert!(!tried(&mut b, Request { waited: ms(1800), ..request(0, 0) }, 0));
+        assert!(!tried(
+            &mut b,
+            Request {
+                waited: ms(1800),
+                ..request(0, 0)
+            },
+            0
+        ));
     }
     assert!(tried(&mut b, tight(), 1));
 }
@@ -206,7 +294,10 @@
     while b.known.contains_key(&RequestId(id)) {
         b.pass(ms(20));
         let stops = b.last.contains(&Action::Stop(RequestId(id)));
-        if b.last.iter().any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id)) {
+        if b.last
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id))
+        {
             return (b.now - since, stops);
         }
         assert!(!stops, "stopped without its answer");
@@ -221,15 +312,30 @@
     let late = b.now.0;
     b.arrive(request(late, 0), late);
     let (after, stops) = refused_after(&mut b, late);
-    assert!(stops && after <= ms(2020), "a late run: {after:?}, stopped: {stops}");
+    assert!(
+        stops && after <= ms(2020),
+        "a late run: {after:?}, stopped: {stops}"
+    );
     left(&mut b, 16, 1, 100);
     let id = next(&b);
     fill(&mut b, 2);
-    b.arrive(Request { cost: Some(6.0), ..request(id, 0) }, id);
+    b.arrive(
+        Request {
+            cost: Some(6.0),
+            ..request(id, 0)
+        },
+        id,
+    );
     b.arrive(request(id + 1, 0), id + 1);
     assert_eq!(refused_after(&mut b, id), (ms(20), false), "too large");
     // From a tenth of its aim on line and run must fit into a quarter of the 1.8 s left.
-    assert_eq!(refused_after(&mut b, id + 1), (ms(200), false), "too long a line");
+    assert_eq!(
+        refused_after(&mut b, id + 1),
+        (ms(200), false),
+        "too long a line"
+    );
     b.pass(ms(6000));
-    assert!([late, id, id + 1].iter().all(|id| b.answers[&RequestId(*id)] == 1));
+    assert!([late, id, id + 1]
+        .iter()
+        .all(|id| b.answers[&RequestId(*id)] == 1));
 }
--- a/crates/heathspur/tests/path.rs
+++ b/crates/heathspur/tests/path.rs
@@ -62,7 +62,10 @@
 #[test]
 fn a_waiting_class_gets_its_budget_beside_one_worth_more() {
     let mut set = settings();
-    set.classes = vec![class(1.0, Effect::Safe, false), class(4.0, Effect::Safe, false)];
+    set.classes = vec![
+        class(1.0, Effect::Safe, false),
+        class(4.0, Effect::Safe, false),
+    ];
     set.classes[1].aim = ms(60_000);
     set.classes[1].give_up = ms(90_000);
     set.classes[0].aim = ms(4000);
@@ -75,7 +78,11 @@
         let id = b.running()[0];
         b.done(id, Outcome::Ok);
     }
-    let low = b.ran().iter().filter(|&&id| (100..200).contains(&id)).count();
+    let low = b
+        .ran()
+        .iter()
+        .filter(|&&id| (100..200).contains(&id))
+        .count();
     assert!((1..4).contains(&low), "{low} of eight slots");
 }
 
@@ -106,7 +113,10 @@
     assert!(b.refused().is_empty(), "refused before it queued");
     b.pass(ms(150));
     let refused = b.refused();
-    assert!(refused.contains(&40), "the last in a hopeless line still waits");
+    assert!(
+        refused.contains(&40),
+        "the last in a hopeless line still waits"
+    );
     assert!(!refused.contains(&5), "the head of the line was refused");
 }
 
@@ -168,14 +178,31 @@
 fn marked_retries_wait_behind_first_tries_where_no_patience_is_told() {
     let mut b = Bench::new(settings());
     fill(&mut b, 1, 4, 2);
-    b.arrive(Request { retry: true, ..request(5, 2) }, 5);
+    b.arrive(
+        Request {
+            retry: true,
+            ..request(5, 2)
+        },
+        5,
+    );
     b.arrive(request(6, 0), 6);
     b.done(1, Outcome::Ok);
     assert_eq!(b.ran()[4..], [6]);
-    b.arrive(Request { retry: true, patience: Some(ms(5000)), ..request(7, 2) }, 7);
+    b.arrive(
+        Request {
+            retry: true,
+            patience: Some(ms(5000)),
+            ..request(7, 2)
+        },
+        7,
+    );
     b.arrive(request(8, 0), 8);
     b.done(2, Outcome::Ok);
-    assert_eq!(b.ran()[5..], [7], "told patience gives a retry its class's place");
+    assert_eq!(
+        b.ran()[5..],
+        [7],
+        "told patience gives a retry its class's place"
+    );
 }
 
 #[test]
@@ -185,9 +212,21 @@
     set.over_share_worth = 0.05;
     let mut b = Bench::new(set);
     for id in 1..=20 {
-        b.arrive(Request { tenant: Some(TenantId(0)), ..request(id, 2) }, id);
+        b.arrive(
+            Request {
+                tenant: Some(TenantId(0)),
+                ..request(id, 2)
+            },
+            id,
+        );
     }
-    b.arrive(Request { tenant: Some(TenantId(1)), ..request(50, 0) }, 50);
+    b.arrive(
+        Request {
+            tenant: Some(TenantId(1)),
+            ..request(50, 0)
+        },
+        50,
+    );
     for id in 1..=4 {
         b.done(id, Outcome::Ok);
     }
@@ -198,14 +237,31 @@
 fn a_few_requests_at_once_are_no_flood_where_a_share_is_a_part_of_one_a_second() {
     let mut set = settings();
     set.servers = 100;
-    set.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 2000.0 }];
+    set.tenants = vec![
+        Tenant { quota_per_s: 20.0 },
+        Tenant {
+            quota_per_s: 2000.0,
+        },
+    ];
     set.over_share_worth = 0.05;
     let mut b = Bench::new(set);
     fill(&mut b, 1, 4, 2);
     for id in 60..63 {
-        b.arrive(Request { tenant: Some(TenantId(0)), ..request(id, 0) }, id);
+        b.arrive(
+            Request {
+                tenant: Some(TenantId(0)),
+                ..request(id, 0)
+            },
+            id,
+        );
     }
-    b.arrive(Request { tenant: Some(TenantId(1)), ..request(50, 0) }, 50);
+    b.arrive(
+        Request {
+            tenant: Some(TenantId(1)),
+            ..request(50, 0)
+        },
+        50,
+    );
     for id in 1..=4 {
         b.done(id, Outcome::Ok);
     }
@@ -224,7 +280,13 @@
         b.done(id, Outcome::Ok);
     }
     let said = |b: &Bench| {
-        let level = |a: &Action| if let Action::Say(v) = a { Some(*v) } else { None };
+        let level = |a: &Action| {
+            if let Action::Say(v) = a {
+                Some(*v)
+            } else {
+                None
+            }
+        };
         b.all.iter().filter_map(level).next_back()
     };
     let high = said(&b).expect("a level");
@@ -241,23 +303,44 @@
 #[test]
 fn the_level_rises_while_requests_wait_unread_though_none_is_held() {
     for (free_value, up) in [(FreeValue::Level, 1.0), (FreeValue::Weight, -1.0)] {
-        let mut b = Bench::new(Settings { free_value, ..settings() });
+        let mut b = Bench::new(Settings {
+            free_value,
+            ..settings()
+        });
         let mut said = |from: u64, waited: Span| {
             let before = b.all.len();
             for id in from..from + 12 {
-                b.arrive(Request { waited, ..request(id, 0) }, id);
+                b.arrive(
+                    Request {
+                        waited,
+                        ..request(id, 0)
+                    },
+                    id,
+                );
                 assert_eq!(b.running(), [id], "held");
                 b.done(id, Outcome::Ok);
                 b.pass(ms(250));
             }
-            let value = |a: &Action| if let Action::Say(v) = a { Some(up * *v) } else { None };
+            let value = |a: &Action| {
+                if let Action::Say(v) = a {
+                    Some(up * *v)
+                } else {
+                    None
+                }
+            };
             b.all[before..].iter().filter_map(value).collect::<Vec<_>>()
         };
         let rises = said(100, ms(1000));
-        assert!(rises.len() > 3 && rises.windows(2).all(|w| w[0] < w[1]), "{rises:?}");
+        assert!(
+            rises.len() > 3 && rises.windows(2).all(|w| w[0] < w[1]),
+            "{rises:?}"
+        );
         said(200, ms(0));
         let falls = said(300, ms(0));
-        assert!(falls.len() > 3 && falls.windows(2).all(|w| w[0] > w[1]), "{falls:?}");
+        assert!(
+            falls.len() > 3 && falls.windows(2).all(|w| w[0] > w[1]),
+            "{falls:?}"
+        );
     }
 }
 
@@ -268,7 +351,13 @@
     let mut b = Bench::new(set);
     for id in 1..200 {
         let patience = (id % 2 == 0).then(|| ms(6000));
-        b.arrive(Request { patience, ..request(id, 0) }, id);
+        b.arrive(
+            Request {
+                patience,
+                ..request(id, 0)
+            },
+            id,
+        );
     }
     let lasts = |even: bool| {
         b.all.iter().filter_map(move |a| match a {
@@ -309,8 +398,7 @@
     fill(&mut b, 1, 4, 2);
     b.arrive(request(9, 0), 9);
     b.pass(ms(2500));
-    let asked =
-        |a: &Action| matches!(a, Action::Refuse { id: RequestId(9), stay_away: Some(s), .. } if s.0 > 0);
+    let asked = |a: &Action| matches!(a, Action::Refuse { id: RequestId(9), stay_away: Some(s), .. } if s.0 > 0);
     assert!(b.all.iter().any(asked));
     let mut set = settings();
     set.advice = None;
@@ -318,7 +406,14 @@
     fill(&mut b, 1, 4, 2);
     b.arrive(request(9, 0), 9);
     b.pass(ms(2500));
-    assert!(b.all.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(9), stay_away: None, .. })));
+    assert!(b.all.iter().any(|a| matches!(
+        a,
+        Action::Refuse {
+            id: RequestId(9),
+            stay_away: None,
+            ..
+        }
+    )));
 }
 
 #[test]
@@ -359,17 +454,34 @@
     set.tenants = vec![Tenant { quota_per_s: 0.0 }, Tenant { quota_per_s: 1e6 }];
     let (few, many) = (2, 1000);
     let asked = |servers, tenant| {
-        let mut b = Bench::new(Settings { servers, ..set.clone() });
+        let mut b = Bench::new(Settings {
+            servers,
+            ..set.clone()
+        });
         for id in 1..40 {
-            b.arrive(Request { tenant: Some(TenantId(tenant)), ..request(id, 0) }, id);
+            b.arrive(
+                Request {
+                    tenant: Some(TenantId(tenant)),
+                    ..request(id, 0)
+                },
+                id,
+            );
         }
         b.pass(ms(600));
         let advice = |a: &Action| match a {
             Action::Refuse { stay_away, .. } => *stay_away,
             _ => None,
         };
-        b.all.iter().rev().find_map(advice).expect("a refusal with advice")
+        b.all
+            .iter()
+            .rev()
+            .find_map(advice)
+            .expect("a refusal with advice")
     };
-    assert!(asked(few, 0) > ms(0) && asked(few, 0) < ms(100), "{:?}", asked(few, 0));
+    assert!(
+        asked(few, 0) > ms(0) && asked(few, 0) < ms(100),
+        "{:?}",
+        asked(few, 0)
+    );
     assert!(asked(few, 1) >= ms(500) && asked(many, 0) >= ms(500));
 }
--- a/crates/heathspur/tests/rules.rs
+++ b/crates/heathspur/tests/rules.rs
@@ -8,13 +8,35 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Arrive { class: usize, identity: u64, waited: u64, patience: Option<u64>, retry: bool, kb: u64 },
-    Together { identity: u64, tries: u64 },
-    Done { pick: usize, ok: bool },
-    NeedsCall { pick: usize },
-    Called { pick: usize, outcome: Outcome },
-    Gone { pick: usize },
-    Pass { span: u64 },
+    Arrive {
+        class: usize,
+        identity: u64,
+        waited: u64,
+        patience: Option<u64>,
+        retry: bool,
+        kb: u64,
+    },
+    Together {
+        identity: u64,
+        tries: u64,
+    },
+    Done {
+        pick: usize,
+        ok: bool,
+    },
+    NeedsCall {
+        pick: usize,
+    },
+    Called {
+        pick: usize,
+        outcome: Outcome,
+    },
+    Gone {
+        pick: usize,
+    },
+    Pass {
+        span: u64,
+    },
     Leave,
 }
 
@@ -47,9 +69,21 @@
     let halt = prop_oneof![Just(Halt::None), Just(Halt::Drop), Just(Halt::Pause)];
     let below = prop_oneof![
         Just(Dependency::Tier),
-        Just(Dependency::Shared { part: 2.4, over: ms(5000), linger: ms(200) }),
-        Just(Dependency::Shared { part: 0.6, over: ms(5000), linger: ms(200) }),
-        Just(Dependency::Shared { part: 0.01, over: ms(5000), linger: ms(200) }),
+        Just(Dependency::Shared {
+            part: 2.4,
+            over: ms(5000),
+            linger: ms(200)
+        }),
+        Just(Dependency::Shared {
+            part: 0.6,
+            over: ms(5000),
+            linger: ms(200)
+        }),
+        Just(Dependency::Shared {
+            part: 0.01,
+            over: ms(5000),
+            linger: ms(200)
+        }),
     ];
     let say = prop_oneof![
         Just(FreeValue::None),
@@ -59,7 +93,11 @@
     ];
     let memory = prop_oneof![Just(900.0), Just(5000.0)];
     // One core among hundreds of servers, with a tenth of a request a second for each tenant; or none of it.
-    let size = prop_oneof![Just((4, 4, 2, 0)), Just((1, 300, 1000, 30_000)), Just((2, 0, 0, 30_000))];
+    let size = prop_oneof![
+        Just((4, 4, 2, 0)),
+        Just((1, 300, 1000, 30_000)),
+        Just((2, 0, 0, 30_000))
+    ];
     (halt, below, say, memory, any::<bool>(), any::<bool>(), size).prop_map(
         |(halt, below, say, memory, cold, skip, (cores, servers, callers, idle))| {
             let mut set = settings();
@@ -85,7 +123,14 @@
     let mut next = 1;
     for op in ops {
         match op.clone() {
-            Op::Arrive { class, identity, waited, patience, retry, kb } => {
+            Op::Arrive {
+                class,
+                identity,
+                waited,
+                patience,
+                retry,
+                kb,
+            } => {
                 let r = Request {
                     waited: ms(waited),
                     patience: patience.map(ms),
@@ -101,8 +146,15 @@
                 let mut events = Vec::new();
                 for i in 0..tries {
                     let mut r = request(next, 1);
-                    let entry = b.entries.get(&identity).filter(|(_, until)| *until >= b.now);
-                    r.repeats = if i > 0 { Some(RequestId(next - 1)) } else { entry.map(|(id, _)| *id) };
+                    let entry = b
+                        .entries
+                        .get(&identity)
+                        .filter(|(_, until)| *until >= b.now);
+                    r.repeats = if i > 0 {
+                        Some(RequestId(next - 1))
+                    } else {
+                        entry.map(|(id, _)| *id)
+                    };
                     b.track(&r, identity);
                     events.push(Event::Request(r));
                     next += 1;
@@ -136,7 +188,12 @@
                 }
             }
             Op::Gone { pick } => {
-                let open = b.known.iter().filter(|(_, k)| !k.answered).map(|(id, _)| id.0).collect();
+                let open = b
+                    .known
+                    .iter()
+                    .filter(|(_, k)| !k.answered)
+                    .map(|(id, _)| id.0)
+                    .collect();
                 if let Some(id) = nth(open, pick) {
                     b.gone(id);
                 }
--- a/crates/heathspurctl/src/charts.rs
+++ b/crates/heathspurctl/src/charts.rs
@@ -24,7 +24,11 @@
                 *count += 1;
             }
         }
-        counts.into_iter().enumerate().map(|(s, n)| (s as f64, f64::from(n))).collect::<Vec<_>>()
+        counts
+            .into_iter()
+            .enumerate()
+            .map(|(s, n)| (s as f64, f64::from(n)))
+            .collect::<Vec<_>>()
     };
     let answered = |outcome: &Outcome| match outcome.end {
         End::Answered { last, .. } => Some(last),
@@ -42,21 +46,38 @@
 pub fn latency(file: &Path, loaded: &Loaded, plan: &Plan, outcomes: &[Outcome]) -> io::Result<()> {
     let then = plan.sends.iter().filter_map(|send| {
         let request = &loaded.requests[send.recorded];
-        request.answer.as_ref().map(|answer| answer.last.saturating_sub(request.last))
+        request
+            .answer
+            .as_ref()
+            .map(|answer| answer.last.saturating_sub(request.last))
     });
     let now = outcomes.iter().filter_map(|outcome| match outcome.end {
         End::Answered { last, .. } => Some(last.saturating_sub(outcome.intended)),
         _ => None,
     });
-    let curves: [Curve<'_>; 2] =
-        [("recorded", quantiles(then.collect())), ("replayed", quantiles(now.collect()))];
-    lines(file, "Latency by quantile", ("quantile in %", "ms"), &curves)
+    let curves: [Curve<'_>; 2] = [
+        ("recorded", quantiles(then.collect())),
+        ("replayed", quantiles(now.collect())),
+    ];
+    lines(
+        file,
+        "Latency by quantile",
+        ("quantile in %", "ms"),
+        &curves,
+    )
 }
 
 fn quantiles(mut times: Vec<u64>) -> Vec<(f64, f64)> {
     times.sort_unstable();
-    let Some(last) = times.len().checked_sub(1) else { return Vec::new() };
-    let point = |step: usize| (100.0 * step as f64 / STEPS as f64, times[last * step / STEPS] as f64 / 1e6);
+    let Some(last) = times.len().checked_sub(1) else {
+        return Vec::new();
+    };
+    let point = |step: usize| {
+        (
+            100.0 * step as f64 / STEPS as f64,
+            times[last * step / STEPS] as f64 / 1e6,
+        )
+    };
     (0..=STEPS).map(point).collect()
 }
 
@@ -74,15 +95,28 @@
             .x_label_area_size(40)
             .y_label_area_size(60)
             .build_cartesian_2d(0.0..right, 0.0..top)?;
-        chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).draw()?;
+        chart
+            .configure_mesh()
+            .x_desc(axes.0)
+            .y_desc(axes.1)
+            .draw()?;
         for (n, (name, points)) in curves.iter().enumerate() {
             let colour = Palette99::pick(n).to_rgba();
             chart
-                .draw_series(LineSeries::new(points.iter().copied(), colour.stroke_width(2)))?
+                .draw_series(LineSeries::new(
+                    points.iter().copied(),
+                    colour.stroke_width(2),
+                ))?
                 .label(*name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2))
+                });
         }
-        chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+        chart
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .border_style(BLACK)
+            .draw()?;
         area.present()?;
         Ok(())
     };
--- a/crates/heathspurctl/src/config.rs
+++ b/crates/heathspurctl/src/config.rs
@@ -14,7 +14,11 @@
     let schema = uppsala::XsdValidator::from_schema(&schema).map_err(|e| wrong(e.to_string()))?;
     let document = uppsala::parse(&text).map_err(|e| wrong(e.to_string()))?;
     if let Some(error) = schema.validate(&document).first() {
-        return Err(wrong(format!("line {}: {}", error.line.unwrap_or(1), error.message)));
+        return Err(wrong(format!(
+            "line {}: {}",
+            error.line.unwrap_or(1),
+            error.message
+        )));
     }
     println!("{}: valid", file.display());
     Ok(())
--- a/crates/heathspurctl/src/connection.rs
+++ b/crates/heathspurctl/src/connection.rs
@@ -50,7 +50,11 @@
     start: Instant,
     reports: Sender<Report>,
 ) {
-    let report = |event| Report { life, event, at: Instant::now() };
+    let report = |event| Report {
+        life,
+        event,
+        at: Instant::now(),
+    };
     let connect = async {
         let stream = Async::<TcpStream>::connect(target).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -64,7 +68,11 @@
         Ok(stream) => stream,
         Err(e) => {
             let exhausted = matches!(e.raw_os_error(), Some(EMFILE | ENFILE | EADDRNOTAVAIL));
-            let failure = if exhausted { Failure::Exhausted } else { Failure::Refused };
+            let failure = if exhausted {
+                Failure::Exhausted
+            } else {
+                Failure::Refused
+            };
             let _ = reports.send(report(Event::Failed(lane, failure))).await;
             return;
         }
@@ -93,7 +101,11 @@
     ByPeer,
 }
 
-async fn write(mut stream: &Async<TcpStream>, outbox: &Outbox, heads: &RefCell<VecDeque<bool>>) -> Over {
+async fn write(
+    mut stream: &Async<TcpStream>,
+    outbox: &Outbox,
+    heads: &RefCell<VecDeque<bool>>,
+) -> Over {
     while let Ok(Outgoing { bytes, head }) = outbox.recv().await {
         heads.borrow_mut().push_back(head);
         if stream.write_all(&bytes).await.is_err() {
@@ -132,7 +144,9 @@
                     }
                 }
             }
-            let Some((head, chunks, status)) = &mut body else { break };
+            let Some((head, chunks, status)) = &mut body else {
+                break;
+            };
             let end = match head.length {
                 Length::Bytes(length) => usize::try_from(length).ok().map(|n| head.end + n),
                 Length::Chunked => match chunks.end(&buffer) {
@@ -141,7 +155,9 @@
                 },
                 Length::UntilClose => None,
             };
-            let Some(end) = end.filter(|end| *end <= buffer.len()) else { break };
+            let Some(end) = end.filter(|end| *end <= buffer.len()) else {
+                break;
+            };
             let (status, close) = (*status, head.close);
             let digest = digest(&buffer[head.end..end]);
             buffer.drain(..end);
@@ -155,8 +171,22 @@
             }
             heads.borrow_mut().pop_front();
             let first = begun.saturating_duration_since(start).as_nanos() as u64;
-            let event = Event::Answer { lane, status, digest, first, close };
-            if reports.send(Report { life, event, at: Instant::now() }).await.is_err() {
+            let event = Event::Answer {
+                lane,
+                status,
+                digest,
+                first,
+                close,
+            };
+            if reports
+                .send(Report {
+                    life,
+                    event,
+                    at: Instant::now(),
+                })
+                .await
+                .is_err()
+            {
                 return Over::ByUs;
             }
         }
@@ -166,11 +196,34 @@
         match stream.read(&mut chunk).await {
             Ok(0) | Err(_) => {
                 // An answer without a length ends with its connection.
-                if let Some((Head { length: Length::UntilClose, end, .. }, _, status)) = body {
-                    let first = first.map_or(0, |at| at.saturating_duration_since(start).as_nanos() as u64);
+                if let Some((
+                    Head {
+                        length: Length::UntilClose,
+                        end,
+                        ..
+                    },
+                    _,
+                    status,
+                )) = body
+                {
+                    let first = first.map_or(0, |at| {
+                        at.saturating_duration_since(start).as_nanos() as u64
+                    });
                     let digest = digest(&buffer[end..]);
-                    let event = Event::Answer { lane, status, digest, first, close: true };
-                    let _ = reports.send(Report { life, event, at: Instant::now() }).await;
+                    let event = Event::Answer {
+                        lane,
+                        status,
+                        digest,
+                        first,
+                        close: true,
+                    };
+                    let _ = reports
+                        .send(Report {
+                            life,
+                            event,
+                            at: Instant::now(),
+                        })
+                        .await;
                 }
                 return Over::ByPeer;
             }
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -53,7 +53,13 @@
 impl Search {
     fn take(&mut self, item: Item, options: &Options) {
         match item {
-            Item::Connection(Event::Opened { conn, client, server, time, .. }) => {
+            Item::Connection(Event::Opened {
+                conn,
+                client,
+                server,
+                time,
+                ..
+            }) => {
                 self.open.insert(conn, (client, server, time));
                 if options.connection.contains(&conn.0) {
                     self.wanted.insert(conn);
@@ -80,7 +86,8 @@
 impl Options {
     fn wants(&self, message: &Message) -> bool {
         let tenant = source::field(message, &self.source.tenant_field);
-        self.class.contains(&source::class(message)) || tenant.is_some_and(|name| self.tenant.contains(&name))
+        self.class.contains(&source::class(message))
+            || tenant.is_some_and(|name| self.tenant.contains(&name))
     }
 
     fn by_connection(&self) -> bool {
@@ -93,8 +100,9 @@
     let mut search = Search::default();
     let tally = source::read(&options.source, |item| search.take(item, options))?;
     let start = tally.first.unwrap_or_default();
-    let point =
-        |seconds: Option<f64>| seconds.map(|s| Stamp(start.0.saturating_add((s.max(0.0) * 1e9) as u64)));
+    let point = |seconds: Option<f64>| {
+        seconds.map(|s| Stamp(start.0.saturating_add((s.max(0.0) * 1e9) as u64)))
+    };
     let (from, to) = (point(options.from), point(options.to));
     let fault = |e| Fault::File(options.output.clone(), e);
     let mut output = BufWriter::new(File::create_new(&options.output).map_err(fault)?);
@@ -105,14 +113,22 @@
     source::pieces(&options.source.file, |bytes| {
         reader.feed(bytes);
         while let Ok(Some(packet)) = reader.next_packet() {
-            if from.is_some_and(|from| packet.time < from) || to.is_some_and(|to| packet.time >= to) {
+            if from.is_some_and(|from| packet.time < from) || to.is_some_and(|to| packet.time >= to)
+            {
                 continue;
             }
             let keep = !options.by_connection()
                 || match frames.segment(&packet) {
-                    Ok(segment) => search.kept.get(&(segment.from, segment.to)).is_some_and(|spans| {
-                        spans.iter().any(|(from, until)| (*from..=*until).contains(&segment.time))
-                    }),
+                    Ok(segment) => {
+                        search
+                            .kept
+                            .get(&(segment.from, segment.to))
+                            .is_some_and(|spans| {
+                                spans
+                                    .iter()
+                                    .any(|(from, until)| (*from..=*until).contains(&segment.time))
+                            })
+                    }
                     // Pieces are told apart only once they are whole; better too many than a hole.
                     Err(Passed::Piece) => true,
                     Err(_) => false,
@@ -121,13 +137,23 @@
                 continue;
             }
             packets += 1;
-            let interface = links.iter().position(|link| *link == packet.link).unwrap_or_else(|| {
-                links.push(packet.link);
-                written = output.write_all(&write::ng_interface(packet.link.number(), "cut"));
-                links.len() - 1
-            });
-            let block = write::ng_packet(interface as u32, packet.time, packet.data, packet.wire_len, "");
-            written = std::mem::replace(&mut written, Ok(())).and_then(|()| output.write_all(&block));
+            let interface = links
+                .iter()
+                .position(|link| *link == packet.link)
+                .unwrap_or_else(|| {
+                    links.push(packet.link);
+                    written = output.write_all(&write::ng_interface(packet.link.number(), "cut"));
+                    links.len() - 1
+                });
+            let block = write::ng_packet(
+                interface as u32,
+                packet.time,
+                packet.data,
+                packet.wire_len,
+                "",
+            );
+            written =
+                std::mem::replace(&mut written, Ok(())).and_then(|()| output.write_all(&block));
         }
         written.is_ok()
     })?;
