--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -40,7 +40,9 @@
 }
 
 fn seconds(time: Option<u64>) -> String {
-    time.map_or("not always".to_string(), |ms| format!("{:.2} s", ms as f64 / 1e3))
+    time.map_or("not always".to_string(), |ms| {
+        format!("{:.2} s", ms as f64 / 1e3)
+    })
 }
 
 /// The courses of one fault over all plays.
@@ -79,9 +81,16 @@
         "one view p50",
         "p99",
     ]);
-    for (nth, course) in plays.first().map_or(&[][..], |play| &play.courses).iter().enumerate() {
+    for (nth, course) in plays
+        .first()
+        .map_or(&[][..], |play| &play.courses)
+        .iter()
+        .enumerate()
+    {
         let name = match plan.faults.get(course.fault) {
-            Some(fault) => format!("{:?} at {:.1} s", fault.kind, fault.at.0.as_secs_f64()).to_lowercase(),
+            Some(fault) => {
+                format!("{:?} at {:.1} s", fault.kind, fault.at.0.as_secs_f64()).to_lowercase()
+            }
             None => "all join".to_string(),
         };
         let mut row = vec![name];
@@ -111,7 +120,8 @@
 }
 
 fn summary(plays: &[Play]) -> Value {
-    let mean = |part: fn(&Play) -> f64| plays.iter().map(part).sum::<f64>() / plays.len().max(1) as f64;
+    let mean =
+        |part: fn(&Play) -> f64| plays.iter().map(part).sum::<f64>() / plays.len().max(1) as f64;
     json!({
         "false_deaths": plays.iter().map(|p| p.false_deaths).sum::<u64>(),
         "member_hours": plays.iter().map(|p| p.member_hours).sum::<f64>(),
@@ -123,7 +133,8 @@
     std::fs::create_dir_all(folder)?;
     let courses: Vec<Value> = (0..plays.first().map_or(0, |play| play.courses.len()))
         .map(|nth| {
-            let mut told = json!({"fault": plays[0].courses[nth].fault, "kind": plays[0].courses[nth].kind});
+            let mut told =
+                json!({"fault": plays[0].courses[nth].fault, "kind": plays[0].courses[nth].kind});
             for (name, part) in PARTS {
                 let at = |q| quantile(of_fault(plays, nth).map(part), q);
                 told[format!("{name}_ms")] = json!({"p50": at(0.5), "p99": at(0.99)});
@@ -135,12 +146,23 @@
     std::fs::write(folder.join("report.json"), format!("{all:#}\n"))?;
     let mean = |part: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
         let seconds = plays.iter().map(|p| p.samples.len()).min().unwrap_or(0);
-        let at = |s: usize| plays.iter().map(|p| part(&p.samples[s])).sum::<f64>() / plays.len() as f64;
+        let at =
+            |s: usize| plays.iter().map(|p| part(&p.samples[s])).sum::<f64>() / plays.len() as f64;
         (0..seconds).map(|s| (s as f64 + 1.0, at(s))).collect()
     };
     let wrong = [("in the mean of all plays", mean(|(wrong, _)| wrong * 100.0))];
     let title = "What members hold of each other that is not so";
-    charts::lines(&folder.join("views.svg"), title, ("second", "% of pairs"), &wrong)?;
+    charts::lines(
+        &folder.join("views.svg"),
+        title,
+        ("second", "% of pairs"),
+        &wrong,
+    )?;
     let traffic = [("sent by a member", mean(|(_, bytes)| *bytes))];
-    charts::lines(&folder.join("traffic.svg"), "Bytes a member a second", ("second", "bytes"), &traffic)
+    charts::lines(
+        &folder.join("traffic.svg"),
+        "Bytes a member a second",
+        ("second", "bytes"),
+        &traffic,
+    )
 }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -32,7 +32,11 @@
 impl Summary {
     fn take(&mut self, item: Item) {
         match item {
-            Item::Message(Found::Request { conn, index, message }) => {
+            Item::Message(Found::Request {
+                conn,
+                index,
+                message,
+            }) => {
                 let class = source::class(&message);
                 self.classes.entry(class.clone()).or_default().requests += 1;
                 let open = self.open.entry(conn).or_default();
@@ -49,7 +53,10 @@
                     return;
                 };
                 let class = self.classes.entry(class).or_default();
-                *class.answers.entry(message.status().unwrap_or(0)).or_default() += 1;
+                *class
+                    .answers
+                    .entry(message.status().unwrap_or(0))
+                    .or_default() += 1;
                 class.latency.add(message.last.0.saturating_sub(asked));
             }
             Item::Message(Found::Passed { cause, bytes, .. }) => {
@@ -76,10 +83,22 @@
     }
     println!("{table}\n");
     let mut table = plain();
-    table.set_header(["class", "requests", "unanswered", "by status", "p50 ms", "p99 ms", "max ms"]);
+    table.set_header([
+        "class",
+        "requests",
+        "unanswered",
+        "by status",
+        "p50 ms",
+        "p99 ms",
+        "max ms",
+    ]);
     for (name, class) in &summary.classes {
         let (answered, times) = (class.answers.values().sum::<u64>(), class.latency.times());
-        let by_status: Vec<_> = class.answers.iter().map(|(status, n)| format!("{status}: {n}")).collect();
+        let by_status: Vec<_> = class
+            .answers
+            .iter()
+            .map(|(status, n)| format!("{status}: {n}"))
+            .collect();
         table.add_row([
             name.clone(),
             class.requests.to_string(),
@@ -95,7 +114,9 @@
 }
 
 fn lines(summary: &Summary, tally: &Tally) -> Vec<(String, String)> {
-    let seconds = tally.first.map_or(0.0, |first| tally.last.since(first) as f64 / 1e9);
+    let seconds = tally
+        .first
+        .map_or(0.0, |first| tally.last.since(first) as f64 / 1e9);
     let mut lines: Vec<(String, String)> = Vec::new();
     let mut line = |name: &str, value: String| lines.push((name.to_string(), value));
     line("bytes", tally.bytes.to_string());
@@ -106,7 +127,15 @@
     for (end, count) in &summary.ends {
         line(&format!("  ended: {end:?}"), count.to_string());
     }
-    line("requests", summary.classes.values().map(|class| class.requests).sum::<u64>().to_string());
+    line(
+        "requests",
+        summary
+            .classes
+            .values()
+            .map(|class| class.requests)
+            .sum::<u64>()
+            .to_string(),
+    );
     let odd = tally.tcp.odd;
     let counts = [
         ("packets cut by the snap length", tally.cut_packets),
@@ -130,13 +159,22 @@
         line(name, count.to_string());
     }
     for (leg, (packets, bytes)) in &tally.links {
-        line(&format!("link to the {}, not read", leg.name()), format!("{packets} packets ({bytes} bytes)"));
+        line(
+            &format!("link to the {}, not read", leg.name()),
+            format!("{packets} packets ({bytes} bytes)"),
+        );
     }
     for (cause, count) in &tally.passed {
-        line(&format!("packets passed over: {cause:?}"), count.to_string());
+        line(
+            &format!("packets passed over: {cause:?}"),
+            count.to_string(),
+        );
     }
     for (cause, (times, bytes)) in &summary.passed {
-        line(&format!("messages passed over: {cause:?}"), format!("{times} ({bytes} bytes)"));
+        line(
+            &format!("messages passed over: {cause:?}"),
+            format!("{times} ({bytes} bytes)"),
+        );
     }
     lines
 }
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -33,7 +33,11 @@
         Item::Connection(Event::Opened { conn, time, .. }) => {
             loaded.opened.insert(conn.0, time.0);
         }
-        Item::Message(Found::Request { conn, index, message }) => {
+        Item::Message(Found::Request {
+            conn,
+            index,
+            message,
+        }) => {
             bytes += message.bytes.len() as u64;
             if bytes > most {
                 return;
@@ -49,7 +53,11 @@
                 answer: None,
             });
         }
-        Item::Message(Found::Answer { conn, to: Some(to), message }) => {
+        Item::Message(Found::Answer {
+            conn,
+            to: Some(to),
+            message,
+        }) => {
             if let Some(place) = places.remove(&(conn, to)) {
                 loaded.requests[place].answer = Some(RecordedAnswer {
                     status: message.status().unwrap_or(0),
@@ -59,14 +67,21 @@
                 });
             }
         }
-        Item::Message(Found::Passed { side: Side::Client, cause, bytes, .. }) => {
+        Item::Message(Found::Passed {
+            side: Side::Client,
+            cause,
+            bytes,
+            ..
+        }) => {
             *loaded.passed.entry(cause).or_default() += bytes;
         }
         Item::Connection(_) | Item::Message(_) => {}
     })?;
     if bytes > most {
-        let what =
-            format!("{}: {bytes} bytes of requests, {most} at most; see --most-bytes", from.file.display());
+        let what = format!(
+            "{}: {bytes} bytes of requests, {most} at most; see --most-bytes",
+            from.file.display()
+        );
         return Err(Fault::Other(2, what));
     }
     // Requests are whole in another order than they begin.
--- a/crates/heathspurctl/src/load_run.rs
+++ b/crates/heathspurctl/src/load_run.rs
@@ -49,7 +49,9 @@
     /// The fields and the body of a request, in small letters.
     fn request(&self, send: &Send) -> (String, Vec<(&'static str, String)>, Vec<u8>) {
         let class = &self.plan.classes[send.class];
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let mut fields = vec![
             ("x-txn", format!("{:016x}", self.id ^ send.number)),
             ("x-ingress-time", unix.as_millis().to_string()),
@@ -89,7 +91,8 @@
     match (audit.unanswered(), audit.differ) {
         (0, 0) => Ok(()),
         (lost, differ) => {
-            let what = format!("{lost} requests without an answer, {differ} repeats with another result");
+            let what =
+                format!("{lost} requests without an answer, {differ} repeats with another result");
             Err(Fault::Other(1, what))
         }
     }
@@ -97,13 +100,20 @@
 
 fn play(plan: Plan) -> Audit {
     let executor = Rc::new(LocalExecutor::new());
-    let targets = plan.targets.iter().map(|target| Target::new(executor.clone(), target)).collect();
+    let targets = plan
+        .targets
+        .iter()
+        .map(|target| Target::new(executor.clone(), target))
+        .collect();
     let run = Rc::new(Run {
         audit: RefCell::new(Audit::new(&plan)),
         open: Cell::new(0),
         // A moment for the first connections.
         start: Instant::now() + Duration::from_millis(100),
-        id: SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_nanos() as u64) & !0xff_ffff_ffff,
+        id: SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(1, |d| d.as_nanos() as u64)
+            & !0xff_ffff_ffff,
         targets,
         plan,
     });
@@ -119,13 +129,21 @@
                 future::yield_now().await;
             }
             if sender.open.get() >= plan.open {
-                sender.audit.borrow_mut().ended(&send, End::Skipped, sender.now());
+                sender
+                    .audit
+                    .borrow_mut()
+                    .ended(&send, End::Skipped, sender.now());
                 continue;
             }
             sender.open.set(sender.open.get() + 1);
-            sender.audit.borrow_mut().sent(sender.now().saturating_sub(send.at));
+            sender
+                .audit
+                .borrow_mut()
+                .sent(sender.now().saturating_sub(send.at));
             let one = sender.clone();
-            executor.spawn(async move { ask(&one, send).await }).detach();
+            executor
+                .spawn(async move { ask(&one, send).await })
+                .detach();
         }
         // Each ends by its patience at the latest.
         while sender.open.get() > 0 {
@@ -158,7 +176,11 @@
 }
 
 fn others(part: &Part) -> String {
-    let all: Vec<_> = part.others.iter().map(|(end, count)| format!("{end:?}: {count}")).collect();
+    let all: Vec<_> = part
+        .others
+        .iter()
+        .map(|(end, count)| format!("{end:?}: {count}"))
+        .collect();
     all.join(", ")
 }
 
@@ -177,7 +199,11 @@
     ]);
     for ((target, class), part) in &audit.parts {
         let target = &plan.targets[*target];
-        let by_status: Vec<_> = part.statuses.iter().map(|(status, n)| format!("{status}: {n}")).collect();
+        let by_status: Vec<_> = part
+            .statuses
+            .iter()
+            .map(|(status, n)| format!("{status}: {n}"))
+            .collect();
         table.add_row([
             format!("{} {}", name(target.protocol), target.address),
             plan.classes[*class].name.clone(),
@@ -192,8 +218,17 @@
     }
     println!("{table}");
     let late = |quantile| audit.lateness.value_at_quantile(quantile) as f64 / 1000.0;
-    println!("lateness of the sender: p50 {:.3}  p99 {:.3}  max {:.3} ms", late(0.5), late(0.99), late(1.0));
-    println!("without an answer: {}; repeats with another result: {}", audit.unanswered(), audit.differ);
+    println!(
+        "lateness of the sender: p50 {:.3}  p99 {:.3}  max {:.3} ms",
+        late(0.5),
+        late(0.99),
+        late(1.0)
+    );
+    println!(
+        "without an answer: {}; repeats with another result: {}",
+        audit.unanswered(),
+        audit.differ
+    );
 }
 
 fn write(folder: &Path, plan: &Plan, audit: &Audit) -> std::io::Result<()> {
@@ -213,14 +248,29 @@
         "lateness_p99_ms": audit.lateness.value_at_quantile(0.99) as f64 / 1000.0});
     std::fs::write(folder.join("report.json"), format!("{report:#}\n"))?;
     let count = |of: fn(&heathspur_load::audit::Second) -> u32| {
-        audit.seconds.iter().enumerate().map(|(s, second)| (s as f64, f64::from(of(second)))).collect()
+        audit
+            .seconds
+            .iter()
+            .enumerate()
+            .map(|(s, second)| (s as f64, f64::from(of(second))))
+            .collect()
     };
-    let curves =
-        [("due", count(|s| s.due)), ("served", count(|s| s.served)), ("refused", count(|s| s.refused))];
-    charts::lines(&folder.join("rates.svg"), "Requests a second", ("second", "requests"), &curves)?;
+    let curves = [
+        ("due", count(|s| s.due)),
+        ("served", count(|s| s.served)),
+        ("refused", count(|s| s.refused)),
+    ];
+    charts::lines(
+        &folder.join("rates.svg"),
+        "Requests a second",
+        ("second", "requests"),
+        &curves,
+    )?;
     let latency = audit.latency();
     let quantiles = (0..=400).map(|step| f64::from(step) / 400.0);
-    let points = quantiles.map(|q| (100.0 * q, latency.value_at_quantile(q) as f64 / 1000.0)).collect();
+    let points = quantiles
+        .map(|q| (100.0 * q, latency.value_at_quantile(q) as f64 / 1000.0))
+        .collect();
     charts::lines(
         &folder.join("latency.svg"),
         "Latency by quantile, from the intended time",
--- a/crates/heathspurctl/src/load_target.rs
+++ b/crates/heathspurctl/src/load_target.rs
@@ -33,7 +33,10 @@
 
 enum Speaks {
     /// Idle connections, and how many there may be: a request waits for one, which its latency shows.
-    Http1 { idle: RefCell<Vec<Async<TcpStream>>>, places: Semaphore },
+    Http1 {
+        idle: RefCell<Vec<Async<TcpStream>>>,
+        places: Semaphore,
+    },
     /// Connections by turns.
     Http2 {
         executor: Rc<LocalExecutor<'static>>,
@@ -46,13 +49,23 @@
     pub fn new(executor: Rc<LocalExecutor<'static>>, target: &plan::Target) -> Target {
         let count = target.connections as usize;
         let speaks = match target.protocol {
-            Protocol::Http1 => Speaks::Http1 { idle: RefCell::default(), places: Semaphore::new(count) },
+            Protocol::Http1 => Speaks::Http1 {
+                idle: RefCell::default(),
+                places: Semaphore::new(count),
+            },
             Protocol::Http2 => {
                 let lines = (0..count).map(|_| RefCell::new(None)).collect();
-                Speaks::Http2 { executor, lines, next: Cell::new(0) }
+                Speaks::Http2 {
+                    executor,
+                    lines,
+                    next: Cell::new(0),
+                }
             }
         };
-        Target { address: target.address, speaks }
+        Target {
+            address: target.address,
+            speaks,
+        }
     }
 
     /// Sends a request and waits for what comes of it.
@@ -62,10 +75,15 @@
                 let _place = places.acquire().await;
                 self.ask_http1(idle, path, fields, &body).await
             }
-            Speaks::Http2 { executor, lines, next } => {
+            Speaks::Http2 {
+                executor,
+                lines,
+                next,
+            } => {
                 let at = next.get();
                 next.set((at + 1) % lines.len());
-                self.ask_http2(executor, &lines[at], path, fields, body.into()).await
+                self.ask_http2(executor, &lines[at], path, fields, body.into())
+                    .await
             }
         }
     }
@@ -122,7 +140,9 @@
         for (name, value) in fields {
             request = request.header(*name, value);
         }
-        let Ok(request) = request.body(()) else { return End::NoConnection };
+        let Ok(request) = request.body(()) else {
+            return End::NoConnection;
+        };
         let known = line.borrow().clone();
         let ready = match known {
             Some(send) => send.ready().await.ok(),
@@ -150,7 +170,9 @@
         }
         match answered(answer).await {
             Ok((status, digest)) => End::Answered(status, digest),
-            Err(e) if e.is_remote() && e.reason() == Some(h2::Reason::REFUSED_STREAM) => End::Refused,
+            Err(e) if e.is_remote() && e.reason() == Some(h2::Reason::REFUSED_STREAM) => {
+                End::Refused
+            }
             Err(_) => End::Broken,
         }
     }
@@ -159,9 +181,16 @@
     async fn line(&self, executor: &Rc<LocalExecutor<'static>>) -> io::Result<SendRequest<Bytes>> {
         let stream = self.connect().await?;
         let mut builder = h2::client::Builder::new();
-        builder.initial_connection_window_size(WINDOW).enable_push(false);
-        let (send, connection) = builder.handshake(stream.compat()).await.map_err(io::Error::other)?;
-        executor.spawn(async move { drop(connection.await) }).detach();
+        builder
+            .initial_connection_window_size(WINDOW)
+            .enable_push(false);
+        let (send, connection) = builder
+            .handshake(stream.compat())
+            .await
+            .map_err(io::Error::other)?;
+        executor
+            .spawn(async move { drop(connection.await) })
+            .detach();
         Ok(send)
     }
 }
@@ -188,10 +217,15 @@
     loop {
         let kind = |line: &[u8]| {
             status = status_line(line)?;
-            Ok(Kind::Answer { status, to_head: false })
+            Ok(Kind::Answer {
+                status,
+                to_head: false,
+            })
         };
         if let Some(head) = framing::head(&buffer, CHUNK, kind).map_err(|_| wrong())? {
-            let Length::Bytes(length) = head.length else { return Err(wrong()) };
+            let Length::Bytes(length) = head.length else {
+                return Err(wrong());
+            };
             let end = head.end + usize::try_from(length).map_err(|_| wrong())?;
             if end > ANSWER {
                 return Err(wrong());
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -37,7 +37,10 @@
 pub fn run(options: &Options) -> Result<(), Fault> {
     let wait = Duration::from_millis(options.wait);
     let whole = ask(options.address, wait).map_err(|e| {
-        let what = format!("{}: the daemon does not tell its view: {e}", options.address);
+        let what = format!(
+            "{}: the daemon does not tell its view: {e}",
+            options.address
+        );
         Fault::Other(2, what)
     })?;
     if options.json {
@@ -72,31 +75,53 @@
 fn part(socket: &UdpSocket, seq: u32, after: Option<Id>, wait: Duration) -> io::Result<(Id, Seen)> {
     let mut ask = Envelope {
         from: Id("heathspurctl".into()),
-        body: Body::Ask(Ask { seq, after: after.clone(), padding: Vec::new() }),
+        body: Body::Ask(Ask {
+            seq,
+            after: after.clone(),
+            padding: Vec::new(),
+        }),
         updates: Vec::new(),
     };
     // The padding's own length takes two bytes instead of one.
     let padding = vec![0; LARGEST - wire::encoded_len(&ask) - 1];
-    ask.body = Body::Ask(Ask { seq, after, padding });
-    let question = wire::encode(&ask).ok_or_else(|| io::Error::other("the question is too long"))?;
+    ask.body = Body::Ask(Ask {
+        seq,
+        after,
+        padding,
+    });
+    let question =
+        wire::encode(&ask).ok_or_else(|| io::Error::other("the question is too long"))?;
     let mut buffer = vec![0; LARGEST + 1];
     let mut last = io::Error::new(io::ErrorKind::TimedOut, "no answer");
     for _ in 0..TRIES {
         socket.send(&question)?;
         let until = Instant::now() + wait;
-        while let Some(left) = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
+        while let Some(left) = until
+            .checked_duration_since(Instant::now())
+            .filter(|left| !left.is_zero())
+        {
             socket.set_read_timeout(Some(left))?;
             match socket.recv(&mut buffer) {
                 Ok(len) => match wire::decode(&buffer[..len]) {
-                    Ok(Envelope { from, body: Body::Seen(seen), .. }) if seen.seq == seq => {
+                    Ok(Envelope {
+                        from,
+                        body: Body::Seen(seen),
+                        ..
+                    }) if seen.seq == seq => {
                         return Ok((from, seen));
                     }
                     Err(wire::Refusal::Version) => {
-                        return Err(io::Error::other("it speaks another version of the protocol"));
+                        return Err(io::Error::other(
+                            "it speaks another version of the protocol",
+                        ));
                     }
                     _ => {}
                 },
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) => {}
                 Err(e) => {
                     // Nobody listens there, as far as is told; it may be starting.
                     last = e;
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -88,7 +88,8 @@
 pub fn run(options: &Options) -> Result<(), Fault> {
     let copies = options.repeat > 1 || options.scale_load > 1.0;
     if copies && !options.renew {
-        let what = "--loop and --scale-load above 1 send requests more than once, which needs --renew";
+        let what =
+            "--loop and --scale-load above 1 send requests more than once, which needs --renew";
         return Err(Fault::Other(2, what.to_string()));
     }
     let loaded = load(&options.source, options.most_bytes.saturating_mul(1 << 20))?;
@@ -106,16 +107,31 @@
     let plan = plan(&loaded.requests, &loaded.opened, &terms)
         .map_err(|fault| Fault::Other(2, format!("{}: {fault}", options.source.file.display())))?;
     let replayed = play(&loaded, &plan, options);
-    let terms = Terms { key: &options.key_field, late_after: options.late_after.map(nanos) };
-    let audit = audit(&loaded.requests, &plan, &replayed.outcomes, replayed.counts, terms);
+    let terms = Terms {
+        key: &options.key_field,
+        late_after: options.late_after.map(nanos),
+    };
+    let audit = audit(
+        &loaded.requests,
+        &plan,
+        &replayed.outcomes,
+        replayed.counts,
+        terms,
+    );
     report::print(&loaded, &audit, replayed.changed);
     if let Some(folder) = &options.report {
         report::write(folder, &loaded, &plan, &replayed, &audit)
             .map_err(|e| Fault::File(folder.clone(), e))?;
     }
     match (audit.breaks_a_rule(), audit.whole()) {
-        (true, _) => Err(Fault::Other(1, "a rule is broken: see late, extra answers and keys above".into())),
-        (_, false) => Err(Fault::Other(1, "not every request was sent and answered".into())),
+        (true, _) => Err(Fault::Other(
+            1,
+            "a rule is broken: see late, extra answers and keys above".into(),
+        )),
+        (_, false) => Err(Fault::Other(
+            1,
+            "not every request was sent and answered".into(),
+        )),
         _ => Ok(()),
     }
 }
@@ -166,9 +182,13 @@
                 Action::Connect(lane) => {
                     lives += 1;
                     let (outbox, sends) = async_channel::unbounded();
-                    lines[lane] = Some(Line { life: lives, outbox });
+                    lines[lane] = Some(Line {
+                        life: lives,
+                        outbox,
+                    });
                     let target = options.to_server;
-                    let work = connection::run(target, (lane, lives), sends, start, reports.clone());
+                    let work =
+                        connection::run(target, (lane, lives), sends, start, reports.clone());
                     executor.spawn(work).detach();
                 }
                 Action::Close(lane) => lines[lane] = None,
@@ -177,10 +197,16 @@
                     let request = &loaded.requests[planned.recorded];
                     let mut bytes = request.bytes.clone();
                     if options.renew {
-                        let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-                        let times = Times { recorded: request.first, now_ms: now_ms.as_millis() as u64 };
+                        let now_ms = SystemTime::now()
+                            .duration_since(UNIX_EPOCH)
+                            .unwrap_or_default();
+                        let times = Times {
+                            recorded: request.first,
+                            now_ms: now_ms.as_millis() as u64,
+                        };
                         let fields = loaded.fields[planned.recorded].clone();
-                        let (fresh, what) = renewer.renew(&bytes, fields, (send as u64, planned.copy), times);
+                        let (fresh, what) =
+                            renewer.renew(&bytes, fields, (send as u64, planned.copy), times);
                         bytes = fresh;
                         changed.add(what);
                     }
@@ -209,7 +235,10 @@
         let mut taken = 0;
         while let Some(report) = next {
             let lane = lane_of(&report.event);
-            if lines[lane].as_ref().is_some_and(|line| line.life == report.life) {
+            if lines[lane]
+                .as_ref()
+                .is_some_and(|line| line.life == report.life)
+            {
                 if matches!(report.event, Event::Failed(..) | Event::Closed(_)) {
                     lines[lane] = None;
                 }
@@ -219,10 +248,18 @@
             taken += 1;
             // What is taken off the queue is taken in: a report that was dropped here left its connection
             // waiting for ever.
-            next = if taken < AT_ONCE { inbox.try_recv().ok() } else { None };
+            next = if taken < AT_ONCE {
+                inbox.try_recv().ok()
+            } else {
+                None
+            };
         }
     }
-    Replayed { outcomes: runner.outcomes().to_vec(), counts: runner.counts(), changed }
+    Replayed {
+        outcomes: runner.outcomes().to_vec(),
+        counts: runner.counts(),
+        changed,
+    }
 }
 
 fn lane_of(event: &Event) -> usize {
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -31,7 +31,10 @@
     row("requests planned", audit.requests.to_string());
     row("sent", audit.sent.to_string());
     row("answered once", audit.answered.to_string());
-    row("connection ended without an answer", audit.broken.to_string());
+    row(
+        "connection ended without an answer",
+        audit.broken.to_string(),
+    );
     row("not answered in time", audit.timed_out.to_string());
     for (why, count) in &audit.unsent {
         row(&format!("not sent: {why:?}"), count.to_string());
@@ -47,18 +50,30 @@
     row("status differs", compared.status_differs.to_string());
     row("body differs", compared.body_differs.to_string());
     row("answered only now, only then, never", {
-        format!("{}, {}, {}", compared.only_now, compared.only_recorded, compared.neither)
+        format!(
+            "{}, {}, {}",
+            compared.only_now, compared.only_recorded, compared.neither
+        )
     });
     let times = |t: &Times| {
-        format!("p50 {:.3}  p99 {:.3}  p99.9 {:.3}  max {:.3} ms", t.p50_ms, t.p99_ms, t.p999_ms, t.max_ms)
+        format!(
+            "p50 {:.3}  p99 {:.3}  p99.9 {:.3}  max {:.3} ms",
+            t.p50_ms, t.p99_ms, t.p999_ms, t.max_ms
+        )
     };
     row("lateness of the sender", times(&audit.lateness));
     row("drift", format!("{:.3} ms a second", audit.drift_ms_per_s));
     row("latency recorded", times(&audit.recorded_latency));
     row("latency from the intended time", times(&audit.latency));
-    row("changed: ids, keys, stamps", format!("{}, {}, {}", changed.ids, changed.keys, changed.stamps));
+    row(
+        "changed: ids, keys, stamps",
+        format!("{}, {}, {}", changed.ids, changed.keys, changed.stamps),
+    );
     for (cause, bytes) in &loaded.passed {
-        row(&format!("bytes of clients left out: {cause:?}"), bytes.to_string());
+        row(
+            &format!("bytes of clients left out: {cause:?}"),
+            bytes.to_string(),
+        );
     }
     if let Some(damage) = loaded.tally.damage {
         row("the capture is damaged", damage.to_string());
@@ -82,7 +97,9 @@
         let request = &loaded.requests[send.recorded];
         let ms = |nanos: u64| nanos as f64 / 1e6;
         let (end, status, answered) = match outcome.end {
-            End::Answered { status, last, .. } => ("answered".to_string(), Some(status), Some(ms(last))),
+            End::Answered { status, last, .. } => {
+                ("answered".to_string(), Some(status), Some(ms(last)))
+            }
             other => (format!("{other:?}").to_lowercase(), None, None),
         };
         let line = json!({
@@ -94,5 +111,10 @@
     }
     lines.flush()?;
     charts::rates(&folder.join("rates.svg"), plan, &replayed.outcomes)?;
-    charts::latency(&folder.join("latency.svg"), loaded, plan, &replayed.outcomes)
+    charts::latency(
+        &folder.join("latency.svg"),
+        loaded,
+        plan,
+        &replayed.outcomes,
+    )
 }
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -66,12 +66,19 @@
             }
             Item::Connection(Event::Closed { conn, .. }) => {
                 self.clients.remove(&conn);
-                let keys: Vec<_> =
-                    self.waiting.range((conn, 0)..=(conn, u64::MAX)).map(|(key, _)| *key).collect();
+                let keys: Vec<_> = self
+                    .waiting
+                    .range((conn, 0)..=(conn, u64::MAX))
+                    .map(|(key, _)| *key)
+                    .collect();
                 keys.into_iter().for_each(|key| self.print(key));
             }
             Item::Connection(_) | Item::Message(Found::Passed { .. }) => {}
-            Item::Message(Found::Request { conn, index, message }) => {
+            Item::Message(Found::Request {
+                conn,
+                index,
+                message,
+            }) => {
                 let row = self.row(conn, index, &message);
                 self.waiting.insert((conn, index), row);
                 if self.waiting.len() > WAITING {
@@ -80,7 +87,11 @@
                     }
                 }
             }
-            Item::Message(Found::Answer { conn, to: Some(to), message }) => {
+            Item::Message(Found::Answer {
+                conn,
+                to: Some(to),
+                message,
+            }) => {
                 if let Some(row) = self.waiting.get_mut(&(conn, to)) {
                     row.status = message.status();
                     row.latency_ms = Some(message.last.0.saturating_sub(row.last) as f64 / 1e6);
@@ -108,7 +119,9 @@
     }
 
     fn print(&mut self, key: (ConnId, u64)) {
-        let Some(row) = self.waiting.remove(&key) else { return };
+        let Some(row) = self.waiting.remove(&key) else {
+            return;
+        };
         let text = match self.options.format {
             Format::Json => serde_json::to_string(&row).unwrap_or_default(),
             Format::Table => {
@@ -140,7 +153,12 @@
             "at", "conn", "index", "class", "tenant", "bytes", "status", "ms"
         );
     }
-    let mut rows = Rows { options, clients: HashMap::new(), waiting: BTreeMap::new(), ended: None };
+    let mut rows = Rows {
+        options,
+        clients: HashMap::new(),
+        waiting: BTreeMap::new(),
+        ended: None,
+    };
     let tally = source::read(&options.source, |item| rows.take(item))?;
     match rows.ended {
         // A reader that has seen enough is no fault.
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -17,9 +17,14 @@
     let fault = |e| Fault::File(file.to_path_buf(), e);
     let mut input = File::open(file).map_err(fault)?;
     let length = input.metadata().map_err(fault)?.len();
-    let progress =
-        if std::io::stderr().is_terminal() { ProgressBar::new(length) } else { ProgressBar::hidden() };
-    if let Ok(style) = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {bytes_per_sec}") {
+    let progress = if std::io::stderr().is_terminal() {
+        ProgressBar::new(length)
+    } else {
+        ProgressBar::hidden()
+    };
+    if let Ok(style) =
+        ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {bytes_per_sec}")
+    {
         progress.set_style(style);
     }
     let mut buffer = vec![0; CHUNK];
@@ -36,8 +41,15 @@
 
 /// How this source's capture is read.
 pub fn options(source: &Source) -> Options {
-    let reassembly = reassembly::Limits { servers: source.server_ports.clone(), ..Default::default() };
-    Options { checksums: source.checksums, reassembly, ..Options::default() }
+    let reassembly = reassembly::Limits {
+        servers: source.server_ports.clone(),
+        ..Default::default()
+    };
+    Options {
+        checksums: source.checksums,
+        reassembly,
+        ..Options::default()
+    }
 }
 
 /// Reads a capture and hands on what is found in it.
@@ -51,14 +63,19 @@
 /// Damage is told last, with an exit code of its own.
 pub fn damaged(source: &Source, tally: &Tally) -> Result<(), Fault> {
     match tally.damage {
-        Some(damage) => Err(Fault::Other(3, format!("{}: {damage}", source.file.display()))),
+        Some(damage) => Err(Fault::Other(
+            3,
+            format!("{}: {damage}", source.file.display()),
+        )),
         None => Ok(()),
     }
 }
 
 /// What a request asks for: the path, and of paths with a service's name that name.
 pub fn class(message: &Message) -> String {
-    let Some((_, target)) = message.request_line() else { return "?".into() };
+    let Some((_, target)) = message.request_line() else {
+        return "?".into();
+    };
     let path = target.split(|&b| b == b'?').next().unwrap_or(target);
     let class = path.strip_prefix(b"/svc/").unwrap_or(path);
     String::from_utf8_lossy(class).into_owned()
@@ -66,7 +83,9 @@
 
 /// The value of a field.
 pub fn field(message: &Message, name: &str) -> Option<String> {
-    message.field(name).map(|value| String::from_utf8_lossy(value).into_owned())
+    message
+        .field(name)
+        .map(|value| String::from_utf8_lossy(value).into_owned())
 }
 
 /// A digest of bytes; the same for the same bytes in every run.
--- a/crates/heathspurctl/tests/experiment.rs
+++ b/crates/heathspurctl/tests/experiment.rs
@@ -5,13 +5,21 @@
 use std::process::{Command, Output};
 
 fn experiment(plan: &str, name: &str) -> (Output, PathBuf) {
-    let folder = std::env::temp_dir().join(format!("heathspurctl-experiment-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "heathspurctl-experiment-{}-{name}",
+        std::process::id()
+    ));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("plan.xml");
     std::fs::write(&file, plan).unwrap();
     let program = env!("CARGO_BIN_EXE_heathspurctl");
-    let output =
-        Command::new(program).arg("experiment").arg(&file).arg("--report").arg(&folder).output().unwrap();
+    let output = Command::new(program)
+        .arg("experiment")
+        .arg(&file)
+        .arg("--report")
+        .arg(&folder)
+        .output()
+        .unwrap();
     (output, folder)
 }
 
@@ -22,28 +30,48 @@
                 </experiment>";
     let (output, folder) = experiment(plan, "good");
     let text = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    assert!(text.contains("crash at 5.0 s") && text.contains("false deaths: 0 in"), "{text}");
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
+    assert!(
+        text.contains("crash at 5.0 s") && text.contains("false deaths: 0 in"),
+        "{text}"
+    );
     let report: Value =
-        serde_json::from_str(&std::fs::read_to_string(folder.join("report.json")).unwrap()).unwrap();
+        serde_json::from_str(&std::fs::read_to_string(folder.join("report.json")).unwrap())
+            .unwrap();
     assert_eq!(report["plays"].as_array().unwrap().len(), 4);
     let all = report["courses"][0]["all_ms"]["p99"].as_u64().unwrap();
     assert!((2_000..45_000).contains(&all), "{all}");
-    assert!(report["courses"][1]["settled_ms"]["p99"].is_u64(), "{report}");
+    assert!(
+        report["courses"][1]["settled_ms"]["p99"].is_u64(),
+        "{report}"
+    );
     for chart in ["views.svg", "traffic.svg"] {
-        assert!(std::fs::read_to_string(folder.join(chart)).unwrap().contains("<svg"));
+        assert!(std::fs::read_to_string(folder.join(chart))
+            .unwrap()
+            .contains("<svg"));
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
 fn a_wrong_plan_is_named_and_the_schema_printed() {
-    let (output, folder) =
-        experiment("<experiment xmlns=\"urn:heathspur:experiment:1\" members=\"1\"/>", "wrong");
+    let (output, folder) = experiment(
+        "<experiment xmlns=\"urn:heathspur:experiment:1\" members=\"1\"/>",
+        "wrong",
+    );
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(output.status.code() == Some(2) && said.contains("plan.xml:1: experiment"), "{said}");
+    assert!(
+        output.status.code() == Some(2) && said.contains("plan.xml:1: experiment"),
+        "{said}"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
-    let schema =
-        Command::new(env!("CARGO_BIN_EXE_heathspurctl")).args(["experiment", "--schema"]).output().unwrap();
+    let schema = Command::new(env!("CARGO_BIN_EXE_heathspurctl"))
+        .args(["experiment", "--schema"])
+        .output()
+        .unwrap();
     assert!(String::from_utf8_lossy(&schema.stdout).contains("urn:heathspur:experiment:1"));
 }
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -38,7 +38,8 @@
 #[test]
 fn both_protocols_are_driven_and_all_that_was_due_is_accounted_for() {
     let operator = temporary("operator.xml");
-    let text = "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\"/></operator>";
+    let text =
+        "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\"/></operator>";
     std::fs::write(&operator, text).unwrap();
     let rig = Rig::operated_with(&operator, |c| {
         c["settings"]["realms"][0]["quota-per-s"] = 1e6.into();
@@ -54,22 +55,37 @@
     let (output, report) = load("both", &targets, classes);
     let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
     assert_eq!(output.status.code(), Some(0), "{said}");
-    assert_eq!((&report["unanswered"], &report["differ"]), (&0.into(), &0.into()), "{said}");
+    assert_eq!(
+        (&report["unanswered"], &report["differ"]),
+        (&0.into(), &0.into()),
+        "{said}"
+    );
     let parts = report["parts"].as_array().unwrap();
     assert_eq!(parts.len(), 4, "{said}");
     for part in parts {
-        let answered: u64 = part["statuses"].as_object().unwrap().values().map(|n| n.as_u64().unwrap()).sum();
+        let answered: u64 = part["statuses"]
+            .as_object()
+            .unwrap()
+            .values()
+            .map(|n| n.as_u64().unwrap())
+            .sum();
         assert_eq!(part["due"].as_u64(), Some(answered), "{said}");
         assert!(part["statuses"]["200"].as_u64().unwrap() > 0, "{said}");
     }
-    assert!(runs.lock().unwrap().values().all(|&count| count == 1), "a key ran twice");
+    assert!(
+        runs.lock().unwrap().values().all(|&count| count == 1),
+        "a key ran twice"
+    );
     let _ = std::fs::remove_file(&operator);
     let _: &Running = &rig.process;
 }
 
 #[test]
 fn answers_that_never_come_show_in_the_exit_code() {
-    let sink = Sink::start(Manner { break_after: 3, ..Manner::default() });
+    let sink = Sink::start(Manner {
+        break_after: 3,
+        ..Manner::default()
+    });
     let target = format!("<target protocol=\"http1\" address=\"{}\"/>", sink.address);
     let (output, report) = load("broken", &target, "<class name=\"look\"/>");
     assert_eq!(output.status.code(), Some(1));
@@ -78,8 +94,15 @@
 
 #[test]
 fn a_plan_that_cannot_be_used_says_where() {
-    let (output, report) = load("wrong", "<target protocol=\"http1\" address=\"127.0.0.1:1\"/>", "<class/>");
+    let (output, report) = load(
+        "wrong",
+        "<target protocol=\"http1\" address=\"127.0.0.1:1\"/>",
+        "<class/>",
+    );
     assert_eq!((output.status.code(), report), (Some(2), Value::Null));
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains(".xml:2: class: missing field `name`"), "{said}");
+    assert!(
+        said.contains(".xml:2: class: missing field `name`"),
+        "{said}"
+    );
 }
--- a/crates/heathspurctl/tests/members.rs
+++ b/crates/heathspurctl/tests/members.rs
@@ -9,16 +9,27 @@
 
 fn members(address: SocketAddr, more: &[&str]) -> Output {
     let program = built("heathspurctl");
-    Command::new(program).args(["members", &address.to_string()]).args(more).output().unwrap()
+    Command::new(program)
+        .args(["members", &address.to_string()])
+        .args(more)
+        .output()
+        .unwrap()
 }
 
 /// What the server at `address` holds of a member.
 fn held(address: SocketAddr, id: &str) -> Value {
     let output = members(address, &["--json"]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let view: Value = serde_json::from_slice(&output.stdout).unwrap();
     let rows = view["members"].as_array().unwrap();
-    rows.iter().find(|row| row["id"] == id).cloned().unwrap_or(Value::Null)
+    rows.iter()
+        .find(|row| row["id"] == id)
+        .cloned()
+        .unwrap_or(Value::Null)
 }
 
 /// Waits for what a server holds of a member to pass a test.
@@ -44,9 +55,14 @@
     client.send(&request(1, None, b"abc"));
     let (task, _, body) = vm.apply();
     assert_eq!(body, b"abc");
-    until(asked, "m1", "one request in flight", |row| row["in_flight"] == 1 && row["cap"].as_u64() > Some(0));
+    until(asked, "m1", "one request in flight", |row| {
+        row["in_flight"] == 1 && row["cap"].as_u64() > Some(0)
+    });
     let row = held(asked, "m1");
-    assert_eq!((&row["state"], &row["zone"], &row["region"]), (&"alive".into(), &"z1".into(), &"r1".into()));
+    assert_eq!(
+        (&row["state"], &row["zone"], &row["region"]),
+        (&"alive".into(), &"z1".into(), &"r1".into())
+    );
     // 0.1.0 and on; the same for all that run one build.
     assert!(
         row["version"].as_u64() >= Some(1_000) && row["version"] == held(asked, "m0")["version"],
@@ -68,8 +84,14 @@
     fleet.until("all see all", Fleet::one_view);
     let output = members(fleet.relay.real[1], &[]);
     let text = String::from_utf8(output.stdout).unwrap();
-    assert!(text.starts_with("view ") && text.contains("of m1: 2 members"), "{text}");
-    assert!(text.contains("refusals/s") && text.lines().count() == 4, "{text}");
+    assert!(
+        text.starts_with("view ") && text.contains("of m1: 2 members"),
+        "{text}"
+    );
+    assert!(
+        text.contains("refusals/s") && text.lines().count() == 4,
+        "{text}"
+    );
     fleet.kill(1);
     let output = members(fleet.relay.real[1], &["--wait", "20"]);
     assert_eq!(output.status.code(), Some(2));
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -15,7 +15,10 @@
 }
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_heathspurctl")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_heathspurctl"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn said(output: &Output) -> String {
@@ -39,7 +42,12 @@
         script.now += conn * 7 * MS;
         for n in 0..4 {
             let class = if conn == 1 { "pay" } else { "look" };
-            let bytes = keyed(conn * 10 + n, class, &format!("{:032x}", conn * 4 + n / 2), START / MS);
+            let bytes = keyed(
+                conn * 10 + n,
+                class,
+                &format!("{:032x}", conn * 4 + n / 2),
+                START / MS,
+            );
             script.now += 20 * MS;
             script.say(Side::Client, &bytes, 90);
             sent.push((script.now, bytes));
@@ -68,12 +76,27 @@
     let text = said(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
     let line = |name: &str| {
-        text.lines().map(str::trim).find(|line| line.starts_with(name)).unwrap_or_else(|| panic!("{text}"))
+        text.lines()
+            .map(str::trim)
+            .find(|line| line.starts_with(name))
+            .unwrap_or_else(|| panic!("{text}"))
     };
-    assert!(line("requests").ends_with("12") && line("connections").ends_with('3'), "{text}");
-    assert!(line("pay").contains("200: 4") && line("look").contains("200: 8"), "{text}");
+    assert!(
+        line("requests").ends_with("12") && line("connections").ends_with('3'),
+        "{text}"
+    );
+    assert!(
+        line("pay").contains("200: 4") && line("look").contains("200: 8"),
+        "{text}"
+    );
 
-    let output = run(&["pcap", "requests", file.to_str().unwrap(), "--format", "json"]);
+    let output = run(&[
+        "pcap",
+        "requests",
+        file.to_str().unwrap(),
+        "--format",
+        "json",
+    ]);
     let rows: Vec<Value> = output
         .stdout
         .split(|b| *b == b'\n')
@@ -83,7 +106,10 @@
     assert_eq!(rows.len(), 12);
     for row in &rows {
         assert!(row["status"] == 200 && row["tenant"] == "north", "{row}");
-        assert!(row["bytes"] == sent[0].1.len() || row["class"] == "pay", "{row}");
+        assert!(
+            row["bytes"] == sent[0].1.len() || row["class"] == "pay",
+            "{row}"
+        );
         // The answer came a millisecond after the request's last segment.
         assert!((row["latency_ms"].as_f64().unwrap() - 1.0).abs() < 1e-9);
     }
@@ -100,8 +126,16 @@
     assert_eq!(output.status.code(), Some(3));
     assert!(said(&output).contains("at byte "), "{}", said(&output));
     std::fs::write(&file, b"no capture").unwrap();
-    assert_eq!(run(&["pcap", "requests", file.to_str().unwrap()]).status.code(), Some(3));
-    assert_eq!(run(&["pcap", "info", "/nowhere/x.pcap"]).status.code(), Some(2));
+    assert_eq!(
+        run(&["pcap", "requests", file.to_str().unwrap()])
+            .status
+            .code(),
+        Some(3)
+    );
+    assert_eq!(
+        run(&["pcap", "info", "/nowhere/x.pcap"]).status.code(),
+        Some(2)
+    );
 }
 
 #[test]
@@ -110,10 +144,16 @@
     let file = file.to_str().unwrap();
     let part = temporary("part.pcapng");
     let count = |part: &PathBuf| {
-        run(&["pcap", "requests", part.to_str().unwrap(), "--format", "json"])
-            .stdout
-            .split(|b| *b == b'\n')
-            .count()
+        run(&[
+            "pcap",
+            "requests",
+            part.to_str().unwrap(),
+            "--format",
+            "json",
+        ])
+        .stdout
+        .split(|b| *b == b'\n')
+        .count()
             - 1
     };
     for (more, requests) in [
@@ -125,13 +165,22 @@
         (&["--to", "0.05"], 4),
     ] {
         let _ = std::fs::remove_file(&part);
-        let output = run(&[&["pcap", "cut", file, "--output", part.to_str().unwrap()][..], more].concat());
+        let output = run(&[
+            &["pcap", "cut", file, "--output", part.to_str().unwrap()][..],
+            more,
+        ]
+        .concat());
         assert_eq!(output.status.code(), Some(0), "{more:?} {}", said(&output));
         if requests > 0 {
             assert_eq!(count(&part), requests, "{more:?}");
         }
         // What is there is not overwritten.
-        assert_eq!(run(&["pcap", "cut", file, "--output", part.to_str().unwrap()]).status.code(), Some(2));
+        assert_eq!(
+            run(&["pcap", "cut", file, "--output", part.to_str().unwrap()])
+                .status
+                .code(),
+            Some(2)
+        );
     }
 }
 
@@ -143,14 +192,25 @@
     let output = replay(&file, &sink, &["--report", report.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
     let received: Vec<_> = sink.received().into_iter().map(|r| r.bytes).collect();
-    assert_eq!(received, sent.iter().map(|(_, bytes)| bytes.clone()).collect::<Vec<_>>());
-    let told: Value = serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
+    assert_eq!(
+        received,
+        sent.iter()
+            .map(|(_, bytes)| bytes.clone())
+            .collect::<Vec<_>>()
+    );
+    let told: Value =
+        serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
     assert_eq!(told["audit"]["compared"]["same"], 12);
     assert_eq!(told["changed"]["ids"], 0);
     let lines = std::fs::read_to_string(report.join("requests.jsonl")).unwrap();
     assert_eq!(lines.lines().count(), 12);
     for chart in ["rates.svg", "latency.svg"] {
-        assert!(std::fs::read_to_string(report.join(chart)).unwrap().contains("<polyline"), "{chart}");
+        assert!(
+            std::fs::read_to_string(report.join(chart))
+                .unwrap()
+                .contains("<polyline"),
+            "{chart}"
+        );
     }
     std::fs::remove_dir_all(report).unwrap();
 }
@@ -162,7 +222,11 @@
     for conn in 0..120 {
         let mut script = Script::open(10_000 + conn);
         for n in 0..3 {
-            script.say(Side::Client, &keyed(u64::from(conn) * 3 + n, "look", "k", START / MS), 1000);
+            script.say(
+                Side::Client,
+                &keyed(u64::from(conn) * 3 + n, "look", "k", START / MS),
+                1000,
+            );
             script.say(Side::Server, &answer(200, b"done"), 100);
         }
         script.close();
@@ -185,44 +249,88 @@
         assert_eq!(replay(&file, &sink, more).status.code(), Some(2));
     }
     assert!(sink.received().is_empty());
-    let output = replay(&file, &sink, &["--loop", "2", "--scale-load", "2", "--renew", "--speed", "4"]);
+    let output = replay(
+        &file,
+        &sink,
+        &[
+            "--loop",
+            "2",
+            "--scale-load",
+            "2",
+            "--renew",
+            "--speed",
+            "4",
+        ],
+    );
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
     let received = sink.received();
     assert_eq!(received.len(), 48);
     let field = |bytes: &[u8], name: &str| {
         let text = String::from_utf8_lossy(bytes).into_owned();
-        text.lines().find_map(|line| line.strip_prefix(name).map(str::to_string)).unwrap()
+        text.lines()
+            .find_map(|line| line.strip_prefix(name).map(str::to_string))
+            .unwrap()
     };
     let distinct = |name: &str| {
-        received.iter().map(|r| field(&r.bytes, name)).collect::<std::collections::BTreeSet<_>>().len()
+        received
+            .iter()
+            .map(|r| field(&r.bytes, name))
+            .collect::<std::collections::BTreeSet<_>>()
+            .len()
     };
     // Two requests share a key, in each of four copies.
     assert_eq!((distinct("X-Txn: "), distinct("X-Txn-Key: ")), (48, 24));
     assert!(received
         .iter()
         .all(|r| r.bytes.len() == sent[0].1.len() || r.bytes.len() == sent[0].1.len() - 1));
-    let stamp: u64 = field(&received[0].bytes, "X-Ingress-Time: ").parse().unwrap();
+    let stamp: u64 = field(&received[0].bytes, "X-Ingress-Time: ")
+        .parse()
+        .unwrap();
     assert!(stamp > START / MS - 10_000_000_000);
 }
 
 #[test]
 fn what_a_breaking_or_absent_target_costs_is_counted_and_shows_in_the_exit_code() {
     let (file, _) = capture("broken.pcap");
-    let sink = Sink::start(Manner { break_after: 3, ..Manner::default() });
+    let sink = Sink::start(Manner {
+        break_after: 3,
+        ..Manner::default()
+    });
     let output = replay(&file, &sink, &[]);
     let text = said(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(
-        text.lines().any(|l| l.starts_with(" connection ended without an answer") && l.trim().ends_with('3')),
+        text.lines().any(
+            |l| l.starts_with(" connection ended without an answer") && l.trim().ends_with('3')
+        ),
         "{text}"
     );
     assert_eq!(sink.received().len(), 12, "no request is sent again");
 
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    let output = run(&["pcap", "replay", file.to_str().unwrap(), "--to-server", &nobody, "--speed", "10"]);
+    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
+    let output = run(&[
+        "pcap",
+        "replay",
+        file.to_str().unwrap(),
+        "--to-server",
+        &nobody,
+        "--speed",
+        "10",
+    ]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains("not sent: Refused"), "{}", said(&output));
-    let closes = Sink::start(Manner { close: true, ..Manner::default() });
+    assert!(
+        said(&output).contains("not sent: Refused"),
+        "{}",
+        said(&output)
+    );
+    let closes = Sink::start(Manner {
+        close: true,
+        ..Manner::default()
+    });
     assert_eq!(replay(&file, &closes, &[]).status.code(), Some(0));
 }
 
@@ -233,10 +341,25 @@
     script.say(Side::Server, &answer(200, b"ok"), 60);
     script.close();
     use heathspur_capture::write;
-    let mut file = [write::ng_section(), write::ng_interface(101, "a"), write::ng_interface(1, "b")].concat();
+    let mut file = [
+        write::ng_section(),
+        write::ng_interface(101, "a"),
+        write::ng_interface(1, "b"),
+    ]
+    .concat();
     for (n, (at, packet)) in script.packets.iter().enumerate() {
-        let data = if n % 2 == 0 { packet.clone() } else { [&[0; 12][..], &[8, 0], packet].concat() };
-        file.extend(write::ng_packet(n as u32 % 2, Stamp(START + at), &data, data.len() as u32, ""));
+        let data = if n % 2 == 0 {
+            packet.clone()
+        } else {
+            [&[0; 12][..], &[8, 0], packet].concat()
+        };
+        file.extend(write::ng_packet(
+            n as u32 % 2,
+            Stamp(START + at),
+            &data,
+            data.len() as u32,
+            "",
+        ));
     }
     let (whole, part) = (temporary("two.pcapng"), temporary("two-part.pcapng"));
     std::fs::write(&whole, file).unwrap();
@@ -260,17 +383,34 @@
     assert!(schema.contains("<xs:schema"));
     let file = temporary("operator.xml");
     let write = |inner: &str| {
-        std::fs::write(&file, format!("<operator xmlns=\"urn:heathspur:operator:1\">\n{inner}</operator>"))
-            .unwrap();
+        std::fs::write(
+            &file,
+            format!("<operator xmlns=\"urn:heathspur:operator:1\">\n{inner}</operator>"),
+        )
+        .unwrap();
     };
     write("<log/>");
-    assert_eq!(run(&["config", "check", file.to_str().unwrap()]).status.code(), Some(0));
+    assert_eq!(
+        run(&["config", "check", file.to_str().unwrap()])
+            .status
+            .code(),
+        Some(0)
+    );
     write("<log colour=\"red\"/>");
     let output = run(&["config", "check", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains(":2: log@colour: unknown element or attribute"), "{}", said(&output));
+    assert!(
+        said(&output).contains(":2: log@colour: unknown element or attribute"),
+        "{}",
+        said(&output)
+    );
     write("<record directory=\"/x\"><budget memory=\"9 MiB\"/></record>");
-    assert_eq!(run(&["config", "check", file.to_str().unwrap(), "--memory", "32"]).status.code(), Some(1));
+    assert_eq!(
+        run(&["config", "check", file.to_str().unwrap(), "--memory", "32"])
+            .status
+            .code(),
+        Some(1)
+    );
     assert!(said(&run(&["completions", "bash"])).contains("heathspurctl"));
     assert!(said(&run(&["man"])).contains(".TH heathspurctl"));
 }
@@ -282,38 +422,72 @@
     let (proxy, _) = proxy::start(sink.address, faults, 11);
     let report = temporary(&format!("{name}-report"));
     let (file, proxy) = (file.to_str().unwrap(), proxy.to_string());
-    let fixed = ["pcap", "replay", file, "--to-server", &proxy, "--report", report.to_str().unwrap()];
+    let fixed = [
+        "pcap",
+        "replay",
+        file,
+        "--to-server",
+        &proxy,
+        "--report",
+        report.to_str().unwrap(),
+    ];
     let output = run(&[&fixed[..], more].concat());
-    let told: Value = serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
+    let told: Value =
+        serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
     let received = sink.received();
-    let times = sent.iter().map(|(_, bytes)| received.iter().filter(|r| r.bytes == *bytes).count()).collect();
+    let times = sent
+        .iter()
+        .map(|(_, bytes)| received.iter().filter(|r| r.bytes == *bytes).count())
+        .collect();
     std::fs::remove_dir_all(report).unwrap();
     (output, told["audit"].clone(), times)
 }
 
 #[test]
 fn bytes_that_pass_in_small_pieces_are_the_same_bytes() {
-    let faults = Faults { split: 3, ..Faults::default() };
+    let faults = Faults {
+        split: 3,
+        ..Faults::default()
+    };
     let (output, audit, times) = through("split", faults, &[]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    assert_eq!((audit["answered"].as_u64(), audit["compared"]["same"].as_u64()), (Some(12), Some(12)));
+    assert_eq!(
+        (
+            audit["answered"].as_u64(),
+            audit["compared"]["same"].as_u64()
+        ),
+        (Some(12), Some(12))
+    );
     assert!(times.iter().all(|times| *times == 1));
 }
 
 #[test]
 fn connections_that_break_anywhere_cost_requests_and_never_double_one() {
-    let faults = Faults { split: 40, cut_per_mille: 500, within: 500, ..Faults::default() };
+    let faults = Faults {
+        split: 40,
+        cut_per_mille: 500,
+        within: 500,
+        ..Faults::default()
+    };
     let (output, audit, times) = through("cut", faults, &[]);
     assert_eq!(output.status.code(), Some(1), "{}", said(&output));
     let count = |name: &str| audit[name].as_u64().unwrap();
     assert!(count("broken") > 0 && count("answered") > 0, "{audit}");
-    assert_eq!(count("answered") + count("broken"), 12, "every request ends once: {audit}");
+    assert_eq!(
+        count("answered") + count("broken"),
+        12,
+        "every request ends once: {audit}"
+    );
     assert!(times.iter().all(|times| *times <= 1), "{times:?}");
 }
 
 #[test]
 fn connections_that_go_silent_are_given_up() {
-    let faults = Faults { silent_per_mille: 1000, within: 500, ..Faults::default() };
+    let faults = Faults {
+        silent_per_mille: 1000,
+        within: 500,
+        ..Faults::default()
+    };
     let (output, audit, times) = through("silent", faults, &["--patience", "0.3"]);
     assert_eq!(output.status.code(), Some(1), "{}", said(&output));
     assert!(audit["timed_out"].as_u64().unwrap() > 0, "{audit}");
@@ -332,9 +506,16 @@
     std::fs::write(&file, pcap(&script.packets)).unwrap();
     for (more, one_by_one) in [(&["--causal"][..], true), (&[][..], false)] {
         // Far slower than the recording, in which an answer took a millisecond.
-        let sink = Sink::start(Manner { work: std::time::Duration::from_millis(60), ..Manner::default() });
+        let sink = Sink::start(Manner {
+            work: std::time::Duration::from_millis(60),
+            ..Manner::default()
+        });
         let report = temporary("causal-report");
-        let output = replay(&file, &sink, &[more, &["--report", report.to_str().unwrap()]].concat());
+        let output = replay(
+            &file,
+            &sink,
+            &[more, &["--report", report.to_str().unwrap()]].concat(),
+        );
         assert_eq!(output.status.code(), Some(0), "{}", said(&output));
         let told: Value =
             serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
--- a/crates/heathspurd/src/accept.rs
+++ b/crates/heathspurd/src/accept.rs
@@ -16,9 +16,15 @@
 
 /// Accepts connections while there are permits and has each served; ends with the socket once no new request is
 /// taken.
-pub(crate) async fn accept(listener: Async<TcpListener>, desk: Rc<Desk>, serve: impl Fn(Stream, Permit)) {
+pub(crate) async fn accept(
+    listener: Async<TcpListener>,
+    desk: Rc<Desk>,
+    serve: impl Fn(Stream, Permit),
+) {
     while !desk.shutting.is_closed() {
-        let Some(permit) = permit(&desk).await else { continue };
+        let Some(permit) = permit(&desk).await else {
+            continue;
+        };
         let shut = async {
             desk.shut().await;
             None
@@ -36,8 +42,14 @@
     // What the machine has accepted already is served still, as permits come back: the socket's end resets what it
     // finds there, and a request in it would be lost.
     while !desk.is_released() {
-        let Some(permit) = permit(&desk).await else { continue };
-        match listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
+        let Some(permit) = permit(&desk).await else {
+            continue;
+        };
+        match listener
+            .get_ref()
+            .accept()
+            .and_then(|(stream, _)| Async::new(stream))
+        {
             Ok(stream) => serve(Stream::accepted(stream, desk.tap.as_ref()), permit),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
             Err(e) => {
--- a/crates/heathspurd/src/admit.rs
+++ b/crates/heathspurd/src/admit.rs
@@ -18,23 +18,45 @@
             return;
         }
         let linked = !arrival.row || self.settings.fresh.0 > 0;
-        let key = arrival.key.as_ref().filter(|_| linked).map(|bytes| Key::new(arrival.class, bytes));
+        let key = arrival
+            .key
+            .as_ref()
+            .filter(|_| linked)
+            .map(|bytes| Key::new(arrival.class, bytes));
         let keyed = self.settings.classes[arrival.class.0].effect == Effect::Keyed;
         // Reads of one thing may ask for it in different words.
-        let body = if keyed { self.keys.digest(&arrival.body) } else { 0 };
+        let body = if keyed {
+            self.keys.digest(&arrival.body)
+        } else {
+            0
+        };
         let window = self.settings.classes[arrival.class.0].window;
-        let this = Try { id: arrival.id, ingress: arrival.ingress, body, window };
+        let this = Try {
+            id: arrival.id,
+            ingress: arrival.ingress,
+            body,
+            window,
+        };
         let repeats = match key.as_ref().map(|key| self.keys.link(key, this)) {
             None => None,
             Some(Ok(repeats)) => repeats,
             Some(Err(Barred::Full)) => {
                 // A repeat could not be told any more, so it must not run here.
-                warn!(id = arrival.id.0, "a request was turned away: the table of keys is full");
-                let _ = arrival.reply.try_send(Answer::Refused { stay_away: None, last: false });
+                warn!(
+                    id = arrival.id.0,
+                    "a request was turned away: the table of keys is full"
+                );
+                let _ = arrival.reply.try_send(Answer::Refused {
+                    stay_away: None,
+                    last: false,
+                });
                 return;
             }
             Some(Err(Barred::OtherBody)) => {
-                warn!(id = arrival.id.0, "a request was turned away: its key came with another body before");
+                warn!(
+                    id = arrival.id.0,
+                    "a request was turned away: its key came with another body before"
+                );
                 let _ = arrival.reply.try_send(Answer::KeyReused);
                 return;
             }
@@ -46,7 +68,9 @@
             tenant: arrival.tenant,
             has_key: arrival.row,
             // None at all is no patience told, so what has run out leaves the smallest span.
-            patience: arrival.left.map(|left| Span(left.0.saturating_sub(waited.0).max(1))),
+            patience: arrival
+                .left
+                .map(|left| Span(left.0.saturating_sub(waited.0).max(1))),
             cost: arrival.cost.filter(|cost| *cost > 0.0),
             held_kb: arrival.held_kb,
             retry: arrival.retry,
--- a/crates/heathspurd/src/announce.rs
+++ b/crates/heathspurd/src/announce.rs
@@ -17,7 +17,10 @@
 use std::time::Instant;
 use tracing::warn;
 
-const LIMITS: Limits = Limits { head: 4 * 1024, body: 4 * 1024 };
+const LIMITS: Limits = Limits {
+    head: 4 * 1024,
+    body: 4 * 1024,
+};
 
 /// What is reported; nothing until it is known.
 pub(crate) struct Readiness {
@@ -27,7 +30,10 @@
 
 impl Readiness {
     pub fn new() -> Rc<Readiness> {
-        Rc::new(Readiness { ready: Cell::new(None), changed: Notify::new() })
+        Rc::new(Readiness {
+            ready: Cell::new(None),
+            changed: Notify::new(),
+        })
     }
 
     pub fn set(&self, ready: bool) {
@@ -121,7 +127,14 @@
     fn new(address: SocketAddr, name: String) -> Reporter {
         let start = Instant::now();
         let schedule = Schedule::new(start.elapsed());
-        Reporter { address, name, schedule, start, lines: Vec::new(), fault: None }
+        Reporter {
+            address,
+            name,
+            schedule,
+            start,
+            lines: Vec::new(),
+            fault: None,
+        }
     }
 
     fn handle(&mut self, event: Event) {
@@ -167,7 +180,10 @@
     fn warn(&mut self, why: Failure) {
         let e = match why {
             Failure::Late => io::ErrorKind::TimedOut.into(),
-            Failure::Lost => self.fault.take().unwrap_or_else(|| io::ErrorKind::Other.into()),
+            Failure::Lost => self
+                .fault
+                .take()
+                .unwrap_or_else(|| io::ErrorKind::Other.into()),
             Failure::Spent => io::ErrorKind::UnexpectedEof.into(),
             Failure::Status(status) => io::Error::other(format!("status {status}")),
         };
@@ -202,7 +218,8 @@
             }
             Ended::Answered(Ok((status, stream))) => {
                 let open = stream.is_some();
-                self.lines.extend(stream.map(|stream| (line, Step::Idle(stream))));
+                self.lines
+                    .extend(stream.map(|stream| (line, Step::Idle(stream))));
                 Event::Answered { line, status, open }
             }
             Ended::Spent => Event::Spent(line),
@@ -218,7 +235,13 @@
     fn report(&self, ready: bool) -> Vec<u8> {
         let (path, host) = (format!("/announce/{}", self.name), self.address.to_string());
         let mut out = Vec::new();
-        http::write_call(&mut out, "PUT", &path, &host, format!(r#"{{"accepting":"{ready}"}}"#).as_bytes());
+        http::write_call(
+            &mut out,
+            "PUT",
+            &path,
+            &host,
+            format!(r#"{{"accepting":"{ready}"}}"#).as_bytes(),
+        );
         out
     }
 }
@@ -230,7 +253,8 @@
     loop {
         inflow.fill(&stream).await?;
         if let Some(message) = reader.read(inflow.bytes()).map_err(io::Error::other)? {
-            let status = http::status_line(&inflow.bytes()[message.first]).map_err(io::Error::other)?;
+            let status =
+                http::status_line(&inflow.bytes()[message.first]).map_err(io::Error::other)?;
             let close = http::says_close(Fields::over(&inflow.bytes()[message.fields]));
             let more = inflow.bytes().len() > message.body.end;
             return Ok((status, (!close && !more).then_some(stream)));
--- a/crates/heathspurd/src/book.rs
+++ b/crates/heathspurd/src/book.rs
@@ -18,7 +18,9 @@
     /// Takes a request off the table and gives back all that it held: its bytes, its call with the timer,
     /// its place among the tries of its key. Its connection is its own owner.
     pub(crate) fn book_out(&mut self, id: RequestId) {
-        let Some(entry) = self.table.remove(id) else { return };
+        let Some(entry) = self.table.remove(id) else {
+            return;
+        };
         if let Work::Calling { call, until, .. } = entry.work {
             let _ = self.store.give_up(call);
             self.call_timers.remove(&(until, id));
@@ -32,19 +34,27 @@
 
     /// A request that waited for another try's result has it, or never will.
     pub(crate) fn end_waiting(&mut self, id: RequestId, result: Option<&Bytes>) {
-        let Some(Work::Waiting { since }) = self.table.get(id).map(|e| e.work.clone()) else { return };
+        let Some(Work::Waiting { since }) = self.table.get(id).map(|e| e.work.clone()) else {
+            return;
+        };
         let (answer, outcome) = match result {
             Some(body) => (Answer::Served(body.clone()), Outcome::Ok),
             None => (Answer::Failed, Outcome::Error),
         };
         self.answer(id, answer);
-        self.events.push(Event::Done { id, outcome, latency: self.now - since });
+        self.events.push(Event::Done {
+            id,
+            outcome,
+            latency: self.now - since,
+        });
         self.book_out(id);
     }
 
     /// The caller of a request is gone: nothing is owed, and what does not run is over.
     pub(crate) fn gone(&mut self, id: RequestId) {
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         if entry.reply.take().is_none() || !self.desk.names.cancel_seen {
             return;
         }
@@ -55,11 +65,24 @@
     /// After its answer, or without one to give: what is held, paused or waiting is over; a call is given
     /// up, and the interpreter ends its run; what runs goes on.
     pub(crate) fn discard(&mut self, id: RequestId) {
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         match entry.work.clone() {
             Work::Held | Work::Paused { .. } | Work::Waiting { .. } => self.book_out(id),
-            Work::Calling { since, need, halting, call, until, .. } => {
-                entry.work = Work::AtCall { since, need, halting };
+            Work::Calling {
+                since,
+                need,
+                halting,
+                call,
+                until,
+                ..
+            } => {
+                entry.work = Work::AtCall {
+                    since,
+                    need,
+                    halting,
+                };
                 let _ = self.store.give_up(call);
                 self.call_timers.remove(&(until, id));
             }
--- a/crates/heathspurd/src/cli.rs
+++ b/crates/heathspurd/src/cli.rs
@@ -43,7 +43,9 @@
         let path = config::path().map_err(Fault::Config)?;
         let config = Config::read(Path::new(&path)).map_err(Fault::Config)?;
         let operator = match &self.operator {
-            Some(file) => Operator::read(file, Some(config.memory as u64)).map_err(Fault::Operator)?,
+            Some(file) => {
+                Operator::read(file, Some(config.memory as u64)).map_err(Fault::Operator)?
+            }
             None => Operator::default(),
         };
         Ok((config, operator))
@@ -59,12 +61,16 @@
     };
     let command = command.unwrap_or(Command::Serve(Files::default()));
     let done = match &command {
-        Command::Serve(files) => signals::notices().map_err(Fault::Signals).and_then(|signals| {
-            let (config, operator) = files.read()?;
-            log::install(&operator.log);
-            crate::serve_from(signals, config, operator)
-        }),
-        Command::Check(files) => files.read().map(|_| println!("heathspurd: the files can be used")),
+        Command::Serve(files) => signals::notices()
+            .map_err(Fault::Signals)
+            .and_then(|signals| {
+                let (config, operator) = files.read()?;
+                log::install(&operator.log);
+                crate::serve_from(signals, config, operator)
+            }),
+        Command::Check(files) => files
+            .read()
+            .map(|_| println!("heathspurd: the files can be used")),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/heathspurd/src/clock.rs
+++ b/crates/heathspurd/src/clock.rs
@@ -19,7 +19,9 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Time {
@@ -34,7 +36,9 @@
 
 /// Microseconds of the Unix clock.
 pub(crate) fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// The time from a stamp until now on the Unix clock; none when the stamp lies ahead.
@@ -43,7 +47,10 @@
 }
 
 /// Does the work, or fails once the time is over.
-pub(crate) async fn within<T>(time: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub(crate) async fn within<T>(
+    time: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let late = async {
         Timer::after(time).await;
         Err(io::ErrorKind::TimedOut.into())
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -109,9 +109,11 @@
     pub fn check_own(&self, other: Config) -> Result<Config, Fault> {
         match reload::check_own(&self.view(), &other.view()) {
             Ok(()) => Ok(other),
-            Err(Foreign { field, what }) => {
-                Err(Fault::Wrong { file: other.file.unwrap_or_default(), field, what })
-            }
+            Err(Foreign { field, what }) => Err(Fault::Wrong {
+                file: other.file.unwrap_or_default(),
+                field,
+                what,
+            }),
         }
     }
 
@@ -139,8 +141,15 @@
     pub fn read(file: &Path) -> Result<Config, Fault> {
         let text = std::fs::read(file).map_err(|e| Fault::Unread(file.to_path_buf(), e))?;
         match Config::parse(&text) {
-            Ok(config) => Ok(Config { file: Some(file.to_path_buf()), ..config }),
-            Err((field, what)) => Err(Fault::Wrong { file: file.to_path_buf(), field, what }),
+            Ok(config) => Ok(Config {
+                file: Some(file.to_path_buf()),
+                ..config
+            }),
+            Err((field, what)) => Err(Fault::Wrong {
+                file: file.to_path_buf(),
+                field,
+                what,
+            }),
         }
     }
 
--- a/crates/heathspurd/src/count.rs
+++ b/crates/heathspurd/src/count.rs
@@ -68,8 +68,16 @@
             self.take(index);
             return if missed { Sight::NextKept } else { Sight::Next };
         }
-        self.least = if self.refused == 0 { index } else { self.least.min(index) };
-        self.at_start = if self.refused == 0 { fresh } else { self.at_start };
+        self.least = if self.refused == 0 {
+            index
+        } else {
+            self.least.min(index)
+        };
+        self.at_start = if self.refused == 0 {
+            fresh
+        } else {
+            self.at_start
+        };
         self.refused += 1;
         if self.refused > REFUSALS {
             // Never a link that is made again for ever. Upwards spoilt, the least number is the nearest.
--- a/crates/heathspurd/src/failover.rs
+++ b/crates/heathspurd/src/failover.rs
@@ -83,7 +83,15 @@
         home: addresses[home],
         every: operated.check.0,
     };
-    (decider, Ways { shared, zones, addresses, home })
+    (
+        decider,
+        Ways {
+            shared,
+            zones,
+            addresses,
+            home,
+        },
+    )
 }
 
 impl Decider {
@@ -105,33 +113,56 @@
         }
         (0..take(&self.shared.answered)).for_each(|_| self.failover.checked(true));
         (0..take(&self.shared.silent)).for_each(|_| self.failover.checked(false));
-        let others = view.members.iter().filter(|(m, state, _)| m.id.0 != me && *state != State::Left);
+        let others = view
+            .members
+            .iter()
+            .filter(|(m, state, _)| m.id.0 != me && *state != State::Left);
         let peers: Vec<Peer> = others
             .map(|(m, state, _)| Peer {
                 zone: m.zone.clone(),
                 region: m.region.clone(),
                 live: state.live(),
                 load: (m.load.cap, m.load.in_flight),
-                voice: Voice { held: Decision { epoch: m.epoch, near: m.near }, wants: m.wants },
+                voice: Voice {
+                    held: Decision {
+                        epoch: m.epoch,
+                        near: m.near,
+                    },
+                    wants: m.wants,
+                },
             })
             .collect();
         let step = self.failover.step(elapsed, &peers);
         if let Some(Decision { epoch, near }) = step.decided {
-            info!(epoch, near, "failover: the zone holds epoch {epoch}: {near} tenths near");
+            info!(
+                epoch,
+                near, "failover: the zone holds epoch {epoch}: {near} tenths near"
+            );
         }
         if step.alone != self.alone {
             self.alone = step.alone;
-            let word =
-                if step.alone { "no quorum of the zone is heard: moving alone" } else { "the zone is heard" };
+            let word = if step.alone {
+                "no quorum of the zone is heard: moving alone"
+            } else {
+                "the zone is heard"
+            };
             info!(alone = step.alone, "failover: {word}");
         }
         self.shared.check.store(step.check, Ordering::Relaxed);
         if step.plan != self.plan {
             self.plan = step.plan.clone();
-            *self.shared.plan.lock().expect("nobody panics while it is held") = Arc::new(step.plan);
+            *self
+                .shared
+                .plan
+                .lock()
+                .expect("nobody panics while it is held") = Arc::new(step.plan);
             self.shared.version.fetch_add(1, Ordering::Release);
         }
-        Stand { epoch: step.voice.held.epoch, near: step.voice.held.near, wants: step.voice.wants }
+        Stand {
+            epoch: step.voice.held.epoch,
+            near: step.voice.held.near,
+            wants: step.voice.wants,
+        }
     }
 
     /// Checks the own zone's replica while no calls tell of it; never ends.
@@ -149,7 +180,11 @@
                     false
                 };
                 let answers = future::or(connected, late).await;
-                let count = if answers { &shared.answered } else { &shared.silent };
+                let count = if answers {
+                    &shared.answered
+                } else {
+                    &shared.silent
+                };
                 count.fetch_add(1, Ordering::Relaxed);
             }
         }
@@ -183,11 +218,21 @@
         let version = self.shared.version.load(Ordering::Acquire);
         if self.version.replace(version) != version {
             // Held over there for the exchange of a pointer.
-            let plan = self.shared.plan.lock().expect("nobody panics while it is held").clone();
+            let plan = self
+                .shared
+                .plan
+                .lock()
+                .expect("nobody panics while it is held")
+                .clone();
             self.picker.borrow_mut().set(Plan::clone(&plan));
         }
         let replica = self.picker.borrow_mut().pick()?;
-        Some(Way { routes: self.clone(), replica, began: Instant::now(), told: Cell::new(false) })
+        Some(Way {
+            routes: self.clone(),
+            replica,
+            began: Instant::now(),
+            told: Cell::new(false),
+        })
     }
 }
 
--- a/crates/heathspurd/src/front.rs
+++ b/crates/heathspurd/src/front.rs
@@ -25,7 +25,10 @@
 impl Txn {
     pub fn read(text: &[u8]) -> Option<Txn> {
         let digits: [u8; 16] = text.try_into().ok()?;
-        digits.iter().all(u8::is_ascii_hexdigit).then_some(Txn(digits))
+        digits
+            .iter()
+            .all(u8::is_ascii_hexdigit)
+            .then_some(Txn(digits))
     }
 
     pub fn as_str(&self) -> &str {
--- a/crates/heathspurd/src/hear.rs
+++ b/crates/heathspurd/src/hear.rs
@@ -36,7 +36,10 @@
                 }
                 self.link = LinkState::Down;
                 for due in std::mem::take(&mut self.due) {
-                    self.events.push(Event::Timer { token: due.token, gauges: Gauges::default() });
+                    self.events.push(Event::Timer {
+                        token: due.token,
+                        gauges: Gauges::default(),
+                    });
                 }
             }
             Heard::Gauges { nonce, readings } => {
@@ -52,7 +55,10 @@
                 if let Some(at) = self.due.iter().position(|due| due.nonce == nonce) {
                     let gauges = self.desk.names.meters.read(&readings);
                     if let Some(due) = self.due.remove(at) {
-                        self.events.push(Event::Timer { token: due.token, gauges });
+                        self.events.push(Event::Timer {
+                            token: due.token,
+                            gauges,
+                        });
                     }
                 }
             }
@@ -68,12 +74,20 @@
             }
             Heard::Missed => self.missed(),
             Heard::Refused { command, txn } => {
-                if command == "TOP" && matches!(self.link, LinkState::Resuming(..) | LinkState::Late) {
+                if command == "TOP"
+                    && matches!(self.link, LinkState::Resuming(..) | LinkState::Late)
+                {
                     self.resume();
                 }
                 let id = txn.and_then(|txn| self.table.named(&txn));
                 let work = id.and_then(|id| self.table.get(id)).map(|e| &e.work);
-                let started = matches!(work, Some(Work::Running { told: Told::Apply, .. }));
+                let started = matches!(
+                    work,
+                    Some(Work::Running {
+                        told: Told::Apply,
+                        ..
+                    })
+                );
                 if let (Some(id), true, "APPLY") = (id, started, &*command) {
                     self.run_ended(id, End::Error, Bytes::new());
                 }
@@ -85,20 +99,42 @@
     /// A run waits for a call. One that already did has taken a reply that was told again, of an earlier call, for this
     /// one's: it goes on by what it waits for now, or all its later replies would come one call late.
     fn waits(&mut self, id: RequestId, need: Need) {
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         match entry.work.clone() {
             Work::Running { since, halting, .. } => {
-                entry.work = Work::AtCall { since, need, halting };
+                entry.work = Work::AtCall {
+                    since,
+                    need,
+                    halting,
+                };
                 self.events.push(Event::NeedsCall(id));
             }
-            Work::AtCall { since, halting, .. } => entry.work = Work::AtCall { since, need, halting },
-            Work::Calling { since, halting, call, until, .. } => {
+            Work::AtCall { since, halting, .. } => {
+                entry.work = Work::AtCall {
+                    since,
+                    need,
+                    halting,
+                }
+            }
+            Work::Calling {
+                since,
+                halting,
+                call,
+                until,
+                ..
+            } => {
                 let _ = self.store.give_up(call);
                 self.call_timers.remove(&(until, id));
                 // What stands to be called now never was.
                 self.call_ended(id, Outcome::Moot);
                 if let Some(entry) = self.table.get_mut(id) {
-                    entry.work = Work::AtCall { since, need, halting };
+                    entry.work = Work::AtCall {
+                        since,
+                        need,
+                        halting,
+                    };
                 }
             }
             Work::Held | Work::Paused { .. } | Work::Waiting { .. } => {}
@@ -119,11 +155,16 @@
 
     /// Tells what runs and passes the test, on this link now.
     fn tell_where(&mut self, test: impl Fn(Delivery) -> bool) {
-        let passes = |work: &Work| matches!(work, Work::Running { delivery, .. } if test(*delivery));
+        let passes =
+            |work: &Work| matches!(work, Work::Running { delivery, .. } if test(*delivery));
         for id in self.table.find(|entry| passes(&entry.work)) {
-            if let Some(Work::Running { delivery, .. }) = self.table.get_mut(id).map(|e| &mut e.work) {
+            if let Some(Work::Running { delivery, .. }) =
+                self.table.get_mut(id).map(|e| &mut e.work)
+            {
                 if *delivery != Delivery::Taken {
-                    *delivery = Delivery::Here { before: self.next_nonce };
+                    *delivery = Delivery::Here {
+                        before: self.next_nonce,
+                    };
                 }
             }
             self.tell(id);
@@ -136,10 +177,15 @@
         warn!("notices were made that the interpreter keeps no longer");
         let settings = &self.settings;
         let lost = self.table.find(|entry| match &entry.work {
-            Work::Running { delivery: Delivery::Here { .. }, .. } => false,
-            Work::Running { told: Told::Apply, halting: Halting::No, .. } => {
-                settings.classes[entry.class.0].effect != Effect::Safe
-            }
+            Work::Running {
+                delivery: Delivery::Here { .. },
+                ..
+            } => false,
+            Work::Running {
+                told: Told::Apply,
+                halting: Halting::No,
+                ..
+            } => settings.classes[entry.class.0].effect != Effect::Safe,
             Work::Running { .. } => true,
             // A run ends at a call only once nobody waits for its request.
             Work::AtCall { .. } | Work::Calling { .. } => entry.reply.is_none(),
@@ -153,8 +199,12 @@
     /// The link broke: the interpreter may have taken what it was told, or not. A reply names no call, so one that it
     /// has must not be told again: the run may wait for its next call by then. The rest can be.
     fn doubt(&mut self) {
-        for id in self.table.find(|entry| matches!(entry.work, Work::Running { .. })) {
-            let Some(Work::Running { delivery, told, .. }) = self.table.get_mut(id).map(|e| &mut e.work)
+        for id in self
+            .table
+            .find(|entry| matches!(entry.work, Work::Running { .. }))
+        {
+            let Some(Work::Running { delivery, told, .. }) =
+                self.table.get_mut(id).map(|e| &mut e.work)
             else {
                 continue;
             };
@@ -169,7 +219,9 @@
 
     /// A run is over, or stopped and to go on later.
     pub(crate) fn run_ended(&mut self, id: RequestId, end: End, body: Bytes) {
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
         let (since, halted) = match &entry.work {
             Work::Running { since, halting, .. }
             | Work::AtCall { since, halting, .. }
@@ -182,7 +234,11 @@
             End::Cancelled => Outcome::Cancelled,
             End::Unknown => Outcome::Moot,
         };
-        self.events.push(Event::Done { id, outcome, latency: self.now - since });
+        self.events.push(Event::Done {
+            id,
+            outcome,
+            latency: self.now - since,
+        });
         if end == End::Cancelled && halted && entry.reply.is_some() {
             match self.settings.halt {
                 Halt::Pause => entry.work = Work::Paused { since },
@@ -191,7 +247,11 @@
             return;
         }
         let result = (end == End::Complete).then_some(&body);
-        let waiting = entry.key.as_ref().map(|key| self.keys.ended(key, id, result)).unwrap_or_default();
+        let waiting = entry
+            .key
+            .as_ref()
+            .map(|key| self.keys.ended(key, id, result))
+            .unwrap_or_default();
         for repeat in waiting {
             self.end_waiting(repeat, result);
         }
@@ -200,8 +260,12 @@
     }
 
     pub(crate) fn called(&mut self, called: Called) {
-        let Some(entry) = self.table.get(called.id) else { return };
-        let Work::Calling { call, until, .. } = &entry.work else { return };
+        let Some(entry) = self.table.get(called.id) else {
+            return;
+        };
+        let Work::Calling { call, until, .. } = &entry.work else {
+            return;
+        };
         if *call != called.call {
             return;
         }
@@ -214,10 +278,29 @@
 
     /// A call has come back, or is given up: the run stands where it stood before.
     pub(crate) fn call_ended(&mut self, id: RequestId, outcome: Outcome) {
-        let Some(entry) = self.table.get_mut(id) else { return };
-        let Work::Calling { since, need, halting, made, .. } = entry.work.clone() else { return };
-        entry.work = Work::AtCall { since, need, halting };
-        self.events.push(Event::Called { id, outcome, latency: self.now - made });
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
+        let Work::Calling {
+            since,
+            need,
+            halting,
+            made,
+            ..
+        } = entry.work.clone()
+        else {
+            return;
+        };
+        entry.work = Work::AtCall {
+            since,
+            need,
+            halting,
+        };
+        self.events.push(Event::Called {
+            id,
+            outcome,
+            latency: self.now - made,
+        });
     }
 }
 
--- a/crates/heathspurd/src/http1/answer.rs
+++ b/crates/heathspurd/src/http1/answer.rs
@@ -16,9 +16,20 @@
 const SLOW: Duration = Duration::from_secs(10);
 
 /// Writes an answer; an error means that the connection is of no more use.
-pub(crate) async fn write(stream: &Stream, desk: &Desk, response: &Response, last: Last) -> io::Result<()> {
+pub(crate) async fn write(
+    stream: &Stream,
+    desk: &Desk,
+    response: &Response,
+    last: Last,
+) -> io::Result<()> {
     let mut out = Vec::with_capacity(256 + response.body.len());
-    http::write_answer(&mut out, response.status, &response.fields, last, &response.body);
+    http::write_answer(
+        &mut out,
+        response.status,
+        &response.fields,
+        last,
+        &response.body,
+    );
     match &desk.room {
         None => write_all(stream, &out).await,
         Some(room) => write_within(stream, room, &out).await,
--- a/crates/heathspurd/src/http1/mod.rs
+++ b/crates/heathspurd/src/http1/mod.rs
@@ -22,7 +22,10 @@
 use std::time::{Duration, Instant};
 
 /// Bounds on a request.
-const LIMITS: http::Limits = http::Limits { head: 8 * 1024, body: 2 * 1024 };
+const LIMITS: http::Limits = http::Limits {
+    head: 8 * 1024,
+    body: 2 * 1024,
+};
 /// Bytes read at once, and bytes kept of what follows an open request.
 const CHUNK: usize = 4 * 1024;
 const AHEAD: usize = 16 * 1024;
@@ -55,8 +58,15 @@
 }
 
 /// What serves a connection of this front.
-pub(crate) fn serve(executor: Rc<LocalExecutor<'static>>, front: Rc<Front>) -> impl Fn(Stream, Permit) {
-    move |stream, permit| executor.spawn(connection(stream, front.clone(), permit)).detach()
+pub(crate) fn serve(
+    executor: Rc<LocalExecutor<'static>>,
+    front: Rc<Front>,
+) -> impl Fn(Stream, Permit) {
+    move |stream, permit| {
+        executor
+            .spawn(connection(stream, front.clone(), permit))
+            .detach()
+    }
 }
 
 /// Serves one connection to its end.
@@ -65,11 +75,24 @@
     let _ = stream.get_ref().set_nodelay(true);
     let (mut buffer, mut reader) = (BytesMut::new(), Reader::new(LIMITS));
     loop {
-        let ended = match permit.idle(next(&stream, &front, &permit, &mut buffer, &mut reader)).await {
+        let ended = match permit
+            .idle(next(&stream, &front, &permit, &mut buffer, &mut reader))
+            .await
+        {
             Ok(Ok(message)) => {
                 let close = http::says_close(Fields::over(&buffer[message.fields.clone()]));
                 let whole = buffer.split_to(message.body.end).freeze();
-                match respond(&stream, &front, &permit, &mut buffer, whole, &message, close).await {
+                match respond(
+                    &stream,
+                    &front,
+                    &permit,
+                    &mut buffer,
+                    whole,
+                    &message,
+                    close,
+                )
+                .await
+                {
                     Ok(Last::No) => continue,
                     Ok(Last::Yes) => Ended::Idle,
                     Err(ended) => ended,
@@ -85,7 +108,9 @@
             Err(asked) => match look(&stream, &mut buffer).await {
                 Some(Ok(0) | Err(_)) => Ended::Closed,
                 None if buffer.is_empty() => Ended::Idle,
-                _ if asked == Leave::Idle || matches!(reader.read(&buffer), Ok(Some(_))) => continue,
+                _ if asked == Leave::Idle || matches!(reader.read(&buffer), Ok(Some(_))) => {
+                    continue
+                }
                 _ => Ended::Bad(408),
             },
             Ok(Err(ended)) => ended,
@@ -122,7 +147,11 @@
             permit.heard();
             let id = arrival.id;
             // The owner outlives all connections, or nothing is owed any more.
-            front.requests.send(*arrival).await.map_err(|_| Ended::Closed)?;
+            front
+                .requests
+                .send(*arrival)
+                .await
+                .map_err(|_| Ended::Closed)?;
             let Some(given) = wait(stream, buffer, &answers).await else {
                 answers.close();
                 let _ = front.gone.send(id).await;
@@ -138,7 +167,9 @@
             Response::of(&given, desk)
         }
     };
-    answer::write(stream, desk, &response, last).await.map_err(|_| Ended::Closed)?;
+    answer::write(stream, desk, &response, last)
+        .await
+        .map_err(|_| Ended::Closed)?;
     Ok(last)
 }
 
@@ -174,7 +205,10 @@
         while buffer.starts_with(b"\r\n") {
             buffer.advance(2);
         }
-        if let Some(message) = reader.read(buffer).map_err(|fault| Ended::Bad(fault.status()))? {
+        if let Some(message) = reader
+            .read(buffer)
+            .map_err(|fault| Ended::Bad(fault.status()))?
+        {
             return Ok(message);
         }
         let begun = !buffer.is_empty();
@@ -186,8 +220,14 @@
             false if front.desk.shutting.is_closed() => return Err(Ended::Idle),
             false => {
                 let idle = Duration::from_micros(front.desk.idle.get().0);
-                let idle = if permit.was_heard() { idle } else { idle.min(WHOLE) };
-                idle.checked_sub(since.elapsed()).ok_or(Ended::Idle)?.min(LOOK)
+                let idle = if permit.was_heard() {
+                    idle
+                } else {
+                    idle.min(WHOLE)
+                };
+                idle.checked_sub(since.elapsed())
+                    .ok_or(Ended::Idle)?
+                    .min(LOOK)
             }
         };
         let late = async {
--- a/crates/heathspurd/src/http2/mod.rs
+++ b/crates/heathspurd/src/http2/mod.rs
@@ -106,7 +106,11 @@
         room,
         start: Instant::now(),
     });
-    move |stream, permit| executor.spawn(connection(stream, shared.clone(), permit)).detach()
+    move |stream, permit| {
+        executor
+            .spawn(connection(stream, shared.clone(), permit))
+            .detach()
+    }
 }
 
 /// Serves one connection to its end.
@@ -133,7 +137,9 @@
     let _joined = Joined(shared.clone());
     let built = builder(&shared).handshake::<_, Bytes>(wire);
     let made = within(whole, async { built.await.map_err(io::Error::other) });
-    let Ok(Ok(mut h2)) = permit.idle(made).await else { return };
+    let Ok(Ok(mut h2)) = permit.idle(made).await else {
+        return;
+    };
     let conn = Rc::new(Conn {
         holder: shared.room.holder(),
         seen,
@@ -204,7 +210,10 @@
             None => LOOK,
         };
         let woken = if conn.open.get() == 0 {
-            permit.idle(wake(h2, conn, shut, sleep)).await.unwrap_or(Woken::Asked)
+            permit
+                .idle(wake(h2, conn, shut, sleep))
+                .await
+                .unwrap_or(Woken::Asked)
         } else {
             wake(h2, conn, shut, sleep).await
         };
@@ -232,7 +241,11 @@
             steps[1] = drain.leave(conn.seen.now());
         }
         let counts = conn.seen.meter.borrow().counts();
-        steps[2] = if counts.pongs > pongs { drain.pong() } else { drain.tick(conn.seen.now()) };
+        steps[2] = if counts.pongs > pongs {
+            drain.pong()
+        } else {
+            drain.tick(conn.seen.now())
+        };
         pongs = counts.pongs;
         if steps.contains(&Step::Announce) || steps.contains(&Step::Fix) {
             h2.graceful_shutdown();
@@ -245,7 +258,8 @@
             );
             return end(h2, Reason::ENHANCE_YOUR_CALM).await;
         }
-        if conn.seen.stuck_for() >= patience.stalled.0 || conn.seen.is_stuck() && desk.is_released() {
+        if conn.seen.stuck_for() >= patience.stalled.0 || conn.seen.is_stuck() && desk.is_released()
+        {
             debug!("a connection was ended: nothing was read of it");
             return;
         }
@@ -305,7 +319,10 @@
     }
     conn.open.set(conn.open.get() + 1);
     let taken = Taken(conn.clone());
-    conn.shared.executor.spawn(stream::serve(request, respond, taken)).detach();
+    conn.shared
+        .executor
+        .spawn(stream::serve(request, respond, taken))
+        .detach();
 }
 
 /// Ends a connection with a reason, as far as the other side reads it.
--- a/crates/heathspurd/src/http2/stream.rs
+++ b/crates/heathspurd/src/http2/stream.rs
@@ -44,14 +44,24 @@
 }
 
 /// Serves a stream to its end.
-pub(super) async fn serve(request: Request<RecvStream>, respond: SendResponse<Bytes>, taken: Taken) {
+pub(super) async fn serve(
+    request: Request<RecvStream>,
+    respond: SendResponse<Bytes>,
+    taken: Taken,
+) {
     let conn = taken.0.clone();
     let (head, body) = request.into_parts();
-    let target = head.uri.path_and_query().map_or("", |target| target.as_str());
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("", |target| target.as_str());
     let desk = &conn.shared.front.desk;
     let asked = Asked::of(head.method.as_str().as_bytes(), target.as_bytes(), desk);
     let bounds = &conn.shared.bounds;
-    let (most, until) = (bounds.request.body.0 as u32, Instant::now() + bounds.request.whole.0);
+    let (most, until) = (
+        bounds.request.body.0 as u32,
+        Instant::now() + bounds.request.whole.0,
+    );
     let mut stream = Stream {
         life: Life::new(most),
         respond,
@@ -112,11 +122,17 @@
                     kept.extend_from_slice(&bytes);
                     let count = bytes.len();
                     let _ = body.flow_control().release_capacity(count);
-                    Event::Data { bytes: count as u32, end: body.is_end_stream() }
+                    Event::Data {
+                        bytes: count as u32,
+                        end: body.is_end_stream(),
+                    }
                 }
                 Some(Err(e)) => ended(&e),
                 // Trailers may follow; nobody asks for them.
-                None => Event::Data { bytes: 0, end: true },
+                None => Event::Data {
+                    bytes: 0,
+                    end: true,
+                },
             }
         };
         let late = async {
@@ -132,7 +148,9 @@
 
     /// The module's answer, or the caller's going.
     async fn wait(&mut self) -> Event {
-        let Some((_, answers)) = &self.given else { return Event::Lost };
+        let Some((_, answers)) = &self.given else {
+            return Event::Lost;
+        };
         let desk = &self.conn.shared.front.desk;
         let answer = async {
             match answers.recv().await {
@@ -147,13 +165,19 @@
             }
         };
         let respond = &mut self.respond;
-        future::or(answer, future::poll_fn(|cx| respond.poll_reset(cx).map(|reset| reset_by(&reset)))).await
+        future::or(
+            answer,
+            future::poll_fn(|cx| respond.poll_reset(cx).map(|reset| reset_by(&reset))),
+        )
+        .await
     }
 
     /// Room to send, in the caller's window and in what may lie in the connection's buffers.
     async fn window(&mut self, left: usize) -> Event {
         let (conn, until) = (self.conn.clone(), self.until);
-        let Some(out) = &mut self.out else { return Event::Lost };
+        let Some(out) = &mut self.out else {
+            return Event::Lost;
+        };
         out.reserve_capacity(left);
         let room = out.capacity().min(conn.seen.room());
         if room > 0 {
@@ -187,11 +211,15 @@
                         conn.seen.flowed().await;
                         None
                     };
-                    let reset = future::poll_fn(|cx| out.poll_reset(cx).map(|reset| Some(reset_by(&reset))));
+                    let reset = future::poll_fn(|cx| {
+                        out.poll_reset(cx).map(|reset| Some(reset_by(&reset)))
+                    });
                     if let Some(event) = future::or(reset, flowed).await {
                         return event;
                     }
-                    return Event::Window { room: out.capacity().min(conn.seen.room()) as u32 };
+                    return Event::Window {
+                        room: out.capacity().min(conn.seen.room()) as u32,
+                    };
                 }
             }
         };
@@ -226,7 +254,11 @@
                 None
             }
             Action::Say { status } => {
-                let reply = response::Response { status, fields: Vec::new(), body: Bytes::new() };
+                let reply = response::Response {
+                    status,
+                    fields: Vec::new(),
+                    body: Bytes::new(),
+                };
                 self.head(&reply, true).err()
             }
             Action::Head => {
@@ -234,7 +266,11 @@
                 self.until = Instant::now() + self.conn.shared.bounds.patience.stalled.0;
                 let failed = self.head(&reply, reply.body.is_empty()).err();
                 self.conn.shared.share.borrow_mut().answered();
-                self.conn.seen.meter.borrow_mut().answer(reply.body.len() as u64);
+                self.conn
+                    .seen
+                    .meter
+                    .borrow_mut()
+                    .answer(reply.body.len() as u64);
                 self.reply = Some(reply);
                 failed
             }
@@ -264,12 +300,18 @@
 
     /// Makes a request of what was read and hands it in; the front's own answer where it is none.
     async fn hand_in(&mut self) -> Option<Event> {
-        let Asked::Work(class) = self.asked else { return None };
+        let Asked::Work(class) = self.asked else {
+            return None;
+        };
         let conn = self.conn.clone();
         let front = &conn.shared.front;
         let Some((arrival, answers)) = self.draft(class) else {
             // It is answered as one that the owner found wrong, and never reached it.
-            self.reply = Some(response::Response { status: 400, fields: Vec::new(), body: Bytes::new() });
+            self.reply = Some(response::Response {
+                status: 400,
+                fields: Vec::new(),
+                body: Bytes::new(),
+            });
             return Some(Event::Answer { bytes: 0 });
         };
         conn.seen.meter.borrow_mut().request();
@@ -304,9 +346,14 @@
                 response.headers_mut().insert(name, value);
             }
         }
-        response.headers_mut().insert(http::header::CONTENT_LENGTH, reply.body.len().into());
+        response
+            .headers_mut()
+            .insert(http::header::CONTENT_LENGTH, reply.body.len().into());
         self.conn.seen.queue(HEAD);
-        let sent = self.respond.send_response(response, end).map_err(|e| ended(&e))?;
+        let sent = self
+            .respond
+            .send_response(response, end)
+            .map_err(|e| ended(&e))?;
         self.out = (!end).then_some(sent);
         Ok(())
     }
--- a/crates/heathspurd/src/http2/wire.rs
+++ b/crates/heathspurd/src/http2/wire.rs
@@ -72,7 +72,10 @@
 
     /// How long the socket has taken nothing.
     pub fn stuck_for(&self) -> std::time::Duration {
-        self.stuck.get().map(|since| since.elapsed()).unwrap_or_default()
+        self.stuck
+            .get()
+            .map(|since| since.elapsed())
+            .unwrap_or_default()
     }
 
     /// Bytes that may be handed to the library now.
@@ -159,17 +162,26 @@
             let start = buffer.filled().len();
             buffer.advance(count);
             seen.turn.set(seen.turn.get() + count);
-            seen.meter.borrow_mut().read(&buffer.filled()[start..], seen.now());
+            seen.meter
+                .borrow_mut()
+                .read(&buffer.filled()[start..], seen.now());
         })
     }
 }
 
 impl AsyncWrite for Wire {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut &*self.stream).poll_write(cx, bytes);
         let seen = &self.seen;
         match &polled {
-            Poll::Pending => drop(seen.stuck.replace(Some(seen.stuck.get().unwrap_or_else(Instant::now)))),
+            Poll::Pending => drop(
+                seen.stuck
+                    .replace(Some(seen.stuck.get().unwrap_or_else(Instant::now))),
+            ),
             Poll::Ready(Ok(count)) => {
                 seen.stuck.set(None);
                 seen.queued.set(seen.queued.get().saturating_sub(*count));
--- a/crates/heathspurd/src/intake.rs
+++ b/crates/heathspurd/src/intake.rs
@@ -41,7 +41,8 @@
         if let Some(item) = self.try_next() {
             return item;
         }
-        let mut waits: Vec<Pin<Box<Recv<'_, T>>>> = self.queues.iter().map(|q| Box::pin(q.recv())).collect();
+        let mut waits: Vec<Pin<Box<Recv<'_, T>>>> =
+            self.queues.iter().map(|q| Box::pin(q.recv())).collect();
         let (at, item) = future::poll_fn(|cx| {
             for (at, wait) in waits.iter_mut().enumerate() {
                 // A front that has ended brings nothing more.
--- a/crates/heathspurd/src/interpreter.rs
+++ b/crates/heathspurd/src/interpreter.rs
@@ -63,7 +63,10 @@
 
 impl Link {
     pub fn new() -> Rc<Link> {
-        Rc::new(Link { out: RefCell::new(Vec::new()), queued: Notify::new() })
+        Rc::new(Link {
+            out: RefCell::new(Vec::new()),
+            queued: Notify::new(),
+        })
     }
 
     pub fn send(&self, command: Command<'_>) {
@@ -82,7 +85,11 @@
     let (mut count, mut wait) = (Count::default(), SHORTEST);
     loop {
         let address = target.get();
-        let dial = connect(address, DIAL, tap.as_ref().map(|tap| (tap, Leg::Interpreter)));
+        let dial = connect(
+            address,
+            DIAL,
+            tap.as_ref().map(|tap| (tap, Leg::Interpreter)),
+        );
         let moved = async {
             target.moved(address).await;
             None
@@ -121,7 +128,12 @@
 }
 
 /// Carries one connection to its end and says why it ended.
-async fn talk<N: From<Event>>(stream: &Stream, link: &Link, events: &Sender<N>, count: &mut Count) -> String {
+async fn talk<N: From<Event>>(
+    stream: &Stream,
+    link: &Link,
+    events: &Sender<N>,
+    count: &mut Count,
+) -> String {
     let mut hello = Vec::new();
     count.begin_link();
     wire::write(&mut hello, Command::Connect(count.last()));
@@ -203,7 +215,9 @@
 /// The number of a notice, where its kind has one.
 fn number(notice: &Notice<'_>) -> Option<u64> {
     match notice {
-        Notice::Value { index, .. } | Notice::Await { index, .. } | Notice::Trace { index } => Some(*index),
+        Notice::Value { index, .. } | Notice::Await { index, .. } | Notice::Trace { index } => {
+            Some(*index)
+        }
         Notice::Banner { .. } | Notice::Tops { .. } | Notice::Refused { .. } => None,
     }
 }
@@ -215,16 +229,26 @@
     }
     match notice {
         Notice::Banner { warmth, ago_ms } => Some(Event::Banner { warmth, ago_ms }),
-        Notice::Value { task, end, body, .. } => {
-            Some(Event::Ended { txn: Txn::read(task.as_bytes())?, end, body: body.into() })
-        }
-        Notice::Await { index, task, body } => {
-            Some(Event::Waits { txn: Txn::read(task.as_bytes())?, index, body: body.into() })
-        }
-        Notice::Tops { nonce, readings } => Some(Event::Gauges { nonce: nonce.parse().ok()?, readings }),
-        Notice::Refused { command, task } => {
-            Some(Event::Refused { command: command.into_owned(), txn: Txn::read(task.as_bytes()) })
-        }
+        Notice::Value {
+            task, end, body, ..
+        } => Some(Event::Ended {
+            txn: Txn::read(task.as_bytes())?,
+            end,
+            body: body.into(),
+        }),
+        Notice::Await { index, task, body } => Some(Event::Waits {
+            txn: Txn::read(task.as_bytes())?,
+            index,
+            body: body.into(),
+        }),
+        Notice::Tops { nonce, readings } => Some(Event::Gauges {
+            nonce: nonce.parse().ok()?,
+            readings,
+        }),
+        Notice::Refused { command, task } => Some(Event::Refused {
+            command: command.into_owned(),
+            txn: Txn::read(task.as_bytes()),
+        }),
         Notice::Trace { .. } => None,
     }
 }
--- a/crates/heathspurd/src/keys.rs
+++ b/crates/heathspurd/src/keys.rs
@@ -20,7 +20,10 @@
 
 impl Key {
     pub fn new(class: ClassId, bytes: &[u8]) -> Key {
-        Key { class: class.0, bytes: bytes.into() }
+        Key {
+            class: class.0,
+            bytes: bytes.into(),
+        }
     }
 }
 
@@ -112,7 +115,15 @@
 impl Keys {
     pub fn new(most_entries: usize, most_bytes: usize, late: Span) -> Keys {
         let (entries, holders, digest) = (HashMap::new(), BTreeMap::new(), RandomState::new());
-        Keys { entries, holders, most_entries, bytes: 0, most_bytes, late, digest }
+        Keys {
+            entries,
+            holders,
+            most_entries,
+            bytes: 0,
+            most_bytes,
+            late,
+            digest,
+        }
     }
 
     /// A body in short. Others can't know what comes out, nor make two bodies come out alike.
@@ -122,7 +133,12 @@
 
     /// Enters a try; the answer is the one that it repeats.
     pub fn link(&mut self, key: &Key, this: Try) -> Result<Option<RequestId>, Barred> {
-        let Try { id, ingress, body, window } = this;
+        let Try {
+            id,
+            ingress,
+            body,
+            window,
+        } = this;
         let known = ingress.saturating_add(window.0);
         if let Some(entry) = self.entries.get_mut(key) {
             let stands = !entry.live.is_empty() || ingress < entry.until;
@@ -156,7 +172,16 @@
             return Err(Barred::Full);
         }
         let (live, waiting, run) = (vec![(id, known)], Vec::new(), Run::None);
-        let fresh = Entry { live, waiting, holder: id, until: 0, run, before, body, known };
+        let fresh = Entry {
+            live,
+            waiting,
+            holder: id,
+            until: 0,
+            run,
+            before,
+            body,
+            known,
+        };
         self.entries.insert(key.clone(), fresh);
         Ok(None)
     }
@@ -172,7 +197,9 @@
 
     /// Keeps the entry that this try holds no longer; the try itself may be gone.
     pub fn forget(&mut self, id: RequestId) {
-        let Some(key) = self.holders.remove(&id) else { return };
+        let Some(key) = self.holders.remove(&id) else {
+            return;
+        };
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.until = 0;
         }
@@ -181,8 +208,13 @@
     /// A try of it is run. It is kept for the window from when that try reached the machine by its own stamp, the
     /// window's end included, also where our clock is behind the stamp.
     pub fn runs(&mut self, key: &Key, id: RequestId) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
-        if let (Some((_, over)), true) = (entry.live.iter().find(|(try_, _)| *try_ == id), entry.until > 0) {
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
+        if let (Some((_, over)), true) = (
+            entry.live.iter().find(|(try_, _)| *try_ == id),
+            entry.until > 0,
+        ) {
             entry.until = entry.until.max(over.saturating_add(1));
         }
         self.bytes -= entry.run.result_len();
@@ -191,7 +223,9 @@
 
     /// The run has ended: the tries that waited for it.
     pub fn ended(&mut self, key: &Key, id: RequestId, result: Option<&Bytes>) -> Vec<RequestId> {
-        let Some(entry) = self.entries.get_mut(key) else { return Vec::new() };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return Vec::new();
+        };
         if !matches!(entry.run, Run::Going(ran) if ran == id) {
             return Vec::new();
         }
@@ -204,7 +238,9 @@
 
     /// A try wants the result of the one that it repeats.
     pub fn attach(&mut self, key: &Key, id: RequestId) -> Attached {
-        let Some(entry) = self.entries.get_mut(key) else { return Attached::Failed };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return Attached::Failed;
+        };
         match &entry.run {
             Run::Ended(_, Some(result)) => Attached::Result(result.clone()),
             Run::Ended(_, None) => Attached::Failed,
@@ -219,7 +255,9 @@
 
     /// A try has left the request table. The answer is those that wait for a run which now never comes.
     pub fn leave(&mut self, key: &Key, id: RequestId) -> Vec<RequestId> {
-        let Some(entry) = self.entries.get_mut(key) else { return Vec::new() };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return Vec::new();
+        };
         entry.live.retain(|&(other, _)| other != id);
         entry.waiting.retain(|&other| other != id);
         if entry.live.is_empty() && entry.until == 0 {
@@ -251,7 +289,12 @@
     }
 
     fn drop_where(&mut self, over: impl Fn(&Entry) -> bool) {
-        let over: Vec<_> = self.entries.iter().filter(|(_, e)| over(e)).map(|(key, _)| key.clone()).collect();
+        let over: Vec<_> = self
+            .entries
+            .iter()
+            .filter(|(_, e)| over(e))
+            .map(|(key, _)| key.clone())
+            .collect();
         over.iter().for_each(|key| drop(self.remove(key)));
     }
 
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -112,7 +112,11 @@
 ///
 /// Its log are events of `tracing`; who embeds it brings the subscriber.
 pub fn serve(config: Config, operator: Operator) -> Result<(), Fault> {
-    serve_from(signals::notices().map_err(Fault::Signals)?, config, operator)
+    serve_from(
+        signals::notices().map_err(Fault::Signals)?,
+        config,
+        operator,
+    )
 }
 
 /// The same with signals that were heard from before the files were read: none of them ends the process by itself,
@@ -121,7 +125,11 @@
     let bind = |address| TcpListener::bind(address).map_err(|e| Fault::Bind(address, e));
     let listeners = Listeners {
         http1: bind(config.listen)?,
-        http2: operator.http2.clone().map(|http2| Ok((bind(http2.listen)?, http2))).transpose()?,
+        http2: operator
+            .http2
+            .clone()
+            .map(|http2| Ok((bind(http2.listen)?, http2)))
+            .transpose()?,
     };
     let recording = match &operator.record {
         Some(record) => Some(Recording::start(&config.name, record).map_err(Fault::Thread)?),
@@ -130,7 +138,10 @@
     let mut peers = serve::Peers::default();
     let membership = match &operator.members {
         Some(members) => {
-            let home = operator.failover.as_ref().and_then(|f| Some((f, f.home(&members.zone)?)));
+            let home = operator
+                .failover
+                .as_ref()
+                .and_then(|f| Some((f, f.home(&members.zone)?)));
             let decider = home.map(|(failover, home)| {
                 let (decider, ways) = failover::start(failover, home, &members.region);
                 peers.ways = Some(ways);
--- a/crates/heathspurd/src/link.rs
+++ b/crates/heathspurd/src/link.rs
@@ -22,7 +22,10 @@
 
 impl Target {
     pub fn new(address: SocketAddr) -> Target {
-        Target { address: Cell::new(address), moved: Notify::new() }
+        Target {
+            address: Cell::new(address),
+            moved: Notify::new(),
+        }
     }
 
     pub fn get(&self) -> SocketAddr {
@@ -68,7 +71,11 @@
 
 impl Inflow {
     pub fn new() -> Inflow {
-        Inflow { buffer: vec![0; CHUNK], filled: 0, used: 0 }
+        Inflow {
+            buffer: vec![0; CHUNK],
+            filled: 0,
+            used: 0,
+        }
     }
 
     /// Reads more; the end of the stream is an error.
@@ -79,7 +86,10 @@
             self.buffer.resize(2 * self.filled, 0);
         }
         match stream.read(&mut self.buffer[self.filled..]).await? {
-            0 => Err(io::Error::new(io::ErrorKind::UnexpectedEof, "closed by the other side")),
+            0 => Err(io::Error::new(
+                io::ErrorKind::UnexpectedEof,
+                "closed by the other side",
+            )),
             n => {
                 self.filled += n;
                 Ok(())
--- a/crates/heathspurd/src/log.rs
+++ b/crates/heathspurd/src/log.rs
@@ -35,11 +35,19 @@
 
 impl Limiter {
     fn new(most: u32) -> Limiter {
-        Limiter { most, second: None, lines: 0, left_out: BTreeMap::new() }
+        Limiter {
+            most,
+            second: None,
+            lines: 0,
+            left_out: BTreeMap::new(),
+        }
     }
 
     fn admits(&mut self, now: Instant, site: Site) -> bool {
-        if self.second.is_none_or(|start| now.saturating_duration_since(start) >= SECOND) {
+        if self
+            .second
+            .is_none_or(|start| now.saturating_duration_since(start) >= SECOND)
+        {
             (self.second, self.lines) = (Some(now), 0);
         }
         if self.lines < self.most {
@@ -93,14 +101,20 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, ctx: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+    fn format_event(
+        &self,
+        ctx: &FmtContext<'_, S, N>,
+        mut to: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
         let left_out = self.limiter.lock().tell();
         for ((file, line), count) in left_out {
             match self.json {
                 None => writeln!(to, "heathspurd: {count} lines left out ({file}:{line})")?,
-                Some(_) => {
-                    writeln!(to, "{{\"left_out\":{count},\"filename\":\"{file}\",\"line_number\":{line}}}")?
-                }
+                Some(_) => writeln!(
+                    to,
+                    "{{\"left_out\":{count},\"filename\":\"{file}\",\"line_number\":{line}}}"
+                )?,
             }
         }
         if let Some(json) = &self.json {
@@ -126,8 +140,12 @@
 /// Sends the process's events to standard error from now on. A second call changes nothing.
 pub(crate) fn install(log: &Log) {
     let limiter = Shared(Arc::new(Mutex::new(Limiter::new(log.lines_per_second))));
-    let json = (log.format == Format::Json)
-        .then(|| tracing_subscriber::fmt::format().json().flatten_event(true).with_target(false));
+    let json = (log.format == Format::Json).then(|| {
+        tracing_subscriber::fmt::format()
+            .json()
+            .flatten_event(true)
+            .with_target(false)
+    });
     let level = match log.level {
         Level::Error => LevelFilter::ERROR,
         Level::Warn => LevelFilter::WARN,
@@ -136,7 +154,10 @@
     };
     // A reader that has closed standard error must not end the server, nor be told of it there.
     let layer = tracing_subscriber::fmt::layer()
-        .event_format(Lines { limiter: limiter.clone(), json })
+        .event_format(Lines {
+            limiter: limiter.clone(),
+            json,
+        })
         .fmt_fields(tracing_subscriber::fmt::format::JsonFields::new())
         .with_writer(std::io::stderr)
         .log_internal_errors(false)
--- a/crates/heathspurd/src/members.rs
+++ b/crates/heathspurd/src/members.rs
@@ -42,7 +42,9 @@
 impl Handle {
     /// Requests in flight and the module's cap, as they are now.
     pub(crate) fn load(&self, in_flight: usize, cap: f64) {
-        self.gauge.in_flight.store(in_flight as u32, Ordering::Relaxed);
+        self.gauge
+            .in_flight
+            .store(in_flight as u32, Ordering::Relaxed);
         self.gauge.cap.store(cap as u32, Ordering::Relaxed);
     }
 
@@ -95,14 +97,20 @@
 
 /// The program's version as one number, so that fleets show who runs what: 1.2.3 is 1002003.
 fn program_version() -> u32 {
-    let parts = env!("CARGO_PKG_VERSION").split('.').map(|part| part.parse().unwrap_or(0));
-    parts.take(3).fold(0, |number: u32, part: u32| number * 1_000 + part.min(999))
+    let parts = env!("CARGO_PKG_VERSION")
+        .split('.')
+        .map(|part| part.parse().unwrap_or(0));
+    parts
+        .take(3)
+        .fold(0, |number: u32, part: u32| number * 1_000 + part.min(999))
 }
 
 /// An incarnation that never goes back across restarts: the wall clock's milliseconds at the start. A clock
 /// set back by more than the time down is the one case where it does; the recovery issue keeps it on disk.
 fn first_incarnation() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(1, |d| d.as_millis() as u64)
 }
 
 impl Membership {
@@ -111,8 +119,8 @@
         let invalid = |what: &str| io::Error::new(io::ErrorKind::InvalidInput, what.to_string());
         let settings = settings(operated);
         settings.check().map_err(|e| invalid(&e.to_string()))?;
-        let advertise =
-            v4(operated.advertise.unwrap_or(operated.listen)).ok_or_else(|| invalid("IPv4 is expected"))?;
+        let advertise = v4(operated.advertise.unwrap_or(operated.listen))
+            .ok_or_else(|| invalid("IPv4 is expected"))?;
         let seeds = operated.seed.iter().filter_map(|s| v4(s.address)).collect();
         let socket = UdpSocket::bind(operated.listen)?;
         let me = Member {
@@ -129,26 +137,48 @@
         };
         let incarnation = first_incarnation();
         let tick = TICK.min(operated.period.0 / 10);
-        let core = Members::new(settings, me, incarnation, seeds, incarnation ^ 0x9e37_79b9_7f4a_7c15);
+        let core = Members::new(
+            settings,
+            me,
+            incarnation,
+            seeds,
+            incarnation ^ 0x9e37_79b9_7f4a_7c15,
+        );
         let gauge = Arc::new(Gauge::default());
         let (tell, told) = async_channel::bounded(2);
         info!(member = %operated.id, incarnation, address = %advertise, "members: joining");
-        let keeper = Keeper { core, gauge: gauge.clone(), told, tick, started: Instant::now(), decider };
-        let thread = thread::Builder::new().name("members".into()).spawn(move || {
-            let executor = async_executor::LocalExecutor::new();
-            if let Some(decider) = &keeper.decider {
-                executor.spawn(decider.checks()).detach();
-            }
-            if let Err(e) = async_io::block_on(executor.run(keeper.run(socket))) {
-                warn!(error = %e, "members: stopped: {e}");
-            }
-        })?;
-        Ok(Membership { gauge, tell, thread: Some(thread) })
+        let keeper = Keeper {
+            core,
+            gauge: gauge.clone(),
+            told,
+            tick,
+            started: Instant::now(),
+            decider,
+        };
+        let thread = thread::Builder::new()
+            .name("members".into())
+            .spawn(move || {
+                let executor = async_executor::LocalExecutor::new();
+                if let Some(decider) = &keeper.decider {
+                    executor.spawn(decider.checks()).detach();
+                }
+                if let Err(e) = async_io::block_on(executor.run(keeper.run(socket))) {
+                    warn!(error = %e, "members: stopped: {e}");
+                }
+            })?;
+        Ok(Membership {
+            gauge,
+            tell,
+            thread: Some(thread),
+        })
     }
 
     /// The end for the owner.
     pub(crate) fn handle(&self) -> Handle {
-        Handle { gauge: self.gauge.clone(), tell: self.tell.clone() }
+        Handle {
+            gauge: self.gauge.clone(),
+            tell: self.tell.clone(),
+        }
     }
 
     /// Ends the thread; where the fleet was not told yet that this member leaves, it is now.
@@ -192,17 +222,23 @@
         loop {
             let woken = future::or(
                 async { Woken::Datagram(socket.recv_from(&mut buffer).await) },
-                future::or(async { Woken::Told(self.told.recv().await.unwrap_or(Told::Stop)) }, async {
-                    Timer::at(next).await;
-                    Woken::Time
-                }),
+                future::or(
+                    async { Woken::Told(self.told.recv().await.unwrap_or(Told::Stop)) },
+                    async {
+                        Timer::at(next).await;
+                        Woken::Time
+                    },
+                ),
             );
             match woken.await {
                 Woken::Datagram(Ok((len, from))) => {
                     if let Some(from) = v4(from) {
                         self.core.handle(
                             self.now(),
-                            Event::Datagram { from, bytes: &buffer[..len] },
+                            Event::Datagram {
+                                from,
+                                bytes: &buffer[..len],
+                            },
                             &mut out,
                         );
                     }
@@ -262,7 +298,12 @@
         Action::Send { to, bytes } => {
             let _ = socket.send_to(&bytes, to).await;
         }
-        Action::Changed { id, to, incarnation, cause } => {
+        Action::Changed {
+            id,
+            to,
+            incarnation,
+            cause,
+        } => {
             let state = to.map_or("gone", State::word);
             info!(member = %id, state, incarnation, cause = cause.word(), "members: {id} is {state} at incarnation {incarnation}, {}", cause.word());
         }
--- a/crates/heathspurd/src/pool.rs
+++ b/crates/heathspurd/src/pool.rs
@@ -75,7 +75,13 @@
     pub fn take(pool: &Rc<Pool>) -> Option<Permit> {
         pool.permits.borrow_mut().take().then(|| {
             let (leave, told) = async_channel::bounded(1);
-            Permit { pool: pool.clone(), heard: Cell::new(false), number: Cell::new(0), leave, told }
+            Permit {
+                pool: pool.clone(),
+                heard: Cell::new(false),
+                number: Cell::new(0),
+                leave,
+                told,
+            }
         })
     }
 
@@ -96,7 +102,11 @@
     /// Does what may be broken off when the permit is needed; the error says that it was.
     pub async fn idle<T>(&self, work: impl Future<Output = T>) -> Result<T, Asked> {
         let now = self.pool.start.elapsed();
-        let number = self.pool.permits.borrow_mut().idle(now, self.heard.get(), self.leave.clone());
+        let number = self
+            .pool
+            .permits
+            .borrow_mut()
+            .idle(now, self.heard.get(), self.leave.clone());
         self.number.set(number);
         let _entry = Entry(&self.pool.permits, Permits::busy, number);
         self.unless_told(work).await
@@ -124,7 +134,11 @@
 }
 
 /// An entry among the permits; taken out as the function says when it is dropped.
-struct Entry<'a, F: Fn(&mut Permits<Sender<Asked>>, u64)>(&'a RefCell<Permits<Sender<Asked>>>, F, u64);
+struct Entry<'a, F: Fn(&mut Permits<Sender<Asked>>, u64)>(
+    &'a RefCell<Permits<Sender<Asked>>>,
+    F,
+    u64,
+);
 
 impl<F: Fn(&mut Permits<Sender<Asked>>, u64)> Drop for Entry<'_, F> {
     fn drop(&mut self) {
--- a/crates/heathspurd/src/record.rs
+++ b/crates/heathspurd/src/record.rs
@@ -37,10 +37,12 @@
         let budget = record.budget.memory.0 as usize;
         let tap = Rc::new(Tap::new(items, waiting.clone(), budget, record.links));
         let mut writer = Writer::new(name, record);
-        thread::Builder::new().name("record".into()).spawn(move || {
-            writer.run(&events, &waiting);
-            let _ = finished.send(());
-        })?;
+        thread::Builder::new()
+            .name("record".into())
+            .spawn(move || {
+                writer.run(&events, &waiting);
+                let _ = finished.send(());
+            })?;
         Ok(Recording { tap, done })
     }
 
@@ -76,7 +78,10 @@
             keep: record.files.keep as usize,
         };
         // The name becomes a part of files' names.
-        let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
+        let name: String = name
+            .chars()
+            .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
+            .collect();
         let there = names(&record.directory);
         Writer {
             directory: record.directory.clone(),
@@ -113,7 +118,10 @@
                 next = events.try_recv().ok();
             }
             if ended && self.file.is_some() {
-                self.pending.extend(self.recorder.end(heathspur_capture::Stamp(unix().as_nanos() as u64)));
+                self.pending.extend(
+                    self.recorder
+                        .end(heathspur_capture::Stamp(unix().as_nanos() as u64)),
+                );
             }
             self.put();
         }
@@ -129,9 +137,9 @@
         let done = match self.files.step(now, unix().as_millis() as u64) {
             Step::LeaveOut => return,
             Step::Write => self.write(&blocks),
-            Step::Change { make, delete } => {
-                self.change(now, &make, &delete).and_then(|()| self.write(&blocks))
-            }
+            Step::Change { make, delete } => self
+                .change(now, &make, &delete)
+                .and_then(|()| self.write(&blocks)),
         };
         match done {
             Ok(()) => self.files.wrote(blocks.len() as u64),
@@ -166,13 +174,19 @@
             }
         }
         self.path = self.directory.join(make);
-        let mut file = OpenOptions::new().write(true).create_new(true).open(&self.path)?;
+        let mut file = OpenOptions::new()
+            .write(true)
+            .create_new(true)
+            .open(&self.path)?;
         let start = self.recorder.start();
         file.write_all(&start)?;
         self.whole = start.len() as u64;
         self.file = Some(file);
         if let Some(Notice::GoesOn(left_out)) = self.files.made(now, make, start.len() as u64) {
-            info!(left_out, "recording goes on in {make}; blocks were left out {left_out} times");
+            info!(
+                left_out,
+                "recording goes on in {make}; blocks were left out {left_out} times"
+            );
         }
         Ok(())
     }
@@ -180,11 +194,15 @@
 
 fn names(directory: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(directory).into_iter().flatten().flatten();
-    entries.filter_map(|entry| entry.file_name().into_string().ok()).collect()
+    entries
+        .filter_map(|entry| entry.file_name().into_string().ok())
+        .collect()
 }
 
 fn unix() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/heathspurd/src/request.rs
+++ b/crates/heathspurd/src/request.rs
@@ -24,10 +24,15 @@
     pub fn of(method: &[u8], target: &[u8], desk: &Desk) -> Asked {
         let path = target.split(|&b| b == b'?').next().unwrap_or(target);
         if path == HEALTH {
-            return if method == b"GET" || method == b"HEAD" { Asked::Health } else { Asked::Bad(405) };
+            return if method == b"GET" || method == b"HEAD" {
+                Asked::Health
+            } else {
+                Asked::Bad(405)
+            };
         }
         let class = path.strip_prefix(SERVICE);
-        let class = class.and_then(|name| desk.names.classes.iter().position(|c| c.as_bytes() == name));
+        let class =
+            class.and_then(|name| desk.names.classes.iter().position(|c| c.as_bytes() == name));
         match class {
             None => Asked::Bad(404),
             Some(_) if method != b"POST" => Asked::Bad(405),
@@ -60,7 +65,22 @@
         let (txn, ingress, held_kb, key, row, tenant) = (None, None, None, None, None, None);
         let (left, cost, rank, router) = (None, None, None, None);
         let retry = false;
-        Draft { desk, keep, latest, txn, ingress, held_kb, key, row, tenant, retry, left, cost, rank, router }
+        Draft {
+            desk,
+            keep,
+            latest,
+            txn,
+            ingress,
+            held_kb,
+            key,
+            row,
+            tenant,
+            retry,
+            left,
+            cost,
+            rank,
+            router,
+        }
     }
 
     /// Takes a field; none when it makes no sense, or stands there a second time. Unknown ones are passed over.
@@ -69,23 +89,33 @@
         let again = if is("X-Txn") {
             self.txn.replace(Txn::read(value)?).is_some()
         } else if is("X-Ingress-Time") {
-            let stamp = http::number(value)?.checked_mul(1000).filter(|&stamp| stamp <= self.latest)?;
+            let stamp = http::number(value)?
+                .checked_mul(1000)
+                .filter(|&stamp| stamp <= self.latest)?;
             self.ingress.replace(stamp).is_some()
         } else if is("X-Working-Set-Kb") {
-            self.held_kb.replace(decimal(value).filter(|kb| *kb > 0.0 && *kb < 2000.0)?).is_some()
+            self.held_kb
+                .replace(decimal(value).filter(|kb| *kb > 0.0 && *kb < 2000.0)?)
+                .is_some()
         } else if is("X-Shed-Order") {
-            self.rank.replace(decimal(value).filter(|rank| *rank < 1.0)?).is_some()
+            self.rank
+                .replace(decimal(value).filter(|rank| *rank < 1.0)?)
+                .is_some()
         } else if is("X-Router") {
             self.router.replace(http::number(value)?).is_some()
         } else if is("X-Merchant") {
             let tenants = &self.desk.names.tenants;
-            self.tenant.replace(tenants.iter().position(|t| t.as_bytes() == value)?).is_some()
+            self.tenant
+                .replace(tenants.iter().position(|t| t.as_bytes() == value)?)
+                .is_some()
         } else if is("X-Second-Try") {
             std::mem::replace(&mut self.retry, (value == b"1").then_some(true)?)
         } else if is("X-Txn-Key") {
             self.key.replace(self.subject(value)?).is_some()
         } else if is("X-Ttl-Ms") {
-            self.left.replace(Span::from_secs(decimal(value)? / 1000.0)).is_some()
+            self.left
+                .replace(Span::from_secs(decimal(value)? / 1000.0))
+                .is_some()
         } else if is("X-Cpu-Hint") {
             self.cost.replace(decimal(value)? / 1000.0).is_some()
         } else if is("X-Row") {
@@ -97,10 +127,20 @@
     }
 
     /// The request with its body, and where its answer will come; none when a field that is needed is missing.
-    pub fn finish(self, class: ClassId, body: Bytes) -> Option<(Arrival, async_channel::Receiver<Answer>)> {
-        let (Some(_), Some(_)) = (self.rank, self.router) else { return None };
+    pub fn finish(
+        self,
+        class: ClassId,
+        body: Bytes,
+    ) -> Option<(Arrival, async_channel::Receiver<Answer>)> {
+        let (Some(_), Some(_)) = (self.rank, self.router) else {
+            return None;
+        };
         let keyed = self.desk.keyed[class.0];
-        let (has_key, row, has_tenant) = (self.key.is_some(), self.row.is_some(), self.tenant.is_some());
+        let (has_key, row, has_tenant) = (
+            self.key.is_some(),
+            self.row.is_some(),
+            self.tenant.is_some(),
+        );
         // A key belongs to keyed classes, a subject to the others, and a tenant to all where there are tenants.
         if keyed != has_key || keyed && row || self.desk.names.tenants.is_empty() == has_tenant {
             return None;
--- a/crates/heathspurd/src/response.rs
+++ b/crates/heathspurd/src/response.rs
@@ -16,7 +16,10 @@
         let mut fields = free_value(desk);
         let (status, body) = match answer {
             Answer::Served(body) => (200, body.clone()),
-            Answer::Refused { stay_away, last: give_up } => {
+            Answer::Refused {
+                stay_away,
+                last: give_up,
+            } => {
                 if let Some(span) = stay_away {
                     fields.push(("X-Throttle-Ms", span.0.div_ceil(1000) as f64));
                 }
@@ -30,17 +33,29 @@
             Answer::Conflict => (409, Bytes::new()),
             Answer::KeyReused => (422, Bytes::new()),
         };
-        Response { status, fields, body }
+        Response {
+            status,
+            fields,
+            body,
+        }
     }
 
     /// Those of a health check.
     pub fn of_health(desk: &Desk) -> Response {
         let status = if desk.good.get() { 200 } else { 503 };
-        Response { status, fields: free_value(desk), body: Bytes::new() }
+        Response {
+            status,
+            fields: free_value(desk),
+            body: Bytes::new(),
+        }
     }
 }
 
 /// The field that every answer and check carries once the value is set.
 fn free_value(desk: &Desk) -> Vec<(&'static str, f64)> {
-    desk.free_value.get().map(|value| ("X-Capacity", value)).into_iter().collect()
+    desk.free_value
+        .get()
+        .map(|value| ("X-Capacity", value))
+        .into_iter()
+        .collect()
 }
--- a/crates/heathspurd/src/room.rs
+++ b/crates/heathspurd/src/room.rs
@@ -47,7 +47,12 @@
                 let _ = tell.try_send(());
             }
         }
-        Held { room: self.clone(), holder, part, told }
+        Held {
+            room: self.clone(),
+            holder,
+            part,
+            told,
+        }
     }
 }
 
@@ -69,8 +74,14 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.room.told.borrow_mut().remove(&(self.holder, self.part));
-        self.room.ledger.borrow_mut().give_back(self.holder, self.part);
+        self.room
+            .told
+            .borrow_mut()
+            .remove(&(self.holder, self.part));
+        self.room
+            .ledger
+            .borrow_mut()
+            .give_back(self.holder, self.part);
     }
 }
 
--- a/crates/heathspurd/src/route.rs
+++ b/crates/heathspurd/src/route.rs
@@ -14,7 +14,11 @@
         match action {
             Action::Run(id) => self.run(id),
             Action::Stop(id) => self.stop(id),
-            Action::Refuse { id, stay_away, last } => {
+            Action::Refuse {
+                id,
+                stay_away,
+                last,
+            } => {
                 if let Some(members) = &self.members {
                     members.refused();
                 }
@@ -41,7 +45,9 @@
             Action::Say(value) => self.desk.free_value.set(Some(value)),
             Action::CloseIdle(after) => {
                 let all = after == Span(0);
-                self.desk.idle.set(if all { self.settings.idle } else { after });
+                self.desk
+                    .idle
+                    .set(if all { self.settings.idle } else { after });
             }
             Action::Timer { after, token } => {
                 self.timers.push(Reverse((self.now + after, token)));
@@ -52,8 +58,16 @@
 
     /// Answers a repeat with the result of the try that ran, or lets it wait for that.
     fn reuse(&mut self, id: RequestId) {
-        let Some(entry) = self.table.get_mut(id) else { return };
-        let Some(key) = entry.key.as_ref().filter(|_| matches!(entry.work, Work::Held)) else { return };
+        let Some(entry) = self.table.get_mut(id) else {
+            return;
+        };
+        let Some(key) = entry
+            .key
+            .as_ref()
+            .filter(|_| matches!(entry.work, Work::Held))
+        else {
+            return;
+        };
         entry.work = Work::Waiting { since: self.now };
         match self.keys.attach(key, id) {
             Attached::Waits => {}
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -85,53 +85,101 @@
     let settings = config.settings.clone();
     let room = listeners.http2.as_ref().map(|(_, http2)| {
         let memory = &http2.memory;
-        Room::new(Bounds { connection: memory.connection.0, all: memory.answers.0 })
+        Room::new(Bounds {
+            connection: memory.connection.0,
+            all: memory.answers.0,
+        })
     });
     let desk = Rc::new(Desk::new(
         config.names.clone(),
-        settings.classes.iter().map(|c| c.effect == Effect::Keyed).collect(),
+        settings
+            .classes
+            .iter()
+            .map(|c| c.effect == Effect::Keyed)
+            .collect(),
         settings.idle,
         shutting,
         tap.clone(),
-        Rc::new(Pool::new(config.sockets.saturating_sub(SPARE + config.sockets / CALLS_PART))),
+        Rc::new(Pool::new(
+            config
+                .sockets
+                .saturating_sub(SPARE + config.sockets / CALLS_PART),
+        )),
         room.clone(),
     ));
     let interpreter = interpreter::Link::new();
     let places = config.sockets / CALLS_PART;
     let store = {
         let routes = peers.ways.map(Ways::routes);
-        store::Link::new(executor.clone(), config.store, places, to_owner.clone(), tap.clone(), routes)
+        store::Link::new(
+            executor.clone(),
+            config.store,
+            places,
+            to_owner.clone(),
+            tap.clone(),
+            routes,
+        )
+    };
+    let targets = Targets {
+        vm: Rc::new(Target::new(config.vm)),
+        announce: Rc::new(Target::new(config.announce)),
     };
-    let targets =
-        Targets { vm: Rc::new(Target::new(config.vm)), announce: Rc::new(Target::new(config.announce)) };
     let readiness = announce::Readiness::new();
     let mut queues = Vec::new();
     let mut front = || {
-        let ((requests, queue), (gone, going)) =
-            (async_channel::bounded(REQUESTS), async_channel::bounded(GONE));
+        let ((requests, queue), (gone, going)) = (
+            async_channel::bounded(REQUESTS),
+            async_channel::bounded(GONE),
+        );
         queues.push(queue);
         executor.spawn(hand_on(going, to_owner.clone())).detach();
-        Front { desk: desk.clone(), requests, gone }
+        Front {
+            desk: desk.clone(),
+            requests,
+            gone,
+        }
     };
     let address = listeners.http1.local_addr()?;
     info!(%address, "listening on {address}");
     let spoken = http1::serve(executor.clone(), Rc::new(front()));
-    executor.spawn(accept(Async::new(listeners.http1)?, desk.clone(), spoken)).detach();
+    executor
+        .spawn(accept(Async::new(listeners.http1)?, desk.clone(), spoken))
+        .detach();
     if let (Some((listener, bounds)), Some(room)) = (listeners.http2, room) {
         let address = listener.local_addr()?;
         info!(%address, "listening for HTTP/2 on {address}");
         let spoken = http2::serve(executor.clone(), front(), bounds, room);
-        executor.spawn(accept(Async::new(listener)?, desk.clone(), spoken)).detach();
+        executor
+            .spawn(accept(Async::new(listener)?, desk.clone(), spoken))
+            .detach();
     }
     executor
-        .spawn(interpreter::keep(targets.vm.clone(), interpreter.clone(), to_owner.clone(), tap))
+        .spawn(interpreter::keep(
+            targets.vm.clone(),
+            interpreter.clone(),
+            to_owner.clone(),
+            tap,
+        ))
+        .detach();
+    executor
+        .spawn(announce::keep(
+            targets.announce.clone(),
+            config.name.clone(),
+            readiness.clone(),
+        ))
         .detach();
-    executor.spawn(announce::keep(targets.announce.clone(), config.name.clone(), readiness.clone())).detach();
     executor.spawn(hand_on(closings, to_owner.clone())).detach();
     let notices = signals::Notices::new();
-    executor.spawn(signals::hear(signals, config.clone(), notices.clone())).detach();
+    executor
+        .spawn(signals::hear(signals, config.clone(), notices.clone()))
+        .detach();
     let clock = Clock::start();
-    let late = settings.classes.iter().map(|c| c.give_up).max().unwrap_or_default();
+    let late = settings
+        .classes
+        .iter()
+        .map(|c| c.give_up)
+        .max()
+        .unwrap_or_default();
     let owner = Owner {
         settings,
         desk,
--- a/crates/heathspurd/src/signals.rs
+++ b/crates/heathspurd/src/signals.rs
@@ -31,7 +31,11 @@
 
 impl Notices {
     pub fn new() -> Rc<Notices> {
-        Rc::new(Notices { drain: Cell::new(false), config: RefCell::new(None), told: Notify::new() })
+        Rc::new(Notices {
+            drain: Cell::new(false),
+            config: RefCell::new(None),
+            told: Notify::new(),
+        })
     }
 
     fn drain(&self) {
--- a/crates/heathspurd/src/store.rs
+++ b/crates/heathspurd/src/store.rs
@@ -124,7 +124,10 @@
     /// Makes a call.
     pub fn call(self: &Rc<Self>, call: Call) {
         let (link, number, written) = (self.clone(), call.call, Rc::new(Cell::new(false)));
-        let way = self.routes.as_ref().map(|routes| routes.pick().map(Rc::new));
+        let way = self
+            .routes
+            .as_ref()
+            .map(|routes| routes.pick().map(Rc::new));
         let (mark, goes) = (written.clone(), way.clone());
         let made = Instant::now();
         let task = self.executor.spawn(async move {
@@ -144,15 +147,33 @@
                 open.task.detach();
             }
             // It fails once the server has ended.
-            let _ = link.events.send(Event { id, call: number, outcome, body }.into()).await;
+            let _ = link
+                .events
+                .send(
+                    Event {
+                        id,
+                        call: number,
+                        outcome,
+                        body,
+                    }
+                    .into(),
+                )
+                .await;
         });
         let way = way.flatten();
-        self.open.borrow_mut().insert(number, Open { task, written, way });
+        self.open
+            .borrow_mut()
+            .insert(number, Open { task, written, way });
     }
 
     /// Gives a call up that took too long, which tells of who was called.
     pub fn give_up_late(&self, call: CallId) -> Outcome {
-        if let Some(way) = self.open.borrow().get(&call).and_then(|open| open.way.as_ref()) {
+        if let Some(way) = self
+            .open
+            .borrow()
+            .get(&call)
+            .and_then(|open| open.way.as_ref())
+        {
             way.ended(Outcome::Timeout);
         }
         self.give_up(call)
@@ -210,14 +231,20 @@
     }
 
     /// A connection for a call: the one that was used last, else a new one.
-    async fn line(&self, call: &Call, address: SocketAddr, limit: Duration) -> std::io::Result<Line> {
+    async fn line(
+        &self,
+        call: &Call,
+        address: SocketAddr,
+        limit: Duration,
+    ) -> std::io::Result<Line> {
         let mut idle = self.idle.take();
         idle.retain(|line| (line.address == address || self.routes.is_some()) && line.is_young());
         let found = match call.fresh {
             true => None,
-            false => {
-                idle.iter().rposition(|line| line.serves(call.txn, address)).and_then(|i| idle.remove(i))
-            }
+            false => idle
+                .iter()
+                .rposition(|line| line.serves(call.txn, address))
+                .and_then(|i| idle.remove(i)),
         };
         if found.is_none() {
             // A new connection takes the room of an idle one where all places are taken up.
@@ -230,7 +257,12 @@
             return Ok(line);
         }
         Ok(Line {
-            stream: connect(address, limit, self.tap.as_ref().map(|tap| (tap, Leg::Store))).await?,
+            stream: connect(
+                address,
+                limit,
+                self.tap.as_ref().map(|tap| (tap, Leg::Store)),
+            )
+            .await?,
             inflow: Inflow::new(),
             address,
             last: None,
@@ -258,7 +290,11 @@
 }
 
 /// Writes a call, with the time left to it, and reads its reply; true at the end when nothing else came.
-async fn exchange(line: &mut Line, call: &Call, left: Duration) -> Result<(Outcome, Bytes, bool), String> {
+async fn exchange(
+    line: &mut Line,
+    call: &Call,
+    left: Duration,
+) -> Result<(Outcome, Bytes, bool), String> {
     let mut out = Vec::new();
     let left_ms = (left.as_millis() as u64).max(1);
     wire::write_call(&mut out, call.txn.as_str(), left_ms, &call.body);
@@ -285,7 +321,10 @@
             };
             return Ok((outcome, body, only && line.inflow.bytes().is_empty()));
         }
-        line.inflow.fill(&line.stream).await.map_err(|e| e.to_string())?;
+        line.inflow
+            .fill(&line.stream)
+            .await
+            .map_err(|e| e.to_string())?;
     }
 }
 
--- a/crates/heathspurd/src/table.rs
+++ b/crates/heathspurd/src/table.rs
@@ -115,13 +115,34 @@
 
     /// The requests that pass a test, oldest first.
     pub fn find(&self, test: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
-        self.entries.iter().filter(|(_, e)| test(e)).map(|(&id, _)| id).collect()
+        self.entries
+            .iter()
+            .filter(|(_, e)| test(e))
+            .map(|(&id, _)| id)
+            .collect()
     }
 
     pub fn insert(&mut self, arrival: Arrival, key: Option<Key>) {
-        let Arrival { id, txn, class, body, reply, .. } = arrival;
+        let Arrival {
+            id,
+            txn,
+            class,
+            body,
+            reply,
+            ..
+        } = arrival;
         self.names.insert(txn, id);
-        self.entries.insert(id, Entry { txn, class, body, reply: Some(reply), key, work: Work::Held });
+        self.entries.insert(
+            id,
+            Entry {
+                txn,
+                class,
+                body,
+                reply: Some(reply),
+                key,
+                work: Work::Held,
+            },
+        );
     }
 
     /// Takes one off; only booking out does.
--- a/crates/heathspurd/src/tape.rs
+++ b/crates/heathspurd/src/tape.rs
@@ -38,8 +38,15 @@
 }
 
 impl Tap {
-    pub fn new(items: SyncSender<Item>, waiting: Arc<AtomicUsize>, budget: usize, links: bool) -> Tap {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    pub fn new(
+        items: SyncSender<Item>,
+        waiting: Arc<AtomicUsize>,
+        budget: usize,
+        links: bool,
+    ) -> Tap {
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         Tap {
             items,
             waiting,
@@ -87,8 +94,16 @@
 impl Tape {
     fn said(&self, side: Side, bytes: &[u8]) {
         let (at, mut missed) = (usize::from(side == Side::Server), self.missed.get());
-        let seen = Seen::Said { side, bytes: Bytes::copy_from_slice(bytes), missed: missed[at] };
-        missed[at] = if self.tap.send(self.ends, seen) { 0 } else { missed[at] + bytes.len() as u64 };
+        let seen = Seen::Said {
+            side,
+            bytes: Bytes::copy_from_slice(bytes),
+            missed: missed[at],
+        };
+        missed[at] = if self.tap.send(self.ends, seen) {
+            0
+        } else {
+            missed[at] + bytes.len() as u64
+        };
         self.missed.set(missed);
     }
 }
@@ -124,21 +139,40 @@
         let Some(tape) = &self.tape else { return };
         match result {
             Ok(0) => tape.ended.set((tape.us.other(), false)),
-            Err(e) if e.kind() == io::ErrorKind::ConnectionReset => tape.ended.set((tape.us.other(), true)),
+            Err(e) if e.kind() == io::ErrorKind::ConnectionReset => {
+                tape.ended.set((tape.us.other(), true))
+            }
             _ => {}
         }
     }
 }
 
 fn tape(stream: &Async<TcpStream>, tap: &Rc<Tap>, leg: Leg, us: Side) -> Option<Tape> {
-    let (ours, theirs): (SocketAddr, SocketAddr) =
-        (stream.get_ref().local_addr().ok()?, stream.get_ref().peer_addr().ok()?);
-    let (client, server) = if us == Side::Client { (ours, theirs) } else { (theirs, ours) };
+    let (ours, theirs): (SocketAddr, SocketAddr) = (
+        stream.get_ref().local_addr().ok()?,
+        stream.get_ref().peer_addr().ok()?,
+    );
+    let (client, server) = if us == Side::Client {
+        (ours, theirs)
+    } else {
+        (theirs, ours)
+    };
     let number = tap.next.get();
     tap.next.set(number + 1);
-    let ends = Ends { number, leg, client, server };
+    let ends = Ends {
+        number,
+        leg,
+        client,
+        server,
+    };
     tap.send(ends, Seen::Opened);
-    Some(Tape { tap: tap.clone(), ends, us, missed: Cell::new([0; 2]), ended: Cell::new((us, false)) })
+    Some(Tape {
+        tap: tap.clone(),
+        ends,
+        us,
+        missed: Cell::new([0; 2]),
+        ended: Cell::new((us, false)),
+    })
 }
 
 impl Deref for Stream {
@@ -150,7 +184,11 @@
 }
 
 impl AsyncRead for &Stream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         let this = *self;
         let polled = Pin::new(&mut &this.inner).poll_read(cx, buffer);
         if let (Some(tape), Poll::Ready(result)) = (&this.tape, &polled) {
@@ -164,7 +202,11 @@
 }
 
 impl AsyncWrite for &Stream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let this = *self;
         let polled = Pin::new(&mut &this.inner).poll_write(cx, bytes);
         if let (Some(tape), Poll::Ready(Ok(count))) = (&this.tape, &polled) {
--- a/crates/heathspurd/src/work.rs
+++ b/crates/heathspurd/src/work.rs
@@ -65,7 +65,9 @@
                 self.take_event(item);
             }
             for _ in 0..REQUESTS_AT_ONCE {
-                let Some(arrival) = requests.try_next() else { break };
+                let Some(arrival) = requests.try_next() else {
+                    break;
+                };
                 self.take_request(arrival);
             }
             self.take_time();
@@ -89,7 +91,10 @@
         }
         let due = self.due.drain(..).map(|due| due.token);
         for token in due.chain(self.timers.drain().map(|Reverse((_, token))| token)) {
-            self.events.push(Event::Timer { token, gauges: Gauges::default() });
+            self.events.push(Event::Timer {
+                token,
+                gauges: Gauges::default(),
+            });
         }
         self.decide(&mut actions);
         let closed = async { while self.desk.pool.open() > 0 && inbox.recv().await.is_ok() {} };
@@ -128,12 +133,21 @@
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let call = self.call_timers.first().map(|(at, _)| *at);
         let gauges = self.due.front().map(|due| due.until);
-        let leave = self.leaving.map(|(shut, end)| if self.desk.shutting.is_closed() { end } else { shut });
+        let leave = self.leaving.map(|(shut, end)| {
+            if self.desk.shutting.is_closed() {
+                end
+            } else {
+                shut
+            }
+        });
         let resume = match self.link {
             LinkState::Resuming(_, until) => Some(until),
             LinkState::Up | LinkState::Late | LinkState::Down => None,
         };
-        [timer, call, gauges, leave, resume, Some(self.prune_at)].into_iter().flatten().min()
+        [timer, call, gauges, leave, resume, Some(self.prune_at)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// The module begins with the interpreter's start: from then on the machine warms up.
@@ -153,7 +167,9 @@
         if self.events.is_empty() {
             return;
         }
-        let Some(module) = &mut self.module else { return };
+        let Some(module) = &mut self.module else {
+            return;
+        };
         module.decide(self.now, &self.events, actions);
         let cap = module.cap();
         self.events.clear();
@@ -195,7 +211,10 @@
 
     /// The peers are found elsewhere from now on. What else the file says holds from the next start.
     fn move_to(&mut self, config: &Config) {
-        info!("peers at {}, {} and {:?}", config.vm, config.announce, config.store);
+        info!(
+            "peers at {}, {} and {:?}",
+            config.vm, config.announce, config.store
+        );
         self.targets.vm.set(config.vm);
         self.targets.announce.set(config.announce);
         self.store.set(config.store);
@@ -203,22 +222,48 @@
 
     /// What is due by the clock.
     fn take_time(&mut self) {
-        while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= self.now) {
-            let Some(Reverse((_, token))) = self.timers.pop() else { break };
+        while self
+            .timers
+            .peek()
+            .is_some_and(|Reverse((at, _))| *at <= self.now)
+        {
+            let Some(Reverse((_, token))) = self.timers.pop() else {
+                break;
+            };
             if self.link.is_up() {
                 let nonce = self.ask();
-                self.due.push_back(Due { nonce, token, until: self.now + GAUGES });
+                self.due.push_back(Due {
+                    nonce,
+                    token,
+                    until: self.now + GAUGES,
+                });
             } else {
-                self.events.push(Event::Timer { token, gauges: Gauges::default() });
+                self.events.push(Event::Timer {
+                    token,
+                    gauges: Gauges::default(),
+                });
             }
         }
         while self.due.front().is_some_and(|due| due.until <= self.now) {
-            let Some(due) = self.due.pop_front() else { break };
-            self.events.push(Event::Timer { token: due.token, gauges: Gauges::default() });
+            let Some(due) = self.due.pop_front() else {
+                break;
+            };
+            self.events.push(Event::Timer {
+                token: due.token,
+                gauges: Gauges::default(),
+            });
         }
-        while self.call_timers.first().is_some_and(|(at, _)| *at <= self.now) {
-            let Some((_, id)) = self.call_timers.pop_first() else { break };
-            let Some(entry) = self.table.get(id) else { continue };
+        while self
+            .call_timers
+            .first()
+            .is_some_and(|(at, _)| *at <= self.now)
+        {
+            let Some((_, id)) = self.call_timers.pop_first() else {
+                break;
+            };
+            let Some(entry) = self.table.get(id) else {
+                continue;
+            };
             if let Work::Calling { call, .. } = entry.work {
                 let outcome = self.store.give_up_late(call);
                 self.call_ended(id, outcome);
@@ -250,18 +295,24 @@
             members.leave();
         }
         self.desk.leaving.set(true);
-        self.desk.release_at.set(Some(self.clock.instant(self.now + span(stop.saturating_sub(LEAVE)))));
+        self.desk.release_at.set(Some(
+            self.clock
+                .instant(self.now + span(stop.saturating_sub(LEAVE))),
+        ));
         self.desk.pool.tell_closed(self.closed.clone());
         self.events.push(Event::Drain(span(stop)));
     }
 
     /// Shuts the front when nothing new would be run any more; true once all is answered, or nothing can be.
     fn has_left(&mut self) -> bool {
-        let Some((shut, end)) = self.leaving else { return false };
+        let Some((shut, end)) = self.leaving else {
+            return false;
+        };
         if self.now >= shut {
             self.shutter.close();
         }
         let owed = || self.table.find(|entry| entry.reply.is_some()).len();
-        self.desk.shutting.is_closed() && (self.desk.pool.open() == 0 && owed() == 0 || self.now >= end)
+        self.desk.shutting.is_closed()
+            && (self.desk.pool.open() == 0 && owed() == 0 || self.now >= end)
     }
 }
--- a/crates/heathspurd/tests/close.rs
+++ b/crates/heathspurd/tests/close.rs
@@ -25,7 +25,8 @@
 /// The same request, which says that it is the last.
 fn last_request(txn: u64) -> Vec<u8> {
     let text = String::from_utf8(request(txn, None, b"abc")).unwrap();
-    text.replacen("Host:", "Connection: close\r\nHost:", 1).into_bytes()
+    text.replacen("Host:", "Connection: close\r\nHost:", 1)
+        .into_bytes()
 }
 
 /// Waits for what must come; what never comes fails the test.
@@ -44,7 +45,10 @@
 }
 
 fn descriptors(rig: &Rig) -> usize {
-    Process::new(rig.process.0.id() as i32).unwrap().fd_count().unwrap()
+    Process::new(rig.process.0.id() as i32)
+        .unwrap()
+        .fd_count()
+        .unwrap()
 }
 
 /// Connections that send nothing, or the first words of a request.
@@ -161,7 +165,10 @@
     clients.iter_mut().for_each(answered_and_closed);
     assert_eq!(rig.process.wait().code(), Some(0));
     let started = vm.join().unwrap();
-    assert!((201..204).all(|txn| !started.contains(&task(txn))), "past the grace: {started:?}");
+    assert!(
+        (201..204).all(|txn| !started.contains(&task(txn))),
+        "past the grace: {started:?}"
+    );
 }
 
 #[test]
@@ -254,16 +261,22 @@
     let mut vm = rig.link();
     serves_with_a_call(&rig, &mut vm, 1);
     let before = descriptors(&rig);
-    for (words, txn) in
-        [(&b""[..], 2), (b"POST /svc/look HTTP/1.1\r\n", 3), (b"GET /status/live HTTP/1.1\r\n\r\n", 4)]
-    {
+    for (words, txn) in [
+        (&b""[..], 2),
+        (b"POST /svc/look HTTP/1.1\r\n", 3),
+        (b"GET /status/live HTTP/1.1\r\n\r\n", 4),
+    ] {
         let crowd = flood(&rig, 3 * POOL, words);
         serves_with_a_call(&rig, &mut vm, txn);
         // The interpreter's link can break and come back in it.
         drop(vm);
         vm = rig.link();
         serves_with_a_call(&rig, &mut vm, 10 + txn);
-        assert!(descriptors(&rig) <= SOCKETS, "{} descriptors", descriptors(&rig));
+        assert!(
+            descriptors(&rig) <= SOCKETS,
+            "{} descriptors",
+            descriptors(&rig)
+        );
         drop(crowd);
         until("descriptors as before", || descriptors(&rig) <= before);
     }
--- a/crates/heathspurd/tests/cold.rs
+++ b/crates/heathspurd/tests/cold.rs
@@ -32,12 +32,19 @@
         });
         let mut vm = rig.open_link();
         vm.say(json!({"verb": "BANNER", "outcome": state, "spent": 0}));
-        assert_eq!(rig.reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+        assert_eq!(
+            rig.reports.recv_timeout(NEVER).unwrap(),
+            json!({"accepting": "true"})
+        );
         let mut clients: Vec<Client> = (0..REQUESTS).map(|_| rig.client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
         }
-        Crowd { _rig: rig, vm, clients }
+        Crowd {
+            _rig: rig,
+            vm,
+            clients,
+        }
     }
 
     /// The most runs at once until all have their answers, and what was answered with how long to stay away.
@@ -46,7 +53,10 @@
         let answers = thread::spawn(move || {
             let answer = |mut client: Client| {
                 let (status, fields, _) = client.answer();
-                (status, fields.get("x-throttle-ms").map(|ms| ms.parse().unwrap()))
+                (
+                    status,
+                    fields.get("x-throttle-ms").map(|ms| ms.parse().unwrap()),
+                )
             };
             clients.into_iter().map(answer).collect::<Vec<_>>()
         });
@@ -78,14 +88,28 @@
 #[test]
 fn a_cold_process_starts_less_than_makes_it_fall_and_tells_the_others_to_stay_away() {
     let (most, answers) = Crowd::come("chilly").answered();
-    assert!((1..=COLD as usize).contains(&most), "{most} runs at once, {COLD} survived");
-    let refused: Vec<_> = answers.iter().filter(|(status, _)| *status == 503 || *status == 429).collect();
+    assert!(
+        (1..=COLD as usize).contains(&most),
+        "{most} runs at once, {COLD} survived"
+    );
+    let refused: Vec<_> = answers
+        .iter()
+        .filter(|(status, _)| *status == 503 || *status == 429)
+        .collect();
     assert!(refused.len() >= REQUESTS as usize / 2, "{answers:?}");
-    assert!(refused.iter().all(|(_, away)| away.is_some_and(|ms| (1..=AWAY).contains(&ms))), "{answers:?}");
+    assert!(
+        refused
+            .iter()
+            .all(|(_, away)| away.is_some_and(|ms| (1..=AWAY).contains(&ms))),
+        "{answers:?}"
+    );
 }
 
 #[test]
 fn a_process_that_starts_hot_starts_more() {
     let (most, _) = Crowd::come("hot").answered();
-    assert!((COLD as usize + 1..=WARM as usize).contains(&most), "{most} runs at once, {WARM} survived");
+    assert!(
+        (COLD as usize + 1..=WARM as usize).contains(&most),
+        "{most} runs at once, {WARM} survived"
+    );
 }
--- a/crates/heathspurd/tests/common/mod.rs
+++ b/crates/heathspurd/tests/common/mod.rs
@@ -50,8 +50,9 @@
         loop {
             assert!(start.elapsed() < NEVER, "no dial stood so long");
             let open: Vec<_> = procfs::net::tcp().unwrap();
-            let open =
-                open.iter().filter(|c| c.state == TcpState::SynSent && c.remote_address == self.address());
+            let open = open
+                .iter()
+                .filter(|c| c.state == TcpState::SynSent && c.remote_address == self.address());
             let open: Vec<_> = open.map(|c| c.inode).collect();
             dials.retain(|dial, _| open.contains(dial));
             for dial in open {
--- a/crates/heathspurd/tests/example.rs
+++ b/crates/heathspurd/tests/example.rs
@@ -14,12 +14,29 @@
     }
     config["listen"] = json!("127.0.0.1:0");
     let file = write_config(&config.to_string());
-    let toy = std::env::current_exe().unwrap().parent().unwrap().with_file_name("examples").join("toy");
-    let mut toy = Running(Command::new(toy).arg(&file).stdout(Stdio::piped()).spawn().unwrap());
-    let mut said = BufReader::new(toy.0.stdout.take().unwrap()).lines().map_while(Result::ok);
+    let toy = std::env::current_exe()
+        .unwrap()
+        .parent()
+        .unwrap()
+        .with_file_name("examples")
+        .join("toy");
+    let mut toy = Running(
+        Command::new(toy)
+            .arg(&file)
+            .stdout(Stdio::piped())
+            .spawn()
+            .unwrap(),
+    );
+    let mut said = BufReader::new(toy.0.stdout.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     assert_eq!(said.next().as_deref(), Some("toy: ready"));
     let mut server = Running(program(&file).spawn().unwrap());
-    let first = BufReader::new(server.0.stderr.take().unwrap()).lines().next().unwrap().unwrap();
+    let first = BufReader::new(server.0.stderr.take().unwrap())
+        .lines()
+        .next()
+        .unwrap()
+        .unwrap();
     let address = first.rsplit(' ').next().unwrap().parse().expect(&first);
     assert!(said.any(|line| line.contains("announced")));
     let mut client = Client::to(address);
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -44,11 +44,20 @@
         );
         let region = |i| if i % ZONES == 2 { "east" } else { "west" };
         let mut fleet = Fleet::of(SERVERS, SETTINGS, region, &failover);
-        let manner = Manner { calls: true, ..Manner::default() };
-        let runs =
-            (0..SERVERS).map(|i| swift::slower(fleet.rig(i).vm.try_clone().unwrap(), manner)).collect();
+        let manner = Manner {
+            calls: true,
+            ..Manner::default()
+        };
+        let runs = (0..SERVERS)
+            .map(|i| swift::slower(fleet.rig(i).vm.try_clone().unwrap(), manner))
+            .collect();
         fleet.until("all see all", Fleet::one_view);
-        Zones { fleet, replicas, runs, _place: taken }
+        Zones {
+            fleet,
+            replicas,
+            runs,
+            _place: taken,
+        }
     }
 
     fn members(zone: usize) -> impl Iterator<Item = usize> {
@@ -59,14 +68,22 @@
     fn calls_in(&mut self, span: Duration) -> Vec<u64> {
         let before: Vec<u64> = self.replicas.iter().map(Replica::calls).collect();
         self.fleet.wait(span);
-        self.replicas.iter().zip(before).map(|(r, before)| r.calls() - before).collect()
+        self.replicas
+            .iter()
+            .zip(before)
+            .map(|(r, before)| r.calls() - before)
+            .collect()
     }
 
     /// The levels that a server said its zone holds, in order.
     fn levels(fleet: &Fleet, i: usize) -> Vec<u8> {
-        let said = fleet.servers[i].failover.iter().filter(|(_, said)| said.contains("the zone holds"));
+        let said = fleet.servers[i]
+            .failover
+            .iter()
+            .filter(|(_, said)| said.contains("the zone holds"));
         // "the zone holds epoch 1: 0 tenths near"
-        said.filter_map(|(_, said)| said.split(": ").nth(1)?.split(' ').next()?.parse().ok()).collect()
+        said.filter_map(|(_, said)| said.split(": ").nth(1)?.split(' ').next()?.parse().ok())
+            .collect()
     }
 
     fn zone_holds(fleet: &Fleet, zone: usize, near: u8) -> bool {
@@ -84,7 +101,10 @@
 
 impl Callers {
     fn start(zones: &Zones, servers: impl Iterator<Item = usize>, pause: Duration) -> Callers {
-        let (over, answers) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (over, answers) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Vec::new())),
+        );
         let threads = servers
             .map(|i| {
                 let address = zones.fleet.rig(i).address;
@@ -109,14 +129,27 @@
                 })
             })
             .collect();
-        Callers { over, threads, answers }
+        Callers {
+            over,
+            threads,
+            answers,
+        }
     }
 
     /// Waits until each caller has had two more answers: what went out before has come back then.
     fn rounds(&self, fleet: &mut Fleet, servers: impl Iterator<Item = usize>) {
-        let count = |i| self.answers.lock().unwrap().iter().filter(|(from, _)| *from == i).count();
+        let count = |i| {
+            self.answers
+                .lock()
+                .unwrap()
+                .iter()
+                .filter(|(from, _)| *from == i)
+                .count()
+        };
         let before: Vec<(usize, usize)> = servers.map(|i| (i, count(i))).collect();
-        fleet.until("two more answers of each", |_| before.iter().all(|(i, had)| count(*i) >= had + 2));
+        fleet.until("two more answers of each", |_| {
+            before.iter().all(|(i, had)| count(*i) >= had + 2)
+        });
     }
 
     /// Answers in all, and those that served.
@@ -130,7 +163,10 @@
             assert!(runs.values().all(|times| *times == 1), "a key ran twice");
         }
         let answers = self.answers.lock().unwrap();
-        (answers.len(), answers.iter().filter(|(_, status)| *status == 200).count())
+        (
+            answers.len(),
+            answers.iter().filter(|(_, status)| *status == 200).count(),
+        )
     }
 }
 
@@ -141,18 +177,35 @@
     let mut zones = Zones::start(0);
     let callers = Callers::start(&zones, Zones::members(0), PAUSE);
     let calm = zones.calls_in(Duration::from_secs(2));
-    assert!(calm[0] > 30 && calm[1] == 0 && calm[2] == 0, "calls in calm, by replica: {calm:?}");
+    assert!(
+        calm[0] > 30 && calm[1] == 0 && calm[2] == 0,
+        "calls in calm, by replica: {calm:?}"
+    );
     zones.replicas[0].kill();
-    zones.fleet.until("all of z0 hold that nothing stays near", |f| Zones::zone_holds(f, 0, 0));
+    zones
+        .fleet
+        .until("all of z0 hold that nothing stays near", |f| {
+            Zones::zone_holds(f, 0, 0)
+        });
     callers.rounds(&mut zones.fleet, Zones::members(0));
     let away = zones.calls_in(Duration::from_secs(2));
-    assert!(away[1] > 30 && away[2] == 0, "calls after the move, by replica: {away:?}");
+    assert!(
+        away[1] > 30 && away[2] == 0,
+        "calls after the move, by replica: {away:?}"
+    );
     zones.replicas[0].revive();
-    zones.fleet.until("all of z0 hold that all is near again", |f| Zones::zone_holds(f, 0, 10));
+    zones
+        .fleet
+        .until("all of z0 hold that all is near again", |f| {
+            Zones::zone_holds(f, 0, 10)
+        });
     // A call that went the old way may still be under way when its server says so.
     callers.rounds(&mut zones.fleet, Zones::members(0));
     let back = zones.calls_in(Duration::from_secs(2));
-    assert!(back[0] > 30 && back[1] == 0, "calls after the way back, by replica: {back:?}");
+    assert!(
+        back[0] > 30 && back[1] == 0,
+        "calls after the way back, by replica: {back:?}"
+    );
     // Nobody else moved.
     for i in Zones::members(1).chain(Zones::members(2)) {
         assert_eq!(Zones::levels(&zones.fleet, i), [] as [u8; 0], "m{i}");
@@ -177,7 +230,10 @@
     let most = 1 + (start.elapsed().as_millis() / DWELL.as_millis()) as usize;
     for i in Zones::members(0) {
         let levels = Zones::levels(&zones.fleet, i);
-        assert!((1..=most).contains(&levels.len()), "m{i}, at most {most}: {levels:?}");
+        assert!(
+            (1..=most).contains(&levels.len()),
+            "m{i}, at most {most}: {levels:?}"
+        );
     }
     callers.stop(&zones);
 }
@@ -187,41 +243,77 @@
     let mut zones = Zones::start(0);
     let callers = Callers::start(&zones, 0..SERVERS, PAUSE);
     // Zone z0 sees nobody else; its replica is fine.
-    zones.fleet.relay.set(|r| r.sides = (0..SERVERS).map(|i| (i % ZONES == 0) as u8).collect());
-    zones.fleet.until("z0 holds the others dead", |f| Zones::members(0).all(|i| f.holds(i, 1, "dead")));
+    zones
+        .fleet
+        .relay
+        .set(|r| r.sides = (0..SERVERS).map(|i| (i % ZONES == 0) as u8).collect());
+    zones.fleet.until("z0 holds the others dead", |f| {
+        Zones::members(0).all(|i| f.holds(i, 1, "dead"))
+    });
     let cut = zones.calls_in(Duration::from_secs(2));
-    assert!(cut.iter().all(|calls| *calls > 60), "calls by replica: {cut:?}");
-    zones.fleet.relay.set(|r| r.sides = (0..SERVERS).map(|i| (i == 4) as u8).collect());
-    let alone = |f: &Fleet| f.servers[4].failover.iter().any(|(_, said)| said.contains("no quorum"));
+    assert!(
+        cut.iter().all(|calls| *calls > 60),
+        "calls by replica: {cut:?}"
+    );
+    zones
+        .fleet
+        .relay
+        .set(|r| r.sides = (0..SERVERS).map(|i| (i == 4) as u8).collect());
+    let alone = |f: &Fleet| {
+        f.servers[4]
+            .failover
+            .iter()
+            .any(|(_, said)| said.contains("no quorum"))
+    };
     zones.fleet.until("m4 says that it hears no quorum", alone);
     let cut = zones.calls_in(Duration::from_secs(2));
-    assert!(cut.iter().all(|calls| *calls > 60), "calls by replica: {cut:?}");
+    assert!(
+        cut.iter().all(|calls| *calls > 60),
+        "calls by replica: {cut:?}"
+    );
     for i in 0..SERVERS {
         assert_eq!(Zones::levels(&zones.fleet, i), [] as [u8; 0], "m{i}");
     }
     let (answered, served) = callers.stop(&zones);
-    assert!(served * 100 >= answered * 99, "{served} of {answered} served");
+    assert!(
+        served * 100 >= answered * 99,
+        "{served} of {answered} served"
+    );
 }
 
 #[test]
 fn a_slow_replica_moves_a_part_of_its_zone_and_a_lost_region_crosses_to_the_other() {
     let mut zones = Zones::start(1);
-    zones.replicas.iter().for_each(|r| r.slow(Duration::from_millis(10)));
+    zones
+        .replicas
+        .iter()
+        .for_each(|r| r.slow(Duration::from_millis(10)));
     let callers = Callers::start(&zones, 0..SERVERS, PAUSE);
     zones.fleet.wait(Duration::from_secs(3));
     // Five times as slow: some four tenths of its speed count.
     zones.replicas[0].slow(Duration::from_millis(50));
     let partly = |f: &Fleet| {
-        Zones::members(0).all(|i| Zones::levels(f, i).last().is_some_and(|near| (2..=8).contains(near)))
+        Zones::members(0).all(|i| {
+            Zones::levels(f, i)
+                .last()
+                .is_some_and(|near| (2..=8).contains(near))
+        })
     };
-    zones.fleet.until("all of z0 hold that a part stays near", partly);
+    zones
+        .fleet
+        .until("all of z0 hold that a part stays near", partly);
     let split = zones.calls_in(Duration::from_secs(2));
-    assert!(split[0] > 10 && split[1] > split[2], "calls by replica: {split:?}");
+    assert!(
+        split[0] > 10 && split[1] > split[2],
+        "calls by replica: {split:?}"
+    );
     // The west is lost: what z0 and z1 would do near goes to the east.
     zones.replicas[0].kill();
     zones.replicas[1].kill();
     let gone = |f: &Fleet| Zones::zone_holds(f, 0, 0) && Zones::zone_holds(f, 1, 0);
-    zones.fleet.until("z0 and z1 hold that nothing stays near", gone);
+    zones
+        .fleet
+        .until("z0 and z1 hold that nothing stays near", gone);
     let crossed = zones.calls_in(Duration::from_secs(2));
     assert!(
         crossed[0] + crossed[1] == 0 && crossed[2] > split[2] * 3 / 2,
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -29,12 +29,19 @@
 }
 
 fn descriptors(rig: &Rig) -> usize {
-    Process::new(rig.process.0.id() as i32).unwrap().fd_count().unwrap()
+    Process::new(rig.process.0.id() as i32)
+        .unwrap()
+        .fd_count()
+        .unwrap()
 }
 
 /// So many more that rest: with nothing said, with half a line, or behind an answer.
 fn rest(rig: &Rig, crowd: &mut Vec<TcpStream>, count: usize) {
-    let words = [&b""[..], b"POST /svc/lo", b"GET /status/live HTTP/1.1\r\n\r\n"];
+    let words = [
+        &b""[..],
+        b"POST /svc/lo",
+        b"GET /status/live HTTP/1.1\r\n\r\n",
+    ];
     for words in words.into_iter().cycle().take(count) {
         let mut stream = TcpStream::connect(rig.address).unwrap();
         // It may have been asked to leave already.
@@ -53,7 +60,10 @@
             Ok(_) => return false,
         }
     };
-    crowd.iter_mut().filter_map(|stream| (!rests(stream)).then_some(())).count()
+    crowd
+        .iter_mut()
+        .filter_map(|stream| (!rests(stream)).then_some(()))
+        .count()
 }
 
 /// Work on a new connection is served, with its call below, and no descriptor too many is held.
@@ -68,7 +78,11 @@
     assert_eq!(vm.command()["verb"], "RESOLVE");
     vm.value(&task, "complete", b"done");
     assert_eq!(client.answer().2, b"done");
-    assert!(descriptors(rig) <= SOCKETS, "{} descriptors", descriptors(rig));
+    assert!(
+        descriptors(rig) <= SOCKETS,
+        "{} descriptors",
+        descriptors(rig)
+    );
 }
 
 #[test]
@@ -84,21 +98,28 @@
     // To half of the limit, which balancers may take, and far beyond.
     for (count, txn) in [(SOCKETS / 2, 2), (2 * SOCKETS, 4)] {
         rest(&rig, &mut crowd, count);
-        until("the table is full", || descriptors(&rig) >= before + POOL - 2 * FREE);
+        until("the table is full", || {
+            descriptors(&rig) >= before + POOL - 2 * FREE
+        });
         serves_with_a_call(&rig, &mut vm, txn);
         // The interpreter's link breaks and is made again meanwhile.
         drop(vm);
         vm = rig.link();
         serves_with_a_call(&rig, &mut vm, txn + 1);
     }
-    until("most of the crowd have left", || left(&mut crowd) >= crowd.len() - POOL);
+    until("most of the crowd have left", || {
+        left(&mut crowd) >= crowd.len() - POOL
+    });
     let _: Vec<_> = rig.lines.try_iter().collect();
     for _ in 0..FAILURES {
         rig.logs("the announce service did not take a report");
     }
     rest(&rig, &mut crowd, SOCKETS);
     let reports = announce_at(up(service));
-    assert_eq!(reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+    assert_eq!(
+        reports.recv_timeout(NEVER).unwrap(),
+        json!({"accepting": "true"})
+    );
     serves_with_a_call(&rig, &mut vm, 6);
     drop(crowd);
     // One more than before: reports have a connection now.
@@ -109,5 +130,8 @@
         assert_eq!(client.answer().0, 200);
     }
     serves_with_a_call(&rig, &mut vm, 7);
-    assert_eq!(reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+    assert_eq!(
+        reports.recv_timeout(NEVER).unwrap(),
+        json!({"accepting": "true"})
+    );
 }
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -17,7 +17,10 @@
 }
 
 fn operator(name: &str, inner: &str) -> File {
-    let file = std::env::temp_dir().join(format!("heathspurd-http2-{}-{name}.xml", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "heathspurd-http2-{}-{name}.xml",
+        std::process::id()
+    ));
     let text = format!(
         "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\">{inner}</http2></operator>"
     );
@@ -61,7 +64,9 @@
     let ids: Vec<u32> = (1..6).map(|txn| caller.ask(txn, None, &body)).collect();
     let mut applied: Vec<_> = (1..6).map(|_| vm.apply()).collect();
     applied.sort();
-    assert!(applied.iter().all(|(_, class, bytes)| class == "look" && *bytes == body));
+    assert!(applied
+        .iter()
+        .all(|(_, class, bytes)| class == "look" && *bytes == body));
     for txn in (1..6).rev() {
         vm.value(&task(txn), "complete", &body[txn as usize..]);
     }
@@ -90,7 +95,9 @@
 #[test]
 fn a_refusal_says_the_same_as_over_http1() {
     let file = operator("refusal", "");
-    let rig = Rig::operated_with(&file.0, |c| c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0));
+    let rig = Rig::operated_with(&file.0, |c| {
+        c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0)
+    });
     let address = rig.further();
     let _vm = rig.link();
     let mut caller = Caller::to(address);
@@ -100,7 +107,13 @@
     client.send(&request(2, None, b"abc"));
     let (other, its, _) = client.answer();
     assert_eq!((status, other), (503, 503));
-    let names = |fields: &Fields| fields.keys().filter(|n| n.starts_with("x-")).cloned().collect::<Vec<_>>();
+    let names = |fields: &Fields| {
+        fields
+            .keys()
+            .filter(|n| n.starts_with("x-"))
+            .cloned()
+            .collect::<Vec<_>>()
+    };
     assert_eq!(names(&fields), names(&its));
     assert!(fields["x-throttle-ms"].parse::<u64>().unwrap() > 0);
 }
@@ -146,7 +159,10 @@
             _ => drop(caller),
         }
         let stop = vm.command();
-        assert_eq!((&stop["verb"], &stop["task"]), (&json!("BREAK"), &json!(task(txn))));
+        assert_eq!(
+            (&stop["verb"], &stop["task"]),
+            (&json!("BREAK"), &json!(task(txn)))
+        );
         vm.value(&task(txn), "cancelled", b"");
     }
 }
@@ -159,7 +175,12 @@
     assert_eq!(caller.answer(id).0, 405);
     let id = caller.get("/nothing");
     assert_eq!(caller.answer(id).0, 404);
-    let head = [(":method", "POST"), (":scheme", "http"), (":path", "/svc/look"), (":authority", "b")];
+    let head = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", "/svc/look"),
+        (":authority", "b"),
+    ];
     let id = caller.open(&head, true);
     assert_eq!(caller.answer(id).0, 400);
     let id = caller.open(&head, false);
@@ -168,7 +189,15 @@
     assert_eq!(caller.answer(id).0, 413);
     let id = caller.get("/status/live");
     assert!(matches!(caller.answer(id).0, 200 | 503));
-    let id = caller.open(&[(":method", "HEAD"), head[1], (":path", "/status/live"), head[3]], true);
+    let id = caller.open(
+        &[
+            (":method", "HEAD"),
+            head[1],
+            (":path", "/status/live"),
+            head[3],
+        ],
+        true,
+    );
     assert!(caller.answer(id).2.is_empty());
     serves(address, &mut vm, 1);
     let id = caller.ask(2, None, b"x");
@@ -181,7 +210,12 @@
 fn a_request_that_stops_half_way_is_answered_in_time() {
     let (_rig, mut vm, address) = start("half", "<request whole=\"200 ms\"/>");
     let mut caller = Caller::to(address);
-    let head = [(":method", "POST"), (":scheme", "http"), (":path", "/svc/look"), (":authority", "b")];
+    let head = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", "/svc/look"),
+        (":authority", "b"),
+    ];
     let id = caller.open(&head, false);
     caller.data(id, b"abc", false);
     assert_eq!(caller.answer(id).0, 408);
@@ -249,7 +283,9 @@
     let (_rig, mut vm, address) = start("stall", "<patience stalled=\"300 ms\"/>");
     // Its window is shut from the start, and it never opens it.
     let mut caller = Caller::with(address, &[(INITIAL_WINDOW, 0)]);
-    let ids: Vec<u32> = (1..6).map(|txn| caller.ask(txn, Some(&format!("k{txn}")), b"pay")).collect();
+    let ids: Vec<u32> = (1..6)
+        .map(|txn| caller.ask(txn, Some(&format!("k{txn}")), b"pay"))
+        .collect();
     for _ in 1..6 {
         let (task, ..) = vm.apply();
         vm.value(&task, "complete", b"receipt");
@@ -315,16 +351,41 @@
 #[test]
 fn floods_are_ended_and_others_unharmed() {
     let (_rig, mut vm, address) = start("floods", "");
-    let head = [(":method", "POST"), (":scheme", "http"), (":path", "/svc/look"), (":authority", "b")];
+    let head = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", "/svc/look"),
+        (":authority", "b"),
+    ];
     let none = |_: &mut Caller| {};
     let reasons = [
-        ("settings", flood(address, none, |_| settings(&[]).repeat(50))),
-        ("pings", flood(address, none, |_| frame(PING, 0, 0, &[0; 8]).repeat(50))),
-        ("priorities", flood(address, none, |_| frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(50))),
-        ("windows", flood(address, none, |_| frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(50))),
+        (
+            "settings",
+            flood(address, none, |_| settings(&[]).repeat(50)),
+        ),
+        (
+            "pings",
+            flood(address, none, |_| frame(PING, 0, 0, &[0; 8]).repeat(50)),
+        ),
+        (
+            "priorities",
+            flood(address, none, |_| {
+                frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(50)
+            }),
+        ),
+        (
+            "windows",
+            flood(address, none, |_| {
+                frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(50)
+            }),
+        ),
         (
             "empty data",
-            flood(address, |c| assert_eq!(c.open(&head, false), 1), |_| frame(DATA, 0, 1, &[]).repeat(50)),
+            flood(
+                address,
+                |c| assert_eq!(c.open(&head, false), 1),
+                |_| frame(DATA, 0, 1, &[]).repeat(50),
+            ),
         ),
         (
             "continuations",
@@ -339,7 +400,11 @@
         ),
         (
             "tables up and down",
-            flood(address, none, |_| [settings(&[(1, 0)]), settings(&[(1, 65_536)])].concat().repeat(20)),
+            flood(address, none, |_| {
+                [settings(&[(1, 0)]), settings(&[(1, 65_536)])]
+                    .concat()
+                    .repeat(20)
+            }),
         ),
     ];
     for (name, reason) in reasons {
@@ -362,9 +427,17 @@
     let (_rig, mut vm, address) = start("broken", "");
     let mut caller = Caller::to(address);
     let large = "x".repeat(9000);
-    let head = [(":method", "POST"), (":scheme", "http"), (":path", "/svc/look"), (":authority", "b")];
+    let head = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", "/svc/look"),
+        (":authority", "b"),
+    ];
     let id = caller.open(&[&head[..], &[("x-large", &large)]].concat(), true);
-    assert!(matches!(caller.ended(id), Ended::Answer(431, ..) | Ended::Reset(_)));
+    assert!(matches!(
+        caller.ended(id),
+        Ended::Answer(431, ..) | Ended::Reset(_)
+    ));
     let id = caller.ask(1, None, b"x");
     vm.apply();
     vm.value(&task(1), "complete", b"y");
@@ -408,7 +481,10 @@
     let third = caller.ask(3, Some("k3"), b"pay");
     vm.value(&task(1), "complete", b"one");
     vm.value(&task(2), "complete", b"two");
-    assert_eq!((caller.answer(first).2, caller.answer(second).2), (b"one".to_vec(), b"two".to_vec()));
+    assert_eq!(
+        (caller.answer(first).2, caller.answer(second).2),
+        (b"one".to_vec(), b"two".to_vec())
+    );
     assert_eq!(caller.ended(third), Ended::Closed);
     assert_eq!(rig.process.wait().code(), Some(0));
 }
--- a/crates/heathspurd/tests/members.rs
+++ b/crates/heathspurd/tests/members.rs
@@ -27,7 +27,9 @@
     let mut fleet = Fleet::with(7, "period=\"500 ms\" probe-timeout=\"200 ms\"");
     fleet.until("all see all", Fleet::one_view);
     fleet.relay.set(|r| r.sides = vec![0, 0, 0, 1, 1, 1, 1]);
-    fleet.until("each side holds the other dead", |f| f.holds(0, 5, "dead") && f.holds(5, 0, "dead"));
+    fleet.until("each side holds the other dead", |f| {
+        f.holds(0, 5, "dead") && f.holds(5, 0, "dead")
+    });
     fleet.wait(Duration::from_secs(4));
     fleet.relay.set(|r| r.sides.clear());
     fleet.until("one view after the heal", Fleet::one_view);
@@ -74,7 +76,11 @@
     fleet.until("the flood told in the log", |f| f.servers[1].dropped > 0);
     fleet.wait(Duration::from_secs(3));
     // Told once a period, not once a datagram.
-    assert!(fleet.servers[1].dropped <= 6, "{} lines", fleet.servers[1].dropped);
+    assert!(
+        fleet.servers[1].dropped <= 6,
+        "{} lines",
+        fleet.servers[1].dropped
+    );
     let rig = fleet.rig(1);
     assert!(fleet.one_view());
     assert_eq!(fleet.all_deaths(), 0);
@@ -101,12 +107,16 @@
     };
     let floods = [flood(), flood(), flood()];
     // It says so itself, by its own clock, while more comes than it can read.
-    fleet.until("the flood told in the log of who suffers it", |f| f.servers[1].dropped > 1);
+    fleet.until("the flood told in the log of who suffers it", |f| {
+        f.servers[1].dropped > 1
+    });
     over.store(true, Ordering::Relaxed);
     for flood in floods {
         flood.join().unwrap();
     }
     fleet.kill(2);
-    fleet.until("both others hold the killed one dead", |f| f.know_dead(2) == 2);
+    fleet.until("both others hold the killed one dead", |f| {
+        f.know_dead(2) == 2
+    });
     fleet.until("the two that live see each other", Fleet::one_view);
 }
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -81,7 +81,9 @@
 /// The server waits by its own clock, which a machine that stands still for seconds uses up; a try that this
 /// spoilt is made again. What fails without a standstill fails each time.
 fn in_one_of_five(attempt: impl Fn() -> Option<()>) {
-    let tries = (1..=5).find(|_| attempt().is_some()).expect("it failed each time");
+    let tries = (1..=5)
+        .find(|_| attempt().is_some())
+        .expect("it failed each time");
     println!("tries: {tries}");
 }
 
@@ -203,7 +205,11 @@
         drop(accept(&service));
     }
     // A tenth of a second lies between one failure and the next dial.
-    assert!(began.elapsed() > Duration::from_millis(500), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() > Duration::from_millis(500),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// The call that comes next: its id and the milliseconds it is waited for.
@@ -231,9 +237,15 @@
     let mut stream = BufReader::new(accept(&rig.store));
     let (id, limit) = call(&mut stream);
     // The longest patience is 15 s, and what the dial took is gone of it.
-    assert!(Duration::from_millis(limit) + SLOW <= Duration::from_secs(15), "{limit}");
+    assert!(
+        Duration::from_millis(limit) + SLOW <= Duration::from_secs(15),
+        "{limit}"
+    );
     assert!(asked.elapsed() > SLOW);
-    stream.get_mut().write_all(format!("{id} OK 2\r\nok\r\n").as_bytes()).unwrap();
+    stream
+        .get_mut()
+        .write_all(format!("{id} OK 2\r\nok\r\n").as_bytes())
+        .unwrap();
     assert_eq!(vm.command()["verb"], "RESOLVE");
     vm.value(&task, "complete", b"one");
     assert_eq!(client.answer().2, b"one");
@@ -316,7 +328,10 @@
     let (_rig, mut vm, mut client, nonce) = late_link();
     vm.say(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
     let again = vm.until_command();
-    assert_eq!((again["verb"].as_str(), again["task"].as_str()), (Some("APPLY"), Some("0000000000000001")));
+    assert_eq!(
+        (again["verb"].as_str(), again["task"].as_str()),
+        (Some("APPLY"), Some("0000000000000001"))
+    );
     vm.value("0000000000000001", "complete", b"one");
     assert_eq!(client.answer().2, b"one");
 }
