--- a/crates/heathspurd/tests/program.rs
+++ b/crates/heathspurd/tests/program.rs
@@ -36,15 +36,27 @@
     assert_eq!(run(&["check"], Some(&config)).status.code(), Some(0));
     let wrong = temporary("wrong.xml", &operator("<log format=\"yaml\"/>"));
     for command in ["check", "serve"] {
-        let output = run(&[command, "--operator", wrong.to_str().unwrap()], Some(&config));
+        let output = run(
+            &[command, "--operator", wrong.to_str().unwrap()],
+            Some(&config),
+        );
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{said}");
-        assert!(said.contains("wrong.xml:2: log@format: unknown variant `yaml`"), "{said}");
+        assert!(
+            said.contains("wrong.xml:2: log@format: unknown variant `yaml`"),
+            "{said}"
+        );
     }
     // The configuration gives the process 192 MiB.
-    let greedy =
-        temporary("greedy.xml", &operator("<record directory=\"/x\"><budget memory=\"49 MiB\"/></record>"));
-    let said = run(&["check", "--operator", greedy.to_str().unwrap()], Some(&config)).stderr;
+    let greedy = temporary(
+        "greedy.xml",
+        &operator("<record directory=\"/x\"><budget memory=\"49 MiB\"/></record>"),
+    );
+    let said = run(
+        &["check", "--operator", greedy.to_str().unwrap()],
+        Some(&config),
+    )
+    .stderr;
     assert!(String::from_utf8_lossy(&said).contains("48 MiB at most"));
     assert_eq!(run(&["check"], None).status.code(), Some(2));
     assert_eq!(run(&["sreve"], Some(&config)).status.code(), Some(2));
@@ -55,23 +67,40 @@
 fn lines_of_json_carry_words_and_fields_and_their_bound_counts_by_place() {
     let settings = config(nobody(), nobody(), nobody());
     let file = write_config(&settings.to_string());
-    let log = temporary("log.xml", &operator("<log format=\"json\" lines-per-second=\"1\"/>"));
+    let log = temporary(
+        "log.xml",
+        &operator("<log format=\"json\" lines-per-second=\"1\"/>"),
+    );
     let mut command = program(&file);
     command.args(["serve", "--operator"]).arg(&log);
     let mut server = Running(command.spawn().unwrap());
-    let lines = BufReader::new(server.0.stderr.take().unwrap()).lines().map_while(Result::ok);
+    let lines = BufReader::new(server.0.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let mut lines = lines.map(|line| serde_json::from_str::<Value>(&line).expect(&line));
     let first = lines.next().unwrap();
     let address = first["address"].as_str().unwrap();
     assert_eq!(first["message"], json!(format!("listening on {address}")));
-    assert!(first["level"] == "INFO" && first["timestamp"].is_string(), "{first}");
+    assert!(
+        first["level"] == "INFO" && first["timestamp"].is_string(),
+        "{first}"
+    );
     assert!(TcpStream::connect(address).is_ok());
     // Nobody is there to be linked to, which it says more than once a second.
-    let left_out = lines.by_ref().find(|line| line["left_out"].is_u64()).unwrap();
+    let left_out = lines
+        .by_ref()
+        .find(|line| line["left_out"].is_u64())
+        .unwrap();
     assert!(left_out["left_out"].as_u64().unwrap() > 0);
-    assert!(left_out["filename"].as_str().unwrap().ends_with(".rs"), "{left_out}");
+    assert!(
+        left_out["filename"].as_str().unwrap().ends_with(".rs"),
+        "{left_out}"
+    );
     let next = lines.find(|line| line["message"].is_string()).unwrap();
-    assert!(next["error"].as_str().unwrap().contains("refused"), "{next}");
+    assert!(
+        next["error"].as_str().unwrap().contains("refused"),
+        "{next}"
+    );
     server.terminate();
     assert_eq!(server.wait().code(), Some(0));
 }
@@ -83,7 +112,17 @@
     let mut command = program(&file);
     command.args(["serve", "--operator"]).arg(&log);
     let mut server = Running(command.spawn().unwrap());
-    let first = BufReader::new(server.0.stderr.take().unwrap()).lines().next().unwrap().unwrap();
-    assert!(first.starts_with("heathspurd: ") && !first.contains("listening"), "{first}");
-    assert!(first.contains("no link to the interpreter: ") || first.contains("announce service"), "{first}");
+    let first = BufReader::new(server.0.stderr.take().unwrap())
+        .lines()
+        .next()
+        .unwrap()
+        .unwrap();
+    assert!(
+        first.starts_with("heathspurd: ") && !first.contains("listening"),
+        "{first}"
+    );
+    assert!(
+        first.contains("no link to the interpreter: ") || first.contains("announce service"),
+        "{first}"
+    );
 }
--- a/crates/heathspurd/tests/ramp.rs
+++ b/crates/heathspurd/tests/ramp.rs
@@ -42,7 +42,13 @@
 
 impl Shared {
     fn start() -> (Arc<Shared>, SocketAddr) {
-        let (listener, shared) = (local(), Arc::new(Shared { calls: Mutex::default(), full: false.into() }));
+        let (listener, shared) = (
+            local(),
+            Arc::new(Shared {
+                calls: Mutex::default(),
+                full: false.into(),
+            }),
+        );
         let (address, store) = (listener.local_addr().unwrap(), shared.clone());
         thread::spawn(move || store.listen(&listener));
         (shared, address)
@@ -71,7 +77,9 @@
                 from: (txn >> 48, txn >> 32 & 0xffff),
                 taken,
             });
-            reader.read_exact(&mut vec![0; words[3].parse::<usize>().unwrap() + 2]).ok()?;
+            reader
+                .read_exact(&mut vec![0; words[3].parse::<usize>().unwrap() + 2])
+                .ok()?;
             let reply = match taken {
                 true => {
                     thread::sleep(Duration::from_secs_f64(CALL));
@@ -88,22 +96,37 @@
         let start = Instant::now();
         while !done(&self.calls.lock().unwrap()) {
             let calls = self.calls.lock().unwrap().len();
-            assert!(start.elapsed() < GOING, "not in {GOING:?}: {what}; {calls} calls so far");
+            assert!(
+                start.elapsed() < GOING,
+                "not in {GOING:?}: {what}; {calls} calls so far"
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
     /// In no window did more calls come than the sum of the parts allows, but for chance.
     fn kept_to_its_sum(&self) {
-        let mut at: Vec<_> = self.calls.lock().unwrap().iter().map(|call| call.at).collect();
+        let mut at: Vec<_> = self
+            .calls
+            .lock()
+            .unwrap()
+            .iter()
+            .map(|call| call.at)
+            .collect();
         at.sort();
         let n = PART * PROCESSES as f64 * OVER / CALL;
         let allowed = n + 2.0 * n.sqrt() + 2.0;
         let over = Duration::from_secs_f64(OVER);
         let within = |i: usize| at[i..].partition_point(|&t| t < at[i] + over);
         let most = (0..at.len()).map(within).max().unwrap_or(0);
-        println!("{} calls, {most} in a window, {allowed:.1} allowed", at.len());
-        assert!(most as f64 <= allowed, "{most} calls in a window of {OVER} s, {allowed:.1} allowed");
+        println!(
+            "{} calls, {most} in a window, {allowed:.1} allowed",
+            at.len()
+        );
+        assert!(
+            most as f64 <= allowed,
+            "{most} calls in a window of {OVER} s, {allowed:.1} allowed"
+        );
     }
 }
 
@@ -120,8 +143,10 @@
         let rig = |i| {
             Rig::with(|config| {
                 config["store"] = json!(store);
-                config["seed"] =
-                    json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(life << 8 | i | 1 << 20)));
+                config["seed"] = json!(format!(
+                    "{:016x}",
+                    0x9e37_79b9_7f4a_7c15u64.wrapping_mul(life << 8 | i | 1 << 20)
+                ));
                 let info = &mut config["settings"]["family-info"];
                 info["depends-on"] = json!("shared");
                 info["calls-out"] = json!(PART);
@@ -133,7 +158,12 @@
         };
         let rigs: Vec<Rig> = (0..PROCESSES).map(rig).collect();
         let links = rigs.iter().map(Rig::open_link).collect();
-        Fleet { life, rigs, links, over: Arc::default() }
+        Fleet {
+            life,
+            rigs,
+            links,
+            over: Arc::default(),
+        }
     }
 
     /// All interpreters are up in the same moment, cold, and callers come.
@@ -164,7 +194,9 @@
 fn ask_on(address: SocketAddr, first: u64, over: &AtomicBool) -> Option<()> {
     for txn in first.. {
         let mut stream = TcpStream::connect(address).ok()?;
-        stream.write_all(&request(txn, Some(&format!("{txn:032x}")), b"abc")).ok()?;
+        stream
+            .write_all(&request(txn, Some(&format!("{txn:032x}")), b"abc"))
+            .ok()?;
         // To its end: the request says no more, and a refusal closes nothing.
         let mut answer = [0; 12];
         stream.read_exact(&mut answer).ok()?;
@@ -181,7 +213,9 @@
 
 /// How many processes of that life reached the store, with a call that it took.
 fn going(calls: &[Called], life: u64) -> u64 {
-    let taken = calls.iter().filter(|call| call.taken && call.from.1 == life);
+    let taken = calls
+        .iter()
+        .filter(|call| call.taken && call.from.1 == life);
     taken.map(|call| call.from.0).collect::<HashSet<_>>().len() as u64
 }
 
@@ -192,12 +226,18 @@
     let mut fleet = Fleet::start(1, store);
     let mut next = Fleet::start(2, store);
     fleet.up();
-    shared.until("half of the fleet calls", |calls| going(calls, 1) >= PROCESSES / 2);
+    shared.until("half of the fleet calls", |calls| {
+        going(calls, 1) >= PROCESSES / 2
+    });
     fleet.die();
     next.up();
-    shared.until("all of the next fleet call", |calls| going(calls, 2) == PROCESSES);
+    shared.until("all of the next fleet call", |calls| {
+        going(calls, 2) == PROCESSES
+    });
     let first = shared.calls.lock().unwrap().len();
-    shared.until("half of them call again", |calls| calls.len() as u64 >= first as u64 + PROCESSES / 2);
+    shared.until("half of them call again", |calls| {
+        calls.len() as u64 >= first as u64 + PROCESSES / 2
+    });
     shared.kept_to_its_sum();
 }
 
@@ -209,7 +249,12 @@
     let mut fleet = Fleet::start(1, store);
     fleet.up();
     shared.until("all were turned away", |calls| {
-        calls.iter().map(|call| call.from.0).collect::<HashSet<_>>().len() as u64 == PROCESSES
+        calls
+            .iter()
+            .map(|call| call.from.0)
+            .collect::<HashSet<_>>()
+            .len() as u64
+            == PROCESSES
     });
     shared.full.store(false, Ordering::SeqCst);
     shared.until("all come back", |calls| going(calls, 1) == PROCESSES);
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -94,25 +94,43 @@
             At::SlowInterpreter => Peer::Slow(Full::new()),
             _ => Peer::Up(local()),
         };
-        let store = if matches!(at, At::Store | At::All) { refusing() } else { local() };
+        let store = if matches!(at, At::Store | At::All) {
+            refusing()
+        } else {
+            local()
+        };
         let address = |l: &TcpListener| json!(l.local_addr().unwrap());
         let rig = Rig::with(|config| {
             config["announce"] = address(registry.listener());
             config["vm"] = address(interpreter.listener());
             config["store"] = address(&store);
         });
-        Started { rig, registry, interpreter, store }
+        Started {
+            rig,
+            registry,
+            interpreter,
+            store,
+        }
     }
 
     /// Waits until the process is ready; what is down comes up meanwhile, but for the store. Gives its interpreter's
     /// end of the link.
     fn gets_ready(self) -> (Rig, Vm) {
-        let Started { mut rig, registry, interpreter, store } = self;
+        let Started {
+            mut rig,
+            registry,
+            interpreter,
+            store,
+        } = self;
         assert_eq!(health(&rig), 503);
         rig.vm = interpreter.comes_up(&rig, "no link to the interpreter");
         let vm = rig.link();
-        let reports = announce_at(registry.comes_up(&rig, "the announce service did not take a report"));
-        assert_eq!(reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+        let reports =
+            announce_at(registry.comes_up(&rig, "the announce service did not take a report"));
+        assert_eq!(
+            reports.recv_timeout(NEVER).unwrap(),
+            json!({"accepting": "true"})
+        );
         assert_eq!(health(&rig), 200);
         rig.store = store;
         (rig, vm)
@@ -184,7 +202,12 @@
         At::All,
     ];
     let since = Instant::now();
-    let started: Vec<_> = kinds.into_iter().cycle().take(10).map(Started::new).collect();
+    let started: Vec<_> = kinds
+        .into_iter()
+        .cycle()
+        .take(10)
+        .map(Started::new)
+        .collect();
     let ready = |started: Started| {
         thread::spawn(move || {
             let _ready = started.gets_ready();
@@ -192,7 +215,13 @@
         })
     };
     let all: Vec<_> = started.into_iter().map(ready).collect();
-    let took: Vec<_> = all.into_iter().filter_map(|process| process.join().ok()).collect();
+    let took: Vec<_> = all
+        .into_iter()
+        .filter_map(|process| process.join().ok())
+        .collect();
     println!("{took:?}");
-    assert!(took.iter().filter(|&&took| took < READY).count() >= 9, "{took:?}");
+    assert!(
+        took.iter().filter(|&&took| took < READY).count() >= 9,
+        "{took:?}"
+    );
 }
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -12,7 +12,8 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("heathspurd-record-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("heathspurd-record-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         Folder(folder)
@@ -30,13 +31,26 @@
 
     /// All that was recorded, the files one behind the other.
     fn bytes(&self) -> Vec<u8> {
-        let mut names: Vec<_> = std::fs::read_dir(&self.0).unwrap().map(|e| e.unwrap().path()).collect();
+        let mut names: Vec<_> = std::fs::read_dir(&self.0)
+            .unwrap()
+            .map(|e| e.unwrap().path())
+            .collect();
         names.sort();
-        names.iter().flat_map(|name| std::fs::read(name).unwrap()).collect()
+        names
+            .iter()
+            .flat_map(|name| std::fs::read(name).unwrap())
+            .collect()
     }
 
     fn read(&self) -> Read {
-        read(&self.bytes(), Options { checksums: true, ..Options::default() }, 4096)
+        read(
+            &self.bytes(),
+            Options {
+                checksums: true,
+                ..Options::default()
+            },
+            4096,
+        )
     }
 
     /// Waits until as many requests are in the files.
@@ -47,7 +61,11 @@
             if read.requests.len() >= requests {
                 return read;
             }
-            assert!(start.elapsed() < NEVER, "{} of {requests} requests were recorded", read.requests.len());
+            assert!(
+                start.elapsed() < NEVER,
+                "{} of {requests} requests were recorded",
+                read.requests.len()
+            );
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
@@ -89,14 +107,24 @@
     rig.process.terminate();
     assert_eq!(rig.process.wait().code(), Some(0));
     let read = folder.read();
-    let got: Vec<_> = read.requests.iter().map(|(_, _, message)| message.bytes.to_vec()).collect();
+    let got: Vec<_> = read
+        .requests
+        .iter()
+        .map(|(_, _, message)| message.bytes.to_vec())
+        .collect();
     assert_eq!(got, sent);
     assert!(read
         .answers
         .iter()
         .all(|(_, to, m)| to.is_some() && m.status() == Some(200) && m.body() == b"approved"));
-    assert_eq!((read.answers.len(), read.tally.holes, read.tally.damage), (8, 0, None));
-    let ends = read.connections.iter().filter(|item| matches!(item, Item::Connection(Event::Closed { .. })));
+    assert_eq!(
+        (read.answers.len(), read.tally.holes, read.tally.damage),
+        (8, 0, None)
+    );
+    let ends = read
+        .connections
+        .iter()
+        .filter(|item| matches!(item, Item::Connection(Event::Closed { .. })));
     assert_eq!(ends.count(), 2);
     // Its clock is the wall's.
     let now = unix_ms() as u64 * 1_000_000;
@@ -112,11 +140,16 @@
     let read = folder.holds(3);
     let bytes = folder.bytes();
     for secret in [&b"492900"[..], b"approved", b"key-1", b"key-3"] {
-        assert!(!bytes.windows(secret.len()).any(|part| part == secret), "{secret:?}");
+        assert!(
+            !bytes.windows(secret.len()).any(|part| part == secret),
+            "{secret:?}"
+        );
     }
     for (_, _, message) in &read.requests {
         assert_eq!(message.body(), b"xxxxxxxxxxxxxxxx");
-        assert!(message.field("X-Merchant").is_some_and(|tenant| tenant == b"north"));
+        assert!(message
+            .field("X-Merchant")
+            .is_some_and(|tenant| tenant == b"north"));
     }
 }
 
@@ -135,7 +168,12 @@
     folder.holds(1);
     let start = Instant::now();
     // The interpreter's command and the call are on their interfaces.
-    let has = |words: &[u8]| folder.bytes().windows(words.len()).any(|part| part == words);
+    let has = |words: &[u8]| {
+        folder
+            .bytes()
+            .windows(words.len())
+            .any(|part| part == words)
+    };
     while !(has(b"\"APPLY\"") && has(b"CALL 0000000000000001")) {
         assert!(start.elapsed() < NEVER);
         std::thread::sleep(std::time::Duration::from_millis(20));
@@ -144,8 +182,15 @@
     let read = folder.read();
     let legs: Vec<_> = read.tally.links.keys().copied().collect();
     assert_eq!(legs, [Leg::Interpreter, Leg::Store]);
-    assert!(read.tally.links.values().all(|(packets, bytes)| *packets > 0 && *bytes > 0));
-    assert_eq!((read.passed, read.requests.len(), read.tally.tcp.connections), (Vec::new(), 1, 1));
+    assert!(read
+        .tally
+        .links
+        .values()
+        .all(|(packets, bytes)| *packets > 0 && *bytes > 0));
+    assert_eq!(
+        (read.passed, read.requests.len(), read.tally.tcp.connections),
+        (Vec::new(), 1, 1)
+    );
 }
 
 #[test]
@@ -218,8 +263,15 @@
             std::thread::sleep(std::time::Duration::from_millis(250));
         }
     }
-    let names: Vec<_> = std::fs::read_dir(&folder.0).unwrap().map(|e| e.unwrap().path()).collect();
+    let names: Vec<_> = std::fs::read_dir(&folder.0)
+        .unwrap()
+        .map(|e| e.unwrap().path())
+        .collect();
     assert_eq!(names.len(), 2, "{names:?}");
     let read = folder.read();
-    assert!(read.requests.len() > 20 && read.requests.len() < 119, "{}", read.requests.len());
+    assert!(
+        read.requests.len() > 20 && read.requests.len() < 119,
+        "{}",
+        read.requests.len()
+    );
 }
--- a/crates/heathspurd/tests/relink.rs
+++ b/crates/heathspurd/tests/relink.rs
@@ -31,7 +31,10 @@
     assert_eq!(store.call().1, b"one");
     store.ok(1, "first");
     let reply = vm.command();
-    assert_eq!((&reply["verb"], &reply["bytes"]), (&json!("RESOLVE"), &json!("Zmlyc3Q=")));
+    assert_eq!(
+        (&reply["verb"], &reply["bytes"]),
+        (&json!("RESOLVE"), &json!("Zmlyc3Q="))
+    );
     (rig, vm, client, store)
 }
 
@@ -49,7 +52,10 @@
     assert_eq!(store.call().1, b"two");
     store.ok(1, "second");
     let reply = vm.command();
-    assert_eq!((&reply["verb"], &reply["bytes"]), (&json!("RESOLVE"), &json!("c2Vjb25k")));
+    assert_eq!(
+        (&reply["verb"], &reply["bytes"]),
+        (&json!("RESOLVE"), &json!("c2Vjb25k"))
+    );
     vm.value(&task(1), "complete", b"done");
     assert_eq!(client.answer().2, b"done");
 }
@@ -61,7 +67,10 @@
     let mut vm = rig.link();
     top(&mut vm);
     let reply = vm.until_command();
-    assert_eq!((&reply["verb"], &reply["bytes"]), (&json!("RESOLVE"), &json!("Zmlyc3Q=")));
+    assert_eq!(
+        (&reply["verb"], &reply["bytes"]),
+        (&json!("RESOLVE"), &json!("Zmlyc3Q="))
+    );
     vm.value(&task(1), "complete", b"done");
     assert_eq!(client.answer().2, b"done");
 }
@@ -83,7 +92,10 @@
     second.closed();
     third.ok(1, "third");
     let reply = vm.command();
-    assert_eq!((&reply["verb"], &reply["bytes"]), (&json!("RESOLVE"), &json!("dGhpcmQ=")));
+    assert_eq!(
+        (&reply["verb"], &reply["bytes"]),
+        (&json!("RESOLVE"), &json!("dGhpcmQ="))
+    );
     vm.value(&task(1), "complete", b"done");
     assert_eq!(client.answer().2, b"done");
 }
@@ -139,7 +151,10 @@
     vm.apply();
     drop(client);
     let stop = vm.command();
-    assert_eq!((&stop["verb"], &stop["task"]), (&json!("BREAK"), &json!(task(1))));
+    assert_eq!(
+        (&stop["verb"], &stop["task"]),
+        (&json!("BREAK"), &json!(task(1)))
+    );
     // The notice was made before the stop arrived.
     vm.awaits(&task(1), b"one");
     vm.value(&task(1), "cancelled", b"");
@@ -150,7 +165,10 @@
     vm.value(&task(2), "complete", b"two");
     assert_eq!(client.answer().2, b"two");
     rig.store.set_nonblocking(true).unwrap();
-    assert!(rig.store.accept().is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
+    assert!(rig
+        .store
+        .accept()
+        .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
 }
 
 /// Two requests that run, `look` and then `pay`.
@@ -174,7 +192,10 @@
     assert_eq!(vm.resumed_at, 0);
     vm.value(&task(1), "complete", b"one");
     vm.value(&task(2), "complete", b"two");
-    assert_eq!((first.answer().2, second.answer().2), (b"one".to_vec(), b"two".to_vec()));
+    assert_eq!(
+        (first.answer().2, second.answer().2),
+        (b"one".to_vec(), b"two".to_vec())
+    );
 }
 
 #[test]
@@ -188,7 +209,10 @@
     vm.value(&task(1), "complete", b"one");
     vm.index = 19;
     vm.value(&task(2), "complete", b"two");
-    assert_eq!((first.answer().2, second.answer().2), (b"one".to_vec(), b"two".to_vec()));
+    assert_eq!(
+        (first.answer().2, second.answer().2),
+        (b"one".to_vec(), b"two".to_vec())
+    );
 }
 
 #[test]
@@ -207,7 +231,10 @@
     // Nothing is told of the second, and a read does no harm.
     assert_eq!(second.answer().0, 500);
     let again = vm.until_command();
-    assert_eq!((&again["verb"], &again["task"]), (&json!("APPLY"), &json!(task(1))));
+    assert_eq!(
+        (&again["verb"], &again["task"]),
+        (&json!("APPLY"), &json!(task(1)))
+    );
     vm.value(&task(1), "complete", b"one");
     assert_eq!(first.answer().2, b"one");
     // Repeats are not run either.
--- a/crates/heathspurd/tests/repeats.rs
+++ b/crates/heathspurd/tests/repeats.rs
@@ -42,7 +42,11 @@
         for (txn, after) in [(2, 0), (3, window)] {
             client.send(&stamped(txn, "k", ahead + after));
             let (status, _, body) = client.answer();
-            assert_eq!((status, &body[..]), (200, &b"done"[..]), "{after} of {window} ms after it");
+            assert_eq!(
+                (status, &body[..]),
+                (200, &b"done"[..]),
+                "{after} of {window} ms after it"
+            );
         }
         client.send(&stamped(4, "k", ahead + window + 1));
         assert_eq!(vm.apply().0, task(4), "past its window it is new");
@@ -63,7 +67,10 @@
     other.send(&stamped(3, "other", stamp));
     assert_eq!(vm.apply().0, task(3));
     vm.value(&task(1), "complete", b"done");
-    assert_eq!((first.answer().2, second.answer().2), (b"done".to_vec(), b"done".to_vec()));
+    assert_eq!(
+        (first.answer().2, second.answer().2),
+        (b"done".to_vec(), b"done".to_vec())
+    );
 }
 
 #[test]
@@ -86,7 +93,10 @@
     told.sort();
     assert_eq!(told, [task(1), task(3)]);
     vm.value(&task(1), "complete", b"done");
-    assert_eq!((second.answer().2, third.answer().2), (b"done".to_vec(), b"done".to_vec()));
+    assert_eq!(
+        (second.answer().2, third.answer().2),
+        (b"done".to_vec(), b"done".to_vec())
+    );
     vm.value(&task(3), "complete", b"other");
     assert_eq!(other.answer().2, b"other");
     // Nothing else was run.
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -108,7 +108,10 @@
         assert_eq!(vm.apply().0, task(txn));
         drop(client);
         let stop = vm.command();
-        assert_eq!((&stop["verb"], &stop["task"]), (&json!("BREAK"), &json!(task(txn))));
+        assert_eq!(
+            (&stop["verb"], &stop["task"]),
+            (&json!("BREAK"), &json!(task(txn)))
+        );
         vm.value(&task(txn), "cancelled", b"");
     }
 }
@@ -190,8 +193,14 @@
     store.say(b"0000000000000009 OK 1\r\nx\r\n");
     store.say(format!("{} OK 4\r\n\r\n\0!\r\n", task(1)).as_bytes());
     let command = vm.command();
-    assert_eq!((&command["verb"], &command["task"]), (&json!("RESOLVE"), &json!(task(1))));
-    assert_eq!(STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(), b"\r\n\0!");
+    assert_eq!(
+        (&command["verb"], &command["task"]),
+        (&json!("RESOLVE"), &json!(task(1)))
+    );
+    assert_eq!(
+        STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
+        b"\r\n\0!"
+    );
     vm.value(&task(1), "complete", b"paid");
     assert_eq!(client.answer().2, b"paid");
 }
@@ -235,7 +244,10 @@
     vm.apply();
     let index = vm.awaits(&task(1), b"ask");
     let command = vm.command();
-    assert_eq!((&command["verb"], &command["index"]), (&json!("STUB"), &json!(index)));
+    assert_eq!(
+        (&command["verb"], &command["index"]),
+        (&json!("STUB"), &json!(index))
+    );
     vm.value(&task(1), "complete", b"less");
     assert_eq!(client.answer().2, b"less");
 }
@@ -273,15 +285,23 @@
 /// The next command goes on with that request, with this reply.
 fn resolved(vm: &mut Vm, txn: u64, reply: &str) {
     let command = vm.command();
-    assert_eq!((&command["verb"], &command["task"]), (&json!("RESOLVE"), &json!(task(txn))));
-    assert_eq!(STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(), reply.as_bytes());
+    assert_eq!(
+        (&command["verb"], &command["task"]),
+        (&json!("RESOLVE"), &json!(task(txn)))
+    );
+    assert_eq!(
+        STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
+        reply.as_bytes()
+    );
 }
 
 #[test]
 fn a_spoilt_reply_costs_its_own_call_alone() {
-    for spoilt in
-        ["\u{1}\u{2}\r\n", "0000000000000001 OK 3000000000\r\nx", "0000000000000001 OK 2\r\nxxx\r\n"]
-    {
+    for spoilt in [
+        "\u{1}\u{2}\r\n",
+        "0000000000000001 OK 3000000000\r\nx",
+        "0000000000000001 OK 2\r\nxxx\r\n",
+    ] {
         let (rig, mut vm, [(_client, mut safe), (_other, mut keyed)]) = two_calls();
         safe.say(spoilt.as_bytes());
         safe.closed();
@@ -333,16 +353,24 @@
     let reports = rig.move_peers();
     let mut vm = rig.link();
     assert_eq!(vm.resumed_at, index);
-    assert_eq!(reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+    assert_eq!(
+        reports.recv_timeout(NEVER).unwrap(),
+        json!({"accepting": "true"})
+    );
     // Calls in hand stay where they were made.
     first.ok(1, "a");
     second.ok(2, "b");
     // The run is told again on the new link.
-    let mut told: Vec<_> =
-        (0..3).map(|_| vm.command()).map(|c| (c["verb"].clone(), c["task"].clone())).collect();
+    let mut told: Vec<_> = (0..3)
+        .map(|_| vm.command())
+        .map(|c| (c["verb"].clone(), c["task"].clone()))
+        .collect();
     told.sort_by_key(|(_, task)| task.to_string());
     let expected = [("RESOLVE", 1), ("RESOLVE", 2), ("APPLY", 3)];
-    assert_eq!(told, expected.map(|(verb, txn)| (json!(verb), json!(task(txn)))));
+    assert_eq!(
+        told,
+        expected.map(|(verb, txn)| (json!(verb), json!(task(txn))))
+    );
     for (client, txn) in [(&mut safe, 1), (&mut keyed, 2), (&mut running, 3)] {
         vm.value(&task(txn), "complete", b"done");
         assert_eq!(client.answer().2, b"done");
@@ -384,7 +412,10 @@
 #[test]
 fn a_drain_answers_what_is_in_hand_and_ends_the_process() {
     let (mut rig, mut vm, mut client) = one_running(None);
-    assert_eq!(rig.reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+    assert_eq!(
+        rig.reports.recv_timeout(NEVER).unwrap(),
+        json!({"accepting": "true"})
+    );
     rig.process.terminate();
     while rig.reports.recv_timeout(NEVER).unwrap() != json!({"accepting": "false"}) {}
     let mut check = rig.client();
@@ -413,7 +444,13 @@
     patient.send(&request(1, None, b"abc"));
     vm.apply();
     let text = String::from_utf8(request(2, None, b"abc")).unwrap();
-    hasty.send(text.replace("X-Router: 4", "X-Router: 4\r\nX-Ttl-Ms: 300\r\nX-Cpu-Hint: 29.5").as_bytes());
+    hasty.send(
+        text.replace(
+            "X-Router: 4",
+            "X-Router: 4\r\nX-Ttl-Ms: 300\r\nX-Cpu-Hint: 29.5",
+        )
+        .as_bytes(),
+    );
     vm.apply();
     let (status, _, _) = hasty.answer();
     assert!(status == 503 || status == 504, "{status}");
@@ -443,7 +480,10 @@
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer().0, 503);
     vm.say(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
-    assert_eq!(rig.reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+    assert_eq!(
+        rig.reports.recv_timeout(NEVER).unwrap(),
+        json!({"accepting": "true"})
+    );
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer().0, 200);
 }
@@ -453,7 +493,10 @@
     let rig = Rig::start();
     let _vm = rig.link();
     for _ in 0..3 {
-        assert_eq!(rig.reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+        assert_eq!(
+            rig.reports.recv_timeout(NEVER).unwrap(),
+            json!({"accepting": "true"})
+        );
     }
 }
 
@@ -479,44 +522,93 @@
         (400, "nonsense\r\n\r\n".to_string()),
         (400, whole.replace("HTTP/1.1", "HTTP/1.0")),
         (400, whole.replace("Content-Length: 3", "Content-Length: x")),
-        (400, whole.replace("Content-Length: 3", "Content-Length: 3\r\nContent-Length: 3")),
-        (400, whole.replace("Content-Length: 3", "Transfer-Encoding: chunked")),
-        (413, whole.replace("Content-Length: 3", "Content-Length: 2049")),
-        (431, format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(9000))),
+        (
+            400,
+            whole.replace(
+                "Content-Length: 3",
+                "Content-Length: 3\r\nContent-Length: 3",
+            ),
+        ),
+        (
+            400,
+            whole.replace("Content-Length: 3", "Transfer-Encoding: chunked"),
+        ),
+        (
+            413,
+            whole.replace("Content-Length: 3", "Content-Length: 2049"),
+        ),
+        (
+            431,
+            format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(9000)),
+        ),
         (404, whole.replace("/svc/look", "/svc/nothing")),
         (404, whole.replace("/svc/look", "/elsewhere")),
         (405, whole.replace("POST", "GET")),
         (405, "POST /status/live HTTP/1.1\r\n\r\n".to_string()),
         (400, whole.replace("X-Txn: ", "X-Txn: x")),
         (400, whole.replace("X-Txn:", "X-Other:")),
-        (400, whole.replace("X-Txn:", "X-Txn: 00000000000000aa\r\nX-Txn:")),
+        (
+            400,
+            whole.replace("X-Txn:", "X-Txn: 00000000000000aa\r\nX-Txn:"),
+        ),
         (400, whole.replace("X-Ingress-Time:", "X-Other:")),
         (400, whole.replace("X-Ingress-Time: ", "X-Ingress-Time: -")),
-        (400, whole.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: 0")),
-        (400, whole.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: inf")),
+        (
+            400,
+            whole.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: 0"),
+        ),
+        (
+            400,
+            whole.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: inf"),
+        ),
         (400, whole.replace("X-Merchant: north", "X-Merchant: south")),
         (400, whole.replace("X-Router: 4", "X-Ttl-Ms: soon")),
         (400, whole.replace("X-Router: 4", "X-Cpu-Hint: -1")),
         (400, keyed.replace("X-Txn-Key: k", "X-Txn-Key: ")),
         (400, keyed.replace("X-Txn-Key:", "X-Other:")),
-        (400, whole.replace("X-Router: 4", "X-Txn-Key: k\r\nX-Router: 4")),
-        (400, keyed.replace("X-Router: 4", "X-Row: 7f3a9c21e0b4d655\r\nX-Router: 4")),
+        (
+            400,
+            whole.replace("X-Router: 4", "X-Txn-Key: k\r\nX-Router: 4"),
+        ),
+        (
+            400,
+            keyed.replace("X-Router: 4", "X-Row: 7f3a9c21e0b4d655\r\nX-Router: 4"),
+        ),
         (400, whole.replace("X-Merchant: north\r\n", "")),
         (400, whole.replace("X-Router: 4\r\n", "")),
         (400, whole.replace("X-Router: 4", "X-Router: four")),
-        (400, whole.replace("X-Router: 4", "X-Router: 4\r\nX-Second-Try: maybe")),
+        (
+            400,
+            whole.replace("X-Router: 4", "X-Router: 4\r\nX-Second-Try: maybe"),
+        ),
         (400, whole.replace("X-Shed-Order: 0.6250\r\n", "")),
-        (400, whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1")),
-        (400, whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: -1")),
-        (400, whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: nan")),
-        (400, whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1e-3")),
+        (
+            400,
+            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1"),
+        ),
+        (
+            400,
+            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: -1"),
+        ),
+        (
+            400,
+            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: nan"),
+        ),
+        (
+            400,
+            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1e-3"),
+        ),
         (400, whole.replace("X-Ingress-Time: ", "X-Ingress-Time: 9")),
     ];
     for (expected, text) in cases {
         let mut client = rig.client();
         client.send(text.as_bytes());
         let (status, fields, _) = client.answer();
-        assert_eq!((status, fields["connection"].as_str()), (expected, "close"), "{text}");
+        assert_eq!(
+            (status, fields["connection"].as_str()),
+            (expected, "close"),
+            "{text}"
+        );
     }
     let mut client = rig.client();
     client.send(&request(2, None, b"abc"));
@@ -576,7 +668,10 @@
 fn a_connection_that_never_says_anything_is_closed_and_half_a_request_is_answered() {
     let rig = Rig::start();
     let _vm = rig.link();
-    assert_eq!(rig.reports.recv_timeout(NEVER).unwrap(), json!({"accepting": "true"}));
+    assert_eq!(
+        rig.reports.recv_timeout(NEVER).unwrap(),
+        json!({"accepting": "true"})
+    );
     let (mut silent, mut half, mut idle) = (rig.client(), rig.client(), rig.client());
     idle.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(idle.answer().0, 200);
@@ -625,7 +720,10 @@
         let out = program(&file).output().unwrap();
         let said = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.status.code(), Some(2), "{said}");
-        assert!(said.contains(field) && said.contains(file.to_str().unwrap()), "{said}");
+        assert!(
+            said.contains(field) && said.contains(file.to_str().unwrap()),
+            "{said}"
+        );
         assert_eq!(said.lines().count(), 1, "{said}");
         std::fs::remove_file(file).unwrap();
     }
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -106,7 +106,10 @@
     let over = Arc::new(AtomicBool::new(false));
     let flood = {
         let over = over.clone();
-        let line = format!("{}\n", json!({"verb": "ERROR", "outcome": "STUB", "task": task(9)}));
+        let line = format!(
+            "{}\n",
+            json!({"verb": "ERROR", "outcome": "STUB", "task": task(9)})
+        );
         thread::spawn(move || {
             let lines = line.repeat(4096);
             while !over.load(Ordering::Relaxed) && vm.try_raw(lines.as_bytes()) {}
@@ -129,7 +132,13 @@
     vm.value(&task(1), "complete", b"one");
     assert_eq!(client.answer().2, b"one");
     assert_eq!(rig.process.wait().code(), Some(0));
-    assert_eq!(rig.lines.iter().filter(|line| line.contains(LEAVES)).count(), 0);
+    assert_eq!(
+        rig.lines
+            .iter()
+            .filter(|line| line.contains(LEAVES))
+            .count(),
+        0
+    );
 }
 
 #[test]
@@ -188,7 +197,11 @@
     let at = |l: &TcpListener| l.local_addr().unwrap();
     let mut settings = config(at(&vm), at(&announce), at(&store));
     let file = std::env::temp_dir().join(format!("heathspurd-{}-fifo", std::process::id()));
-    assert!(Command::new("mkfifo").arg(&file).status().unwrap().success());
+    assert!(Command::new("mkfifo")
+        .arg(&file)
+        .status()
+        .unwrap()
+        .success());
     let mut process = Running(program(&file).spawn().unwrap());
     // Opening it waits until the server has opened it, and the server waits for what is written.
     let mut fifo = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
@@ -202,8 +215,10 @@
     drop(fifo);
     let _link = accept(&moved);
     process.terminate();
-    let said: Vec<_> =
-        BufReader::new(process.0.stderr.take().unwrap()).lines().map_while(Result::ok).collect();
+    let said: Vec<_> = BufReader::new(process.0.stderr.take().unwrap())
+        .lines()
+        .map_while(Result::ok)
+        .collect();
     assert_eq!(process.wait().code(), Some(0), "{said:?}");
     std::fs::remove_file(file).unwrap();
 }
@@ -232,7 +247,9 @@
     vm.apply();
     vm.awaits(&task(3), b"ask");
     let mut call = String::new();
-    BufReader::new(accept(&rig.store)).read_line(&mut call).unwrap();
+    BufReader::new(accept(&rig.store))
+        .read_line(&mut call)
+        .unwrap();
     assert!(call.starts_with(&format!("CALL {} ", task(3))), "{call}");
     [other, announce, store].iter().for_each(unvisited);
 }
@@ -283,7 +300,10 @@
     let _reports = rig.move_peers();
     let mut vm = rig.link();
     serves(&mut rig.client(), &mut vm, 1);
-    assert!(rig.lines.try_iter().all(|line| !line.contains("differs") && !line.contains(STAYS)));
+    assert!(rig
+        .lines
+        .try_iter()
+        .all(|line| !line.contains("differs") && !line.contains(STAYS)));
 }
 
 #[test]
@@ -295,7 +315,10 @@
     rig.config["settings"]["realms"][0]["quota-per-s"] = json!(7.0);
     let _reports = rig.move_peers();
     let line = rig.logs("it differs in more");
-    assert!(line.ends_with(": stop_ms, limits.memory_mb, settings"), "{line}");
+    assert!(
+        line.ends_with(": stop_ms, limits.memory_mb, settings"),
+        "{line}"
+    );
     let mut vm = rig.link();
     serves(&mut rig.client(), &mut vm, 1);
 }
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -53,9 +53,15 @@
 fn run_line() -> String {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(deploy).unwrap();
-    let line = text.lines().find_map(|line| line.strip_prefix("run = ")).expect("a line that starts it");
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("run = "))
+        .expect("a line that starts it");
     let line = line.trim().trim_matches('"');
-    line.replace("target/release/heathspurd", built("heathspurd").to_str().unwrap())
+    line.replace(
+        "target/release/heathspurd",
+        built("heathspurd").to_str().unwrap(),
+    )
 }
 
 impl Started {
@@ -71,31 +77,48 @@
         edit(&mut config);
         swift::interpreter(vm);
         swift::announce(announce);
-        let folders = std::env::temp_dir().join(format!("heathspur-terms-{}-{name}", std::process::id()));
+        let folders =
+            std::env::temp_dir().join(format!("heathspur-terms-{}-{name}", std::process::id()));
         for folder in ["here", "home"] {
             std::fs::create_dir_all(folders.join(folder)).unwrap();
         }
         let file = folders.join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let mut command = Command::new("sh");
-        command.args(["-c", &run_line()]).current_dir(folders.join("here")).env("HOME", folders.join("home"));
+        command
+            .args(["-c", &run_line()])
+            .current_dir(folders.join("here"))
+            .env("HOME", folders.join("home"));
         // A group of its own, so that nothing it may have started outlives the test unseen.
-        command.env("NODE_CONFIG", &file).process_group(0).stdin(Stdio::null()).stdout(Stdio::null());
+        command
+            .env("NODE_CONFIG", &file)
+            .process_group(0)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null());
         let since = Instant::now();
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
+        let lines = BufReader::new(child.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
         let process = Running(child);
         let (say, said) = mpsc::channel();
         // Nobody who stops reading the log may stop the server.
         thread::spawn(move || lines.for_each(|line| drop(say.send(line))));
         let address = loop {
             let left = READY.saturating_sub(since.elapsed());
-            let line = said.recv_timeout(left).expect("it says in time where it listens");
+            let line = said
+                .recv_timeout(left)
+                .expect("it says in time where it listens");
             if line.contains("listening on") {
                 break line.rsplit(' ').next().unwrap().parse().unwrap();
             }
         };
-        Started { process, address, since, folders }
+        Started {
+            process,
+            address,
+            since,
+            folders,
+        }
     }
 
     fn proc(&self) -> Process {
@@ -128,10 +151,21 @@
     fn holds_the_terms(&self, when: &str) {
         let process = self.proc();
         let program = process.exe().unwrap();
-        assert_eq!(program, built("heathspurd").canonicalize().unwrap(), "{when}: `run` has to end by exec");
+        assert_eq!(
+            program,
+            built("heathspurd").canonicalize().unwrap(),
+            "{when}: `run` has to end by exec"
+        );
         let tasks: Vec<_> = process.tasks().unwrap().flatten().collect();
-        assert!((1..=THREADS).contains(&tasks.len()), "{when}: {} threads", tasks.len());
-        let children: Vec<_> = tasks.iter().flat_map(|task| task.children().unwrap_or_default()).collect();
+        assert!(
+            (1..=THREADS).contains(&tasks.len()),
+            "{when}: {} threads",
+            tasks.len()
+        );
+        let children: Vec<_> = tasks
+            .iter()
+            .flat_map(|task| task.children().unwrap_or_default())
+            .collect();
         assert!(children.is_empty(), "{when}: child processes {children:?}");
         let (sockets, others) = self.open();
         let listening: Vec<_> = [process.tcp(), process.tcp6()]
@@ -140,19 +174,33 @@
             .filter(|entry| entry.state == TcpState::Listen && sockets.contains(&entry.inode))
             .map(|entry| entry.local_address)
             .collect();
-        assert_eq!(listening, [self.address], "{when}: it listens where it was told to, and nowhere else");
+        assert_eq!(
+            listening,
+            [self.address],
+            "{when}: it listens where it was told to, and nowhere else"
+        );
         let datagrams: Vec<_> = [process.udp(), process.udp6()]
             .into_iter()
             .flat_map(ProcResult::unwrap)
             .filter(|entry| sockets.contains(&entry.inode))
             .collect();
         assert!(datagrams.is_empty(), "{when}: {datagrams:?}");
-        for entry in process.unix().unwrap().into_iter().filter(|entry| sockets.contains(&entry.inode)) {
+        for entry in process
+            .unix()
+            .unwrap()
+            .into_iter()
+            .filter(|entry| sockets.contains(&entry.inode))
+        {
             // A pair to wake itself has no name and is connected.
-            assert!(entry.path.is_none() && entry.state == UnixState::CONNECTED, "{when}: {entry:?}");
+            assert!(
+                entry.path.is_none() && entry.state == UnixState::CONNECTED,
+                "{when}: {entry:?}"
+            );
         }
         for name in others {
-            let waits = ["[eventpoll]", "[eventfd]", "[timerfd]"].iter().any(|kind| name.ends_with(kind));
+            let waits = ["[eventpoll]", "[eventfd]", "[timerfd]"]
+                .iter()
+                .any(|kind| name.ends_with(kind));
             let known = name == "/dev/null" || waits;
             assert!(known, "{when}: it holds {name} open");
         }
@@ -161,7 +209,10 @@
     /// Nothing lies where it ran.
     fn left_nothing(&self) {
         for folder in ["here", "home"] {
-            let left: Vec<_> = std::fs::read_dir(self.folders.join(folder)).unwrap().flatten().collect();
+            let left: Vec<_> = std::fs::read_dir(self.folders.join(folder))
+                .unwrap()
+                .flatten()
+                .collect();
             assert!(left.is_empty(), "it wrote {left:?}");
         }
     }
@@ -182,16 +233,25 @@
     let file = ElfFile64::<Endianness>::parse(&*bytes).unwrap();
     let (endian, data) = (file.endian(), file.data());
     let headers = file.elf_header().program_headers(endian, data).unwrap();
-    assert!(headers.iter().any(|h| h.p_type(endian) == elf::PT_INTERP), "no loader is asked for");
+    assert!(
+        headers.iter().any(|h| h.p_type(endian) == elf::PT_INTERP),
+        "no loader is asked for"
+    );
     let sections = file.elf_header().sections(endian, data).unwrap();
-    let (entries, strings) = sections.dynamic(endian, data).unwrap().expect("a dynamic section");
+    let (entries, strings) = sections
+        .dynamic(endian, data)
+        .unwrap()
+        .expect("a dynamic section");
     let strings = sections.strings(endian, data, strings).unwrap();
     let needed: Vec<_> = entries
         .iter()
         .filter(|entry| entry.tag(endian) == elf::DT_NEEDED)
         .map(|entry| String::from_utf8_lossy(entry.string(endian, strings).unwrap()).into_owned())
         .collect();
-    assert!(needed.iter().any(|name| name.starts_with("libc.so")), "{needed:?}");
+    assert!(
+        needed.iter().any(|name| name.starts_with("libc.so")),
+        "{needed:?}"
+    );
 }
 
 #[test]
@@ -214,9 +274,19 @@
         // Its last moments have nothing to look at.
         let Ok(tasks) = process.tasks() else { continue };
         let tasks: Vec<_> = tasks.flatten().collect();
-        assert!(tasks.len() <= THREADS, "{} threads at the drain", tasks.len());
-        let children: Vec<_> = tasks.iter().flat_map(|t| t.children().unwrap_or_default()).collect();
-        assert!(children.is_empty(), "child processes at the drain: {children:?}");
+        assert!(
+            tasks.len() <= THREADS,
+            "{} threads at the drain",
+            tasks.len()
+        );
+        let children: Vec<_> = tasks
+            .iter()
+            .flat_map(|t| t.children().unwrap_or_default())
+            .collect();
+        assert!(
+            children.is_empty(),
+            "child processes at the drain: {children:?}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(started.process.wait().code(), Some(0));
@@ -228,11 +298,20 @@
     let started = Started::new("idle");
     started.serve(1);
     let per_second = procfs::ticks_per_second() as f64;
-    let spent = || started.proc().stat().map(|stat| (stat.utime + stat.stime) as f64 / per_second).unwrap();
+    let spent = || {
+        started
+            .proc()
+            .stat()
+            .map(|stat| (stat.utime + stat.stime) as f64 / per_second)
+            .unwrap()
+    };
     let before = spent();
     thread::sleep(IDLE);
     let awake = spent() - before;
-    assert!(awake < AWAKE * IDLE.as_secs_f64(), "{awake} s of processor time while it waited");
+    assert!(
+        awake < AWAKE * IDLE.as_secs_f64(),
+        "{awake} s of processor time while it waited"
+    );
 }
 
 #[test]
@@ -265,7 +344,10 @@
         rest.push(at_rest());
     }
     // What the first crowd made the allocator keep is enough for all later ones.
-    assert!(rest[2] <= rest[0] + KEPT / 4, "memory at rest grows: {rest:?} bytes");
+    assert!(
+        rest[2] <= rest[0] + KEPT / 4,
+        "memory at rest grows: {rest:?} bytes"
+    );
     assert!(rest[2] <= 64 << 20, "{rest:?} bytes");
     started.serve(9);
     started.holds_the_terms("after the crowds");
@@ -289,7 +371,11 @@
         thread::sleep(Duration::from_millis(10));
     }
     started.serve(1);
-    assert!(started.since.elapsed() < READY, "it was ready after {:?}", started.since.elapsed());
+    assert!(
+        started.since.elapsed() < READY,
+        "it was ready after {:?}",
+        started.since.elapsed()
+    );
 }
 
 /// A drain of a server whose runs the test ends, with that grace; the process has this long from the notice.
@@ -308,7 +394,12 @@
             config["stop_ms"] = json!(stop.as_millis() as u64);
         });
         let vm = rig.link();
-        Drain { rig, vm, stop, told: None }
+        Drain {
+            rig,
+            vm,
+            stop,
+            told: None,
+        }
     }
 
     /// A kept connection that had an answer.
@@ -347,19 +438,30 @@
     /// It leaves by itself with nothing wrong, before it would be killed, and starts no run that the test has not
     /// seen.
     fn leaves(self) {
-        let Drain { mut rig, vm, stop, told } = self;
+        let Drain {
+            mut rig,
+            vm,
+            stop,
+            told,
+        } = self;
         let rest = vm.rest();
         assert_eq!(rig.process.wait().code(), Some(0));
         let took = told.unwrap().elapsed();
         assert!(took < stop, "it took {took:?} of {stop:?}");
-        assert!(rest.iter().all(|command| command["verb"] != "APPLY"), "{rest:?}");
+        assert!(
+            rest.iter().all(|command| command["verb"] != "APPLY"),
+            "{rest:?}"
+        );
     }
 }
 
 /// An answer, and whether it is the last on its connection.
 fn answered(client: &mut Client) -> (u16, bool) {
     let (status, fields, _) = client.answer();
-    (status, fields.get("connection").is_some_and(|word| word == "close"))
+    (
+        status,
+        fields.get("connection").is_some_and(|word| word == "close"),
+    )
 }
 
 #[test]
@@ -417,7 +519,9 @@
     drain.rig.process.signal("STOP");
     let process = Process::new(drain.rig.process.0.id() as i32).unwrap();
     until("it stands still", || process.stat().unwrap().state == 'T');
-    until("the grace is over", || drain.told.unwrap().elapsed() > grace * 5 / 4);
+    until("the grace is over", || {
+        drain.told.unwrap().elapsed() > grace * 5 / 4
+    });
     kept.send(&request(2, None, b"abc"));
     let mut crowd: Vec<Client> = (3..8).map(|_| drain.rig.client()).collect();
     for (client, txn) in crowd.iter_mut().zip(3..) {
--- a/crates/heathspurd/tests/unit/count.rs
+++ b/crates/heathspurd/tests/unit/count.rs
@@ -13,7 +13,13 @@
     let mut count = Count::default();
     assert_eq!(
         link(&mut count, &[1, 2, 1, 2, 3]),
-        [Sight::Next, Sight::Next, Sight::Old, Sight::Old, Sight::Next]
+        [
+            Sight::Next,
+            Sight::Next,
+            Sight::Old,
+            Sight::Old,
+            Sight::Next
+        ]
     );
     assert_eq!(link(&mut count, &[3, 4]), [Sight::Old, Sight::Next]);
     assert_eq!(count.last(), 4);
--- a/crates/heathspurd/tests/unit/hear.rs
+++ b/crates/heathspurd/tests/unit/hear.rs
@@ -32,7 +32,15 @@
     let (names, idle) = (config.names.clone(), config.settings.idle);
     let clock = Clock::start();
     Owner {
-        desk: Rc::new(Desk::new(names, vec![false, true], idle, shutting, None, pool, None)),
+        desk: Rc::new(Desk::new(
+            names,
+            vec![false, true],
+            idle,
+            shutting,
+            None,
+            pool,
+            None,
+        )),
         readiness: Readiness::new(),
         interpreter: crate::interpreter::Link::new(),
         targets: Targets {
@@ -93,17 +101,28 @@
     owner.table.insert(arrival, None);
     owner.run(ID);
     owner.stop(ID);
-    owner.hear(Heard::Waits { txn: txn(), index: 1, body: Bytes::new() });
+    owner.hear(Heard::Waits {
+        txn: txn(),
+        index: 1,
+        body: Bytes::new(),
+    });
     (owner, answers)
 }
 
 #[test]
 fn a_stop_that_crosses_a_call_is_known_as_one_when_the_run_ends() {
     let (mut owner, answers) = crossed();
-    owner.hear(Heard::Ended { txn: txn(), end: End::Cancelled, body: Bytes::new() });
+    owner.hear(Heard::Ended {
+        txn: txn(),
+        end: End::Cancelled,
+        body: Bytes::new(),
+    });
     // It is paused as asked for, and its answer still owed.
     assert!(answers.is_empty() && !answers.is_closed());
-    assert!(matches!(owner.table.get(ID).map(|e| &e.work), Some(Work::Paused { .. })));
+    assert!(matches!(
+        owner.table.get(ID).map(|e| &e.work),
+        Some(Work::Paused { .. })
+    ));
 }
 
 #[test]
@@ -111,5 +130,14 @@
     let (mut owner, _answers) = crossed();
     owner.go_on(ID, |need| Told::Stub(need.index));
     let work = owner.table.get(ID).map(|e| e.work.clone());
-    assert!(matches!(work, Some(Work::Running { halting: Halting::Asked, .. })), "{work:?}");
+    assert!(
+        matches!(
+            work,
+            Some(Work::Running {
+                halting: Halting::Asked,
+                ..
+            })
+        ),
+        "{work:?}"
+    );
 }
--- a/crates/heathspurd/tests/unit/intake.rs
+++ b/crates/heathspurd/tests/unit/intake.rs
@@ -17,7 +17,11 @@
     assert_eq!(places, [1, 3, 5]);
     assert_eq!(taken.len(), 64);
     // Each queue keeps its own order.
-    let firsts: Vec<_> = taken.iter().filter(|(of, _)| *of == 'a').map(|(_, n)| *n).collect();
+    let firsts: Vec<_> = taken
+        .iter()
+        .filter(|(of, _)| *of == 'a')
+        .map(|(_, n)| *n)
+        .collect();
     assert!(firsts.is_sorted());
 }
 
--- a/crates/heathspurd/tests/unit/interpreter.rs
+++ b/crates/heathspurd/tests/unit/interpreter.rs
@@ -6,7 +6,13 @@
 fn pair() -> (Stream, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let theirs = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (Stream::made(async_io::Async::new(listener.accept().unwrap().0).unwrap(), None), theirs)
+    (
+        Stream::made(
+            async_io::Async::new(listener.accept().unwrap().0).unwrap(),
+            None,
+        ),
+        theirs,
+    )
 }
 
 #[test]
--- a/crates/heathspurd/tests/unit/keys.rs
+++ b/crates/heathspurd/tests/unit/keys.rs
@@ -12,7 +12,12 @@
 
 /// A try with the usual body; it may come again for 50 us.
 fn a_try(n: u64, ingress: u64) -> Try {
-    Try { id: id(n), ingress, body: 7, window: Span(50) }
+    Try {
+        id: id(n),
+        ingress,
+        body: 7,
+        window: Span(50),
+    }
 }
 
 fn key(name: &str) -> Key {
@@ -33,11 +38,16 @@
     keys.link(&key("a"), a_try(1, 5)).unwrap();
     keys.keep(&key("a"), id(1), 100);
     keys.runs(&key("a"), id(1));
-    assert!(keys.ended(&key("a"), id(1), Some(&Bytes::from_static(b"r"))).is_empty());
+    assert!(keys
+        .ended(&key("a"), id(1), Some(&Bytes::from_static(b"r")))
+        .is_empty());
     keys.leave(&key("a"), id(1));
     keys.prune(900_000);
     assert_eq!(keys.link(&key("a"), a_try(2, 99)), Ok(Some(id(1))));
-    assert_eq!(keys.attach(&key("a"), id(2)), Attached::Result(Bytes::from_static(b"r")));
+    assert_eq!(
+        keys.attach(&key("a"), id(2)),
+        Attached::Result(Bytes::from_static(b"r"))
+    );
     keys.leave(&key("a"), id(2));
     assert_eq!(keys.link(&key("a"), a_try(3, 100)), Ok(None));
     assert_eq!(keys.bytes, 0);
@@ -75,10 +85,16 @@
         keys.ended(&key(name), id(n), Some(&Bytes::from_static(b"sevenby")));
         keys.leave(&key(name), id(n));
     }
-    assert_eq!(keys.attach(&key("a"), id(4)), Attached::Result(Bytes::from_static(b"sevenby")));
+    assert_eq!(
+        keys.attach(&key("a"), id(4)),
+        Attached::Result(Bytes::from_static(b"sevenby"))
+    );
     assert_eq!(keys.attach(&key("b"), id(5)), Attached::Failed);
     keys.prune(2_000_000);
-    assert_eq!((keys.entries.len(), keys.holders.len(), keys.bytes), (0, 0, 0));
+    assert_eq!(
+        (keys.entries.len(), keys.holders.len(), keys.bytes),
+        (0, 0, 0)
+    );
 }
 
 #[test]
@@ -183,7 +199,9 @@
 
 /// Draws from 0 to `end` exclusive.
 fn draw(state: &mut u64, end: u64) -> u64 {
-    *state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+    *state = state
+        .wrapping_mul(6364136223846793005)
+        .wrapping_add(1442695040888963407);
     (*state >> 33) % end
 }
 
@@ -214,7 +232,12 @@
                     let (n, at) = (id(next), draw(state, 3) as usize);
                     next += 1;
                     let stamp = now + draw(state, 4) * draw(state, 150) - draw(state, late);
-                    let this = Try { id: n, ingress: stamp, body: 7, window: Span(window) };
+                    let this = Try {
+                        id: n,
+                        ingress: stamp,
+                        body: 7,
+                        window: Span(window),
+                    };
                     let repeats = keys.link(&names[at], this).unwrap();
                     let root = repeats.map_or(n, |prior| roots[&prior]);
                     roots.insert(n, root);
@@ -235,13 +258,17 @@
                     keys.runs(&names[at], n);
                     for &before in &runs[at] {
                         let within = before <= stamp && stamp <= before + window;
-                        assert!(!within, "seed {seed}: run at {stamp}, which had run at {before} ({window})");
+                        assert!(
+                            !within,
+                            "seed {seed}: run at {stamp}, which had run at {before} ({window})"
+                        );
                         ran_twice_later += 1;
                     }
                     runs[at].push(stamp);
                     running.push((n, at));
                     // Its repeats that are held wait for it from now on.
-                    let (repeats, others) = held.drain(..).partition(|(m, ..)| roots[m] == roots[&n]);
+                    let (repeats, others) =
+                        held.drain(..).partition(|(m, ..)| roots[m] == roots[&n]);
                     held = others;
                     for (m, at, _) in repeats as Vec<_> {
                         assert_eq!(keys.attach(&names[at], m), Attached::Waits);
@@ -274,7 +301,11 @@
                     group.held.retain(|other| *other != n);
                     if group.held.is_empty() {
                         // The module forgets what it kept last.
-                        let kept = keys.holders.keys().copied().find(|holder| roots[holder] == roots[&n]);
+                        let kept = keys
+                            .holders
+                            .keys()
+                            .copied()
+                            .find(|holder| roots[holder] == roots[&n]);
                         kept.into_iter().for_each(|holder| keys.forget(holder));
                     }
                 }
@@ -290,7 +321,8 @@
                 .sum();
             assert_eq!(keys.bytes, kept, "seed {seed}");
             // Whoever waits, waits for what runs or may yet run.
-            let may_end = |at: usize| running.iter().any(|r| r.1 == at) || held.iter().any(|h| h.1 == at);
+            let may_end =
+                |at: usize| running.iter().any(|r| r.1 == at) || held.iter().any(|h| h.1 == at);
             assert!(waiting.iter().all(|(_, at)| may_end(*at)), "seed {seed}");
         }
     }
@@ -310,7 +342,10 @@
 #[test]
 fn a_key_goes_with_one_body_for_its_window_whatever_became_of_the_tries() {
     let mut keys = keys();
-    let other = |n, ingress| Try { body: 8, ..a_try(n, ingress) };
+    let other = |n, ingress| Try {
+        body: 8,
+        ..a_try(n, ingress)
+    };
     keys.link(&key("a"), a_try(1, 5)).unwrap();
     assert_eq!(keys.link(&key("a"), other(2, 6)), Err(Barred::OtherBody));
     // It was refused before it ran.
--- a/crates/heathspurd/tests/unit/notify.rs
+++ b/crates/heathspurd/tests/unit/notify.rs
@@ -17,7 +17,9 @@
 fn one_that_gave_up_waiting_keeps_a_notification_from_nobody() {
     let (notify, executor) = (Rc::new(Notify::new()), LocalExecutor::new());
     let left = notify.clone();
-    executor.spawn(async move { assert!(future::poll_once(left.notified()).await.is_none()) }).detach();
+    executor
+        .spawn(async move { assert!(future::poll_once(left.notified()).await.is_none()) })
+        .detach();
     let waits = notify.clone();
     let waits = executor.spawn(async move { waits.notified().await });
     assert!(executor.try_tick() && executor.try_tick());
--- a/crates/heathspurd/tests/unit/record.rs
+++ b/crates/heathspurd/tests/unit/record.rs
@@ -11,7 +11,10 @@
         "<operator xmlns=\"urn:heathspur:operator:1\"><record directory=\"{}\"/></operator>",
         folder.display()
     );
-    let record = Operator::parse(&text, Path::new("o.xml"), None).unwrap().record.unwrap();
+    let record = Operator::parse(&text, Path::new("o.xml"), None)
+        .unwrap()
+        .record
+        .unwrap();
     let mut writer = Writer::new("n 1", &record);
     // The file that is open lies on a device that is always full.
     writer.files.made(0, "n_1-full", 0);
@@ -28,9 +31,14 @@
     writer.pending = vec![0; 64];
     writer.put();
     let written = names(&folder);
-    let [name] = &written[..] else { panic!("{written:?}") };
+    let [name] = &written[..] else {
+        panic!("{written:?}")
+    };
     assert!(name.starts_with("n_1-"), "{name}");
     let start = writer.recorder.start().len() as u64;
-    assert_eq!(std::fs::metadata(folder.join(name)).unwrap().len(), start + 64);
+    assert_eq!(
+        std::fs::metadata(folder.join(name)).unwrap().len(),
+        start + 64
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/heathspurd/tests/unit/room.rs
+++ b/crates/heathspurd/tests/unit/room.rs
@@ -4,7 +4,10 @@
 
 #[test]
 fn who_holds_most_is_told_and_all_is_given_back() {
-    let room = Room::new(Bounds { connection: 100, all: 120 });
+    let room = Room::new(Bounds {
+        connection: 100,
+        all: 120,
+    });
     let (stalled, good) = (room.holder(), room.holder());
     let first = room.hold(stalled, 60);
     let second = room.hold(stalled, 40);
@@ -13,5 +16,8 @@
     assert!(second.told.is_empty() && other.told.is_empty());
     assert_eq!(room.ledger.borrow().held(), 90);
     drop((first, second, other));
-    assert_eq!((room.ledger.borrow().held(), room.told.borrow().len()), (0, 0));
+    assert_eq!(
+        (room.ledger.borrow().held(), room.told.borrow().len()),
+        (0, 0)
+    );
 }
--- a/crates/heathspurd/tests/unit/store.rs
+++ b/crates/heathspurd/tests/unit/store.rs
@@ -9,14 +9,28 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let executor = Rc::new(LocalExecutor::new());
     let (events, _heard) = async_channel::bounded::<Event>(4);
-    let link = Link::new(executor.clone(), Some(listener.local_addr().unwrap()), 4, events, None, None);
+    let link = Link::new(
+        executor.clone(),
+        Some(listener.local_addr().unwrap()),
+        4,
+        events,
+        None,
+        None,
+    );
     let txn = Txn::read(b"9b1f03aa5c7e2d41").unwrap();
-    let call =
-        |n| Call { id: RequestId(1), call: CallId(n), txn, limit_ms: 250, body: Bytes::new(), fresh: false };
+    let call = |n| Call {
+        id: RequestId(1),
+        call: CallId(n),
+        txn,
+        limit_ms: 250,
+        body: Bytes::new(),
+        fresh: false,
+    };
     link.call(call(1));
     assert_eq!(link.give_up(CallId(1)), Outcome::ConnectFailed);
     link.call(call(2));
-    let reader = std::thread::spawn(move || listener.accept().unwrap().0.read(&mut [0; 4]).unwrap());
+    let reader =
+        std::thread::spawn(move || listener.accept().unwrap().0.read(&mut [0; 4]).unwrap());
     async_io::block_on(executor.run(async {
         while !reader.is_finished() {
             futures_lite::future::yield_now().await;
--- a/crates/heathspurd/tests/unit/tape.rs
+++ b/crates/heathspurd/tests/unit/tape.rs
@@ -5,7 +5,12 @@
 
 fn ends() -> Ends {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Ends { number: 1, leg: Leg::Front, client: address, server: address }
+    Ends {
+        number: 1,
+        leg: Leg::Front,
+        client: address,
+        server: address,
+    }
 }
 
 #[test]
@@ -32,7 +37,9 @@
     let next = recorder.try_recv().unwrap();
     let left_out = 100 - taken.len() as u64;
     assert_eq!(next.missed, [left_out, 0, 0]);
-    let Seen::Said { missed, .. } = next.event.seen else { panic!("{:?}", next.event) };
+    let Seen::Said { missed, .. } = next.event.seen else {
+        panic!("{:?}", next.event)
+    };
     assert_eq!(missed, left_out * 500);
     tape.said(Side::Server, b"answer");
     let answer = recorder.try_recv().unwrap();
@@ -47,7 +54,10 @@
     let sent = (0..10).filter(|_| tap.send(ends(), Seen::Opened)).count();
     assert_eq!((sent, tap.missed.get()), (2, [8, 0, 0]));
     assert_eq!(
-        recorder.try_iter().map(|item| item.event.weight()).sum::<usize>(),
+        recorder
+            .try_iter()
+            .map(|item| item.event.weight())
+            .sum::<usize>(),
         waiting.load(Ordering::Relaxed)
     );
 }
--- a/fuzz/fuzz_targets/capture.rs
+++ b/fuzz/fuzz_targets/capture.rs
@@ -6,11 +6,23 @@
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|data: &[u8]| {
-    let Some((&piece, file)) = data.split_first() else { return };
+    let Some((&piece, file)) = data.split_first() else {
+        return;
+    };
     let options = Options {
         checksums: false,
-        reassembly: reassembly::Limits { connections: 8, memory: 4000, gap_bytes: 1500, ..Default::default() },
-        exchange: exchange::Limits { head: 600, message: 2000, memory: 5000, open: 4 },
+        reassembly: reassembly::Limits {
+            connections: 8,
+            memory: 4000,
+            gap_bytes: 1500,
+            ..Default::default()
+        },
+        exchange: exchange::Limits {
+            head: 600,
+            message: 2000,
+            memory: 5000,
+            open: 4,
+        },
     };
     let mut pipeline = Pipeline::new(options);
     for part in file.chunks(usize::from(piece) + 1) {
