--- a/crates/heathspur-measure/src/daemon.rs
+++ b/crates/heathspur-bench/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon under measurement, with stand-ins that answer by themselves.
 
-use heathspur_rig::scripted::{config, local, Running};
-use heathspur_rig::swift::{self, Manner, Runs};
+use heathspur_testkit::scripted::{config, local, Running};
+use heathspur_testkit::swift::{self, Manner, Runs};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/heathspur-measure/src/http2/drain.rs
+++ b/crates/heathspur-bench/src/http2/drain.rs
@@ -4,8 +4,8 @@
 use crate::table::Table;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use heathspur_rig::http2::{Caller, Ended, CANCEL, INITIAL_WINDOW};
-use heathspur_rig::swift::Manner;
+use heathspur_testkit::http2::{Caller, Ended, CANCEL, INITIAL_WINDOW};
+use heathspur_testkit::swift::Manner;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
     for (id, gone, body) in streams {
         match caller.came_of(id) {
             Some(Ended::Answer(..)) => played.answered += 1,
-            Some(Ended::Reset(heathspur_rig::http2::REFUSED_STREAM)) => {
+            Some(Ended::Reset(heathspur_testkit::http2::REFUSED_STREAM)) => {
                 played.refused += 1;
                 played.past.push(body);
             }
--- a/crates/heathspur-measure/src/http2/mod.rs
+++ b/crates/heathspur-bench/src/http2/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::daemon::Daemon;
 use crate::table::Table;
-use heathspur_rig::scripted::built;
-use heathspur_rig::swift::Manner;
+use heathspur_testkit::scripted::built;
+use heathspur_testkit::swift::Manner;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/heathspur-measure/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -2,9 +2,9 @@
 
 use super::start;
 use crate::table::Table;
-use heathspur_rig::http2::{Caller, Ended, CANCEL};
-use heathspur_rig::scripted::{request, Client};
-use heathspur_rig::swift::Manner;
+use heathspur_testkit::http2::{Caller, Ended, CANCEL};
+use heathspur_testkit::scripted::{request, Client};
+use heathspur_testkit::swift::Manner;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
--- a/crates/heathspur-measure/src/http2/stalled.rs
+++ b/crates/heathspur-bench/src/http2/stalled.rs
@@ -2,8 +2,8 @@
 
 use super::{start, MEMORY_MB};
 use crate::table::Table;
-use heathspur_rig::http2::{Caller, INITIAL_WINDOW};
-use heathspur_rig::swift::Manner;
+use heathspur_testkit::http2::{Caller, INITIAL_WINDOW};
+use heathspur_testkit::swift::Manner;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
                     let window = if small_windows { 0 } else { 1 << 30 };
                     let mut caller = Caller::with(address, &[(INITIAL_WINDOW, window)]);
                     if !small_windows {
-                        caller.raw(&heathspur_rig::http2::frame(
+                        caller.raw(&heathspur_testkit::http2::frame(
                             8,
                             0,
                             0,
--- a/crates/heathspur-measure/src/large.rs
+++ b/crates/heathspur-bench/src/large.rs
@@ -2,8 +2,8 @@
 
 use crate::table::Table;
 use heathspur_capture::{write, Side, Stamp};
-use heathspur_rig::capture::{answer, client, request, server, MS, START};
-use heathspur_rig::scripted::built;
+use heathspur_testkit::capture::{answer, client, request, server, MS, START};
+use heathspur_testkit::scripted::built;
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::Path;
--- a/crates/heathspur-measure/src/main.rs
+++ b/crates/heathspur-bench/src/main.rs
@@ -63,7 +63,7 @@
 
 fn main() -> ExitCode {
     let what = Cli::parse().what;
-    let folder = std::env::temp_dir().join(format!("heathspur-measure-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("heathspur-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder for the measurement's files");
     let done = match what {
         What::Pcap {
--- a/crates/heathspur-measure/src/members.rs
+++ b/crates/heathspur-bench/src/members.rs
@@ -1,8 +1,8 @@
 //! The fleet's view: processes on loopback behind the fault relay, and the same core in the emulator.
 
 use crate::table::Table;
-use heathspur_rig::fleet::Fleet;
-use heathspur_rig::scripted::built;
+use heathspur_testkit::fleet::Fleet;
+use heathspur_testkit::scripted::built;
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/heathspur-measure/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -2,9 +2,9 @@
 
 use crate::table::Table;
 use heathspur_capture::{write, Side, Stamp};
-use heathspur_rig::capture::{answer, Script, MS, START};
-use heathspur_rig::scripted::built;
-use heathspur_rig::sink::{Manner, Received, Sink};
+use heathspur_testkit::capture::{answer, Script, MS, START};
+use heathspur_testkit::scripted::built;
+use heathspur_testkit::sink::{Manner, Received, Sink};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -2,7 +2,7 @@
 
 use heathspur_capture::reassembly::Limits;
 use heathspur_capture::{exchange, Options, Side};
-use heathspur_rig::capture::*;
+use heathspur_testkit::capture::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -2,7 +2,7 @@
 
 use heathspur_capture::file::{Cause, Damage, Link, Reader};
 use heathspur_capture::write;
-use heathspur_rig::capture::*;
+use heathspur_testkit::capture::*;
 
 /// Time, data and wire length of a packet, and its link.
 type Seen = (u64, Vec<u8>, u32, Link);
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -4,7 +4,7 @@
 use heathspur_capture::frame::{Frames, Passed, Segment};
 use heathspur_capture::write::{segment, Flags};
 use heathspur_capture::Stamp;
-use heathspur_rig::capture::*;
+use heathspur_testkit::capture::*;
 use std::net::SocketAddr;
 
 fn ip(payload: &[u8]) -> Vec<u8> {
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -4,7 +4,7 @@
 use heathspur_capture::reassembly::{End, Event, Limits, Start};
 use heathspur_capture::write::{segment, Flags, Talk};
 use heathspur_capture::{Item, Options, Side};
-use heathspur_rig::capture::*;
+use heathspur_testkit::capture::*;
 
 const NONE: Flags = Flags {
     syn: false,
--- a/crates/heathspur-operator/tests/read.rs
+++ b/crates/heathspur-config/tests/read.rs
@@ -1,7 +1,7 @@
 //! The reader and the schema against the same examples, and what errors name.
 
-use heathspur_operator::units::{Size, Span};
-use heathspur_operator::{Contents, Format, Operator, SCHEMA};
+use heathspur_config::units::{Size, Span};
+use heathspur_config::{Contents, Format, Operator, SCHEMA};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -1,8 +1,8 @@
 //! The plan of an experiment: a fleet, its settings, faults at their times, seeds; an XML file with a schema.
 
+use heathspur_config::units::Span;
+use heathspur_config::{Fault as Wrong, Mistake};
 use heathspur_members::Settings;
-use heathspur_operator::units::Span;
-use heathspur_operator::{Fault as Wrong, Mistake};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::time::Duration;
@@ -203,7 +203,7 @@
     /// # Errors
     /// The first mistake found, with its place.
     pub fn read(file: &Path) -> Result<Plan, Wrong> {
-        Plan::parse(&heathspur_operator::read_text(file, "experiment")?, file)
+        Plan::parse(&heathspur_config::read_text(file, "experiment")?, file)
     }
 
     /// Reads a file's text; `file` is for the errors.
@@ -211,7 +211,7 @@
     /// # Errors
     /// The first mistake found, with its place.
     pub fn parse(text: &str, file: &Path) -> Result<Plan, Wrong> {
-        heathspur_operator::parse(text, file, "experiment", Plan::check)
+        heathspur_config::parse(text, file, "experiment", Plan::check)
     }
 
     /// The members' settings; what the plan does not name keeps its default.
--- a/crates/heathspur-route/tests/model.rs
+++ b/crates/heathspur-failover/tests/model.rs
@@ -4,9 +4,9 @@
 //!
 //! The mutants take out one part each; every one has to be found.
 
-use heathspur_route::register::{Decision, Pace, Register, Voice};
-use heathspur_route::spare::Budget;
-use heathspur_route::WHOLE;
+use heathspur_failover::register::{Decision, Pace, Register, Voice};
+use heathspur_failover::spare::Budget;
+use heathspur_failover::WHOLE;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const ZONES: usize = 2;
--- a/crates/heathspur-route/tests/parts.rs
+++ b/crates/heathspur-failover/tests/parts.rs
@@ -1,13 +1,13 @@
 //! Sight, register, shares and budget, each by itself.
 
 use heathspur::Outcome;
-use heathspur_route::health::{ln_ms, tells, Health, CHECKED};
-use heathspur_route::pick::Picker;
-use heathspur_route::register::{Decision, Pace, Register, Voice};
-use heathspur_route::shares::{shares, Other};
-use heathspur_route::spare::{spare, Budget};
-use heathspur_route::zone::{Failover, Peer, Plan};
-use heathspur_route::WHOLE;
+use heathspur_failover::health::{ln_ms, tells, Health, CHECKED};
+use heathspur_failover::pick::Picker;
+use heathspur_failover::register::{Decision, Pace, Register, Voice};
+use heathspur_failover::shares::{shares, Other};
+use heathspur_failover::spare::{spare, Budget};
+use heathspur_failover::zone::{Failover, Peer, Plan};
+use heathspur_failover::WHOLE;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/heathspur-load/src/plan.rs
+++ b/crates/heathspur-load/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a load test: targets, stages and classes, as an XML file with a schema.
 
-use heathspur_operator::units::{Size, Span};
-use heathspur_operator::{Fault, Mistake};
+use heathspur_config::units::{Size, Span};
+use heathspur_config::{Fault, Mistake};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -155,7 +155,7 @@
     /// # Errors
     /// The first mistake found, with its place.
     pub fn read(file: &Path) -> Result<Plan, Fault> {
-        Plan::parse(&heathspur_operator::read_text(file, "load")?, file)
+        Plan::parse(&heathspur_config::read_text(file, "load")?, file)
     }
 
     /// Reads a file's text; `file` is for the errors.
@@ -163,7 +163,7 @@
     /// # Errors
     /// The first mistake found, with its place.
     pub fn parse(text: &str, file: &Path) -> Result<Plan, Fault> {
-        heathspur_operator::parse(text, file, "load", Plan::check)
+        heathspur_config::parse(text, file, "load", Plan::check)
     }
 
     fn check(&self) -> Result<(), Mistake> {
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -6,7 +6,7 @@
 use heathspur_record::files::{Files, Limits, Notice, Step};
 use heathspur_record::recorder::{Ends, Event, Leg, Recorder, Seen};
 use heathspur_record::veil::Terms;
-use heathspur_rig::capture::{answer, read, request, MS, START};
+use heathspur_testkit::capture::{answer, read, request, MS, START};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/heathspur-drill/src/main.rs
+++ b/crates/heathspur-simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match heathspur_drill::serve(stdin().lock(), stdout().lock()) {
+    match heathspur_simulator_adapter::serve(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("heathspur-drill: {fault}");
--- a/crates/heathspur-drill/tests/wire.rs
+++ b/crates/heathspur-simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter: message shapes in and out, odd but legal input, and plain words on bad input.
 
-use heathspur_drill::{serve, Fault};
+use heathspur_simulator_adapter::{serve, Fault};
 use serde_json::{json, Value};
 
 fn facts() -> Value {
--- a/crates/heathspurctl/src/cli.rs
+++ b/crates/heathspurctl/src/cli.rs
@@ -79,7 +79,7 @@
         Command::Experiment(options) => experiment::run(&options),
         Command::Config(Config::Check { file, memory }) => config::check(&file, memory),
         Command::Config(Config::Schema) => {
-            print!("{}", heathspur_operator::SCHEMA);
+            print!("{}", heathspur_config::SCHEMA);
             Ok(())
         }
         Command::Completions { shell } => {
--- a/crates/heathspurctl/src/config.rs
+++ b/crates/heathspurctl/src/config.rs
@@ -1,7 +1,7 @@
 //! The operator's file, held against reader and schema.
 
 use crate::given::Fault;
-use heathspur_operator::{Operator, SCHEMA};
+use heathspur_config::{Operator, SCHEMA};
 use std::path::Path;
 
 /// Says what is wrong with a file; the reader's error comes first, since it names what was expected.
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -1,8 +1,8 @@
 //! Load by a plan, as a process, to a server that speaks both protocols.
 
-use heathspur_rig::scripted::{Rig, Running};
-use heathspur_rig::sink::{Manner, Sink};
-use heathspur_rig::swift;
+use heathspur_testkit::scripted::{Rig, Running};
+use heathspur_testkit::sink::{Manner, Sink};
+use heathspur_testkit::swift;
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -1,9 +1,9 @@
 //! The tools as processes: captures read, cut, and replayed to a stand-in on loopback.
 
 use heathspur_capture::{Side, Stamp};
-use heathspur_rig::capture::*;
-use heathspur_rig::proxy::{self, Faults};
-use heathspur_rig::sink::{Manner, Sink};
+use heathspur_testkit::capture::*;
+use heathspur_testkit::proxy::{self, Faults};
+use heathspur_testkit::sink::{Manner, Sink};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/heathspurd/src/announce.rs
+++ b/crates/heathspurd/src/announce.rs
@@ -1,11 +1,11 @@
-//! Carries out the schedule of reports to the announce service ([`heathspur_front::announce`]): dials, sends, answers.
+//! Carries out the schedule of reports to the announce service ([`heathspur_server_core::announce`]): dials, sends, answers.
 
 use crate::link::{self, Inflow, Target};
 use crate::notify::Notify;
 use crate::tape::Stream;
 use async_io::Timer;
 use futures_lite::{future, AsyncWriteExt};
-use heathspur_front::announce::{Action, Event, Failure, Line, Schedule, DIAL};
+use heathspur_server_core::announce::{Action, Event, Failure, Line, Schedule, DIAL};
 use heathspur_wire::http::{self, Fields, Limits, Reader};
 use std::cell::Cell;
 use std::future::Future;
--- a/crates/heathspurd/src/cli.rs
+++ b/crates/heathspurd/src/cli.rs
@@ -3,7 +3,7 @@
 use crate::config::{self, Config};
 use crate::{log, signals, Fault};
 use clap::{Args, Parser, Subcommand};
-use heathspur_operator::Operator;
+use heathspur_config::Operator;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: where the server listens, whom it talks to, its limits and its settings.
 
 use heathspur::Settings;
-use heathspur_front::reload::{self, Foreign, View};
+use heathspur_server_core::reload::{self, Foreign, View};
 use heathspur_settings::{Facts, Names};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
--- a/crates/heathspurd/src/failover.rs
+++ b/crates/heathspurd/src/failover.rs
@@ -1,15 +1,15 @@
 //! The shell of failover: what the owner's calls tell goes to the thread that keeps the view, and its plan comes
-//! back as a versioned snapshot. Nothing here decides: `heathspur-route` does, and neither side waits for the other.
+//! back as a versioned snapshot. Nothing here decides: `heathspur-failover` does, and neither side waits for the other.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
 use heathspur::Outcome;
+use heathspur_config::Failover as Operated;
+use heathspur_failover::health::{ln_ms, tells};
+use heathspur_failover::pick::Picker;
+use heathspur_failover::register::{Decision, Pace, Voice};
+use heathspur_failover::zone::{Failover, Peer, Plan};
 use heathspur_members::{Stand, State, View};
-use heathspur_operator::Failover as Operated;
-use heathspur_route::health::{ln_ms, tells};
-use heathspur_route::pick::Picker;
-use heathspur_route::register::{Decision, Pace, Voice};
-use heathspur_route::zone::{Failover, Peer, Plan};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -64,7 +64,7 @@
 
 /// Both ends; `home` is the place of the own zone's replica.
 pub(crate) fn start(operated: &Operated, home: usize, region: &str) -> (Decider, Ways) {
-    let ms = |span: heathspur_operator::units::Span| span.0.as_millis() as u32;
+    let ms = |span: heathspur_config::units::Span| span.0.as_millis() as u32;
     let pace = Pace {
         dwell: ms(operated.dwell),
         leave: ms(operated.leave),
--- a/crates/heathspurd/src/http2/mod.rs
+++ b/crates/heathspurd/src/http2/mod.rs
@@ -19,7 +19,7 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use h2::server::{Builder, Connection, SendResponse};
 use h2::{Reason, RecvStream};
-use heathspur_operator::Http2;
+use heathspur_config::Http2;
 use heathspur_streams::drain::{Drain, Step};
 use heathspur_streams::ledger::Holder;
 use heathspur_streams::share::{Bounds, Share};
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -46,7 +46,7 @@
 use async_executor::LocalExecutor;
 use async_signal::Signals;
 use config::Config;
-use heathspur_operator::Operator;
+use heathspur_config::Operator;
 use record::Recording;
 use serve::Listeners;
 use std::fmt;
@@ -65,7 +65,7 @@
     /// Its configuration can't be used.
     Config(config::Fault),
     /// The operator's file can't be used.
-    Operator(heathspur_operator::Fault),
+    Operator(heathspur_config::Fault),
     /// Its address could not be bound.
     Bind(std::net::SocketAddr, io::Error),
     /// A thread could not be started.
--- a/crates/heathspurd/src/log.rs
+++ b/crates/heathspurd/src/log.rs
@@ -4,7 +4,7 @@
 //! Events go through `tracing`: a level that is off costs one comparison. Plain lines are the words alone;
 //! lines of JSON carry the fields as well.
 
-use heathspur_operator::{Format, Level, Log};
+use heathspur_config::{Format, Level, Log};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/heathspurd/src/record.rs
+++ b/crates/heathspurd/src/record.rs
@@ -1,7 +1,7 @@
 //! The recording's thread: events in, blocks to files. What goes where is decided in `heathspur-record`.
 
 use crate::tape::{Item, Tap};
-use heathspur_operator::{Contents, Record};
+use heathspur_config::{Contents, Record};
 use heathspur_record::files::{Files, Limits, Notice, Step};
 use heathspur_record::recorder::{Leg, Recorder};
 use heathspur_record::veil::Terms;
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -27,7 +27,7 @@
 use async_io::Async;
 use async_signal::Signals;
 use heathspur::Effect;
-use heathspur_operator::Http2;
+use heathspur_config::Http2;
 use heathspur_streams::ledger::Bounds;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 use std::io;
--- a/crates/heathspurd/tests/example.rs
+++ b/crates/heathspurd/tests/example.rs
@@ -1,6 +1,6 @@
 //! The toy and the example configuration, used as the README tells a newcomer to.
 
-use heathspur_rig::scripted::*;
+use heathspur_testkit::scripted::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -1,10 +1,10 @@
 //! Three zones of three servers in two regions, a replica of the dependency in each zone: replicas killed, slowed,
 //! made to flap, members cut off. Tests wait on logs and counts; figures belong to a measurement.
 
-use heathspur_rig::fleet::Fleet;
-use heathspur_rig::replica::Replica;
-use heathspur_rig::scripted::{request, Client};
-use heathspur_rig::swift::{self, Manner, Runs};
+use heathspur_testkit::fleet::Fleet;
+use heathspur_testkit::replica::Replica;
+use heathspur_testkit::scripted::{request, Client};
+use heathspur_testkit::swift::{self, Manner, Runs};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
--- a/crates/heathspurd/tests/members.rs
+++ b/crates/heathspurd/tests/members.rs
@@ -1,7 +1,7 @@
 //! Several servers keep one view of the fleet through a fault relay of ours: joins, kill -9 and restart,
 //! partition and heal, a pause, delay, loss and garbage. Tests wait on the servers' own log lines.
 
-use heathspur_rig::fleet::Fleet;
+use heathspur_testkit::fleet::Fleet;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -87,7 +87,7 @@
     // It still serves: a request is read and goes to the interpreter.
     let mut vm = rig.link();
     let mut client = rig.client();
-    client.send(&heathspur_rig::scripted::request(1, None, b"abc"));
+    client.send(&heathspur_testkit::scripted::request(1, None, b"abc"));
     assert_eq!(vm.apply().2, b"abc");
 }
 
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -2,8 +2,8 @@
 
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{Item, Leg, Options};
-use heathspur_rig::capture::{read, Read};
-use heathspur_rig::scripted::*;
+use heathspur_testkit::capture::{read, Read};
+use heathspur_testkit::scripted::*;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -4,8 +4,8 @@
 //!
 //! `HEATHSPUR_PROGRAMS` names the folder of the programs under test; without it they are those just built.
 
-use heathspur_rig::scripted::*;
-use heathspur_rig::swift;
+use heathspur_testkit::scripted::*;
+use heathspur_testkit::swift;
 use object::read::elf::{Dyn, ElfFile64, FileHeader, ProgramHeader};
 use object::{elf, Endianness};
 use procfs::net::{TcpState, UnixState};
--- a/crates/heathspurd/tests/unit/hear.rs
+++ b/crates/heathspurd/tests/unit/hear.rs
@@ -19,7 +19,7 @@
 
 fn config() -> Config {
     let nobody = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
-    let text = heathspur_rig::scripted::config(nobody, nobody, nobody).to_string();
+    let text = heathspur_testkit::scripted::config(nobody, nobody, nobody).to_string();
     Config::parse(text.as_bytes()).unwrap()
 }
 
--- a/crates/heathspurd/tests/unit/record.rs
+++ b/crates/heathspurd/tests/unit/record.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `src/record.rs`, which names this file as its module of tests.
 
 use super::*;
-use heathspur_operator::Operator;
+use heathspur_config::Operator;
 
 #[test]
 fn a_full_disk_stops_recording_which_goes_on_in_a_new_file() {
