--- a/crates/heathspur-testkit/src/http2.rs
+++ b/crates/heathspur-testkit/src/http2.rs
@@ -266,7 +266,7 @@
                 }
             }
             PING if flags & ACK == 0 && self.mannered => {
-                drop(self.try_raw(&frame(PING, ACK, 0, &payload)))
+                self.try_raw(&frame(PING, ACK, 0, &payload));
             }
             GOAWAY => self.goaways.push((word(0), word(4))),
             RST_STREAM => {
