--- a/crates/heathspurd/src/cli.rs
+++ b/crates/heathspurd/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line of the daemon.
 
 use crate::config::{self, Config};
-use crate::{log, signals, Fault};
+use crate::{logging, signals, Fault};
 use clap::{Args, Parser, Subcommand};
 use heathspur_config::Operator;
 use std::path::{Path, PathBuf};
@@ -65,7 +65,7 @@
             .map_err(Fault::Signals)
             .and_then(|signals| {
                 let (config, operator) = files.read()?;
-                log::install(&operator.log);
+                logging::install(&operator.log);
                 crate::serve_from(signals, config, operator)
             }),
         Command::Check(files) => files
--- a/crates/heathspurd/src/admit.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -1,9 +1,9 @@
 //! Stage two: a request that was read becomes one that the module knows, linked to what it repeats.
 
 use crate::clock;
-use crate::front::{Answer, Arrival};
-use crate::keys::{Barred, Key, Try};
-use crate::owner::Owner;
+use crate::event_loop::state::Owner;
+use crate::frontend::{Answer, Arrival};
+use crate::idempotency::{Barred, Key, Try};
 use heathspur::{Effect, Event, Request, Span};
 use tracing::warn;
 
--- a/crates/heathspurd/src/send.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -1,8 +1,8 @@
 //! Stage four: what the interpreter and the store are told of a request.
 
-use crate::owner::Owner;
-use crate::store::{Call, CallId};
-use crate::table::{Delivery, Halting, Need, Told, Work};
+use crate::event_loop::request_table::{Delivery, Halting, Need, Told, Work};
+use crate::event_loop::state::Owner;
+use crate::peers::store::{Call, CallId};
 use heathspur::{Effect, RequestId, Span};
 use heathspur_wire::interpreter::Command;
 
--- a/crates/heathspurd/src/book.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -1,8 +1,8 @@
 //! Stage five: the one final answer of each request, and the one place where what a request held is given back.
 
-use crate::front::Answer;
-use crate::owner::Owner;
-use crate::table::Work;
+use crate::event_loop::request_table::Work;
+use crate::event_loop::state::Owner;
+use crate::frontend::Answer;
 use bytes::Bytes;
 use heathspur::{Event, Outcome, RequestId};
 
--- a/crates/heathspurd/src/route.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -1,10 +1,10 @@
 //! Stage three: each action of the module goes to where it is carried out.
 
 use crate::clock;
-use crate::front::Answer;
-use crate::keys::Attached;
-use crate::owner::Owner;
-use crate::table::{Told, Work};
+use crate::event_loop::request_table::{Told, Work};
+use crate::event_loop::state::Owner;
+use crate::frontend::Answer;
+use crate::idempotency::Attached;
 use heathspur::{Action, RequestId, Span};
 use std::cmp::Reverse;
 use tracing::info;
--- a/crates/heathspurd/src/inbox.rs
+++ b/crates/heathspurd/src/event_loop/inbox.rs
@@ -1,7 +1,7 @@
 //! What reaches the owner beside requests.
 
-use crate::interpreter;
-use crate::store;
+use crate::peers::interpreter;
+use crate::peers::store;
 use heathspur::RequestId;
 
 /// What happened.
--- a/crates/heathspurd/src/work.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -1,13 +1,22 @@
 //! The one task that owns the module and all requests. It takes in what has arrived as one batch, lets the
 //! module decide once, and carries the actions out in order. It never waits for a peer.
 
+pub(crate) mod admission;
+pub(crate) mod commands;
+pub(crate) mod completion;
+pub(crate) mod dispatch;
+pub(crate) mod inbox;
+pub(crate) mod peer_events;
+pub(crate) mod request_table;
+pub(crate) mod state;
+
 use crate::clock;
 use crate::config::Config;
-use crate::front::Arrival;
-use crate::inbox::OwnerEvent;
-use crate::intake::Intake;
-use crate::owner::{Due, LinkState, Owner};
-use crate::table::Work;
+use crate::event_loop::inbox::OwnerEvent;
+use crate::event_loop::request_table::Work;
+use crate::event_loop::state::{Due, LinkState, Owner};
+use crate::frontend::request_queue::Intake;
+use crate::frontend::Arrival;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
--- a/crates/heathspurd/src/hear.rs
+++ b/crates/heathspurd/src/event_loop/peer_events.rs
@@ -1,10 +1,10 @@
 //! What the interpreter and the store tell: ends of runs, calls that are needed, gauges, replies.
 
-use crate::front::Answer;
-use crate::interpreter::Event as Heard;
-use crate::owner::{LinkState, Owner};
-use crate::store::Event as Called;
-use crate::table::{Delivery, Halting, Need, Told, Work};
+use crate::event_loop::request_table::{Delivery, Halting, Need, Told, Work};
+use crate::event_loop::state::{LinkState, Owner};
+use crate::frontend::Answer;
+use crate::peers::interpreter::Event as Heard;
+use crate::peers::store::Event as Called;
 use bytes::Bytes;
 use heathspur::{Effect, Event, Gauges, Halt, Outcome, RequestId, Span};
 use heathspur_wire::interpreter::{Command, End, Warmth};
@@ -305,5 +305,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/hear.rs"]
+#[path = "../../tests/unit/peer_events.rs"]
 mod tests;
--- a/crates/heathspurd/src/table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -1,8 +1,8 @@
 //! The table of requests: where each stands, from its admission until nothing of it is left.
 
-use crate::front::{Answer, Arrival, Txn};
-use crate::keys::Key;
-use crate::store::CallId;
+use crate::frontend::{Answer, Arrival, Txn};
+use crate::idempotency::Key;
+use crate::peers::store::CallId;
 use async_channel::Sender;
 use bytes::Bytes;
 use heathspur::{ClassId, RequestId, Time};
--- a/crates/heathspurd/src/owner.rs
+++ b/crates/heathspurd/src/event_loop/state.rs
@@ -1,16 +1,16 @@
 //! What the owning task owns: the module, all requests, and the links' near ends.
 
-use crate::announce;
 use crate::clock::Clock;
-use crate::front::Desk;
-use crate::inbox::OwnerEvent;
-use crate::interpreter;
-use crate::keys::Keys;
-use crate::link::Target;
-use crate::members::Handle;
+use crate::event_loop::inbox::OwnerEvent;
+use crate::event_loop::request_table::Table;
+use crate::frontend::Desk;
+use crate::idempotency::Keys;
+use crate::membership::Handle;
+use crate::peers::connection::Target;
+use crate::peers::interpreter;
+use crate::peers::registration;
+use crate::peers::store;
 use crate::signals::Notices;
-use crate::store;
-use crate::table::Table;
 use async_channel::Sender;
 use heathspur::{Event, RequestId, Server, Settings, Time, Token};
 use std::cmp::Reverse;
@@ -47,7 +47,7 @@
 pub(crate) struct Owner {
     pub settings: Settings,
     pub desk: Rc<Desk>,
-    pub readiness: Rc<announce::Readiness>,
+    pub readiness: Rc<registration::Readiness>,
     pub interpreter: Rc<interpreter::Link>,
     pub targets: Targets,
     pub link: LinkState,
--- a/crates/heathspurd/src/accept.rs
+++ b/crates/heathspurd/src/frontend/accept.rs
@@ -1,8 +1,8 @@
 //! Connections of any front: accepted while there is room for them.
 
-use crate::front::Desk;
-use crate::pool::Permit;
-use crate::tape::Stream;
+use crate::frontend::connection_pool::Permit;
+use crate::frontend::Desk;
+use crate::recording::recorded_stream::Stream;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::io;
--- a/crates/heathspurd/src/pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -157,5 +157,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/pool.rs"]
+#[path = "../../tests/unit/connection_pool.rs"]
 mod tests;
--- a/crates/heathspurd/src/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -1,11 +1,11 @@
 //! The one final answer of each request, back to the connection it came on.
 
 use crate::clock::within;
-use crate::front::Desk;
-use crate::linger;
-use crate::response::Response;
-use crate::room::Room;
-use crate::tape::Stream;
+use crate::frontend::lingering_close;
+use crate::frontend::response::Response;
+use crate::frontend::response_buffer::Room;
+use crate::frontend::Desk;
+use crate::recording::recorded_stream::Stream;
 use futures_lite::{future, AsyncWriteExt};
 use heathspur_wire::http::{self, Last};
 use std::io;
@@ -42,7 +42,7 @@
     http::write_answer(&mut out, status, &[], Last::Yes, b"");
     // The connection ends either way.
     let _ = write_all(stream, &out).await;
-    linger::close(stream).await;
+    lingering_close::close(stream).await;
 }
 
 async fn write_all(mut stream: &Stream, out: &[u8]) -> io::Result<()> {
--- a/crates/heathspurd/src/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -3,12 +3,12 @@
 
 mod answer;
 
-use crate::front::{Answer, Arrival, Front};
-use crate::linger;
-use crate::pool::{Asked as Leave, Permit};
-use crate::request::{Asked, Draft};
-use crate::response::Response;
-use crate::tape::Stream;
+use crate::frontend::connection_pool::{Asked as Leave, Permit};
+use crate::frontend::lingering_close;
+use crate::frontend::request::{Asked, Draft};
+use crate::frontend::response::Response;
+use crate::frontend::{Answer, Arrival, Front};
+use crate::recording::recorded_stream::Stream;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use bytes::{Buf, Bytes, BytesMut};
@@ -117,7 +117,7 @@
         };
         return match ended {
             Ended::Closed => {}
-            Ended::Idle => permit.linger(linger::close(&stream)).await,
+            Ended::Idle => permit.linger(lingering_close::close(&stream)).await,
             Ended::Bad(status) => permit.linger(answer::reject(&stream, status)).await,
         };
     }
--- a/crates/heathspurd/src/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -8,11 +8,11 @@
 mod wire;
 
 use crate::clock::within;
-use crate::front::Front;
-use crate::linger;
-use crate::pool::Permit;
-use crate::room::Room;
-use crate::tape::Stream;
+use crate::frontend::connection_pool::Permit;
+use crate::frontend::lingering_close;
+use crate::frontend::response_buffer::Room;
+use crate::frontend::Front;
+use crate::recording::recorded_stream::Stream;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
@@ -126,7 +126,7 @@
             let words = b"This port speaks HTTP/2 by prior knowledge only.\n";
             write_answer(&mut out, 505, &[], Last::Yes, words);
             let _ = within(FAREWELL, (&stream).write_all(&out)).await;
-            permit.linger(linger::close(&stream)).await;
+            permit.linger(lingering_close::close(&stream)).await;
             return;
         }
         Err(_) | Ok(Err(_)) => return,
@@ -150,7 +150,7 @@
     drive(&mut h2, &conn, &permit).await;
     drop(h2);
     conn.seen.close();
-    permit.linger(linger::close(&stream)).await;
+    permit.linger(lingering_close::close(&stream)).await;
 }
 
 fn builder(shared: &Shared) -> Builder {
--- a/crates/heathspurd/src/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -1,10 +1,10 @@
 //! One stream: events from the library, the owner and the clock go to its [`Life`], and what that says is done.
 
 use super::{Conn, Taken};
-use crate::front::{Answer, Arrival};
-use crate::request::{Asked, Draft};
-use crate::response;
-use crate::room::Held;
+use crate::frontend::request::{Asked, Draft};
+use crate::frontend::response;
+use crate::frontend::response_buffer::Held;
+use crate::frontend::{Answer, Arrival};
 use async_channel::Receiver;
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
--- a/crates/heathspurd/src/http2/wire.rs
+++ b/crates/heathspurd/src/frontend/http2/wire.rs
@@ -2,7 +2,7 @@
 //! bytes that go out watched.
 
 use crate::notify::Notify;
-use crate::tape::Stream;
+use crate::recording::recorded_stream::Stream;
 use bytes::{Buf, Bytes};
 use futures_lite::{AsyncRead as _, AsyncWrite as _};
 use heathspur_streams::meter::Meter;
--- a/crates/heathspurd/src/linger.rs
+++ b/crates/heathspurd/src/frontend/lingering_close.rs
@@ -2,7 +2,7 @@
 //! on its way goes with it: so our side is shut first, and what still comes is read off, never sent on.
 
 use crate::clock::within;
-use crate::tape::Stream;
+use crate::recording::recorded_stream::Stream;
 use futures_lite::AsyncReadExt;
 use std::io;
 use std::net::Shutdown;
--- a/crates/heathspurd/src/front.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -5,9 +5,19 @@
 //! What a request costs in memory and connections is told with it (`held_kb`) and by its front's places among the
 //! connections ([`Pool`]).
 
-use crate::pool::Pool;
-use crate::room::Room;
-use crate::tape::Tap;
+pub(crate) mod accept;
+pub(crate) mod connection_pool;
+pub(crate) mod http1;
+pub(crate) mod http2;
+pub(crate) mod lingering_close;
+pub(crate) mod request;
+pub(crate) mod request_queue;
+pub(crate) mod response;
+pub(crate) mod response_buffer;
+
+use crate::frontend::connection_pool::Pool;
+use crate::frontend::response_buffer::Room;
+use crate::recording::recorded_stream::Tap;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use bytes::Bytes;
--- a/crates/heathspurd/src/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -1,7 +1,7 @@
 //! A request as all fronts hand it in: its fields checked, whatever protocol they came by.
 
 use crate::clock;
-use crate::front::{Answer, Arrival, Desk, Txn};
+use crate::frontend::{Answer, Arrival, Desk, Txn};
 use bytes::Bytes;
 use heathspur::{ClassId, Span, TenantId};
 use heathspur_wire::http;
--- a/crates/heathspurd/src/intake.rs
+++ b/crates/heathspurd/src/frontend/request_queue.rs
@@ -60,5 +60,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/intake.rs"]
+#[path = "../../tests/unit/request_queue.rs"]
 mod tests;
--- a/crates/heathspurd/src/response.rs
+++ b/crates/heathspurd/src/frontend/response.rs
@@ -1,6 +1,6 @@
 //! What an answer says, in any version of HTTP: status, fields and body.
 
-use crate::front::{Answer, Desk};
+use crate::frontend::{Answer, Desk};
 use bytes::Bytes;
 
 /// What an answer says.
--- a/crates/heathspurd/src/room.rs
+++ b/crates/heathspurd/src/frontend/response_buffer.rs
@@ -86,5 +86,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/room.rs"]
+#[path = "../../tests/unit/response_buffer.rs"]
 mod tests;
--- a/crates/heathspurd/src/keys.rs
+++ b/crates/heathspurd/src/idempotency.rs
@@ -307,5 +307,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/keys.rs"]
+#[path = "../tests/unit/idempotency.rs"]
 mod tests;
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -8,46 +8,23 @@
 pub mod cli;
 pub mod config;
 
-mod accept;
-mod admit;
-mod announce;
-mod book;
 mod clock;
-mod count;
-mod failover;
-mod front;
-mod hear;
-mod http1;
-mod http2;
-mod inbox;
-mod intake;
-mod interpreter;
-mod keys;
-mod linger;
-mod link;
-mod log;
-mod members;
+mod event_loop;
+mod frontend;
+mod idempotency;
+mod logging;
+mod membership;
 mod notify;
-mod owner;
-mod pool;
-mod record;
-mod request;
-mod response;
-mod room;
-mod route;
-mod send;
+mod peers;
+mod recording;
 mod serve;
 mod signals;
-mod store;
-mod table;
-mod tape;
-mod work;
 
 use async_executor::LocalExecutor;
 use async_signal::Signals;
 use config::Config;
 use heathspur_config::Operator;
-use record::Recording;
+use recording::Recording;
 use serve::Listeners;
 use std::fmt;
 use std::io;
@@ -143,17 +120,17 @@
                 .as_ref()
                 .and_then(|f| Some((f, f.home(&members.zone)?)));
             let decider = home.map(|(failover, home)| {
-                let (decider, ways) = failover::start(failover, home, &members.region);
+                let (decider, ways) = membership::failover::start(failover, home, &members.region);
                 peers.ways = Some(ways);
                 decider
             });
-            Some(members::Membership::start(members, decider).map_err(Fault::Members)?)
+            Some(membership::Membership::start(members, decider).map_err(Fault::Members)?)
         }
         None => None,
     };
     let tap = recording.as_ref().map(|recording| recording.tap.clone());
     let executor = Rc::new(LocalExecutor::new());
-    peers.members = membership.as_ref().map(members::Membership::handle);
+    peers.members = membership.as_ref().map(membership::Membership::handle);
     let serving = serve::serve(executor.clone(), config, listeners, signals, tap, peers);
     let served = async_io::block_on(executor.run(serving));
     // What streams are left hold the tap.
--- a/crates/heathspurd/src/log.rs
+++ b/crates/heathspurd/src/logging.rs
@@ -167,5 +167,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/log.rs"]
+#[path = "../tests/unit/logging.rs"]
 mod tests;
--- a/crates/heathspurd/src/members.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -3,7 +3,9 @@
 //! Nothing here decides: `heathspur-members` does. The owner and this thread share a few numbers and a bounded
 //! channel, and neither waits for the other.
 
-use crate::failover::Decider;
+pub(crate) mod failover;
+
+use crate::membership::failover::Decider;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
--- a/crates/heathspurd/src/link.rs
+++ b/crates/heathspurd/src/peers/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::within;
 use crate::notify::Notify;
-use crate::tape::{Stream, Tap};
+use crate::recording::recorded_stream::{Stream, Tap};
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use heathspur_record::recorder::Leg;
--- a/crates/heathspurd/src/interpreter.rs
+++ b/crates/heathspurd/src/peers/interpreter.rs
@@ -1,10 +1,10 @@
 //! The link to the interpreter: held open, made again when it breaks, resumed at the last notice read.
 
-use crate::count::{Count, Sight};
-use crate::front::Txn;
-use crate::link::{connect, Inflow, Target};
+use crate::frontend::Txn;
 use crate::notify::Notify;
-use crate::tape::{Stream, Tap};
+use crate::peers::connection::{connect, Inflow, Target};
+use crate::peers::notice_sequence::{Count, Sight};
+use crate::recording::recorded_stream::{Stream, Tap};
 use async_channel::Sender;
 use async_io::Timer;
 use bytes::Bytes;
@@ -254,5 +254,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/interpreter.rs"]
+#[path = "../../tests/unit/interpreter.rs"]
 mod tests;
--- a/crates/heathspurd/src/count.rs
+++ b/crates/heathspurd/src/peers/notice_sequence.rs
@@ -93,5 +93,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/count.rs"]
+#[path = "../../tests/unit/notice_sequence.rs"]
 mod tests;
--- a/crates/heathspurd/src/announce.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -1,8 +1,8 @@
 //! Carries out the schedule of reports to the announce service ([`heathspur_server_core::announce`]): dials, sends, answers.
 
-use crate::link::{self, Inflow, Target};
 use crate::notify::Notify;
-use crate::tape::Stream;
+use crate::peers::connection::{self, Inflow, Target};
+use crate::recording::recorded_stream::Stream;
 use async_io::Timer;
 use futures_lite::{future, AsyncWriteExt};
 use heathspur_server_core::announce::{Action, Event, Failure, Line, Schedule, DIAL};
@@ -102,7 +102,7 @@
                 match stream.poll_readable(cx) {
                     Poll::Pending => return Poll::Pending,
                     // It may tell of bytes that were read already.
-                    Poll::Ready(Ok(())) if link::is_quiet(stream) => {}
+                    Poll::Ready(Ok(())) if connection::is_quiet(stream) => {}
                     Poll::Ready(_) => return Poll::Ready(Ended::Spent),
                 }
             },
@@ -147,7 +147,7 @@
         while let Some(action) = self.schedule.poll(now) {
             match action {
                 Action::Dial(line) => {
-                    let dial = Box::pin(link::connect(self.address, DIAL, None));
+                    let dial = Box::pin(connection::connect(self.address, DIAL, None));
                     self.lines.push((line, Step::Dial(dial)));
                 }
                 Action::Report { line, ready } => {
@@ -168,7 +168,7 @@
     fn send(&mut self, line: Line, ready: bool) -> Event {
         match self.remove(line) {
             // An answer that comes before the report is none to it.
-            Some(Step::Idle(stream)) if link::is_quiet(&stream) => {
+            Some(Step::Idle(stream)) if connection::is_quiet(&stream) => {
                 let answer = Box::pin(exchange(stream, self.report(ready)));
                 self.lines.push((line, Step::Told(answer)));
                 Event::Sent(line)
--- a/crates/heathspurd/src/store.rs
+++ b/crates/heathspurd/src/peers/store.rs
@@ -2,10 +2,10 @@
 //! breaks one connection, costs that call alone. Connections that brought a whole reply and nothing else are
 //! used again for a moment; giving a call up closes its connection.
 
-use crate::failover::{Routes, Way};
-use crate::front::Txn;
-use crate::link::{connect, is_quiet, Inflow};
-use crate::tape::{Stream, Tap};
+use crate::frontend::Txn;
+use crate::membership::failover::{Routes, Way};
+use crate::peers::connection::{connect, is_quiet, Inflow};
+use crate::recording::recorded_stream::{Stream, Tap};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use bytes::Bytes;
@@ -329,5 +329,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/store.rs"]
+#[path = "../../tests/unit/store.rs"]
 mod tests;
--- a/crates/heathspurd/src/record.rs
+++ b/crates/heathspurd/src/recording/mod.rs
@@ -1,6 +1,8 @@
 //! The recording's thread: events in, blocks to files. What goes where is decided in `heathspur-record`.
 
-use crate::tape::{Item, Tap};
+pub(crate) mod recorded_stream;
+
+use crate::recording::recorded_stream::{Item, Tap};
 use heathspur_config::{Contents, Record};
 use heathspur_record::files::{Files, Limits, Notice, Step};
 use heathspur_record::recorder::{Leg, Recorder};
@@ -206,5 +208,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/record.rs"]
+#[path = "../../tests/unit/recording.rs"]
 mod tests;
--- a/crates/heathspurd/src/tape.rs
+++ b/crates/heathspurd/src/recording/recorded_stream.rs
@@ -225,5 +225,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/tape.rs"]
+#[path = "../../tests/unit/recorded_stream.rs"]
 mod tests;
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -1,27 +1,27 @@
 //! Starts all tasks of a server and serves until it has left.
 
-use crate::accept::accept;
-use crate::announce;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::failover::Ways;
-use crate::front::{Desk, Front};
-use crate::http1;
-use crate::http2;
-use crate::inbox::OwnerEvent;
-use crate::intake::Intake;
-use crate::interpreter;
-use crate::keys::Keys;
-use crate::link::Target;
-use crate::members::Handle;
-use crate::owner::{LinkState, Owner, Targets};
-use crate::pool::Pool;
-use crate::room::Room;
+use crate::event_loop::inbox::OwnerEvent;
+use crate::event_loop::request_table::Table;
+use crate::event_loop::state::{LinkState, Owner, Targets};
+use crate::event_loop::{EVENTS, PRUNE};
+use crate::frontend::accept::accept;
+use crate::frontend::connection_pool::Pool;
+use crate::frontend::http1;
+use crate::frontend::http2;
+use crate::frontend::request_queue::Intake;
+use crate::frontend::response_buffer::Room;
+use crate::frontend::{Desk, Front};
+use crate::idempotency::Keys;
+use crate::membership::failover::Ways;
+use crate::membership::Handle;
+use crate::peers::connection::Target;
+use crate::peers::interpreter;
+use crate::peers::registration;
+use crate::peers::store;
+use crate::recording::recorded_stream::Tap;
 use crate::signals;
-use crate::store;
-use crate::table::Table;
-use crate::tape::Tap;
-use crate::work::{EVENTS, PRUNE};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -124,7 +124,7 @@
         vm: Rc::new(Target::new(config.vm)),
         announce: Rc::new(Target::new(config.announce)),
     };
-    let readiness = announce::Readiness::new();
+    let readiness = registration::Readiness::new();
     let mut queues = Vec::new();
     let mut front = || {
         let ((requests, queue), (gone, going)) = (
@@ -162,7 +162,7 @@
         ))
         .detach();
     executor
-        .spawn(announce::keep(
+        .spawn(registration::keep(
             targets.announce.clone(),
             config.name.clone(),
             readiness.clone(),
--- a/crates/heathspurd/tests/unit/hear.rs
+++ b/crates/heathspurd/tests/unit/peer_events.rs
@@ -2,16 +2,16 @@
 //! nobody waits for, so a stop of what is owed an answer is carried out here.
 
 use super::*;
-use crate::announce::Readiness;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::front::{Arrival, Desk, Txn};
-use crate::keys::Keys;
-use crate::link::Target;
-use crate::owner::Targets;
-use crate::pool::Pool;
+use crate::event_loop::request_table::Table;
+use crate::event_loop::state::Targets;
+use crate::frontend::connection_pool::Pool;
+use crate::frontend::{Arrival, Desk, Txn};
+use crate::idempotency::Keys;
+use crate::peers::connection::Target;
+use crate::peers::registration::Readiness;
 use crate::signals::Notices;
-use crate::table::Table;
 use async_channel::{Receiver, Sender};
 use heathspur::{ClassId, Time};
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
@@ -42,13 +42,13 @@
             None,
         )),
         readiness: Readiness::new(),
-        interpreter: crate::interpreter::Link::new(),
+        interpreter: crate::peers::interpreter::Link::new(),
         targets: Targets {
             vm: Rc::new(Target::new(config.vm)),
             announce: Rc::new(Target::new(config.announce)),
         },
         link: LinkState::Up,
-        store: crate::store::Link::new(Rc::default(), None, 1, to_owner, None, None),
+        store: crate::peers::store::Link::new(Rc::default(), None, 1, to_owner, None, None),
         table: Table::default(),
         keys: Keys::new(1, 1, Span(1)),
         timers: BinaryHeap::new(),
