--- a/crates/heathspur-failover/src/health.rs
+++ b/crates/heathspur-failover/src/health.rs
@@ -25,10 +25,10 @@
 /// caller broke it off.
 pub fn tells(outcome: Outcome) -> Option<bool> {
     match outcome {
-        Outcome::Ok | Outcome::Moot => Some(true),
+        Outcome::Ok | Outcome::NoLongerNeeded => Some(true),
         Outcome::Cancelled => None,
         Outcome::Error
-        | Outcome::Full
+        | Outcome::Rejected
         | Outcome::Timeout
         | Outcome::ConnectFailed
         | Outcome::Reset => Some(false),
--- a/crates/heathspur-failover/tests/parts.rs
+++ b/crates/heathspur-failover/tests/parts.rs
@@ -171,7 +171,7 @@
     assert_eq!(
         (
             tells(Outcome::Ok),
-            tells(Outcome::Full),
+            tells(Outcome::Rejected),
             tells(Outcome::Reset)
         ),
         (Some(true), Some(false), Some(false))
--- a/crates/heathspur-server-core/src/reload.rs
+++ b/crates/heathspur-server-core/src/reload.rs
@@ -74,11 +74,11 @@
     {
         let field = |name| format!("settings.services[{i}].{name}");
         check_same(&field("name"), &other.classes[i], &own.classes[i])?;
-        check_same(&field("effect"), &class.effect, &same.effect)?;
+        check_same(&field("effect"), &class.idempotency, &same.idempotency)?;
         check_same(
             &field("dedup-window-s"),
-            &class.window.secs(),
-            &same.window.secs(),
+            &class.dedup_window.secs(),
+            &same.dedup_window.secs(),
         )?;
     }
     check_same("settings.realms", &other.tenants.len(), &own.tenants.len())?;
@@ -94,7 +94,7 @@
     let at_start = |settings: &Settings| Settings {
         servers: 0,
         callers: 0,
-        cold: false,
+        cold_start: false,
         ..settings.clone()
     };
     let fields = [
--- a/crates/heathspur-server-core/tests/unit/reload.rs
+++ b/crates/heathspur-server-core/tests/unit/reload.rs
@@ -2,7 +2,7 @@
 //! hold it to the files' fields.
 
 use super::*;
-use heathspur::{Class, Effect, Span};
+use heathspur::{Class, Idempotency, Span};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -40,17 +40,17 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn class_of(effect: Effect, window: u64, worth: u8) -> Class {
+fn class_of(effect: Idempotency, window: u64, worth: u8) -> Class {
     Class {
-        aim: Span(1),
-        aim_stretch: 0.0,
-        give_up: Span(2),
-        worth: f64::from(worth),
-        late_worth: 0.0,
-        effect,
-        window: Span(window),
-        calls: false,
-        skip_worth: 0.0,
+        latency_objective: Span(1),
+        latency_objective_per_work: 0.0,
+        client_timeout: Span(2),
+        priority_weight: f64::from(worth),
+        late_weight: 0.0,
+        idempotency: effect,
+        dedup_window: Span(window),
+        may_call: false,
+        degraded_weight: 0.0,
     }
 }
 
@@ -63,7 +63,7 @@
     let class = || {
         (
             rarely("a", "b"),
-            rarely(Effect::Keyed, Effect::Unsafe),
+            rarely(Idempotency::Keyed, Idempotency::NonIdempotent),
             rarely(1_000, 2_000),
             rarely(1, 2),
         )
@@ -98,7 +98,7 @@
                     .collect(),
                 servers,
                 callers,
-                cold,
+                cold_start: cold,
                 ..Settings::default()
             },
             classes: classes.iter().map(|(name, ..)| name.to_string()).collect(),
@@ -122,11 +122,11 @@
         fields.push((format!("settings.services[{i}].name"), name.clone()));
         fields.push((
             format!("settings.services[{i}].effect"),
-            format!("{:?}", class.effect),
+            format!("{:?}", class.idempotency),
         ));
         fields.push((
             format!("settings.services[{i}].dedup-window-s"),
-            class.window.0.to_string(),
+            class.dedup_window.0.to_string(),
         ));
     }
     fields.push(("settings.realms".to_string(), few.tenants.len().to_string()));
--- a/crates/heathspur-settings/src/lib.rs
+++ b/crates/heathspur-settings/src/lib.rs
@@ -206,19 +206,19 @@
 pub fn read(facts: Facts) -> (Settings, Names) {
     let info = &facts.family_info;
     let classes = facts.services.iter().enumerate().map(|(i, c)| Class {
-        aim: Span::from_secs(c.slo_s),
-        aim_stretch: c.aim_stretch,
-        give_up: Span::from_secs(c.give_up_s),
-        worth: c.gain,
-        late_worth: c.late_worth,
-        effect: match c.effect {
-            WireEffect::ReadLike => Effect::Safe,
-            WireEffect::IdempotencyKey => Effect::Keyed,
-            WireEffect::NonIdempotent => Effect::Unsafe,
+        latency_objective: Span::from_secs(c.slo_s),
+        latency_objective_per_work: c.aim_stretch,
+        client_timeout: Span::from_secs(c.give_up_s),
+        priority_weight: c.gain,
+        late_weight: c.late_worth,
+        idempotency: match c.effect {
+            WireEffect::ReadLike => Idempotency::Idempotent,
+            WireEffect::IdempotencyKey => Idempotency::Keyed,
+            WireEffect::NonIdempotent => Idempotency::NonIdempotent,
         },
-        window: Span::from_secs(c.dedup_window_s),
-        calls: info.calls_by_class.get(i).copied().unwrap_or(false),
-        skip_worth: info.class_skip_worth.get(i).copied().unwrap_or(0.0),
+        dedup_window: Span::from_secs(c.dedup_window_s),
+        may_call: info.calls_by_class.get(i).copied().unwrap_or(false),
+        degraded_weight: info.class_skip_worth.get(i).copied().unwrap_or(0.0),
     });
     let goal = &facts.goal;
     let weights = goal.whole + goal.worst_class + goal.worst_tenant + goal.worst_window;
@@ -231,49 +231,49 @@
                 quota_per_s: t.quota_per_s,
             })
             .collect(),
-        over_share_worth: facts.over_share_worth,
-        worth_by: if facts.worth_by == "work" {
-            WorthBy::Work
+        over_quota_weight: facts.over_share_worth,
+        weight_unit: if facts.worth_by == "work" {
+            WeightUnit::Work
         } else {
-            WorthBy::Request
+            WeightUnit::Request
         },
         servers: facts.servers,
         callers: info.upstreams,
         cores: info.n_cores,
         memory_kb: info.mem_limit_kb,
-        run_factor: info.run_factor,
-        key_kb: info.key_kb,
-        halt: match info.halt {
-            WireHalt::None => Halt::None,
-            WireHalt::Drop => Halt::Drop,
-            WireHalt::Pause => Halt::Pause,
+        run_memory_factor: info.run_factor,
+        dedup_entry_kb: info.key_kb,
+        preemption: match info.halt {
+            WireHalt::None => Preemption::None,
+            WireHalt::Drop => Preemption::Restart,
+            WireHalt::Pause => Preemption::Pause,
         },
-        cold: info.cold,
-        start_capacity: facts.guarantees.start_capacity,
+        cold_start: info.cold,
+        cold_start_capacity: facts.guarantees.start_capacity,
         warm_up: Span::from_secs(facts.guarantees.warm_up_s),
-        fall_multiple: facts.guarantees.fall_multiple,
-        fall_over: Span::from_secs(facts.guarantees.fall_s),
+        overload_concurrency: facts.guarantees.fall_multiple,
+        overload_window: Span::from_secs(facts.guarantees.fall_s),
         answer_slack: Span::from_secs(facts.guarantees.grace_to_answer_s),
         drain_grace: Span::from_secs(facts.guarantees.drain_grace_s),
         dependency: match info.depends_on {
             WireDepends::None => Dependency::None,
             WireDepends::Tier => Dependency::Tier,
             WireDepends::Shared => Dependency::Shared {
-                part: info.calls_out,
-                over: Span::from_secs(info.calls_over_s),
-                linger: Span::from_secs(info.linger_s),
+                capacity_share: info.calls_out,
+                averaging_window: Span::from_secs(info.calls_over_s),
+                abandoned_call_lifetime: Span::from_secs(info.linger_s),
             },
         },
-        free_value: match info.say {
-            WireSay::None => FreeValue::None,
-            WireSay::Level => FreeValue::Level,
-            WireSay::Credit => FreeValue::Credit,
-            WireSay::Weight => FreeValue::Weight,
+        load_signal: match info.say {
+            WireSay::None => LoadSignal::None,
+            WireSay::Level => LoadSignal::Level,
+            WireSay::Credit => LoadSignal::Credit,
+            WireSay::Weight => LoadSignal::Weight,
         },
-        deep_checks: info.deep_checks,
-        idle: Span::from_secs(info.idle_s),
-        fresh: Span::from_secs(info.fresh_s),
-        advice: facts
+        costly_health_checks: info.deep_checks,
+        client_idle_timeout: Span::from_secs(info.idle_s),
+        cache_ttl: Span::from_secs(info.fresh_s),
+        max_retry_after: facts
             .caps
             .retry_after
             .then(|| Span::from_secs(facts.caps.max_retry_after_s)),
--- a/crates/heathspur-settings/tests/read.rs
+++ b/crates/heathspur-settings/tests/read.rs
@@ -34,48 +34,55 @@
 #[test]
 fn each_part_reaches_its_place() {
     let (s, names) = parsed(facts());
-    let effects: Vec<_> = s.classes.iter().map(|c| c.effect).collect();
-    assert_eq!(effects, [Effect::Safe, Effect::Keyed, Effect::Unsafe]);
+    let effects: Vec<_> = s.classes.iter().map(|c| c.idempotency).collect();
     assert_eq!(
-        (s.classes[0].aim, s.classes[0].give_up),
+        effects,
+        [
+            Idempotency::Idempotent,
+            Idempotency::Keyed,
+            Idempotency::NonIdempotent
+        ]
+    );
+    assert_eq!(
+        (s.classes[0].latency_objective, s.classes[0].client_timeout),
         (Span(2_300_000), Span(5_900_000))
     );
     assert_eq!(
         (
-            s.classes[0].aim_stretch,
-            s.classes[0].calls,
-            s.classes[0].skip_worth
+            s.classes[0].latency_objective_per_work,
+            s.classes[0].may_call,
+            s.classes[0].degraded_weight
         ),
         (1.5, true, 0.6)
     );
     assert_eq!(
         (
-            s.classes[1].window,
-            s.classes[1].late_worth,
-            s.classes[1].calls
+            s.classes[1].dedup_window,
+            s.classes[1].late_weight,
+            s.classes[1].may_call
         ),
         (Span(21_951_000), 0.2, false)
     );
     assert_eq!(
-        (s.tenants[0].quota_per_s, s.over_share_worth, s.worth_by),
-        (26.0, 0.05, WorthBy::Work)
+        (s.tenants[0].quota_per_s, s.over_quota_weight, s.weight_unit),
+        (26.0, 0.05, WeightUnit::Work)
     );
     assert_eq!(
-        (s.cores, s.memory_kb, s.run_factor, s.key_kb),
+        (s.cores, s.memory_kb, s.run_memory_factor, s.dedup_entry_kb),
         (6, 49584.0, 8.0, 120.66)
     );
     assert_eq!(
-        (s.halt, s.cold, s.free_value),
-        (Halt::Pause, true, FreeValue::Weight)
+        (s.preemption, s.cold_start, s.load_signal),
+        (Preemption::Pause, true, LoadSignal::Weight)
     );
     let shared = Dependency::Shared {
-        part: 0.4,
-        over: Span(5_000_000),
-        linger: Span(200_000),
+        capacity_share: 0.4,
+        averaging_window: Span(5_000_000),
+        abandoned_call_lifetime: Span(200_000),
     };
     assert_eq!((s.dependency, s.servers, s.callers), (shared, 10, 3));
     assert_eq!(
-        (s.advice, s.idle, s.tick),
+        (s.max_retry_after, s.client_idle_timeout, s.tick),
         (Some(Span(1_000_000)), Span(30_000_000), Span(2_000))
     );
     assert_eq!(
@@ -117,11 +124,11 @@
     let (s, names) = parsed(bare);
     assert!(s.tenants.is_empty() && !names.cancel_seen);
     assert_eq!(
-        (s.halt, s.dependency, s.free_value),
-        (Halt::None, Dependency::None, FreeValue::None)
+        (s.preemption, s.dependency, s.load_signal),
+        (Preemption::None, Dependency::None, LoadSignal::None)
     );
     assert_eq!(
-        (s.advice, s.worst_class_weight, s.worth_by),
-        (None, 0.0, WorthBy::Request)
+        (s.max_retry_after, s.worst_class_weight, s.weight_unit),
+        (None, 0.0, WeightUnit::Request)
     );
 }
--- a/crates/heathspur-simulator-adapter/src/lib.rs
+++ b/crates/heathspur-simulator-adapter/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub mod wire;
 
-use heathspur::{Action, Event, RequestId, Server, Span, Time, Token};
+use heathspur::{Action, AdmissionController, Event, RequestId, Span, Time, Token};
 use heathspur_settings::Names;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -51,7 +51,7 @@
 }
 
 struct Instance {
-    server: Server,
+    server: AdmissionController,
     names: Names,
     events: Vec<Event>,
     touched: bool,
@@ -97,7 +97,7 @@
             }
             (In::Enlist(start), Some(_)) => {
                 let (settings, names) = heathspur_settings::read(start.facts);
-                let server = Server::new(settings, start.init_seed);
+                let server = AdmissionController::new(settings, start.init_seed);
                 let fresh = Instance {
                     server,
                     names,
@@ -139,7 +139,7 @@
             );
             (
                 m.server_id,
-                Some(Event::Done {
+                Some(Event::RunCompleted {
                     id,
                     outcome,
                     latency,
@@ -154,15 +154,18 @@
             );
             (
                 m.server_id,
-                Some(Event::Called {
+                Some(Event::CallCompleted {
                     id,
                     outcome,
                     latency,
                 }),
             )
         }
-        In::WantsCall(m) => (m.server_id, Some(Event::NeedsCall(RequestId(m.ticket)))),
-        In::Abandoned(m) => (m.server_id, Some(Event::Gone(RequestId(m.ticket)))),
+        In::WantsCall(m) => (m.server_id, Some(Event::CallNeeded(RequestId(m.ticket)))),
+        In::Abandoned(m) => (
+            m.server_id,
+            Some(Event::ClientCancelled(RequestId(m.ticket))),
+        ),
         In::Drain(m) => (
             m.server_id,
             Some(Event::Drain(Span::from_secs(m.patience_left_s))),
--- a/crates/heathspur-simulator-adapter/src/wire.rs
+++ b/crates/heathspur-simulator-adapter/src/wire.rs
@@ -134,13 +134,13 @@
         id: RequestId(d.ticket),
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        has_key: d.route_key.is_some(),
-        patience: (d.patience_left_s > 0.0).then(|| Span::from_secs(d.patience_left_s)),
-        cost: (d.cost_s > 0.0).then_some(d.cost_s),
-        held_kb: d.size_kb,
-        retry: d.is_retry,
-        waited: Span::from_secs(d.waited_s),
-        repeats: (d.dup_of != 0).then_some(RequestId(d.dup_of)),
+        has_subject: d.route_key.is_some(),
+        remaining_deadline: (d.patience_left_s > 0.0).then(|| Span::from_secs(d.patience_left_s)),
+        cost_hint: (d.cost_s > 0.0).then_some(d.cost_s),
+        queued_memory_kb: d.size_kb,
+        is_retry: d.is_retry,
+        queueing_delay: Span::from_secs(d.waited_s),
+        previous_attempt: (d.dup_of != 0).then_some(RequestId(d.dup_of)),
     })
 }
 
@@ -149,12 +149,12 @@
     Ok(match rc {
         0 => Outcome::Ok,
         5 => Outcome::Error,
-        11 => Outcome::Full,
+        11 => Outcome::Rejected,
         110 => Outcome::Timeout,
         111 => Outcome::ConnectFailed,
         104 => Outcome::Reset,
         125 => Outcome::Cancelled,
-        114 => Outcome::Moot,
+        114 => Outcome::NoLongerNeeded,
         other => return Err(format!("no outcome {other}")),
     })
 }
@@ -248,10 +248,10 @@
     match action {
         Action::Run(id) => Out::Execute(one(id)),
         Action::Stop(id) => Out::Yank(one(id)),
-        Action::Refuse {
+        Action::Reject {
             id,
-            stay_away,
-            last,
+            retry_after: stay_away,
+            no_retry: last,
         } => Out::Busy(Busy {
             server_id,
             ticket: id.0,
@@ -259,33 +259,36 @@
             last: *last,
         }),
         Action::Fail(id) => Out::FinishError(one(id)),
-        Action::Call { id, limit } => Out::Call(Call {
+        Action::Call { id, timeout: limit } => Out::Call(Call {
             server_id,
             ticket: id.0,
             limit_s: limit.secs(),
         }),
-        Action::Skip(id) => Out::Skip(one(id)),
-        Action::Keep { id, ttl } => Out::Pin(Pin {
+        Action::SkipCall(id) => Out::Skip(one(id)),
+        Action::RetainResult { id, ttl } => Out::Pin(Pin {
             server_id,
             ticket: id.0,
             ttl_s: ttl.secs(),
         }),
-        Action::Forget(id) => Out::Forget(one(id)),
-        Action::Reuse(id) => Out::Attach(one(id)),
-        Action::Health { good, stored } => Out::Health(Health {
+        Action::EvictResult(id) => Out::Forget(one(id)),
+        Action::ReplayResult(id) => Out::Attach(one(id)),
+        Action::Health {
+            healthy: good,
+            cached: stored,
+        } => Out::Health(Health {
             server_id,
             enable: *good,
             cached: *stored,
         }),
-        Action::Say(level) => Out::Stamp(Stamp {
+        Action::SetLoadSignal(level) => Out::Stamp(Stamp {
             server_id,
             level: *level,
         }),
-        Action::CloseIdle(span) => Out::Idle(Idle {
+        Action::CloseIdleConnections(span) => Out::Idle(Idle {
             server_id,
             ttl_s: span.secs(),
         }),
-        Action::Timer { after, token } => Out::Sleep(Sleep {
+        Action::SetTimer { after, token } => Out::Sleep(Sleep {
             server_id,
             wait_s: after.secs(),
             token: token.0.to_string(),
--- a/crates/heathspur/src/decide.rs
+++ b/crates/heathspur/src/decide.rs
@@ -221,7 +221,7 @@
 
 /// The decisions of one server, from its start to its end.
 #[derive(Default)]
-pub struct Server {
+pub struct AdmissionController {
     set: Settings,
     now: Time,
     born: Option<Time>,
@@ -280,9 +280,9 @@
     out: Vec<Action>,
 }
 
-impl Server {
+impl AdmissionController {
     /// A server that has just started, with nothing but its settings.
-    pub fn new(set: Settings, seed: u64) -> Server {
+    pub fn new(set: Settings, seed: u64) -> AdmissionController {
         let (n, cores, servers) = (
             set.classes.len(),
             set.cores.max(1) as f64,
@@ -290,7 +290,7 @@
         );
         // The lines by worth: that of the class, less beyond a tenant's share.
         let worth = |line: &usize| {
-            set.classes[line / 2].worth * [1.0, set.over_share_worth.max(0.01)][line % 2]
+            set.classes[line / 2].priority_weight * [1.0, set.over_quota_weight.max(0.01)][line % 2]
         };
         let mut order: Vec<usize> = (0..2 * n).collect();
         order.sort_by(|a, b| worth(b).total_cmp(&worth(a)));
@@ -302,7 +302,7 @@
                 rate,
             }
         };
-        Server {
+        AdmissionController {
             random: seed,
             holds: vec![VecDeque::new(); 2 * n],
             order,
@@ -320,12 +320,15 @@
                 count: 1.0 / FAST,
             },
             call_cap: match set.dependency {
-                Dependency::Shared { part, .. } => PART_LEAST * part,
+                Dependency::Shared {
+                    capacity_share: part,
+                    ..
+                } => PART_LEAST * part,
                 _ => 1.0,
             },
-            idle: set.idle.secs(),
+            idle: set.client_idle_timeout.secs(),
             set,
-            ..Server::default()
+            ..AdmissionController::default()
         }
     }
 
@@ -339,26 +342,26 @@
             (self.paced_at, self.progress, self.period_at) = (now, now, now);
             self.draw_first_call();
             self.out.push(Action::Health {
-                good: true,
-                stored: self.set.deep_checks,
+                healthy: true,
+                cached: self.set.costly_health_checks,
             });
             swept = true;
         }
         for event in events {
             match event {
                 Event::Request(r) => self.take(r),
-                Event::Done {
+                Event::RunCompleted {
                     id,
                     outcome,
                     latency,
                 } => self.done(*id, *outcome, *latency),
-                Event::NeedsCall(id) => self.needs_call(*id),
-                Event::Called {
+                Event::CallNeeded(id) => self.needs_call(*id),
+                Event::CallCompleted {
                     id,
                     outcome,
                     latency,
                 } => self.called(*id, *outcome, *latency),
-                Event::Gone(id) => self.gone(*id),
+                Event::ClientCancelled(id) => self.gone(*id),
                 Event::Drain(left) => self.leave(*left),
                 Event::Timer { gauges, .. } => {
                     (self.open, swept) = (gauges.connections.unwrap_or(0.0), true);
@@ -375,7 +378,7 @@
             if self.now - self.period_at >= Span::from_secs(PERIOD) {
                 self.control();
             }
-            self.out.push(Action::Timer {
+            self.out.push(Action::SetTimer {
                 after: Span::from_secs(SWEEP),
                 token: Token(0),
             });
@@ -386,12 +389,12 @@
     }
 
     /// Run slots that the class is granted before idle ones are lent.
-    pub fn budget(&self, class: ClassId) -> f64 {
+    pub fn run_slot_budget(&self, class: ClassId) -> f64 {
         self.controls.get(class.0).map_or(0.0, |c| c.budget)
     }
 
     /// Requests that may be on the cores at once.
-    pub fn cap(&self) -> f64 {
+    pub fn concurrency_limit(&self) -> f64 {
         self.cap
     }
 
@@ -403,44 +406,51 @@
             return;
         }
         let class = &self.set.classes[k];
-        let (effect, window) = (class.effect, class.window);
-        let arrived = self.now - r.waited;
+        let (effect, window) = (class.idempotency, class.dedup_window);
+        let arrived = self.now - r.queueing_delay;
         let due = r
-            .patience
-            .map_or(arrived + class.give_up, |left| self.now + left);
-        let cost = r.cost.unwrap_or(1.0).max(1e-6);
+            .remaining_deadline
+            .map_or(arrived + class.client_timeout, |left| self.now + left);
+        let cost = r.cost_hint.unwrap_or(1.0).max(1e-6);
         self.controls[k].cost.add(cost, SLOW);
         let size = (cost / self.controls[k].cost.value).clamp(1.0 / SIZE_MOST, SIZE_MOST);
-        let run = self.controls[k].run.or(RUN_GUESS * class.aim.secs());
-        let aim_span =
-            Span::from_secs(class.aim.secs() + class.aim_stretch * run * size).min(class.give_up);
+        let run = self.controls[k]
+            .run
+            .or(RUN_GUESS * class.latency_objective.secs());
+        let aim_span = Span::from_secs(
+            class.latency_objective.secs() + class.latency_objective_per_work * run * size,
+        )
+        .min(class.client_timeout);
         // A told patience tells the age of the first try only where more of it is left than an answer may be
         // late: a try may be given up long before the client is. No first try is younger than this one.
-        let late_span = Span(class.give_up.0 - aim_span.0);
-        let aged = r.patience.filter(|&left| left > late_span);
+        let late_span = Span(class.client_timeout.0 - aim_span.0);
+        let aged = r.remaining_deadline.filter(|&left| left > late_span);
         let aim = (arrived + aim_span).min(aged.map_or(due, |_| due - late_span));
-        let beyond = r.tenant.is_some_and(|t| !self.within_share(t.0, r.retry));
+        let beyond = r
+            .tenant
+            .is_some_and(|t| !self.within_share(t.0, r.is_retry));
         // Where a caller tells no patience, a marked retry mostly comes after its aim has passed elsewhere.
-        let over = beyond || r.retry && r.patience.is_none();
+        let over = beyond || r.is_retry && r.remaining_deadline.is_none();
         let mut req = Req {
             class: k,
             line: 2 * k + usize::from(over),
             arrived,
             due: self.drain.map_or(due, |(_, stop)| due.min(stop)),
             aim,
-            kb: r.held_kb,
+            kb: r.queued_memory_kb,
             size,
-            told: r.patience.is_some(),
+            told: r.remaining_deadline.is_some(),
             owed: true,
-            repeats: r.repeats,
+            repeats: r.previous_attempt,
             ..Req::default()
         };
         self.reads += 1.0;
-        self.unread.add(r.waited.secs() / self.tightest(), FAST);
-        self.memory += r.held_kb;
-        self.kb.add(r.held_kb, SLOW);
+        self.unread
+            .add(r.queueing_delay.secs() / self.tightest(), FAST);
+        self.memory += r.queued_memory_kb;
+        self.kb.add(r.queued_memory_kb, SLOW);
         let line = req.line;
-        let admitted = effect != Effect::Keyed || self.link(r.id, &mut req, window);
+        let admitted = effect != Idempotency::Keyed || self.link(r.id, &mut req, window);
         self.reqs.insert(r.id, req);
         let too_late = self
             .drain
@@ -477,10 +487,10 @@
             .map_or(id, |prior| self.links.get(&prior).copied().unwrap_or(prior));
         // A repeat of what we know nothing of: some try of it has run.
         let ran = req.repeats.is_some() && !self.groups.contains_key(&root);
-        let leave = KEY_LEAVES * self.set.cores as f64 * self.kb.value * self.set.run_factor;
+        let leave = KEY_LEAVES * self.set.cores as f64 * self.kb.value * self.set.run_memory_factor;
         let (most, entries) = (HOLD_MEMORY * self.set.memory_kb, (self.entries + 1) as f64);
-        let fits =
-            entries * self.set.key_kb <= most - leave && self.memory + self.set.key_kb <= most;
+        let fits = entries * self.set.dedup_entry_kb <= most - leave
+            && self.memory + self.set.dedup_entry_kb <= most;
         let forget_at = now + Span(2 * window.0);
         let group = self.groups.entry(root).or_insert(Group {
             ran,
@@ -499,11 +509,11 @@
                 return false;
             }
             self.entries += 1;
-            self.memory += self.set.key_kb;
+            self.memory += self.set.dedup_entry_kb;
         }
         group.entry = Some((id, now + window));
         group.held.push(id);
-        self.out.push(Action::Keep { id, ttl: window });
+        self.out.push(Action::RetainResult { id, ttl: window });
         true
     }
 
@@ -521,7 +531,7 @@
         };
         req.phase = Phase::Attached;
         if req.repeats.is_some() && self.memory <= HOLD_MEMORY * self.set.memory_kb {
-            self.out.push(Action::Reuse(id));
+            self.out.push(Action::ReplayResult(id));
         } else {
             self.give_up(id);
         }
@@ -548,7 +558,7 @@
             let (mut chosen, mut lent) = (None, None);
             for i in 0..self.order.len() {
                 let line = self.order[i];
-                if calls_full && self.set.classes[line / 2].calls || !self.trim(line) {
+                if calls_full && self.set.classes[line / 2].may_call || !self.trim(line) {
                     continue;
                 }
                 lent = lent.or(Some(line));
@@ -560,7 +570,7 @@
             }
             let Some(line) = chosen.or(lent) else { return };
             let id = self.holds[line][0];
-            let extra = self.reqs[&id].kb * (self.set.run_factor - 1.0).max(0.0);
+            let extra = self.reqs[&id].kb * (self.set.run_memory_factor - 1.0).max(0.0);
             if self.memory + extra > RUN_MEMORY * self.set.memory_kb {
                 return;
             }
@@ -646,21 +656,21 @@
         waiting.sort();
         let tries = self.call_tries();
         for (_, reached, id) in waiting {
-            let can_skip = self.set.classes[self.reqs[&id].class].skip_worth > 0.0;
+            let can_skip = self.set.classes[self.reqs[&id].class].degraded_weight > 0.0;
             let most = self.call_room(can_skip);
             let room = most > 0.0;
             let r = &self.reqs[&id];
             let class = &self.set.classes[r.class];
-            let useful = if class.late_worth > 0.0 {
+            let useful = if class.late_weight > 0.0 {
                 r.due
             } else {
                 r.aim.min(r.due)
             };
             let left = (useful - self.margin()) - self.now;
-            let waited = (self.now - reached).secs() > SKIP_WAIT * class.aim.secs();
+            let waited = (self.now - reached).secs() > SKIP_WAIT * class.latency_objective.secs();
             let hopeless = (r.aim - self.now).secs() < self.call_time.value;
             if can_skip && (hopeless || r.tries >= tries.min(2) || (!room && waited)) {
-                self.out.push(Action::Skip(id));
+                self.out.push(Action::SkipCall(id));
                 self.resume(id);
             } else if r.tries >= tries || left.0 == 0 {
                 self.give_up(id);
@@ -675,11 +685,11 @@
                     // A place in the dependency is worth more to a call that must be made.
                     usual = if can_skip { self.call_quiet } else { usual };
                 }
-                if class.effect == Effect::Safe {
+                if class.idempotency == Idempotency::Idempotent {
                     limit = limit.min(Span::from_secs(CALL_HANG * usual.or(left.secs())));
                 }
                 let limit = limit.min(Span::from_secs(most)).max(Span::from_secs(SWEEP));
-                self.out.push(Action::Call { id, limit });
+                self.out.push(Action::Call { id, timeout: limit });
                 self.calling += 1;
                 self.promised += limit.secs() + self.shared().map_or(0.0, |s| s.2);
                 if let Some(r) = self.reqs.get_mut(&id) {
@@ -720,7 +730,12 @@
     /// Our part of a shared dependency, the seconds of its mean, and of an abandoned call there. The mean
     /// is longer than told where the part is so small that it would never hold one usual call.
     fn shared(&self) -> Option<(f64, f64, f64)> {
-        let Dependency::Shared { part, over, linger } = self.set.dependency else {
+        let Dependency::Shared {
+            capacity_share: part,
+            averaging_window: over,
+            abandoned_call_lifetime: linger,
+        } = self.set.dependency
+        else {
             return None;
         };
         let (part, linger) = (part.max(1e-6), linger.secs());
@@ -736,7 +751,7 @@
         let Some((part, over, linger)) = self.shared() else {
             return;
         };
-        let first = FIRST_LINGERS * linger * [1.0, 2.0][usize::from(self.set.cold)];
+        let first = FIRST_LINGERS * linger * [1.0, 2.0][usize::from(self.set.cold_start)];
         self.pace = -self.chance() * (first / (PART_USED * part)).min(over) * self.call_cap;
     }
 
@@ -745,7 +760,12 @@
     /// at a moment that is each server's own. Else all that are idle would begin one when requests reach
     /// them at once. Hurts where requests are rare: the first waits for the slot, though nobody else calls.
     fn rare_call(&self) -> Option<f64> {
-        let Dependency::Shared { over, linger, .. } = self.set.dependency else {
+        let Dependency::Shared {
+            averaging_window: over,
+            abandoned_call_lifetime: linger,
+            ..
+        } = self.set.dependency
+        else {
             return None;
         };
         let call = self.call_time.or(linger.secs());
@@ -778,10 +798,10 @@
         let Phase::Calling(since, limit) = req.phase else {
             return;
         };
-        let effect = self.set.classes[req.class].effect;
+        let effect = self.set.classes[req.class].idempotency;
         let (owed, tries) = (req.owed, req.tries);
         self.call_ended(outcome, since, limit);
-        if matches!(outcome, Outcome::Ok | Outcome::Full) {
+        if matches!(outcome, Outcome::Ok | Outcome::Rejected) {
             self.taken
                 .add(f64::from(u8::from(outcome == Outcome::Ok)), FAST);
         }
@@ -794,7 +814,7 @@
         }
         let never_ran = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NoLongerNeeded
         );
         let wait = CALL_BACKOFF * f64::from(1u32 << tries.min(8)) * (0.5 + self.chance());
         // What is not tried again is given up in this batch.
@@ -802,7 +822,7 @@
         if let Some(req) = self.reqs.get_mut(&id) {
             req.phase = Phase::AtCall(self.now + Span::from_secs(again));
         }
-        if owed && !never_ran && effect != Effect::Safe {
+        if owed && !never_ran && effect != Idempotency::Idempotent {
             self.give_up(id);
         }
     }
@@ -820,7 +840,7 @@
             Outcome::Timeout | Outcome::Cancelled => linger,
             // One turned away is paid for as a usual one: else all save up while the dependency is full, are
             // back at it in step, and begin more than their parts. Hurts where it is full for single calls.
-            Outcome::Full => (self.call_time.or(linger) - took).max(0.0),
+            Outcome::Rejected => (self.call_time.or(linger) - took).max(0.0),
             _ => 0.0,
         };
         self.spent
@@ -833,7 +853,8 @@
         );
         if self.call_time.value > CALL_STRETCH * self.call_quiet.value {
             self.call_cap = (self.call_cap * CALL_CUT).max(step);
-        } else if binds && outcome != Outcome::Full && self.calling as f64 + 2.0 > self.call_cap {
+        } else if binds && outcome != Outcome::Rejected && self.calling as f64 + 2.0 > self.call_cap
+        {
             self.call_cap = (self.call_cap + step * step / self.call_cap).min(PART_USED * part);
         }
     }
@@ -902,7 +923,9 @@
             return;
         };
         let (phase, owed) = (req.phase, std::mem::replace(&mut req.owed, false));
-        let stops = phase == Phase::Running && self.set.halt != Halt::None && req.root.is_none();
+        let stops = phase == Phase::Running
+            && self.set.preemption != Preemption::None
+            && req.root.is_none();
         let took = (self.now - req.began).secs();
         let control = &mut self.controls[req.class];
         if stops {
@@ -929,7 +952,7 @@
         let Some(req) = self.reqs.get(&id).filter(|r| r.owed) else {
             return;
         };
-        let safe = self.set.classes[req.class].effect == Effect::Safe;
+        let safe = self.set.classes[req.class].idempotency == Idempotency::Idempotent;
         let waits_below = matches!(req.phase, Phase::AtCall(_) | Phase::Calling(..));
         if safe && !waits_below || !req.ran && !group_ran && req.phase != Phase::Attached {
             let away = self.stalled || self.drain.is_some();
@@ -939,16 +962,16 @@
             let part = if away { 1.0 } else { parts[req.line % 2] };
             let stay_away = self
                 .set
-                .advice
+                .max_retry_after
                 .map(|most| Span::from_secs(most.secs() * part));
             // Elsewhere is worth a try with enough time left, certain only where patience is told.
             let left = (req.aim - self.now).secs();
             let last = !away && (!req.told || left < ELSEWHERE * self.run_time(req));
             self.turned.add(1.0, FAST);
-            self.out.push(Action::Refuse {
+            self.out.push(Action::Reject {
                 id,
-                stay_away,
-                last,
+                retry_after: stay_away,
+                no_retry: last,
             });
         } else {
             self.out.push(Action::Fail(id));
@@ -967,9 +990,9 @@
         group.held.retain(|&other| other != id);
         if !group.ran && group.held.is_empty() {
             if let Some((entry, _)) = group.entry.take() {
-                self.out.push(Action::Forget(entry));
+                self.out.push(Action::EvictResult(entry));
                 self.entries -= 1;
-                self.memory -= self.set.key_kb;
+                self.memory -= self.set.dedup_entry_kb;
             }
         }
     }
@@ -982,7 +1005,7 @@
             * if held {
                 1.0
             } else {
-                self.set.run_factor.max(1.0)
+                self.set.run_memory_factor.max(1.0)
             };
         if req.phase == Phase::Running {
             self.on_core -= 1;
@@ -1005,7 +1028,7 @@
 
     /// Seconds that a request would take from start to end.
     fn run_time(&self, req: &Req) -> f64 {
-        let aim = self.set.classes[req.class].aim.secs();
+        let aim = self.set.classes[req.class].latency_objective.secs();
         let control = &self.controls[req.class];
         control.run.or(RUN_GUESS * aim).min(RUN_MOST * aim) * control.telling(req.size)
     }
@@ -1018,9 +1041,9 @@
             let class = &self.set.classes[r.class];
             let due = self.now + margin >= r.due;
             let (held, runs) = (r.phase == Phase::Held, r.phase == Phase::Running);
-            let safe = runs && class.effect == Effect::Safe;
+            let safe = runs && class.idempotency == Idempotency::Idempotent;
             // Late work that earns nothing makes room; writes are seen through while somebody waits.
-            let late = safe && class.late_worth == 0.0 && self.now > r.aim;
+            let late = safe && class.late_weight == 0.0 && self.now > r.aim;
             if due || late || self.stalled && (held || safe) {
                 ended.push(id);
             }
@@ -1048,7 +1071,7 @@
                 };
                 let run = self.run_time(r);
                 let left = (r.aim.min(r.due) - self.now).secs();
-                let aim = self.set.classes[r.class].aim.secs();
+                let aim = self.set.classes[r.class].latency_objective.secs();
                 let queued = (self.now - r.arrived).secs() > QUEUE_PART * aim;
                 // With other work for the slot, a run must be likely to end in time.
                 let fit = if wanted { self.fit } else { 1.0 };
@@ -1081,8 +1104,8 @@
             self.stalled = stalled;
             let good = !stalled && self.drain.is_none();
             self.out.push(Action::Health {
-                good,
-                stored: self.set.deep_checks || !good,
+                healthy: good,
+                cached: self.set.costly_health_checks || !good,
             });
             let what = if stalled {
                 "work has stalled"
@@ -1105,8 +1128,8 @@
             r.due = r.due.min(stop);
         }
         self.out.push(Action::Health {
-            good: false,
-            stored: true,
+            healthy: false,
+            cached: true,
         });
         let text = format!(
             "leaving: {} requests to answer in {:.1} s",
@@ -1148,7 +1171,7 @@
     fn budgets(&mut self, passed: f64) {
         let saturated = self.controls.iter().map(|c| c.budget).sum::<f64>() > self.cap;
         for k in 0..self.controls.len() {
-            let aim = self.set.classes[k].aim.secs();
+            let aim = self.set.classes[k].latency_objective.secs();
             let head = if self.trim(2 * k) {
                 self.reqs.get(&self.holds[2 * k][0])
             } else {
@@ -1208,12 +1231,12 @@
             LEVEL_DOWN * over
         };
         self.level = (self.level + step).clamp(0.0, top);
-        match self.set.free_value {
-            FreeValue::None => {}
-            FreeValue::Level => self.say(if leaving { 1.0 } else { self.level }),
-            FreeValue::Weight => self.say(if leaving { 0.0 } else { 1.0 - self.level }),
+        match self.set.load_signal {
+            LoadSignal::None => {}
+            LoadSignal::Level => self.say(if leaving { 1.0 } else { self.level }),
+            LoadSignal::Weight => self.say(if leaving { 0.0 } else { 1.0 - self.level }),
             // For each caller as much as would fill us, since one may carry nearly all traffic.
-            FreeValue::Credit => self.say(if leaving {
+            LoadSignal::Credit => self.say(if leaving {
                 0.0
             } else {
                 2.0 * self.cap * (1.0 - self.level)
@@ -1226,14 +1249,14 @@
         self.set
             .classes
             .iter()
-            .map(|c| c.aim.secs())
+            .map(|c| c.latency_objective.secs())
             .fold(f64::MAX, f64::min)
     }
 
     fn say(&mut self, value: f64) {
         if self.said != value {
             self.said = value;
-            self.out.push(Action::Say(value));
+            self.out.push(Action::SetLoadSignal(value));
         }
     }
 
@@ -1253,7 +1276,7 @@
         let pressed = self.unread.value > QUEUE_PART;
         let busy = self.busy.is_none_or(|b| b >= IDLE_BUSY);
         self.shut = if pressed {
-            self.now + self.set.idle
+            self.now + self.set.client_idle_timeout
         } else {
             self.shut
         };
@@ -1265,10 +1288,11 @@
             few if few < IDLE_FEW && read >= IDLE_FEW * IDLE_SAMPLE => 2.0,
             _ => 1.0,
         };
-        let stay = (self.idle * factor).min(self.set.idle.secs());
+        let stay = (self.idle * factor).min(self.set.client_idle_timeout.secs());
         if stay != self.idle {
             self.idle = stay;
-            self.out.push(Action::CloseIdle(Span::from_secs(stay)));
+            self.out
+                .push(Action::CloseIdleConnections(Span::from_secs(stay)));
         }
     }
 
@@ -1277,13 +1301,13 @@
     /// Running requests on the cores that this server survives: fewer while it may still be cold.
     fn crowd(&self) -> f64 {
         let age = self.born.map_or(0.0, |b| (self.now - b).secs());
-        let start = if self.set.cold {
-            self.set.start_capacity
+        let start = if self.set.cold_start {
+            self.set.cold_start_capacity
         } else {
             1.0
         };
         let warm = (start + (1.0 - start) * age / self.set.warm_up.secs().max(SWEEP)).min(1.0);
-        self.set.cores as f64 * (1.0 + (self.set.fall_multiple - 1.0) * warm)
+        self.set.cores as f64 * (1.0 + (self.set.overload_concurrency - 1.0) * warm)
     }
 
     /// Keeps held memory under its bound: the newest of the line worth least goes first.
@@ -1311,7 +1335,7 @@
             if group.entry.is_some_and(|(_, until)| until < now) {
                 group.entry = None;
                 self.entries -= 1;
-                self.memory -= self.set.key_kb;
+                self.memory -= self.set.dedup_entry_kb;
             }
         }
         let reqs = &self.reqs;
--- a/crates/heathspur/src/interface.rs
+++ b/crates/heathspur/src/interface.rs
@@ -64,23 +64,23 @@
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Harmless to repeat.
-    Safe,
+    Idempotent,
     /// Carries an idempotency key: runs once in its window.
     Keyed,
     /// Must never run twice and carries nothing that tells a repeat.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// How running work can be stopped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Halt {
+pub enum Preemption {
     /// It cannot.
     #[default]
     None,
     /// It goes back to the hold and starts over.
-    Drop,
+    Restart,
     /// It keeps its progress and its memory.
     Pause,
 }
@@ -94,11 +94,11 @@
     /// One dependency that all servers share and that can fall over.
     Shared {
         /// This server's part of the calls that it survives, as a mean number in its hands.
-        part: f64,
+        capacity_share: f64,
         /// The period of that mean.
-        over: Span,
+        averaging_window: Span,
         /// How long an abandoned call may stay in its hands.
-        linger: Span,
+        abandoned_call_lifetime: Span,
     },
     /// A further tier of servers.
     Tier,
@@ -106,7 +106,7 @@
 
 /// What callers make of the free value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum FreeValue {
+pub enum LoadSignal {
     /// Nothing; it must not be set.
     #[default]
     None,
@@ -120,7 +120,7 @@
 
 /// What the worth of a request is counted by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum WorthBy {
+pub enum WeightUnit {
     /// Each request counts once.
     #[default]
     Request,
@@ -132,23 +132,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this period of the first try earns the full worth.
-    pub aim: Span,
+    pub latency_objective: Span,
     /// The aim is longer by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub latency_objective_per_work: f64,
     /// How long a client waits in all.
-    pub give_up: Span,
+    pub client_timeout: Span,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Part of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What a second run would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes: how long after its arrival a request may come again.
-    pub window: Span,
+    pub dedup_window: Span,
     /// Requests may call the dependency.
-    pub calls: bool,
+    pub may_call: bool,
     /// Part of the worth kept when a call is left out; 0 where that is not allowed.
-    pub skip_worth: f64,
+    pub degraded_weight: f64,
 }
 
 /// A tenant and what it may send.
@@ -166,9 +166,9 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a part of its class's.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// What worth is counted by.
-    pub worth_by: WorthBy,
+    pub weight_unit: WeightUnit,
     /// Servers of this tier in the list when this one started.
     pub servers: u64,
     /// Parties that call this tier.
@@ -178,21 +178,21 @@
     /// Memory in kilobytes.
     pub memory_kb: f64,
     /// Memory of a running request, as a multiple of its held memory.
-    pub run_factor: f64,
+    pub run_memory_factor: f64,
     /// Kilobytes of one entry in the table of keys.
-    pub key_kb: f64,
+    pub dedup_entry_kb: f64,
     /// How running work can be stopped.
-    pub halt: Halt,
+    pub preemption: Preemption,
     /// Started only now, and slow yet.
-    pub cold: bool,
+    pub cold_start: bool,
     /// A cold server starts at no less than this part of its speed.
-    pub start_capacity: f64,
+    pub cold_start_capacity: f64,
     /// A cold server is warm after this at the latest.
     pub warm_up: Span,
     /// Running requests a core that a warm server survives.
-    pub fall_multiple: f64,
+    pub overload_concurrency: f64,
     /// The period of that mean.
-    pub fall_over: Span,
+    pub overload_window: Span,
     /// How long past its due time an answer still counts.
     pub answer_slack: Span,
     /// What arrives later than this after the notice to leave must not run.
@@ -200,15 +200,15 @@
     /// What requests call while they run.
     pub dependency: Dependency,
     /// What callers make of the free value.
-    pub free_value: FreeValue,
+    pub load_signal: LoadSignal,
     /// Health checks cost real work unless they are answered from store.
-    pub deep_checks: bool,
+    pub costly_health_checks: bool,
     /// How long callers leave a connection idle before they close it.
-    pub idle: Span,
+    pub client_idle_timeout: Span,
     /// How long the answer to a read may serve other requests.
-    pub fresh: Span,
+    pub cache_ttl: Span,
     /// The longest advice to stay away that callers honour; `None` where advice is not passed on.
-    pub advice: Option<Span>,
+    pub max_retry_after: Option<Span>,
     /// The weight of the worst-served class in the goal, as a part of all weights.
     pub worst_class_weight: f64,
     /// The finest step of the clock between batches.
@@ -225,19 +225,19 @@
     /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
     /// It has a subject, by which reads of one thing are known.
-    pub has_key: bool,
+    pub has_subject: bool,
     /// How long its caller still waits, where that is told.
-    pub patience: Option<Span>,
+    pub remaining_deadline: Option<Span>,
     /// Its likely work on a standard core, in seconds, where that is told.
-    pub cost: Option<f64>,
+    pub cost_hint: Option<f64>,
     /// Kilobytes that it takes while held.
-    pub held_kb: f64,
+    pub queued_memory_kb: f64,
     /// A further try, where those are marked.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Since when it has been at the machine, as a span before now.
-    pub waited: Span,
+    pub queueing_delay: Span,
     /// The request that this one repeats.
-    pub repeats: Option<RequestId>,
+    pub previous_attempt: Option<RequestId>,
 }
 
 /// How a run or a call ended.
@@ -248,7 +248,7 @@
     /// It failed, and may have taken effect.
     Error,
     /// Rejected unexamined: it never ran.
-    Full,
+    Rejected,
     /// Abandoned; it may have taken effect.
     Timeout,
     /// Nothing could be contacted: it never ran.
@@ -258,7 +258,7 @@
     /// The run was stopped, or ended at a call that nobody needed any longer.
     Cancelled,
     /// Nothing was begun: the request had ended already.
-    Moot,
+    NoLongerNeeded,
 }
 
 /// What a server measures of itself; absent where it has no such gauge.
@@ -280,7 +280,7 @@
     /// A request has been read and is held.
     Request(Request),
     /// A run, or the wait for another request's result, has ended.
-    Done {
+    RunCompleted {
         /// The request.
         id: RequestId,
         /// How it ended.
@@ -289,9 +289,9 @@
         latency: Span,
     },
     /// A running request cannot go on without a call.
-    NeedsCall(RequestId),
+    CallNeeded(RequestId),
     /// A call has come back.
-    Called {
+    CallCompleted {
         /// The request.
         id: RequestId,
         /// How the call ended.
@@ -300,7 +300,7 @@
         latency: Span,
     },
     /// Nobody waits for this request any longer.
-    Gone(RequestId),
+    ClientCancelled(RequestId),
     /// This server is to leave service; its process stops after the span.
     Drain(Span),
     /// A timer is due.
@@ -321,13 +321,13 @@
     Stop(RequestId),
     /// Answer that the request was turned away: it never ran, or it is safe, so that running it again
     /// elsewhere does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Ask the caller to stay away so long.
-        stay_away: Option<Span>,
+        retry_after: Option<Span>,
         /// Ask the caller not to try elsewhere.
-        last: bool,
+        no_retry: bool,
     },
     /// Answer with an error.
     Fail(RequestId),
@@ -336,34 +336,34 @@
         /// The request.
         id: RequestId,
         /// Give the call up after this.
-        limit: Span,
+        timeout: Span,
     },
     /// Go on without the call.
-    Skip(RequestId),
+    SkipCall(RequestId),
     /// Enter a request into the table of keys.
-    Keep {
+    RetainResult {
         /// The request.
         id: RequestId,
         /// For how long.
         ttl: Span,
     },
     /// Take a request out of the table of keys.
-    Forget(RequestId),
+    EvictResult(RequestId),
     /// Answer a held request with the result of the one it repeats.
-    Reuse(RequestId),
+    ReplayResult(RequestId),
     /// What health checks are told from now on.
     Health {
         /// Fit for traffic.
-        good: bool,
+        healthy: bool,
         /// Answer from this setting alone, at little cost.
-        stored: bool,
+        cached: bool,
     },
     /// Set the free value.
-    Say(f64),
+    SetLoadSignal(f64),
     /// Close connections that have been idle so long.
-    CloseIdle(Span),
+    CloseIdleConnections(Span),
     /// Set a timer.
-    Timer {
+    SetTimer {
         /// Due after this.
         after: Span,
         /// Which.
--- a/crates/heathspur/src/lib.rs
+++ b/crates/heathspur/src/lib.rs
@@ -7,5 +7,5 @@
 mod decide;
 pub mod interface;
 
-pub use decide::Server;
+pub use decide::AdmissionController;
 pub use interface::*;
--- a/crates/heathspur/tests/common/mod.rs
+++ b/crates/heathspur/tests/common/mod.rs
@@ -9,21 +9,21 @@
     Span(n * 1000)
 }
 
-pub fn class(worth: f64, effect: Effect, calls: bool) -> Class {
+pub fn class(worth: f64, effect: Idempotency, calls: bool) -> Class {
     Class {
-        aim: ms(2000),
-        aim_stretch: 0.0,
-        give_up: ms(6000),
-        worth,
-        late_worth: 0.0,
-        effect,
-        window: if effect == Effect::Keyed {
+        latency_objective: ms(2000),
+        latency_objective_per_work: 0.0,
+        client_timeout: ms(6000),
+        priority_weight: worth,
+        late_weight: 0.0,
+        idempotency: effect,
+        dedup_window: if effect == Idempotency::Keyed {
             ms(20_000)
         } else {
             ms(0)
         },
-        calls,
-        skip_worth: 0.0,
+        may_call: calls,
+        degraded_weight: 0.0,
     }
 }
 
@@ -31,26 +31,26 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(1.0, Effect::Safe, true),
-            class(4.0, Effect::Keyed, true),
-            class(2.0, Effect::Unsafe, false),
+            class(1.0, Idempotency::Idempotent, true),
+            class(4.0, Idempotency::Keyed, true),
+            class(2.0, Idempotency::NonIdempotent, false),
         ],
         servers: 4,
         callers: 2,
         cores: 4,
         memory_kb: 5000.0,
-        run_factor: 8.0,
-        key_kb: 20.0,
-        halt: Halt::Drop,
-        start_capacity: 0.2,
+        run_memory_factor: 8.0,
+        dedup_entry_kb: 20.0,
+        preemption: Preemption::Restart,
+        cold_start_capacity: 0.2,
         warm_up: ms(10_000),
-        fall_multiple: 5.0,
-        fall_over: ms(2000),
-        idle: ms(30_000),
+        overload_concurrency: 5.0,
+        overload_window: ms(2000),
+        client_idle_timeout: ms(30_000),
         answer_slack: ms(60),
         drain_grace: ms(1000),
         dependency: Dependency::Tier,
-        advice: Some(ms(1000)),
+        max_retry_after: Some(ms(1000)),
         worst_class_weight: 0.2,
         tick: ms(2),
         ..Settings::default()
@@ -62,13 +62,13 @@
         id: RequestId(id),
         class: ClassId(class),
         tenant: None,
-        has_key: false,
-        patience: None,
-        cost: None,
-        held_kb: 10.0,
-        retry: false,
-        waited: ms(0),
-        repeats: None,
+        has_subject: false,
+        remaining_deadline: None,
+        cost_hint: None,
+        queued_memory_kb: 10.0,
+        is_retry: false,
+        queueing_delay: ms(0),
+        previous_attempt: None,
     }
 }
 
@@ -98,7 +98,7 @@
 /// A server, what it was told and what it said.
 pub struct Bench {
     pub set: Settings,
-    pub server: Server,
+    pub server: AdmissionController,
     pub now: Time,
     pub known: BTreeMap<RequestId, Known>,
     pub all: Vec<Action>,
@@ -118,7 +118,7 @@
 impl Bench {
     pub fn new(set: Settings) -> Bench {
         let mut bench = Bench {
-            server: Server::new(set.clone(), 7),
+            server: AdmissionController::new(set.clone(), 7),
             set,
             now: Time(1_000_000_000),
             known: BTreeMap::new(),
@@ -155,13 +155,15 @@
 
     /// A repeat names the entry that a table would name for what it asks; `identity` stands for the key.
     pub fn arrive(&mut self, mut r: Request, identity: u64) {
-        let arrived = self.now - r.waited;
-        if self.set.classes[r.class.0].effect == Effect::Keyed && r.repeats.is_none() {
+        let arrived = self.now - r.queueing_delay;
+        if self.set.classes[r.class.0].idempotency == Idempotency::Keyed
+            && r.previous_attempt.is_none()
+        {
             let entry = self
                 .entries
                 .get(&identity)
                 .filter(|(_, until)| *until >= arrived);
-            r.repeats = entry.map(|(id, _)| *id);
+            r.previous_attempt = entry.map(|(id, _)| *id);
         }
         self.track(&r, identity);
         self.batch(&[Event::Request(r)]);
@@ -169,10 +171,10 @@
 
     pub fn track(&mut self, r: &Request, identity: u64) {
         let class = &self.set.classes[r.class.0];
-        let arrived = self.now - r.waited;
+        let arrived = self.now - r.queueing_delay;
         let due = r
-            .patience
-            .map_or(arrived + class.give_up, |p| self.now + p)
+            .remaining_deadline
+            .map_or(arrived + class.client_timeout, |p| self.now + p)
             .max(self.now);
         let known = Known {
             class: r.class.0,
@@ -181,7 +183,7 @@
             answered: false,
             arrived,
             due,
-            kb: r.held_kb,
+            kb: r.queued_memory_kb,
             since: self.now,
             identity,
             may_call: true,
@@ -198,7 +200,7 @@
             *self.answers.entry(id).or_default() += 1;
         }
         let latency = self.now - k.since;
-        self.batch(&[Event::Done {
+        self.batch(&[Event::RunCompleted {
             id,
             outcome,
             latency,
@@ -209,13 +211,13 @@
         let k = self.known.get_mut(&RequestId(id)).expect("known");
         k.state = State::AtCall;
         k.may_call = true;
-        self.batch(&[Event::NeedsCall(RequestId(id))]);
+        self.batch(&[Event::CallNeeded(RequestId(id))]);
     }
 
     pub fn called(&mut self, id: u64, outcome: Outcome) {
         let safe = {
             let k = self.known.get(&RequestId(id)).expect("known");
-            self.set.classes[k.class].effect == Effect::Safe
+            self.set.classes[k.class].idempotency == Idempotency::Idempotent
         };
         let k = self.known.get_mut(&RequestId(id)).expect("known");
         let latency = self.now - k.since;
@@ -226,10 +228,10 @@
         };
         let never_ran = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NoLongerNeeded
         );
         k.may_call = safe || never_ran;
-        self.batch(&[Event::Called {
+        self.batch(&[Event::CallCompleted {
             id: RequestId(id),
             outcome,
             latency,
@@ -244,7 +246,7 @@
                 self.known.remove(&id);
             }
         }
-        self.batch(&[Event::Gone(id)]);
+        self.batch(&[Event::ClientCancelled(id)]);
     }
 
     pub fn leave(&mut self, left: Span) {
@@ -263,7 +265,7 @@
         self.check();
         let ended = std::mem::take(&mut self.stopped);
         if !ended.is_empty() {
-            let cancelled = |id| Event::Done {
+            let cancelled = |id| Event::RunCompleted {
                 id,
                 outcome: Outcome::Cancelled,
                 latency: ms(1),
@@ -300,10 +302,13 @@
                     .get_mut(id)
                     .unwrap_or_else(|| panic!("ran {id:?}, which is not known"));
                 assert_eq!(k.state, State::Held, "{id:?} run while it is not held");
-                let effect = self.set.classes[k.class].effect;
-                assert!(effect == Effect::Safe || !k.ran, "{id:?} run again");
-                if effect == Effect::Keyed {
-                    let window = self.set.classes[k.class].window;
+                let effect = self.set.classes[k.class].idempotency;
+                assert!(
+                    effect == Idempotency::Idempotent || !k.ran,
+                    "{id:?} run again"
+                );
+                if effect == Idempotency::Keyed {
+                    let window = self.set.classes[k.class].dedup_window;
                     if let Some(&before) = self.keyed_runs.get(&k.identity) {
                         assert!(
                             k.arrived > before + window,
@@ -321,7 +326,11 @@
                 (k.state, k.ran, k.since) = (State::Running, true, now);
             }
             Action::Stop(id) => {
-                assert_ne!(self.set.halt, Halt::None, "stopped where nothing can be");
+                assert_ne!(
+                    self.set.preemption,
+                    Preemption::None,
+                    "stopped where nothing can be"
+                );
                 if let Some(k) = self.known.get_mut(id).filter(|k| k.state == State::Running) {
                     if k.answered {
                         self.known.remove(id);
@@ -331,12 +340,12 @@
                     }
                 }
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let k = &self.known[id];
-                let safe = self.set.classes[k.class].effect == Effect::Safe;
+                let safe = self.set.classes[k.class].idempotency == Idempotency::Idempotent;
                 assert!(safe || !k.ran, "{id:?} refused after it ran");
-                if self.set.classes[k.class].effect == Effect::Keyed {
-                    let window = self.set.classes[k.class].window;
+                if self.set.classes[k.class].idempotency == Idempotency::Keyed {
+                    let window = self.set.classes[k.class].dedup_window;
                     let ran = self
                         .keyed_runs
                         .get(&k.identity)
@@ -353,23 +362,25 @@
                 assert!(k.may_call, "{id:?}: a call repeated that may have run");
                 (k.state, k.since) = (State::Calling, now);
             }
-            Action::Skip(id) => {
+            Action::SkipCall(id) => {
                 let k = self.known.get_mut(id).expect("skips for what is known");
                 assert!(
-                    self.set.classes[k.class].skip_worth > 0.0,
+                    self.set.classes[k.class].degraded_weight > 0.0,
                     "{id:?} skipped a call it needs"
                 );
                 k.state = State::Running;
             }
-            Action::Keep { id, ttl } => {
+            Action::RetainResult { id, ttl } => {
                 let k = &self.known[id];
                 self.entries.insert(k.identity, (*id, self.now + *ttl));
             }
-            Action::Forget(id) => self.entries.retain(|_, (entry, _)| entry != id),
-            Action::Reuse(id) => self.known.get_mut(id).expect("known").state = State::Attached,
-            Action::Timer { after, token } => self.timers.push((self.now + *after, *token)),
-            Action::Say(_) => assert_ne!(self.set.free_value, FreeValue::None),
-            Action::Health { .. } | Action::CloseIdle(_) | Action::Log(_) => {}
+            Action::EvictResult(id) => self.entries.retain(|_, (entry, _)| entry != id),
+            Action::ReplayResult(id) => {
+                self.known.get_mut(id).expect("known").state = State::Attached
+            }
+            Action::SetTimer { after, token } => self.timers.push((self.now + *after, *token)),
+            Action::SetLoadSignal(_) => assert_ne!(self.set.load_signal, LoadSignal::None),
+            Action::Health { .. } | Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
     }
 
@@ -379,7 +390,12 @@
         let mut memory = 0.0;
         for (id, k) in &self.known {
             let running = matches!(k.state, State::Running | State::AtCall | State::Calling);
-            memory += k.kb * if running { self.set.run_factor } else { 1.0 };
+            memory += k.kb
+                * if running {
+                    self.set.run_memory_factor
+                } else {
+                    1.0
+                };
             assert!(
                 k.answered || now <= k.due + self.set.answer_slack,
                 "{id:?} lost: {k:?}"
@@ -396,7 +412,7 @@
             .values()
             .filter(|(_, until)| *until >= now)
             .count() as f64
-            * self.set.key_kb;
+            * self.set.dedup_entry_kb;
         assert!(
             memory <= self.set.memory_kb,
             "memory {memory} over {}",
@@ -407,7 +423,7 @@
             .values()
             .filter(|k| k.state == State::Running)
             .count() as f64;
-        let limit = self.set.cores as f64 * self.set.fall_multiple;
+        let limit = self.set.cores as f64 * self.set.overload_concurrency;
         assert!(crowd <= limit, "{crowd} on the cores, {limit} survivable");
     }
 
@@ -436,7 +452,7 @@
 
     pub fn refused(&self) -> Vec<u64> {
         let refused = |a: &Action| {
-            if let Action::Refuse { id, .. } = a {
+            if let Action::Reject { id, .. } = a {
                 Some(id.0)
             } else {
                 None
--- a/crates/heathspur/tests/fleet.rs
+++ b/crates/heathspur/tests/fleet.rs
@@ -57,14 +57,14 @@
 
     fn settings(&self) -> Settings {
         let mut set = settings();
-        set.classes[0].skip_worth = 0.6;
+        set.classes[0].degraded_weight = 0.6;
         set.servers = self.instances as u64;
         set.memory_kb = 1e6;
-        set.cold = true;
+        set.cold_start = true;
         set.dependency = Dependency::Shared {
-            part: self.part,
-            over: Span::from_secs(OVER),
-            linger: Span::from_secs(LINGER),
+            capacity_share: self.part,
+            averaging_window: Span::from_secs(OVER),
+            abandoned_call_lifetime: Span::from_secs(LINGER),
         };
         set
     }
@@ -108,7 +108,7 @@
 }
 
 struct Instance {
-    server: Server,
+    server: AdmissionController,
     known: BTreeMap<RequestId, Known>,
 }
 
@@ -205,7 +205,7 @@
         self.instances.clear();
         for i in 0..self.plan.instances {
             let seed = (self.chance.next() * (1u64 << 53) as f64) as u64;
-            let server = Server::new(self.set.clone(), seed);
+            let server = AdmissionController::new(self.set.clone(), seed);
             self.instances.push(Instance {
                 server,
                 known: BTreeMap::new(),
@@ -228,7 +228,7 @@
         self.ids += 1;
         let id = RequestId(self.ids);
         let class = (self.ids % 2) as usize;
-        let due = self.now + self.set.classes[class].give_up;
+        let due = self.now + self.set.classes[class].client_timeout;
         let (state, since) = (State::Held, self.now);
         let known = Known {
             class,
@@ -274,13 +274,13 @@
                 }
                 if !k.answered && !k.called {
                     (k.state, k.called) = (State::AtCall, true);
-                    Event::NeedsCall(id)
+                    Event::CallNeeded(id)
                 } else {
                     let latency = now - k.since;
                     let served = !k.answered;
                     self.served += usize::from(served);
                     self.instances[i].known.remove(&id);
-                    Event::Done {
+                    Event::RunCompleted {
                         id,
                         outcome: Outcome::Ok,
                         latency,
@@ -299,7 +299,7 @@
                     self.instances[i].known.remove(&id);
                     return self.batch(
                         i,
-                        &[Event::Done {
+                        &[Event::RunCompleted {
                             id,
                             outcome: Outcome::Cancelled,
                             latency,
@@ -314,7 +314,7 @@
                 if outcome == Outcome::Ok {
                     self.after(0.005, i, Due::Worked(id));
                 }
-                Event::Called {
+                Event::CallCompleted {
                     id,
                     outcome,
                     latency,
@@ -329,7 +329,7 @@
                 if matches!(state, State::Held | State::Attached) {
                     self.instances[i].known.remove(&id);
                 }
-                self.batch(i, &[Event::Gone(id)]);
+                self.batch(i, &[Event::ClientCancelled(id)]);
                 return self.at_call_ends(i, id);
             }
         };
@@ -353,7 +353,7 @@
         self.instances[i].known.remove(&id);
         self.batch(
             i,
-            &[Event::Done {
+            &[Event::RunCompleted {
                 id,
                 outcome: Outcome::Cancelled,
                 latency,
@@ -394,7 +394,7 @@
                 (k.state, k.since) = (State::Running, now);
                 self.after(0.02, i, Due::Worked(id));
             }
-            Action::Call { id, limit } => {
+            Action::Call { id, timeout: limit } => {
                 let at = self.calls.len();
                 let k = self.instances[i]
                     .known
@@ -404,20 +404,24 @@
                 (k.state, k.since, k.call) = (State::Calling, now, at);
                 self.call(i, id, limit.secs());
             }
-            Action::Skip(id) => {
+            Action::SkipCall(id) => {
                 let k = self.instances[i]
                     .known
                     .get_mut(&id)
                     .expect("skips for what is known");
                 assert!(
-                    self.set.classes[k.class].skip_worth > 0.0,
+                    self.set.classes[k.class].degraded_weight > 0.0,
                     "{id:?} skipped a call it needs"
                 );
                 k.state = State::Running;
                 self.skipped += 1;
                 self.after(0.005, i, Due::Worked(id));
             }
-            Action::Refuse { id, stay_away, .. } => {
+            Action::Reject {
+                id,
+                retry_after: stay_away,
+                ..
+            } => {
                 let at = self.secs();
                 self.away
                     .extend(stay_away.map(|span| (at, at + span.secs())));
@@ -436,14 +440,14 @@
                 self.instances[i].known.remove(&id);
                 self.batch(
                     i,
-                    &[Event::Done {
+                    &[Event::RunCompleted {
                         id,
                         outcome: Outcome::Cancelled,
                         latency: ms(1),
                     }],
                 );
             }
-            Action::Timer { after, token } => self.after(after.secs(), i, Due::Timer(token)),
+            Action::SetTimer { after, token } => self.after(after.secs(), i, Due::Timer(token)),
             _ => {}
         }
     }
@@ -477,7 +481,7 @@
             self.plan.call * slow * (0.8 + 0.4 * self.chance.next())
         };
         let outcome = match (full, takes > limit) {
-            (true, _) => Outcome::Full,
+            (true, _) => Outcome::Rejected,
             (_, true) => Outcome::Timeout,
             _ => Outcome::Ok,
         };
--- a/crates/heathspur/tests/guards.rs
+++ b/crates/heathspur/tests/guards.rs
@@ -20,7 +20,7 @@
     let mut b = Bench::new(settings());
     b.arrive(
         Request {
-            waited: ms(7000),
+            queueing_delay: ms(7000),
             ..request(1, 0)
         },
         1,
@@ -43,7 +43,7 @@
     b.arrive(request(1, 1), 77);
     b.arrive(request(2, 1), 77);
     assert_eq!(b.ran(), [1]);
-    assert!(b.last.contains(&Action::Reuse(RequestId(2))));
+    assert!(b.last.contains(&Action::ReplayResult(RequestId(2))));
 }
 
 #[test]
@@ -53,14 +53,14 @@
     b.done(1, Outcome::Ok);
     b.pass(ms(19_000));
     b.arrive(request(2, 1), 77);
-    assert!(b.last.contains(&Action::Reuse(RequestId(2))));
+    assert!(b.last.contains(&Action::ReplayResult(RequestId(2))));
 }
 
 #[test]
 fn repeats_in_one_batch_and_in_a_chain_run_once() {
     let mut b = Bench::new(settings());
     let r = |id, prior: Option<u64>| Request {
-        repeats: prior.map(RequestId),
+        previous_attempt: prior.map(RequestId),
         ..request(id, 1)
     };
     let tries = [r(1, None), r(2, Some(1)), r(3, Some(2))];
@@ -95,7 +95,7 @@
     let mut b = Bench::new(settings());
     b.arrive(
         Request {
-            repeats: Some(RequestId(999)),
+            previous_attempt: Some(RequestId(999)),
             ..request(1, 1)
         },
         5,
@@ -115,20 +115,20 @@
     b.arrive(request(10, 1), 77);
     b.pass(ms(2000));
     assert_eq!(b.refused(), [10]);
-    assert!(b.all.contains(&Action::Forget(RequestId(10))));
+    assert!(b.all.contains(&Action::EvictResult(RequestId(10))));
 }
 
 #[test]
 fn keys_may_fill_memory_but_leave_room_for_runs() {
     let mut set = settings();
-    set.classes[1].calls = false;
+    set.classes[1].may_call = false;
     let mut b = Bench::new(set);
     for id in 1..300 {
         b.arrive(request(id, 1), id);
         b.pass(ms(5));
         b.done(id, Outcome::Ok);
     }
-    let kept = b.entries.len() as f64 * b.set.key_kb;
+    let kept = b.entries.len() as f64 * b.set.dedup_entry_kb;
     assert!(kept > 0.7 * b.set.memory_kb, "keys use only {kept}");
     assert!(
         !b.refused().is_empty(),
@@ -152,7 +152,7 @@
 
 #[test]
 fn a_call_proven_not_run_is_repeated_after_a_pause() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut b = Bench::new(settings());
         b.arrive(request(1, 1), 1);
         b.needs_call(1);
@@ -169,30 +169,30 @@
 #[test]
 fn a_skippable_call_is_left_out_when_it_keeps_failing() {
     let mut set = settings();
-    set.classes[0].skip_worth = 0.6;
+    set.classes[0].degraded_weight = 0.6;
     let mut b = Bench::new(set);
     b.arrive(request(1, 0), 1);
     b.needs_call(1);
     for _ in 0..2 {
-        b.called(1, Outcome::Full);
+        b.called(1, Outcome::Rejected);
         b.pass(ms(400));
     }
-    assert!(b.all.contains(&Action::Skip(RequestId(1))));
+    assert!(b.all.contains(&Action::SkipCall(RequestId(1))));
 }
 
 #[test]
 fn where_calls_are_turned_away_a_skippable_one_is_left_out_and_not_given_up() {
     let mut set = settings();
-    set.classes[0].skip_worth = 0.6;
+    set.classes[0].degraded_weight = 0.6;
     let mut b = Bench::new(set);
     for id in 1..40 {
         b.arrive(request(id, 0), id);
         b.needs_call(id);
         while b.in_state(State::Calling).contains(&id) {
-            b.called(id, Outcome::Full);
+            b.called(id, Outcome::Rejected);
             b.pass(ms(400));
         }
-        assert!(b.all.contains(&Action::Skip(RequestId(id))), "{id}");
+        assert!(b.all.contains(&Action::SkipCall(RequestId(id))), "{id}");
         b.done(id, Outcome::Ok);
     }
     assert!(b.refused().is_empty());
@@ -202,9 +202,9 @@
 fn calls_at_once_stay_under_our_part_of_a_shared_dependency() {
     let mut set = settings();
     set.dependency = Dependency::Shared {
-        part: 2.5,
-        over: ms(5000),
-        linger: ms(200),
+        capacity_share: 2.5,
+        averaging_window: ms(5000),
+        abandoned_call_lifetime: ms(200),
     };
     let mut b = Bench::new(set);
     for id in 1..=4 {
@@ -230,9 +230,9 @@
 fn an_abandoned_call_counts_while_it_lingers() {
     let mut set = settings();
     set.dependency = Dependency::Shared {
-        part: 1.0,
-        over: ms(5000),
-        linger: ms(200),
+        capacity_share: 1.0,
+        averaging_window: ms(5000),
+        abandoned_call_lifetime: ms(200),
     };
     let mut b = Bench::new(set);
     b.arrive(request(1, 0), 1);
@@ -253,11 +253,11 @@
 fn small_part(part: f64, time: u64, rounds: u64) -> Vec<(u64, Time)> {
     let mut set = settings();
     set.dependency = Dependency::Shared {
-        part,
-        over: ms(5000),
-        linger: ms(200),
+        capacity_share: part,
+        averaging_window: ms(5000),
+        abandoned_call_lifetime: ms(200),
     };
-    set.classes[0].skip_worth = 0.6;
+    set.classes[0].degraded_weight = 0.6;
     set.memory_kb = 1e6;
     let mut b = Bench::new(set);
     let mut made: Vec<(u64, Time)> = Vec::new();
@@ -320,8 +320,8 @@
     }
     b.leave(ms(3000));
     assert!(b.last.contains(&Action::Health {
-        good: false,
-        stored: true
+        healthy: false,
+        cached: true
     }));
     b.pass(ms(1500));
     let ran = b.ran().len();
@@ -342,15 +342,15 @@
     b.arrive(request(9, 0), 9);
     b.pass(ms(1500));
     assert!(b.all.contains(&Action::Health {
-        good: false,
-        stored: true
+        healthy: false,
+        cached: true
     }));
     assert_eq!(b.refused(), [9]);
     b.arrive(request(10, 0), 10);
-    let away = Action::Refuse {
+    let away = Action::Reject {
         id: RequestId(10),
-        stay_away: Some(ms(1000)),
-        last: false,
+        retry_after: Some(ms(1000)),
+        no_retry: false,
     };
     assert!(b.last.contains(&away), "{:?}", b.last);
     b.done(1, Outcome::Ok);
@@ -368,7 +368,7 @@
 #[test]
 fn a_cold_server_keeps_a_smaller_crowd() {
     let mut set = settings();
-    set.cold = true;
+    set.cold_start = true;
     let mut b = Bench::new(set);
     for id in 1..=40 {
         b.arrive(request(id, 2), id);
@@ -380,7 +380,12 @@
 #[test]
 fn a_returning_call_finds_its_place_on_a_cold_core() {
     let mut set = settings();
-    (set.cores, set.cold, set.start_capacity, set.fall_multiple) = (1, true, 0.15, 3.0);
+    (
+        set.cores,
+        set.cold_start,
+        set.cold_start_capacity,
+        set.overload_concurrency,
+    ) = (1, true, 0.15, 3.0);
     let mut b = Bench::new(set);
     b.arrive(request(1, 0), 1);
     b.needs_call(1);
@@ -413,18 +418,18 @@
     b.done(1, Outcome::Ok);
     let id = RequestId(1);
     b.batch(&[
-        Event::Done {
+        Event::RunCompleted {
             id,
             outcome: Outcome::Ok,
             latency: ms(1),
         },
-        Event::NeedsCall(id),
-        Event::Called {
+        Event::CallNeeded(id),
+        Event::CallCompleted {
             id,
             outcome: Outcome::Ok,
             latency: ms(1),
         },
-        Event::Gone(id),
+        Event::ClientCancelled(id),
         Event::Timer {
             token: Token(99),
             gauges: Gauges::default(),
@@ -438,11 +443,11 @@
 fn taught_calls() -> Bench {
     let mut set = settings();
     set.dependency = Dependency::Shared {
-        part: 6.0,
-        over: ms(5000),
-        linger: ms(200),
+        capacity_share: 6.0,
+        averaging_window: ms(5000),
+        abandoned_call_lifetime: ms(200),
     };
-    set.classes[0].skip_worth = 0.6;
+    set.classes[0].degraded_weight = 0.6;
     set.memory_kb = 1e6;
     let mut b = Bench::new(set);
     for id in 1000..1100 {
@@ -510,7 +515,7 @@
     b.arrive(request(1, 0), 1);
     b.needs_call(1);
     let limit = |a: &Action| {
-        if let Action::Call { limit, .. } = a {
+        if let Action::Call { timeout: limit, .. } = a {
             Some(*limit)
         } else {
             None
@@ -531,7 +536,7 @@
         b.done(id, Outcome::Ok);
     }
     let limit = |a: &Action| {
-        if let Action::Call { limit, .. } = a {
+        if let Action::Call { timeout: limit, .. } = a {
             Some(*limit)
         } else {
             None
@@ -563,7 +568,7 @@
         }
     }
     let given = |a: &Action| {
-        if let Action::CloseIdle(span) = a {
+        if let Action::CloseIdleConnections(span) = a {
             Some(*span)
         } else {
             None
@@ -614,7 +619,7 @@
 /// long, and are served.
 fn stays(b: &mut Bench, from: u64, n: u64, waited: Span) -> Vec<Span> {
     let given = |a: &Action| {
-        if let Action::CloseIdle(span) = a {
+        if let Action::CloseIdleConnections(span) = a {
             Some(*span)
         } else {
             None
@@ -624,7 +629,7 @@
     for id in from..from + n {
         b.arrive(
             Request {
-                waited,
+                queueing_delay: waited,
                 ..request(id, 0)
             },
             id,
@@ -636,7 +641,7 @@
                 .iter()
                 .filter_map(given)
                 .next_back()
-                .unwrap_or(b.set.idle),
+                .unwrap_or(b.set.client_idle_timeout),
         );
     }
     stays
@@ -647,7 +652,7 @@
 fn unread_waits(cpu: Option<f64>) -> (Bench, Vec<Span>) {
     let mut b = Bench::new(Settings {
         callers: 500,
-        idle: ms(10_000),
+        client_idle_timeout: ms(10_000),
         ..settings()
     });
     b.gauges = Gauges {
@@ -667,13 +672,15 @@
         let early = given[0];
         assert!(early < ms(2000), "not closed early: {early:?}");
         assert!(
-            given.iter().all(|&s| s == early || s == b.set.idle),
+            given
+                .iter()
+                .all(|&s| s == early || s == b.set.client_idle_timeout),
             "by steps: {given:?}"
         );
-        assert_eq!(given.last(), Some(&b.set.idle));
+        assert_eq!(given.last(), Some(&b.set.client_idle_timeout));
         // The mean of the waits takes some 10 requests to fall, and an idle time is 40.
         let calm = stays(&mut b, 200, 80, ms(0));
-        let first = calm.iter().position(|&s| s < b.set.idle);
+        let first = calm.iter().position(|&s| s < b.set.client_idle_timeout);
         assert!(
             first.is_some_and(|n| (45..56).contains(&n)),
             "{cpu:?}: opened at {first:?}"
@@ -685,7 +692,7 @@
 #[test]
 fn a_table_filled_by_unread_waits_opens_by_a_tenth_a_period_on_idle_cores() {
     let (mut b, given) = unread_waits(Some(0.65));
-    assert_eq!(given.last(), Some(&b.set.idle));
+    assert_eq!(given.last(), Some(&b.set.client_idle_timeout));
     let mut calm = stays(&mut b, 200, 40, ms(0));
     calm.dedup();
     let eases = |w: &[Span]| (w[1].secs() / w[0].secs() - 0.9).abs() < 0.001;
@@ -709,7 +716,7 @@
         b.pass(ms(8000));
         let closed = b.all[before..]
             .iter()
-            .any(|a| matches!(a, Action::CloseIdle(s) if *s < ms(20_000)));
+            .any(|a| matches!(a, Action::CloseIdleConnections(s) if *s < ms(20_000)));
         assert_eq!(closed, early, "{cpu:?}");
     }
 }
@@ -734,7 +741,7 @@
     b.needs_call(1);
     while b.known.get(&RequestId(1)).is_some_and(|k| !k.answered) {
         if b.in_state(State::Calling).contains(&1) {
-            b.called(1, Outcome::Full);
+            b.called(1, Outcome::Rejected);
             // Between, so that the request's own calls weigh little.
             call_others(&mut b, 8);
         }
@@ -757,7 +764,7 @@
     for class in [0, 1] {
         assert_eq!(tries_of_a_call(class, Outcome::Ok).0, 4);
         // Given up as soon as that came back.
-        let (made, took) = tries_of_a_call(class, Outcome::Full);
+        let (made, took) = tries_of_a_call(class, Outcome::Rejected);
         assert!(made == 1 && took <= ms(20), "{made} calls, {took:?}");
     }
 }
@@ -769,7 +776,7 @@
     let mut b = Bench::new(set);
     b.arrive(
         Request {
-            held_kb: 50.0,
+            queued_memory_kb: 50.0,
             ..request(1, 1)
         },
         7,
@@ -779,7 +786,7 @@
     for id in 2..30 {
         b.arrive(
             Request {
-                held_kb: 50.0,
+                queued_memory_kb: 50.0,
                 ..request(id, 1)
             },
             7,
@@ -799,7 +806,7 @@
             [id],
             "the slots of runs that never began are free"
         );
-        b.done(id, Outcome::Moot);
+        b.done(id, Outcome::NoLongerNeeded);
     }
 }
 
--- a/crates/heathspur/tests/margin.rs
+++ b/crates/heathspur/tests/margin.rs
@@ -8,12 +8,16 @@
 const CORES: u64 = 8;
 
 /// A safe class to judge by, a safe and an unsafe one that teach; each with an aim of 2 s of 6 s.
-fn server(halt: Halt) -> Bench {
-    let effects = [Effect::Safe, Effect::Safe, Effect::Unsafe];
+fn server(halt: Preemption) -> Bench {
+    let effects = [
+        Idempotency::Idempotent,
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+    ];
     let classes = effects.map(|effect| class(1.0, effect, false)).to_vec();
     Bench::new(Settings {
         classes,
-        halt,
+        preemption: halt,
         cores: CORES,
         memory_kb: 1e6,
         ..settings()
@@ -75,7 +79,7 @@
         b.arrive(request(other, 0), other);
     }
     b.pass(ms(20));
-    let advised = |a: &Action| matches!(a, Action::Refuse { id: r, stay_away: Some(s), .. } if r.0 == id && *s >= ms(500));
+    let advised = |a: &Action| matches!(a, Action::Reject { id: r, retry_after: Some(s), .. } if r.0 == id && *s >= ms(500));
     let refused = b.last.iter().any(advised);
     clear(b);
     b.pass(ms(20));
@@ -95,21 +99,21 @@
 /// Judged by class 0 with 0.8 s left of its aim, though it has only now come.
 fn tight() -> Request {
     Request {
-        patience: Some(ms(4800)),
+        remaining_deadline: Some(ms(4800)),
         ..request(0, 0)
     }
 }
 
 #[test]
 fn the_cap_grows_while_half_a_core_is_idle_and_not_on_busy_cores() {
-    let mut b = server(Halt::Drop);
+    let mut b = server(Preemption::Restart);
     runs(&mut b, 10, 0, 400);
     fill(&mut b, 0);
     // Always work held, and each run takes as long however many there are.
     let mut grown = |cpu: f64| {
         b.gauges.cpu = Some(cpu);
         b.pass(ms(20));
-        let before = b.server.cap();
+        let before = b.server.concurrency_limit();
         for _ in 0..30 {
             let id = next(&b);
             b.arrive(request(id, 0), id);
@@ -117,7 +121,7 @@
             let first = b.running()[0];
             b.done(first, Outcome::Ok);
         }
-        b.server.cap() - before
+        b.server.concurrency_limit() - before
     };
     assert_eq!(grown(1.0), 0.0);
     assert_eq!(grown(0.95), 0.0, "0.4 of a core idle");
@@ -127,14 +131,14 @@
 
 #[test]
 fn a_hint_of_more_than_the_aim_is_refused_while_held_and_a_mean_request_is_tried() {
-    let mut b = server(Halt::Drop);
+    let mut b = server(Preemption::Restart);
     // Means past the aim are bounded, so a class is always tried: the hint multiplies what is bounded.
     runs(&mut b, 10, 2, 3000);
     assert!(tried(&mut b, request(0, 2), 0));
     assert!(!tried(
         &mut b,
         Request {
-            cost: Some(4.0),
+            cost_hint: Some(4.0),
             ..request(0, 2)
         },
         1
@@ -143,7 +147,7 @@
         tried(
             &mut b,
             Request {
-                cost: Some(4.0),
+                cost_hint: Some(4.0),
                 ..request(0, 2)
             },
             0
@@ -157,12 +161,12 @@
 fn hints_count_as_far_as_run_times_followed_them() {
     // Runs of half and of half as much again of the mean cost take as long, or by their hints.
     for (took, believed) in [([700, 700], false), ([350, 1050], true)] {
-        let mut b = server(Halt::Drop);
+        let mut b = server(Preemption::Restart);
         for i in 0..40 {
             let id = b.now.0;
             b.arrive(
                 Request {
-                    cost: Some([0.5, 1.5][i % 2]),
+                    cost_hint: Some([0.5, 1.5][i % 2]),
                     ..request(id, 0)
                 },
                 id,
@@ -171,7 +175,7 @@
             b.done(id, Outcome::Ok);
         }
         let large = Request {
-            cost: Some(4.0),
+            cost_hint: Some(4.0),
             ..request(0, 0)
         };
         assert_eq!(tried(&mut b, large, 1), !believed, "{took:?}");
@@ -180,7 +184,7 @@
 
 #[test]
 fn runs_stopped_as_late_or_left_teach_how_long_runs_take() {
-    let mut b = server(Halt::Drop);
+    let mut b = server(Preemption::Restart);
     runs(&mut b, 2, 0, 100);
     assert!(tried(&mut b, tight(), 0));
     runs(&mut b, 10, 0, 2100);
@@ -199,14 +203,18 @@
 
 #[test]
 fn where_nothing_can_be_stopped_runs_that_outlive_their_answers_teach() {
-    let mut b = server(Halt::None);
+    let mut b = server(Preemption::None);
     runs(&mut b, 2, 0, 100);
     assert!(tried(&mut b, tight(), 0));
     runs(&mut b, 20, 0, 2500);
     assert!(!tried(&mut b, tight(), 0));
     // Nor were these served: the advice says that nearly all is turned away.
     let advice = |a: &Action| {
-        if let Action::Refuse { stay_away, .. } = a {
+        if let Action::Reject {
+            retry_after: stay_away,
+            ..
+        } = a
+        {
             *stay_away
         } else {
             None
@@ -223,9 +231,9 @@
         |b| left(b, 16, 1, 100),
     ];
     for (kind, vain) in vain.iter().enumerate() {
-        let mut b = server(Halt::Drop);
+        let mut b = server(Preemption::Restart);
         let queued = Request {
-            waited: ms(300),
+            queueing_delay: ms(300),
             ..request(0, 0)
         };
         runs(&mut b, 20, 0, 500);
@@ -269,7 +277,7 @@
 
 #[test]
 fn runs_stopped_in_a_stall_and_what_never_ran_do_not_narrow_what_is_started() {
-    let mut b = server(Halt::Drop);
+    let mut b = server(Preemption::Restart);
     runs(&mut b, 20, 0, 500);
     fill(&mut b, 1);
     b.pass(ms(1700));
@@ -279,7 +287,7 @@
         assert!(!tried(
             &mut b,
             Request {
-                waited: ms(1800),
+                queueing_delay: ms(1800),
                 ..request(0, 0)
             },
             0
@@ -296,7 +304,7 @@
         let stops = b.last.contains(&Action::Stop(RequestId(id)));
         if b.last
             .iter()
-            .any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id))
+            .any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
         {
             return (b.now - since, stops);
         }
@@ -307,7 +315,7 @@
 
 #[test]
 fn what_is_given_up_is_answered_in_that_batch_long_before_its_deadline() {
-    let mut b = server(Halt::Drop);
+    let mut b = server(Preemption::Restart);
     runs(&mut b, 20, 0, 700);
     let late = b.now.0;
     b.arrive(request(late, 0), late);
@@ -321,7 +329,7 @@
     fill(&mut b, 2);
     b.arrive(
         Request {
-            cost: Some(6.0),
+            cost_hint: Some(6.0),
             ..request(id, 0)
         },
         id,
--- a/crates/heathspur/tests/path.rs
+++ b/crates/heathspur/tests/path.rs
@@ -63,12 +63,12 @@
 fn a_waiting_class_gets_its_budget_beside_one_worth_more() {
     let mut set = settings();
     set.classes = vec![
-        class(1.0, Effect::Safe, false),
-        class(4.0, Effect::Safe, false),
+        class(1.0, Idempotency::Idempotent, false),
+        class(4.0, Idempotency::Idempotent, false),
     ];
-    set.classes[1].aim = ms(60_000);
-    set.classes[1].give_up = ms(90_000);
-    set.classes[0].aim = ms(4000);
+    set.classes[1].latency_objective = ms(60_000);
+    set.classes[1].client_timeout = ms(90_000);
+    set.classes[0].latency_objective = ms(4000);
     let mut b = Bench::new(set);
     teach(&mut b, 0);
     fill(&mut b, 1, 30, 1);
@@ -101,7 +101,7 @@
 #[test]
 fn what_the_work_ahead_keeps_past_its_aim_is_refused_after_a_short_queueing() {
     let mut set = settings();
-    set.classes[2].calls = false;
+    set.classes[2].may_call = false;
     let mut b = Bench::new(set);
     for id in 9000..9008 {
         b.arrive(request(id, 2), id);
@@ -138,9 +138,9 @@
 #[test]
 fn the_cap_grows_with_runs_in_time_and_is_cut_when_runs_stretch() {
     let mut set = settings();
-    set.classes = vec![class(1.0, Effect::Safe, false)];
-    set.classes[0].aim = ms(30_000);
-    set.classes[0].give_up = ms(60_000);
+    set.classes = vec![class(1.0, Idempotency::Idempotent, false)];
+    set.classes[0].latency_objective = ms(30_000);
+    set.classes[0].client_timeout = ms(60_000);
     let mut b = Bench::new(set);
     let mut next = 1;
     let mut feed = |b: &mut Bench, n: u64| {
@@ -180,7 +180,7 @@
     fill(&mut b, 1, 4, 2);
     b.arrive(
         Request {
-            retry: true,
+            is_retry: true,
             ..request(5, 2)
         },
         5,
@@ -190,8 +190,8 @@
     assert_eq!(b.ran()[4..], [6]);
     b.arrive(
         Request {
-            retry: true,
-            patience: Some(ms(5000)),
+            is_retry: true,
+            remaining_deadline: Some(ms(5000)),
             ..request(7, 2)
         },
         7,
@@ -209,7 +209,7 @@
 fn a_tenant_far_past_its_share_waits_behind_one_within() {
     let mut set = settings();
     set.tenants = vec![Tenant { quota_per_s: 8.0 }, Tenant { quota_per_s: 8.0 }];
-    set.over_share_worth = 0.05;
+    set.over_quota_weight = 0.05;
     let mut b = Bench::new(set);
     for id in 1..=20 {
         b.arrive(
@@ -243,7 +243,7 @@
             quota_per_s: 2000.0,
         },
     ];
-    set.over_share_worth = 0.05;
+    set.over_quota_weight = 0.05;
     let mut b = Bench::new(set);
     fill(&mut b, 1, 4, 2);
     for id in 60..63 {
@@ -271,7 +271,7 @@
 #[test]
 fn the_level_rises_under_a_long_hold_and_falls_again() {
     let mut set = settings();
-    set.free_value = FreeValue::Level;
+    set.load_signal = LoadSignal::Level;
     let mut b = Bench::new(set);
     for round in 0..20 {
         fill(&mut b, 100 * round + 1, 15, 0);
@@ -281,7 +281,7 @@
     }
     let said = |b: &Bench| {
         let level = |a: &Action| {
-            if let Action::Say(v) = a {
+            if let Action::SetLoadSignal(v) = a {
                 Some(*v)
             } else {
                 None
@@ -302,9 +302,9 @@
 
 #[test]
 fn the_level_rises_while_requests_wait_unread_though_none_is_held() {
-    for (free_value, up) in [(FreeValue::Level, 1.0), (FreeValue::Weight, -1.0)] {
+    for (free_value, up) in [(LoadSignal::Level, 1.0), (LoadSignal::Weight, -1.0)] {
         let mut b = Bench::new(Settings {
-            free_value,
+            load_signal: free_value,
             ..settings()
         });
         let mut said = |from: u64, waited: Span| {
@@ -312,7 +312,7 @@
             for id in from..from + 12 {
                 b.arrive(
                     Request {
-                        waited,
+                        queueing_delay: waited,
                         ..request(id, 0)
                     },
                     id,
@@ -322,7 +322,7 @@
                 b.pass(ms(250));
             }
             let value = |a: &Action| {
-                if let Action::Say(v) = a {
+                if let Action::SetLoadSignal(v) = a {
                     Some(up * *v)
                 } else {
                     None
@@ -353,7 +353,7 @@
         let patience = (id % 2 == 0).then(|| ms(6000));
         b.arrive(
             Request {
-                patience,
+                remaining_deadline: patience,
                 ..request(id, 0)
             },
             id,
@@ -361,7 +361,9 @@
     }
     let lasts = |even: bool| {
         b.all.iter().filter_map(move |a| match a {
-            Action::Refuse { id, last, .. } if (id.0 % 2 == 0) == even => Some(*last),
+            Action::Reject {
+                id, no_retry: last, ..
+            } if (id.0 % 2 == 0) == even => Some(*last),
             _ => None,
         })
     };
@@ -380,7 +382,7 @@
                 if id % 3 == 0 {
                     b.needs_call(first);
                     if b.in_state(State::Calling).contains(&first) {
-                        b.called(first, Outcome::Full);
+                        b.called(first, Outcome::Rejected);
                     }
                 } else {
                     b.done(first, Outcome::Ok);
@@ -398,19 +400,19 @@
     fill(&mut b, 1, 4, 2);
     b.arrive(request(9, 0), 9);
     b.pass(ms(2500));
-    let asked = |a: &Action| matches!(a, Action::Refuse { id: RequestId(9), stay_away: Some(s), .. } if s.0 > 0);
+    let asked = |a: &Action| matches!(a, Action::Reject { id: RequestId(9), retry_after: Some(s), .. } if s.0 > 0);
     assert!(b.all.iter().any(asked));
     let mut set = settings();
-    set.advice = None;
+    set.max_retry_after = None;
     let mut b = Bench::new(set);
     fill(&mut b, 1, 4, 2);
     b.arrive(request(9, 0), 9);
     b.pass(ms(2500));
     assert!(b.all.iter().any(|a| matches!(
         a,
-        Action::Refuse {
+        Action::Reject {
             id: RequestId(9),
-            stay_away: None,
+            retry_after: None,
             ..
         }
     )));
@@ -442,7 +444,7 @@
     }
     // Its caller gives this try up after 3.5 s of 6, and wants an answer within 2.
     let mut r = request(9, 0);
-    r.patience = Some(ms(3500));
+    r.remaining_deadline = Some(ms(3500));
     b.arrive(r, 9);
     b.pass(ms(1950));
     assert_eq!(b.refused(), [9]);
@@ -469,7 +471,10 @@
         }
         b.pass(ms(600));
         let advice = |a: &Action| match a {
-            Action::Refuse { stay_away, .. } => *stay_away,
+            Action::Reject {
+                retry_after: stay_away,
+                ..
+            } => *stay_away,
             _ => None,
         };
         b.all
--- a/crates/heathspur/tests/rules.rs
+++ b/crates/heathspur/tests/rules.rs
@@ -43,7 +43,7 @@
 fn op() -> impl Strategy<Value = Op> {
     let outcome = prop_oneof![
         4 => Just(Outcome::Ok),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::Rejected),
         1 => Just(Outcome::Error),
         1 => Just(Outcome::Timeout),
         1 => Just(Outcome::Reset),
@@ -66,30 +66,34 @@
 }
 
 fn world() -> impl Strategy<Value = Settings> {
-    let halt = prop_oneof![Just(Halt::None), Just(Halt::Drop), Just(Halt::Pause)];
+    let halt = prop_oneof![
+        Just(Preemption::None),
+        Just(Preemption::Restart),
+        Just(Preemption::Pause)
+    ];
     let below = prop_oneof![
         Just(Dependency::Tier),
         Just(Dependency::Shared {
-            part: 2.4,
-            over: ms(5000),
-            linger: ms(200)
+            capacity_share: 2.4,
+            averaging_window: ms(5000),
+            abandoned_call_lifetime: ms(200)
         }),
         Just(Dependency::Shared {
-            part: 0.6,
-            over: ms(5000),
-            linger: ms(200)
+            capacity_share: 0.6,
+            averaging_window: ms(5000),
+            abandoned_call_lifetime: ms(200)
         }),
         Just(Dependency::Shared {
-            part: 0.01,
-            over: ms(5000),
-            linger: ms(200)
+            capacity_share: 0.01,
+            averaging_window: ms(5000),
+            abandoned_call_lifetime: ms(200)
         }),
     ];
     let say = prop_oneof![
-        Just(FreeValue::None),
-        Just(FreeValue::Level),
-        Just(FreeValue::Credit),
-        Just(FreeValue::Weight)
+        Just(LoadSignal::None),
+        Just(LoadSignal::Level),
+        Just(LoadSignal::Credit),
+        Just(LoadSignal::Weight)
     ];
     let memory = prop_oneof![Just(900.0), Just(5000.0)];
     // One core among hundreds of servers, with a tenth of a request a second for each tenant; or none of it.
@@ -101,14 +105,20 @@
     (halt, below, say, memory, any::<bool>(), any::<bool>(), size).prop_map(
         |(halt, below, say, memory, cold, skip, (cores, servers, callers, idle))| {
             let mut set = settings();
-            (set.cores, set.servers, set.callers, set.idle) = (cores, servers, callers, ms(idle));
+            (set.cores, set.servers, set.callers, set.client_idle_timeout) =
+                (cores, servers, callers, ms(idle));
             if servers > 4 {
                 set.tenants = vec![Tenant { quota_per_s: 30.0 }, Tenant { quota_per_s: 0.0 }];
             }
-            (set.halt, set.dependency, set.free_value, set.memory_kb) = (halt, below, say, memory);
-            set.cold = cold;
-            set.classes[0].skip_worth = if skip { 0.6 } else { 0.0 };
-            set.classes[0].late_worth = if skip { 0.2 } else { 0.0 };
+            (
+                set.preemption,
+                set.dependency,
+                set.load_signal,
+                set.memory_kb,
+            ) = (halt, below, say, memory);
+            set.cold_start = cold;
+            set.classes[0].degraded_weight = if skip { 0.6 } else { 0.0 };
+            set.classes[0].late_weight = if skip { 0.2 } else { 0.0 };
             set
         },
     )
@@ -132,10 +142,10 @@
                 kb,
             } => {
                 let r = Request {
-                    waited: ms(waited),
-                    patience: patience.map(ms),
-                    retry,
-                    held_kb: kb as f64,
+                    queueing_delay: ms(waited),
+                    remaining_deadline: patience.map(ms),
+                    is_retry: retry,
+                    queued_memory_kb: kb as f64,
                     tenant: Some(TenantId((identity % 3) as usize)),
                     ..request(next, class)
                 };
@@ -150,7 +160,7 @@
                         .entries
                         .get(&identity)
                         .filter(|(_, until)| *until >= b.now);
-                    r.repeats = if i > 0 {
+                    r.previous_attempt = if i > 0 {
                         Some(RequestId(next - 1))
                     } else {
                         entry.map(|(id, _)| *id)
@@ -169,7 +179,7 @@
                 }
             }
             Op::NeedsCall { pick } => {
-                let calls = |id: &u64| b.set.classes[b.known[&RequestId(*id)].class].calls;
+                let calls = |id: &u64| b.set.classes[b.known[&RequestId(*id)].class].may_call;
                 if let Some(id) = nth(b.running().into_iter().filter(calls).collect(), pick) {
                     if b.known[&RequestId(id)].answered {
                         b.done(id, Outcome::Cancelled);
--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -4,7 +4,7 @@
 use crate::event_loop::state::Owner;
 use crate::frontend::{Answer, Arrival};
 use crate::idempotency::{Barred, Key, Try};
-use heathspur::{Effect, Event, Request, Span};
+use heathspur::{Event, Idempotency, Request, Span};
 use tracing::warn;
 
 impl Owner {
@@ -17,20 +17,20 @@
             let _ = arrival.reply.try_send(Answer::Conflict);
             return;
         }
-        let linked = !arrival.row || self.settings.fresh.0 > 0;
+        let linked = !arrival.row || self.settings.cache_ttl.0 > 0;
         let key = arrival
             .key
             .as_ref()
             .filter(|_| linked)
             .map(|bytes| Key::new(arrival.class, bytes));
-        let keyed = self.settings.classes[arrival.class.0].effect == Effect::Keyed;
+        let keyed = self.settings.classes[arrival.class.0].idempotency == Idempotency::Keyed;
         // Reads of one thing may ask for it in different words.
         let body = if keyed {
             self.keys.digest(&arrival.body)
         } else {
             0
         };
-        let window = self.settings.classes[arrival.class.0].window;
+        let window = self.settings.classes[arrival.class.0].dedup_window;
         let this = Try {
             id: arrival.id,
             ingress: arrival.ingress,
@@ -66,16 +66,16 @@
             id: arrival.id,
             class: arrival.class,
             tenant: arrival.tenant,
-            has_key: arrival.row,
+            has_subject: arrival.row,
             // None at all is no patience told, so what has run out leaves the smallest span.
-            patience: arrival
+            remaining_deadline: arrival
                 .left
                 .map(|left| Span(left.0.saturating_sub(waited.0).max(1))),
-            cost: arrival.cost.filter(|cost| *cost > 0.0),
-            held_kb: arrival.held_kb,
-            retry: arrival.retry,
-            waited,
-            repeats,
+            cost_hint: arrival.cost.filter(|cost| *cost > 0.0),
+            queued_memory_kb: arrival.held_kb,
+            is_retry: arrival.retry,
+            queueing_delay: waited,
+            previous_attempt: repeats,
         }));
         self.table.insert(arrival, key);
     }
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -3,7 +3,7 @@
 use crate::event_loop::request_table::{Delivery, Halting, Need, Told, Work};
 use crate::event_loop::state::Owner;
 use crate::peers::store::{Call, CallId};
-use heathspur::{Effect, RequestId, Span};
+use heathspur::{Idempotency, RequestId, Span};
 use heathspur_wire::interpreter::Command;
 
 /// Time past its limit at which a call that nothing was heard of is given up here: the store tells first.
@@ -64,7 +64,7 @@
         let call = CallId(self.next_call);
         self.next_call += 1;
         let until = self.now + limit + BACKSTOP;
-        let fresh = self.settings.classes[entry.class.0].effect != Effect::Safe;
+        let fresh = self.settings.classes[entry.class.0].idempotency != Idempotency::Idempotent;
         let (txn, limit_ms, body) = (entry.txn, (limit.0 / 1000).max(1), need.body.clone());
         self.store.call(Call {
             id,
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -42,7 +42,7 @@
             None => (Answer::Failed, Outcome::Error),
         };
         self.answer(id, answer);
-        self.events.push(Event::Done {
+        self.events.push(Event::RunCompleted {
             id,
             outcome,
             latency: self.now - since,
@@ -58,7 +58,7 @@
         if entry.reply.take().is_none() || !self.desk.names.cancel_seen {
             return;
         }
-        self.events.push(Event::Gone(id));
+        self.events.push(Event::ClientCancelled(id));
         self.discard(id);
     }
 
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -14,10 +14,10 @@
         match action {
             Action::Run(id) => self.run(id),
             Action::Stop(id) => self.stop(id),
-            Action::Refuse {
+            Action::Reject {
                 id,
-                stay_away,
-                last,
+                retry_after: stay_away,
+                no_retry: last,
             } => {
                 if let Some(members) = &self.members {
                     members.refused();
@@ -29,27 +29,29 @@
                 self.answer(id, Answer::GivenUp);
                 self.discard(id);
             }
-            Action::Call { id, limit } => self.call(id, limit),
-            Action::Skip(id) => self.go_on(id, |need| Told::Stub(need.index)),
-            Action::Keep { id, ttl } => {
+            Action::Call { id, timeout: limit } => self.call(id, limit),
+            Action::SkipCall(id) => self.go_on(id, |need| Told::Stub(need.index)),
+            Action::RetainResult { id, ttl } => {
                 if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
                     self.keys.keep(key, id, clock::unix() + ttl.0);
                 }
             }
-            Action::Forget(id) => self.keys.forget(id),
-            Action::Reuse(id) => self.reuse(id),
-            Action::Health { good, .. } => {
+            Action::EvictResult(id) => self.keys.forget(id),
+            Action::ReplayResult(id) => self.reuse(id),
+            Action::Health { healthy: good, .. } => {
                 self.desk.good.set(good);
                 self.readiness.set(good);
             }
-            Action::Say(value) => self.desk.free_value.set(Some(value)),
-            Action::CloseIdle(after) => {
+            Action::SetLoadSignal(value) => self.desk.free_value.set(Some(value)),
+            Action::CloseIdleConnections(after) => {
                 let all = after == Span(0);
-                self.desk
-                    .idle
-                    .set(if all { self.settings.idle } else { after });
+                self.desk.idle.set(if all {
+                    self.settings.client_idle_timeout
+                } else {
+                    after
+                });
             }
-            Action::Timer { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.timers.push(Reverse((self.now + after, token)));
             }
             Action::Log(text) => info!("{text}"),
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -20,7 +20,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
-use heathspur::{Action, Event, Gauges, Server, Span, Time};
+use heathspur::{Action, AdmissionController, Event, Gauges, Span, Time};
 use std::cmp::Reverse;
 use std::time::Duration;
 use tracing::info;
@@ -164,8 +164,8 @@
         if self.module.is_some() {
             return;
         }
-        self.settings.cold = cold;
-        let mut module = Server::new(self.settings.clone(), self.seed);
+        self.settings.cold_start = cold;
+        let mut module = AdmissionController::new(self.settings.clone(), self.seed);
         let mut actions = Vec::new();
         module.decide(started, &[], &mut actions);
         self.module = Some(module);
@@ -180,7 +180,7 @@
             return;
         };
         module.decide(self.now, &self.events, actions);
-        let cap = module.cap();
+        let cap = module.concurrency_limit();
         self.events.clear();
         self.carry_out(actions);
         if let Some(members) = &self.members {
@@ -195,7 +195,7 @@
     }
 
     fn take_request(&mut self, arrival: Arrival) {
-        self.begin(self.settings.cold, self.now);
+        self.begin(self.settings.cold_start, self.now);
         self.admit(arrival);
     }
 
@@ -294,7 +294,7 @@
             return;
         }
         info!("told to leave");
-        self.begin(self.settings.cold, self.now);
+        self.begin(self.settings.cold_start, self.now);
         let span = |d: Duration| Span(d.as_micros() as u64);
         let stop = self.stop.saturating_sub(EARLY);
         let shut = span(stop.saturating_sub(LEAVE)).min(self.settings.drain_grace);
--- a/crates/heathspurd/src/event_loop/peer_events.rs
+++ b/crates/heathspurd/src/event_loop/peer_events.rs
@@ -6,7 +6,7 @@
 use crate::peers::interpreter::Event as Heard;
 use crate::peers::store::Event as Called;
 use bytes::Bytes;
-use heathspur::{Effect, Event, Gauges, Halt, Outcome, RequestId, Span};
+use heathspur::{Event, Gauges, Idempotency, Outcome, Preemption, RequestId, Span};
 use heathspur_wire::interpreter::{Command, End, Warmth};
 use tracing::warn;
 
@@ -109,7 +109,7 @@
                     need,
                     halting,
                 };
-                self.events.push(Event::NeedsCall(id));
+                self.events.push(Event::CallNeeded(id));
             }
             Work::AtCall { since, halting, .. } => {
                 entry.work = Work::AtCall {
@@ -128,7 +128,7 @@
                 let _ = self.store.give_up(call);
                 self.call_timers.remove(&(until, id));
                 // What stands to be called now never was.
-                self.call_ended(id, Outcome::Moot);
+                self.call_ended(id, Outcome::NoLongerNeeded);
                 if let Some(entry) = self.table.get_mut(id) {
                     entry.work = Work::AtCall {
                         since,
@@ -185,7 +185,7 @@
                 told: Told::Apply,
                 halting: Halting::No,
                 ..
-            } => settings.classes[entry.class.0].effect != Effect::Safe,
+            } => settings.classes[entry.class.0].idempotency != Idempotency::Idempotent,
             Work::Running { .. } => true,
             // A run ends at a call only once nobody waits for its request.
             Work::AtCall { .. } | Work::Calling { .. } => entry.reply.is_none(),
@@ -232,16 +232,16 @@
             End::Complete => Outcome::Ok,
             End::Error => Outcome::Error,
             End::Cancelled => Outcome::Cancelled,
-            End::Unknown => Outcome::Moot,
+            End::Unknown => Outcome::NoLongerNeeded,
         };
-        self.events.push(Event::Done {
+        self.events.push(Event::RunCompleted {
             id,
             outcome,
             latency: self.now - since,
         });
         if end == End::Cancelled && halted && entry.reply.is_some() {
-            match self.settings.halt {
-                Halt::Pause => entry.work = Work::Paused { since },
+            match self.settings.preemption {
+                Preemption::Pause => entry.work = Work::Paused { since },
                 _ => entry.work = Work::Held,
             }
             return;
@@ -296,7 +296,7 @@
             need,
             halting,
         };
-        self.events.push(Event::Called {
+        self.events.push(Event::CallCompleted {
             id,
             outcome,
             latency: self.now - made,
--- a/crates/heathspurd/src/event_loop/state.rs
+++ b/crates/heathspurd/src/event_loop/state.rs
@@ -12,7 +12,7 @@
 use crate::peers::store;
 use crate::signals::Notices;
 use async_channel::Sender;
-use heathspur::{Event, RequestId, Server, Settings, Time, Token};
+use heathspur::{AdmissionController, Event, RequestId, Settings, Time, Token};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
@@ -67,7 +67,7 @@
     pub clock: Clock,
     pub seed: u64,
     pub stop: Duration,
-    pub module: Option<Server>,
+    pub module: Option<AdmissionController>,
     pub due: VecDeque<Due>,
     pub next_nonce: u64,
     /// The last question that was answered.
--- a/crates/heathspurd/src/peers/store.rs
+++ b/crates/heathspurd/src/peers/store.rs
@@ -133,7 +133,7 @@
         let task = self.executor.spawn(async move {
             let (outcome, body) = match &goes {
                 // Who is due for it has no room: turned away here, before anything of it was sent.
-                Some(None) => (Outcome::Full, Bytes::new()),
+                Some(None) => (Outcome::Rejected, Bytes::new()),
                 Some(Some(way)) => {
                     let ended = link.carry(&call, made, Some(way.address()), &mark).await;
                     way.ended(ended.0);
@@ -314,10 +314,10 @@
             }
             let outcome = match reply.word {
                 Word::Ok => Outcome::Ok,
-                Word::Busy => Outcome::Full,
+                Word::Busy => Outcome::Rejected,
                 Word::Failed => Outcome::Error,
                 Word::Late => Outcome::Timeout,
-                Word::Void => Outcome::Moot,
+                Word::Void => Outcome::NoLongerNeeded,
             };
             return Ok((outcome, body, only && line.inflow.bytes().is_empty()));
         }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -26,7 +26,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use async_signal::Signals;
-use heathspur::Effect;
+use heathspur::Idempotency;
 use heathspur_config::Http2;
 use heathspur_streams::ledger::Bounds;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
@@ -95,9 +95,9 @@
         settings
             .classes
             .iter()
-            .map(|c| c.effect == Effect::Keyed)
+            .map(|c| c.idempotency == Idempotency::Keyed)
             .collect(),
-        settings.idle,
+        settings.client_idle_timeout,
         shutting,
         tap.clone(),
         Rc::new(Pool::new(
@@ -177,7 +177,7 @@
     let late = settings
         .classes
         .iter()
-        .map(|c| c.give_up)
+        .map(|c| c.client_timeout)
         .max()
         .unwrap_or_default();
     let owner = Owner {
--- a/crates/heathspurd/tests/unit/peer_events.rs
+++ b/crates/heathspurd/tests/unit/peer_events.rs
@@ -29,7 +29,7 @@
     let (to_owner, _) = async_channel::bounded(1);
     let (shutter, shutting) = async_channel::bounded(1);
     let pool = Rc::new(Pool::new(8));
-    let (names, idle) = (config.names.clone(), config.settings.idle);
+    let (names, idle) = (config.names.clone(), config.settings.client_idle_timeout);
     let clock = Clock::start();
     Owner {
         desk: Rc::new(Desk::new(
