--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -1,7 +1,9 @@
 //! Stage four: what the interpreter and the store are told of a request.
 
-use crate::event_loop::request_table::{Delivery, Halting, Need, Told, Work};
-use crate::event_loop::state::Owner;
+use crate::event_loop::request_table::{
+    CommandDelivery, ExecutionState, Halting, LastCommand, PendingCall,
+};
+use crate::event_loop::state::EventLoop;
 use crate::peers::store::{Call, CallId};
 use heathspur::{Idempotency, RequestId, Span};
 use heathspur_wire::interpreter::Command;
@@ -9,28 +11,28 @@
 /// Time past its limit at which a call that nothing was heard of is given up here: the store tells first.
 const BACKSTOP: Span = Span(20_000);
 
-impl Owner {
+impl EventLoop {
     /// Starts a held request, or goes on with a paused one.
     pub(crate) fn run(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
         let (since, told) = match entry.work {
-            Work::Held => (self.now, Told::Apply),
-            Work::Paused { since } => (since, Told::Continue),
+            ExecutionState::Held => (self.now, LastCommand::Apply),
+            ExecutionState::Paused { since } => (since, LastCommand::Continue),
             _ => return,
         };
-        let delivery = Delivery::Here {
+        let delivery = CommandDelivery::Here {
             before: self.next_nonce,
         };
-        entry.work = Work::Running {
+        entry.work = ExecutionState::Running {
             since,
             told,
             halting: Halting::No,
             delivery,
         };
         if let Some(key) = &entry.key {
-            self.keys.runs(key, id);
+            self.idempotency.runs(key, id);
         }
         self.tell(id);
     }
@@ -40,9 +42,9 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        if let Work::Running { halting, .. } = &mut entry.work {
+        if let ExecutionState::Running { halting, .. } = &mut entry.work {
             *halting = Halting::Asked;
-            if self.link.is_up() {
+            if self.interpreter_link.is_up() {
                 self.interpreter.send(Command::Break(entry.txn.as_str()));
             }
         }
@@ -53,7 +55,7 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let Work::AtCall {
+        let ExecutionState::AtCall {
             since,
             need,
             halting,
@@ -67,15 +69,15 @@
         let fresh = self.settings.classes[entry.class.0].idempotency != Idempotency::Idempotent;
         let (txn, limit_ms, body) = (entry.txn, (limit.0 / 1000).max(1), need.body.clone());
         self.store.call(Call {
-            id,
+            request: id,
             call,
-            txn,
-            limit_ms,
+            attempt: txn,
+            timeout_ms: limit_ms,
             body,
-            fresh,
+            new_connection: fresh,
         });
         self.call_timers.insert((until, id));
-        entry.work = Work::Calling {
+        entry.work = ExecutionState::Calling {
             since,
             need,
             halting,
@@ -86,16 +88,16 @@
     }
 
     /// Goes on with the reply to the call, or without it.
-    pub(crate) fn go_on(&mut self, id: RequestId, told: impl FnOnce(&Need) -> Told) {
+    pub(crate) fn go_on(&mut self, id: RequestId, told: impl FnOnce(&PendingCall) -> LastCommand) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let (Work::AtCall {
+        let (ExecutionState::AtCall {
             since,
             need,
             halting,
         }
-        | Work::Calling {
+        | ExecutionState::Calling {
             since,
             need,
             halting,
@@ -104,10 +106,10 @@
         else {
             return;
         };
-        let delivery = Delivery::Here {
+        let delivery = CommandDelivery::Here {
             before: self.next_nonce,
         };
-        entry.work = Work::Running {
+        entry.work = ExecutionState::Running {
             since: *since,
             told: told(need),
             halting: *halting,
@@ -119,10 +121,10 @@
     /// Tells the interpreter where a running request stands; once more after the link was made again, but for what it
     /// is known to have.
     pub(crate) fn tell(&self, id: RequestId) {
-        let Some(entry) = self.table.get(id).filter(|_| self.link.is_up()) else {
+        let Some(entry) = self.table.get(id).filter(|_| self.interpreter_link.is_up()) else {
             return;
         };
-        let Work::Running {
+        let ExecutionState::Running {
             told,
             halting,
             delivery,
@@ -133,19 +135,19 @@
         };
         let task = entry.txn.as_str();
         let command = match told {
-            Told::Apply => Command::Apply {
+            LastCommand::Apply => Command::Apply {
                 task,
-                class: &self.desk.names.classes[entry.class.0],
+                class: &self.frontend.names.classes[entry.class.0],
                 body: &entry.body,
             },
-            Told::Continue => Command::Continue(task),
-            Told::Resolve(body) => Command::Resolve { task, body },
-            Told::Stub(index) => Command::Stub {
+            LastCommand::Continue => Command::Continue(task),
+            LastCommand::Resolve(body) => Command::Resolve { task, body },
+            LastCommand::Stub(index) => Command::Stub {
                 task,
                 index: *index,
             },
         };
-        if *delivery != Delivery::Taken {
+        if *delivery != CommandDelivery::Taken {
             self.interpreter.send(command);
         }
         if *halting == Halting::Asked {
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -1,12 +1,12 @@
 //! Stage five: the one final answer of each request, and the one place where what a request held is given back.
 
-use crate::event_loop::request_table::Work;
-use crate::event_loop::state::Owner;
+use crate::event_loop::request_table::ExecutionState;
+use crate::event_loop::state::EventLoop;
 use crate::frontend::Answer;
 use bytes::Bytes;
 use heathspur::{Event, Outcome, RequestId};
 
-impl Owner {
+impl EventLoop {
     /// Hands the answer to the request's front, once; later ones go nowhere.
     pub(crate) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(reply) = self.table.get_mut(id).and_then(|entry| entry.reply.take()) {
@@ -21,12 +21,12 @@
         let Some(entry) = self.table.remove(id) else {
             return;
         };
-        if let Work::Calling { call, until, .. } = entry.work {
+        if let ExecutionState::Calling { call, until, .. } = entry.work {
             let _ = self.store.give_up(call);
             self.call_timers.remove(&(until, id));
         }
         if let Some(key) = &entry.key {
-            for orphan in self.keys.leave(key, id) {
+            for orphan in self.idempotency.leave(key, id) {
                 self.end_waiting(orphan, None);
             }
         }
@@ -34,11 +34,12 @@
 
     /// A request that waited for another try's result has it, or never will.
     pub(crate) fn end_waiting(&mut self, id: RequestId, result: Option<&Bytes>) {
-        let Some(Work::Waiting { since }) = self.table.get(id).map(|e| e.work.clone()) else {
+        let Some(ExecutionState::Waiting { since }) = self.table.get(id).map(|e| e.work.clone())
+        else {
             return;
         };
         let (answer, outcome) = match result {
-            Some(body) => (Answer::Served(body.clone()), Outcome::Ok),
+            Some(body) => (Answer::Success(body.clone()), Outcome::Ok),
             None => (Answer::Failed, Outcome::Error),
         };
         self.answer(id, answer);
@@ -55,7 +56,7 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        if entry.reply.take().is_none() || !self.desk.names.cancel_seen {
+        if entry.reply.take().is_none() || !self.frontend.names.cancel_seen {
             return;
         }
         self.events.push(Event::ClientCancelled(id));
@@ -69,8 +70,10 @@
             return;
         };
         match entry.work.clone() {
-            Work::Held | Work::Paused { .. } | Work::Waiting { .. } => self.book_out(id),
-            Work::Calling {
+            ExecutionState::Held
+            | ExecutionState::Paused { .. }
+            | ExecutionState::Waiting { .. } => self.book_out(id),
+            ExecutionState::Calling {
                 since,
                 need,
                 halting,
@@ -78,7 +81,7 @@
                 until,
                 ..
             } => {
-                entry.work = Work::AtCall {
+                entry.work = ExecutionState::AtCall {
                     since,
                     need,
                     halting,
@@ -86,7 +89,7 @@
                 let _ = self.store.give_up(call);
                 self.call_timers.remove(&(until, id));
             }
-            Work::Running { .. } | Work::AtCall { .. } => {}
+            ExecutionState::Running { .. } | ExecutionState::AtCall { .. } => {}
         }
     }
 }
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -1,15 +1,15 @@
 //! Stage three: each action of the module goes to where it is carried out.
 
 use crate::clock;
-use crate::event_loop::request_table::{Told, Work};
-use crate::event_loop::state::Owner;
+use crate::event_loop::request_table::{ExecutionState, LastCommand};
+use crate::event_loop::state::EventLoop;
 use crate::frontend::Answer;
 use crate::idempotency::Attached;
 use heathspur::{Action, RequestId, Span};
 use std::cmp::Reverse;
 use tracing::info;
 
-impl Owner {
+impl EventLoop {
     pub(crate) fn route(&mut self, action: Action) {
         match action {
             Action::Run(id) => self.run(id),
@@ -22,30 +22,36 @@
                 if let Some(members) = &self.members {
                     members.refused();
                 }
-                self.answer(id, Answer::Refused { stay_away, last });
+                self.answer(
+                    id,
+                    Answer::Rejected {
+                        retry_after: stay_away,
+                        no_retry: last,
+                    },
+                );
                 self.discard(id);
             }
             Action::Fail(id) => {
-                self.answer(id, Answer::GivenUp);
+                self.answer(id, Answer::DeadlineExceeded);
                 self.discard(id);
             }
             Action::Call { id, timeout: limit } => self.call(id, limit),
-            Action::SkipCall(id) => self.go_on(id, |need| Told::Stub(need.index)),
+            Action::SkipCall(id) => self.go_on(id, |need| LastCommand::Stub(need.index)),
             Action::RetainResult { id, ttl } => {
                 if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
-                    self.keys.keep(key, id, clock::unix() + ttl.0);
+                    self.idempotency.keep(key, id, clock::unix() + ttl.0);
                 }
             }
-            Action::EvictResult(id) => self.keys.forget(id),
+            Action::EvictResult(id) => self.idempotency.forget(id),
             Action::ReplayResult(id) => self.reuse(id),
             Action::Health { healthy: good, .. } => {
-                self.desk.good.set(good);
+                self.frontend.healthy.set(good);
                 self.readiness.set(good);
             }
-            Action::SetLoadSignal(value) => self.desk.free_value.set(Some(value)),
+            Action::SetLoadSignal(value) => self.frontend.load_signal.set(Some(value)),
             Action::CloseIdleConnections(after) => {
                 let all = after == Span(0);
-                self.desk.idle.set(if all {
+                self.frontend.idle_timeout.set(if all {
                     self.settings.client_idle_timeout
                 } else {
                     after
@@ -66,12 +72,12 @@
         let Some(key) = entry
             .key
             .as_ref()
-            .filter(|_| matches!(entry.work, Work::Held))
+            .filter(|_| matches!(entry.work, ExecutionState::Held))
         else {
             return;
         };
-        entry.work = Work::Waiting { since: self.now };
-        match self.keys.attach(key, id) {
+        entry.work = ExecutionState::Waiting { since: self.now };
+        match self.idempotency.attach(key, id) {
             Attached::Waits => {}
             Attached::Result(body) => self.end_waiting(id, Some(&body)),
             Attached::Failed => self.end_waiting(id, None),
--- a/crates/heathspurd/src/event_loop/inbox.rs
+++ b/crates/heathspurd/src/event_loop/inbox.rs
@@ -6,35 +6,35 @@
 
 /// What happened.
 #[derive(Debug)]
-pub(crate) enum OwnerEvent {
+pub(crate) enum LoopEvent {
     /// The caller of a request is gone.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A connection has closed, and somebody waits for the last one.
-    Closed,
+    ConnectionClosed,
     Interpreter(interpreter::Event),
     Store(store::Event),
 }
 
-impl From<interpreter::Event> for OwnerEvent {
-    fn from(heard: interpreter::Event) -> OwnerEvent {
-        OwnerEvent::Interpreter(heard)
+impl From<interpreter::Event> for LoopEvent {
+    fn from(heard: interpreter::Event) -> LoopEvent {
+        LoopEvent::Interpreter(heard)
     }
 }
 
-impl From<RequestId> for OwnerEvent {
-    fn from(gone: RequestId) -> OwnerEvent {
-        OwnerEvent::Gone(gone)
+impl From<RequestId> for LoopEvent {
+    fn from(gone: RequestId) -> LoopEvent {
+        LoopEvent::ClientDisconnected(gone)
     }
 }
 
-impl From<()> for OwnerEvent {
-    fn from((): ()) -> OwnerEvent {
-        OwnerEvent::Closed
+impl From<()> for LoopEvent {
+    fn from((): ()) -> LoopEvent {
+        LoopEvent::ConnectionClosed
     }
 }
 
-impl From<store::Event> for OwnerEvent {
-    fn from(called: store::Event) -> OwnerEvent {
-        OwnerEvent::Store(called)
+impl From<store::Event> for LoopEvent {
+    fn from(called: store::Event) -> LoopEvent {
+        LoopEvent::Store(called)
     }
 }
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -12,11 +12,11 @@
 
 use crate::clock;
 use crate::config::Config;
-use crate::event_loop::inbox::OwnerEvent;
-use crate::event_loop::request_table::Work;
-use crate::event_loop::state::{Due, LinkState, Owner};
-use crate::frontend::request_queue::Intake;
-use crate::frontend::Arrival;
+use crate::event_loop::inbox::LoopEvent;
+use crate::event_loop::request_table::ExecutionState;
+use crate::event_loop::state::{EventLoop, LinkState, PendingTimer};
+use crate::frontend::request_queue::RequestQueues;
+use crate::frontend::IncomingRequest;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
@@ -44,14 +44,18 @@
 
 /// What wakes the owner.
 enum Woken {
-    Request(Arrival),
-    Event(OwnerEvent),
+    Request(IncomingRequest),
+    Event(LoopEvent),
     Notice,
     Time,
 }
 
-impl Owner {
-    pub(crate) async fn work(mut self, mut requests: Intake<Arrival>, inbox: Receiver<OwnerEvent>) {
+impl EventLoop {
+    pub(crate) async fn work(
+        mut self,
+        mut requests: RequestQueues<IncomingRequest>,
+        inbox: Receiver<LoopEvent>,
+    ) {
         let mut actions = Vec::new();
         loop {
             let woken = self.wait(&mut requests, &inbox).await;
@@ -91,14 +95,14 @@
     /// is written: the front's tasks have this long for it.
     async fn finish(
         mut self,
-        mut requests: Intake<Arrival>,
-        inbox: Receiver<OwnerEvent>,
+        mut requests: RequestQueues<IncomingRequest>,
+        inbox: Receiver<LoopEvent>,
         mut actions: Vec<Action>,
     ) {
         while let Some(arrival) = requests.try_next() {
             self.take_request(arrival);
         }
-        let due = self.due.drain(..).map(|due| due.token);
+        let due = self.pending_timers.drain(..).map(|due| due.token);
         for token in due.chain(self.timers.drain().map(|Reverse((_, token))| token)) {
             self.events.push(Event::Timer {
                 token,
@@ -106,14 +110,19 @@
             });
         }
         self.decide(&mut actions);
-        let closed = async { while self.desk.pool.open() > 0 && inbox.recv().await.is_ok() {} };
+        let closed =
+            async { while self.frontend.connections.open() > 0 && inbox.recv().await.is_ok() {} };
         let late = async {
             Timer::after(LAST_WRITES).await;
         };
         future::or(closed, late).await;
     }
 
-    async fn wait(&self, requests: &mut Intake<Arrival>, inbox: &Receiver<OwnerEvent>) -> Woken {
+    async fn wait(
+        &self,
+        requests: &mut RequestQueues<IncomingRequest>,
+        inbox: &Receiver<LoopEvent>,
+    ) -> Woken {
         if !self.events.is_empty() {
             return Woken::Time;
         }
@@ -125,7 +134,7 @@
             }
         };
         let notice = async {
-            self.notices.told().await;
+            self.signals.notified().await;
             Woken::Notice
         };
         let time = async {
@@ -141,15 +150,15 @@
     fn next_time(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let call = self.call_timers.first().map(|(at, _)| *at);
-        let gauges = self.due.front().map(|due| due.until);
-        let leave = self.leaving.map(|(shut, end)| {
-            if self.desk.shutting.is_closed() {
+        let gauges = self.pending_timers.front().map(|due| due.until);
+        let leave = self.drain.map(|(shut, end)| {
+            if self.frontend.stop_accepting.is_closed() {
                 end
             } else {
                 shut
             }
         });
-        let resume = match self.link {
+        let resume = match self.interpreter_link {
             LinkState::Resuming(_, until) => Some(until),
             LinkState::Up | LinkState::Late | LinkState::Down => None,
         };
@@ -161,14 +170,14 @@
 
     /// The module begins with the interpreter's start: from then on the machine warms up.
     pub(crate) fn begin(&mut self, cold: bool, started: Time) {
-        if self.module.is_some() {
+        if self.controller.is_some() {
             return;
         }
         self.settings.cold_start = cold;
         let mut module = AdmissionController::new(self.settings.clone(), self.seed);
         let mut actions = Vec::new();
         module.decide(started, &[], &mut actions);
-        self.module = Some(module);
+        self.controller = Some(module);
         self.carry_out(&mut actions);
     }
 
@@ -176,7 +185,7 @@
         if self.events.is_empty() {
             return;
         }
-        let Some(module) = &mut self.module else {
+        let Some(module) = &mut self.controller else {
             return;
         };
         module.decide(self.now, &self.events, actions);
@@ -194,22 +203,22 @@
         }
     }
 
-    fn take_request(&mut self, arrival: Arrival) {
+    fn take_request(&mut self, arrival: IncomingRequest) {
         self.begin(self.settings.cold_start, self.now);
         self.admit(arrival);
     }
 
-    fn take_event(&mut self, event: OwnerEvent) {
+    fn take_event(&mut self, event: LoopEvent) {
         match event {
-            OwnerEvent::Gone(id) => self.gone(id),
-            OwnerEvent::Closed => {}
-            OwnerEvent::Interpreter(heard) => self.hear(heard),
-            OwnerEvent::Store(called) => self.called(called),
+            LoopEvent::ClientDisconnected(id) => self.gone(id),
+            LoopEvent::ConnectionClosed => {}
+            LoopEvent::Interpreter(heard) => self.hear(heard),
+            LoopEvent::Store(called) => self.called(called),
         }
     }
 
     fn take_notices(&mut self) {
-        let (drain, config) = self.notices.take();
+        let (drain, config) = self.signals.take();
         if let Some(config) = config {
             self.move_to(&config);
         }
@@ -224,8 +233,8 @@
             "peers at {}, {} and {:?}",
             config.vm, config.announce, config.store
         );
-        self.targets.vm.set(config.vm);
-        self.targets.announce.set(config.announce);
+        self.peer_addresses.interpreter.set(config.vm);
+        self.peer_addresses.registration.set(config.announce);
         self.store.set(config.store);
     }
 
@@ -239,9 +248,9 @@
             let Some(Reverse((_, token))) = self.timers.pop() else {
                 break;
             };
-            if self.link.is_up() {
+            if self.interpreter_link.is_up() {
                 let nonce = self.ask();
-                self.due.push_back(Due {
+                self.pending_timers.push_back(PendingTimer {
                     nonce,
                     token,
                     until: self.now + GAUGES,
@@ -253,8 +262,12 @@
                 });
             }
         }
-        while self.due.front().is_some_and(|due| due.until <= self.now) {
-            let Some(due) = self.due.pop_front() else {
+        while self
+            .pending_timers
+            .front()
+            .is_some_and(|due| due.until <= self.now)
+        {
+            let Some(due) = self.pending_timers.pop_front() else {
                 break;
             };
             self.events.push(Event::Timer {
@@ -273,24 +286,24 @@
             let Some(entry) = self.table.get(id) else {
                 continue;
             };
-            if let Work::Calling { call, .. } = entry.work {
+            if let ExecutionState::Calling { call, .. } = entry.work {
                 let outcome = self.store.give_up_late(call);
                 self.call_ended(id, outcome);
             }
         }
-        if matches!(self.link, LinkState::Resuming(_, until) if until <= self.now) {
+        if matches!(self.interpreter_link, LinkState::Resuming(_, until) if until <= self.now) {
             self.resume_late();
         }
         if self.prune_at <= self.now {
             self.prune_at = self.now + PRUNE;
-            self.keys.prune(clock::unix());
+            self.idempotency.prune(clock::unix());
             self.store.prune();
         }
     }
 
     /// The notice to drain.
     fn leave(&mut self) {
-        if self.leaving.is_some() {
+        if self.drain.is_some() {
             return;
         }
         info!("told to leave");
@@ -299,29 +312,29 @@
         let stop = self.stop.saturating_sub(EARLY);
         let shut = span(stop.saturating_sub(LEAVE)).min(self.settings.drain_grace);
         // The last answers are given before the stop that the module is told; they are on their way then.
-        self.leaving = Some((self.now + shut, self.now + span(stop + EARLY / 2)));
+        self.drain = Some((self.now + shut, self.now + span(stop + EARLY / 2)));
         if let Some(members) = &self.members {
             members.leave();
         }
-        self.desk.leaving.set(true);
-        self.desk.release_at.set(Some(
+        self.frontend.draining.set(true);
+        self.frontend.abandon_responses_at.set(Some(
             self.clock
                 .instant(self.now + span(stop.saturating_sub(LEAVE))),
         ));
-        self.desk.pool.tell_closed(self.closed.clone());
+        self.frontend.connections.tell_closed(self.closed.clone());
         self.events.push(Event::Drain(span(stop)));
     }
 
     /// Shuts the front when nothing new would be run any more; true once all is answered, or nothing can be.
     fn has_left(&mut self) -> bool {
-        let Some((shut, end)) = self.leaving else {
+        let Some((shut, end)) = self.drain else {
             return false;
         };
         if self.now >= shut {
-            self.shutter.close();
+            self.stop_accepting.close();
         }
         let owed = || self.table.find(|entry| entry.reply.is_some()).len();
-        self.desk.shutting.is_closed()
-            && (self.desk.pool.open() == 0 && owed() == 0 || self.now >= end)
+        self.frontend.stop_accepting.is_closed()
+            && (self.frontend.connections.open() == 0 && owed() == 0 || self.now >= end)
     }
 }
--- a/crates/heathspurd/src/event_loop/peer_events.rs
+++ b/crates/heathspurd/src/event_loop/peer_events.rs
@@ -1,7 +1,9 @@
 //! What the interpreter and the store tell: ends of runs, calls that are needed, gauges, replies.
 
-use crate::event_loop::request_table::{Delivery, Halting, Need, Told, Work};
-use crate::event_loop::state::{LinkState, Owner};
+use crate::event_loop::request_table::{
+    CommandDelivery, ExecutionState, Halting, LastCommand, PendingCall,
+};
+use crate::event_loop::state::{EventLoop, LinkState};
 use crate::frontend::Answer;
 use crate::peers::interpreter::Event as Heard;
 use crate::peers::store::Event as Called;
@@ -13,7 +15,7 @@
 /// The longest wait for notices that were missed, once a link is up again.
 const RESUME: Span = Span(1_000_000);
 
-impl Owner {
+impl EventLoop {
     /// Asks the interpreter for its gauges.
     pub(crate) fn ask(&mut self) -> u64 {
         let nonce = self.next_nonce;
@@ -28,14 +30,14 @@
                 let ago = Span::from_secs(ago_ms / 1000.0);
                 self.begin(warmth == Warmth::Cold, self.now - ago);
                 let nonce = self.ask();
-                self.link = LinkState::Resuming(nonce, self.now + RESUME);
+                self.interpreter_link = LinkState::Resuming(nonce, self.now + RESUME);
             }
             Heard::Down => {
-                if self.link.is_up() {
+                if self.interpreter_link.is_up() {
                     self.doubt();
                 }
-                self.link = LinkState::Down;
-                for due in std::mem::take(&mut self.due) {
+                self.interpreter_link = LinkState::Down;
+                for due in std::mem::take(&mut self.pending_timers) {
                     self.events.push(Event::Timer {
                         token: due.token,
                         gauges: Gauges::default(),
@@ -47,14 +49,18 @@
                 if nonce < self.next_nonce {
                     self.answered = self.answered.max(nonce);
                 }
-                match self.link {
+                match self.interpreter_link {
                     LinkState::Resuming(asked, _) if asked == nonce => return self.resume(),
                     LinkState::Late => self.resume(),
                     _ => {}
                 }
-                if let Some(at) = self.due.iter().position(|due| due.nonce == nonce) {
-                    let gauges = self.desk.names.meters.read(&readings);
-                    if let Some(due) = self.due.remove(at) {
+                if let Some(at) = self
+                    .pending_timers
+                    .iter()
+                    .position(|due| due.nonce == nonce)
+                {
+                    let gauges = self.frontend.names.meters.read(&readings);
+                    if let Some(due) = self.pending_timers.remove(at) {
                         self.events.push(Event::Timer {
                             token: due.token,
                             gauges,
@@ -69,13 +75,16 @@
             }
             Heard::Waits { txn, index, body } => {
                 if let Some(id) = self.table.named(&txn) {
-                    self.waits(id, Need { index, body });
+                    self.waits(id, PendingCall { index, body });
                 }
             }
             Heard::Missed => self.missed(),
             Heard::Refused { command, txn } => {
                 if command == "TOP"
-                    && matches!(self.link, LinkState::Resuming(..) | LinkState::Late)
+                    && matches!(
+                        self.interpreter_link,
+                        LinkState::Resuming(..) | LinkState::Late
+                    )
                 {
                     self.resume();
                 }
@@ -83,8 +92,8 @@
                 let work = id.and_then(|id| self.table.get(id)).map(|e| &e.work);
                 let started = matches!(
                     work,
-                    Some(Work::Running {
-                        told: Told::Apply,
+                    Some(ExecutionState::Running {
+                        told: LastCommand::Apply,
                         ..
                     })
                 );
@@ -98,27 +107,27 @@
 
     /// A run waits for a call. One that already did has taken a reply that was told again, of an earlier call, for this
     /// one's: it goes on by what it waits for now, or all its later replies would come one call late.
-    fn waits(&mut self, id: RequestId, need: Need) {
+    fn waits(&mut self, id: RequestId, need: PendingCall) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
         match entry.work.clone() {
-            Work::Running { since, halting, .. } => {
-                entry.work = Work::AtCall {
+            ExecutionState::Running { since, halting, .. } => {
+                entry.work = ExecutionState::AtCall {
                     since,
                     need,
                     halting,
                 };
                 self.events.push(Event::CallNeeded(id));
             }
-            Work::AtCall { since, halting, .. } => {
-                entry.work = Work::AtCall {
+            ExecutionState::AtCall { since, halting, .. } => {
+                entry.work = ExecutionState::AtCall {
                     since,
                     need,
                     halting,
                 }
             }
-            Work::Calling {
+            ExecutionState::Calling {
                 since,
                 halting,
                 call,
@@ -130,39 +139,40 @@
                 // What stands to be called now never was.
                 self.call_ended(id, Outcome::NoLongerNeeded);
                 if let Some(entry) = self.table.get_mut(id) {
-                    entry.work = Work::AtCall {
+                    entry.work = ExecutionState::AtCall {
                         since,
                         need,
                         halting,
                     };
                 }
             }
-            Work::Held | Work::Paused { .. } | Work::Waiting { .. } => {}
+            ExecutionState::Held
+            | ExecutionState::Paused { .. }
+            | ExecutionState::Waiting { .. } => {}
         }
     }
 
     /// All notices that were missed are in: what still runs is told again.
     fn resume(&mut self) {
-        let late = std::mem::replace(&mut self.link, LinkState::Up) == LinkState::Late;
-        self.tell_where(|delivery| !late || !matches!(delivery, Delivery::Here { .. }));
+        let late = std::mem::replace(&mut self.interpreter_link, LinkState::Up) == LinkState::Late;
+        self.tell_where(|delivery| !late || !matches!(delivery, CommandDelivery::Here { .. }));
     }
 
     /// Notices that were missed may yet come: only what no link was told before is told.
     pub(crate) fn resume_late(&mut self) {
-        self.link = LinkState::Late;
-        self.tell_where(|delivery| matches!(delivery, Delivery::Here { .. }));
+        self.interpreter_link = LinkState::Late;
+        self.tell_where(|delivery| matches!(delivery, CommandDelivery::Here { .. }));
     }
 
     /// Tells what runs and passes the test, on this link now.
-    fn tell_where(&mut self, test: impl Fn(Delivery) -> bool) {
-        let passes =
-            |work: &Work| matches!(work, Work::Running { delivery, .. } if test(*delivery));
+    fn tell_where(&mut self, test: impl Fn(CommandDelivery) -> bool) {
+        let passes = |work: &ExecutionState| matches!(work, ExecutionState::Running { delivery, .. } if test(*delivery));
         for id in self.table.find(|entry| passes(&entry.work)) {
-            if let Some(Work::Running { delivery, .. }) =
+            if let Some(ExecutionState::Running { delivery, .. }) =
                 self.table.get_mut(id).map(|e| &mut e.work)
             {
-                if *delivery != Delivery::Taken {
-                    *delivery = Delivery::Here {
+                if *delivery != CommandDelivery::Taken {
+                    *delivery = CommandDelivery::Here {
                         before: self.next_nonce,
                     };
                 }
@@ -177,19 +187,21 @@
         warn!("notices were made that the interpreter keeps no longer");
         let settings = &self.settings;
         let lost = self.table.find(|entry| match &entry.work {
-            Work::Running {
-                delivery: Delivery::Here { .. },
+            ExecutionState::Running {
+                delivery: CommandDelivery::Here { .. },
                 ..
             } => false,
-            Work::Running {
-                told: Told::Apply,
+            ExecutionState::Running {
+                told: LastCommand::Apply,
                 halting: Halting::No,
                 ..
             } => settings.classes[entry.class.0].idempotency != Idempotency::Idempotent,
-            Work::Running { .. } => true,
+            ExecutionState::Running { .. } => true,
             // A run ends at a call only once nobody waits for its request.
-            Work::AtCall { .. } | Work::Calling { .. } => entry.reply.is_none(),
-            Work::Held | Work::Paused { .. } | Work::Waiting { .. } => false,
+            ExecutionState::AtCall { .. } | ExecutionState::Calling { .. } => entry.reply.is_none(),
+            ExecutionState::Held
+            | ExecutionState::Paused { .. }
+            | ExecutionState::Waiting { .. } => false,
         });
         for id in lost {
             self.run_ended(id, End::Error, Bytes::new());
@@ -201,18 +213,19 @@
     fn doubt(&mut self) {
         for id in self
             .table
-            .find(|entry| matches!(entry.work, Work::Running { .. }))
+            .find(|entry| matches!(entry.work, ExecutionState::Running { .. }))
         {
-            let Some(Work::Running { delivery, told, .. }) =
+            let Some(ExecutionState::Running { delivery, told, .. }) =
                 self.table.get_mut(id).map(|e| &mut e.work)
             else {
                 continue;
             };
-            let taken = matches!(delivery, Delivery::Here { before } if *before <= self.answered);
+            let taken =
+                matches!(delivery, CommandDelivery::Here { before } if *before <= self.answered);
             *delivery = match (*delivery, told) {
-                (Delivery::Taken, _) => Delivery::Taken,
-                (_, Told::Resolve(_)) if taken => Delivery::Taken,
-                _ => Delivery::InDoubt,
+                (CommandDelivery::Taken, _) => CommandDelivery::Taken,
+                (_, LastCommand::Resolve(_)) if taken => CommandDelivery::Taken,
+                _ => CommandDelivery::InDoubt,
             };
         }
     }
@@ -223,10 +236,14 @@
             return;
         };
         let (since, halted) = match &entry.work {
-            Work::Running { since, halting, .. }
-            | Work::AtCall { since, halting, .. }
-            | Work::Calling { since, halting, .. } => (*since, *halting == Halting::Asked),
-            Work::Held | Work::Paused { .. } | Work::Waiting { .. } => return,
+            ExecutionState::Running { since, halting, .. }
+            | ExecutionState::AtCall { since, halting, .. }
+            | ExecutionState::Calling { since, halting, .. } => {
+                (*since, *halting == Halting::Asked)
+            }
+            ExecutionState::Held
+            | ExecutionState::Paused { .. }
+            | ExecutionState::Waiting { .. } => return,
         };
         let outcome = match end {
             End::Complete => Outcome::Ok,
@@ -241,8 +258,8 @@
         });
         if end == End::Cancelled && halted && entry.reply.is_some() {
             match self.settings.preemption {
-                Preemption::Pause => entry.work = Work::Paused { since },
-                _ => entry.work = Work::Held,
+                Preemption::Pause => entry.work = ExecutionState::Paused { since },
+                _ => entry.work = ExecutionState::Held,
             }
             return;
         }
@@ -250,12 +267,12 @@
         let waiting = entry
             .key
             .as_ref()
-            .map(|key| self.keys.ended(key, id, result))
+            .map(|key| self.idempotency.ended(key, id, result))
             .unwrap_or_default();
         for repeat in waiting {
             self.end_waiting(repeat, result);
         }
-        self.answer(id, result.cloned().map_or(Answer::Failed, Answer::Served));
+        self.answer(id, result.cloned().map_or(Answer::Failed, Answer::Success));
         self.book_out(id);
     }
 
@@ -263,7 +280,7 @@
         let Some(entry) = self.table.get(called.id) else {
             return;
         };
-        let Work::Calling { call, until, .. } = &entry.work else {
+        let ExecutionState::Calling { call, until, .. } = &entry.work else {
             return;
         };
         if *call != called.call {
@@ -272,7 +289,7 @@
         self.call_timers.remove(&(*until, called.id));
         self.call_ended(called.id, called.outcome);
         if called.outcome == Outcome::Ok {
-            self.go_on(called.id, |_| Told::Resolve(called.body));
+            self.go_on(called.id, |_| LastCommand::Resolve(called.body));
         }
     }
 
@@ -281,7 +298,7 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let Work::Calling {
+        let ExecutionState::Calling {
             since,
             need,
             halting,
@@ -291,7 +308,7 @@
         else {
             return;
         };
-        entry.work = Work::AtCall {
+        entry.work = ExecutionState::AtCall {
             since,
             need,
             halting,
--- a/crates/heathspurd/src/event_loop/request_table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -1,6 +1,6 @@
 //! The table of requests: where each stands, from its admission until nothing of it is left.
 
-use crate::frontend::{Answer, Arrival, Txn};
+use crate::frontend::{Answer, AttemptId, IncomingRequest};
 use crate::idempotency::Key;
 use crate::peers::store::CallId;
 use async_channel::Sender;
@@ -10,7 +10,7 @@
 
 /// What the interpreter was told last, in case it must be told again.
 #[derive(Clone, Debug)]
-pub(crate) enum Told {
+pub(crate) enum LastCommand {
     Apply,
     Continue,
     Resolve(Bytes),
@@ -26,7 +26,7 @@
 
 /// What is known of the command that a run was told last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Delivery {
+pub(crate) enum CommandDelivery {
     /// On no link that broke: on this one, before the question of this number, or on none yet.
     Here { before: u64 },
     /// On a link that broke, so it may be lost; and what is not heard yet may be that the run has ended.
@@ -37,7 +37,7 @@
 
 /// The call that a run waits for.
 #[derive(Clone, Debug)]
-pub(crate) struct Need {
+pub(crate) struct PendingCall {
     /// The number of the notice that asked for it.
     pub index: u64,
     pub body: Bytes,
@@ -45,25 +45,25 @@
 
 /// Where a request stands.
 #[derive(Clone, Debug)]
-pub(crate) enum Work {
+pub(crate) enum ExecutionState {
     Held,
     Running {
         since: Time,
-        told: Told,
+        told: LastCommand,
         halting: Halting,
-        delivery: Delivery,
+        delivery: CommandDelivery,
     },
     Paused {
         since: Time,
     },
     AtCall {
         since: Time,
-        need: Need,
+        need: PendingCall,
         halting: Halting,
     },
     Calling {
         since: Time,
-        need: Need,
+        need: PendingCall,
         halting: Halting,
         call: CallId,
         made: Time,
@@ -78,24 +78,24 @@
 /// One request, from its admission until nothing of it is left.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub txn: Txn,
+    pub txn: AttemptId,
     pub class: ClassId,
     pub body: Bytes,
     /// The way to its caller while an answer is owed.
     pub reply: Option<Sender<Answer>>,
     pub key: Option<Key>,
-    pub work: Work,
+    pub work: ExecutionState,
 }
 
 /// All requests that the module knows. Bounded by the connections, and for those that are answered and
 /// still run by the module's cap.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct RequestTable {
     entries: BTreeMap<RequestId, Entry>,
-    names: HashMap<Txn, RequestId>,
+    names: HashMap<AttemptId, RequestId>,
 }
 
-impl Table {
+impl RequestTable {
     /// Requests in it: held, running, at calls, waiting.
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -109,7 +109,7 @@
         self.entries.get(&id)
     }
 
-    pub fn named(&self, txn: &Txn) -> Option<RequestId> {
+    pub fn named(&self, txn: &AttemptId) -> Option<RequestId> {
         self.names.get(txn).copied()
     }
 
@@ -122,10 +122,10 @@
             .collect()
     }
 
-    pub fn insert(&mut self, arrival: Arrival, key: Option<Key>) {
-        let Arrival {
+    pub fn insert(&mut self, arrival: IncomingRequest, key: Option<Key>) {
+        let IncomingRequest {
             id,
-            txn,
+            attempt: txn,
             class,
             body,
             reply,
@@ -140,7 +140,7 @@
                 body,
                 reply: Some(reply),
                 key,
-                work: Work::Held,
+                work: ExecutionState::Held,
             },
         );
     }
--- a/crates/heathspurd/src/event_loop/state.rs
+++ b/crates/heathspurd/src/event_loop/state.rs
@@ -1,16 +1,16 @@
 //! What the owning task owns: the module, all requests, and the links' near ends.
 
 use crate::clock::Clock;
-use crate::event_loop::inbox::OwnerEvent;
-use crate::event_loop::request_table::Table;
-use crate::frontend::Desk;
-use crate::idempotency::Keys;
+use crate::event_loop::inbox::LoopEvent;
+use crate::event_loop::request_table::RequestTable;
+use crate::frontend::FrontendContext;
+use crate::idempotency::IdempotencyStore;
 use crate::membership::Handle;
-use crate::peers::connection::Target;
+use crate::peers::connection::PeerAddress;
 use crate::peers::interpreter;
 use crate::peers::registration;
 use crate::peers::store;
-use crate::signals::Notices;
+use crate::signals::SignalState;
 use async_channel::Sender;
 use heathspur::{AdmissionController, Event, RequestId, Settings, Time, Token};
 use std::cmp::Reverse;
@@ -37,51 +37,51 @@
 }
 
 /// A timer of the module that is due and waits for the gauges.
-pub(crate) struct Due {
+pub(crate) struct PendingTimer {
     pub nonce: u64,
     pub token: Token,
     pub until: Time,
 }
 
 /// All that the owning task owns.
-pub(crate) struct Owner {
+pub(crate) struct EventLoop {
     pub settings: Settings,
-    pub desk: Rc<Desk>,
+    pub frontend: Rc<FrontendContext>,
     pub readiness: Rc<registration::Readiness>,
     pub interpreter: Rc<interpreter::Link>,
-    pub targets: Targets,
-    pub link: LinkState,
-    pub store: Rc<store::Link<OwnerEvent>>,
-    pub table: Table,
-    pub keys: Keys,
+    pub peer_addresses: PeerAddresses,
+    pub interpreter_link: LinkState,
+    pub store: Rc<store::Link<LoopEvent>>,
+    pub table: RequestTable,
+    pub idempotency: IdempotencyStore,
     pub timers: BinaryHeap<Reverse<(Time, Token)>>,
     pub call_timers: BTreeSet<(Time, RequestId)>,
     pub next_call: u64,
     /// Where the fleet's view is kept: what others are told of this server.
     pub members: Option<Handle>,
     /// What the operators ask for.
-    pub notices: Rc<Notices>,
+    pub signals: Rc<SignalState>,
     pub events: Vec<Event>,
     /// The time of this batch.
     pub now: Time,
     pub clock: Clock,
     pub seed: u64,
     pub stop: Duration,
-    pub module: Option<AdmissionController>,
-    pub due: VecDeque<Due>,
+    pub controller: Option<AdmissionController>,
+    pub pending_timers: VecDeque<PendingTimer>,
     pub next_nonce: u64,
     /// The last question that was answered.
     pub answered: u64,
     pub prune_at: Time,
     /// When the fronts are shut, and when the process ends whatever is left.
-    pub leaving: Option<(Time, Time)>,
-    pub shutter: Sender<()>,
+    pub drain: Option<(Time, Time)>,
+    pub stop_accepting: Sender<()>,
     /// Where connections that close are told, once the last one is waited for.
     pub closed: Sender<()>,
 }
 
 /// Where the peers that are called once in a while are found.
-pub(crate) struct Targets {
-    pub vm: Rc<Target>,
-    pub announce: Rc<Target>,
+pub(crate) struct PeerAddresses {
+    pub interpreter: Rc<PeerAddress>,
+    pub registration: Rc<PeerAddress>,
 }
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -13,7 +13,7 @@
 pub(crate) use heathspur_server_core::permits::Asked;
 
 /// All connections. Who leaves for whom is decided by the permits.
-pub(crate) struct Pool {
+pub(crate) struct ConnectionPool {
     permits: RefCell<Permits<Sender<Asked>>>,
     /// The permits' time is what passed since then.
     start: Instant,
@@ -22,9 +22,9 @@
     closed: RefCell<Option<Sender<()>>>,
 }
 
-impl Pool {
-    pub fn new(most: usize) -> Pool {
-        Pool {
+impl ConnectionPool {
+    pub fn new(most: usize) -> ConnectionPool {
+        ConnectionPool {
             permits: RefCell::new(Permits::new(most)),
             start: Instant::now(),
             freed: Notify::new(),
@@ -63,7 +63,7 @@
 
 /// One connection's permit; given back when it is dropped.
 pub(crate) struct Permit {
-    pool: Rc<Pool>,
+    pool: Rc<ConnectionPool>,
     heard: Cell<bool>,
     /// Its number among the idle ones.
     number: Cell<u64>,
@@ -72,7 +72,7 @@
 }
 
 impl Permit {
-    pub fn take(pool: &Rc<Pool>) -> Option<Permit> {
+    pub fn take(pool: &Rc<ConnectionPool>) -> Option<Permit> {
         pool.permits.borrow_mut().take().then(|| {
             let (leave, told) = async_channel::bounded(1);
             Permit {
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -3,8 +3,8 @@
 use crate::clock::within;
 use crate::frontend::lingering_close;
 use crate::frontend::response::Response;
-use crate::frontend::response_buffer::Room;
-use crate::frontend::Desk;
+use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::FrontendContext;
 use crate::recording::recorded_stream::Stream;
 use futures_lite::{future, AsyncWriteExt};
 use heathspur_wire::http::{self, Last};
@@ -18,7 +18,7 @@
 /// Writes an answer; an error means that the connection is of no more use.
 pub(crate) async fn write(
     stream: &Stream,
-    desk: &Desk,
+    desk: &FrontendContext,
     response: &Response,
     last: Last,
 ) -> io::Result<()> {
@@ -30,7 +30,7 @@
         last,
         &response.body,
     );
-    match &desk.room {
+    match &desk.response_budget {
         None => write_all(stream, &out).await,
         Some(room) => write_within(stream, room, &out).await,
     }
@@ -51,7 +51,11 @@
 
 /// The same under a budget of memory that other fronts share: what a slow reader leaves lying is held in it, and
 /// given up with the connection when others need the room.
-async fn write_within(mut stream: &Stream, room: &Rc<Room>, out: &[u8]) -> io::Result<()> {
+async fn write_within(
+    mut stream: &Stream,
+    room: &Rc<ResponseBudget>,
+    out: &[u8],
+) -> io::Result<()> {
     let written = match future::poll_once(stream.write(out)).await {
         Some(written) => written?,
         None => 0,
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -7,7 +7,7 @@
 use crate::frontend::lingering_close;
 use crate::frontend::request::{Asked, Draft};
 use crate::frontend::response::Response;
-use crate::frontend::{Answer, Arrival, Front};
+use crate::frontend::{Answer, FrontendHandle, IncomingRequest};
 use crate::recording::recorded_stream::Stream;
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -53,14 +53,14 @@
 /// What a whole message is.
 enum Read {
     Health,
-    Request(Box<Arrival>, async_channel::Receiver<Answer>),
+    Request(Box<IncomingRequest>, async_channel::Receiver<Answer>),
     Bad(u16),
 }
 
 /// What serves a connection of this front.
 pub(crate) fn serve(
     executor: Rc<LocalExecutor<'static>>,
-    front: Rc<Front>,
+    front: Rc<FrontendHandle>,
 ) -> impl Fn(Stream, Permit) {
     move |stream, permit| {
         executor
@@ -70,7 +70,7 @@
 }
 
 /// Serves one connection to its end.
-async fn connection(stream: Stream, front: Rc<Front>, permit: Permit) {
+async fn connection(stream: Stream, front: Rc<FrontendHandle>, permit: Permit) {
     // It fails on a connection that is gone, which the first read tells.
     let _ = stream.get_ref().set_nodelay(true);
     let (mut buffer, mut reader) = (BytesMut::new(), Reader::new(LIMITS));
@@ -126,14 +126,14 @@
 /// Has a whole message answered; says whether the answer was the connection's last.
 async fn respond(
     stream: &Stream,
-    front: &Front,
+    front: &FrontendHandle,
     permit: &Permit,
     buffer: &mut BytesMut,
     whole: Bytes,
     message: &Message,
     close: bool,
 ) -> Result<Last, Ended> {
-    let desk = &front.desk;
+    let desk = &front.context;
     let mut last = if close { Last::Yes } else { Last::No };
     let asked = understand(&whole, message, front);
     drop(whole);
@@ -154,10 +154,10 @@
                 .map_err(|_| Ended::Closed)?;
             let Some(given) = wait(stream, buffer, &answers).await else {
                 answers.close();
-                let _ = front.gone.send(id).await;
+                let _ = front.disconnected.send(id).await;
                 return Err(Ended::Closed);
             };
-            if desk.leaving.get() && buffer.is_empty() {
+            if desk.draining.get() && buffer.is_empty() {
                 // What came behind it is owed an answer too, which is the last then.
                 last = match look(stream, buffer).await {
                     Some(Ok(1..)) => last,
@@ -194,7 +194,7 @@
 /// Reads until the buffer starts with a whole message.
 async fn next(
     stream: &Stream,
-    front: &Front,
+    front: &FrontendHandle,
     permit: &Permit,
     buffer: &mut BytesMut,
     reader: &mut Reader,
@@ -217,9 +217,9 @@
         }
         let left = match begun {
             true => WHOLE.checked_sub(since.elapsed()).ok_or(Ended::Bad(408))?,
-            false if front.desk.shutting.is_closed() => return Err(Ended::Idle),
+            false if front.context.stop_accepting.is_closed() => return Err(Ended::Idle),
             false => {
-                let idle = Duration::from_micros(front.desk.idle.get().0);
+                let idle = Duration::from_micros(front.context.idle_timeout.get().0);
                 let idle = if permit.was_heard() {
                     idle
                 } else {
@@ -234,7 +234,7 @@
             if begun {
                 Timer::after(left).await;
             } else {
-                let shut = front.desk.shut();
+                let shut = front.context.accepting_stopped();
                 let tired = async {
                     Timer::after(left).await;
                 };
@@ -280,16 +280,16 @@
 }
 
 /// Makes a request of a message, or says why it is none. `whole` holds the message and nothing else.
-fn understand(whole: &Bytes, message: &Message, front: &Front) -> Read {
+fn understand(whole: &Bytes, message: &Message, front: &FrontendHandle) -> Read {
     let Ok((method, target)) = http::request_line(&whole[message.first.clone()]) else {
         return Read::Bad(400);
     };
-    let class = match Asked::of(method, target, &front.desk) {
+    let class = match Asked::of(method, target, &front.context) {
         Asked::Health => return Read::Health,
         Asked::Bad(status) => return Read::Bad(status),
-        Asked::Work(class) => class,
+        Asked::ExecutionState(class) => class,
     };
-    let mut draft = Draft::new(&front.desk, |part| whole.slice_ref(part));
+    let mut draft = Draft::new(&front.context, |part| whole.slice_ref(part));
     for field in Fields::over(&whole[message.fields.clone()]) {
         let taken = field.ok().and_then(|(name, value)| draft.take(name, value));
         if taken.is_none() {
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -10,8 +10,8 @@
 use crate::clock::within;
 use crate::frontend::connection_pool::Permit;
 use crate::frontend::lingering_close;
-use crate::frontend::response_buffer::Room;
-use crate::frontend::Front;
+use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::FrontendHandle;
 use crate::recording::recorded_stream::Stream;
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -43,10 +43,10 @@
 /// What all connections of this front share.
 struct Shared {
     executor: Rc<LocalExecutor<'static>>,
-    front: Front,
+    front: FrontendHandle,
     bounds: Http2,
     share: RefCell<Share>,
-    room: Rc<Room>,
+    room: Rc<ResponseBudget>,
     start: Instant,
 }
 
@@ -89,9 +89,9 @@
 /// What serves a connection of this front.
 pub(crate) fn serve(
     executor: Rc<LocalExecutor<'static>>,
-    front: Front,
+    front: FrontendHandle,
     bounds: Http2,
-    room: Rc<Room>,
+    room: Rc<ResponseBudget>,
 ) -> impl Fn(Stream, Permit) {
     let share = Share::new(Bounds {
         connection: bounds.streams.connection,
@@ -200,7 +200,7 @@
 
 /// Takes a connection's streams until it ends.
 async fn drive(h2: &mut Connection<Wire, Bytes>, conn: &Rc<Conn>, permit: &Permit) {
-    let (shared, desk) = (&conn.shared, &conn.shared.front.desk);
+    let (shared, desk) = (&conn.shared, &conn.shared.front.context);
     let patience = &shared.bounds.patience;
     let mut drain = Drain::new(patience.round_trip.0.as_micros() as u64);
     let (mut shut, mut pongs) = (false, 0);
@@ -237,7 +237,7 @@
                 }
             }
         }
-        if desk.leaving.get() {
+        if desk.draining.get() {
             steps[1] = drain.leave(conn.seen.now());
         }
         let counts = conn.seen.meter.borrow().counts();
@@ -258,7 +258,8 @@
             );
             return end(h2, Reason::ENHANCE_YOUR_CALM).await;
         }
-        if conn.seen.stuck_for() >= patience.stalled.0 || conn.seen.is_stuck() && desk.is_released()
+        if conn.seen.stuck_for() >= patience.stalled.0
+            || conn.seen.is_stuck() && desk.are_responses_abandoned()
         {
             debug!("a connection was ended: nothing was read of it");
             return;
@@ -272,7 +273,7 @@
 
 /// How long a connection may be idle.
 fn idle(conn: &Conn) -> Duration {
-    Duration::from_micros(conn.shared.front.desk.idle.get().0)
+    Duration::from_micros(conn.shared.front.context.idle_timeout.get().0)
 }
 
 async fn wake(h2: &mut Connection<Wire, Bytes>, conn: &Conn, shut: bool, sleep: Duration) -> Woken {
@@ -286,12 +287,12 @@
             Some(Err(_)) | None => Woken::Over,
         })
     });
-    let desk = &conn.shared.front.desk;
+    let desk = &conn.shared.front.context;
     let shutting = async {
         match shut {
-            false => desk.shut().await,
+            false => desk.accepting_stopped().await,
             // Later than that only the clock is looked at.
-            true if !desk.is_released() => desk.released().await,
+            true if !desk.are_responses_abandoned() => desk.responses_abandoned().await,
             true => future::pending().await,
         }
         Woken::Shut
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -4,7 +4,7 @@
 use crate::frontend::request::{Asked, Draft};
 use crate::frontend::response;
 use crate::frontend::response_buffer::Held;
-use crate::frontend::{Answer, Arrival};
+use crate::frontend::{Answer, IncomingRequest};
 use async_channel::Receiver;
 use async_io::Timer;
 use bytes::{Bytes, BytesMut};
@@ -55,7 +55,7 @@
         .uri
         .path_and_query()
         .map_or("", |target| target.as_str());
-    let desk = &conn.shared.front.desk;
+    let desk = &conn.shared.front.context;
     let asked = Asked::of(head.method.as_str().as_bytes(), target.as_bytes(), desk);
     let bounds = &conn.shared.bounds;
     let (most, until) = (
@@ -81,12 +81,12 @@
         // It is answered by the front alone, so it needs to be read no further.
         Asked::Health => {
             stream.conn.seen.meter.borrow_mut().request();
-            let reply = response::Response::of_health(&stream.conn.shared.front.desk);
+            let reply = response::Response::of_health(&stream.conn.shared.front.context);
             let _ = stream.head(&reply, true);
             return;
         }
         Asked::Bad(status) => Some(Event::Wrong { status }),
-        Asked::Work(_) => None,
+        Asked::ExecutionState(_) => None,
     };
     while !matches!(stream.life.state(), State::Over(_)) {
         let event = match first.take() {
@@ -113,7 +113,7 @@
 
     /// The next bytes of the body.
     async fn read(&mut self) -> Event {
-        let desk = self.conn.shared.front.desk.clone();
+        let desk = self.conn.shared.front.context.clone();
         let (body, kept) = (&mut self.body, &mut self.kept);
         let data = async {
             match body.data().await {
@@ -140,7 +140,7 @@
             Event::Late
         };
         let shut = async {
-            desk.shut().await;
+            desk.accepting_stopped().await;
             Event::Shut
         };
         future::or(data, future::or(late, shut)).await
@@ -151,7 +151,7 @@
         let Some((_, answers)) = &self.given else {
             return Event::Lost;
         };
-        let desk = &self.conn.shared.front.desk;
+        let desk = &self.conn.shared.front.context;
         let answer = async {
             match answers.recv().await {
                 Ok(answer) => {
@@ -227,7 +227,7 @@
             let timed = async {
                 Timer::at(until).await;
             };
-            future::or(timed, conn.shared.front.desk.released()).await;
+            future::or(timed, conn.shared.front.context.responses_abandoned()).await;
             Event::Late
         };
         let crowded = async {
@@ -249,7 +249,7 @@
                 if let Some((id, answers)) = self.given.take() {
                     answers.close();
                     // The owner outlives all connections, or nothing is owed any more.
-                    let _ = self.conn.shared.front.gone.send(id).await;
+                    let _ = self.conn.shared.front.disconnected.send(id).await;
                 }
                 None
             }
@@ -300,7 +300,7 @@
 
     /// Makes a request of what was read and hands it in; the front's own answer where it is none.
     async fn hand_in(&mut self) -> Option<Event> {
-        let Asked::Work(class) = self.asked else {
+        let Asked::ExecutionState(class) = self.asked else {
             return None;
         };
         let conn = self.conn.clone();
@@ -324,8 +324,8 @@
         None
     }
 
-    fn draft(&mut self, class: ClassId) -> Option<(Arrival, Receiver<Answer>)> {
-        let mut draft = Draft::new(&self.conn.shared.front.desk, Bytes::copy_from_slice);
+    fn draft(&mut self, class: ClassId) -> Option<(IncomingRequest, Receiver<Answer>)> {
+        let mut draft = Draft::new(&self.conn.shared.front.context, Bytes::copy_from_slice);
         for (name, value) in &self.fields {
             draft.take(name.as_str().as_bytes(), value.as_bytes())?;
         }
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -1,7 +1,7 @@
 //! A request as all fronts hand it in: its fields checked, whatever protocol they came by.
 
 use crate::clock;
-use crate::frontend::{Answer, Arrival, Desk, Txn};
+use crate::frontend::{Answer, AttemptId, FrontendContext, IncomingRequest};
 use bytes::Bytes;
 use heathspur::{ClassId, Span, TenantId};
 use heathspur_wire::http;
@@ -15,13 +15,13 @@
 /// What a method and a target ask for.
 pub(crate) enum Asked {
     Health,
-    Work(ClassId),
+    ExecutionState(ClassId),
     /// Nothing that is here; the status says so.
     Bad(u16),
 }
 
 impl Asked {
-    pub fn of(method: &[u8], target: &[u8], desk: &Desk) -> Asked {
+    pub fn of(method: &[u8], target: &[u8], desk: &FrontendContext) -> Asked {
         let path = target.split(|&b| b == b'?').next().unwrap_or(target);
         if path == HEALTH {
             return if method == b"GET" || method == b"HEAD" {
@@ -36,17 +36,17 @@
         match class {
             None => Asked::Bad(404),
             Some(_) if method != b"POST" => Asked::Bad(405),
-            Some(class) => Asked::Work(ClassId(class)),
+            Some(class) => Asked::ExecutionState(ClassId(class)),
         }
     }
 }
 
 /// The fields of a request as they come. `keep` makes what outlives the message of a part of it.
 pub(crate) struct Draft<'a, K> {
-    desk: &'a Desk,
+    desk: &'a FrontendContext,
     keep: K,
     latest: u64,
-    txn: Option<Txn>,
+    txn: Option<AttemptId>,
     ingress: Option<u64>,
     held_kb: Option<f64>,
     key: Option<Bytes>,
@@ -60,7 +60,7 @@
 }
 
 impl<'a, K: Fn(&[u8]) -> Bytes> Draft<'a, K> {
-    pub fn new(desk: &'a Desk, keep: K) -> Draft<'a, K> {
+    pub fn new(desk: &'a FrontendContext, keep: K) -> Draft<'a, K> {
         let latest = clock::unix() + AHEAD_OF_US;
         let (txn, ingress, held_kb, key, row, tenant) = (None, None, None, None, None, None);
         let (left, cost, rank, router) = (None, None, None, None);
@@ -87,7 +87,7 @@
     pub fn take(&mut self, name: &[u8], value: &[u8]) -> Option<()> {
         let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
         let again = if is("X-Txn") {
-            self.txn.replace(Txn::read(value)?).is_some()
+            self.txn.replace(AttemptId::read(value)?).is_some()
         } else if is("X-Ingress-Time") {
             let stamp = http::number(value)?
                 .checked_mul(1000)
@@ -131,7 +131,7 @@
         self,
         class: ClassId,
         body: Bytes,
-    ) -> Option<(Arrival, async_channel::Receiver<Answer>)> {
+    ) -> Option<(IncomingRequest, async_channel::Receiver<Answer>)> {
         let (Some(_), Some(_)) = (self.rank, self.router) else {
             return None;
         };
@@ -147,18 +147,18 @@
         }
         let (txn, ingress, held_kb) = (self.txn?, self.ingress?, self.held_kb?);
         let (reply, answers) = async_channel::bounded(1);
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             id: self.desk.next_id(),
-            txn,
+            attempt: txn,
             class,
             tenant: self.tenant.map(TenantId),
-            ingress,
-            row,
-            key: self.key.or(self.row),
-            retry: self.retry,
-            left: self.left,
-            cost: self.cost,
-            held_kb,
+            received_unix_micros: ingress,
+            has_subject: row,
+            idempotency_key: self.key.or(self.row),
+            is_retry: self.retry,
+            client_timeout: self.left,
+            cost_hint: self.cost,
+            queued_memory_kb: held_kb,
             body,
             reply,
         };
--- a/crates/heathspurd/src/frontend/request_queue.rs
+++ b/crates/heathspurd/src/frontend/request_queue.rs
@@ -7,14 +7,14 @@
 use std::task::Poll;
 
 /// The queues, and whose turn it is.
-pub(crate) struct Intake<T> {
+pub(crate) struct RequestQueues<T> {
     queues: Vec<Receiver<T>>,
     turn: usize,
 }
 
-impl<T> Intake<T> {
-    pub fn new(queues: Vec<Receiver<T>>) -> Intake<T> {
-        Intake { queues, turn: 0 }
+impl<T> RequestQueues<T> {
+    pub fn new(queues: Vec<Receiver<T>>) -> RequestQueues<T> {
+        RequestQueues { queues, turn: 0 }
     }
 
     /// The next one that is there, of the first queue that has one from the one on whose turn it is.
--- a/crates/heathspurd/src/frontend/response.rs
+++ b/crates/heathspurd/src/frontend/response.rs
@@ -1,6 +1,6 @@
 //! What an answer says, in any version of HTTP: status, fields and body.
 
-use crate::frontend::{Answer, Desk};
+use crate::frontend::{Answer, FrontendContext};
 use bytes::Bytes;
 
 /// What an answer says.
@@ -12,13 +12,13 @@
 
 impl Response {
     /// Those of a request's final answer.
-    pub fn of(answer: &Answer, desk: &Desk) -> Response {
+    pub fn of(answer: &Answer, desk: &FrontendContext) -> Response {
         let mut fields = free_value(desk);
         let (status, body) = match answer {
-            Answer::Served(body) => (200, body.clone()),
-            Answer::Refused {
-                stay_away,
-                last: give_up,
+            Answer::Success(body) => (200, body.clone()),
+            Answer::Rejected {
+                retry_after: stay_away,
+                no_retry: give_up,
             } => {
                 if let Some(span) = stay_away {
                     fields.push(("X-Throttle-Ms", span.0.div_ceil(1000) as f64));
@@ -29,7 +29,7 @@
                 (503, Bytes::new())
             }
             Answer::Failed => (500, Bytes::new()),
-            Answer::GivenUp => (504, Bytes::new()),
+            Answer::DeadlineExceeded => (504, Bytes::new()),
             Answer::Conflict => (409, Bytes::new()),
             Answer::KeyReused => (422, Bytes::new()),
         };
@@ -41,8 +41,8 @@
     }
 
     /// Those of a health check.
-    pub fn of_health(desk: &Desk) -> Response {
-        let status = if desk.good.get() { 200 } else { 503 };
+    pub fn of_health(desk: &FrontendContext) -> Response {
+        let status = if desk.healthy.get() { 200 } else { 503 };
         Response {
             status,
             fields: free_value(desk),
@@ -52,8 +52,8 @@
 }
 
 /// The field that every answer and check carries once the value is set.
-fn free_value(desk: &Desk) -> Vec<(&'static str, f64)> {
-    desk.free_value
+fn free_value(desk: &FrontendContext) -> Vec<(&'static str, f64)> {
+    desk.load_signal
         .get()
         .map(|value| ("X-Capacity", value))
         .into_iter()
--- a/crates/heathspurd/src/frontend/response_buffer.rs
+++ b/crates/heathspurd/src/frontend/response_buffer.rs
@@ -8,16 +8,16 @@
 use std::rc::Rc;
 
 /// The budget.
-pub(crate) struct Room {
+pub(crate) struct ResponseBudget {
     ledger: RefCell<Ledger>,
     /// How those that wait are told to give way; as many as the ledger knows.
     told: RefCell<HashMap<(Holder, Part), Sender<()>>>,
     next: Cell<u64>,
 }
 
-impl Room {
-    pub fn new(bounds: Bounds) -> Rc<Room> {
-        Rc::new(Room {
+impl ResponseBudget {
+    pub fn new(bounds: Bounds) -> Rc<ResponseBudget> {
+        Rc::new(ResponseBudget {
             ledger: RefCell::new(Ledger::new(bounds)),
             told: RefCell::default(),
             next: Cell::new(1),
@@ -36,7 +36,7 @@
     }
 
     /// So many bytes of a connection begin to wait; others, or they themselves, may have to give way for it.
-    pub fn hold(self: &Rc<Room>, holder: Holder, bytes: usize) -> Held {
+    pub fn hold(self: &Rc<ResponseBudget>, holder: Holder, bytes: usize) -> Held {
         let part = Part(self.number());
         let (tell, told) = async_channel::bounded(1);
         self.told.borrow_mut().insert((holder, part), tell);
@@ -58,7 +58,7 @@
 
 /// Bytes that wait; given back when it is dropped.
 pub(crate) struct Held {
-    room: Rc<Room>,
+    room: Rc<ResponseBudget>,
     holder: Holder,
     part: Part,
     told: Receiver<()>,
--- a/crates/heathspurd/src/idempotency.rs
+++ b/crates/heathspurd/src/idempotency.rs
@@ -88,7 +88,7 @@
 
 /// A try as far as its key goes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub id: RequestId,
     /// Unix microseconds at which it reached the machine.
     pub ingress: u64,
@@ -100,7 +100,7 @@
 
 /// The table. Bounded in entries and in bytes of results.
 #[derive(Debug)]
-pub(crate) struct Keys {
+pub(crate) struct IdempotencyStore {
     entries: HashMap<Key, Entry>,
     /// Whose entries are kept.
     holders: BTreeMap<RequestId, Key>,
@@ -112,10 +112,10 @@
     digest: RandomState,
 }
 
-impl Keys {
-    pub fn new(most_entries: usize, most_bytes: usize, late: Span) -> Keys {
+impl IdempotencyStore {
+    pub fn new(most_entries: usize, most_bytes: usize, late: Span) -> IdempotencyStore {
         let (entries, holders, digest) = (HashMap::new(), BTreeMap::new(), RandomState::new());
-        Keys {
+        IdempotencyStore {
             entries,
             holders,
             most_entries,
@@ -132,8 +132,8 @@
     }
 
     /// Enters a try; the answer is the one that it repeats.
-    pub fn link(&mut self, key: &Key, this: Try) -> Result<Option<RequestId>, Barred> {
-        let Try {
+    pub fn link(&mut self, key: &Key, this: Attempt) -> Result<Option<RequestId>, Barred> {
+        let Attempt {
             id,
             ingress,
             body,
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -38,7 +38,7 @@
 /// The owner's end.
 pub(crate) struct Handle {
     gauge: Arc<Gauge>,
-    tell: Sender<Told>,
+    tell: Sender<LastCommand>,
 }
 
 impl Handle {
@@ -58,12 +58,12 @@
     /// This server drains: nobody should count on it from now on.
     pub(crate) fn leave(&self) {
         // There is room for both things that are ever told.
-        let _ = self.tell.try_send(Told::Leave);
+        let _ = self.tell.try_send(LastCommand::Leave);
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum LastCommand {
     /// Say that this member leaves, and go on listening.
     Leave,
     /// End, once that was said for long enough.
@@ -73,7 +73,7 @@
 /// The running membership: its thread, and how to tell it what is to come.
 pub(crate) struct Membership {
     gauge: Arc<Gauge>,
-    tell: Sender<Told>,
+    tell: Sender<LastCommand>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -185,7 +185,7 @@
 
     /// Ends the thread; where the fleet was not told yet that this member leaves, it is now.
     pub(crate) fn stop(mut self) {
-        let _ = self.tell.try_send(Told::Stop);
+        let _ = self.tell.try_send(LastCommand::Stop);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -195,14 +195,14 @@
 enum Woken {
     Datagram(io::Result<(usize, SocketAddr)>),
     Time,
-    Told(Told),
+    LastCommand(LastCommand),
 }
 
 /// What the thread owns.
 struct Keeper {
     core: Members,
     gauge: Arc<Gauge>,
-    told: Receiver<Told>,
+    told: Receiver<LastCommand>,
     tick: Duration,
     started: Instant,
     decider: Option<Decider>,
@@ -225,7 +225,9 @@
             let woken = future::or(
                 async { Woken::Datagram(socket.recv_from(&mut buffer).await) },
                 future::or(
-                    async { Woken::Told(self.told.recv().await.unwrap_or(Told::Stop)) },
+                    async {
+                        Woken::LastCommand(self.told.recv().await.unwrap_or(LastCommand::Stop))
+                    },
                     async {
                         Timer::at(next).await;
                         Woken::Time
@@ -247,10 +249,10 @@
                 }
                 // A datagram's error (a port unreachable after a send) says nothing of the socket itself.
                 Woken::Datagram(Err(_)) | Woken::Time => {}
-                Woken::Told(told) => {
+                Woken::LastCommand(told) => {
                     let at = *left.get_or_insert_with(Instant::now);
                     self.core.handle(self.now(), Event::Leave, &mut out);
-                    if told == Told::Stop {
+                    if told == LastCommand::Stop {
                         stop = Some(at + LEAVING);
                         self.told.close();
                     }
--- a/crates/heathspurd/src/peers/connection.rs
+++ b/crates/heathspurd/src/peers/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::within;
 use crate::notify::Notify;
-use crate::recording::recorded_stream::{Stream, Tap};
+use crate::recording::recorded_stream::{RecorderHandle, Stream};
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use heathspur_record::recorder::Leg;
@@ -15,14 +15,14 @@
 const CHUNK: usize = 16 * 1024;
 
 /// Where a peer is found; a new configuration may move it.
-pub(crate) struct Target {
+pub(crate) struct PeerAddress {
     address: Cell<SocketAddr>,
     moved: Notify,
 }
 
-impl Target {
-    pub fn new(address: SocketAddr) -> Target {
-        Target {
+impl PeerAddress {
+    pub fn new(address: SocketAddr) -> PeerAddress {
+        PeerAddress {
             address: Cell::new(address),
             moved: Notify::new(),
         }
@@ -39,7 +39,7 @@
     }
 
     /// Waits until it is no longer at this address. One link waits for each target.
-    pub async fn moved(&self, from: SocketAddr) {
+    pub async fn changed(&self, from: SocketAddr) {
         while self.address.get() == from {
             self.moved.notified().await;
         }
@@ -55,7 +55,7 @@
 pub(crate) async fn connect(
     address: SocketAddr,
     limit: Duration,
-    recorded: Option<(&Rc<Tap>, Leg)>,
+    recorded: Option<(&Rc<RecorderHandle>, Leg)>,
 ) -> io::Result<Stream> {
     let stream = within(limit, Async::<TcpStream>::connect(address)).await?;
     stream.get_ref().set_nodelay(true)?;
@@ -63,15 +63,15 @@
 }
 
 /// Bytes that were read and not used yet.
-pub(crate) struct Inflow {
+pub(crate) struct ReadBuffer {
     buffer: Vec<u8>,
     filled: usize,
     used: usize,
 }
 
-impl Inflow {
-    pub fn new() -> Inflow {
-        Inflow {
+impl ReadBuffer {
+    pub fn new() -> ReadBuffer {
+        ReadBuffer {
             buffer: vec![0; CHUNK],
             filled: 0,
             used: 0,
--- a/crates/heathspurd/src/peers/interpreter.rs
+++ b/crates/heathspurd/src/peers/interpreter.rs
@@ -1,10 +1,10 @@
 //! The link to the interpreter: held open, made again when it breaks, resumed at the last notice read.
 
-use crate::frontend::Txn;
+use crate::frontend::AttemptId;
 use crate::notify::Notify;
-use crate::peers::connection::{connect, Inflow, Target};
+use crate::peers::connection::{connect, PeerAddress, ReadBuffer};
 use crate::peers::notice_sequence::{Count, Sight};
-use crate::recording::recorded_stream::{Stream, Tap};
+use crate::recording::recorded_stream::{RecorderHandle, Stream};
 use async_channel::Sender;
 use async_io::Timer;
 use bytes::Bytes;
@@ -33,12 +33,12 @@
         ago_ms: f64,
     },
     Ended {
-        txn: Txn,
+        txn: AttemptId,
         end: End,
         body: Bytes,
     },
     Waits {
-        txn: Txn,
+        txn: AttemptId,
         index: u64,
         body: Bytes,
     },
@@ -48,7 +48,7 @@
     },
     Refused {
         command: String,
-        txn: Option<Txn>,
+        txn: Option<AttemptId>,
     },
     /// Notices were made that are kept no longer.
     Missed,
@@ -77,10 +77,10 @@
 
 /// Keeps the link up for ever, wherever the interpreter is found.
 pub(crate) async fn keep<N: From<Event>>(
-    target: Rc<Target>,
+    target: Rc<PeerAddress>,
     link: Rc<Link>,
     events: Sender<N>,
-    tap: Option<Rc<Tap>>,
+    tap: Option<Rc<RecorderHandle>>,
 ) {
     let (mut count, mut wait) = (Count::default(), SHORTEST);
     loop {
@@ -91,14 +91,14 @@
             tap.as_ref().map(|tap| (tap, Leg::Interpreter)),
         );
         let moved = async {
-            target.moved(address).await;
+            target.changed(address).await;
             None
         };
         match future::or(async { Some(dial.await) }, moved).await {
             Some(Ok(stream)) => {
                 let before = count.last();
                 let moved = async {
-                    target.moved(address).await;
+                    target.changed(address).await;
                     "it has moved".to_string()
                 };
                 let ended = future::or(talk(&stream, &link, &events, &mut count), moved).await;
@@ -122,7 +122,7 @@
         let pause = async {
             Timer::after(wait).await;
         };
-        future::or(pause, target.moved(address)).await;
+        future::or(pause, target.changed(address)).await;
         wait = (wait * 2).min(LONGEST);
     }
 }
@@ -164,7 +164,7 @@
 }
 
 async fn listen<N: From<Event>>(stream: &Stream, events: &Sender<N>, count: &mut Count) -> String {
-    let mut inflow = Inflow::new();
+    let mut inflow = ReadBuffer::new();
     loop {
         if let Err(e) = inflow.fill(stream).await {
             return e.to_string();
@@ -177,7 +177,7 @@
             let heard = match wire::read(line) {
                 // Its number is not taken either, so it comes again, whole, on the next link.
                 Ok(Notice::Value { task, .. } | Notice::Await { task, .. })
-                    if Txn::read(task.as_bytes()).is_none() =>
+                    if AttemptId::read(task.as_bytes()).is_none() =>
                 {
                     return "a notice names no request".to_string();
                 }
@@ -232,12 +232,12 @@
         Notice::Value {
             task, end, body, ..
         } => Some(Event::Ended {
-            txn: Txn::read(task.as_bytes())?,
+            txn: AttemptId::read(task.as_bytes())?,
             end,
             body: body.into(),
         }),
         Notice::Await { index, task, body } => Some(Event::Waits {
-            txn: Txn::read(task.as_bytes())?,
+            txn: AttemptId::read(task.as_bytes())?,
             index,
             body: body.into(),
         }),
@@ -247,7 +247,7 @@
         }),
         Notice::Refused { command, task } => Some(Event::Refused {
             command: command.into_owned(),
-            txn: Txn::read(task.as_bytes()),
+            txn: AttemptId::read(task.as_bytes()),
         }),
         Notice::Trace { .. } => None,
     }
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -1,7 +1,7 @@
 //! Carries out the schedule of reports to the announce service ([`heathspur_server_core::announce`]): dials, sends, answers.
 
 use crate::notify::Notify;
-use crate::peers::connection::{self, Inflow, Target};
+use crate::peers::connection::{self, PeerAddress, ReadBuffer};
 use crate::recording::recorded_stream::Stream;
 use async_io::Timer;
 use futures_lite::{future, AsyncWriteExt};
@@ -44,7 +44,7 @@
 }
 
 /// Reports for ever.
-pub(crate) async fn keep(target: Rc<Target>, name: String, readiness: Rc<Readiness>) {
+pub(crate) async fn keep(target: Rc<PeerAddress>, name: String, readiness: Rc<Readiness>) {
     let mut reporter = Reporter::new(target.get(), name);
     loop {
         let Some(ready) = readiness.ready.get() else {
@@ -59,7 +59,7 @@
         reporter.act();
         let (address, next) = (reporter.address, reporter.next_time());
         let changed = async {
-            future::or(readiness.changed.notified(), target.moved(address)).await;
+            future::or(readiness.changed.notified(), target.changed(address)).await;
             None
         };
         let time = async {
@@ -83,7 +83,7 @@
     Dial(Boxed<Stream>),
     Idle(Stream),
     /// The answer's status, and the connection where it stays open.
-    Told(Boxed<(u16, Option<Stream>)>),
+    LastCommand(Boxed<(u16, Option<Stream>)>),
 }
 
 /// What a step came to.
@@ -106,7 +106,7 @@
                     Poll::Ready(_) => return Poll::Ready(Ended::Spent),
                 }
             },
-            Step::Told(answer) => answer.as_mut().poll(cx).map(Ended::Answered),
+            Step::LastCommand(answer) => answer.as_mut().poll(cx).map(Ended::Answered),
         }
     }
 }
@@ -170,7 +170,7 @@
             // An answer that comes before the report is none to it.
             Some(Step::Idle(stream)) if connection::is_quiet(&stream) => {
                 let answer = Box::pin(exchange(stream, self.report(ready)));
-                self.lines.push((line, Step::Told(answer)));
+                self.lines.push((line, Step::LastCommand(answer)));
                 Event::Sent(line)
             }
             _ => Event::Spent(line),
@@ -249,7 +249,7 @@
 /// One call: the status of its answer, and the connection where it stays open and nothing else came on it.
 async fn exchange(stream: Stream, out: Vec<u8>) -> io::Result<(u16, Option<Stream>)> {
     (&stream).write_all(&out).await?;
-    let (mut reader, mut inflow) = (Reader::new(LIMITS), Inflow::new());
+    let (mut reader, mut inflow) = (Reader::new(LIMITS), ReadBuffer::new());
     loop {
         inflow.fill(&stream).await?;
         if let Some(message) = reader.read(inflow.bytes()).map_err(io::Error::other)? {
--- a/crates/heathspurd/src/peers/store.rs
+++ b/crates/heathspurd/src/peers/store.rs
@@ -2,10 +2,10 @@
 //! breaks one connection, costs that call alone. Connections that brought a whole reply and nothing else are
 //! used again for a moment; giving a call up closes its connection.
 
-use crate::frontend::Txn;
+use crate::frontend::AttemptId;
 use crate::membership::failover::{Routes, Way};
-use crate::peers::connection::{connect, is_quiet, Inflow};
-use crate::recording::recorded_stream::{Stream, Tap};
+use crate::peers::connection::{connect, is_quiet, ReadBuffer};
+use crate::recording::recorded_stream::{RecorderHandle, Stream};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use bytes::Bytes;
@@ -29,14 +29,14 @@
 
 /// A call to be made.
 pub(crate) struct Call {
-    pub id: RequestId,
+    pub request: RequestId,
     pub call: CallId,
-    pub txn: Txn,
-    pub limit_ms: u64,
+    pub attempt: AttemptId,
+    pub timeout_ms: u64,
     pub body: Bytes,
     /// Takes a new connection: one that was idle may be forgotten by the other side, and breaking under the
     /// call it would prove nothing.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 /// What the link tells the owner: how a call ended, with the reply where it went well.
@@ -51,15 +51,15 @@
 /// A connection, to be used for one call at a time.
 struct Line {
     stream: Stream,
-    inflow: Inflow,
+    inflow: ReadBuffer,
     address: SocketAddr,
     /// Whose call it carried last, and when that ended. Late copies of that reply bear the same name.
-    last: Option<(Txn, Instant)>,
+    last: Option<(AttemptId, Instant)>,
 }
 
 impl Line {
     /// It may carry a call of this request to this address: it is young, open, and nothing came unasked.
-    fn serves(&self, txn: Txn, address: SocketAddr) -> bool {
+    fn serves(&self, txn: AttemptId, address: SocketAddr) -> bool {
         let other = self.last.is_some_and(|(t, _)| t != txn);
         self.address == address && other && self.is_young() && is_quiet(&self.stream)
     }
@@ -86,7 +86,7 @@
     give_back: Sender<()>,
     places: Receiver<()>,
     events: Sender<N>,
-    tap: Option<Rc<Tap>>,
+    tap: Option<Rc<RecorderHandle>>,
     /// Where calls go by zones; else all to the one address.
     routes: Option<Rc<Routes>>,
 }
@@ -98,7 +98,7 @@
         address: Option<SocketAddr>,
         most: usize,
         events: Sender<N>,
-        tap: Option<Rc<Tap>>,
+        tap: Option<Rc<RecorderHandle>>,
         routes: Option<Rc<Routes>>,
     ) -> Rc<Link<N>> {
         let (give_back, places) = async_channel::bounded(most.max(1));
@@ -141,7 +141,7 @@
                 }
                 None => link.carry(&call, made, link.address.get(), &mark).await,
             };
-            let id = call.id;
+            let id = call.request;
             // From here on it can't be given up: the owner is told.
             if let Some(open) = link.open.borrow_mut().remove(&number) {
                 open.task.detach();
@@ -206,7 +206,7 @@
         let _ = self.places.recv().await;
         let _place = Taken(&self.give_back);
         // A place and a dial take their time from the call's, which has no other bound.
-        let left = || Duration::from_millis(call.limit_ms).saturating_sub(made.elapsed());
+        let left = || Duration::from_millis(call.timeout_ms).saturating_sub(made.elapsed());
         let mut line = match self.line(call, address, left()).await {
             Ok(line) => line,
             Err(e) => {
@@ -218,7 +218,7 @@
         match exchange(&mut line, call, left()).await {
             Ok((outcome, body, only)) => {
                 if only {
-                    line.last = Some((call.txn, Instant::now()));
+                    line.last = Some((call.attempt, Instant::now()));
                     self.keep(line);
                 }
                 (outcome, body)
@@ -239,11 +239,11 @@
     ) -> std::io::Result<Line> {
         let mut idle = self.idle.take();
         idle.retain(|line| (line.address == address || self.routes.is_some()) && line.is_young());
-        let found = match call.fresh {
+        let found = match call.new_connection {
             true => None,
             false => idle
                 .iter()
-                .rposition(|line| line.serves(call.txn, address))
+                .rposition(|line| line.serves(call.attempt, address))
                 .and_then(|i| idle.remove(i)),
         };
         if found.is_none() {
@@ -263,7 +263,7 @@
                 self.tap.as_ref().map(|tap| (tap, Leg::Store)),
             )
             .await?,
-            inflow: Inflow::new(),
+            inflow: ReadBuffer::new(),
             address,
             last: None,
         })
@@ -297,7 +297,7 @@
 ) -> Result<(Outcome, Bytes, bool), String> {
     let mut out = Vec::new();
     let left_ms = (left.as_millis() as u64).max(1);
-    wire::write_call(&mut out, call.txn.as_str(), left_ms, &call.body);
+    wire::write_call(&mut out, call.attempt.as_str(), left_ms, &call.body);
     let mut stream = &line.stream;
     stream.write_all(&out).await.map_err(|e| e.to_string())?;
     let mut only = true;
@@ -305,7 +305,7 @@
         while let Some(reply) = wire::read(line.inflow.bytes()).map_err(|e| e.to_string())? {
             let bytes = line.inflow.bytes();
             // A reply to anything else is no answer, but a sign that the connection is not to be trusted.
-            let ours = bytes[reply.id.clone()] == *call.txn.as_str().as_bytes();
+            let ours = bytes[reply.id.clone()] == *call.attempt.as_str().as_bytes();
             let body = Bytes::copy_from_slice(&bytes[reply.body.clone()]);
             line.inflow.use_up(reply.end);
             if !ours {
--- a/crates/heathspurd/src/recording/mod.rs
+++ b/crates/heathspurd/src/recording/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod recorded_stream;
 
-use crate::recording::recorded_stream::{Item, Tap};
+use crate::recording::recorded_stream::{Item, RecorderHandle};
 use heathspur_config::{Contents, Record};
 use heathspur_record::files::{Files, Limits, Notice, Step};
 use heathspur_record::recorder::{Leg, Recorder};
@@ -26,7 +26,7 @@
 
 /// A recording that runs.
 pub(crate) struct Recording {
-    pub tap: Rc<Tap>,
+    pub tap: Rc<RecorderHandle>,
     done: Receiver<()>,
 }
 
@@ -37,7 +37,12 @@
         let (finished, done) = sync_channel(1);
         let waiting = Arc::new(AtomicUsize::new(0));
         let budget = record.budget.memory.0 as usize;
-        let tap = Rc::new(Tap::new(items, waiting.clone(), budget, record.links));
+        let tap = Rc::new(RecorderHandle::new(
+            items,
+            waiting.clone(),
+            budget,
+            record.links,
+        ));
         let mut writer = Writer::new(name, record);
         thread::Builder::new()
             .name("record".into())
--- a/crates/heathspurd/src/recording/recorded_stream.rs
+++ b/crates/heathspurd/src/recording/recorded_stream.rs
@@ -25,7 +25,7 @@
 }
 
 /// Where all recorded streams send what they see. It never waits: past the budget events are left out.
-pub(crate) struct Tap {
+pub(crate) struct RecorderHandle {
     items: SyncSender<Item>,
     /// Bytes on their way; the recorder counts down.
     waiting: Arc<AtomicUsize>,
@@ -37,17 +37,17 @@
     started: (u64, Instant),
 }
 
-impl Tap {
+impl RecorderHandle {
     pub fn new(
         items: SyncSender<Item>,
         waiting: Arc<AtomicUsize>,
         budget: usize,
         links: bool,
-    ) -> Tap {
+    ) -> RecorderHandle {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Tap {
+        RecorderHandle {
             items,
             waiting,
             budget,
@@ -81,7 +81,7 @@
 
 /// The recording of one stream.
 struct Tape {
-    tap: Rc<Tap>,
+    tap: Rc<RecorderHandle>,
     ends: Ends,
     /// Which side we are.
     us: Side,
@@ -123,13 +123,13 @@
 
 impl Stream {
     /// One that came to us.
-    pub fn accepted(inner: Async<TcpStream>, tap: Option<&Rc<Tap>>) -> Stream {
+    pub fn accepted(inner: Async<TcpStream>, tap: Option<&Rc<RecorderHandle>>) -> Stream {
         let tape = tap.and_then(|tap| tape(&inner, tap, Leg::Front, Side::Server));
         Stream { inner, tape }
     }
 
     /// One that we made.
-    pub fn made(inner: Async<TcpStream>, recorded: Option<(&Rc<Tap>, Leg)>) -> Stream {
+    pub fn made(inner: Async<TcpStream>, recorded: Option<(&Rc<RecorderHandle>, Leg)>) -> Stream {
         let tape = recorded.filter(|(tap, _)| tap.links);
         let tape = tape.and_then(|(tap, leg)| self::tape(&inner, tap, leg, Side::Client));
         Stream { inner, tape }
@@ -147,7 +147,7 @@
     }
 }
 
-fn tape(stream: &Async<TcpStream>, tap: &Rc<Tap>, leg: Leg, us: Side) -> Option<Tape> {
+fn tape(stream: &Async<TcpStream>, tap: &Rc<RecorderHandle>, leg: Leg, us: Side) -> Option<Tape> {
     let (ours, theirs): (SocketAddr, SocketAddr) = (
         stream.get_ref().local_addr().ok()?,
         stream.get_ref().peer_addr().ok()?,
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -2,25 +2,25 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::event_loop::inbox::OwnerEvent;
-use crate::event_loop::request_table::Table;
-use crate::event_loop::state::{LinkState, Owner, Targets};
+use crate::event_loop::inbox::LoopEvent;
+use crate::event_loop::request_table::RequestTable;
+use crate::event_loop::state::{EventLoop, LinkState, PeerAddresses};
 use crate::event_loop::{EVENTS, PRUNE};
 use crate::frontend::accept::accept;
-use crate::frontend::connection_pool::Pool;
+use crate::frontend::connection_pool::ConnectionPool;
 use crate::frontend::http1;
 use crate::frontend::http2;
-use crate::frontend::request_queue::Intake;
-use crate::frontend::response_buffer::Room;
-use crate::frontend::{Desk, Front};
-use crate::idempotency::Keys;
+use crate::frontend::request_queue::RequestQueues;
+use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::{FrontendContext, FrontendHandle};
+use crate::idempotency::IdempotencyStore;
 use crate::membership::failover::Ways;
 use crate::membership::Handle;
-use crate::peers::connection::Target;
+use crate::peers::connection::PeerAddress;
 use crate::peers::interpreter;
 use crate::peers::registration;
 use crate::peers::store;
-use crate::recording::recorded_stream::Tap;
+use crate::recording::recorded_stream::RecorderHandle;
 use crate::signals;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -48,7 +48,7 @@
 const RESULTS_PART: usize = 4;
 
 /// Hands on what comes in one queue to the owner, in order.
-async fn hand_on<T: Into<OwnerEvent>>(from: Receiver<T>, to_owner: Sender<OwnerEvent>) {
+async fn hand_on<T: Into<LoopEvent>>(from: Receiver<T>, to_owner: Sender<LoopEvent>) {
     while let Ok(item) = from.recv().await {
         if to_owner.send(item.into()).await.is_err() {
             return;
@@ -76,7 +76,7 @@
     config: Config,
     listeners: Listeners,
     signals: Signals,
-    tap: Option<Rc<Tap>>,
+    tap: Option<Rc<RecorderHandle>>,
     peers: Peers,
 ) -> io::Result<()> {
     let (to_owner, inbox) = async_channel::bounded(EVENTS);
@@ -85,12 +85,12 @@
     let settings = config.settings.clone();
     let room = listeners.http2.as_ref().map(|(_, http2)| {
         let memory = &http2.memory;
-        Room::new(Bounds {
+        ResponseBudget::new(Bounds {
             connection: memory.connection.0,
             all: memory.answers.0,
         })
     });
-    let desk = Rc::new(Desk::new(
+    let desk = Rc::new(FrontendContext::new(
         config.names.clone(),
         settings
             .classes
@@ -100,7 +100,7 @@
         settings.client_idle_timeout,
         shutting,
         tap.clone(),
-        Rc::new(Pool::new(
+        Rc::new(ConnectionPool::new(
             config
                 .sockets
                 .saturating_sub(SPARE + config.sockets / CALLS_PART),
@@ -120,9 +120,9 @@
             routes,
         )
     };
-    let targets = Targets {
-        vm: Rc::new(Target::new(config.vm)),
-        announce: Rc::new(Target::new(config.announce)),
+    let targets = PeerAddresses {
+        interpreter: Rc::new(PeerAddress::new(config.vm)),
+        registration: Rc::new(PeerAddress::new(config.announce)),
     };
     let readiness = registration::Readiness::new();
     let mut queues = Vec::new();
@@ -133,10 +133,10 @@
         );
         queues.push(queue);
         executor.spawn(hand_on(going, to_owner.clone())).detach();
-        Front {
-            desk: desk.clone(),
+        FrontendHandle {
+            context: desk.clone(),
             requests,
-            gone,
+            disconnected: gone,
         }
     };
     let address = listeners.http1.local_addr()?;
@@ -155,7 +155,7 @@
     }
     executor
         .spawn(interpreter::keep(
-            targets.vm.clone(),
+            targets.interpreter.clone(),
             interpreter.clone(),
             to_owner.clone(),
             tap,
@@ -163,13 +163,13 @@
         .detach();
     executor
         .spawn(registration::keep(
-            targets.announce.clone(),
+            targets.registration.clone(),
             config.name.clone(),
             readiness.clone(),
         ))
         .detach();
     executor.spawn(hand_on(closings, to_owner.clone())).detach();
-    let notices = signals::Notices::new();
+    let notices = signals::SignalState::new();
     executor
         .spawn(signals::hear(signals, config.clone(), notices.clone()))
         .detach();
@@ -180,35 +180,35 @@
         .map(|c| c.client_timeout)
         .max()
         .unwrap_or_default();
-    let owner = Owner {
+    let owner = EventLoop {
         settings,
-        desk,
+        frontend: desk,
         readiness,
         interpreter,
-        targets,
-        link: LinkState::Down,
+        peer_addresses: targets,
+        interpreter_link: LinkState::Down,
         store,
-        table: Table::default(),
-        keys: Keys::new(KEYS, config.memory / RESULTS_PART, late),
+        table: RequestTable::default(),
+        idempotency: IdempotencyStore::new(KEYS, config.memory / RESULTS_PART, late),
         timers: BinaryHeap::new(),
         call_timers: BTreeSet::new(),
         next_call: 1,
         members: peers.members,
-        notices,
+        signals: notices,
         events: Vec::new(),
         now: clock.now(),
         clock,
         seed: config.seed,
         stop: config.stop,
-        module: None,
-        due: VecDeque::new(),
+        controller: None,
+        pending_timers: VecDeque::new(),
         next_nonce: 1,
         answered: 0,
         prune_at: clock.now() + PRUNE,
-        leaving: None,
-        shutter,
+        drain: None,
+        stop_accepting: shutter,
         closed,
     };
-    owner.work(Intake::new(queues), inbox).await;
+    owner.work(RequestQueues::new(queues), inbox).await;
     Ok(())
 }
--- a/crates/heathspurd/src/signals.rs
+++ b/crates/heathspurd/src/signals.rs
@@ -23,15 +23,15 @@
 
 /// What the operators' signals ask for, until the owner takes it. Nothing of it queues behind what peers send:
 /// a notice to drain is one however often it comes, and of new configurations the last one holds.
-pub(crate) struct Notices {
+pub(crate) struct SignalState {
     drain: Cell<bool>,
     config: RefCell<Option<Config>>,
     told: Notify,
 }
 
-impl Notices {
-    pub fn new() -> Rc<Notices> {
-        Rc::new(Notices {
+impl SignalState {
+    pub fn new() -> Rc<SignalState> {
+        Rc::new(SignalState {
             drain: Cell::new(false),
             config: RefCell::new(None),
             told: Notify::new(),
@@ -49,7 +49,7 @@
     }
 
     /// Waits until there is something to take.
-    pub async fn told(&self) {
+    pub async fn notified(&self) {
         self.told.notified().await;
     }
 
@@ -61,7 +61,7 @@
 
 /// Hears the notices to drain and to read the configuration again. While it is read again and again the next
 /// signal is heard: a drain begins at once, and another SIGHUP has all tries begin anew.
-pub(crate) async fn hear(mut signals: Signals, started: Config, notices: Rc<Notices>) {
+pub(crate) async fn hear(mut signals: Signals, started: Config, notices: Rc<SignalState>) {
     let mut tries = 0;
     loop {
         let signal = async { Some(signals.next().await) };
--- a/crates/heathspurd/tests/unit/connection_pool.rs
+++ b/crates/heathspurd/tests/unit/connection_pool.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn one_that_has_just_come_stays_where_others_rest_for_longer() {
-    let pool = Rc::new(Pool::new(8));
+    let pool = Rc::new(ConnectionPool::new(8));
     let mut busy: Vec<Permit> = std::iter::from_fn(|| Permit::take(&pool)).collect();
     let (old, new) = (busy.pop().unwrap(), busy.pop().unwrap());
     old.heard();
@@ -34,7 +34,7 @@
 
 #[test]
 fn those_that_linger_count_as_leaving_and_end_where_no_permit_is_left() {
-    let pool = Rc::new(Pool::new(8));
+    let pool = Rc::new(ConnectionPool::new(8));
     let permits: Vec<Permit> = std::iter::from_fn(|| Permit::take(&pool)).collect();
     assert_eq!(permits.len(), 8);
     let mut first = pin!(permits[0].linger(pending()));
--- a/crates/heathspurd/tests/unit/idempotency.rs
+++ b/crates/heathspurd/tests/unit/idempotency.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn keys() -> Keys {
-    Keys::new(2, 10, Span(1_000_000))
+fn keys() -> IdempotencyStore {
+    IdempotencyStore::new(2, 10, Span(1_000_000))
 }
 
 fn id(n: u64) -> RequestId {
@@ -11,8 +11,8 @@
 }
 
 /// A try with the usual body; it may come again for 50 us.
-fn a_try(n: u64, ingress: u64) -> Try {
-    Try {
+fn a_try(n: u64, ingress: u64) -> Attempt {
+    Attempt {
         id: id(n),
         ingress,
         body: 7,
@@ -214,7 +214,7 @@
         let state = &mut (seed + 1);
         let window = [0, 1, 40, 300][draw(state, 4) as usize];
         let late = 200;
-        let mut keys = Keys::new(64, 100, Span(late));
+        let mut keys = IdempotencyStore::new(64, 100, Span(late));
         let names = [key("a"), key("b"), key("c")];
         let mut now = 10_000;
         let mut next = 1;
@@ -232,7 +232,7 @@
                     let (n, at) = (id(next), draw(state, 3) as usize);
                     next += 1;
                     let stamp = now + draw(state, 4) * draw(state, 150) - draw(state, late);
-                    let this = Try {
+                    let this = Attempt {
                         id: n,
                         ingress: stamp,
                         body: 7,
@@ -342,7 +342,7 @@
 #[test]
 fn a_key_goes_with_one_body_for_its_window_whatever_became_of_the_tries() {
     let mut keys = keys();
-    let other = |n, ingress| Try {
+    let other = |n, ingress| Attempt {
         body: 8,
         ..a_try(n, ingress)
     };
--- a/crates/heathspurd/tests/unit/peer_events.rs
+++ b/crates/heathspurd/tests/unit/peer_events.rs
@@ -4,14 +4,14 @@
 use super::*;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::event_loop::request_table::Table;
-use crate::event_loop::state::Targets;
-use crate::frontend::connection_pool::Pool;
-use crate::frontend::{Arrival, Desk, Txn};
-use crate::idempotency::Keys;
-use crate::peers::connection::Target;
+use crate::event_loop::request_table::RequestTable;
+use crate::event_loop::state::PeerAddresses;
+use crate::frontend::connection_pool::ConnectionPool;
+use crate::frontend::{AttemptId, FrontendContext, IncomingRequest};
+use crate::idempotency::IdempotencyStore;
+use crate::peers::connection::PeerAddress;
 use crate::peers::registration::Readiness;
-use crate::signals::Notices;
+use crate::signals::SignalState;
 use async_channel::{Receiver, Sender};
 use heathspur::{ClassId, Time};
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
@@ -24,15 +24,15 @@
 }
 
 /// An owner whose links all lead nowhere, with no module.
-fn owner() -> Owner {
+fn owner() -> EventLoop {
     let config = config();
     let (to_owner, _) = async_channel::bounded(1);
     let (shutter, shutting) = async_channel::bounded(1);
-    let pool = Rc::new(Pool::new(8));
+    let pool = Rc::new(ConnectionPool::new(8));
     let (names, idle) = (config.names.clone(), config.settings.client_idle_timeout);
     let clock = Clock::start();
-    Owner {
-        desk: Rc::new(Desk::new(
+    EventLoop {
+        frontend: Rc::new(FrontendContext::new(
             names,
             vec![false, true],
             idle,
@@ -43,31 +43,31 @@
         )),
         readiness: Readiness::new(),
         interpreter: crate::peers::interpreter::Link::new(),
-        targets: Targets {
-            vm: Rc::new(Target::new(config.vm)),
-            announce: Rc::new(Target::new(config.announce)),
+        peer_addresses: PeerAddresses {
+            interpreter: Rc::new(PeerAddress::new(config.vm)),
+            registration: Rc::new(PeerAddress::new(config.announce)),
         },
-        link: LinkState::Up,
+        interpreter_link: LinkState::Up,
         store: crate::peers::store::Link::new(Rc::default(), None, 1, to_owner, None, None),
-        table: Table::default(),
-        keys: Keys::new(1, 1, Span(1)),
+        table: RequestTable::default(),
+        idempotency: IdempotencyStore::new(1, 1, Span(1)),
         timers: BinaryHeap::new(),
         call_timers: BTreeSet::new(),
         next_call: 1,
         members: None,
-        notices: Notices::new(),
+        signals: SignalState::new(),
         events: Vec::new(),
         now: Time(0),
         clock,
         seed: 1,
         stop: config.stop,
-        module: None,
-        due: VecDeque::new(),
+        controller: None,
+        pending_timers: VecDeque::new(),
         next_nonce: 1,
         answered: 0,
         prune_at: Time(0),
-        leaving: None,
-        shutter,
+        drain: None,
+        stop_accepting: shutter,
         closed: async_channel::bounded(1).0,
         settings: config.settings,
     }
@@ -75,26 +75,26 @@
 
 const ID: RequestId = RequestId(1);
 
-fn txn() -> Txn {
-    Txn::read(b"9b1f03aa5c7e2d41").unwrap()
+fn txn() -> AttemptId {
+    AttemptId::read(b"9b1f03aa5c7e2d41").unwrap()
 }
 
 /// A run that is told to stop while the notice that it needs a call is on its way.
-fn crossed() -> (Owner, Receiver<Answer>) {
+fn crossed() -> (EventLoop, Receiver<Answer>) {
     let mut owner = owner();
     let (reply, answers): (Sender<Answer>, _) = async_channel::bounded(1);
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id: ID,
-        txn: txn(),
+        attempt: txn(),
         class: ClassId(0),
         tenant: None,
-        ingress: 0,
-        key: None,
-        row: false,
-        retry: false,
-        left: None,
-        cost: None,
-        held_kb: 1.0,
+        received_unix_micros: 0,
+        idempotency_key: None,
+        has_subject: false,
+        is_retry: false,
+        client_timeout: None,
+        cost_hint: None,
+        queued_memory_kb: 1.0,
         body: Bytes::new(),
         reply,
     };
@@ -121,19 +121,19 @@
     assert!(answers.is_empty() && !answers.is_closed());
     assert!(matches!(
         owner.table.get(ID).map(|e| &e.work),
-        Some(Work::Paused { .. })
+        Some(ExecutionState::Paused { .. })
     ));
 }
 
 #[test]
 fn a_stop_that_crosses_a_call_holds_behind_its_reply() {
     let (mut owner, _answers) = crossed();
-    owner.go_on(ID, |need| Told::Stub(need.index));
+    owner.go_on(ID, |need| LastCommand::Stub(need.index));
     let work = owner.table.get(ID).map(|e| e.work.clone());
     assert!(
         matches!(
             work,
-            Some(Work::Running {
+            Some(ExecutionState::Running {
                 halting: Halting::Asked,
                 ..
             })
--- a/crates/heathspurd/tests/unit/recorded_stream.rs
+++ b/crates/heathspurd/tests/unit/recorded_stream.rs
@@ -17,7 +17,7 @@
 fn a_recorder_that_hangs_costs_events_and_never_a_wait() {
     let (items, recorder) = sync_channel(1000);
     let waiting = Arc::new(AtomicUsize::new(0));
-    let tap = Rc::new(Tap::new(items, waiting.clone(), 10_000, false));
+    let tap = Rc::new(RecorderHandle::new(items, waiting.clone(), 10_000, false));
     let tape = Tape {
         tap: tap.clone(),
         ends: ends(),
@@ -50,7 +50,7 @@
 fn a_full_queue_counts_as_a_hanging_recorder() {
     let (items, recorder) = sync_channel(2);
     let waiting = Arc::new(AtomicUsize::new(0));
-    let tap = Tap::new(items, waiting.clone(), 1 << 20, false);
+    let tap = RecorderHandle::new(items, waiting.clone(), 1 << 20, false);
     let sent = (0..10).filter(|_| tap.send(ends(), Seen::Opened)).count();
     assert_eq!((sent, tap.missed.get()), (2, [8, 0, 0]));
     assert_eq!(
--- a/crates/heathspurd/tests/unit/request_queue.rs
+++ b/crates/heathspurd/tests/unit/request_queue.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_queue_that_is_flooded_leaves_every_other_turn_to_the_others() {
     let ((flood, a), (few, b)) = (async_channel::bounded(256), async_channel::bounded(256));
-    let mut intake = Intake::new(vec![a, b]);
+    let mut intake = RequestQueues::new(vec![a, b]);
     for n in 0..200 {
         flood.try_send(('a', n)).unwrap();
     }
@@ -28,7 +28,7 @@
 #[test]
 fn whoever_comes_wakes_a_wait_over_all_queues() {
     let ((_a, first), (b, second)) = (async_channel::bounded::<u8>(4), async_channel::bounded(4));
-    let mut intake = Intake::new(vec![first, second]);
+    let mut intake = RequestQueues::new(vec![first, second]);
     let got = async_io::block_on(future::zip(intake.next(), async {
         future::yield_now().await;
         b.send(7).await.unwrap();
--- a/crates/heathspurd/tests/unit/response_buffer.rs
+++ b/crates/heathspurd/tests/unit/response_buffer.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn who_holds_most_is_told_and_all_is_given_back() {
-    let room = Room::new(Bounds {
+    let room = ResponseBudget::new(Bounds {
         connection: 100,
         all: 120,
     });
--- a/crates/heathspurd/tests/unit/store.rs
+++ b/crates/heathspurd/tests/unit/store.rs
@@ -17,14 +17,14 @@
         None,
         None,
     );
-    let txn = Txn::read(b"9b1f03aa5c7e2d41").unwrap();
+    let txn = AttemptId::read(b"9b1f03aa5c7e2d41").unwrap();
     let call = |n| Call {
-        id: RequestId(1),
+        request: RequestId(1),
         call: CallId(n),
-        txn,
-        limit_ms: 250,
+        attempt: txn,
+        timeout_ms: 250,
         body: Bytes::new(),
-        fresh: false,
+        new_connection: false,
     };
     link.call(call(1));
     assert_eq!(link.give_up(CallId(1)), Outcome::ConnectFailed);
