--- /dev/null
+++ b/crates/heathspur/src/controller/completion.rs
@@ -0,0 +1,174 @@
+//! A request ends: it completes, is rejected or fails, or its client cancels it.
+
+use super::AdmissionController;
+use crate::action::Action;
+use crate::concurrency_limit::CompletionSignal;
+use crate::event::{Outcome, RequestId};
+use crate::rejection::RejectionCause;
+use crate::requests::{Phase, RequestState};
+use crate::settings::{Idempotency, Preemption};
+use crate::time::Span;
+
+/// Run times that must be left for a retry on another server to be of use.
+const MIN_RUNS_LEFT_FOR_RETRY: f64 = 2.0;
+
+impl AdmissionController {
+    pub(super) fn on_run_completed(&mut self, id: RequestId, outcome: Outcome, latency: Span) {
+        // A run that never began, because its client had gone, releases its slot all the same.
+        let Some(request) = self.release(id) else {
+            return;
+        };
+        if outcome != Outcome::Ok || request.phase == Phase::AwaitingResult {
+            return;
+        }
+        self.stall.record_progress(self.now);
+        if request.answer_owed {
+            self.learn_from_answered_run(&request, latency);
+        } else {
+            // The longest runs are among those that went on past their answer.
+            self.estimates
+                .add_run(request.class, latency.secs(), request.relative_size);
+        }
+    }
+
+    fn learn_from_answered_run(&mut self, request: &RequestState, latency: Span) {
+        let met_objective = self.now <= request.objective_deadline;
+        self.rejection.record_served();
+        let inflation = self.latency_inflation(request, latency);
+        self.estimates
+            .add_run(request.class, latency.secs(), request.relative_size);
+        self.concurrency_limit.record_inflation(inflation);
+        if met_objective {
+            self.deadline_factor.record_useful_run();
+        } else {
+            self.deadline_factor.record_wasted_run();
+        }
+        self.concurrency_limit.on_completion(&CompletionSignal {
+            met_objective,
+            requests_waiting: !self.queues.is_empty(),
+            cpu_utilization: self.cpu_utilization,
+            ceiling: self.overload_ceiling.usable_concurrency(self.now),
+        });
+    }
+
+    /// Returns the run time without calls as a multiple of the class's baseline. Only a run that
+    /// shared no core adds to the baseline; the concurrency limit falls to the cores for that.
+    fn latency_inflation(&mut self, request: &RequestState, latency: Span) -> f64 {
+        let without_calls_s = (latency.secs() - request.time_at_calls_s).max(0.0);
+        let run_s = without_calls_s / request.relative_size;
+        let concurrency_at_end = self.requests.running() as f64 + 1.0;
+        let cores = self.settings.cores.max(1) as f64;
+        let cores_were_shared = request.concurrency_at_start.max(concurrency_at_end) > cores;
+        self.estimates
+            .latency_inflation(request.class, run_s, cores_were_shared)
+    }
+
+    /// Ends a request whose client no longer waits: it is dropped from its queue or its run is
+    /// stopped. A request at a call ends by itself, and keyed work continues, since a retry may
+    /// still ask for its result.
+    pub(super) fn on_client_cancelled(&mut self, id: RequestId) {
+        let now = self.now;
+        let can_preempt = self.settings.preemption != Preemption::None;
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let was_owed = std::mem::replace(&mut request.answer_owed, false);
+        let is_before_run = request.is_before_run();
+        let is_keyed = request.first_attempt.is_some();
+        let stops_run = request.phase == Phase::Running && can_preempt && !is_keyed;
+        let class = request.class;
+        let relative_size = request.relative_size;
+        let elapsed_s = (now - request.run_started_at).secs();
+        if stops_run {
+            self.estimates
+                .add_stopped_run(class, elapsed_s, relative_size);
+        }
+        if was_owed && !self.stall.is_stalled() && !is_before_run {
+            self.deadline_factor.record_wasted_run();
+        }
+        if is_before_run {
+            self.release(id);
+            self.leave_group(id);
+        } else if stops_run {
+            self.actions.push(Action::Stop(id));
+        }
+    }
+
+    /// Gives a request its final answer at once: a rejection where it certainly did not run, or
+    /// running it again does no harm, else an error. A run is stopped.
+    pub(super) fn give_up(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id).filter(|r| r.answer_owed) else {
+            return;
+        };
+        if self.can_reject(id, request) {
+            let action = self.rejection_of(id, request);
+            self.rejection.record_rejected();
+            self.actions.push(action);
+        } else {
+            self.actions.push(Action::Fail(id));
+        }
+        self.on_client_cancelled(id);
+    }
+
+    fn can_reject(&self, id: RequestId, request: &RequestState) -> bool {
+        let class = &self.settings.classes[request.class];
+        let is_idempotent = class.idempotency == Idempotency::Idempotent;
+        let never_ran =
+            !request.has_run && !self.has_group_run(id) && request.phase != Phase::AwaitingResult;
+        is_idempotent && !request.is_at_call() || never_ran
+    }
+
+    fn rejection_of(&self, id: RequestId, request: &RequestState) -> Action {
+        let is_unavailable = self.stall.is_stalled() || self.drain.is_draining();
+        let cause = if is_unavailable {
+            RejectionCause::Unavailable
+        } else if request.queue.is_over_quota() {
+            RejectionCause::OverQuota
+        } else {
+            RejectionCause::Capacity
+        };
+        // A retry elsewhere needs enough time, which is certain only with a stated deadline.
+        let left_s = (request.objective_deadline - self.now).secs();
+        let needed_s = MIN_RUNS_LEFT_FOR_RETRY * self.expected_run_s(request);
+        let can_retry_elsewhere = request.has_stated_deadline && left_s >= needed_s;
+        Action::Reject {
+            id,
+            retry_after: self.rejection.retry_after(cause),
+            no_retry: !is_unavailable && !can_retry_elsewhere,
+        }
+    }
+
+    /// Returns the expected run time of a request, in seconds.
+    pub(super) fn expected_run_s(&self, request: &RequestState) -> f64 {
+        self.estimates
+            .expected_run_of_size_s(request.class, request.relative_size)
+    }
+
+    /// Removes an attempt that never ran from its group, and the group's idempotency entry with the
+    /// last such attempt.
+    fn leave_group(&mut self, id: RequestId) {
+        if let Some(entry) = self.idempotency.leave(id) {
+            self.actions.push(Action::EvictResult(entry));
+            self.memory.release_dedup_entry();
+        }
+    }
+
+    /// Removes a request from the table and releases its memory, run slot and call.
+    fn release(&mut self, id: RequestId) -> Option<RequestState> {
+        let request = self.requests.remove(id)?;
+        if request.is_before_run() {
+            self.memory.release_queued(request.memory_kb);
+        } else {
+            self.memory.release_run(request.memory_kb);
+        }
+        if request.phase == Phase::Running {
+            self.slot_budgets.vacate(request.class);
+        }
+        if let Phase::Calling { made_at, timeout_s } = request.phase {
+            let at_calls = self.requests.at_calls();
+            self.calls
+                .record_end(self.now, Outcome::Cancelled, made_at, timeout_s, at_calls);
+        }
+        Some(request)
+    }
+}
--- /dev/null
+++ b/crates/heathspur/src/dependency_calls/budget.rs
@@ -0,0 +1,264 @@
+//! This server's budget of calls to a dependency that all servers share.
+//!
+//! Two bounds apply. The window bound keeps the call seconds that ended in the averaging window,
+//! and those that calls in flight may still take, below this server's share, so that the fleet
+//! together cannot overload the dependency. The token bucket paces the starts: calls in flight
+//! come to an adaptive limit (AIMD) on average, which can be far below one.
+
+use super::statistics::CallStatistics;
+use crate::event::Outcome;
+use crate::random::Random;
+use crate::time::{Span, Time};
+use std::collections::VecDeque;
+
+/// Fraction of the capacity share that is used at most.
+const MAX_USED_FRACTION: f64 = 0.9;
+/// Fraction of the capacity share at which the limit on calls in flight starts.
+const INITIAL_LIMIT_FRACTION: f64 = 0.33;
+/// Least capacity share, as a mean number of calls, by which times are divided.
+const MIN_CAPACITY_SHARE: f64 = 1e-6;
+/// Seconds of tokens that the bucket can hold.
+const BURST_S: f64 = 1.0;
+/// Fraction of the bucket that is reserved for calls that cannot be skipped.
+const RESERVED_FOR_REQUIRED_CALLS: f64 = 0.5;
+/// Fraction of the time between two infrequent calls in which a saved one may start.
+const START_SLOT_FRACTION: f64 = 0.25;
+/// Latency that is assumed for the first call, in lifetimes of an abandoned call: the call itself
+/// and its abandoned remainder, and a margin of the same size.
+const FIRST_CALL_LIFETIMES: f64 = 4.0;
+/// Factor on the first call's latency after a cold start, since the process before it may have
+/// used the same window.
+const COLD_START_FACTOR: f64 = 2.0;
+/// Call latency over its baseline above which the limit falls.
+const MAX_LATENCY_INFLATION: f64 = 2.0;
+/// Factor by which inflated latency lowers the limit.
+const DECREASE_FACTOR: f64 = 0.7;
+/// Usual call times that must fit into the window for another call to start.
+const REQUIRED_LATENCIES: f64 = 6.0;
+/// The most of the window that is required for another call to start.
+const MAX_REQUIRED_FRACTION: f64 = 0.5;
+/// Calls, each with its abandoned remainder, that the averaging window holds at least.
+const MIN_CALLS_IN_WINDOW: f64 = 2.0;
+/// Calls below the limit at which the limit still counts as used and may grow.
+const GROWTH_HEADROOM: f64 = 2.0;
+
+/// A call that has ended.
+pub(crate) struct EndedCall {
+    /// How it ended.
+    pub outcome: Outcome,
+    /// The timeout that it was made with, in seconds.
+    pub timeout_s: f64,
+    /// Time since it was made, in seconds.
+    pub elapsed_s: f64,
+}
+
+/// The call seconds of an ended call, which count until it leaves the averaging window.
+#[derive(Debug)]
+struct RecentUsage {
+    expires_at: Time,
+    call_s: f64,
+}
+
+/// The budget and its control state.
+#[derive(Debug)]
+pub(crate) struct CallBudget {
+    /// This server's share of the dependency's capacity, as a mean number of calls.
+    capacity_share: f64,
+    averaging_window_s: f64,
+    abandoned_call_lifetime_s: f64,
+    /// Limit on the mean number of calls in flight.
+    limit: f64,
+    /// Call seconds that pacing still grants; negative while calls are paid off.
+    tokens_s: f64,
+    tokens_updated_at: Time,
+    /// Call seconds that calls in flight may take.
+    committed_s: f64,
+    recent_usage: VecDeque<RecentUsage>,
+}
+
+impl CallBudget {
+    /// Creates the budget for a share of a dependency.
+    pub fn new(
+        capacity_share: f64,
+        averaging_window: Span,
+        abandoned_lifetime: Span,
+    ) -> CallBudget {
+        CallBudget {
+            capacity_share: capacity_share.max(MIN_CAPACITY_SHARE),
+            averaging_window_s: averaging_window.secs(),
+            abandoned_call_lifetime_s: abandoned_lifetime.secs(),
+            limit: INITIAL_LIMIT_FRACTION * capacity_share,
+            tokens_s: 0.0,
+            tokens_updated_at: Time::default(),
+            committed_s: 0.0,
+            recent_usage: VecDeque::new(),
+        }
+    }
+
+    /// Starts pacing. The first call is granted at a random moment of the time in which the share
+    /// pays for one: servers that start together with work waiting would otherwise call at once.
+    pub fn start(
+        &mut self,
+        now: Time,
+        cold_start: bool,
+        statistics: &CallStatistics,
+        random: &mut Random,
+    ) {
+        self.tokens_updated_at = now;
+        let cold_factor = if cold_start { COLD_START_FACTOR } else { 1.0 };
+        let first_call_s = FIRST_CALL_LIFETIMES * self.abandoned_call_lifetime_s * cold_factor;
+        let first_interval_s = (first_call_s / (MAX_USED_FRACTION * self.capacity_share))
+            .min(self.effective_window_s(statistics));
+        self.tokens_s = -random.next_fraction() * first_interval_s * self.limit;
+    }
+
+    /// Brings tokens and recent usage up to `now`.
+    pub fn accrue(&mut self, now: Time, in_flight: usize, statistics: &CallStatistics) {
+        let elapsed_s = (now - self.tokens_updated_at).secs();
+        self.tokens_updated_at = now;
+        let lowest_s = -self.effective_window_s(statistics) * self.limit;
+        let rate = self.limit - in_flight as f64;
+        let tokens_s = (self.tokens_s + rate * elapsed_s).max(lowest_s);
+        self.tokens_s = match self.infrequent_call_s(statistics) {
+            Some(call_s) if tokens_s > 0.0 => tokens_s % call_s,
+            Some(_) => tokens_s,
+            None => tokens_s.min(BURST_S * self.limit),
+        };
+        while self
+            .recent_usage
+            .front()
+            .is_some_and(|usage| usage.expires_at <= now)
+        {
+            self.recent_usage.pop_front();
+        }
+    }
+
+    /// Returns the call seconds that another call may take now; 0 where none may start.
+    pub fn available_call_s(
+        &self,
+        can_skip: bool,
+        in_flight: usize,
+        statistics: &CallStatistics,
+    ) -> f64 {
+        let total_s = self.window_capacity_s(statistics);
+        let used_s = self
+            .recent_usage
+            .iter()
+            .map(|usage| usage.call_s)
+            .sum::<f64>();
+        let left_s = total_s - self.committed_s - used_s;
+        let required_s = REQUIRED_LATENCIES * self.usual_call_s(statistics);
+        let fits_window = left_s >= required_s.min(MAX_REQUIRED_FRACTION * total_s);
+        let is_below_limit = (in_flight as f64) < self.limit.max(1.0).floor();
+        if fits_window && is_below_limit && self.has_tokens(can_skip, statistics) {
+            left_s
+        } else {
+            0.0
+        }
+    }
+
+    /// Records that a call is made with this timeout.
+    pub fn commit(&mut self, timeout: Span) {
+        self.committed_s += timeout.secs() + self.abandoned_call_lifetime_s;
+    }
+
+    /// Records the end of a call and adapts the limit. An abandoned call occupies the dependency
+    /// for a while longer. `in_flight` no longer counts the call.
+    pub fn release(
+        &mut self,
+        now: Time,
+        call: &EndedCall,
+        in_flight: usize,
+        at_calls: usize,
+        statistics: &CallStatistics,
+    ) {
+        self.committed_s -= call.timeout_s + self.abandoned_call_lifetime_s;
+        let remainder_s = self.remainder_s(call, statistics);
+        let window_s = self.effective_window_s(statistics);
+        self.recent_usage.push_back(RecentUsage {
+            expires_at: now + Span::from_secs(remainder_s + window_s),
+            call_s: call.elapsed_s + remainder_s,
+        });
+        self.tokens_s -= remainder_s;
+        self.adapt_limit(call.outcome, in_flight, at_calls, statistics);
+    }
+
+    /// Returns the call seconds charged for a call beyond its end.
+    fn remainder_s(&self, call: &EndedCall, statistics: &CallStatistics) -> f64 {
+        match call.outcome {
+            Outcome::Timeout | Outcome::Cancelled => self.abandoned_call_lifetime_s,
+            // A rejected call costs a usual one. Otherwise all servers would save tokens while the
+            // dependency is full and return to it at once.
+            Outcome::Rejected => (self.usual_call_s(statistics) - call.elapsed_s).max(0.0),
+            _ => 0.0,
+        }
+    }
+
+    fn adapt_limit(
+        &mut self,
+        outcome: Outcome,
+        in_flight: usize,
+        at_calls: usize,
+        statistics: &CallStatistics,
+    ) {
+        let step = (INITIAL_LIMIT_FRACTION * self.capacity_share).min(1.0);
+        // A limit below one call grows only while other calls wait for it.
+        let is_binding = self.limit >= 1.0 || 1 + in_flight < at_calls;
+        let is_used = in_flight as f64 + GROWTH_HEADROOM > self.limit;
+        let inflated_s = MAX_LATENCY_INFLATION * statistics.baseline_s().value();
+        if statistics.latency_s().value() > inflated_s {
+            self.limit = (self.limit * DECREASE_FACTOR).max(step);
+        } else if is_binding && outcome != Outcome::Rejected && is_used {
+            let highest = MAX_USED_FRACTION * self.capacity_share;
+            self.limit = (self.limit + step * step / self.limit).min(highest);
+        }
+    }
+
+    fn has_tokens(&self, can_skip: bool, statistics: &CallStatistics) -> bool {
+        let reserved = if can_skip {
+            RESERVED_FOR_REQUIRED_CALLS
+        } else {
+            0.0
+        };
+        let infrequent_call_s = self.infrequent_call_s(statistics);
+        let bucket_s = match infrequent_call_s {
+            Some(call_s) => START_SLOT_FRACTION * call_s,
+            None => BURST_S * self.limit,
+        };
+        let is_in_start_slot = infrequent_call_s.is_none() || self.tokens_s < bucket_s;
+        self.limit >= 1.0 || is_in_start_slot && self.tokens_s >= reserved * bucket_s
+    }
+
+    /// Returns the length of a usual call if pacing grants fewer than one in the averaging window.
+    ///
+    /// Such a call starts only in a slot that recurs as often as the tokens pay for a call, at a
+    /// moment that differs between servers. Otherwise all idle servers would call at once when
+    /// requests reach them together.
+    fn infrequent_call_s(&self, statistics: &CallStatistics) -> Option<f64> {
+        let call_s = self.usual_call_s(statistics);
+        (call_s > self.limit * self.averaging_window_s).then_some(call_s)
+    }
+
+    /// Returns the recent call latency, in seconds; before the first call the lifetime of an
+    /// abandoned one.
+    fn usual_call_s(&self, statistics: &CallStatistics) -> f64 {
+        statistics
+            .latency_s()
+            .value_or(self.abandoned_call_lifetime_s)
+    }
+
+    /// Returns the averaging window, in seconds, extended where the share is so small that the
+    /// window would not hold a usual call.
+    fn effective_window_s(&self, statistics: &CallStatistics) -> f64 {
+        let call_s = self.abandoned_call_lifetime_s + self.usual_call_s(statistics);
+        let least_s = MIN_CALLS_IN_WINDOW * call_s;
+        self.averaging_window_s
+            .max(least_s / (MAX_USED_FRACTION * self.capacity_share))
+    }
+
+    /// Returns the call seconds that this server may use in an averaging window.
+    fn window_capacity_s(&self, statistics: &CallStatistics) -> f64 {
+        let window_s = self.effective_window_s(statistics);
+        MAX_USED_FRACTION * self.capacity_share * window_s - self.abandoned_call_lifetime_s
+    }
+}
--- /dev/null
+++ b/crates/heathspur/src/dependency_calls/mod.rs
@@ -0,0 +1,231 @@
+//! Calls to the dependency: whether, when and for how long a request's call is made.
+//!
+//! [`CallBudget`] keeps the calls within this server's share of a shared dependency's capacity;
+//! [`CallStatistics`] keeps latencies and the acceptance rate, from which timeouts and the number
+//! of attempts follow.
+
+mod budget;
+mod statistics;
+
+use crate::event::Outcome;
+use crate::ewma::Ewma;
+use crate::random::Random;
+use crate::settings::{Dependency, Settings};
+use crate::time::{Span, Time};
+use budget::{CallBudget, EndedCall};
+use statistics::CallStatistics;
+
+/// Attempts after which a call that can be skipped is skipped.
+const SKIPPABLE_ATTEMPTS: u32 = 2;
+/// Fraction of the remaining time that a call that can be skipped may take.
+const SKIPPABLE_TIMEOUT_FRACTION: f64 = 0.5;
+/// Wait for capacity after which a call that can be skipped is skipped, as a fraction of the
+/// latency objective.
+const SKIP_AFTER_WAIT_FRACTION: f64 = 0.1;
+/// Latencies after which a call that can be repeated counts as lost.
+const LOST_CALL_LATENCIES: f64 = 6.0;
+/// Backoff before the first retry, in seconds; doubled for each further one.
+const INITIAL_BACKOFF_S: f64 = 0.05;
+/// Largest number of times that the backoff is doubled.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// Least jitter factor of the backoff; the largest is 1 more.
+const MIN_BACKOFF_JITTER: f64 = 0.5;
+
+/// A request that waits for its call to be made.
+pub(crate) struct WaitingCall {
+    /// The request can be answered, at a lower weight, without the call.
+    pub can_skip: bool,
+    /// Repeating the call does no harm.
+    pub is_idempotent: bool,
+    /// Attempts made so far.
+    pub attempts: u32,
+    /// Since when the request waits for the call.
+    pub waiting_since: Time,
+    /// Latency objective of the request's class, in seconds.
+    pub latency_objective_s: f64,
+    /// When the request's latency objective passes.
+    pub objective_deadline: Time,
+    /// Time in which an answer is still of use.
+    pub remaining: Span,
+}
+
+/// What becomes of a waiting call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CallDecision {
+    /// The call is made now, and abandoned after the timeout.
+    Make {
+        /// Time after which the call is abandoned.
+        timeout: Span,
+    },
+    /// The request continues without the call.
+    Skip,
+    /// The request is given up.
+    GiveUp,
+    /// The call waits for capacity.
+    Wait,
+}
+
+/// State of all calls of a server.
+#[derive(Debug)]
+pub(crate) struct DependencyCalls {
+    statistics: CallStatistics,
+    /// Present where the dependency is shared.
+    budget: Option<CallBudget>,
+    in_flight: usize,
+    /// Shortest timeout of a call.
+    min_timeout: Span,
+}
+
+impl DependencyCalls {
+    /// Creates the state of a server that has made no call.
+    pub fn new(settings: &Settings, min_timeout: Span) -> DependencyCalls {
+        let budget = match settings.dependency {
+            Dependency::Shared {
+                capacity_share,
+                averaging_window,
+                abandoned_call_lifetime,
+            } => Some(CallBudget::new(
+                capacity_share,
+                averaging_window,
+                abandoned_call_lifetime,
+            )),
+            Dependency::None | Dependency::Tier => None,
+        };
+        DependencyCalls {
+            statistics: CallStatistics::new(),
+            budget,
+            in_flight: 0,
+            min_timeout,
+        }
+    }
+
+    /// Starts the budget of a server that starts now.
+    pub fn start(&mut self, now: Time, cold_start: bool, random: &mut Random) {
+        if let Some(budget) = &mut self.budget {
+            budget.start(now, cold_start, &self.statistics, random);
+        }
+    }
+
+    /// Returns the number of calls in flight.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
+    /// Returns how often one call is attempted. Where most calls are rejected, retries only add to
+    /// the load.
+    pub fn max_attempts(&self) -> u32 {
+        self.statistics.max_attempts()
+    }
+
+    /// Decides on a waiting call. `max_attempts` is the bound for all calls of the present batch.
+    pub fn decide(&mut self, now: Time, call: &WaitingCall, max_attempts: u32) -> CallDecision {
+        let available_s = self.available_call_s(now, call.can_skip);
+        let has_capacity = available_s > 0.0;
+        if call.can_skip && self.should_skip(now, call, max_attempts, has_capacity) {
+            return CallDecision::Skip;
+        }
+        if call.attempts >= max_attempts || call.remaining.0 == 0 {
+            return CallDecision::GiveUp;
+        }
+        if !has_capacity {
+            return CallDecision::Wait;
+        }
+        let timeout = self.timeout(call, available_s);
+        self.in_flight += 1;
+        if let Some(budget) = &mut self.budget {
+            budget.commit(timeout);
+        }
+        CallDecision::Make { timeout }
+    }
+
+    /// Records the end of a call that was made at `made_at` with `timeout_s`. `at_calls` is the
+    /// number of requests that wait for a call or its result.
+    pub fn record_end(
+        &mut self,
+        now: Time,
+        outcome: Outcome,
+        made_at: Time,
+        timeout_s: f64,
+        at_calls: usize,
+    ) {
+        let in_flight_before = self.in_flight;
+        self.in_flight -= 1;
+        if let Some(budget) = &mut self.budget {
+            let call = EndedCall {
+                outcome,
+                timeout_s,
+                elapsed_s: (now - made_at).secs(),
+            };
+            budget.accrue(now, in_flight_before, &self.statistics);
+            budget.release(now, &call, self.in_flight, at_calls, &self.statistics);
+        }
+    }
+
+    /// Learns from the result of a call, after its end was recorded.
+    pub fn record_result(&mut self, outcome: Outcome, latency: Span) {
+        self.statistics.record_result(outcome, latency);
+    }
+
+    /// Returns the time before a failed call is attempted again: exponential backoff with jitter,
+    /// or zero where no attempt is left, so that the request is given up in this batch.
+    pub fn retry_delay(&self, attempts: u32, random: &mut Random) -> Span {
+        let doublings = attempts.min(MAX_BACKOFF_DOUBLINGS);
+        let jitter = MIN_BACKOFF_JITTER + random.next_fraction();
+        let backoff_s = INITIAL_BACKOFF_S * f64::from(1u32 << doublings) * jitter;
+        if attempts < self.max_attempts() {
+            Span::from_secs(backoff_s)
+        } else {
+            Span(0)
+        }
+    }
+
+    fn available_call_s(&mut self, now: Time, can_skip: bool) -> f64 {
+        match &mut self.budget {
+            Some(budget) => {
+                budget.accrue(now, self.in_flight, &self.statistics);
+                budget.available_call_s(can_skip, self.in_flight, &self.statistics)
+            }
+            None => f64::MAX,
+        }
+    }
+
+    fn should_skip(
+        &self,
+        now: Time,
+        call: &WaitingCall,
+        max_attempts: u32,
+        has_capacity: bool,
+    ) -> bool {
+        let objective_left_s = (call.objective_deadline - now).secs();
+        let would_miss_objective = objective_left_s < self.statistics.latency_s().value();
+        let has_failed = call.attempts >= max_attempts.min(SKIPPABLE_ATTEMPTS);
+        let waited_s = (now - call.waiting_since).secs();
+        let waited_long = waited_s > SKIP_AFTER_WAIT_FRACTION * call.latency_objective_s;
+        would_miss_objective || has_failed || (!has_capacity && waited_long)
+    }
+
+    fn timeout(&self, call: &WaitingCall, available_s: f64) -> Span {
+        let mut timeout = if call.can_skip {
+            Span::from_secs(call.remaining.secs() * SKIPPABLE_TIMEOUT_FRACTION)
+        } else {
+            call.remaining
+        };
+        if call.is_idempotent {
+            let usual_s = self.usual_latency_s(call).value_or(call.remaining.secs());
+            timeout = timeout.min(Span::from_secs(LOST_CALL_LATENCIES * usual_s));
+        }
+        timeout
+            .min(Span::from_secs(available_s))
+            .max(self.min_timeout)
+    }
+
+    /// Returns the latency by which a lost call is recognized. A call that can be skipped does not
+    /// occupy a shared dependency for longer than one takes without load.
+    fn usual_latency_s(&self, call: &WaitingCall) -> &Ewma {
+        if self.budget.is_some() && call.can_skip {
+            self.statistics.baseline_s()
+        } else {
+            self.statistics.latency_s()
+        }
+    }
+}
--- /dev/null
+++ b/crates/heathspur/src/drain.rs
@@ -0,0 +1,44 @@
+//! The state of a graceful shutdown.
+
+use crate::time::{Span, Time};
+
+/// Whether the server drains, and until when.
+#[derive(Debug, Default)]
+pub(crate) struct DrainState {
+    period: Option<DrainPeriod>,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct DrainPeriod {
+    began_at: Time,
+    stops_at: Time,
+}
+
+impl DrainState {
+    /// Begins a drain that ends `remaining` later.
+    pub fn begin(&mut self, now: Time, remaining: Span) {
+        self.period = Some(DrainPeriod {
+            began_at: now,
+            stops_at: now + remaining,
+        });
+    }
+
+    /// Returns whether the server drains.
+    pub fn is_draining(&self) -> bool {
+        self.period.is_some()
+    }
+
+    /// Returns the deadline of a request, which the end of a drain bounds.
+    pub fn bound_deadline(&self, deadline: Time) -> Time {
+        match self.period {
+            Some(period) => deadline.min(period.stops_at),
+            None => deadline,
+        }
+    }
+
+    /// Returns whether a request arrived after the grace period of a drain and must not run.
+    pub fn is_past_grace(&self, arrived_at: Time, grace: Span) -> bool {
+        self.period
+            .is_some_and(|period| arrived_at > period.began_at + grace)
+    }
+}
