--- a/crates/heathspur/src/class_queues.rs
+++ b/crates/heathspur/src/class_queues.rs
@@ -131,3 +131,7 @@
         self.queues.iter().all(VecDeque::is_empty)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/class_queues.rs"]
+mod tests;
--- a/crates/heathspur/src/concurrency_limit.rs
+++ b/crates/heathspur/src/concurrency_limit.rs
@@ -76,3 +76,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/concurrency_limit.rs"]
+mod tests;
--- a/crates/heathspur/src/controller/tick.rs
+++ b/crates/heathspur/src/controller/tick.rs
@@ -1,7 +1,8 @@
 //! Periodic work: requests that are due, stalls, and the end of control periods.
 
-use super::TICK_TOKEN;
-use super::{tightest_objective_s, AdmissionController, CONTROL_PERIOD_S, TICK_INTERVAL_S};
+use super::{
+    tightest_objective_s, AdmissionController, CONTROL_PERIOD_S, TICK_INTERVAL_S, TICK_TOKEN,
+};
 use crate::action::Action;
 use crate::class_queues::QueueIndex;
 use crate::deadline_factor::DeadlineFactor;
--- a/crates/heathspur/src/dependency_calls/budget.rs
+++ b/crates/heathspur/src/dependency_calls/budget.rs
@@ -262,3 +262,7 @@
         MAX_USED_FRACTION * self.capacity_share * window_s - self.abandoned_call_lifetime_s
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/budget.rs"]
+mod tests;
--- a/crates/heathspur/src/ewma.rs
+++ b/crates/heathspur/src/ewma.rs
@@ -49,3 +49,7 @@
         self.samples > 0.0
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/ewma.rs"]
+mod tests;
--- a/crates/heathspur/src/idempotency_groups.rs
+++ b/crates/heathspur/src/idempotency_groups.rs
@@ -168,3 +168,7 @@
         expired
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/idempotency_groups.rs"]
+mod tests;
--- a/crates/heathspur/src/idle_connections.rs
+++ b/crates/heathspur/src/idle_connections.rs
@@ -130,3 +130,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/idle_connections.rs"]
+mod tests;
--- a/crates/heathspur/src/load_signal.rs
+++ b/crates/heathspur/src/load_signal.rs
@@ -69,3 +69,7 @@
         Some(value)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/load_signal.rs"]
+mod tests;
--- a/crates/heathspur/src/slot_budgets.rs
+++ b/crates/heathspur/src/slot_budgets.rs
@@ -165,3 +165,7 @@
 fn pi_step(output: f64, error_s: f64, previous_error_s: f64) -> f64 {
     output + GAIN * (error_s - PREVIOUS_ERROR_FRACTION * previous_error_s)
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/slot_budgets.rs"]
+mod tests;
--- a/crates/heathspur/src/tenant_quotas.rs
+++ b/crates/heathspur/src/tenant_quotas.rs
@@ -102,3 +102,7 @@
         median.max(1.0 / self.servers)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/tenant_quotas.rs"]
+mod tests;
--- /dev/null
+++ b/crates/heathspur/tests/unit/budget.rs
@@ -0,0 +1,92 @@
+//! The budget of calls to a shared dependency.
+
+use super::*;
+
+const WINDOW: Span = Span(10_000_000);
+const LIFETIME: Span = Span(1_000_000);
+
+fn second(n: u64) -> Time {
+    Time(n * 1_000_000)
+}
+
+/// A budget whose share allows about three calls at once, with full tokens.
+fn budget() -> (CallBudget, CallStatistics) {
+    let statistics = CallStatistics::new();
+    let mut budget = CallBudget::new(10.0, WINDOW, LIFETIME);
+    budget.start(Time(0), false, &statistics, &mut Random::new(1));
+    budget.accrue(second(60), 0, &statistics);
+    (budget, statistics)
+}
+
+fn ended(outcome: Outcome) -> EndedCall {
+    EndedCall {
+        outcome,
+        timeout_s: 2.0,
+        elapsed_s: 1.0,
+    }
+}
+
+#[test]
+fn calls_in_flight_stay_at_the_limit() {
+    let (budget, statistics) = budget();
+    assert!(budget.available_call_s(false, 2, &statistics) > 0.0);
+    assert_eq!(budget.available_call_s(false, 3, &statistics), 0.0);
+}
+
+#[test]
+fn committed_call_seconds_close_the_window_until_they_are_released() {
+    let (mut budget, statistics) = budget();
+    // The window holds 0.9 * 10 * 10 s, less one abandoned call.
+    budget.commit(Span::from_secs(87.0));
+    assert_eq!(budget.available_call_s(false, 0, &statistics), 0.0);
+    let call = EndedCall {
+        timeout_s: 87.0,
+        ..ended(Outcome::Ok)
+    };
+    budget.release(second(61), &call, 0, 0, &statistics);
+    let left_s = budget.available_call_s(false, 0, &statistics);
+    assert!((left_s - 88.0).abs() < 1e-9, "{left_s}");
+}
+
+#[test]
+fn an_abandoned_call_counts_for_its_lifetime_after_its_end() {
+    let (mut budget, statistics) = budget();
+    budget.commit(Span::from_secs(2.0));
+    budget.release(second(61), &ended(Outcome::Timeout), 0, 0, &statistics);
+    let left_s = budget.available_call_s(false, 0, &statistics);
+    assert!((left_s - 87.0).abs() < 1e-9, "{left_s}");
+    budget.accrue(second(72), 0, &statistics);
+    let left_s = budget.available_call_s(false, 0, &statistics);
+    assert!((left_s - 89.0).abs() < 1e-9, "{left_s}");
+}
+
+#[test]
+fn inflated_latency_lowers_the_limit() {
+    let (mut budget, mut statistics) = budget();
+    statistics.record_result(Outcome::Ok, Span::from_secs(0.1));
+    for _ in 0..40 {
+        statistics.record_result(Outcome::Timeout, Span::from_secs(2.0));
+    }
+    budget.commit(Span::from_secs(2.0));
+    budget.release(second(61), &ended(Outcome::Ok), 2, 3, &statistics);
+    assert_eq!(budget.available_call_s(false, 2, &statistics), 0.0);
+}
+
+#[test]
+fn calls_that_can_be_skipped_leave_tokens_to_the_others() {
+    let statistics = CallStatistics::new();
+    let mut budget = CallBudget::new(2.0, WINDOW, LIFETIME);
+    budget.start(Time(0), false, &statistics, &mut Random::new(1));
+    budget.accrue(second(60), 0, &statistics);
+    assert!(budget.available_call_s(true, 0, &statistics) > 0.0);
+    // Abandoned calls spend tokens down to less than half of the bucket.
+    budget.commit(Span::from_secs(2.0));
+    let call = EndedCall {
+        outcome: Outcome::Rejected,
+        timeout_s: 2.0,
+        elapsed_s: 0.6,
+    };
+    budget.release(second(60), &call, 0, 0, &statistics);
+    assert_eq!(budget.available_call_s(true, 0, &statistics), 0.0);
+    assert!(budget.available_call_s(false, 0, &statistics) > 0.0);
+}
