--- a/crates/heathspur/tests/common/mod.rs
+++ b/crates/heathspur/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings, a driver and a checker of the four rules that the tests share. The checker knows no speeds: it
-//! holds what the wire's rules say of each request, and fails on the first action that breaks one.
+//! Shared settings, a driver and a checker of the four rules of the service. The checker models no
+//! speeds: it fails on the first action that breaks a rule for a request.
 #![allow(dead_code)]
 
 use heathspur::*;
@@ -9,25 +9,25 @@
     Span(n * 1000)
 }
 
-pub fn class(worth: f64, effect: Idempotency, calls: bool) -> Class {
+pub fn class(priority_weight: f64, idempotency: Idempotency, may_call: bool) -> Class {
     Class {
         latency_objective: ms(2000),
         latency_objective_per_work: 0.0,
         client_timeout: ms(6000),
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.0,
-        idempotency: effect,
-        dedup_window: if effect == Idempotency::Keyed {
+        idempotency,
+        dedup_window: if idempotency == Idempotency::Keyed {
             ms(20_000)
         } else {
             ms(0)
         },
-        may_call: calls,
+        may_call,
         degraded_weight: 0.0,
     }
 }
 
-/// Four cores, three classes (safe, keyed, unsafe), room for about 60 runs.
+/// Four cores, three classes (idempotent, keyed, not idempotent), memory for about 60 runs.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -74,54 +74,54 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    Held,
+    Queued,
     Running,
     AtCall,
     Calling,
-    Attached,
+    AwaitingResult,
 }
 
 #[derive(Debug)]
-pub struct Known {
+pub struct TrackedRequest {
     pub class: usize,
     pub state: State,
     pub ran: bool,
     pub answered: bool,
     pub arrived: Time,
-    pub due: Time,
-    pub kb: f64,
+    pub deadline: Time,
+    pub memory_kb: f64,
     pub since: Time,
     pub identity: u64,
     pub may_call: bool,
 }
 
-/// A server, what it was told and what it said.
-pub struct Bench {
-    pub set: Settings,
-    pub server: AdmissionController,
+/// A controller with the events it was given and the actions it answered.
+pub struct Harness {
+    pub settings: Settings,
+    pub controller: AdmissionController,
     pub now: Time,
-    pub known: BTreeMap<RequestId, Known>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub all: Vec<Action>,
     pub last: Vec<Action>,
     pub timers: Vec<(Time, Token)>,
-    /// What the gauges show with every timer.
+    /// The gauges sent with every timer.
     pub gauges: Gauges,
-    /// Arrivals of keyed tries that were run, by what they ask.
+    /// Arrivals of keyed attempts that ran, by idempotency key.
     pub keyed_runs: BTreeMap<u64, Time>,
     pub entries: BTreeMap<u64, (RequestId, Time)>,
     pub drain: Option<(Time, Time)>,
     pub answers: BTreeMap<RequestId, usize>,
-    /// Stopped for good; the server hears of it in a batch of its own.
+    /// Stopped runs, whose ends are reported in a batch of their own.
     pub stopped: BTreeSet<RequestId>,
 }
 
-impl Bench {
-    pub fn new(set: Settings) -> Bench {
-        let mut bench = Bench {
-            server: AdmissionController::new(set.clone(), 7),
-            set,
+impl Harness {
+    pub fn new(set: Settings) -> Harness {
+        let mut bench = Harness {
+            controller: AdmissionController::new(set.clone(), 7),
+            settings: set,
             now: Time(1_000_000_000),
-            known: BTreeMap::new(),
+            requests: BTreeMap::new(),
             all: Vec::new(),
             last: Vec::new(),
             timers: Vec::new(),
@@ -136,8 +136,8 @@
         bench
     }
 
-    /// Lets time pass with its timers delivered, and nothing else.
-    pub fn pass(&mut self, span: Span) {
+    /// Advances the clock and delivers the timers that become due.
+    pub fn advance(&mut self, span: Span) {
         let end = self.now + span;
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].0) {
             if self.timers[i].0 > end {
@@ -153,10 +153,11 @@
         self.now = end;
     }
 
-    /// A repeat names the entry that a table would name for what it asks; `identity` stands for the key.
+    /// Delivers a request. `identity` stands for its idempotency key, by which a retry names the
+    /// attempt that the idempotency store would name.
     pub fn arrive(&mut self, mut r: Request, identity: u64) {
         let arrived = self.now - r.queueing_delay;
-        if self.set.classes[r.class.0].idempotency == Idempotency::Keyed
+        if self.settings.classes[r.class.0].idempotency == Idempotency::Keyed
             && r.previous_attempt.is_none()
         {
             let entry = self
@@ -170,30 +171,30 @@
     }
 
     pub fn track(&mut self, r: &Request, identity: u64) {
-        let class = &self.set.classes[r.class.0];
+        let class = &self.settings.classes[r.class.0];
         let arrived = self.now - r.queueing_delay;
         let due = r
             .remaining_deadline
             .map_or(arrived + class.client_timeout, |p| self.now + p)
             .max(self.now);
-        let known = Known {
+        let known = TrackedRequest {
             class: r.class.0,
-            state: State::Held,
+            state: State::Queued,
             ran: false,
             answered: false,
             arrived,
-            due,
-            kb: r.queued_memory_kb,
+            deadline: due,
+            memory_kb: r.queued_memory_kb,
             since: self.now,
             identity,
             may_call: true,
         };
-        self.known.insert(r.id, known);
+        self.requests.insert(r.id, known);
     }
 
-    pub fn done(&mut self, id: u64, outcome: Outcome) {
+    pub fn complete_run(&mut self, id: u64, outcome: Outcome) {
         let id = RequestId(id);
-        let Some(k) = self.known.remove(&id) else {
+        let Some(k) = self.requests.remove(&id) else {
             return;
         };
         if !k.answered && matches!(outcome, Outcome::Ok | Outcome::Error) {
@@ -207,19 +208,19 @@
         }]);
     }
 
-    pub fn needs_call(&mut self, id: u64) {
-        let k = self.known.get_mut(&RequestId(id)).expect("known");
+    pub fn need_call(&mut self, id: u64) {
+        let k = self.requests.get_mut(&RequestId(id)).expect("known");
         k.state = State::AtCall;
         k.may_call = true;
         self.batch(&[Event::CallNeeded(RequestId(id))]);
     }
 
-    pub fn called(&mut self, id: u64, outcome: Outcome) {
+    pub fn complete_call(&mut self, id: u64, outcome: Outcome) {
         let safe = {
-            let k = self.known.get(&RequestId(id)).expect("known");
-            self.set.classes[k.class].idempotency == Idempotency::Idempotent
+            let k = self.requests.get(&RequestId(id)).expect("known");
+            self.settings.classes[k.class].idempotency == Idempotency::Idempotent
         };
-        let k = self.known.get_mut(&RequestId(id)).expect("known");
+        let k = self.requests.get_mut(&RequestId(id)).expect("known");
         let latency = self.now - k.since;
         k.state = if outcome == Outcome::Ok {
             State::Running
@@ -238,18 +239,18 @@
         }]);
     }
 
-    pub fn gone(&mut self, id: u64) {
+    pub fn cancel(&mut self, id: u64) {
         let id = RequestId(id);
-        if let Some(k) = self.known.get_mut(&id) {
+        if let Some(k) = self.requests.get_mut(&id) {
             k.answered = true;
-            if matches!(k.state, State::Held | State::Attached) {
-                self.known.remove(&id);
+            if matches!(k.state, State::Queued | State::AwaitingResult) {
+                self.requests.remove(&id);
             }
         }
         self.batch(&[Event::ClientCancelled(id)]);
     }
 
-    pub fn leave(&mut self, left: Span) {
+    pub fn drain(&mut self, left: Span) {
         self.drain = Some((self.now, self.now + left));
         self.batch(&[Event::Drain(left)]);
     }
@@ -257,7 +258,7 @@
     pub fn batch(&mut self, events: &[Event]) {
         self.last.clear();
         let mut actions = Vec::new();
-        self.server.decide(self.now, events, &mut actions);
+        self.controller.decide(self.now, events, &mut actions);
         for action in &actions {
             self.apply(action);
         }
@@ -278,18 +279,18 @@
     fn answer(&mut self, id: RequestId) {
         let now = self.now;
         let k = self
-            .known
+            .requests
             .get_mut(&id)
             .unwrap_or_else(|| panic!("answered {id:?}, which is not known"));
         assert!(!k.answered, "{id:?} answered twice");
         assert!(
-            now <= k.due + self.set.answer_slack,
+            now <= k.deadline + self.settings.answer_slack,
             "{id:?} answered after its due time"
         );
         k.answered = true;
         *self.answers.entry(id).or_default() += 1;
-        if matches!(k.state, State::Held | State::Attached) {
-            self.known.remove(&id);
+        if matches!(k.state, State::Queued | State::AwaitingResult) {
+            self.requests.remove(&id);
         }
     }
 
@@ -298,17 +299,17 @@
             Action::Run(id) => {
                 let now = self.now;
                 let k = self
-                    .known
+                    .requests
                     .get_mut(id)
                     .unwrap_or_else(|| panic!("ran {id:?}, which is not known"));
-                assert_eq!(k.state, State::Held, "{id:?} run while it is not held");
-                let effect = self.set.classes[k.class].idempotency;
+                assert_eq!(k.state, State::Queued, "{id:?} run while it is not held");
+                let effect = self.settings.classes[k.class].idempotency;
                 assert!(
                     effect == Idempotency::Idempotent || !k.ran,
                     "{id:?} run again"
                 );
                 if effect == Idempotency::Keyed {
-                    let window = self.set.classes[k.class].dedup_window;
+                    let window = self.settings.classes[k.class].dedup_window;
                     if let Some(&before) = self.keyed_runs.get(&k.identity) {
                         assert!(
                             k.arrived > before + window,
@@ -319,7 +320,7 @@
                 }
                 if let Some((since, _)) = self.drain {
                     assert!(
-                        k.arrived <= since + self.set.drain_grace,
+                        k.arrived <= since + self.settings.drain_grace,
                         "{id:?} run past the grace"
                     );
                 }
@@ -327,77 +328,81 @@
             }
             Action::Stop(id) => {
                 assert_ne!(
-                    self.set.preemption,
+                    self.settings.preemption,
                     Preemption::None,
                     "stopped where nothing can be"
                 );
-                if let Some(k) = self.known.get_mut(id).filter(|k| k.state == State::Running) {
+                if let Some(k) = self
+                    .requests
+                    .get_mut(id)
+                    .filter(|k| k.state == State::Running)
+                {
                     if k.answered {
-                        self.known.remove(id);
+                        self.requests.remove(id);
                         self.stopped.insert(*id);
                     } else {
-                        k.state = State::Held;
+                        k.state = State::Queued;
                     }
                 }
             }
             Action::Reject { id, .. } => {
-                let k = &self.known[id];
-                let safe = self.set.classes[k.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !k.ran, "{id:?} refused after it ran");
-                if self.set.classes[k.class].idempotency == Idempotency::Keyed {
-                    let window = self.set.classes[k.class].dedup_window;
+                let k = &self.requests[id];
+                let safe = self.settings.classes[k.class].idempotency == Idempotency::Idempotent;
+                assert!(safe || !k.ran, "{id:?} rejected after it ran");
+                if self.settings.classes[k.class].idempotency == Idempotency::Keyed {
+                    let window = self.settings.classes[k.class].dedup_window;
                     let ran = self
                         .keyed_runs
                         .get(&k.identity)
                         .is_some_and(|&at| k.arrived <= at + window);
-                    assert!(!ran, "{id:?} refused though a try of it ran");
+                    assert!(!ran, "{id:?} rejected though a try of it ran");
                 }
                 self.answer(*id);
             }
             Action::Fail(id) => self.answer(*id),
             Action::Call { id, .. } => {
                 let now = self.now;
-                let k = self.known.get_mut(id).expect("calls for what is known");
+                let k = self.requests.get_mut(id).expect("calls for what is known");
                 assert_eq!(k.state, State::AtCall, "{id:?} stands at no call");
                 assert!(k.may_call, "{id:?}: a call repeated that may have run");
                 (k.state, k.since) = (State::Calling, now);
             }
             Action::SkipCall(id) => {
-                let k = self.known.get_mut(id).expect("skips for what is known");
+                let k = self.requests.get_mut(id).expect("skips for what is known");
                 assert!(
-                    self.set.classes[k.class].degraded_weight > 0.0,
+                    self.settings.classes[k.class].degraded_weight > 0.0,
                     "{id:?} skipped a call it needs"
                 );
                 k.state = State::Running;
             }
             Action::RetainResult { id, ttl } => {
-                let k = &self.known[id];
+                let k = &self.requests[id];
                 self.entries.insert(k.identity, (*id, self.now + *ttl));
             }
             Action::EvictResult(id) => self.entries.retain(|_, (entry, _)| entry != id),
             Action::ReplayResult(id) => {
-                self.known.get_mut(id).expect("known").state = State::Attached
+                self.requests.get_mut(id).expect("known").state = State::AwaitingResult
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + *after, *token)),
-            Action::SetLoadSignal(_) => assert_ne!(self.set.load_signal, LoadSignal::None),
+            Action::SetLoadSignal(_) => assert_ne!(self.settings.load_signal, LoadSignal::None),
             Action::Health { .. } | Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
     }
 
-    /// What must hold after every batch.
+    /// Checks what must hold after every batch.
     fn check(&self) {
         let now = self.now;
         let mut memory = 0.0;
-        for (id, k) in &self.known {
+        for (id, k) in &self.requests {
             let running = matches!(k.state, State::Running | State::AtCall | State::Calling);
-            memory += k.kb
+            memory += k.memory_kb
                 * if running {
-                    self.set.run_memory_factor
+                    self.settings.run_memory_factor
                 } else {
                     1.0
                 };
             assert!(
-                k.answered || now <= k.due + self.set.answer_slack,
+                k.answered || now <= k.deadline + self.settings.answer_slack,
                 "{id:?} lost: {k:?}"
             );
             if let Some((_, stop)) = self.drain {
@@ -412,19 +417,22 @@
             .values()
             .filter(|(_, until)| *until >= now)
             .count() as f64
-            * self.set.dedup_entry_kb;
+            * self.settings.dedup_entry_kb;
         assert!(
-            memory <= self.set.memory_kb,
+            memory <= self.settings.memory_kb,
             "memory {memory} over {}",
-            self.set.memory_kb
+            self.settings.memory_kb
         );
-        let crowd = self
-            .known
+        let running = self
+            .requests
             .values()
             .filter(|k| k.state == State::Running)
             .count() as f64;
-        let limit = self.set.cores as f64 * self.set.overload_concurrency;
-        assert!(crowd <= limit, "{crowd} on the cores, {limit} survivable");
+        let limit = self.settings.cores as f64 * self.settings.overload_concurrency;
+        assert!(
+            running <= limit,
+            "{running} running, overload above {limit}"
+        );
     }
 
     pub fn running(&self) -> Vec<u64> {
@@ -432,14 +440,14 @@
     }
 
     pub fn in_state(&self, state: State) -> Vec<u64> {
-        self.known
+        self.requests
             .iter()
             .filter(|(_, k)| k.state == state)
             .map(|(id, _)| id.0)
             .collect()
     }
 
-    pub fn ran(&self) -> Vec<u64> {
+    pub fn started(&self) -> Vec<u64> {
         let run = |a: &Action| {
             if let Action::Run(id) = a {
                 Some(id.0)
@@ -450,14 +458,14 @@
         self.all.iter().filter_map(run).collect()
     }
 
-    pub fn refused(&self) -> Vec<u64> {
-        let refused = |a: &Action| {
+    pub fn rejected(&self) -> Vec<u64> {
+        let rejected = |a: &Action| {
             if let Action::Reject { id, .. } = a {
                 Some(id.0)
             } else {
                 None
             }
         };
-        self.all.iter().filter_map(refused).collect()
+        self.all.iter().filter_map(rejected).collect()
     }
 }
--- a/crates/heathspur/tests/deadlines.rs
+++ b/crates/heathspur/tests/deadlines.rs
@@ -5,45 +5,46 @@
 use heathspur::*;
 
 #[test]
-fn running_work_is_failed_by_its_due_time() {
-    let mut b = Bench::new(settings());
-    b.arrive(request(1, 1), 1);
-    b.arrive(request(2, 2), 2);
-    b.pass(ms(8000));
+fn running_work_fails_by_its_deadline() {
+    let mut harness = Harness::new(settings());
+    harness.arrive(request(1, 1), 1);
+    harness.arrive(request(2, 2), 2);
+    harness.advance(ms(8000));
     assert!(
-        b.all.contains(&Action::Fail(RequestId(1))) && b.all.contains(&Action::Fail(RequestId(2)))
+        harness.all.contains(&Action::Fail(RequestId(1)))
+            && harness.all.contains(&Action::Fail(RequestId(2)))
     );
 }
 
 #[test]
-fn a_request_read_after_its_due_time_is_answered_at_once() {
-    let mut b = Bench::new(settings());
-    b.arrive(
+fn a_request_read_after_its_deadline_is_answered_at_once() {
+    let mut harness = Harness::new(settings());
+    harness.arrive(
         Request {
             queueing_delay: ms(7000),
             ..request(1, 0)
         },
         1,
     );
-    assert_eq!(b.refused(), [1]);
+    assert_eq!(harness.rejected(), [1]);
 }
 
 #[test]
-fn a_request_at_a_call_is_failed_by_its_due_time() {
-    let mut b = Bench::new(settings());
-    b.arrive(request(1, 1), 1);
-    b.needs_call(1);
-    b.pass(ms(8000));
-    assert!(b.all.contains(&Action::Fail(RequestId(1))));
+fn a_request_at_a_call_fails_by_its_deadline() {
+    let mut harness = Harness::new(settings());
+    harness.arrive(request(1, 1), 1);
+    harness.need_call(1);
+    harness.advance(ms(8000));
+    assert!(harness.all.contains(&Action::Fail(RequestId(1))));
 }
 
 #[test]
-fn events_of_finished_requests_are_harmless() {
-    let mut b = Bench::new(settings());
-    b.arrive(request(1, 0), 1);
-    b.done(1, Outcome::Ok);
+fn events_of_finished_requests_are_ignored() {
+    let mut harness = Harness::new(settings());
+    harness.arrive(request(1, 0), 1);
+    harness.complete_run(1, Outcome::Ok);
     let id = RequestId(1);
-    b.batch(&[
+    harness.batch(&[
         Event::RunCompleted {
             id,
             outcome: Outcome::Ok,
@@ -61,20 +62,20 @@
             gauges: Gauges::default(),
         },
     ]);
-    b.arrive(request(2, 0), 2);
-    assert_eq!(b.running(), [2]);
+    harness.arrive(request(2, 0), 2);
+    assert_eq!(harness.running(), [2]);
 }
 
 #[test]
-fn a_run_that_never_began_leaves_its_slot_and_its_memory() {
-    let mut b = Bench::new(settings());
+fn a_run_that_never_began_releases_its_slot_and_memory() {
+    let mut harness = Harness::new(settings());
     for id in 1..200 {
-        b.arrive(request(id, 0), id);
+        harness.arrive(request(id, 0), id);
         assert_eq!(
-            b.running(),
+            harness.running(),
             [id],
             "the slots of runs that never began are free"
         );
-        b.done(id, Outcome::NoLongerNeeded);
+        harness.complete_run(id, Outcome::NoLongerNeeded);
     }
 }
--- a/crates/heathspur/tests/dependency_calls.rs
+++ b/crates/heathspur/tests/dependency_calls.rs
@@ -5,117 +5,126 @@
 use heathspur::*;
 
 #[test]
-fn a_call_that_may_have_run_is_not_repeated_for_a_write() {
+fn a_call_that_may_have_run_is_not_retried_for_a_write() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset] {
-        let mut b = Bench::new(settings());
-        b.arrive(request(1, 1), 1);
-        b.needs_call(1);
-        b.called(1, outcome);
-        assert!(b.last.contains(&Action::Fail(RequestId(1))), "{outcome:?}");
+        let mut harness = Harness::new(settings());
+        harness.arrive(request(1, 1), 1);
+        harness.need_call(1);
+        harness.complete_call(1, outcome);
+        assert!(
+            harness.last.contains(&Action::Fail(RequestId(1))),
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
-fn a_call_proven_not_run_is_repeated_after_a_pause() {
+fn a_call_that_provably_did_not_run_is_retried_after_a_backoff() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
-        let mut b = Bench::new(settings());
-        b.arrive(request(1, 1), 1);
-        b.needs_call(1);
-        b.called(1, outcome);
+        let mut harness = Harness::new(settings());
+        harness.arrive(request(1, 1), 1);
+        harness.need_call(1);
+        harness.complete_call(1, outcome);
         assert!(
-            !b.last.iter().any(|a| matches!(a, Action::Call { .. })),
+            !harness
+                .last
+                .iter()
+                .any(|a| matches!(a, Action::Call { .. })),
             "no pause"
         );
-        b.pass(ms(500));
-        assert_eq!(b.in_state(State::Calling), [1], "{outcome:?}");
+        harness.advance(ms(500));
+        assert_eq!(harness.in_state(State::Calling), [1], "{outcome:?}");
     }
 }
 
 #[test]
-fn a_skippable_call_is_left_out_when_it_keeps_failing() {
+fn a_skippable_call_is_skipped_when_it_keeps_failing() {
     let mut set = settings();
     set.classes[0].degraded_weight = 0.6;
-    let mut b = Bench::new(set);
-    b.arrive(request(1, 0), 1);
-    b.needs_call(1);
+    let mut harness = Harness::new(set);
+    harness.arrive(request(1, 0), 1);
+    harness.need_call(1);
     for _ in 0..2 {
-        b.called(1, Outcome::Rejected);
-        b.pass(ms(400));
+        harness.complete_call(1, Outcome::Rejected);
+        harness.advance(ms(400));
     }
-    assert!(b.all.contains(&Action::SkipCall(RequestId(1))));
+    assert!(harness.all.contains(&Action::SkipCall(RequestId(1))));
 }
 
 #[test]
-fn where_calls_are_turned_away_a_skippable_one_is_left_out_and_not_given_up() {
+fn a_rejected_skippable_call_is_skipped_and_its_request_not_given_up() {
     let mut set = settings();
     set.classes[0].degraded_weight = 0.6;
-    let mut b = Bench::new(set);
+    let mut harness = Harness::new(set);
     for id in 1..40 {
-        b.arrive(request(id, 0), id);
-        b.needs_call(id);
-        while b.in_state(State::Calling).contains(&id) {
-            b.called(id, Outcome::Rejected);
-            b.pass(ms(400));
+        harness.arrive(request(id, 0), id);
+        harness.need_call(id);
+        while harness.in_state(State::Calling).contains(&id) {
+            harness.complete_call(id, Outcome::Rejected);
+            harness.advance(ms(400));
         }
-        assert!(b.all.contains(&Action::SkipCall(RequestId(id))), "{id}");
-        b.done(id, Outcome::Ok);
+        assert!(
+            harness.all.contains(&Action::SkipCall(RequestId(id))),
+            "{id}"
+        );
+        harness.complete_run(id, Outcome::Ok);
     }
-    assert!(b.refused().is_empty());
+    assert!(harness.rejected().is_empty());
 }
 
 #[test]
-fn calls_at_once_stay_under_our_part_of_a_shared_dependency() {
+fn concurrent_calls_stay_below_this_servers_share() {
     let mut set = settings();
     set.dependency = Dependency::Shared {
         capacity_share: 2.5,
         averaging_window: ms(5000),
         abandoned_call_lifetime: ms(200),
     };
-    let mut b = Bench::new(set);
+    let mut harness = Harness::new(set);
     for id in 1..=4 {
-        b.arrive(request(id, 0), id);
+        harness.arrive(request(id, 0), id);
     }
     for id in 1..=4 {
-        b.needs_call(id);
+        harness.need_call(id);
     }
     for _ in 0..40 {
-        b.pass(ms(100));
-        assert!(b.in_state(State::Calling).len() <= 2);
-        let calling = b.in_state(State::Calling);
+        harness.advance(ms(100));
+        assert!(harness.in_state(State::Calling).len() <= 2);
+        let calling = harness.in_state(State::Calling);
         if let Some(&id) = calling.first() {
-            b.called(id, Outcome::Ok);
-            if b.known.contains_key(&RequestId(id)) {
-                b.needs_call(id);
+            harness.complete_call(id, Outcome::Ok);
+            if harness.requests.contains_key(&RequestId(id)) {
+                harness.need_call(id);
             }
         }
     }
 }
 
 #[test]
-fn an_abandoned_call_counts_while_it_lingers() {
+fn an_abandoned_call_counts_for_its_lifetime() {
     let mut set = settings();
     set.dependency = Dependency::Shared {
         capacity_share: 1.0,
         averaging_window: ms(5000),
         abandoned_call_lifetime: ms(200),
     };
-    let mut b = Bench::new(set);
-    b.arrive(request(1, 0), 1);
-    b.arrive(request(2, 0), 2);
-    b.needs_call(1);
-    b.called(1, Outcome::Timeout);
-    b.needs_call(2);
+    let mut harness = Harness::new(set);
+    harness.arrive(request(1, 0), 1);
+    harness.arrive(request(2, 0), 2);
+    harness.need_call(1);
+    harness.complete_call(1, Outcome::Timeout);
+    harness.need_call(2);
     assert!(
-        b.in_state(State::Calling).is_empty(),
+        harness.in_state(State::Calling).is_empty(),
         "called while ours still lingers"
     );
-    b.pass(ms(900));
-    assert_eq!(b.in_state(State::Calling).len(), 1);
+    harness.advance(ms(900));
+    assert_eq!(harness.in_state(State::Calling).len(), 1);
 }
 
-/// A server whose part of a shared dependency is far below one call, at which many requests stand, and which
-/// of them were called: each call takes `time` ms.
-fn small_part(part: f64, time: u64, rounds: u64) -> Vec<(u64, Time)> {
+/// Returns the calls that a server makes whose capacity share is far below one call, with many
+/// requests waiting for calls. Each call takes `time` ms.
+fn calls_at_small_share(part: f64, time: u64, rounds: u64) -> Vec<(u64, Time)> {
     let mut set = settings();
     set.dependency = Dependency::Shared {
         capacity_share: part,
@@ -124,36 +133,36 @@
     };
     set.classes[0].degraded_weight = 0.6;
     set.memory_kb = 1e6;
-    let mut b = Bench::new(set);
+    let mut harness = Harness::new(set);
     let mut made: Vec<(u64, Time)> = Vec::new();
     for round in 0..rounds {
         for id in [2 * round, 2 * round + 1] {
-            b.arrive(request(id, (id % 2) as usize), id);
-            if b.in_state(State::Running).contains(&id) {
-                b.needs_call(id);
+            harness.arrive(request(id, (id % 2) as usize), id);
+            if harness.in_state(State::Running).contains(&id) {
+                harness.need_call(id);
             }
         }
-        b.pass(ms(time));
-        for id in b.in_state(State::Calling) {
+        harness.advance(ms(time));
+        for id in harness.in_state(State::Calling) {
             if !made.iter().any(|m| m.0 == id) {
-                made.push((id, b.known[&RequestId(id)].since));
+                made.push((id, harness.requests[&RequestId(id)].since));
             }
-            if b.now - b.known[&RequestId(id)].since >= ms(time) {
-                b.called(id, Outcome::Ok);
-                b.done(id, Outcome::Ok);
+            if harness.now - harness.requests[&RequestId(id)].since >= ms(time) {
+                harness.complete_call(id, Outcome::Ok);
+                harness.complete_run(id, Outcome::Ok);
             }
         }
-        for id in b.in_state(State::Running) {
-            b.done(id, Outcome::Ok);
+        for id in harness.in_state(State::Running) {
+            harness.complete_run(id, Outcome::Ok);
         }
     }
     made
 }
 
 #[test]
-fn a_small_part_of_a_shared_dependency_holds_in_each_period_from_the_first() {
-    // 0.4 calls in the mean of 5 s are 2 call seconds; each call takes 0.4 s.
-    let made = small_part(0.4, 400, 60);
+fn a_small_share_holds_in_every_window_from_the_first() {
+    // A mean of 0.4 calls over 5 s are 2 call seconds; each call takes 0.4 s.
+    let made = calls_at_small_share(0.4, 400, 60);
     assert!(made.len() > 5, "{}", made.len());
     for &(_, from) in &made {
         let within = made
@@ -165,20 +174,20 @@
 }
 
 #[test]
-fn paced_calls_go_first_to_requests_that_cannot_go_without() {
-    let made = small_part(0.4, 50, 400);
+fn paced_calls_go_first_to_requests_that_cannot_skip_them() {
+    let made = calls_at_small_share(0.4, 50, 400);
     let must = made.iter().filter(|m| m.0 % 2 == 1).count();
     assert!(must > 2 * (made.len() - must), "{must} of {}", made.len());
 }
 
 #[test]
-fn a_part_that_never_holds_one_usual_call_still_makes_some() {
-    let made = small_part(0.02, 50, 2000);
+fn a_share_below_one_usual_call_still_makes_some() {
+    let made = calls_at_small_share(0.02, 50, 2000);
     assert!((1..40).contains(&made.len()), "{}", made.len());
 }
 
-/// A server at a shared dependency with room, taught a quiet call time of 100 ms.
-fn taught_calls() -> Bench {
+/// A server at a shared dependency with spare capacity and a known baseline latency of 100 ms.
+fn server_with_known_latency() -> Harness {
     let mut set = settings();
     set.dependency = Dependency::Shared {
         capacity_share: 6.0,
@@ -187,71 +196,72 @@
     };
     set.classes[0].degraded_weight = 0.6;
     set.memory_kb = 1e6;
-    let mut b = Bench::new(set);
+    let mut harness = Harness::new(set);
     for id in 1000..1100 {
-        b.arrive(request(id, 0), id);
-        b.needs_call(id);
-        b.pass(ms(100));
-        b.called(id, Outcome::Ok);
-        b.done(id, Outcome::Ok);
+        harness.arrive(request(id, 0), id);
+        harness.need_call(id);
+        harness.advance(ms(100));
+        harness.complete_call(id, Outcome::Ok);
+        harness.complete_run(id, Outcome::Ok);
     }
-    b
+    harness
 }
 
 #[test]
-fn calls_at_once_do_not_grow_while_one_is_enough() {
-    let mut b = taught_calls();
+fn the_call_limit_does_not_grow_while_one_is_enough() {
+    let mut harness = server_with_known_latency();
     for id in 1..=4 {
-        b.arrive(request(id, 1), id);
+        harness.arrive(request(id, 1), id);
     }
     for id in 1..=4 {
-        b.needs_call(id);
+        harness.need_call(id);
     }
     assert!(
-        b.in_state(State::Calling).len() <= 2,
+        harness.in_state(State::Calling).len() <= 2,
         "{:?}",
-        b.in_state(State::Calling)
+        harness.in_state(State::Calling)
     );
 }
 
 #[test]
-fn calls_at_once_are_cut_when_call_times_stretch() {
-    let mut b = taught_calls();
-    let busy = |b: &mut Bench, from: u64, time: u64| {
+fn the_call_limit_falls_when_latency_is_inflated() {
+    let mut harness = server_with_known_latency();
+    let busy = |harness: &mut Harness, from: u64, time: u64| {
         for id in from..from + 4 {
-            b.arrive(request(id, 1), id);
-            b.needs_call(id);
+            harness.arrive(request(id, 1), id);
+            harness.need_call(id);
         }
         let mut most = 0;
-        while let Some(&id) = b.in_state(State::Calling).first() {
-            most = most.max(b.in_state(State::Calling).len());
-            b.pass(ms(time));
-            if b.known
+        while let Some(&id) = harness.in_state(State::Calling).first() {
+            most = most.max(harness.in_state(State::Calling).len());
+            harness.advance(ms(time));
+            if harness
+                .requests
                 .get(&RequestId(id))
                 .is_some_and(|k| !k.answered && k.state == State::Calling)
             {
-                b.called(id, Outcome::Ok);
+                harness.complete_call(id, Outcome::Ok);
             }
-            b.done(id, Outcome::Ok);
+            harness.complete_run(id, Outcome::Ok);
         }
         most
     };
     let mut grown = 0;
     for round in 0..10 {
-        grown = busy(&mut b, 2000 + 10 * round, 30);
+        grown = busy(&mut harness, 2000 + 10 * round, 30);
     }
     assert!(grown >= 3, "{grown}");
     for round in 0..6 {
-        busy(&mut b, 3000 + 10 * round, 400);
+        busy(&mut harness, 3000 + 10 * round, 400);
     }
-    assert_eq!(busy(&mut b, 4000, 400), 1);
+    assert_eq!(busy(&mut harness, 4000, 400), 1);
 }
 
 #[test]
-fn a_skippable_call_at_a_shared_dependency_gets_a_few_quiet_call_times() {
-    let mut b = taught_calls();
-    b.arrive(request(1, 0), 1);
-    b.needs_call(1);
+fn a_skippable_call_at_a_shared_dependency_times_out_after_a_few_baseline_latencies() {
+    let mut harness = server_with_known_latency();
+    harness.arrive(request(1, 0), 1);
+    harness.need_call(1);
     let limit = |a: &Action| {
         if let Action::Call { timeout: limit, .. } = a {
             Some(*limit)
@@ -259,19 +269,19 @@
             None
         }
     };
-    let given = b.last.iter().find_map(limit).expect("a call");
+    let given = harness.last.iter().find_map(limit).expect("a call");
     assert!(given > ms(200) && given < ms(1000), "{given:?}");
 }
 
 #[test]
-fn a_call_that_may_be_repeated_is_given_up_early_and_a_write_is_not() {
-    let mut b = Bench::new(settings());
+fn an_idempotent_call_times_out_early_and_a_write_does_not() {
+    let mut harness = Harness::new(settings());
     for id in 1000..1040 {
-        b.arrive(request(id, 0), id);
-        b.needs_call(id);
-        b.pass(ms(50));
-        b.called(id, Outcome::Ok);
-        b.done(id, Outcome::Ok);
+        harness.arrive(request(id, 0), id);
+        harness.need_call(id);
+        harness.advance(ms(50));
+        harness.complete_call(id, Outcome::Ok);
+        harness.complete_run(id, Outcome::Ok);
     }
     let limit = |a: &Action| {
         if let Action::Call { timeout: limit, .. } = a {
@@ -280,43 +290,47 @@
             None
         }
     };
-    b.arrive(request(1, 0), 1);
-    b.needs_call(1);
-    assert!(b.last.iter().find_map(limit).expect("a call") < ms(500));
-    b.arrive(request(2, 1), 2);
-    b.needs_call(2);
-    assert!(b.last.iter().find_map(limit).expect("a call") > ms(1500));
-    b.pass(ms(200));
-    b.called(1, Outcome::Timeout);
-    b.pass(ms(500));
-    assert_eq!(b.in_state(State::Calling), [1, 2], "not repeated");
+    harness.arrive(request(1, 0), 1);
+    harness.need_call(1);
+    assert!(harness.last.iter().find_map(limit).expect("a call") < ms(500));
+    harness.arrive(request(2, 1), 2);
+    harness.need_call(2);
+    assert!(harness.last.iter().find_map(limit).expect("a call") > ms(1500));
+    harness.advance(ms(200));
+    harness.complete_call(1, Outcome::Timeout);
+    harness.advance(ms(500));
+    assert_eq!(harness.in_state(State::Calling), [1, 2], "not repeated");
 }
 
-/// How often the call of one request is made that always comes back full, and the time until it is given up,
-/// while all other calls, before and meanwhile, come back like this.
-fn tries_of_a_call(class: usize, others: Outcome) -> (usize, Span) {
-    let mut b = Bench::new(settings());
+/// Returns how often a call is attempted that is always rejected, and the time until its request is
+/// given up, while all other calls end with the outcome `others`.
+fn attempts_of_a_call(class: usize, others: Outcome) -> (usize, Span) {
+    let mut harness = Harness::new(settings());
     let mut next = 1000;
-    let mut call_others = |b: &mut Bench, n: u64| {
+    let mut call_others = |harness: &mut Harness, n: u64| {
         for id in next..next + n {
-            b.arrive(request(id, 0), id);
-            b.needs_call(id);
-            b.called(id, others);
-            b.done(id, Outcome::Error);
+            harness.arrive(request(id, 0), id);
+            harness.need_call(id);
+            harness.complete_call(id, others);
+            harness.complete_run(id, Outcome::Error);
         }
         next += n;
     };
-    call_others(&mut b, 40);
-    let began = b.now;
-    b.arrive(request(1, class), 1);
-    b.needs_call(1);
-    while b.known.get(&RequestId(1)).is_some_and(|k| !k.answered) {
-        if b.in_state(State::Calling).contains(&1) {
-            b.called(1, Outcome::Rejected);
-            // Between, so that the request's own calls weigh little.
-            call_others(&mut b, 8);
+    call_others(&mut harness, 40);
+    let began = harness.now;
+    harness.arrive(request(1, class), 1);
+    harness.need_call(1);
+    while harness
+        .requests
+        .get(&RequestId(1))
+        .is_some_and(|k| !k.answered)
+    {
+        if harness.in_state(State::Calling).contains(&1) {
+            harness.complete_call(1, Outcome::Rejected);
+            // Other calls in between, so that the request's own calls have little weight.
+            call_others(&mut harness, 8);
         }
-        b.pass(ms(20));
+        harness.advance(ms(20));
     }
     let made = |a: &&Action| {
         matches!(
@@ -327,15 +341,15 @@
             }
         )
     };
-    (b.all.iter().filter(made).count(), b.now - began)
+    (harness.all.iter().filter(made).count(), harness.now - began)
 }
 
 #[test]
-fn calls_are_repeated_as_far_as_calls_come_back_well() {
+fn calls_are_retried_as_far_as_calls_are_accepted() {
     for class in [0, 1] {
-        assert_eq!(tries_of_a_call(class, Outcome::Ok).0, 4);
-        // Given up as soon as that came back.
-        let (made, took) = tries_of_a_call(class, Outcome::Rejected);
+        assert_eq!(attempts_of_a_call(class, Outcome::Ok).0, 4);
+        // The request is given up as soon as the last attempt ends.
+        let (made, took) = attempts_of_a_call(class, Outcome::Rejected);
         assert!(made == 1 && took <= ms(20), "{made} calls, {took:?}");
     }
 }
--- a/crates/heathspur/tests/fleet.rs
+++ b/crates/heathspur/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many instances in one seeded event loop: what all of them together put on a shared dependency, and what they
-//! tell their callers in one moment. Each knows its own part and nothing of the others.
+//! Many controllers in one seeded event loop: the load that they put on a shared dependency together,
+//! and the advice that their clients get. Each knows its own capacity share and not the others'.
 
 mod common;
 
@@ -7,33 +7,33 @@
 use heathspur::*;
 use std::collections::BTreeMap;
 
-/// The period of the dependency's mean and the time that it keeps an abandoned call, in seconds.
+/// The dependency's averaging window and the lifetime of an abandoned call, in seconds.
 const OVER: f64 = 5.0;
 const LINGER: f64 = 0.2;
-/// Seconds between looks at a sliding window.
+/// Step of the sliding window, in seconds.
 const LOOK: f64 = 0.05;
 
-/// What one run is: the fleet, its callers and the dependency.
+/// One scenario: the fleet, its clients and the dependency.
 #[derive(Clone, Debug)]
 struct Plan {
     seed: u64,
     instances: usize,
     part: f64,
-    /// Seconds of a usual call, and of the whole run.
+    /// Seconds of a usual call, and of the whole scenario.
     call: f64,
     length: f64,
-    /// Requests read by each in the moment of its start, and a second after it.
+    /// Requests that each server reads when it starts, and per second afterwards.
     at_start: usize,
     rate: f64,
-    /// All callers of the fleet send their requests in the same moments.
+    /// All clients of the fleet send their requests at the same times.
     in_step: bool,
-    /// Calls take so many times as long from the first of these seconds to the second.
+    /// Factor on the length of calls between these two times, in seconds.
     slow: (f64, f64, f64),
-    /// The dependency turns calls away from the first of these seconds to the second.
+    /// The dependency rejects calls between these two times, in seconds.
     full: (f64, f64),
-    /// All instances die and start again, cold, at these seconds.
+    /// All servers crash and restart cold at these times, in seconds.
     restarts: Vec<f64>,
-    /// Part of the callers that leave before their answer.
+    /// Fraction of the clients that cancel before their answer.
     leave: f64,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// A seeded generator of its own, so that the callers' chance is not the module's.
+/// A seeded generator for the clients, independent of the controllers' generators.
 struct Chance(u64);
 
 impl Chance {
@@ -88,7 +88,7 @@
 enum Due {
     Timer(Token),
     Arrive,
-    /// Its work before or after the call is done.
+    /// The work before or after the call is done.
     Worked(RequestId),
     Called(RequestId, Outcome),
     Leaves(RequestId),
@@ -96,25 +96,25 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct TrackedRequest {
     class: usize,
     state: State,
     since: Time,
     due: Time,
     answered: bool,
     called: bool,
-    /// Where its call stands in the list of calls.
+    /// Index of its call in the list of calls.
     call: usize,
 }
 
 struct Instance {
     server: AdmissionController,
-    known: BTreeMap<RequestId, Known>,
+    known: BTreeMap<RequestId, TrackedRequest>,
 }
 
-/// A call in the dependency's hands, in seconds.
+/// A call that occupies the dependency, in seconds.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct OpenCall {
     from: f64,
     until: f64,
 }
@@ -124,14 +124,14 @@
     set: Settings,
     instances: Vec<Instance>,
     due: BTreeMap<(Time, u64), (usize, u64, Due)>,
-    /// Counts lives, so that what was planned in an earlier one is void.
+    /// Counts restarts, so that events planned before one are ignored.
     lives: u64,
     planned: u64,
     ids: u64,
     now: Time,
     chance: Chance,
-    calls: Vec<Held>,
-    /// Ends of the spans to stay away, of all refusals.
+    calls: Vec<OpenCall>,
+    /// When the `Retry-After` of each rejection ends.
     away: Vec<(f64, f64)>,
     skipped: usize,
     given_up: usize,
@@ -188,7 +188,7 @@
         );
     }
 
-    /// All start in the same moment, with work waiting for each.
+    /// All servers start at the same time, with queued work for each.
     fn start(&mut self) {
         let now = self.secs();
         for instance in &self.instances {
@@ -229,8 +229,8 @@
         let id = RequestId(self.ids);
         let class = (self.ids % 2) as usize;
         let due = self.now + self.set.classes[class].client_timeout;
-        let (state, since) = (State::Held, self.now);
-        let known = Known {
+        let (state, since) = (State::Queued, self.now);
+        let known = TrackedRequest {
             class,
             state,
             since,
@@ -326,7 +326,7 @@
                 };
                 k.answered = true;
                 let state = k.state;
-                if matches!(state, State::Held | State::Attached) {
+                if matches!(state, State::Queued | State::AwaitingResult) {
                     self.instances[i].known.remove(&id);
                 }
                 self.batch(i, &[Event::ClientCancelled(id)]);
@@ -336,7 +336,7 @@
         self.batch(i, &[event]);
     }
 
-    /// A request that nobody waits for any longer ends at its call; the call stays in hand for a while.
+    /// A cancelled request ends at its call; the call occupies the dependency for a while longer.
     fn at_call_ends(&mut self, i: usize, id: RequestId) {
         let now = self.secs();
         let Some(k) = self.instances[i].known.get(&id) else {
@@ -390,7 +390,7 @@
                     .known
                     .get_mut(&id)
                     .expect("runs what is known");
-                assert_eq!(k.state, State::Held, "{id:?} run while it is not held");
+                assert_eq!(k.state, State::Queued, "{id:?} run while it is not held");
                 (k.state, k.since) = (State::Running, now);
                 self.after(0.02, i, Due::Worked(id));
             }
@@ -460,13 +460,13 @@
         assert!(!k.answered, "{id:?} answered twice");
         k.answered = true;
         match k.state {
-            State::Held | State::Attached => drop(self.instances[i].known.remove(&id)),
+            State::Queued | State::AwaitingResult => drop(self.instances[i].known.remove(&id)),
             State::Running => {}
             State::AtCall | State::Calling => ended.push(id),
         }
     }
 
-    /// The dependency takes a call, or turns it away while it is full.
+    /// The dependency accepts a call, or rejects it while it is full.
     fn call(&mut self, i: usize, id: RequestId, limit: f64) {
         let now = self.secs();
         let full = now >= self.plan.full.0 && now < self.plan.full.1;
@@ -486,17 +486,17 @@
             _ => Outcome::Ok,
         };
         let until = now + takes.min(limit + LINGER);
-        self.calls.push(Held { from: now, until });
+        self.calls.push(OpenCall { from: now, until });
         self.after(takes.min(limit), i, Due::Called(id, outcome));
     }
 
-    /// The most calls in hand in the mean of a window, and calls begun in one, over all windows.
+    /// Returns the highest mean number of concurrent calls and of started calls over all windows.
     fn most(&self, window: f64) -> (f64, usize) {
         let looks = (self.plan.length / LOOK) as usize;
         let (mut hands, mut begun) = (0.0f64, 0);
         for look in 0..looks {
             let (from, to) = (look as f64 * LOOK - 1e-6, look as f64 * LOOK + window);
-            let within = |c: &Held| (c.until.min(to) - c.from.max(from)).max(0.0);
+            let within = |c: &OpenCall| (c.until.min(to) - c.from.max(from)).max(0.0);
             hands = hands.max(self.calls.iter().map(within).sum::<f64>() / window);
             begun = begun.max(
                 self.calls
@@ -508,7 +508,8 @@
         (hands, begun)
     }
 
-    /// Calls that the sum of the parts allows to begin in a window, with what is put down to chance.
+    /// Returns how many calls the sum of the shares allows to start in a window, with an allowance for
+    /// random clustering.
     fn allowed(&self, window: f64) -> f64 {
         let n = self.sum() * window / self.plan.call;
         n + 2.0 * n.sqrt() + 2.0
@@ -519,8 +520,9 @@
     }
 }
 
-/// Plays a plan under a few seeds and holds the sum of what all send against the sum of their parts.
-fn holds(plan: &Plan, seeds: u64) {
+/// Plays a scenario under a few seeds and compares the load of all servers with the sum of their
+/// shares.
+fn assert_within_shares(plan: &Plan, seeds: u64) {
     for seed in 1..=seeds {
         let fleet = Fleet::play(Plan {
             seed,
@@ -542,7 +544,7 @@
     }
 }
 
-/// Parts far below one, near it and above, each with the seconds of a usual call.
+/// Capacity shares far below one call, close to one and above, each with the seconds of a usual call.
 const PARTS: [(f64, f64); 6] = [
     (0.05, 0.4),
     (0.1, 0.4),
@@ -553,18 +555,18 @@
 ];
 
 #[test]
-fn a_cold_fleet_with_work_waiting_keeps_to_the_sum_of_its_parts() {
+fn a_cold_fleet_with_queued_work_stays_within_its_capacity_shares() {
     for instances in [20, 30] {
         for (part, call) in PARTS {
-            holds(&Plan::new(instances, part, call), 2);
+            assert_within_shares(&Plan::new(instances, part, call), 2);
         }
     }
 }
 
 #[test]
-fn a_cold_fleet_with_few_requests_keeps_to_the_sum_of_its_parts() {
+fn a_cold_fleet_with_few_requests_stays_within_its_capacity_shares() {
     for (part, call) in PARTS {
-        holds(
+        assert_within_shares(
             &Plan {
                 at_start: 1,
                 rate: 0.2,
@@ -576,9 +578,9 @@
 }
 
 #[test]
-fn a_fleet_that_starts_again_at_once_keeps_to_the_sum_of_its_parts() {
+fn a_fleet_that_restarts_at_once_stays_within_its_capacity_shares() {
     for (part, call) in PARTS {
-        holds(
+        assert_within_shares(
             &Plan {
                 restarts: vec![10.0],
                 ..Plan::new(30, part, call)
@@ -589,7 +591,7 @@
 }
 
 #[test]
-fn a_fleet_whose_dependency_slows_keeps_to_the_sum_of_its_parts() {
+fn a_fleet_whose_dependency_slows_stays_within_its_capacity_shares() {
     for (part, call) in [
         (0.05, 0.05),
         (0.1, 0.2),
@@ -598,7 +600,7 @@
         (1.0, 0.2),
         (2.5, 0.2),
     ] {
-        holds(
+        assert_within_shares(
             &Plan {
                 slow: (10.0, 16.0, 6.0),
                 ..Plan::new(30, part, call)
@@ -609,9 +611,9 @@
 }
 
 #[test]
-fn a_fleet_whose_callers_leave_keeps_to_the_sum_of_its_parts() {
+fn a_fleet_whose_clients_cancel_stays_within_its_capacity_shares() {
     for (part, call) in PARTS {
-        holds(
+        assert_within_shares(
             &Plan {
                 leave: 0.3,
                 ..Plan::new(30, part, call)
@@ -622,9 +624,9 @@
 }
 
 #[test]
-fn calls_turned_away_are_paid_for_and_come_back_out_of_step() {
+fn rejected_calls_use_tokens_and_are_retried_out_of_step() {
     for (part, call) in [(0.05, 0.4), (0.25, 0.4)] {
-        holds(
+        assert_within_shares(
             &Plan {
                 full: (8.0, 14.0),
                 ..Plan::new(30, part, call)
@@ -652,7 +654,7 @@
     }
 }
 
-/// Holds the calls begun in a window against what the sum of the parts allows, chance among it.
+/// Compares the calls started in a window with what the sum of the shares allows.
 fn begins_no_more(plan: &Plan) {
     for seed in 1..=3 {
         let fleet = Fleet::play(Plan {
@@ -666,7 +668,7 @@
             "{begun} calls begun, {allowed:.1} allowed: {:?}",
             fleet.plan
         );
-        // They do go out: a tenth of what is wanted or paid for in the whole run, at least.
+        // Calls do start: at least a tenth of those requested or paid for in the whole scenario.
         let pays = fleet.sum() * fleet.plan.length / fleet.plan.call;
         let least = 0.1 * pays.min(fleet.ids as f64);
         assert!(
@@ -679,7 +681,7 @@
 }
 
 #[test]
-fn requests_that_reach_an_idle_fleet_at_once_begin_no_more_calls_than_its_parts_allow() {
+fn a_burst_at_an_idle_fleet_starts_no_more_calls_than_its_shares_allow() {
     for instances in [20, 30] {
         for (part, call) in [
             (0.02, 0.4),
@@ -702,7 +704,7 @@
 }
 
 #[test]
-fn calls_that_are_turned_away_count_as_begun_where_a_part_holds_some() {
+fn rejected_calls_count_as_started_where_a_share_allows_some() {
     for instances in [20, 30] {
         for (part, call) in [(0.5, 1.0), (1.0, 0.4), (2.5, 0.4)] {
             begins_no_more(&Plan {
@@ -714,7 +716,7 @@
 }
 
 #[test]
-fn a_lone_start_waits_for_its_first_call_no_longer_than_its_part_pays_for_one() {
+fn a_lone_start_makes_its_first_call_once_its_share_pays_for_it() {
     for part in [0.1, 0.25, 0.5, 1.0, 2.5] {
         for seed in 1..=5 {
             let fleet = Fleet::play(Plan {
@@ -722,7 +724,8 @@
                 ..Plan::new(1, part, 0.1)
             });
             let first = fleet.calls.first().map_or(f64::MAX, |c| c.from);
-            // Twice four lingers, paid by nine tenths of the part; half a second until the next request wants one.
+            // Twice four lifetimes, paid by nine tenths of the share; half a second until the next
+            // request needs a call.
             let pays = 2.0 * 4.0 * LINGER / (0.9 * part);
             assert!(
                 first <= pays + 0.5,
--- a/crates/heathspur/tests/idle_connections.rs
+++ b/crates/heathspur/tests/idle_connections.rs
@@ -4,17 +4,22 @@
 use common::*;
 use heathspur::*;
 
-/// The times that idle connections were given, while so many are open and requests come four a second and
-/// are served or left waiting.
-fn idle_times(b: &mut Bench, from: u64, open: impl Fn(u64) -> f64, serve: bool) -> Vec<Span> {
-    let before = b.all.len();
+/// Returns the idle times granted while `open` connections are open and four requests a second
+/// arrive, which are served or left waiting.
+fn granted_idle_times(
+    harness: &mut Harness,
+    from: u64,
+    open: impl Fn(u64) -> f64,
+    serve: bool,
+) -> Vec<Span> {
+    let before = harness.all.len();
     for n in 0..60 {
         let id = from + n;
-        b.gauges.connections = Some(open(n));
-        b.arrive(request(id, 0), id);
-        b.pass(ms(250));
+        harness.gauges.connections = Some(open(n));
+        harness.arrive(request(id, 0), id);
+        harness.advance(ms(250));
         if serve {
-            b.done(id, Outcome::Ok);
+            harness.complete_run(id, Outcome::Ok);
         }
     }
     let given = |a: &Action| {
@@ -24,18 +29,18 @@
             None
         }
     };
-    b.all[before..].iter().filter_map(given).collect()
+    harness.all[before..].iter().filter_map(given).collect()
 }
 
 #[test]
-fn idle_connections_that_serve_one_request_are_closed_early() {
+fn idle_connections_that_serve_one_request_close_early() {
     let mut set = settings();
     set.callers = 500;
-    let mut b = Bench::new(set);
-    let given = idle_times(&mut b, 0, |n| n as f64, true);
+    let mut harness = Harness::new(set);
+    let given = granted_idle_times(&mut harness, 0, |n| n as f64, true);
     assert!(given.last().is_some_and(|&t| t <= ms(4000)), "{given:?}");
-    // Callers that come again keep theirs longer.
-    let given = idle_times(&mut b, 100, |_| 1.0, true);
+    // Reused connections are kept longer.
+    let given = granted_idle_times(&mut harness, 100, |_| 1.0, true);
     assert_eq!(given.last(), Some(&ms(30_000)), "{given:?}");
 }
 
@@ -43,31 +48,36 @@
 fn few_connections_that_serve_many_requests_stay_open() {
     let mut set = settings();
     set.callers = 500;
-    let mut b = Bench::new(set);
-    assert!(idle_times(&mut b, 0, |_| 5.0, true).is_empty());
-    // Nor are they closed where there is one for most callers anyway.
-    let mut b = Bench::new(settings());
-    assert!(idle_times(&mut b, 0, |n| n as f64, true).is_empty());
+    let mut harness = Harness::new(set);
+    assert!(granted_idle_times(&mut harness, 0, |_| 5.0, true).is_empty());
+    // Connections stay where there is one for most callers.
+    let mut harness = Harness::new(settings());
+    assert!(granted_idle_times(&mut harness, 0, |n| n as f64, true).is_empty());
 }
 
 #[test]
-fn a_full_table_stays_while_most_work_is_turned_away() {
+fn the_table_stays_full_while_most_requests_are_rejected() {
     let mut set = settings();
     set.callers = 500;
-    let mut b = Bench::new(set);
-    idle_times(&mut b, 0, |n| n as f64, true);
-    // Nothing ends any more: what comes is turned away.
-    b.arrive(request(99, 2), 99);
-    let given = idle_times(&mut b, 100, |_| 60.0, false);
+    let mut harness = Harness::new(set);
+    granted_idle_times(&mut harness, 0, |n| n as f64, true);
+    // No run ends any more, so arrivals are rejected.
+    harness.arrive(request(99, 2), 99);
+    let given = granted_idle_times(&mut harness, 100, |_| 60.0, false);
     assert!(
         given.windows(2).all(|w| w[0] < w[1]) && given.len() > 1,
         "{given:?}"
     );
 }
 
-/// The time that idle connections stay, after each of so many requests: four a second that waited unread so
-/// long, and are served.
-fn stays(b: &mut Bench, from: u64, n: u64, waited: Span) -> Vec<Span> {
+/// Returns the idle time after each of `n` requests: four a second that waited unread for `waited`
+/// and are served.
+fn idle_times_under_unread_delay(
+    harness: &mut Harness,
+    from: u64,
+    n: u64,
+    waited: Span,
+) -> Vec<Span> {
     let given = |a: &Action| {
         if let Action::CloseIdleConnections(span) = a {
             Some(*span)
@@ -75,62 +85,65 @@
             None
         }
     };
-    let mut stays = Vec::new();
+    let mut idle_times_under_unread_delay = Vec::new();
     for id in from..from + n {
-        b.arrive(
+        harness.arrive(
             Request {
                 queueing_delay: waited,
                 ..request(id, 0)
             },
             id,
         );
-        b.pass(ms(250));
-        b.done(id, Outcome::Ok);
-        stays.push(
-            b.all
+        harness.advance(ms(250));
+        harness.complete_run(id, Outcome::Ok);
+        idle_times_under_unread_delay.push(
+            harness
+                .all
                 .iter()
                 .filter_map(given)
                 .next_back()
-                .unwrap_or(b.set.client_idle_timeout),
+                .unwrap_or(harness.settings.client_idle_timeout),
         );
     }
-    stays
+    idle_times_under_unread_delay
 }
 
-/// A server that closes idle connections early, and what it gave them as requests then waited unread for half
-/// of their aim.
-fn unread_waits(cpu: Option<f64>) -> (Bench, Vec<Span>) {
-    let mut b = Bench::new(Settings {
+/// Returns a server that closes idle connections early, and the idle times it granted while requests
+/// then waited unread for half of their objective.
+fn idle_times_around_read_pressure(cpu: Option<f64>) -> (Harness, Vec<Span>) {
+    let mut harness = Harness::new(Settings {
         callers: 500,
         client_idle_timeout: ms(10_000),
         ..settings()
     });
-    b.gauges = Gauges {
+    harness.gauges = Gauges {
         connections: Some(100.0),
         cpu,
         ..Gauges::default()
     };
-    stays(&mut b, 0, 60, ms(0));
-    let given = stays(&mut b, 100, 8, ms(1000));
-    (b, given)
+    idle_times_under_unread_delay(&mut harness, 0, 60, ms(0));
+    let given = idle_times_under_unread_delay(&mut harness, 100, 8, ms(1000));
+    (harness, given)
 }
 
 #[test]
-fn requests_that_wait_unread_fill_the_table_at_once_and_for_one_idle_time() {
+fn unread_delay_keeps_the_table_full_for_one_idle_timeout() {
     for cpu in [None, Some(0.75)] {
-        let (mut b, given) = unread_waits(cpu);
+        let (mut harness, given) = idle_times_around_read_pressure(cpu);
         let early = given[0];
         assert!(early < ms(2000), "not closed early: {early:?}");
         assert!(
             given
                 .iter()
-                .all(|&s| s == early || s == b.set.client_idle_timeout),
+                .all(|&s| s == early || s == harness.settings.client_idle_timeout),
             "by steps: {given:?}"
         );
-        assert_eq!(given.last(), Some(&b.set.client_idle_timeout));
-        // The mean of the waits takes some 10 requests to fall, and an idle time is 40.
-        let calm = stays(&mut b, 200, 80, ms(0));
-        let first = calm.iter().position(|&s| s < b.set.client_idle_timeout);
+        assert_eq!(given.last(), Some(&harness.settings.client_idle_timeout));
+        // The average delay takes some 10 requests to fall, and an idle timeout spans 40.
+        let calm = idle_times_under_unread_delay(&mut harness, 200, 80, ms(0));
+        let first = calm
+            .iter()
+            .position(|&s| s < harness.settings.client_idle_timeout);
         assert!(
             first.is_some_and(|n| (45..56).contains(&n)),
             "{cpu:?}: opened at {first:?}"
@@ -140,31 +153,34 @@
 }
 
 #[test]
-fn a_table_filled_by_unread_waits_opens_by_a_tenth_a_period_on_idle_cores() {
-    let (mut b, given) = unread_waits(Some(0.65));
-    assert_eq!(given.last(), Some(&b.set.client_idle_timeout));
-    let mut calm = stays(&mut b, 200, 40, ms(0));
+fn after_read_pressure_the_table_reopens_by_a_tenth_a_period_on_idle_cores() {
+    let (mut harness, given) = idle_times_around_read_pressure(Some(0.65));
+    assert_eq!(given.last(), Some(&harness.settings.client_idle_timeout));
+    let mut calm = idle_times_under_unread_delay(&mut harness, 200, 40, ms(0));
     calm.dedup();
     let eases = |w: &[Span]| (w[1].secs() / w[0].secs() - 0.9).abs() < 0.001;
     assert!(calm.len() > 8 && calm.windows(2).all(eases), "{calm:?}");
 }
 
 #[test]
-fn after_a_flood_idle_connections_are_closed_early_on_idle_cores_only() {
+fn after_a_flood_idle_connections_close_early_on_idle_cores_only() {
     for (cpu, early) in [(Some(0.3), true), (Some(0.9), false), (None, false)] {
-        let mut b = Bench::new(Settings {
+        let mut harness = Harness::new(Settings {
             callers: 500,
             ..settings()
         });
-        b.gauges.cpu = cpu.map(|_| 0.9);
-        b.arrive(request(99, 2), 99);
-        // Nothing ends: what comes is turned away, to the last.
-        let flood = idle_times(&mut b, 100, |_| 100.0, false);
-        assert!(flood.is_empty() && b.refused().len() > 40, "{flood:?}");
-        let before = b.all.len();
-        b.gauges.cpu = cpu;
-        b.pass(ms(8000));
-        let closed = b.all[before..]
+        harness.gauges.cpu = cpu.map(|_| 0.9);
+        harness.arrive(request(99, 2), 99);
+        // No run ends, so all further arrivals are rejected.
+        let flood = granted_idle_times(&mut harness, 100, |_| 100.0, false);
+        assert!(
+            flood.is_empty() && harness.rejected().len() > 40,
+            "{flood:?}"
+        );
+        let before = harness.all.len();
+        harness.gauges.cpu = cpu;
+        harness.advance(ms(8000));
+        let closed = harness.all[before..]
             .iter()
             .any(|a| matches!(a, Action::CloseIdleConnections(s) if *s < ms(20_000)));
         assert_eq!(closed, early, "{cpu:?}");
--- a/crates/heathspur/tests/invariants.rs
+++ b/crates/heathspur/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The four rules under random but legal events: whatever comes, the checker finds no breach.
+//! The four rules of the service hold under random but legal events.
 
 mod common;
 use common::*;
@@ -96,7 +96,8 @@
         Just(LoadSignal::Weight)
     ];
     let memory = prop_oneof![Just(900.0), Just(5000.0)];
-    // One core among hundreds of servers, with a tenth of a request a second for each tenant; or none of it.
+    // One core among hundreds of servers, with a tenth of a request per second for each tenant; or
+    // neither of these.
     let size = prop_oneof![
         Just((4, 4, 2, 0)),
         Just((1, 300, 1000, 30_000)),
@@ -128,8 +129,8 @@
     (!ids.is_empty()).then(|| ids[pick % ids.len()])
 }
 
-fn play(set: Settings, ops: &[Op]) -> Bench {
-    let mut b = Bench::new(set);
+fn play(set: Settings, ops: &[Op]) -> Harness {
+    let mut harness = Harness::new(set);
     let mut next = 1;
     for op in ops {
         match op.clone() {
@@ -149,81 +150,86 @@
                     tenant: Some(TenantId((identity % 3) as usize)),
                     ..request(next, class)
                 };
-                b.arrive(r, identity);
+                harness.arrive(r, identity);
                 next += 1;
             }
             Op::Together { identity, tries } => {
                 let mut events = Vec::new();
                 for i in 0..tries {
                     let mut r = request(next, 1);
-                    let entry = b
+                    let entry = harness
                         .entries
                         .get(&identity)
-                        .filter(|(_, until)| *until >= b.now);
+                        .filter(|(_, until)| *until >= harness.now);
                     r.previous_attempt = if i > 0 {
                         Some(RequestId(next - 1))
                     } else {
                         entry.map(|(id, _)| *id)
                     };
-                    b.track(&r, identity);
+                    harness.track(&r, identity);
                     events.push(Event::Request(r));
                     next += 1;
                 }
-                b.batch(&events);
+                harness.batch(&events);
             }
             Op::Done { pick, ok } => {
-                let mut ids = b.running();
-                ids.extend(b.in_state(State::Attached));
+                let mut ids = harness.running();
+                ids.extend(harness.in_state(State::AwaitingResult));
                 if let Some(id) = nth(ids, pick) {
-                    b.done(id, if ok { Outcome::Ok } else { Outcome::Error });
+                    harness.complete_run(id, if ok { Outcome::Ok } else { Outcome::Error });
                 }
             }
             Op::NeedsCall { pick } => {
-                let calls = |id: &u64| b.set.classes[b.known[&RequestId(*id)].class].may_call;
-                if let Some(id) = nth(b.running().into_iter().filter(calls).collect(), pick) {
-                    if b.known[&RequestId(id)].answered {
-                        b.done(id, Outcome::Cancelled);
+                let calls = |id: &u64| {
+                    harness.settings.classes[harness.requests[&RequestId(*id)].class].may_call
+                };
+                if let Some(id) = nth(harness.running().into_iter().filter(calls).collect(), pick) {
+                    if harness.requests[&RequestId(id)].answered {
+                        harness.complete_run(id, Outcome::Cancelled);
                     } else {
-                        b.needs_call(id);
+                        harness.need_call(id);
                     }
                 }
             }
             Op::Called { pick, outcome } => {
-                if let Some(id) = nth(b.in_state(State::Calling), pick) {
-                    if b.known[&RequestId(id)].answered {
-                        b.done(id, Outcome::Cancelled);
+                if let Some(id) = nth(harness.in_state(State::Calling), pick) {
+                    if harness.requests[&RequestId(id)].answered {
+                        harness.complete_run(id, Outcome::Cancelled);
                     } else {
-                        b.called(id, outcome);
+                        harness.complete_call(id, outcome);
                     }
                 }
             }
             Op::Gone { pick } => {
-                let open = b
-                    .known
+                let open = harness
+                    .requests
                     .iter()
                     .filter(|(_, k)| !k.answered)
                     .map(|(id, _)| id.0)
                     .collect();
                 if let Some(id) = nth(open, pick) {
-                    b.gone(id);
+                    harness.cancel(id);
                 }
             }
-            Op::Pass { span } => b.pass(ms(span)),
+            Op::Pass { span } => harness.advance(ms(span)),
             Op::Leave => {
-                if b.drain.is_none() {
-                    b.leave(ms(4000));
+                if harness.drain.is_none() {
+                    harness.drain(ms(4000));
                 }
             }
         }
-        // A process that has been stopped plays no further part.
-        if b.drain.is_some_and(|(_, stop)| b.now + ms(700) >= stop) {
-            let left = b.drain.map_or(ms(0), |(_, stop)| stop - b.now);
-            b.pass(left);
-            return b;
+        // A process that has stopped gets no further events.
+        if harness
+            .drain
+            .is_some_and(|(_, stop)| harness.now + ms(700) >= stop)
+        {
+            let left = harness.drain.map_or(ms(0), |(_, stop)| stop - harness.now);
+            harness.advance(left);
+            return harness;
         }
     }
-    b.pass(ms(9000));
-    b
+    harness.advance(ms(9000));
+    harness
 }
 
 proptest! {
@@ -235,9 +241,9 @@
     })]
 
     #[test]
-    fn no_rule_breaks_and_all_is_answered_once(set in world(), ops in prop::collection::vec(op(), 1..160)) {
-        let b = play(set, &ops);
-        prop_assert!(b.answers.values().all(|&n| n == 1));
-        prop_assert!(b.known.values().all(|k| k.answered), "left unanswered: {:?}", b.known);
+    fn every_request_is_answered_once_and_no_rule_is_broken(set in world(), ops in prop::collection::vec(op(), 1..160)) {
+        let harness = play(set, &ops);
+        prop_assert!(harness.answers.values().all(|&n| n == 1));
+        prop_assert!(harness.requests.values().all(|k| k.answered), "left unanswered: {:?}", harness.requests);
     }
 }
