--- a/crates/heathspur/tests/idle_connections.rs
+++ b/crates/heathspur/tests/idle_connections.rs
@@ -85,7 +85,7 @@
             None
         }
     };
-    let mut idle_times_under_unread_delay = Vec::new();
+    let mut idle_times = Vec::new();
     for id in from..from + n {
         harness.arrive(
             Request {
@@ -96,7 +96,7 @@
         );
         harness.advance(ms(250));
         harness.complete_run(id, Outcome::Ok);
-        idle_times_under_unread_delay.push(
+        idle_times.push(
             harness
                 .all
                 .iter()
@@ -105,7 +105,7 @@
                 .unwrap_or(harness.settings.client_idle_timeout),
         );
     }
-    idle_times_under_unread_delay
+    idle_times
 }
 
 /// Returns a server that closes idle connections early, and the idle times it granted while requests
