--- /dev/null
+++ b/crates/heathspur-members/tests/wire_format.rs
@@ -0,0 +1,216 @@
+//! The bytes of every kind of datagram, recorded once: members of different builds share a fleet, so none may change.
+
+use heathspur_members::wire::{self, Ask, Body, Envelope, Row, Seen, Update};
+use heathspur_members::{Id, Load, Member, State};
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+/// One datagram of a kind, and the bytes that it has on the wire.
+struct Recorded {
+    kind: &'static str,
+    envelope: Envelope,
+    hex: &'static str,
+}
+
+fn id(name: &str) -> Id {
+    Id(name.to_string())
+}
+
+/// A member whose load, lag and zone decision all differ from their defaults.
+fn member_with_decision() -> Member {
+    Member {
+        id: id("m2"),
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 2), 7946),
+        zone: "riga-1".to_string(),
+        region: "baltic".to_string(),
+        version: 1_002_003,
+        load: Load {
+            in_flight: 7,
+            cap: 300,
+            refusals: 5,
+        },
+        lag_ms: 150,
+        epoch: 70_000,
+        near: 4,
+        wants: 0,
+    }
+}
+
+fn member_without_decision() -> Member {
+    Member {
+        id: id("m1"),
+        address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000),
+        zone: String::new(),
+        region: String::new(),
+        version: 1,
+        load: Load::default(),
+        lag_ms: 0,
+        epoch: 0,
+        near: 10,
+        wants: 10,
+    }
+}
+
+fn update(state: State, by: Option<Id>, member: Member) -> Update {
+    Update {
+        state,
+        incarnation: 1_700_000_000_000,
+        by,
+        member,
+    }
+}
+
+fn datagram(body: Body, updates: Vec<Update>) -> Envelope {
+    Envelope {
+        from: id("m1"),
+        body,
+        updates,
+    }
+}
+
+fn recorded() -> Vec<Recorded> {
+    let ping = Body::Ping {
+        seq: 300,
+        target: id("m2"),
+    };
+    let ping_req = Body::PingReq {
+        seq: 301,
+        target: id("m2"),
+        address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 2), 7946),
+    };
+    let gossip_updates = vec![
+        update(State::Alive, None, member_without_decision()),
+        update(State::Suspect, Some(id("m3")), member_with_decision()),
+        update(State::Dead, Some(id("m1")), member_with_decision()),
+        update(State::Left, None, member_with_decision()),
+    ];
+    let ask = Body::Ask(Ask {
+        seq: 9,
+        after: Some(id("m1")),
+        padding: vec![0; 4],
+    });
+    let seen = Body::Seen(Seen {
+        seq: 9,
+        version: 1_000,
+        members: 60,
+        awareness: 2,
+        refused: 400,
+        more: true,
+        rows: vec![Row {
+            member: member_with_decision(),
+            state: State::Suspect,
+            incarnation: 17,
+            for_ms: 2_500,
+        }],
+    });
+    vec![
+        Recorded {
+            kind: "ping",
+            envelope: datagram(
+                ping,
+                vec![update(State::Alive, None, member_without_decision())],
+            ),
+            hex: "686d02026d3100ac02026d32010080d095ffbc3100026d317f000001d83600000100000000000a0a",
+        },
+        Recorded {
+            kind: "indirect ping request",
+            envelope: datagram(ping_req, vec![]),
+            hex: "686d02026d3101ad02026d320a0001028a3e00",
+        },
+        Recorded {
+            kind: "ack",
+            envelope: datagram(
+                Body::Ack { seq: 300 },
+                vec![update(State::Alive, None, member_with_decision())],
+            ),
+            hex: "686d02026d3102ac02010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
+        },
+        Recorded {
+            kind: "nack",
+            envelope: datagram(Body::Nack { seq: 301 }, vec![]),
+            hex: "686d02026d3103ad0200",
+        },
+        Recorded {
+            kind: "push-pull that asks for a reply",
+            envelope: datagram(
+                Body::PushPull { reply: true },
+                vec![update(State::Alive, None, member_with_decision())],
+            ),
+            hex: "686d02026d310401010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
+        },
+        Recorded {
+            kind: "push-pull that replies",
+            envelope: datagram(Body::PushPull { reply: false }, vec![]),
+            hex: "686d02026d31040000",
+        },
+        Recorded {
+            kind: "gossip of every state",
+            envelope: datagram(Body::Gossip, gossip_updates),
+            hex: "686d02026d3105040080d095ffbc3100026d317f000001d83600000100000000000a0a0180d095ffbc3101026d33026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a20404000280d095ffbc3101026d31026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a20404000380d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
+        },
+        Recorded {
+            kind: "view request",
+            envelope: datagram(ask, vec![]),
+            hex: "686d02026d31060901026d31040000000000",
+        },
+        Recorded {
+            kind: "view response",
+            envelope: datagram(seen, vec![]),
+            hex: "686d02026d310709e8073c0290030101026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a20404000111c41300",
+        },
+    ]
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(hex: &str) -> Vec<u8> {
+    (0..hex.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
+        .collect()
+}
+
+#[test]
+fn each_kind_of_datagram_encodes_to_its_recorded_bytes() {
+    for Recorded {
+        kind,
+        envelope,
+        hex,
+    } in recorded()
+    {
+        assert_eq!(to_hex(&wire::encode(&envelope).unwrap()), hex, "{kind}");
+    }
+}
+
+#[test]
+fn recorded_bytes_decode_to_their_datagram_and_encode_to_themselves_again() {
+    for Recorded {
+        kind,
+        envelope,
+        hex,
+    } in recorded()
+    {
+        let decoded = wire::decode(&from_hex(hex)).unwrap();
+        assert_eq!(decoded, envelope, "{kind}");
+        assert_eq!(to_hex(&wire::encode(&decoded).unwrap()), hex, "{kind}");
+    }
+}
+
+#[test]
+fn the_record_of_a_zone_decision_keeps_its_place_at_the_end_of_a_member() {
+    let with = |epoch, near, wants| {
+        let member = Member {
+            epoch,
+            near,
+            wants,
+            ..member_without_decision()
+        };
+        let gossip = datagram(Body::Gossip, vec![update(State::Alive, None, member)]);
+        to_hex(&wire::encode(&gossip).unwrap())
+    };
+    // Epoch as a variable-length integer, then the accepted and the preferred level, a byte each.
+    assert!(with(0, 10, 10).ends_with("000a0a"));
+    assert!(with(3, 4, 2).ends_with("030402"));
+    assert!(with(70_000, 0, 10).ends_with("f0a204000a"));
+}
