--- a/crates/heathspur-emulator/src/beliefs.rs
+++ b/crates/heathspur-emulator/src/beliefs.rs
@@ -1,7 +1,7 @@
 //! Who holds whom alive, against what is true: kept as changes come, so that a large fleet is not walked
 //! through at each step.
 
-use heathspur_members::State;
+use heathspur_members::MemberState;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Held {
@@ -36,12 +36,12 @@
     }
 
     /// `by` holds `of` in a new state; `None`: out of its table.
-    pub fn set(&mut self, by: usize, of: usize, state: Option<State>) {
+    pub fn set(&mut self, by: usize, of: usize, state: Option<MemberState>) {
         self.wrong -= self.is_wrong(by, of) as usize;
         self.held[by * self.members + of] = match state {
-            Some(State::Alive) => Held::Alive,
-            Some(State::Suspect) => Held::Suspect,
-            Some(State::Dead | State::Left) | None => Held::Gone,
+            Some(MemberState::Alive) => Held::Alive,
+            Some(MemberState::Suspect) => Held::Suspect,
+            Some(MemberState::Dead | MemberState::Left) | None => Held::Gone,
         };
         self.wrong += self.is_wrong(by, of) as usize;
     }
--- a/crates/heathspur-emulator/src/experiment.rs
+++ b/crates/heathspur-emulator/src/experiment.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::net::Faults;
 use crate::plan::{Fault, Kind, Plan};
-use heathspur_members::State;
+use heathspur_members::MemberState;
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -278,7 +278,7 @@
     fleet
         .seen
         .iter()
-        .filter(|seen| seen.to == Some(State::Dead))
+        .filter(|seen| seen.to == Some(MemberState::Dead))
         .filter(is_false)
         .count() as u64
 }
--- a/crates/heathspur-emulator/src/fleet.rs
+++ b/crates/heathspur-emulator/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::beliefs::Beliefs;
 use crate::net::Faults;
-use heathspur_members::{Action, Event, Id, Load, Member, Members, Settings, State};
+use heathspur_members::{Action, Event, Load, Member, MemberId, MemberState, Membership, Settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -17,7 +17,7 @@
 /// One member of the emulated fleet.
 pub struct Node {
     /// Its core, `None` while it is down.
-    pub core: Option<Members>,
+    pub core: Option<Membership>,
     /// Its member record.
     pub member: Member,
     /// It takes nothing in and sends nothing until this time.
@@ -42,9 +42,9 @@
     /// Who saw it.
     pub by: usize,
     /// Of whom.
-    pub of: Id,
+    pub of: MemberId,
     /// Into what (`None`: out of the table).
-    pub to: Option<State>,
+    pub to: Option<MemberState>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -105,7 +105,7 @@
             fleet.begin(i, &all);
         }
         for (by, of) in (0..members).flat_map(|by| (0..members).map(move |of| (by, of))) {
-            fleet.beliefs.set(by, of, Some(State::Alive));
+            fleet.beliefs.set(by, of, Some(MemberState::Alive));
         }
         fleet
     }
@@ -115,16 +115,16 @@
             .map(|i| Node {
                 core: None,
                 member: Member {
-                    id: Id(format!("m{i}")),
+                    id: MemberId(format!("m{i}")),
                     address: address(i),
                     zone: format!("z{}", i % zones.max(1)),
                     region: format!("r{}", (i % zones.max(1)) % 2),
                     version: 1,
                     load: Load::default(),
-                    lag_ms: 0,
-                    epoch: 0,
-                    near: 10,
-                    wants: 10,
+                    usual_round_trip_ms: 0,
+                    decision_epoch: 0,
+                    local_traffic_tenths: 10,
+                    preferred_tenths: 10,
                 },
                 paused_until: 0,
                 slow_ms: 0,
@@ -161,14 +161,14 @@
         node.next_incarnation += 1_000;
         let seeds = vec![address(0)];
         let seed = self.rng.random::<u64>();
-        let mut core = Members::new(
+        let mut core = Membership::new(
             self.settings.clone(),
             node.member.clone(),
             incarnation,
             seeds,
             seed,
         );
-        core.know(known.iter().cloned());
+        core.add_known_members(known.iter().cloned());
         let mut out = Vec::new();
         core.handle(node.clock as u64, Event::Join, &mut out);
         node.core = Some(core);
@@ -264,7 +264,7 @@
         for action in out {
             match action {
                 Action::Send { to, bytes } => self.send(i, index(to), bytes),
-                Action::Changed { id, to, .. } => {
+                Action::StateChanged { id, to, .. } => {
                     if let Some(of) = id.0.strip_prefix('m').and_then(|n| n.parse().ok()) {
                         self.beliefs.set(i, of, to);
                     }
@@ -275,7 +275,7 @@
                         to,
                     });
                 }
-                Action::Incarnation(_) | Action::Refused(_) => {}
+                Action::IncarnationRaised(_) | Action::InputRejected(_) => {}
             }
         }
     }
@@ -336,7 +336,7 @@
     pub fn false_deaths(&self, running: impl Fn(usize, u64) -> bool) -> usize {
         self.seen
             .iter()
-            .filter(|s| s.to == Some(State::Dead))
+            .filter(|s| s.to == Some(MemberState::Dead))
             .filter(|s| {
                 let j: usize = s.of.0[1..].parse().unwrap_or(usize::MAX);
                 running(j, s.at)
--- a/crates/heathspur-emulator/tests/members.rs
+++ b/crates/heathspur-emulator/tests/members.rs
@@ -1,7 +1,7 @@
 //! The membership core in the emulator: joins, crashes, partitions, slow members and loss, on fixed seeds.
 
 use heathspur_emulator::{Faults, Fleet};
-use heathspur_members::{Settings, State};
+use heathspur_members::{MemberState, Settings};
 
 fn fleet(members: usize, seed: u64) -> Fleet {
     Fleet::new(members, 3, Settings::default(), seed)
@@ -147,7 +147,7 @@
         .seen
         .iter()
         .filter(|s| s.of.0 == "m2")
-        .all(|s| s.to != Some(State::Dead)));
+        .all(|s| s.to != Some(MemberState::Dead)));
 }
 
 #[test]
--- a/crates/heathspur-members/src/core.rs
+++ b/crates/heathspur-members/src/core.rs
@@ -1,11 +1,11 @@
 //! The member's state machine: what it holds, and how events turn into actions.
 
-use crate::member::{Id, Load, Member, Stand, State};
+use crate::gossip_queue::GossipQueue;
+use crate::member::{Load, Member, MemberId, MemberState, ZoneVote};
 use crate::probe::{Probe, Relay};
-use crate::record::Record;
-use crate::refusals::{Refusals, Told};
+use crate::rejected_input::{RejectedInput, RejectionReport};
 use crate::settings::Settings;
-use crate::spread::Spread;
+use crate::state_record::StateRecord;
 use crate::suspicion::Suspicion;
 use crate::wire::{self, Body, Update};
 use rand::rngs::StdRng;
@@ -16,20 +16,20 @@
 /// Entries of the table by what is asked of them at every tick, so that the table is not walked through.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tally {
-    suspects: BTreeSet<Id>,
+    suspects: BTreeSet<MemberId>,
     gone: usize,
 }
 
 impl Tally {
-    pub(crate) fn add(&mut self, id: &Id, state: State) {
-        if state == State::Suspect {
+    pub(crate) fn add(&mut self, id: &MemberId, state: MemberState) {
+        if state == MemberState::Suspect {
             self.suspects.insert(id.clone());
         }
         self.gone += !state.live() as usize;
     }
 
-    pub(crate) fn remove(&mut self, id: &Id, state: State) {
-        if state == State::Suspect {
+    pub(crate) fn remove(&mut self, id: &MemberId, state: MemberState) {
+        if state == MemberState::Suspect {
             self.suspects.remove(id);
         }
         self.gone -= !state.live() as usize;
@@ -48,7 +48,7 @@
     Datagram {
         /// The address it came from.
         from: SocketAddrV4,
-        /// Its bytes, at most [`crate::wire::LARGEST`] taken.
+        /// Its bytes, at most [`crate::wire::MAX_DATAGRAM_BYTES`] taken.
         bytes: &'a [u8],
     },
     /// Time went on; call at least every tenth of a period.
@@ -61,13 +61,13 @@
 
 /// Why a member's state changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum ChangeCause {
     /// Heard of for the first time.
     Joined,
     /// It answered no probe of ours, direct or indirect.
     ProbeMissed,
     /// Others said so.
-    Heard,
+    Gossip,
     /// It refuted with a higher incarnation.
     Refuted,
     /// Its suspicion ran out.
@@ -78,17 +78,17 @@
     Reaped,
 }
 
-impl Cause {
+impl ChangeCause {
     /// Its word in logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Cause::Joined => "joined",
-            Cause::ProbeMissed => "probe missed",
-            Cause::Heard => "heard",
-            Cause::Refuted => "refuted",
-            Cause::SuspicionTimeout => "suspicion timed out",
-            Cause::Left => "left",
-            Cause::Reaped => "reaped",
+            ChangeCause::Joined => "joined",
+            ChangeCause::ProbeMissed => "probe missed",
+            ChangeCause::Gossip => "gossip",
+            ChangeCause::Refuted => "refuted",
+            ChangeCause::SuspicionTimeout => "suspicion timed out",
+            ChangeCause::Left => "left",
+            ChangeCause::Reaped => "reaped",
         }
     }
 }
@@ -100,33 +100,33 @@
     Send {
         /// Where to.
         to: SocketAddrV4,
-        /// The whole datagram, at most [`crate::wire::LARGEST`] bytes.
+        /// The whole datagram, at most [`crate::wire::MAX_DATAGRAM_BYTES`] bytes.
         bytes: Vec<u8>,
     },
     /// A member's state changed (`None`: out of the table).
-    Changed {
+    StateChanged {
         /// Whose.
-        id: Id,
+        id: MemberId,
         /// Its new state; `None` once out of the table.
-        to: Option<State>,
+        to: Option<MemberState>,
         /// Its incarnation as known here.
         incarnation: u64,
         /// Why.
-        cause: Cause,
+        cause: ChangeCause,
     },
     /// This member's own incarnation rose, to refute or to leave: the shell may keep it.
-    Incarnation(u64),
+    IncarnationRaised(u64),
     /// Refusals since the last time told, once a period at most.
-    Refused(Told),
+    InputRejected(RejectionReport),
 }
 
 /// One member as this one sees it.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct MemberEntry {
     /// What it says of itself.
     pub member: Member,
     /// Its state here.
-    pub state: State,
+    pub state: MemberState,
     /// Its incarnation as known here.
     pub incarnation: u64,
     /// When it last changed state here, in module time.
@@ -136,10 +136,10 @@
     pub(crate) round_trip_ms: u64,
 }
 
-impl Entry {
+impl MemberEntry {
     /// State and incarnation as known here.
-    pub fn record(&self) -> Record {
-        Record {
+    pub fn record(&self) -> StateRecord {
+        StateRecord {
             state: self.state,
             incarnation: self.incarnation,
         }
@@ -154,28 +154,28 @@
     /// This member's own incarnation.
     pub incarnation: u64,
     /// All members in the table, this one too, by id.
-    pub members: Vec<(Member, State, u64)>,
+    pub members: Vec<(Member, MemberState, u64)>,
 }
 
 /// One member's view of the fleet and its part in keeping it.
-pub struct Members {
+pub struct Membership {
     pub(crate) settings: Settings,
     pub(crate) me: Member,
     pub(crate) incarnation: u64,
     pub(crate) leaving: bool,
     pub(crate) rng: StdRng,
-    pub(crate) table: BTreeMap<Id, Entry>,
+    pub(crate) table: BTreeMap<MemberId, MemberEntry>,
     pub(crate) tally: Tally,
-    pub(crate) order: Vec<Id>,
+    pub(crate) order: Vec<MemberId>,
     pub(crate) next_in_order: usize,
     pub(crate) probes: Vec<Probe>,
     /// Probes that failed; an ack that comes late tells how slow the member is.
     pub(crate) late: VecDeque<Probe>,
     pub(crate) round_trip_ms: u64,
     pub(crate) relays: Vec<Relay>,
-    pub(crate) seq: u32,
-    pub(crate) spread: Spread,
-    pub(crate) awareness: u32,
+    pub(crate) sequence: u32,
+    pub(crate) spread: GossipQueue,
+    pub(crate) local_health: u32,
     pub(crate) next_probe: u64,
     next_gossip: u64,
     next_push_pull: u64,
@@ -188,7 +188,7 @@
     rate: HashMap<SocketAddrV4, u32>,
     rate_window: u64,
     replies: u32,
-    pub(crate) refusals: Refusals,
+    pub(crate) rejected_input: RejectedInput,
     told: u64,
     pub(crate) last_sender: Option<SocketAddrV4>,
     next_tell: u64,
@@ -196,7 +196,7 @@
     pub(crate) now: u64,
 }
 
-impl Members {
+impl Membership {
     /// A member that knows only itself, at `incarnation` (which must never go back across restarts), with the
     /// addresses of seeds to join through and a seed for its random choices. Settings are checked by the caller.
     pub fn new(
@@ -205,10 +205,10 @@
         incarnation: u64,
         seeds: Vec<SocketAddrV4>,
         seed: u64,
-    ) -> Members {
+    ) -> Membership {
         let seeds = seeds.into_iter().filter(|s| *s != me.address).collect();
-        let spread = Spread::new(settings.max_pending);
-        Members {
+        let spread = GossipQueue::new(settings.max_pending);
+        Membership {
             join_wait: settings.join_backoff_ms,
             settings,
             me,
@@ -223,9 +223,9 @@
             late: VecDeque::new(),
             round_trip_ms: 0,
             relays: Vec::new(),
-            seq: 0,
+            sequence: 0,
             spread,
-            awareness: 0,
+            local_health: 0,
             next_probe: 0,
             next_gossip: 0,
             next_push_pull: 0,
@@ -237,7 +237,7 @@
             rate: HashMap::new(),
             rate_window: 0,
             replies: 0,
-            refusals: Refusals::default(),
+            rejected_input: RejectedInput::default(),
             told: 0,
             last_sender: None,
             next_tell: 0,
@@ -275,30 +275,44 @@
     }
 
     /// Sets what it says of its zone's decision. That is news, and is spread like other news.
-    pub fn set_stand(&mut self, stand: Stand, out: &mut Vec<Action>) {
-        let Stand { epoch, near, wants } = stand;
-        if (self.me.epoch, self.me.near, self.me.wants) == (epoch, near, wants) || self.leaving {
+    pub fn set_zone_vote(&mut self, vote: ZoneVote, out: &mut Vec<Action>) {
+        let ZoneVote {
+            decision_epoch,
+            local_traffic_tenths,
+            preferred_tenths,
+        } = vote;
+        if (
+            self.me.decision_epoch,
+            self.me.local_traffic_tenths,
+            self.me.preferred_tenths,
+        ) == (decision_epoch, local_traffic_tenths, preferred_tenths)
+            || self.leaving
+        {
             return;
         }
-        (self.me.epoch, self.me.near, self.me.wants) = (epoch, near, wants);
+        (
+            self.me.decision_epoch,
+            self.me.local_traffic_tenths,
+            self.me.preferred_tenths,
+        ) = (decision_epoch, local_traffic_tenths, preferred_tenths);
         self.incarnation += 1;
         self.version += 1;
-        out.push(Action::Incarnation(self.incarnation));
+        out.push(Action::IncarnationRaised(self.incarnation));
         self.spread.push(self.me_update());
         self.gossip_now(out);
     }
 
     /// Takes in members that are known to be there, without news of them: where a fleet stands already.
-    pub fn know(&mut self, members: impl IntoIterator<Item = (Member, u64)>) {
+    pub fn add_known_members(&mut self, members: impl IntoIterator<Item = (Member, u64)>) {
         for (member, incarnation) in members {
             let full = self.table.len() + 1 >= self.settings.max_members;
             if full || member.id == self.me.id || self.table.contains_key(&member.id) {
                 continue;
             }
-            let (state, since, suspicion) = (State::Alive, self.now, None);
+            let (state, since, suspicion) = (MemberState::Alive, self.now, None);
             self.table.insert(
                 member.id.clone(),
-                Entry {
+                MemberEntry {
                     member,
                     state,
                     incarnation,
@@ -334,7 +348,7 @@
     }
 
     /// One member as seen here.
-    pub fn entry(&self, id: &Id) -> Option<&Entry> {
+    pub fn entry(&self, id: &MemberId) -> Option<&MemberEntry> {
         self.table.get(id)
     }
 
@@ -349,14 +363,14 @@
     }
 
     /// Lifeguard's local health score: 0 is healthy.
-    pub fn awareness(&self) -> u32 {
-        self.awareness
+    pub fn local_health(&self) -> u32 {
+        self.local_health
     }
 
     /// What was dropped so far.
-    pub fn refusals(&self) -> Refusals {
-        let mut counts = self.refusals;
-        counts.spread_full = self.spread.dropped;
+    pub fn rejected_input(&self) -> RejectedInput {
+        let mut counts = self.rejected_input;
+        counts.gossip_queue_full = self.spread.dropped;
         counts
     }
 
@@ -375,11 +389,11 @@
         self.joined
     }
 
-    pub(crate) fn my_state(&self) -> State {
+    pub(crate) fn my_state(&self) -> MemberState {
         if self.leaving {
-            State::Left
+            MemberState::Left
         } else {
-            State::Alive
+            MemberState::Alive
         }
     }
 
@@ -387,7 +401,7 @@
         Update {
             state: self.my_state(),
             incarnation: self.incarnation,
-            by: None,
+            accuser: None,
             member: self.me.clone(),
         }
     }
@@ -399,7 +413,7 @@
 
     pub(crate) fn scaled(&self, ms: u64) -> u64 {
         if self.settings.lifeguard {
-            ms * (self.awareness as u64 + 1)
+            ms * (self.local_health as u64 + 1)
         } else {
             ms
         }
@@ -438,7 +452,7 @@
             .suspects
             .iter()
             .filter_map(|id| self.table.get(id));
-        let due: Vec<Id> = suspects
+        let due: Vec<MemberId> = suspects
             .filter(|e| e.suspicion.as_ref().is_some_and(|s| s.deadline() <= now))
             .map(|e| e.member.id.clone())
             .collect();
@@ -453,14 +467,14 @@
                 &id,
                 dead.state,
                 dead.incarnation,
-                Cause::SuspicionTimeout,
+                ChangeCause::SuspicionTimeout,
                 out,
             );
             if let Some(entry) = self.table.get(&id) {
                 self.spread.push(Update {
-                    state: State::Dead,
+                    state: MemberState::Dead,
                     incarnation: entry.incarnation,
-                    by: Some(self.me.id.clone()),
+                    accuser: Some(self.me.id.clone()),
                     member: entry.member.clone(),
                 });
             }
@@ -497,7 +511,7 @@
         self.next_reap = self.now + self.settings.period_ms;
         let keep = self.settings.dead_keep_ms;
         let now = self.now;
-        let gone: Vec<Id> = self
+        let gone: Vec<MemberId> = self
             .table
             .values()
             .filter(|e| !e.state.live() && now.saturating_sub(e.since) >= keep)
@@ -507,11 +521,11 @@
             if let Some(entry) = self.table.remove(&id) {
                 self.tally.remove(&id, entry.state);
                 self.version += 1;
-                out.push(Action::Changed {
+                out.push(Action::StateChanged {
                     id,
                     to: None,
                     incarnation: entry.incarnation,
-                    cause: Cause::Reaped,
+                    cause: ChangeCause::Reaped,
                 });
             }
         }
@@ -522,10 +536,10 @@
             return;
         }
         self.next_tell = self.now + self.settings.period_ms.max(1_000);
-        let counts = self.refusals();
+        let counts = self.rejected_input();
         let total = counts.total();
         if total > self.told {
-            out.push(Action::Refused(Told {
+            out.push(Action::InputRejected(RejectionReport {
                 counts,
                 new: total - self.told,
                 last_sender: self.last_sender,
@@ -539,7 +553,7 @@
         let seen = self.rate.get(&from).copied();
         let full = seen.is_none() && self.rate.len() >= self.settings.max_members * 2;
         if full || seen.is_some_and(|n| n >= self.settings.per_peer_per_second) {
-            self.refusals.rate += 1;
+            self.rejected_input.rate += 1;
             self.last_sender = Some(from);
             return;
         }
@@ -548,24 +562,24 @@
             Ok(envelope) => envelope,
             Err(refusal) => {
                 match refusal {
-                    wire::Refusal::Oversized => self.refusals.oversized += 1,
-                    wire::Refusal::Garbage => self.refusals.garbage += 1,
-                    wire::Refusal::Version => self.refusals.version += 1,
+                    wire::DecodeError::Oversized => self.rejected_input.oversized += 1,
+                    wire::DecodeError::Garbage => self.rejected_input.garbage += 1,
+                    wire::DecodeError::Version => self.rejected_input.version += 1,
                 }
                 self.last_sender = Some(from);
                 return;
             }
         };
-        if let Body::Ask(ask) = &envelope.body {
+        if let Body::ViewRequest(ask) = &envelope.body {
             self.answer(from, ask, bytes.len(), out);
             return;
         }
         if envelope.from == self.me.id {
-            self.refusals.conflict += 1;
+            self.rejected_input.conflict += 1;
             self.last_sender = Some(from);
             return;
         }
-        if !matches!(envelope.body, Body::Nack { .. } | Body::Seen(_)) {
+        if !matches!(envelope.body, Body::Nack { .. } | Body::ViewResponse(_)) {
             self.joined = true;
         }
         // What a newcomer is told of the fleet, the fleet knows: it does not tell it on.
@@ -584,19 +598,19 @@
             return;
         }
         match envelope.body {
-            Body::Ping { seq, target } => {
+            Body::Ping { sequence, target } => {
                 if target == self.me.id {
-                    self.send(from, Body::Ack { seq }, true, out);
+                    self.send(from, Body::Ack { sequence }, true, out);
                 }
             }
             Body::PingReq {
-                seq,
+                sequence,
                 target,
                 address,
-            } => self.relay(from, seq, target, address, out),
-            Body::Ack { seq } => self.acked(seq, from, out),
-            Body::Nack { seq } => {
-                if let Some(probe) = self.probes.iter_mut().find(|p| p.seq == seq) {
+            } => self.relay(from, sequence, target, address, out),
+            Body::Ack { sequence } => self.acked(sequence, from, out),
+            Body::Nack { sequence } => {
+                if let Some(probe) = self.probes.iter_mut().find(|p| p.sequence == sequence) {
                     probe.nacks += 1;
                 }
             }
@@ -606,7 +620,7 @@
                     self.send_view(from, false, out);
                 }
             }
-            Body::Gossip | Body::Ask(_) | Body::Seen(_) => {}
+            Body::Gossip | Body::ViewRequest(_) | Body::ViewResponse(_) => {}
         }
     }
 }
--- a/crates/heathspur-members/src/exchange.rs
+++ b/crates/heathspur-members/src/exchange.rs
@@ -1,8 +1,8 @@
 //! How views meet: gossip, push-pull, joins, the word of leaving, and datagrams put together within their bound.
 
-use crate::core::{Action, Entry, Members};
-use crate::member::{Id, State};
-use crate::wire::{self, Ask, Body, Envelope, Row, Seen, Update};
+use crate::core::{Action, MemberEntry, Membership};
+use crate::member::{MemberId, MemberState};
+use crate::wire::{self, Body, Envelope, Update, ViewRequest, ViewResponse, ViewRow};
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use std::net::SocketAddrV4;
@@ -11,7 +11,7 @@
 /// Rows of a view that a datagram may hold at the most; the shortest take some 35 bytes.
 const ROWS: usize = 40;
 
-impl Members {
+impl Membership {
     pub(crate) fn gossip(&mut self, out: &mut Vec<Action>) {
         if self.spread.is_empty() {
             return;
@@ -50,7 +50,7 @@
         let dead = self
             .table
             .values()
-            .filter(|e| e.state == State::Dead)
+            .filter(|e| e.state == MemberState::Dead)
             .map(|e| e.member.address);
         let dead: Vec<SocketAddrV4> = dead.chain(lost).collect();
         // Now and then a dead one: after a partition heals, that is how the halves find each other again.
@@ -84,7 +84,7 @@
         self.leaving = true;
         self.incarnation += 1;
         self.version += 1;
-        out.push(Action::Incarnation(self.incarnation));
+        out.push(Action::IncarnationRaised(self.incarnation));
         self.probes.clear();
         self.spread.push(self.me_update());
         let mut targets: Vec<SocketAddrV4> = self
@@ -103,12 +103,15 @@
     /// Sends the whole view in parts under the largest datagram; only the first part asks for a reply.
     pub(crate) fn send_view(&mut self, to: SocketAddrV4, reply: bool, out: &mut Vec<Action>) {
         let mut updates: Vec<Update> = vec![self.me_update()];
-        updates.extend(self.table.values().map(|e| Update {
-            state: e.state,
-            incarnation: e.incarnation,
-            // Who tells of an accusation known here stands for it.
-            by: (e.state == State::Suspect || e.state == State::Dead).then(|| self.accuser(e)),
-            member: e.member.clone(),
+        updates.extend(self.table.values().map(|e| {
+            Update {
+                state: e.state,
+                incarnation: e.incarnation,
+                // Who tells of an accusation known here stands for it.
+                accuser: (e.state == MemberState::Suspect || e.state == MemberState::Dead)
+                    .then(|| self.accuser(e)),
+                member: e.member.clone(),
+            }
         }));
         let mut part = Envelope {
             from: self.me.id.clone(),
@@ -118,7 +121,7 @@
         let mut len = wire::encoded_len(&part);
         for update in updates {
             let more = wire::update_len(&update);
-            if len + more + 2 > wire::LARGEST && !part.updates.is_empty() {
+            if len + more + 2 > wire::MAX_DATAGRAM_BYTES && !part.updates.is_empty() {
                 self.emit(to, &part, out);
                 part.body = Body::PushPull { reply: false };
                 part.updates.clear();
@@ -158,7 +161,7 @@
         let first = first.unwrap_or_else(|| self.me_update());
         let skip = first.member.id.clone();
         envelope.updates.push(first);
-        let room = wire::LARGEST.saturating_sub(wire::encoded_len(&envelope) + 4);
+        let room = wire::MAX_DATAGRAM_BYTES.saturating_sub(wire::encoded_len(&envelope) + 4);
         let limit = self.settings.retransmits(self.live_count());
         envelope
             .updates
@@ -169,11 +172,11 @@
     fn emit(&mut self, to: SocketAddrV4, envelope: &Envelope, out: &mut Vec<Action>) {
         match wire::encode(envelope) {
             Some(bytes) => out.push(Action::Send { to, bytes }),
-            None => self.refusals.unsent += 1,
+            None => self.rejected_input.unsent += 1,
         }
     }
 
-    fn accuser(&self, entry: &Entry) -> Id {
+    fn accuser(&self, entry: &MemberEntry) -> MemberId {
         let first = entry.suspicion.as_ref().and_then(|s| s.accuser());
         first.cloned().unwrap_or_else(|| self.me.id.clone())
     }
@@ -182,58 +185,62 @@
     pub(crate) fn answer(
         &mut self,
         to: SocketAddrV4,
-        ask: &Ask,
+        ask: &ViewRequest,
         room: usize,
         out: &mut Vec<Action>,
     ) {
         let from = ask.after.as_ref().map_or(Bound::Unbounded, Bound::Excluded);
         let me = ask.after.as_ref().is_none_or(|id| self.me.id > *id);
         // Only what may fit is looked at: a flood of questions does not walk a whole table each.
-        let mut rows: Vec<Row> = self
+        let mut rows: Vec<ViewRow> = self
             .table
             .range((from, Bound::Unbounded))
             .take(ROWS)
-            .map(|(_, e)| Row {
+            .map(|(_, e)| ViewRow {
                 member: e.member.clone(),
                 state: e.state,
                 incarnation: e.incarnation,
-                for_ms: self.now.saturating_sub(e.since),
+                in_state_ms: self.now.saturating_sub(e.since),
             })
             .collect();
         if me {
             let member = self.me.clone();
-            rows.push(Row {
+            rows.push(ViewRow {
                 member,
                 state: self.my_state(),
                 incarnation: self.incarnation,
-                for_ms: 0,
+                in_state_ms: 0,
             });
             rows.sort_by(|a, b| a.member.id.cmp(&b.member.id));
             rows.truncate(ROWS);
         }
-        let (version, awareness, refused) = (self.version, self.awareness, self.refusals().total());
+        let (version, local_health, refused) = (
+            self.version,
+            self.local_health,
+            self.rejected_input().total(),
+        );
         let members = 1 + self.table.len() as u32;
-        let seen = Seen {
-            seq: ask.seq,
+        let seen = ViewResponse {
+            sequence: ask.sequence,
             version,
             members,
-            awareness,
+            local_health,
             refused,
             more: true,
             rows: Vec::new(),
         };
         let mut envelope = Envelope {
             from: self.me.id.clone(),
-            body: Body::Seen(seen),
+            body: Body::ViewResponse(seen),
             updates: Vec::new(),
         };
         // The count of rows may take a byte more than it does while there are none.
         let mut len = wire::encoded_len(&envelope) + 1;
         rows.retain(|row| {
             len += wire::row_len(row);
-            len <= room.min(wire::LARGEST)
+            len <= room.min(wire::MAX_DATAGRAM_BYTES)
         });
-        if let Body::Seen(seen) = &mut envelope.body {
+        if let Body::ViewResponse(seen) = &mut envelope.body {
             seen.more = match rows.last() {
                 Some(row) => {
                     let last = &row.member.id;
--- a/crates/heathspur-members/src/spread.rs
+++ b/crates/heathspur-members/src/gossip_queue.rs
@@ -1,6 +1,6 @@
 //! Updates waiting to be spread: each sent a bounded number of times, least sent first, one per member.
 
-use crate::member::Id;
+use crate::member::MemberId;
 use crate::wire::{update_len, Update};
 
 #[derive(Clone, Debug)]
@@ -12,17 +12,17 @@
 
 /// The queue of updates to spread, bounded.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct GossipQueue {
     pending: Vec<Pending>,
     bound: usize,
     /// Updates dropped because the queue was full.
     pub dropped: u64,
 }
 
-impl Spread {
+impl GossipQueue {
     /// An empty queue holding at most `bound` updates.
-    pub fn new(bound: usize) -> Spread {
-        Spread {
+    pub fn new(bound: usize) -> GossipQueue {
+        GossipQueue {
             pending: Vec::new(),
             bound,
             dropped: 0,
@@ -60,7 +60,7 @@
 
     /// Takes updates that fit in `room` bytes, least sent first, and counts them sent; those sent `limit`
     /// times leave the queue. `skip` is a member whose news is already in the datagram.
-    pub fn take(&mut self, mut room: usize, limit: u32, skip: Option<&Id>) -> Vec<Update> {
+    pub fn take(&mut self, mut room: usize, limit: u32, skip: Option<&MemberId>) -> Vec<Update> {
         self.pending.sort_by_key(|p| p.sent);
         let mut taken = Vec::new();
         for pending in &mut self.pending {
--- a/crates/heathspur-members/src/lib.rs
+++ b/crates/heathspur-members/src/lib.rs
@@ -8,22 +8,24 @@
 //! one now and then) merges the halves of a healed partition.
 //!
 //! Every table and queue is bounded ([`Settings`]); what is past a bound or malformed is counted
-//! ([`Refusals`]) and dropped. Datagrams are at most [`wire::LARGEST`] bytes, postcard in a versioned envelope.
+//! ([`RejectedInput`]) and dropped. Datagrams are at most [`wire::MAX_DATAGRAM_BYTES`] bytes, postcard in a versioned envelope.
 #![forbid(unsafe_code)]
 
 mod core;
 mod exchange;
+mod gossip_queue;
 mod member;
 mod merge;
 mod probe;
-pub mod record;
-mod refusals;
+mod rejected_input;
 mod settings;
-mod spread;
+pub mod state_record;
 mod suspicion;
 pub mod wire;
 
-pub use crate::core::{Action, Cause, Entry, Event, Members, View};
-pub use member::{Id, Load, Member, Stand, State, LONGEST_NAME, WHOLE};
-pub use refusals::{Refusals, Told};
-pub use settings::{OutOfBounds, Settings};
+pub use crate::core::{Action, ChangeCause, Event, MemberEntry, Membership, View};
+pub use member::{
+    Load, Member, MemberId, MemberState, ZoneVote, ALL_TRAFFIC_TENTHS, MAX_NAME_BYTES,
+};
+pub use rejected_input::{RejectedInput, RejectionReport};
+pub use settings::{Settings, SettingsError};
--- a/crates/heathspur-members/src/member.rs
+++ b/crates/heathspur-members/src/member.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddrV4;
 
 /// The longest id, zone or region, in bytes.
-pub const LONGEST_NAME: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 
-/// A member's name in the fleet: 1 to [`LONGEST_NAME`] bytes.
+/// A member's name in the fleet: 1 to [`MAX_NAME_BYTES`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id(pub String);
+pub struct MemberId(pub String);
 
-impl fmt::Display for Id {
+impl fmt::Display for MemberId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -23,16 +23,16 @@
     /// Requests in flight.
     pub in_flight: u32,
     /// The admission module's current cap on requests in flight.
-    pub cap: u32,
+    pub concurrency_limit: u32,
     /// Refusals in the last second.
-    pub refusals: u32,
+    pub rejections_per_second: u32,
 }
 
 /// What a member says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
-    pub id: Id,
+    pub id: MemberId,
     /// Where its membership datagrams go (IPv4).
     pub address: SocketAddrV4,
     /// Its zone.
@@ -45,34 +45,35 @@
     pub load: Load,
     /// How long its round trips to others usually take, in milliseconds, by its own word: others wait for its
     /// acks accordingly, within their bound.
-    pub lag_ms: u32,
+    pub usual_round_trip_ms: u32,
     /// The epoch of the decision that it holds in common with its zone; 0 before the first, or without failover.
-    pub epoch: u64,
-    /// That decision: tenths of its zone's traffic that stay near, 0 to [`WHOLE`].
-    pub near: u8,
+    pub decision_epoch: u64,
+    /// That decision: tenths of its zone's traffic that stay near, 0 to [`ALL_TRAFFIC_TENTHS`].
+    pub local_traffic_tenths: u8,
     /// The level that it wants itself.
-    pub wants: u8,
+    pub preferred_tenths: u8,
 }
 
 /// All traffic stays near.
-pub const WHOLE: u8 = 10;
+pub const ALL_TRAFFIC_TENTHS: u8 = 10;
 
 /// What a member holds and wants of its zone's decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stand {
+pub struct ZoneVote {
     /// The decision's epoch.
-    pub epoch: u64,
+    pub decision_epoch: u64,
     /// The decision's level.
-    pub near: u8,
+    pub local_traffic_tenths: u8,
     /// The level that the member wants.
-    pub wants: u8,
+    pub preferred_tenths: u8,
 }
 
 impl Member {
     /// Whether its names and levels keep within their bounds.
     pub fn well_formed(&self) -> bool {
-        let fits = |s: &str| s.len() <= LONGEST_NAME;
-        let levels = self.near <= WHOLE && self.wants <= WHOLE;
+        let fits = |s: &str| s.len() <= MAX_NAME_BYTES;
+        let levels = self.local_traffic_tenths <= ALL_TRAFFIC_TENTHS
+            && self.preferred_tenths <= ALL_TRAFFIC_TENTHS;
         levels
             && !self.id.0.is_empty()
             && fits(&self.id.0)
@@ -83,7 +84,7 @@
 
 /// Where a member stands in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     /// Answers probes.
     Alive,
     /// Missed a probe, and may still refute it.
@@ -94,19 +95,19 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// Its word in logs and tables.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Dead => "dead",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         }
     }
 
     /// Whether the member counts as in the fleet.
     pub fn live(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
--- a/crates/heathspur-members/src/merge.rs
+++ b/crates/heathspur-members/src/merge.rs
@@ -1,8 +1,8 @@
 //! How news of a member is taken in: incarnations order it, and no peer is trusted further than that.
 
-use crate::core::{Action, Cause, Entry, Members};
-use crate::member::{Id, State};
-use crate::record::{self, Heard, Record};
+use crate::core::{Action, ChangeCause, MemberEntry, Membership};
+use crate::member::{MemberId, MemberState};
+use crate::state_record::{self, StateRecord, UpdateEffect};
 use crate::suspicion::Suspicion;
 use crate::wire::{Body, Update};
 use std::net::SocketAddrV4;
@@ -13,18 +13,18 @@
 /// No incarnation is taken above this, so that refutation can always count past it.
 pub(crate) const HIGHEST: u64 = 1 << 48;
 
-impl Members {
+impl Membership {
     pub(crate) fn apply(
         &mut self,
         update: &Update,
-        sender: &Id,
+        sender: &MemberId,
         source: SocketAddrV4,
         news: bool,
         out: &mut Vec<Action>,
     ) {
         if !update.member.well_formed() || update.incarnation > HIGHEST {
-            self.refusals.future += update.member.well_formed() as u64;
-            self.refusals.garbage += !update.member.well_formed() as u64;
+            self.rejected_input.future += update.member.well_formed() as u64;
+            self.rejected_input.garbage += !update.member.well_formed() as u64;
             self.last_sender = Some(source);
             return;
         }
@@ -38,33 +38,33 @@
             return;
         };
         if update.incarnation > entry.incarnation.saturating_add(FAR_AHEAD) {
-            self.refusals.future += 1;
+            self.rejected_input.future += 1;
             self.last_sender = Some(source);
             return;
         }
         if update.member.address != entry.member.address && !from_itself {
             // Another address under a known id: only the member itself, from that address, moves it.
-            self.refusals.conflict += 1;
+            self.rejected_input.conflict += 1;
             self.last_sender = Some(source);
             return;
         }
         let known = entry.record();
         let id = update.member.id.clone();
-        match known.hear(Record {
+        match known.effect_of(StateRecord {
             state: update.state,
             incarnation: update.incarnation,
         }) {
-            Heard::Alive => {
+            UpdateEffect::Alive => {
                 self.table.get_mut(&id).expect("present").member = update.member.clone();
-                let cause = if known.state == State::Alive {
-                    Cause::Heard
+                let cause = if known.state == MemberState::Alive {
+                    ChangeCause::Gossip
                 } else {
-                    Cause::Refuted
+                    ChangeCause::Refuted
                 };
-                self.set(&id, State::Alive, update.incarnation, cause, out);
+                self.set(&id, MemberState::Alive, update.incarnation, cause, out);
                 self.spread.push(update.clone());
             }
-            Heard::Same if from_itself => {
+            UpdateEffect::Unchanged if from_itself => {
                 // Its load and epoch, first hand; not spread further, since each member speaks for itself.
                 let entry = self.table.get_mut(&id).expect("present");
                 if entry.member != update.member {
@@ -72,24 +72,30 @@
                     self.version += 1;
                 }
             }
-            Heard::Accused { convicted } => {
-                let by = update.by.clone().unwrap_or_else(|| sender.clone());
-                self.suspect(&id, update.incarnation, by, Cause::Heard, out);
-                if convicted {
+            UpdateEffect::Accused { declared_dead } => {
+                let accuser = update.accuser.clone().unwrap_or_else(|| sender.clone());
+                self.suspect(&id, update.incarnation, accuser, ChangeCause::Gossip, out);
+                if declared_dead {
                     let entry = self
                         .table
                         .get_mut(&id)
                         .filter(|e| e.incarnation == update.incarnation);
                     if let Some(suspicion) = entry.and_then(|e| e.suspicion.as_mut()) {
-                        suspicion.convict();
+                        suspicion.declare_dead();
                     }
                 }
             }
-            Heard::Left => {
-                self.set(&id, State::Left, update.incarnation, Cause::Left, out);
+            UpdateEffect::Left => {
+                self.set(
+                    &id,
+                    MemberState::Left,
+                    update.incarnation,
+                    ChangeCause::Left,
+                    out,
+                );
                 self.spread.push(update.clone());
             }
-            Heard::Same | Heard::Stale => {}
+            UpdateEffect::Unchanged | UpdateEffect::Stale => {}
         }
     }
 
@@ -98,15 +104,15 @@
             return;
         }
         if self.table.len() + 1 >= self.settings.max_members {
-            self.refusals.table_full += 1;
+            self.rejected_input.table_full += 1;
             return;
         }
         let id = update.member.id.clone();
         self.table.insert(
             id.clone(),
-            Entry {
+            MemberEntry {
                 member: update.member.clone(),
-                state: State::Alive,
+                state: MemberState::Alive,
                 incarnation: update.incarnation,
                 since: self.now,
                 suspicion: None,
@@ -114,26 +120,29 @@
             },
         );
         self.version += 1;
-        self.tally.add(&id, State::Alive);
-        out.push(Action::Changed {
+        self.tally.add(&id, MemberState::Alive);
+        out.push(Action::StateChanged {
             id: id.clone(),
-            to: Some(State::Alive),
+            to: Some(MemberState::Alive),
             incarnation: update.incarnation,
-            cause: Cause::Joined,
+            cause: ChangeCause::Joined,
         });
         if news {
-            let (state, incarnation, member) =
-                (State::Alive, update.incarnation, update.member.clone());
+            let (state, incarnation, member) = (
+                MemberState::Alive,
+                update.incarnation,
+                update.member.clone(),
+            );
             self.spread.push(Update {
                 state,
                 incarnation,
-                by: None,
+                accuser: None,
                 member,
             });
         }
-        if update.state == State::Suspect {
-            let by = update.by.clone().unwrap_or_else(|| id.clone());
-            self.suspect(&id, update.incarnation, by, Cause::Heard, out);
+        if update.state == MemberState::Suspect {
+            let accuser = update.accuser.clone().unwrap_or_else(|| id.clone());
+            self.suspect(&id, update.incarnation, accuser, ChangeCause::Gossip, out);
         }
     }
 
@@ -141,41 +150,41 @@
         if self.leaving {
             return;
         }
-        let said = Record {
+        let said = StateRecord {
             state: update.state,
             incarnation: update.incarnation,
         };
-        let Some(higher) = record::refute(self.incarnation, said) else {
+        let Some(higher) = state_record::refuting_incarnation(self.incarnation, said) else {
             // Refuted already, and who says so has not heard: it is told, or it alone would take this member for dead.
-            if self.settings.lifeguard && said.state != State::Alive {
+            if self.settings.lifeguard && said.state != MemberState::Alive {
                 self.send(source, Body::Gossip, true, out);
             }
             return;
         };
         if update.incarnation > self.incarnation.saturating_add(FAR_AHEAD) {
-            self.refusals.future += 1;
+            self.rejected_input.future += 1;
             self.last_sender = Some(source);
             return;
         }
         self.incarnation = higher;
         self.version += 1;
         if self.settings.lifeguard {
-            self.awareness = (self.awareness + 1).min(self.settings.awareness_max);
+            self.local_health = (self.local_health + 1).min(self.settings.local_health_max);
         }
-        out.push(Action::Incarnation(self.incarnation));
+        out.push(Action::IncarnationRaised(self.incarnation));
         self.spread.push(self.me_update());
         // The refutation goes out at once, to who told us and to a few more, not at the next round.
         self.send(source, Body::Gossip, true, out);
         self.gossip_now(out);
     }
 
-    /// `by` suspects `id` at `incarnation`: a new suspicion, or a confirmation of one running.
+    /// `accuser` suspects `id` at `incarnation`: a new suspicion, or a confirmation of one running.
     pub(crate) fn suspect(
         &mut self,
-        id: &Id,
+        id: &MemberId,
         incarnation: u64,
-        by: Id,
-        cause: Cause,
+        accuser: MemberId,
+        cause: ChangeCause,
         out: &mut Vec<Action>,
     ) {
         let count = self.live_count();
@@ -183,7 +192,7 @@
         let lifeguard = self.settings.lifeguard;
         // No more confirmations are waited for than there are others to give them.
         let expected = if lifeguard {
-            self.settings.indirect.min(count.saturating_sub(2))
+            self.settings.indirect_probes.min(count.saturating_sub(2))
         } else {
             0
         };
@@ -195,15 +204,16 @@
             return;
         };
         let Some(suspected) = entry.record().suspect(incarnation) else {
-            if lifeguard && entry.state == State::Suspect && incarnation == entry.incarnation {
+            if lifeguard && entry.state == MemberState::Suspect && incarnation == entry.incarnation
+            {
                 if let Some(suspicion) = entry.suspicion.as_mut() {
-                    if suspicion.confirm(by.clone()) {
+                    if suspicion.confirm(accuser.clone()) {
                         // A confirmation is news too: others' timers shorten by it.
-                        let (by, member) = (Some(by), entry.member.clone());
+                        let (accuser, member) = (Some(accuser), entry.member.clone());
                         self.spread.push(Update {
-                            state: State::Suspect,
+                            state: MemberState::Suspect,
                             incarnation,
-                            by,
+                            accuser,
                             member,
                         });
                     }
@@ -213,23 +223,23 @@
         };
         // Without Lifeguard a suspicion lasts its least, as SWIM has it.
         let most = if lifeguard { most } else { least };
-        entry.suspicion = Some(Suspicion::new(now, least, most, expected, by.clone()));
+        entry.suspicion = Some(Suspicion::new(now, least, most, expected, accuser.clone()));
         let member = entry.member.clone();
         self.set(id, suspected.state, suspected.incarnation, cause, out);
         self.spread.push(Update {
-            state: State::Suspect,
+            state: MemberState::Suspect,
             incarnation,
-            by: Some(by),
+            accuser: Some(accuser),
             member,
         });
     }
 
     pub(crate) fn set(
         &mut self,
-        id: &Id,
-        to: State,
+        id: &MemberId,
+        to: MemberState,
         incarnation: u64,
-        cause: Cause,
+        cause: ChangeCause,
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
@@ -238,7 +248,7 @@
         };
         let changed = entry.state != to;
         entry.incarnation = incarnation;
-        if to != State::Suspect {
+        if to != MemberState::Suspect {
             entry.suspicion = None;
         }
         if changed {
@@ -246,7 +256,7 @@
             self.tally.add(id, to);
             entry.state = to;
             entry.since = now;
-            out.push(Action::Changed {
+            out.push(Action::StateChanged {
                 id: id.clone(),
                 to: Some(to),
                 incarnation,
--- a/crates/heathspur-members/src/probe.rs
+++ b/crates/heathspur-members/src/probe.rs
@@ -1,7 +1,7 @@
 //! Probes, direct and through others (SWIM, section 3.1), and what their failure says (Lifeguard, section 4.1).
 
-use crate::core::{Action, Cause, Entry, Members};
-use crate::member::{Id, State};
+use crate::core::{Action, ChangeCause, MemberEntry, Membership};
+use crate::member::{MemberId, MemberState};
 use crate::wire::{Body, Update};
 use rand::seq::SliceRandom;
 use std::net::SocketAddrV4;
@@ -16,8 +16,8 @@
 const LAG_STEP_MS: u64 = 50;
 
 pub(crate) struct Probe {
-    pub(crate) target: Id,
-    pub(crate) seq: u32,
+    pub(crate) target: MemberId,
+    pub(crate) sequence: u32,
     started: u64,
     ask_others_at: u64,
     until: u64,
@@ -27,13 +27,13 @@
 }
 
 pub(crate) struct Relay {
-    pub(crate) seq: u32,
+    pub(crate) sequence: u32,
     pub(crate) asker: SocketAddrV4,
     pub(crate) asker_seq: u32,
     pub(crate) nack_at: u64,
 }
 
-impl Members {
+impl Membership {
     pub(crate) fn relay_nacks(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         let (due, kept): (Vec<Relay>, Vec<Relay>) =
@@ -44,7 +44,7 @@
                 self.send(
                     relay.asker,
                     Body::Nack {
-                        seq: relay.asker_seq,
+                        sequence: relay.asker_seq,
                     },
                     false,
                     out,
@@ -54,8 +54,8 @@
     }
 
     fn next_seq(&mut self) -> u32 {
-        self.seq = self.seq.wrapping_add(1);
-        self.seq
+        self.sequence = self.sequence.wrapping_add(1);
+        self.sequence
     }
 
     pub(crate) fn probe_step(&mut self, out: &mut Vec<Action>) {
@@ -81,17 +81,17 @@
         let Some(target) = self.next_target() else {
             return;
         };
-        let seq = self.next_seq();
+        let sequence = self.next_seq();
         let entry = &self.table[&target];
         let address = entry.member.address;
         let wait = self.usual_wait(entry);
         let timeout = self.scaled(self.settings.probe_timeout_ms);
         // Lifeguard's buddy system: a suspect hears first that it is suspected, and can refute at once.
-        let tell = self.settings.lifeguard && entry.state == State::Suspect;
+        let tell = self.settings.lifeguard && entry.state == MemberState::Suspect;
         let first = tell.then(|| self.accusation(entry));
         self.probes.push(Probe {
             target: target.clone(),
-            seq,
+            sequence,
             started: now,
             ask_others_at: now + timeout.max(wait),
             until: now + period.max(wait + timeout),
@@ -99,28 +99,28 @@
             nacks_expected: 0,
             nacks: 0,
         });
-        self.send_with(address, Body::Ping { seq, target }, first, out);
+        self.send_with(address, Body::Ping { sequence, target }, first, out);
     }
 
     /// How long an ack of a member may take as it usually does, in milliseconds: twice its round trip, the usual
     /// one here, or what it says of its own, whichever is longest. A member that is slow but answers is not suspected anew each time.
-    pub(crate) fn usual_wait(&self, entry: &Entry) -> u64 {
+    pub(crate) fn usual_wait(&self, entry: &MemberEntry) -> u64 {
         if !self.settings.lifeguard {
             return 0;
         }
         (2 * entry
             .round_trip_ms
             .max(self.round_trip_ms)
-            .max(entry.member.lag_ms as u64))
+            .max(entry.member.usual_round_trip_ms as u64))
         .min(LONGEST_WAIT * self.settings.period_ms)
     }
 
-    pub(crate) fn accusation(&self, entry: &Entry) -> Update {
-        let (by, member) = (Some(self.me.id.clone()), entry.member.clone());
+    pub(crate) fn accusation(&self, entry: &MemberEntry) -> Update {
+        let (accuser, member) = (Some(self.me.id.clone()), entry.member.clone());
         Update {
-            state: State::Suspect,
+            state: MemberState::Suspect,
             incarnation: entry.incarnation,
-            by,
+            accuser,
             member,
         }
     }
@@ -134,7 +134,7 @@
             } else {
                 missing
             };
-            self.awareness = (self.awareness + delta).min(self.settings.awareness_max);
+            self.local_health = (self.local_health + delta).min(self.settings.local_health_max);
         }
         let (target, me) = (probe.target.clone(), self.me.id.clone());
         // Its ack may come yet: it tells how long one takes.
@@ -145,8 +145,8 @@
         let Some(entry) = self.table.get(&target) else {
             return;
         };
-        let (begins, incarnation) = (entry.state == State::Alive, entry.incarnation);
-        self.suspect(&target, incarnation, me, Cause::ProbeMissed, out);
+        let (begins, incarnation) = (entry.state == MemberState::Alive, entry.incarnation);
+        self.suspect(&target, incarnation, me, ChangeCause::ProbeMissed, out);
         // The suspect hears it now, not with the next probe: all of its time is for refuting.
         let entry = self
             .table
@@ -160,25 +160,25 @@
     fn indirect_probe(&mut self, at: usize, out: &mut Vec<Action>) {
         let probe = &mut self.probes[at];
         probe.indirect_sent = true;
-        let (seq, target) = (probe.seq, probe.target.clone());
+        let (sequence, target) = (probe.sequence, probe.target.clone());
         let Some(address) = self.table.get(&target).map(|e| e.member.address) else {
             return;
         };
         let mut helpers: Vec<SocketAddrV4> = self
             .table
             .values()
-            .filter(|e| e.state == State::Alive && e.member.id != target)
+            .filter(|e| e.state == MemberState::Alive && e.member.id != target)
             .map(|e| e.member.address)
             .collect();
         helpers.shuffle(&mut self.rng);
-        helpers.truncate(self.settings.indirect);
+        helpers.truncate(self.settings.indirect_probes);
         self.probes[at].nacks_expected = helpers.len() as u32;
         if self.settings.lifeguard {
             // The first one, or its ack, may just have been lost.
             self.send(
                 address,
                 Body::Ping {
-                    seq,
+                    sequence,
                     target: target.clone(),
                 },
                 true,
@@ -189,7 +189,7 @@
             self.send(
                 helper,
                 Body::PingReq {
-                    seq,
+                    sequence,
                     target: target.clone(),
                     address,
                 },
@@ -200,7 +200,7 @@
     }
 
     /// SWIM's round robin: every live member once in a shuffled order, then a new order.
-    fn next_target(&mut self) -> Option<Id> {
+    fn next_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while self.next_in_order < self.order.len() {
                 let id = self.order[self.next_in_order].clone();
@@ -225,43 +225,43 @@
         &mut self,
         asker: SocketAddrV4,
         asker_seq: u32,
-        target: Id,
+        target: MemberId,
         address: SocketAddrV4,
         out: &mut Vec<Action>,
     ) {
         if self.relays.len() >= RELAYS {
             return;
         }
-        let seq = self.next_seq();
+        let sequence = self.next_seq();
         let nack_at = self.now + self.settings.probe_timeout_ms * 4 / 5;
         self.relays.push(Relay {
-            seq,
+            sequence,
             asker,
             asker_seq,
             nack_at,
         });
-        self.send(address, Body::Ping { seq, target }, true, out);
+        self.send(address, Body::Ping { sequence, target }, true, out);
     }
 
-    pub(crate) fn acked(&mut self, seq: u32, from: SocketAddrV4, out: &mut Vec<Action>) {
-        if let Some(at) = self.probes.iter().position(|p| p.seq == seq) {
+    pub(crate) fn acked(&mut self, sequence: u32, from: SocketAddrV4, out: &mut Vec<Action>) {
+        if let Some(at) = self.probes.iter().position(|p| p.sequence == sequence) {
             let probe = self.probes.swap_remove(at);
-            self.awareness = self.awareness.saturating_sub(1);
+            self.local_health = self.local_health.saturating_sub(1);
             self.learn_round_trip(&probe, from);
             return;
         }
-        if let Some(at) = self.late.iter().position(|p| p.seq == seq) {
+        if let Some(at) = self.late.iter().position(|p| p.sequence == sequence) {
             if let Some(probe) = self.late.remove(at) {
                 self.learn_round_trip(&probe, from);
             }
             return;
         }
-        if let Some(i) = self.relays.iter().position(|r| r.seq == seq) {
+        if let Some(i) = self.relays.iter().position(|r| r.sequence == sequence) {
             let relay = self.relays.swap_remove(i);
             self.send(
                 relay.asker,
                 Body::Ack {
-                    seq: relay.asker_seq,
+                    sequence: relay.asker_seq,
                 },
                 true,
                 out,
@@ -289,6 +289,6 @@
         // Here all are taken together: one that is slow is not the usual.
         self.round_trip_ms = (7 * self.round_trip_ms + took) / 8;
         // In steps, so that others' views do not change with every probe here.
-        self.me.lag_ms = (self.round_trip_ms / LAG_STEP_MS * LAG_STEP_MS) as u32;
+        self.me.usual_round_trip_ms = (self.round_trip_ms / LAG_STEP_MS * LAG_STEP_MS) as u32;
     }
 }
--- a/crates/heathspur-members/src/refusals.rs
+++ b/crates/heathspur-members/src/rejected_input.rs
@@ -4,7 +4,7 @@
 
 /// What was dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refusals {
+pub struct RejectedInput {
     /// Datagrams over the largest size.
     pub oversized: u64,
     /// Datagrams not ours, cut short or not decodable.
@@ -20,12 +20,12 @@
     /// News of members past the table's bound.
     pub table_full: u64,
     /// Updates dropped from a full queue.
-    pub spread_full: u64,
+    pub gossip_queue_full: u64,
     /// Datagrams that could not be made under the largest size.
     pub unsent: u64,
 }
 
-impl Refusals {
+impl RejectedInput {
     /// All counts together.
     pub fn total(&self) -> u64 {
         self.oversized
@@ -35,16 +35,16 @@
             + self.conflict
             + self.future
             + self.table_full
-            + self.spread_full
+            + self.gossip_queue_full
             + self.unsent
     }
 }
 
 /// What is told of refusals once a period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct RejectionReport {
     /// The counts since the start.
-    pub counts: Refusals,
+    pub counts: RejectedInput,
     /// Refusals since the last time told.
     pub new: u64,
     /// The last address that sent what was dropped.
--- a/crates/heathspur-members/src/settings.rs
+++ b/crates/heathspur-members/src/settings.rs
@@ -8,7 +8,7 @@
     /// A direct probe waits so long for its ack before asking others; under the period.
     pub probe_timeout_ms: u64,
     /// Members asked for an indirect probe (SWIM's k); 0 to 8.
-    pub indirect: usize,
+    pub indirect_probes: usize,
     /// Suspicion lasts at least this many periods times log10 of the members (at least 1); 1 to 20.
     pub suspicion_mult: u64,
     /// Suspicion lasts at most this many times its least, without confirmations; 1 to 20.
@@ -36,7 +36,7 @@
     /// Lifeguard's three parts (local health, confirmations, telling the suspect); off only as a baseline.
     pub lifeguard: bool,
     /// The highest local health score (Lifeguard's S); timeouts grow by it.
-    pub awareness_max: u32,
+    pub local_health_max: u32,
 }
 
 impl Default for Settings {
@@ -44,7 +44,7 @@
         Settings {
             period_ms: 1_000,
             probe_timeout_ms: 500,
-            indirect: 3,
+            indirect_probes: 3,
             suspicion_mult: 4,
             suspicion_max_mult: 6,
             retransmit_mult: 4,
@@ -58,33 +58,33 @@
             join_backoff_ms: 200,
             join_backoff_max_ms: 5_000,
             lifeguard: true,
-            awareness_max: 8,
+            local_health_max: 8,
         }
     }
 }
 
 /// A setting out of its bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct OutOfBounds(pub &'static str);
+pub struct SettingsError(pub &'static str);
 
-impl std::fmt::Display for OutOfBounds {
+impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "the members' setting {} is out of its bounds", self.0)
     }
 }
 
-impl std::error::Error for OutOfBounds {}
+impl std::error::Error for SettingsError {}
 
 impl Settings {
     /// Checks every bound above.
-    pub fn check(&self) -> Result<(), OutOfBounds> {
-        let within = |ok: bool, name| if ok { Ok(()) } else { Err(OutOfBounds(name)) };
+    pub fn check(&self) -> Result<(), SettingsError> {
+        let within = |ok: bool, name| if ok { Ok(()) } else { Err(SettingsError(name)) };
         within((50..=60_000).contains(&self.period_ms), "period")?;
         within(
             self.probe_timeout_ms >= 10 && self.probe_timeout_ms < self.period_ms,
             "probe-timeout",
         )?;
-        within(self.indirect <= 8, "indirect")?;
+        within(self.indirect_probes <= 8, "indirect")?;
         within((1..=20).contains(&self.suspicion_mult), "suspicion")?;
         within((1..=20).contains(&self.suspicion_max_mult), "suspicion-max")?;
         within((1..=20).contains(&self.retransmit_mult), "retransmit")?;
@@ -98,7 +98,7 @@
             self.join_backoff_ms >= 10 && self.join_backoff_max_ms >= self.join_backoff_ms,
             "join-backoff",
         )?;
-        within(self.awareness_max <= 16, "awareness")
+        within(self.local_health_max <= 16, "awareness")
     }
 
     /// Log10 of the members, at least 1: how SWIM's times and retransmissions grow with the fleet.
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -1,30 +1,32 @@
 //! Bad input is counted and dropped; bounds hold; nothing a peer sends makes a member panic.
 
-use heathspur_members::wire::{self, Body, Envelope, Update, LARGEST};
-use heathspur_members::{Action, Event, Id, Load, Member, Members, Settings, Stand, State};
+use heathspur_members::wire::{self, Body, Envelope, Update, MAX_DATAGRAM_BYTES};
+use heathspur_members::{
+    Action, Event, Load, Member, MemberId, MemberState, Membership, Settings, ZoneVote,
+};
 use proptest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 fn member(i: u8) -> Member {
     Member {
-        id: Id(format!("m{i}")),
+        id: MemberId(format!("m{i}")),
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7000 + i as u16),
         zone: "z".into(),
         region: "r".into(),
         version: 1,
         load: Load::default(),
-        lag_ms: 0,
-        epoch: 0,
-        near: 10,
-        wants: 10,
+        usual_round_trip_ms: 0,
+        decision_epoch: 0,
+        local_traffic_tenths: 10,
+        preferred_tenths: 10,
     }
 }
 
-fn core() -> Members {
-    Members::new(Settings::default(), member(0), 10, vec![], 1)
+fn core() -> Membership {
+    Membership::new(Settings::default(), member(0), 10, vec![], 1)
 }
 
-fn deliver(core: &mut Members, from: SocketAddrV4, envelope: &Envelope) -> Vec<Action> {
+fn deliver(core: &mut Membership, from: SocketAddrV4, envelope: &Envelope) -> Vec<Action> {
     let mut out = Vec::new();
     core.handle(
         1,
@@ -39,9 +41,9 @@
 
 fn alive(i: u8, incarnation: u64) -> Update {
     Update {
-        state: State::Alive,
+        state: MemberState::Alive,
         incarnation,
-        by: None,
+        accuser: None,
         member: member(i),
     }
 }
@@ -63,12 +65,12 @@
         1,
         Event::Datagram {
             from,
-            bytes: &[0u8; LARGEST + 1],
+            bytes: &[0u8; MAX_DATAGRAM_BYTES + 1],
         },
         &mut out,
     );
     let mut good = wire::encode(&Envelope {
-        from: Id("m9".into()),
+        from: MemberId("m9".into()),
         body: Body::Gossip,
         updates: vec![],
     })
@@ -78,7 +80,7 @@
     good[2] = wire::VERSION;
     good.pop();
     core.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
-    let counts = core.refusals();
+    let counts = core.rejected_input();
     assert_eq!(
         (counts.garbage, counts.oversized, counts.version),
         (2, 1, 1)
@@ -86,7 +88,7 @@
     assert_eq!(core.view().members.len(), 1);
     core.handle(2_000, Event::Tick, &mut out);
     assert!(out.iter().any(
-        |a| matches!(a, Action::Refused(told) if told.new == 4 && told.last_sender == Some(from))
+        |a| matches!(a, Action::InputRejected(told) if told.new == 4 && told.last_sender == Some(from))
     ));
 }
 
@@ -94,7 +96,7 @@
 fn another_address_under_a_known_id_is_refused() {
     let mut core = core();
     let envelope = Envelope {
-        from: Id("m1".into()),
+        from: MemberId("m1".into()),
         body: Body::Gossip,
         updates: vec![alive(1, 5)],
     };
@@ -105,32 +107,32 @@
         &mut core,
         member(2).address,
         &Envelope {
-            from: Id("m2".into()),
+            from: MemberId("m2".into()),
             body: Body::Gossip,
             updates: vec![thief],
         },
     );
-    let entry = core.entry(&Id("m1".into())).unwrap();
+    let entry = core.entry(&MemberId("m1".into())).unwrap();
     assert_eq!(
         (entry.member.address, entry.incarnation),
         (member(1).address, 5)
     );
-    assert_eq!(core.refusals().conflict, 1);
+    assert_eq!(core.rejected_input().conflict, 1);
 }
 
 #[test]
 fn updates_from_the_far_future_are_dropped() {
     let mut core = core();
     let envelope = Envelope {
-        from: Id("m1".into()),
+        from: MemberId("m1".into()),
         body: Body::Gossip,
         updates: vec![alive(1, 5)],
     };
     deliver(&mut core, member(1).address, &envelope);
     let far = Update {
-        state: State::Dead,
+        state: MemberState::Dead,
         incarnation: 1 << 50,
-        by: None,
+        accuser: None,
         member: member(1),
     };
     let mut about_me = far.clone();
@@ -139,36 +141,39 @@
         &mut core,
         member(1).address,
         &Envelope {
-            from: Id("m1".into()),
+            from: MemberId("m1".into()),
             body: Body::Gossip,
             updates: vec![far, about_me],
         },
     );
-    assert_eq!(core.entry(&Id("m1".into())).unwrap().state, State::Alive);
+    assert_eq!(
+        core.entry(&MemberId("m1".into())).unwrap().state,
+        MemberState::Alive
+    );
     assert_eq!(core.incarnation(), 10);
-    assert_eq!(core.refusals().future, 2);
+    assert_eq!(core.rejected_input().future, 2);
 }
 
 #[test]
 fn a_suspicion_of_itself_is_refuted_with_a_higher_incarnation() {
     let mut core = core();
     let suspect = Update {
-        state: State::Suspect,
+        state: MemberState::Suspect,
         incarnation: 12,
-        by: None,
+        accuser: None,
         member: member(0),
     };
     let out = deliver(
         &mut core,
         member(1).address,
         &Envelope {
-            from: Id("m1".into()),
+            from: MemberId("m1".into()),
             body: Body::Gossip,
             updates: vec![suspect],
         },
     );
     assert_eq!(core.incarnation(), 13);
-    assert!(out.contains(&Action::Incarnation(13)));
+    assert!(out.contains(&Action::IncarnationRaised(13)));
     assert!(out
         .iter()
         .any(|a| matches!(a, Action::Send { to, .. } if *to == member(1).address)));
@@ -180,19 +185,19 @@
         max_members: 5,
         ..Settings::default()
     };
-    let mut core = Members::new(settings, member(0), 1, vec![], 1);
+    let mut core = Membership::new(settings, member(0), 1, vec![], 1);
     let updates = (1..20).map(|i| alive(i, 1)).collect();
     deliver(
         &mut core,
         member(1).address,
         &Envelope {
-            from: Id("m1".into()),
+            from: MemberId("m1".into()),
             body: Body::Gossip,
             updates,
         },
     );
     assert_eq!(core.view().members.len(), 5);
-    assert_eq!(core.refusals().table_full, 15);
+    assert_eq!(core.rejected_input().table_full, 15);
 }
 
 #[test]
@@ -201,7 +206,7 @@
         per_peer_per_second: 10,
         ..Settings::default()
     };
-    let mut core = Members::new(settings, member(0), 1, vec![], 1);
+    let mut core = Membership::new(settings, member(0), 1, vec![], 1);
     let mut out = Vec::new();
     for _ in 0..50 {
         core.handle(
@@ -213,7 +218,10 @@
             &mut out,
         );
     }
-    assert_eq!((core.refusals().garbage, core.refusals().rate), (10, 40));
+    assert_eq!(
+        (core.rejected_input().garbage, core.rejected_input().rate),
+        (10, 40)
+    );
 }
 
 #[test]
@@ -222,14 +230,14 @@
     let updates: Vec<Update> = (1..200).map(|i| alive(i, 1)).collect();
     for chunk in updates.chunks(10) {
         let envelope = Envelope {
-            from: Id("m1".into()),
+            from: MemberId("m1".into()),
             body: Body::Gossip,
             updates: chunk.to_vec(),
         };
         deliver(&mut core, member(1).address, &envelope);
     }
     let push = Envelope {
-        from: Id("m7".into()),
+        from: MemberId("m7".into()),
         body: Body::PushPull { reply: true },
         updates: vec![alive(7, 1)],
     };
@@ -245,7 +253,7 @@
         })
         .collect();
     assert!(parts.len() >= 3);
-    assert!(parts.iter().all(|p| p.len() <= LARGEST));
+    assert!(parts.iter().all(|p| p.len() <= MAX_DATAGRAM_BYTES));
     let carried: usize = parts
         .iter()
         .map(|p| wire::decode(p).unwrap().updates.len())
@@ -259,37 +267,37 @@
         max_members: 8,
         ..Settings::default()
     };
-    let mut core = Members::new(settings, member(0), 1, vec![], 1);
+    let mut core = Membership::new(settings, member(0), 1, vec![], 1);
     let mut out = Vec::new();
     for port in 0..5_000u16 {
         let from = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 2), port);
         core.handle(1, Event::Datagram { from, bytes: b"x" }, &mut out);
     }
     assert_eq!(core.counted_addresses(), 16);
-    assert_eq!(core.refusals().rate, 5_000 - 16);
+    assert_eq!(core.rejected_input().rate, 5_000 - 16);
 }
 
 #[test]
 fn who_accuses_it_at_an_incarnation_it_has_left_behind_is_told_the_new_one() {
     let mut core = core();
     let mut suspect = Update {
-        state: State::Suspect,
+        state: MemberState::Suspect,
         incarnation: 12,
-        by: None,
+        accuser: None,
         member: member(0),
     };
-    let accuse = |core: &mut Members, by: u8, suspect: &Update| {
+    let accuse = |core: &mut Membership, accuser: u8, suspect: &Update| {
         let updates = vec![suspect.clone()];
         let envelope = Envelope {
-            from: Id(format!("m{by}")),
+            from: MemberId(format!("m{accuser}")),
             body: Body::Gossip,
             updates,
         };
-        deliver(core, member(by).address, &envelope)
+        deliver(core, member(accuser).address, &envelope)
     };
     accuse(&mut core, 1, &suspect);
     // Another one hears of it late.
-    suspect.state = State::Dead;
+    suspect.state = MemberState::Dead;
     let out = accuse(&mut core, 2, &suspect);
     assert_eq!(core.incarnation(), 13);
     let [Action::Send { to, bytes }] = &out[..] else {
@@ -298,7 +306,7 @@
     let told = &wire::decode(bytes).unwrap().updates[0];
     assert_eq!(
         (*to, told.state, told.incarnation),
-        (member(2).address, State::Alive, 13)
+        (member(2).address, MemberState::Alive, 13)
     );
 }
 
@@ -306,16 +314,16 @@
 fn many_accusations_in_one_datagram_are_answered_as_one() {
     let accused = |incarnations: std::ops::Range<u64>| {
         let mut core = core();
-        core.know((1..9).map(|i| (member(i), 5)));
+        core.add_known_members((1..9).map(|i| (member(i), 5)));
         let accuse = |incarnation| Update {
-            state: State::Suspect,
+            state: MemberState::Suspect,
             incarnation,
-            by: None,
+            accuser: None,
             member: member(0),
         };
         let updates = incarnations.map(accuse).collect();
         let envelope = Envelope {
-            from: Id("m1".into()),
+            from: MemberId("m1".into()),
             body: Body::Gossip,
             updates,
         };
@@ -332,18 +340,18 @@
 fn what_a_member_holds_and_wants_is_spread_beyond_those_it_speaks_to() {
     let (mut core, mut other) = (
         core(),
-        Members::new(Settings::default(), member(1), 10, vec![], 2),
+        Membership::new(Settings::default(), member(1), 10, vec![], 2),
     );
-    core.know((1..4).map(|i| (member(i), 5)));
-    other.know([(member(0), 10), (member(2), 5)]);
+    core.add_known_members((1..4).map(|i| (member(i), 5)));
+    other.add_known_members([(member(0), 10), (member(2), 5)]);
     let mut out = Vec::new();
-    let stand = Stand {
-        epoch: 3,
-        near: 4,
-        wants: 2,
+    let vote = ZoneVote {
+        decision_epoch: 3,
+        local_traffic_tenths: 4,
+        preferred_tenths: 2,
     };
-    core.set_stand(stand, &mut out);
-    assert!(out.contains(&Action::Incarnation(11)));
+    core.set_zone_vote(vote, &mut out);
+    assert!(out.contains(&Action::IncarnationRaised(11)));
     let sent = out.iter().find_map(|a| match a {
         Action::Send { to, bytes } if *to == member(1).address => Some(bytes.clone()),
         _ => None,
@@ -357,37 +365,44 @@
         },
         &mut passed,
     );
-    let held = &other.entry(&Id("m0".into())).unwrap().member;
-    assert_eq!((held.epoch, held.near, held.wants), (3, 4, 2));
+    let held = &other.entry(&MemberId("m0".into())).unwrap().member;
+    assert_eq!(
+        (
+            held.decision_epoch,
+            held.local_traffic_tenths,
+            held.preferred_tenths
+        ),
+        (3, 4, 2)
+    );
     // It passes that on.
     (1..1_000).for_each(|now| other.handle(now, Event::Tick, &mut passed));
     let tells = |bytes: &[u8]| {
         let updates = wire::decode(bytes).unwrap().updates;
         updates
             .iter()
-            .any(|u| u.member.id.0 == "m0" && u.member.epoch == 3 && u.incarnation == 11)
+            .any(|u| u.member.id.0 == "m0" && u.member.decision_epoch == 3 && u.incarnation == 11)
     };
     assert!(passed.iter().any(
         |a| matches!(a, Action::Send { to, bytes } if *to == member(2).address && tells(bytes))
     ));
     // The same again is no news.
     out.clear();
-    core.set_stand(stand, &mut out);
+    core.set_zone_vote(vote, &mut out);
     assert!(out.is_empty());
 }
 
 /// Asks for the whole view, part by part, as a tool does.
-fn ask_all(core: &mut Members, padding: usize) -> Vec<wire::Row> {
-    let (mut rows, mut after) = (Vec::<wire::Row>::new(), None);
-    for seq in 0..100 {
-        let ask = wire::Ask {
-            seq,
+fn ask_all(core: &mut Membership, padding: usize) -> Vec<wire::ViewRow> {
+    let (mut rows, mut after) = (Vec::<wire::ViewRow>::new(), None);
+    for sequence in 0..100 {
+        let ask = wire::ViewRequest {
+            sequence,
             after: after.clone(),
             padding: vec![0; padding],
         };
         let ask = Envelope {
-            from: Id("?".into()),
-            body: Body::Ask(ask),
+            from: MemberId("?".into()),
+            body: Body::ViewRequest(ask),
             updates: vec![],
         };
         let asked = wire::encode(&ask).unwrap().len();
@@ -401,10 +416,10 @@
             "{} bytes to a question of {asked}",
             bytes.len()
         );
-        let Body::Seen(seen) = wire::decode(bytes).unwrap().body else {
+        let Body::ViewResponse(seen) = wire::decode(bytes).unwrap().body else {
             panic!("no part of a view")
         };
-        assert_eq!((seen.seq, seen.members), (seq, 60));
+        assert_eq!((seen.sequence, seen.members), (sequence, 60));
         rows.extend(seen.rows);
         after = rows.last().map(|row| row.member.id.clone());
         if !seen.more {
@@ -417,32 +432,32 @@
 #[test]
 fn a_tool_reads_the_whole_view_in_parts_no_longer_than_its_questions_and_is_no_member() {
     let mut core = core();
-    core.know((1..60).map(|i| (member(i), 7)));
+    core.add_known_members((1..60).map(|i| (member(i), 7)));
     for padding in [1_100, 400] {
         let rows = ask_all(&mut core, padding);
-        let ids: Vec<&Id> = rows.iter().map(|row| &row.member.id).collect();
+        let ids: Vec<&MemberId> = rows.iter().map(|row| &row.member.id).collect();
         assert!(ids.is_sorted() && ids.len() == 60, "{}", ids.len());
     }
     assert_eq!(core.view().members.len(), 60);
-    let short = wire::Ask {
-        seq: 1,
+    let short = wire::ViewRequest {
+        sequence: 1,
         after: None,
         padding: vec![],
     };
     let short = Envelope {
-        from: Id("?".into()),
-        body: Body::Ask(short),
+        from: MemberId("?".into()),
+        body: Body::ViewRequest(short),
         updates: vec![],
     };
     assert!(deliver(&mut core, member(99).address, &short).is_empty());
 }
 
-fn suspicion(of: u8, by: u8) -> Update {
-    let by = Some(Id(format!("m{by}")));
+fn suspicion(of: u8, accuser: u8) -> Update {
+    let accuser = Some(MemberId(format!("m{accuser}")));
     Update {
-        state: State::Suspect,
+        state: MemberState::Suspect,
         incarnation: 5,
-        by,
+        accuser,
         member: member(of),
     }
 }
@@ -450,11 +465,11 @@
 /// When a suspect is taken for dead, if the accusations come at 1 ms, each passed on by another member.
 fn death_after(accusations: &[(u8, u8)]) -> u64 {
     let mut core = core();
-    core.know((1..10).map(|i| (member(i), 5)));
+    core.add_known_members((1..10).map(|i| (member(i), 5)));
     for (sender, accuser) in accusations {
         let updates = vec![suspicion(1, *accuser)];
         let envelope = Envelope {
-            from: Id(format!("m{sender}")),
+            from: MemberId(format!("m{sender}")),
             body: Body::Gossip,
             updates,
         };
@@ -465,8 +480,8 @@
         .step_by(50)
         .find(|now| {
             core.handle(*now, Event::Tick, &mut out);
-            core.entry(&Id("m1".into()))
-                .is_some_and(|e| e.state == State::Dead)
+            core.entry(&MemberId("m1".into()))
+                .is_some_and(|e| e.state == MemberState::Dead)
         })
         .expect("taken for dead")
 }
@@ -482,25 +497,25 @@
 #[test]
 fn a_member_that_ran_for_a_year_comes_back_with_its_clock_as_incarnation() {
     let mut core = core();
-    core.know([(member(1), 1_700_000_000_000)]);
+    core.add_known_members([(member(1), 1_700_000_000_000)]);
     let back = alive(1, 1_700_000_000_000 + 366 * 86_400_000);
     let envelope = Envelope {
-        from: Id("m1".into()),
+        from: MemberId("m1".into()),
         body: Body::Gossip,
         updates: vec![back.clone()],
     };
     deliver(&mut core, member(1).address, &envelope);
     assert_eq!(
-        core.entry(&Id("m1".into())).unwrap().incarnation,
+        core.entry(&MemberId("m1".into())).unwrap().incarnation,
         back.incarnation
     );
-    assert_eq!(core.refusals().future, 0);
+    assert_eq!(core.rejected_input().future, 0);
 }
 
 #[test]
 fn the_word_of_leaving_is_said_again_while_the_process_ends() {
     let mut core = core();
-    core.know((1..30).map(|i| (member(i), 5)));
+    core.add_known_members((1..30).map(|i| (member(i), 5)));
     let mut out = Vec::new();
     core.handle(1, Event::Leave, &mut out);
     let first = out.len();
@@ -515,7 +530,7 @@
             .unwrap()
             .updates
             .iter()
-            .any(|u| u.state == State::Left && u.member.id.0 == "m0")
+            .any(|u| u.state == MemberState::Left && u.member.id.0 == "m0")
     };
     assert!(out.iter().skip(first).filter(|a| said(a)).count() >= 6);
     // It probes nobody any more.
@@ -538,10 +553,10 @@
     }
 
     #[test]
-    fn encoded_envelopes_decode_to_themselves(incarnation in 0u64..1 << 40, seq in any::<u32>(), n in 0u8..10) {
+    fn encoded_envelopes_decode_to_themselves(incarnation in 0u64..1 << 40, sequence in any::<u32>(), n in 0u8..10) {
         let envelope = Envelope {
-            from: Id("m1".into()),
-            body: Body::Ping { seq, target: Id("m2".into()) },
+            from: MemberId("m1".into()),
+            body: Body::Ping { sequence, target: MemberId("m2".into()) },
             updates: (0..n).map(|i| alive(i, incarnation)).collect(),
         };
         prop_assert_eq!(wire::decode(&wire::encode(&envelope).unwrap()).unwrap(), envelope);
--- a/crates/heathspur-members/tests/model.rs
+++ b/crates/heathspur-members/tests/model.rs
@@ -3,8 +3,8 @@
 //!
 //! The mutants take out one part each; every one has to be found.
 
-use heathspur_members::record::{refute, Heard, Record};
-use heathspur_members::State;
+use heathspur_members::state_record::{refuting_incarnation, StateRecord, UpdateEffect};
+use heathspur_members::MemberState;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 3;
@@ -20,7 +20,7 @@
     up: bool,
     incarnation: u64,
     /// What it holds of each; its own place stays empty.
-    view: [Option<Record>; MEMBERS],
+    view: [Option<StateRecord>; MEMBERS],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -73,10 +73,10 @@
         self.nodes[from].up && self.nodes[to].up && side(from) == side(to)
     }
 
-    fn set(&mut self, by: usize, of: usize, to: Record) {
+    fn set(&mut self, by: usize, of: usize, to: StateRecord) {
         let before = self.nodes[by].view[of];
-        self.skipped |=
-            to.state == State::Dead && before.is_some_and(|b| b.state != State::Suspect);
+        self.skipped |= to.state == MemberState::Dead
+            && before.is_some_and(|b| b.state != MemberState::Suspect);
         self.back |= before.is_some_and(|b| to.incarnation < b.incarnation);
         self.nodes[by].view[of] = Some(to);
     }
@@ -89,15 +89,15 @@
             return;
         };
         if mutant == Mutant::NoSuspicion {
-            suspected.state = State::Dead;
+            suspected.state = MemberState::Dead;
         }
         self.set(by, of, suspected);
     }
 
-    fn hear(&mut self, by: usize, of: usize, said: Record, mutant: Mutant) {
+    fn hear(&mut self, by: usize, of: usize, said: StateRecord, mutant: Mutant) {
         if by == of {
             let node = &mut self.nodes[by];
-            match refute(node.incarnation, said) {
+            match refuting_incarnation(node.incarnation, said) {
                 Some(_) if mutant == Mutant::NoRefutation => {}
                 Some(higher) => node.incarnation = higher,
                 None => {}
@@ -107,21 +107,21 @@
         let Some(known) = self.nodes[by].view[of] else {
             // A newcomer; the dead are none.
             if said.state.live() {
-                self.nodes[by].view[of] = Some(Record {
-                    state: State::Alive,
+                self.nodes[by].view[of] = Some(StateRecord {
+                    state: MemberState::Alive,
                     ..said
                 });
             }
             return;
         };
-        match known.hear(said) {
-            Heard::Alive => self.set(by, of, said),
-            Heard::Accused { convicted: true } if mutant == Mutant::DeathOverrides => {
-                self.set(by, of, said)
-            }
-            Heard::Accused { .. } => self.accuse(by, of, said.incarnation, mutant),
-            Heard::Left => self.set(by, of, said),
-            Heard::Same | Heard::Stale => {}
+        match known.effect_of(said) {
+            UpdateEffect::Alive => self.set(by, of, said),
+            UpdateEffect::Accused {
+                declared_dead: true,
+            } if mutant == Mutant::DeathOverrides => self.set(by, of, said),
+            UpdateEffect::Accused { .. } => self.accuse(by, of, said.incarnation, mutant),
+            UpdateEffect::Left => self.set(by, of, said),
+            UpdateEffect::Unchanged | UpdateEffect::Stale => {}
         }
     }
 
@@ -139,8 +139,8 @@
         self.hear(
             to,
             from,
-            Record {
-                state: State::Alive,
+            StateRecord {
+                state: MemberState::Alive,
                 incarnation,
             },
             mutant,
@@ -161,7 +161,7 @@
         let suspects: Vec<(usize, usize)> = pairs()
             .filter(|&(by, of)| {
                 self.nodes[by].up
-                    && self.nodes[by].view[of].is_some_and(|r| r.state == State::Suspect)
+                    && self.nodes[by].view[of].is_some_and(|r| r.state == MemberState::Suspect)
             })
             .collect();
         for (by, of) in pairs() {
@@ -179,7 +179,7 @@
             }
         }
         for (by, of) in suspects {
-            if let Some(dead) = self.nodes[by].view[of].and_then(Record::expire) {
+            if let Some(dead) = self.nodes[by].view[of].and_then(StateRecord::expire) {
                 self.set(by, of, dead);
             }
         }
@@ -193,8 +193,8 @@
                 let held = self.nodes[by].view[of].filter(|r| r.state.live());
                 match self.nodes[of].up {
                     true => {
-                        held == Some(Record {
-                            state: State::Alive,
+                        held == Some(StateRecord {
+                            state: MemberState::Alive,
                             incarnation: self.nodes[of].incarnation,
                         })
                     }
@@ -217,8 +217,8 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let alive = Record {
-            state: State::Alive,
+        let alive = StateRecord {
+            state: MemberState::Alive,
             incarnation: 1,
         };
         let nodes = std::array::from_fn(|i| Node {
@@ -253,10 +253,10 @@
         for (by, of) in pairs().filter(|(by, _)| state.nodes[*by].up) {
             match state.nodes[by].view[of].map(|r| r.state) {
                 // Loss makes anyone miss a probe, but counts as a fault where the member would have answered.
-                Some(State::Alive) if !state.reaches(by, of) || may_fail => {
+                Some(MemberState::Alive) if !state.reaches(by, of) || may_fail => {
                     moves.push(Move::Miss(by, of))
                 }
-                Some(State::Suspect) => moves.push(Move::Expire(by, of)),
+                Some(MemberState::Suspect) => moves.push(Move::Expire(by, of)),
                 _ => {}
             }
             if state.told(by, self.mutant).contains(&of) {
@@ -328,7 +328,8 @@
             ),
             Property::sometimes("the others hold a crashed one dead", |_, s: &Fleet| {
                 !s.nodes[2].up
-                    && (0..2).all(|by| s.nodes[by].view[2].is_some_and(|r| r.state == State::Dead))
+                    && (0..2)
+                        .all(|by| s.nodes[by].view[2].is_some_and(|r| r.state == MemberState::Dead))
             }),
         ]
     }
--- a/crates/heathspur-members/tests/wire_format.rs
+++ b/crates/heathspur-members/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! The bytes of every kind of datagram, recorded once: members of different builds share a fleet, so none may change.
 
-use heathspur_members::wire::{self, Ask, Body, Envelope, Row, Seen, Update};
-use heathspur_members::{Id, Load, Member, State};
+use heathspur_members::wire::{self, Body, Envelope, Update, ViewRequest, ViewResponse, ViewRow};
+use heathspur_members::{Load, Member, MemberId, MemberState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// One datagram of a kind, and the bytes that it has on the wire.
@@ -11,8 +11,8 @@
     hex: &'static str,
 }
 
-fn id(name: &str) -> Id {
-    Id(name.to_string())
+fn id(name: &str) -> MemberId {
+    MemberId(name.to_string())
 }
 
 /// A member whose load, lag and zone decision all differ from their defaults.
@@ -25,13 +25,13 @@
         version: 1_002_003,
         load: Load {
             in_flight: 7,
-            cap: 300,
-            refusals: 5,
+            concurrency_limit: 300,
+            rejections_per_second: 5,
         },
-        lag_ms: 150,
-        epoch: 70_000,
-        near: 4,
-        wants: 0,
+        usual_round_trip_ms: 150,
+        decision_epoch: 70_000,
+        local_traffic_tenths: 4,
+        preferred_tenths: 0,
     }
 }
 
@@ -43,18 +43,18 @@
         region: String::new(),
         version: 1,
         load: Load::default(),
-        lag_ms: 0,
-        epoch: 0,
-        near: 10,
-        wants: 10,
+        usual_round_trip_ms: 0,
+        decision_epoch: 0,
+        local_traffic_tenths: 10,
+        preferred_tenths: 10,
     }
 }
 
-fn update(state: State, by: Option<Id>, member: Member) -> Update {
+fn update(state: MemberState, accuser: Option<MemberId>, member: Member) -> Update {
     Update {
         state,
         incarnation: 1_700_000_000_000,
-        by,
+        accuser,
         member,
     }
 }
@@ -69,37 +69,37 @@
 
 fn recorded() -> Vec<Recorded> {
     let ping = Body::Ping {
-        seq: 300,
+        sequence: 300,
         target: id("m2"),
     };
     let ping_req = Body::PingReq {
-        seq: 301,
+        sequence: 301,
         target: id("m2"),
         address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 2), 7946),
     };
     let gossip_updates = vec![
-        update(State::Alive, None, member_without_decision()),
-        update(State::Suspect, Some(id("m3")), member_with_decision()),
-        update(State::Dead, Some(id("m1")), member_with_decision()),
-        update(State::Left, None, member_with_decision()),
+        update(MemberState::Alive, None, member_without_decision()),
+        update(MemberState::Suspect, Some(id("m3")), member_with_decision()),
+        update(MemberState::Dead, Some(id("m1")), member_with_decision()),
+        update(MemberState::Left, None, member_with_decision()),
     ];
-    let ask = Body::Ask(Ask {
-        seq: 9,
+    let ask = Body::ViewRequest(ViewRequest {
+        sequence: 9,
         after: Some(id("m1")),
         padding: vec![0; 4],
     });
-    let seen = Body::Seen(Seen {
-        seq: 9,
+    let seen = Body::ViewResponse(ViewResponse {
+        sequence: 9,
         version: 1_000,
         members: 60,
-        awareness: 2,
+        local_health: 2,
         refused: 400,
         more: true,
-        rows: vec![Row {
+        rows: vec![ViewRow {
             member: member_with_decision(),
-            state: State::Suspect,
+            state: MemberState::Suspect,
             incarnation: 17,
-            for_ms: 2_500,
+            in_state_ms: 2_500,
         }],
     });
     vec![
@@ -107,33 +107,33 @@
             kind: "ping",
             envelope: datagram(
                 ping,
-                vec![update(State::Alive, None, member_without_decision())],
+                vec![update(MemberState::Alive, None, member_without_decision())],
             ),
             hex: "686d02026d3100ac02026d32010080d095ffbc3100026d317f000001d83600000100000000000a0a",
         },
         Recorded {
-            kind: "indirect ping request",
+            kind: "indirect_probes ping request",
             envelope: datagram(ping_req, vec![]),
             hex: "686d02026d3101ad02026d320a0001028a3e00",
         },
         Recorded {
             kind: "ack",
             envelope: datagram(
-                Body::Ack { seq: 300 },
-                vec![update(State::Alive, None, member_with_decision())],
+                Body::Ack { sequence: 300 },
+                vec![update(MemberState::Alive, None, member_with_decision())],
             ),
             hex: "686d02026d3102ac02010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
         },
         Recorded {
             kind: "nack",
-            envelope: datagram(Body::Nack { seq: 301 }, vec![]),
+            envelope: datagram(Body::Nack { sequence: 301 }, vec![]),
             hex: "686d02026d3103ad0200",
         },
         Recorded {
             kind: "push-pull that asks for a reply",
             envelope: datagram(
                 Body::PushPull { reply: true },
-                vec![update(State::Alive, None, member_with_decision())],
+                vec![update(MemberState::Alive, None, member_with_decision())],
             ),
             hex: "686d02026d310401010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
         },
@@ -199,14 +199,14 @@
 
 #[test]
 fn the_record_of_a_zone_decision_keeps_its_place_at_the_end_of_a_member() {
-    let with = |epoch, near, wants| {
+    let with = |decision_epoch, local_traffic_tenths, preferred_tenths| {
         let member = Member {
-            epoch,
-            near,
-            wants,
+            decision_epoch,
+            local_traffic_tenths,
+            preferred_tenths,
             ..member_without_decision()
         };
-        let gossip = datagram(Body::Gossip, vec![update(State::Alive, None, member)]);
+        let gossip = datagram(Body::Gossip, vec![update(MemberState::Alive, None, member)]);
         to_hex(&wire::encode(&gossip).unwrap())
     };
     // Epoch as a variable-length integer, then the accepted and the preferred level, a byte each.
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -3,8 +3,10 @@
 use crate::given::Fault;
 use crate::table::plain;
 use clap::Args;
-use heathspur_members::wire::{self, Ask, Body, Envelope, Row, Seen, LARGEST};
-use heathspur_members::Id;
+use heathspur_members::wire::{
+    self, Body, Envelope, ViewRequest, ViewResponse, ViewRow, MAX_DATAGRAM_BYTES,
+};
+use heathspur_members::MemberId;
 use serde_json::json;
 use std::io;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -28,9 +30,9 @@
 
 /// A whole view, put together from its parts.
 struct Whole {
-    from: Id,
-    head: Seen,
-    rows: Vec<Row>,
+    from: MemberId,
+    head: ViewResponse,
+    rows: Vec<ViewRow>,
 }
 
 /// Asks for the view and prints it.
@@ -54,12 +56,12 @@
 fn ask(address: SocketAddrV4, wait: Duration) -> io::Result<Whole> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.connect(address)?;
-    let mut rows: Vec<Row> = Vec::new();
-    let mut seq = 0;
+    let mut rows: Vec<ViewRow> = Vec::new();
+    let mut sequence = 0;
     loop {
-        seq += 1;
+        sequence += 1;
         let after = rows.last().map(|row| row.member.id.clone());
-        let (from, seen) = part(&socket, seq, after, wait)?;
+        let (from, seen) = part(&socket, sequence, after, wait)?;
         // A view that shrinks or grows meanwhile still ends: ids only rise.
         let more = seen.more && !seen.rows.is_empty();
         let mut head = seen.clone();
@@ -72,26 +74,31 @@
 }
 
 /// One part of the view, as long as a datagram may be.
-fn part(socket: &UdpSocket, seq: u32, after: Option<Id>, wait: Duration) -> io::Result<(Id, Seen)> {
+fn part(
+    socket: &UdpSocket,
+    sequence: u32,
+    after: Option<MemberId>,
+    wait: Duration,
+) -> io::Result<(MemberId, ViewResponse)> {
     let mut ask = Envelope {
-        from: Id("heathspurctl".into()),
-        body: Body::Ask(Ask {
-            seq,
+        from: MemberId("heathspurctl".into()),
+        body: Body::ViewRequest(ViewRequest {
+            sequence,
             after: after.clone(),
             padding: Vec::new(),
         }),
         updates: Vec::new(),
     };
     // The padding's own length takes two bytes instead of one.
-    let padding = vec![0; LARGEST - wire::encoded_len(&ask) - 1];
-    ask.body = Body::Ask(Ask {
-        seq,
+    let padding = vec![0; MAX_DATAGRAM_BYTES - wire::encoded_len(&ask) - 1];
+    ask.body = Body::ViewRequest(ViewRequest {
+        sequence,
         after,
         padding,
     });
     let question =
         wire::encode(&ask).ok_or_else(|| io::Error::other("the question is too long"))?;
-    let mut buffer = vec![0; LARGEST + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     let mut last = io::Error::new(io::ErrorKind::TimedOut, "no answer");
     for _ in 0..TRIES {
         socket.send(&question)?;
@@ -105,12 +112,12 @@
                 Ok(len) => match wire::decode(&buffer[..len]) {
                     Ok(Envelope {
                         from,
-                        body: Body::Seen(seen),
+                        body: Body::ViewResponse(seen),
                         ..
-                    }) if seen.seq == seq => {
+                    }) if seen.sequence == sequence => {
                         return Ok((from, seen));
                     }
-                    Err(wire::Refusal::Version) => {
+                    Err(wire::DecodeError::Version) => {
                         return Err(io::Error::other(
                             "it speaks another version of the protocol",
                         ));
@@ -140,15 +147,15 @@
         .map(|row| {
             let (m, load) = (&row.member, row.member.load);
             json!({
-                "id": m.id.0, "state": row.state.word(), "incarnation": row.incarnation, "for_ms": row.for_ms,
+                "id": m.id.0, "state": row.state.as_str(), "incarnation": row.incarnation, "for_ms": row.in_state_ms,
                 "address": m.address, "zone": m.zone, "region": m.region, "version": m.version,
-                "in_flight": load.in_flight, "cap": load.cap, "refusals_per_s": load.refusals, "lag_ms": m.lag_ms, "epoch": m.epoch, "near": m.near, "wants": m.wants,
+                "in_flight": load.in_flight, "cap": load.concurrency_limit, "refusals_per_s": load.rejections_per_second, "lag_ms": m.usual_round_trip_ms, "epoch": m.decision_epoch, "near": m.local_traffic_tenths, "wants": m.preferred_tenths,
             })
         })
         .collect();
     let head = &whole.head;
     let all = json!({
-        "member": whole.from.0, "view": head.version, "awareness": head.awareness, "refused": head.refused,
+        "member": whole.from.0, "view": head.version, "awareness": head.local_health, "refused": head.refused,
         "members": rows,
     });
     println!("{all:#}");
@@ -158,7 +165,7 @@
     let head = &whole.head;
     println!(
         "view {} of {}: {} members, local health {} (0 is healthy), {} datagrams or updates refused",
-        head.version, whole.from, head.members, head.awareness, head.refused
+        head.version, whole.from, head.members, head.local_health, head.refused
     );
     let mut table = plain();
     let names = [
@@ -180,15 +187,20 @@
     table.set_header(names);
     for row in &whole.rows {
         let (m, load) = (&row.member, row.member.load);
-        let since = match row.for_ms {
+        let since = match row.in_state_ms {
             0 => "-".to_string(),
             ms => format!("{:.1} s", ms as f64 / 1e3),
         };
-        let numbers = [load.in_flight, load.cap, load.refusals].map(|n| n.to_string());
+        let numbers = [
+            load.in_flight,
+            load.concurrency_limit,
+            load.rejections_per_second,
+        ]
+        .map(|n| n.to_string());
         let [in_flight, cap, refusals] = numbers;
         table.add_row([
             m.id.to_string(),
-            row.state.word().to_string(),
+            row.state.as_str().to_string(),
             since,
             row.incarnation.to_string(),
             m.address.to_string(),
@@ -198,9 +210,12 @@
             in_flight,
             cap,
             refusals,
-            format!("{} ms", m.lag_ms),
-            m.epoch.to_string(),
-            format!("{}/10, wants {}", m.near, m.wants),
+            format!("{} ms", m.usual_round_trip_ms),
+            m.decision_epoch.to_string(),
+            format!(
+                "{}/10, wants {}",
+                m.local_traffic_tenths, m.preferred_tenths
+            ),
         ]);
     }
     println!("{table}");
--- a/crates/heathspurd/src/event_loop/state.rs
+++ b/crates/heathspurd/src/event_loop/state.rs
@@ -5,7 +5,7 @@
 use crate::event_loop::request_table::Table;
 use crate::frontend::Desk;
 use crate::idempotency::Keys;
-use crate::membership::Handle;
+use crate::membership::MembershipHandle;
 use crate::peers::connection::Target;
 use crate::peers::interpreter;
 use crate::peers::registration;
@@ -58,7 +58,7 @@
     pub call_timers: BTreeSet<(Time, RequestId)>,
     pub next_call: u64,
     /// Where the fleet's view is kept: what others are told of this server.
-    pub members: Option<Handle>,
+    pub members: Option<MembershipHandle>,
     /// What the operators ask for.
     pub notices: Rc<Notices>,
     pub events: Vec<Event>,
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -124,13 +124,15 @@
                 peers.ways = Some(ways);
                 decider
             });
-            Some(membership::Membership::start(members, decider).map_err(Fault::Members)?)
+            Some(membership::MembershipThread::start(members, decider).map_err(Fault::Members)?)
         }
         None => None,
     };
     let tap = recording.as_ref().map(|recording| recording.tap.clone());
     let executor = Rc::new(LocalExecutor::new());
-    peers.members = membership.as_ref().map(membership::Membership::handle);
+    peers.members = membership
+        .as_ref()
+        .map(membership::MembershipThread::handle);
     let serving = serve::serve(executor.clone(), config, listeners, signals, tap, peers);
     let served = async_io::block_on(executor.run(serving));
     // What streams are left hold the tap.
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -9,7 +9,7 @@
 use heathspur_failover::pick::Picker;
 use heathspur_failover::register::{Decision, Pace, Voice};
 use heathspur_failover::zone::{Failover, Peer, Plan};
-use heathspur_members::{Stand, State, View};
+use heathspur_members::{MemberState, View, ZoneVote};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -101,7 +101,7 @@
     }
 
     /// Steps on with the view as it is; what is to be said of it to others.
-    pub(crate) fn step(&mut self, view: &View, me: &str) -> Stand {
+    pub(crate) fn step(&mut self, view: &View, me: &str) -> ZoneVote {
         let now = Instant::now();
         let elapsed = now.duration_since(self.stepped).as_millis() as u32;
         self.stepped += Duration::from_millis(u64::from(elapsed));
@@ -116,19 +116,19 @@
         let others = view
             .members
             .iter()
-            .filter(|(m, state, _)| m.id.0 != me && *state != State::Left);
+            .filter(|(m, state, _)| m.id.0 != me && *state != MemberState::Left);
         let peers: Vec<Peer> = others
             .map(|(m, state, _)| Peer {
                 zone: m.zone.clone(),
                 region: m.region.clone(),
                 live: state.live(),
-                load: (m.load.cap, m.load.in_flight),
+                load: (m.load.concurrency_limit, m.load.in_flight),
                 voice: Voice {
                     held: Decision {
-                        epoch: m.epoch,
-                        near: m.near,
+                        epoch: m.decision_epoch,
+                        near: m.local_traffic_tenths,
                     },
-                    wants: m.wants,
+                    wants: m.preferred_tenths,
                 },
             })
             .collect();
@@ -158,10 +158,10 @@
                 .expect("nobody panics while it is held") = Arc::new(step.plan);
             self.shared.version.fetch_add(1, Ordering::Release);
         }
-        Stand {
-            epoch: step.voice.held.epoch,
-            near: step.voice.held.near,
-            wants: step.voice.wants,
+        ZoneVote {
+            decision_epoch: step.voice.held.epoch,
+            local_traffic_tenths: step.voice.held.near,
+            preferred_tenths: step.voice.wants,
         }
     }
 
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -10,7 +10,9 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use heathspur_config::Members as Operated;
-use heathspur_members::{wire, Action, Event, Id, Load, Member, Members, Settings, State};
+use heathspur_members::{
+    wire, Action, Event, Load, Member, MemberId, MemberState, Membership, Settings,
+};
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -36,12 +38,12 @@
 }
 
 /// The owner's end.
-pub(crate) struct Handle {
+pub(crate) struct MembershipHandle {
     gauge: Arc<Gauge>,
     tell: Sender<Told>,
 }
 
-impl Handle {
+impl MembershipHandle {
     /// Requests in flight and the module's cap, as they are now.
     pub(crate) fn load(&self, in_flight: usize, cap: f64) {
         self.gauge
@@ -71,7 +73,7 @@
 }
 
 /// The running membership: its thread, and how to tell it what is to come.
-pub(crate) struct Membership {
+pub(crate) struct MembershipThread {
     gauge: Arc<Gauge>,
     tell: Sender<Told>,
     thread: Option<JoinHandle<()>>,
@@ -115,9 +117,12 @@
         .map_or(1, |d| d.as_millis() as u64)
 }
 
-impl Membership {
+impl MembershipThread {
     /// Binds the socket and starts the thread.
-    pub(crate) fn start(operated: &Operated, decider: Option<Decider>) -> io::Result<Membership> {
+    pub(crate) fn start(
+        operated: &Operated,
+        decider: Option<Decider>,
+    ) -> io::Result<MembershipThread> {
         let invalid = |what: &str| io::Error::new(io::ErrorKind::InvalidInput, what.to_string());
         let settings = settings(operated);
         settings.check().map_err(|e| invalid(&e.to_string()))?;
@@ -126,20 +131,20 @@
         let seeds = operated.seed.iter().filter_map(|s| v4(s.address)).collect();
         let socket = UdpSocket::bind(operated.listen)?;
         let me = Member {
-            id: Id(operated.id.clone()),
+            id: MemberId(operated.id.clone()),
             address: advertise,
             zone: operated.zone.clone(),
             region: operated.region.clone(),
             version: program_version(),
             load: Load::default(),
-            lag_ms: 0,
-            epoch: 0,
-            near: 10,
-            wants: 10,
+            usual_round_trip_ms: 0,
+            decision_epoch: 0,
+            local_traffic_tenths: 10,
+            preferred_tenths: 10,
         };
         let incarnation = first_incarnation();
         let tick = TICK.min(operated.period.0 / 10);
-        let core = Members::new(
+        let core = Membership::new(
             settings,
             me,
             incarnation,
@@ -168,7 +173,7 @@
                     warn!(error = %e, "members: stopped: {e}");
                 }
             })?;
-        Ok(Membership {
+        Ok(MembershipThread {
             gauge,
             tell,
             thread: Some(thread),
@@ -176,8 +181,8 @@
     }
 
     /// The end for the owner.
-    pub(crate) fn handle(&self) -> Handle {
-        Handle {
+    pub(crate) fn handle(&self) -> MembershipHandle {
+        MembershipHandle {
             gauge: self.gauge.clone(),
             tell: self.tell.clone(),
         }
@@ -200,7 +205,7 @@
 
 /// What the thread owns.
 struct Keeper {
-    core: Members,
+    core: Membership,
     gauge: Arc<Gauge>,
     told: Receiver<Told>,
     tick: Duration,
@@ -215,7 +220,7 @@
 
     async fn run(mut self, socket: UdpSocket) -> io::Result<()> {
         let socket = Async::new(socket)?;
-        let mut buffer = vec![0u8; wire::LARGEST + 1];
+        let mut buffer = vec![0u8; wire::MAX_DATAGRAM_BYTES + 1];
         let mut out = Vec::new();
         self.core.handle(self.now(), Event::Join, &mut out);
         let (mut left, mut stop) = (None, None);
@@ -265,7 +270,7 @@
                 if let Some(decider) = self.decider.as_mut().filter(|decider| decider.is_due(now)) {
                     let view = self.core.view();
                     let stand = decider.step(&view, self.core.id());
-                    self.core.set_stand(stand, &mut out);
+                    self.core.set_zone_vote(stand, &mut out);
                 }
             }
             for action in out.drain(..) {
@@ -287,8 +292,8 @@
         }
         let load = Load {
             in_flight: self.gauge.in_flight.load(Ordering::Relaxed),
-            cap: self.gauge.cap.load(Ordering::Relaxed),
-            refusals: counted.2,
+            concurrency_limit: self.gauge.cap.load(Ordering::Relaxed),
+            rejections_per_second: counted.2,
         };
         self.core.set_load(load);
     }
@@ -300,17 +305,19 @@
         Action::Send { to, bytes } => {
             let _ = socket.send_to(&bytes, to).await;
         }
-        Action::Changed {
+        Action::StateChanged {
             id,
             to,
             incarnation,
             cause,
         } => {
-            let state = to.map_or("gone", State::word);
-            info!(member = %id, state, incarnation, cause = cause.word(), "members: {id} is {state} at incarnation {incarnation}, {}", cause.word());
+            let state = to.map_or("gone", MemberState::as_str);
+            info!(member = %id, state, incarnation, cause = cause.as_str(), "members: {id} is {state} at incarnation {incarnation}, {}", cause.as_str());
         }
-        Action::Incarnation(incarnation) => info!(incarnation, "members: own incarnation raised"),
-        Action::Refused(told) => {
+        Action::IncarnationRaised(incarnation) => {
+            info!(incarnation, "members: own incarnation raised")
+        }
+        Action::InputRejected(told) => {
             let sender = told.last_sender.map(|s| s.to_string()).unwrap_or_default();
             let c = told.counts;
             warn!(
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::frontend::{Desk, Front};
 use crate::idempotency::Keys;
 use crate::membership::failover::Ways;
-use crate::membership::Handle;
+use crate::membership::MembershipHandle;
 use crate::peers::connection::Target;
 use crate::peers::interpreter;
 use crate::peers::registration;
@@ -66,7 +66,7 @@
 /// What the fleet's view and failover give the owner, where they are on.
 #[derive(Default)]
 pub(crate) struct Peers {
-    pub members: Option<Handle>,
+    pub members: Option<MembershipHandle>,
     pub ways: Option<Ways>,
 }
 
