--- a/crates/heathspur-failover/src/lib.rs
+++ b/crates/heathspur-failover/src/lib.rs
@@ -8,12 +8,12 @@
 //! Levels are tenths of a zone's own traffic that stay near, 0 to 10. Times are milliseconds that passed.
 #![forbid(unsafe_code)]
 
-pub mod health;
-pub mod pick;
-pub mod register;
-pub mod shares;
-pub mod spare;
-pub mod zone;
+pub mod call_budget;
+pub mod decision_register;
+pub mod replica_health;
+pub mod replica_picker;
+pub mod traffic_split;
+pub mod zone_failover;
 
 /// All traffic stays near.
-pub const WHOLE: u8 = 10;
+pub const ALL_TRAFFIC_TENTHS: u8 = 10;
--- a/crates/heathspur-failover/src/zone.rs
+++ b/crates/heathspur-failover/src/zone_failover.rs
@@ -1,9 +1,9 @@
 //! One instance's failover as a whole: calls and checks in, what its zone says of itself in, shares and budgets out.
 
-use crate::health::Health;
-use crate::register::{Decision, Pace, Register, Voice};
-use crate::shares::{shares, Other};
-use crate::spare::spare;
+use crate::call_budget::spare_capacity;
+use crate::decision_register::{Ballot, Decision, DecisionRegister, Hysteresis};
+use crate::replica_health::ReplicaHealth;
+use crate::traffic_split::{split_traffic, RemoteZone};
 
 /// Another member, as the fleet's view has it. Those that left are not among them.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,31 +17,31 @@
     /// The cap of its admission, and its requests in flight.
     pub load: (u32, u32),
     /// What it holds and wants.
-    pub voice: Voice,
+    pub ballot: Ballot,
 }
 
 /// What an instance goes by until the next one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct RoutingPlan {
     /// Parts of its calls by replica, in thousandths.
     pub shares: Vec<u16>,
     /// Calls that it may have under way to each replica that is not its own zone's.
-    pub may: Vec<u32>,
+    pub call_limits: Vec<u32>,
 }
 
 /// What a step came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct StepOutcome {
     /// What the zone holds from now on, if that changed.
-    pub decided: Option<Decision>,
+    pub new_decision: Option<Decision>,
     /// What is to be said to others.
-    pub voice: Voice,
+    pub ballot: Ballot,
     /// Whether this instance hears no quorum and moves only itself.
-    pub alone: bool,
+    pub without_quorum: bool,
     /// How calls go from now on.
-    pub plan: Plan,
+    pub plan: RoutingPlan,
     /// The own zone's replica gets no calls that would tell of it: it is to be checked.
-    pub check: bool,
+    pub needs_check: bool,
 }
 
 /// The failover of one instance.
@@ -51,102 +51,112 @@
     zones: Vec<String>,
     home: usize,
     region: String,
-    health: Health,
-    register: Register,
+    health: ReplicaHealth,
+    register: DecisionRegister,
 }
 
 impl Failover {
     /// All near, nothing decided. `home` is the place of the own zone among the zones with a replica.
-    pub fn new(zones: Vec<String>, home: usize, region: String, pace: Pace) -> Failover {
+    pub fn new(
+        zones: Vec<String>,
+        home: usize,
+        region: String,
+        hysteresis: Hysteresis,
+    ) -> Failover {
         Failover {
             zones,
             home,
             region,
-            health: Health::default(),
-            register: Register::new(pace),
+            health: ReplicaHealth::default(),
+            register: DecisionRegister::new(hysteresis),
         }
     }
 
     /// Calls to the own zone's replica that ended since: well, with the natural logarithms of their times in
     /// milliseconds summed, or not.
-    pub fn called(&mut self, good: u32, bad: u32, took_ln: f64) {
-        self.health.called(f64::from(good), f64::from(bad), took_ln);
+    pub fn record_calls(&mut self, succeeded: u32, failed: u32, latency_ln_sum: f64) {
+        self.health
+            .record_calls(f64::from(succeeded), f64::from(failed), latency_ln_sum);
     }
 
     /// A check of the own zone's replica ended.
-    pub fn checked(&mut self, good: bool) {
-        self.health.checked(good);
+    pub fn record_check(&mut self, succeeded: bool) {
+        self.health.record_check(succeeded);
     }
 
     /// So many milliseconds passed, and the other members are these.
-    pub fn step(&mut self, elapsed_ms: u32, peers: &[Peer]) -> Step {
-        self.health.pass(u64::from(elapsed_ms));
-        let mine = |peer: &&Peer| peer.zone == self.zones[self.home];
-        let voices: Vec<Voice> = peers
+    pub fn step(&mut self, elapsed_ms: u32, peers: &[Peer]) -> StepOutcome {
+        self.health.advance(u64::from(elapsed_ms));
+        let same_zone = |peer: &&Peer| peer.zone == self.zones[self.home];
+        let ballots: Vec<Ballot> = peers
             .iter()
-            .filter(mine)
+            .filter(same_zone)
             .filter(|p| p.live)
-            .map(|p| p.voice)
+            .map(|p| p.ballot)
             .collect();
-        let zone = 1 + peers.iter().filter(mine).count();
-        let decided = self
+        let zone = 1 + peers.iter().filter(same_zone).count();
+        let new_decision = self
             .register
-            .step(elapsed_ms, self.health.level(), &voices, zone);
-        let near = self.register.near();
-        let check = near < crate::WHOLE || self.register.voice().wants < crate::WHOLE;
-        Step {
-            decided,
-            voice: self.register.voice(),
-            alone: self.register.alone(),
-            plan: self.plan(near, peers),
-            check,
+            .step(elapsed_ms, self.health.level(), &ballots, zone);
+        let local_traffic_tenths = self.register.local_traffic_tenths();
+        let needs_check = local_traffic_tenths < crate::ALL_TRAFFIC_TENTHS
+            || self.register.ballot().preferred < crate::ALL_TRAFFIC_TENTHS;
+        StepOutcome {
+            new_decision,
+            ballot: self.register.ballot(),
+            without_quorum: self.register.without_quorum(),
+            plan: self.plan(local_traffic_tenths, peers),
+            needs_check,
         }
     }
 
-    fn plan(&self, near: u8, peers: &[Peer]) -> Plan {
+    fn plan(&self, local_traffic_tenths: u8, peers: &[Peer]) -> RoutingPlan {
         let live = || peers.iter().filter(|p| p.live);
-        let others: Vec<Other> = (0..self.zones.len())
+        let others: Vec<RemoteZone> = (0..self.zones.len())
             .filter(|&z| z != self.home)
             .map(|z| {
                 let members = || live().filter(|p| p.zone == self.zones[z]);
-                Other {
+                RemoteZone {
                     zone: self.zones[z].clone(),
                     same_region: members().any(|p| p.region == self.region),
-                    spare: spare(members().map(|p| p.load)),
+                    spare_capacity: spare_capacity(members().map(|p| p.load)),
                     // The newest decision that any of its members holds.
-                    near: members()
-                        .map(|p| p.voice.held)
-                        .reduce(|a, b| if b.replaces(a) { b } else { a })
-                        .map_or(0, |held| held.near),
+                    local_traffic_tenths: members()
+                        .map(|p| p.ballot.accepted)
+                        .reduce(|a, b| if b.supersedes(a) { b } else { a })
+                        .map_or(0, |accepted| accepted.local_traffic_tenths),
                 }
             })
             .collect();
-        let told = shares(near, &others);
-        let mut plan = Plan {
+        let split = split_traffic(local_traffic_tenths, &others);
+        let mut plan = RoutingPlan {
             shares: vec![0; self.zones.len()],
-            may: vec![0; self.zones.len()],
+            call_limits: vec![0; self.zones.len()],
         };
-        plan.shares[self.home] = told.near;
+        plan.shares[self.home] = split.local_thousandths;
         for (z, name) in self
             .zones
             .iter()
             .enumerate()
             .filter(|(z, _)| *z != self.home)
         {
-            plan.shares[z] = told
-                .far
+            plan.shares[z] = split
+                .remote
                 .iter()
                 .find(|(zone, _)| zone == name)
                 .map_or(0, |(_, part)| *part);
             // All who moved may send there, this one too.
             let senders = 1 + live()
-                .filter(|p| p.zone != *name && p.voice.held.near < crate::WHOLE)
+                .filter(|p| {
+                    p.zone != *name
+                        && p.ballot.accepted.local_traffic_tenths < crate::ALL_TRAFFIC_TENTHS
+                })
                 .count();
             let room = others
                 .iter()
                 .find(|o| o.zone == *name)
-                .map_or(0, |o| o.spare);
-            plan.may[z] = room / senders as u32;
+                .map_or(0, |o| o.spare_capacity);
+            plan.call_limits[z] = room / senders as u32;
         }
         plan
     }
--- a/crates/heathspur-failover/tests/model.rs
+++ b/crates/heathspur-failover/tests/model.rs
@@ -4,34 +4,34 @@
 //!
 //! The mutants take out one part each; every one has to be found.
 
-use heathspur_failover::register::{Decision, Pace, Register, Voice};
-use heathspur_failover::spare::Budget;
-use heathspur_failover::WHOLE;
+use heathspur_failover::call_budget::CallBudget;
+use heathspur_failover::decision_register::{Ballot, Decision, DecisionRegister, Hysteresis};
+use heathspur_failover::ALL_TRAFFIC_TENTHS;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const ZONES: usize = 2;
 const EACH: usize = 2;
 const ALL: usize = ZONES * EACH;
-const PACE: Pace = Pace {
-    dwell: 3,
-    leave: 1,
-    back: 2,
-    band: 2,
+const HYSTERESIS: Hysteresis = Hysteresis {
+    minimum_hold_ms: 3,
+    failover_delay_ms: 1,
+    recovery_delay_ms: 2,
+    dead_band_tenths: 2,
 };
 /// Replicas that change and instances that are cut off, in one history.
 const FAULTS: u8 = 3;
 /// Steps without a fault after which all instances of a zone hold what is right.
-const CALM: u32 = PACE.dwell + PACE.back + 3;
+const CALM: u32 = HYSTERESIS.minimum_hold_ms + HYSTERESIS.recovery_delay_ms + 3;
 /// What each zone has spare for others.
 const SPARE: u32 = 2;
 const HIGHEST: u64 = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Instance {
-    register: Register,
+    register: DecisionRegister,
     /// What its partner said last.
-    heard: Voice,
-    budget: Budget,
+    heard: Ballot,
+    budget: CallBudget,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -89,35 +89,39 @@
         let newest = |fleet: &Fleet, z: usize| {
             (0..ALL)
                 .filter(|&i| zone(i) == z)
-                .map(|i| fleet.instances[i].register.held().epoch)
+                .map(|i| fleet.instances[i].register.accepted().epoch)
                 .max()
         };
         let before: Vec<_> = (0..ZONES).map(|z| newest(self, z)).collect();
         for i in 0..ALL {
             let apart = self.apart == Some(i);
-            let sight = if apart || !self.up[zone(i)] { 0 } else { WHOLE };
+            let sight = if apart || !self.up[zone(i)] {
+                0
+            } else {
+                ALL_TRAFFIC_TENTHS
+            };
             let hears = !apart && self.apart != Some(partner(i));
-            let mut voice = self.instances[i].heard;
+            let mut ballot = self.instances[i].heard;
             if mutant == Mutant::NotTakenOver {
-                voice.held = self.instances[i].register.held();
+                ballot.accepted = self.instances[i].register.accepted();
             }
-            let others: &[Voice] = if hears { &[voice] } else { &[] };
+            let others: &[Ballot] = if hears { &[ballot] } else { &[] };
             let known = if mutant == Mutant::NoQuorum { 1 } else { EACH };
             self.instances[i]
                 .register
                 .step(1, Some(sight), others, known);
         }
         for (z, before) in before.into_iter().enumerate() {
-            self.since[z] = (self.since[z] + 1).min(PACE.dwell);
+            self.since[z] = (self.since[z] + 1).min(HYSTERESIS.minimum_hold_ms);
             if newest(self, z) > before {
-                self.hasty |= self.since[z] < PACE.dwell;
+                self.hasty |= self.since[z] < HYSTERESIS.minimum_hold_ms;
                 self.since[z] = 0;
             }
         }
     }
 
     fn tell(&mut self, from: usize) {
-        self.instances[partner(from)].heard = self.instances[from].register.voice();
+        self.instances[partner(from)].heard = self.instances[from].register.ballot();
     }
 
     fn calm(&self, mutant: Mutant) -> Fleet {
@@ -136,25 +140,25 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let pace = match self.mutant {
-            Mutant::NoHysteresis => Pace {
-                dwell: 0,
-                back: 0,
-                ..PACE
+        let hysteresis = match self.mutant {
+            Mutant::NoHysteresis => Hysteresis {
+                minimum_hold_ms: 0,
+                recovery_delay_ms: 0,
+                ..HYSTERESIS
             },
-            _ => PACE,
+            _ => HYSTERESIS,
         };
-        let register = Register::new(pace);
+        let register = DecisionRegister::new(hysteresis);
         let senders = if self.mutant == Mutant::SpareNotShared {
             1
         } else {
             EACH
         };
         let instance = |i: usize| {
-            let mut budget = Budget::default();
+            let mut budget = CallBudget::default();
             budget.set([((1 - zone(i)).to_string(), SPARE, senders)].into_iter());
             Instance {
-                heard: register.voice(),
+                heard: register.ballot(),
                 register: register.clone(),
                 budget,
             }
@@ -165,7 +169,7 @@
             was_down: [false; ZONES],
             apart: None,
             faults: 0,
-            since: [PACE.dwell; ZONES],
+            since: [HYSTERESIS.minimum_hold_ms; ZONES],
             hasty: false,
         }]
     }
@@ -184,16 +188,19 @@
         }
         for i in 0..ALL {
             let parted = [Some(i), Some(partner(i))].contains(&state.apart);
-            if !parted && state.instances[partner(i)].heard != state.instances[i].register.voice() {
+            if !parted && state.instances[partner(i)].heard != state.instances[i].register.ballot()
+            {
                 moves.push(Move::Tell(i));
             }
             // What the first zone hands on shows all that the budget does.
-            if zone(i) == 0 && state.instances[i].register.near() < WHOLE {
+            if zone(i) == 0
+                && state.instances[i].register.local_traffic_tenths() < ALL_TRAFFIC_TENTHS
+            {
                 moves.push(Move::Hand(i));
             }
             if state.instances[i]
                 .budget
-                .under_way(&(1 - zone(i)).to_string())
+                .in_flight(&(1 - zone(i)).to_string())
                 > 0
             {
                 moves.push(Move::Done(i));
@@ -217,13 +224,16 @@
             }
             Move::Heal => state.apart = None,
             Move::Hand(i) => {
-                if !state.instances[i].budget.take(&(1 - zone(i)).to_string()) {
+                if !state.instances[i]
+                    .budget
+                    .try_acquire(&(1 - zone(i)).to_string())
+                {
                     return None;
                 }
             }
             Move::Done(i) => state.instances[i]
                 .budget
-                .give_back(&(1 - zone(i)).to_string()),
+                .release(&(1 - zone(i)).to_string()),
         }
         Some(state)
     }
@@ -232,7 +242,7 @@
         state
             .instances
             .iter()
-            .all(|i| i.register.held().epoch <= HIGHEST)
+            .all(|i| i.register.accepted().epoch <= HIGHEST)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -244,28 +254,28 @@
                     (0..ALL).all(|i| {
                         let (mine, other) =
                             (&calm.instances[i].register, &calm.instances[partner(i)].register);
-                        let right = if calm.up[zone(i)] { WHOLE } else { 0 };
-                        mine.held() == other.held() && mine.near() == right
+                        let right = if calm.up[zone(i)] { ALL_TRAFFIC_TENTHS } else { 0 };
+                        mine.accepted() == other.accepted() && mine.local_traffic_tenths() == right
                     })
                 },
             ),
             Property::always("rule: a zone whose replica never failed holds what it held", |_, s: &Fleet| {
-                (0..ALL).all(|i| s.was_down[zone(i)] || s.instances[i].register.held() == Decision::FIRST)
+                (0..ALL).all(|i| s.was_down[zone(i)] || s.instances[i].register.accepted() == Decision::FIRST)
             }),
             Property::always("rule: a decision stands for its dwell", |_, s: &Fleet| !s.hasty),
             Property::always("rule: no zone is handed more than it has spare", |_, s: &Fleet| {
                 let handed = |z: usize| -> u32 {
-                    s.instances.iter().map(|i| i.budget.under_way(&z.to_string())).sum()
+                    s.instances.iter().map(|i| i.budget.in_flight(&z.to_string())).sum()
                 };
                 (0..ZONES).all(|z| handed(z) <= SPARE)
             }),
             Property::sometimes("one that is cut off moves itself alone", |_, s: &Fleet| {
-                s.instances[0].register.near() == 0
-                    && s.instances[1].register.near() == WHOLE
+                s.instances[0].register.local_traffic_tenths() == 0
+                    && s.instances[1].register.local_traffic_tenths() == ALL_TRAFFIC_TENTHS
                     && s.apart == Some(0)
             }),
             Property::sometimes("a zone moves away and comes back", |_, s: &Fleet| {
-                (0..EACH).all(|i| s.instances[i].register.held() == Decision { epoch: 2, near: WHOLE })
+                (0..EACH).all(|i| s.instances[i].register.accepted() == Decision { epoch: 2, local_traffic_tenths: ALL_TRAFFIC_TENTHS })
             }),
         ]
     }
--- a/crates/heathspur-failover/tests/parts.rs
+++ b/crates/heathspur-failover/tests/parts.rs
@@ -1,44 +1,46 @@
 //! Sight, register, shares and budget, each by itself.
 
 use heathspur::Outcome;
-use heathspur_failover::health::{ln_ms, tells, Health, CHECKED};
-use heathspur_failover::pick::Picker;
-use heathspur_failover::register::{Decision, Pace, Register, Voice};
-use heathspur_failover::shares::{shares, Other};
-use heathspur_failover::spare::{spare, Budget};
-use heathspur_failover::zone::{Failover, Peer, Plan};
-use heathspur_failover::WHOLE;
+use heathspur_failover::call_budget::{spare_capacity, CallBudget};
+use heathspur_failover::decision_register::{Ballot, Decision, DecisionRegister, Hysteresis};
+use heathspur_failover::replica_health::{
+    call_succeeded, ln_latency_ms, ReplicaHealth, MAX_LEVEL_BY_CHECKS,
+};
+use heathspur_failover::replica_picker::ReplicaPicker;
+use heathspur_failover::traffic_split::{split_traffic, RemoteZone};
+use heathspur_failover::zone_failover::{Failover, Peer, RoutingPlan};
+use heathspur_failover::ALL_TRAFFIC_TENTHS;
 use proptest::prelude::*;
 use std::time::Duration;
 
 /// Calls to a replica for so many seconds, 20 a second.
-fn calls(health: &mut Health, seconds: u64, call: impl Fn(u64) -> (bool, f64)) {
+fn calls(health: &mut ReplicaHealth, seconds: u64, call: impl Fn(u64) -> (bool, f64)) {
     for n in 0..seconds * 20 {
-        health.pass(50);
-        let (good, took) = call(n);
-        let took_ln = if good {
-            ln_ms(Duration::from_secs_f64(took / 1e3))
+        health.advance(50);
+        let (good, latency) = call(n);
+        let latency_ln_sum = if good {
+            ln_latency_ms(Duration::from_secs_f64(latency / 1e3))
         } else {
             0.0
         };
-        health.called(
+        health.record_calls(
             f64::from(u8::from(good)),
             f64::from(u8::from(!good)),
-            took_ln,
+            latency_ln_sum,
         );
     }
 }
 
 #[test]
 fn a_replica_is_seen_by_its_failures_and_by_its_slowness() {
-    let mut health = Health::default();
+    let mut health = ReplicaHealth::default();
     assert_eq!(health.level(), None);
     calls(&mut health, 10, |_| (true, 2.0));
-    assert_eq!(health.level(), Some(WHOLE));
+    assert_eq!(health.level(), Some(ALL_TRAFFIC_TENTHS));
     // A quarter of the calls fails: still within what is provided over.
     let mut some = health.clone();
     calls(&mut some, 10, |n| (n % 4 != 0, 2.0));
-    assert_eq!(some.level(), Some(WHOLE));
+    assert_eq!(some.level(), Some(ALL_TRAFFIC_TENTHS));
     let mut half = health.clone();
     calls(&mut half, 10, |n| (n % 2 == 0, 2.0));
     assert!(
@@ -57,9 +59,9 @@
     calls(&mut dead, 10, |_| (false, 0.0));
     assert_eq!(dead.level(), Some(0));
     calls(&mut dead, 15, |_| (true, 2.0));
-    assert_eq!(dead.level(), Some(WHOLE));
+    assert_eq!(dead.level(), Some(ALL_TRAFFIC_TENTHS));
     // Times that differ widely are not slowness.
-    let mut wide = Health::default();
+    let mut wide = ReplicaHealth::default();
     calls(&mut wide, 60, |n| {
         (
             true,
@@ -70,7 +72,7 @@
             },
         )
     });
-    assert_eq!(wide.level(), Some(WHOLE));
+    assert_eq!(wide.level(), Some(ALL_TRAFFIC_TENTHS));
     // Nor does a slow minute become the quiet.
     let mut long = wide.clone();
     calls(&mut long, 60, |n| {
@@ -89,23 +91,26 @@
     calls(&mut stalls, 20, |n| {
         (true, if n % 20 == 0 { 200.0 } else { 2.0 })
     });
-    assert_eq!(stalls.level(), Some(WHOLE));
+    assert_eq!(stalls.level(), Some(ALL_TRAFFIC_TENTHS));
     // What nobody called of late is not seen.
-    health.pass(60_000);
+    health.advance(60_000);
     assert_eq!(health.level(), None);
 }
 
 /// Three instances of a zone that hear each other at each step of 500 ms; what each sees is given.
-fn zone(steps: u32, sight: impl Fn(usize, u32) -> u8) -> (Vec<Register>, Vec<(u32, Decision)>) {
-    let mut all = vec![Register::new(Pace::default()); 3];
+fn zone(
+    steps: u32,
+    sight: impl Fn(usize, u32) -> u8,
+) -> (Vec<DecisionRegister>, Vec<(u32, Decision)>) {
+    let mut all = vec![DecisionRegister::new(Hysteresis::default()); 3];
     let mut newest = Vec::new();
     for step in 0..steps {
-        let voices: Vec<Voice> = all.iter().map(Register::voice).collect();
+        let ballots: Vec<Ballot> = all.iter().map(DecisionRegister::ballot).collect();
         for (i, register) in all.iter_mut().enumerate() {
-            let others: Vec<Voice> = (0..3).filter(|j| *j != i).map(|j| voices[j]).collect();
+            let others: Vec<Ballot> = (0..3).filter(|j| *j != i).map(|j| ballots[j]).collect();
             let changed = register.step(500, Some(sight(i, step)), &others, 3);
             if let Some(decision) =
-                changed.filter(|d| newest.last().is_none_or(|(_, last)| d.replaces(*last)))
+                changed.filter(|d| newest.last().is_none_or(|(_, last)| d.supersedes(*last)))
             {
                 newest.push((step * 500, decision));
             }
@@ -117,62 +122,78 @@
 #[test]
 fn a_dead_replica_moves_its_zone_together_and_back_together() {
     // It is dead from 5 s to 20 s.
-    let (all, changes) = zone(
-        200,
-        |_, step| if (10..40).contains(&step) { 0 } else { WHOLE },
-    );
+    let (all, changes) = zone(200, |_, step| {
+        if (10..40).contains(&step) {
+            0
+        } else {
+            ALL_TRAFFIC_TENTHS
+        }
+    });
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert!(
-        (6_000..8_000).contains(&changes[0].0) && changes[0].1.near == 0,
+        (6_000..8_000).contains(&changes[0].0) && changes[0].1.local_traffic_tenths == 0,
         "{changes:?}"
     );
     assert!(
-        (36_000..40_000).contains(&changes[1].0) && changes[1].1.near == WHOLE,
+        (36_000..40_000).contains(&changes[1].0)
+            && changes[1].1.local_traffic_tenths == ALL_TRAFFIC_TENTHS,
         "{changes:?}"
     );
-    assert!(all.iter().all(|r| r.held() == changes[1].1));
+    assert!(all.iter().all(|r| r.accepted() == changes[1].1));
 }
 
 #[test]
 fn one_that_sees_a_dead_replica_alone_moves_nobody() {
-    let (all, changes) = zone(200, |i, _| if i == 0 { 0 } else { WHOLE });
+    let (all, changes) = zone(200, |i, _| if i == 0 { 0 } else { ALL_TRAFFIC_TENTHS });
     assert_eq!(changes, []);
-    assert!(all.iter().all(|r| r.near() == WHOLE));
+    assert!(all
+        .iter()
+        .all(|r| r.local_traffic_tenths() == ALL_TRAFFIC_TENTHS));
 }
 
 #[test]
 fn a_replica_that_flaps_every_five_seconds_moves_its_zone_once() {
-    let (all, changes) = zone(1_000, |_, step| if step / 10 % 2 == 1 { 0 } else { WHOLE });
+    let (all, changes) = zone(1_000, |_, step| {
+        if step / 10 % 2 == 1 {
+            0
+        } else {
+            ALL_TRAFFIC_TENTHS
+        }
+    });
     assert_eq!(changes.len(), 1, "{changes:?}");
-    assert!(all.iter().all(|r| r.near() == 0));
+    assert!(all.iter().all(|r| r.local_traffic_tenths() == 0));
 }
 
 #[test]
 fn who_hears_no_quorum_moves_only_itself_and_comes_back_to_its_zone() {
-    let mut cut = Register::new(Pace::default());
+    let mut cut = DecisionRegister::new(Hysteresis::default());
     for _ in 0..10 {
         assert_eq!(cut.step(500, Some(0), &[], 3), None);
     }
-    assert!(cut.alone() && cut.near() == 0);
-    let others = [Voice {
-        held: Decision::FIRST,
-        wants: WHOLE,
+    assert!(cut.without_quorum() && cut.local_traffic_tenths() == 0);
+    let others = [Ballot {
+        accepted: Decision::FIRST,
+        preferred: ALL_TRAFFIC_TENTHS,
     }; 2];
-    cut.step(500, Some(WHOLE), &others, 3);
+    cut.step(500, Some(ALL_TRAFFIC_TENTHS), &others, 3);
     assert_eq!(
-        (cut.alone(), cut.near(), cut.held()),
-        (false, WHOLE, Decision::FIRST)
+        (
+            cut.without_quorum(),
+            cut.local_traffic_tenths(),
+            cut.accepted()
+        ),
+        (false, ALL_TRAFFIC_TENTHS, Decision::FIRST)
     );
 }
 
 #[test]
 fn a_call_that_was_broken_off_tells_nothing_of_a_replica() {
-    assert_eq!(tells(Outcome::Cancelled), None);
+    assert_eq!(call_succeeded(Outcome::Cancelled), None);
     assert_eq!(
         (
-            tells(Outcome::Ok),
-            tells(Outcome::Rejected),
-            tells(Outcome::Reset)
+            call_succeeded(Outcome::Ok),
+            call_succeeded(Outcome::Rejected),
+            call_succeeded(Outcome::Reset)
         ),
         (Some(true), Some(false), Some(false))
     );
@@ -180,65 +201,81 @@
 
 #[test]
 fn what_only_answers_checks_is_believed_a_little() {
-    let mut health = Health::default();
+    let mut health = ReplicaHealth::default();
     for _ in 0..10 {
-        health.pass(1_000);
-        health.checked(true);
+        health.advance(1_000);
+        health.record_check(true);
     }
-    assert_eq!(health.level(), Some(CHECKED));
+    assert_eq!(health.level(), Some(MAX_LEVEL_BY_CHECKS));
     calls(&mut health, 2, |_| (true, 2.0));
-    assert_eq!(health.level(), Some(WHOLE));
+    assert_eq!(health.level(), Some(ALL_TRAFFIC_TENTHS));
 }
 
-fn peer(zone: &str, region: &str, load: (u32, u32), epoch: u64, near: u8) -> Peer {
-    let voice = Voice {
-        held: Decision { epoch, near },
-        wants: near,
+fn peer(zone: &str, region: &str, load: (u32, u32), epoch: u64, local_traffic_tenths: u8) -> Peer {
+    let ballot = Ballot {
+        accepted: Decision {
+            epoch,
+            local_traffic_tenths,
+        },
+        preferred: local_traffic_tenths,
     };
     Peer {
         zone: zone.into(),
         region: region.into(),
         live: true,
         load,
-        voice,
+        ballot,
     }
 }
 
 #[test]
 fn an_instance_plans_by_the_view_and_picks_by_its_plan() {
     let zones: Vec<String> = ["a", "b", "c"].map(String::from).into();
-    let mut failover = Failover::new(zones.clone(), 0, "west".into(), Pace::default());
+    let mut failover = Failover::new(zones.clone(), 0, "west".into(), Hysteresis::default());
     let mut peers = vec![
-        peer("a", "west", (8, 0), 0, WHOLE),
-        peer("a", "west", (8, 0), 0, WHOLE),
+        peer("a", "west", (8, 0), 0, ALL_TRAFFIC_TENTHS),
+        peer("a", "west", (8, 0), 0, ALL_TRAFFIC_TENTHS),
     ];
     peers.extend([
-        peer("b", "west", (10, 4), 0, WHOLE),
-        peer("c", "east", (90, 0), 0, WHOLE),
+        peer("b", "west", (10, 4), 0, ALL_TRAFFIC_TENTHS),
+        peer("c", "east", (90, 0), 0, ALL_TRAFFIC_TENTHS),
     ]);
     let step = failover.step(100, &peers);
     assert_eq!(
-        (step.plan.shares.clone(), step.decided, step.check),
+        (
+            step.plan.shares.clone(),
+            step.new_decision,
+            step.needs_check
+        ),
         (vec![1_000, 0, 0], None, false)
     );
     // Its own zone decided to move six tenths away.
     peers.iter_mut().take(2).for_each(|p| {
-        p.voice = Voice {
-            held: Decision { epoch: 1, near: 4 },
-            wants: 4,
+        p.ballot = Ballot {
+            accepted: Decision {
+                epoch: 1,
+                local_traffic_tenths: 4,
+            },
+            preferred: 4,
         }
     });
     let step = failover.step(100, &peers);
-    assert_eq!(step.decided, Some(Decision { epoch: 1, near: 4 }));
+    assert_eq!(
+        step.new_decision,
+        Some(Decision {
+            epoch: 1,
+            local_traffic_tenths: 4
+        })
+    );
     assert_eq!(
         step.plan,
-        Plan {
+        RoutingPlan {
             shares: vec![400, 600, 0],
-            may: vec![0, 2, 30]
+            call_limits: vec![0, 2, 30]
         }
     );
-    assert!(step.check);
-    let mut picker = Picker::new(zones, 0);
+    assert!(step.needs_check);
+    let mut picker = ReplicaPicker::new(zones, 0);
     assert_eq!((picker.pick(), picker.pick()), (Some(0), Some(0)));
     picker.set(step.plan);
     // Two may be under way to b; a third that is due there is turned away, and near is not pushed on for it.
@@ -249,42 +286,56 @@
         (4, 2, 4),
         "{picked:?}"
     );
-    picker.give_back(1);
+    picker.release(1);
     let picked: Vec<_> = (0..10).map(|_| picker.pick()).collect();
     assert_eq!(picked.iter().filter(|p| **p == Some(1)).count(), 1);
 }
 
-fn other(zone: &str, same_region: bool, spare: u32, near: u8) -> Other {
-    Other {
+fn other(
+    zone: &str,
+    same_region: bool,
+    spare_capacity: u32,
+    local_traffic_tenths: u8,
+) -> RemoteZone {
+    RemoteZone {
         zone: zone.into(),
         same_region,
-        spare,
-        near,
+        spare_capacity,
+        local_traffic_tenths,
     }
 }
 
 #[test]
 fn what_moves_goes_to_the_region_by_what_it_has_spare_and_elsewhere_only_then() {
     let zones = [
-        other("b", true, 30, WHOLE),
-        other("c", true, 10, WHOLE),
-        other("d", false, 500, WHOLE),
+        other("b", true, 30, ALL_TRAFFIC_TENTHS),
+        other("c", true, 10, ALL_TRAFFIC_TENTHS),
+        other("d", false, 500, ALL_TRAFFIC_TENTHS),
     ];
-    let told = shares(6, &zones);
-    assert_eq!((told.near, told.panic), (600, false));
-    assert_eq!(told.far, [("b".to_string(), 300), ("c".to_string(), 100)]);
+    let split = split_traffic(6, &zones);
+    assert_eq!((split.local_thousandths, split.panic), (600, false));
+    assert_eq!(
+        split.remote,
+        [("b".to_string(), 300), ("c".to_string(), 100)]
+    );
     // A zone that moves its own traffic away takes nobody else's; the region is full: elsewhere.
-    let told = shares(
+    let split = split_traffic(
         0,
         &[
             other("b", true, 30, 0),
-            other("c", true, 0, WHOLE),
-            other("d", false, 5, WHOLE),
+            other("c", true, 0, ALL_TRAFFIC_TENTHS),
+            other("d", false, 5, ALL_TRAFFIC_TENTHS),
         ],
     );
-    assert_eq!((told.near, told.far), (0, vec![("d".to_string(), 1_000)]));
-    let told = shares(0, &[other("b", true, 0, WHOLE)]);
-    assert_eq!((told.near, told.far.len(), told.panic), (1_000, 0, true));
+    assert_eq!(
+        (split.local_thousandths, split.remote),
+        (0, vec![("d".to_string(), 1_000)])
+    );
+    let split = split_traffic(0, &[other("b", true, 0, ALL_TRAFFIC_TENTHS)]);
+    assert_eq!(
+        (split.local_thousandths, split.remote.len(), split.panic),
+        (1_000, 0, true)
+    );
 }
 
 proptest! {
@@ -293,16 +344,16 @@
         near in 0u8..=10,
         zones in proptest::collection::vec((any::<bool>(), 0u32..50, 0u8..=10), 0..6),
     ) {
-        let zones: Vec<Other> = zones.into_iter().enumerate()
-            .map(|(i, (region, spare, near))| other(&format!("z{i}"), region, spare, near)).collect();
-        let told = shares(near, &zones);
-        let far: u32 = told.far.iter().map(|(_, part)| u32::from(*part)).sum();
-        prop_assert_eq!(u32::from(told.near) + far, 1_000);
-        for (zone, part) in &told.far {
+        let zones: Vec<RemoteZone> = zones.into_iter().enumerate()
+            .map(|(i, (region, spare_capacity, near))| other(&format!("z{i}"), region, spare_capacity, near)).collect();
+        let split = split_traffic(near, &zones);
+        let far: u32 = split.remote.iter().map(|(_, part)| u32::from(*part)).sum();
+        prop_assert_eq!(u32::from(split.local_thousandths) + far, 1_000);
+        for (zone, part) in &split.remote {
             let to = zones.iter().find(|z| z.zone == *zone).unwrap();
-            prop_assert!(*part > 0 && to.spare > 0 && to.near > 0);
+            prop_assert!(*part > 0 && to.spare_capacity > 0 && to.local_traffic_tenths > 0);
         }
-        prop_assert!(told.panic || u32::from(told.near) == u32::from(near) * 100);
+        prop_assert!(split.panic || u32::from(split.local_thousandths) == u32::from(near) * 100);
     }
 
     #[test]
@@ -311,29 +362,32 @@
         senders in 1usize..8,
         moves in proptest::collection::vec((0usize..8, any::<bool>()), 0..300),
     ) {
-        let mut budgets = vec![Budget::default(); senders];
+        let mut budgets = vec![CallBudget::default(); senders];
         budgets.iter_mut().for_each(|b| b.set([("b".to_string(), room, senders)].into_iter()));
         for (who, takes) in moves {
             let budget = &mut budgets[who % senders];
-            let before = budget.under_way("b");
+            let before = budget.in_flight("b");
             if takes {
-                let took = budget.take("b");
-                prop_assert_eq!(budget.under_way("b"), before + u32::from(took));
+                let latency = budget.try_acquire("b");
+                prop_assert_eq!(budget.in_flight("b"), before + u32::from(latency));
             } else {
-                budget.give_back("b");
-                prop_assert_eq!(budget.under_way("b"), before.saturating_sub(1));
+                budget.release("b");
+                prop_assert_eq!(budget.in_flight("b"), before.saturating_sub(1));
             }
-            prop_assert!(budgets.iter().map(|b| b.under_way("b")).sum::<u32>() <= room);
+            prop_assert!(budgets.iter().map(|b| b.in_flight("b")).sum::<u32>() <= room);
         }
     }
 }
 
 #[test]
 fn what_is_spare_is_the_cap_less_what_is_in_flight_and_never_negative() {
-    assert_eq!(spare([(10, 4), (5, 9), (3, 3), (8, 0)].into_iter()), 14);
-    let mut budget = Budget::default();
+    assert_eq!(
+        spare_capacity([(10, 4), (5, 9), (3, 3), (8, 0)].into_iter()),
+        14
+    );
+    let mut budget = CallBudget::default();
     assert!(
-        !budget.take("b"),
+        !budget.try_acquire("b"),
         "a zone that nobody reported takes nothing"
     );
 }
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -119,12 +119,16 @@
                 .failover
                 .as_ref()
                 .and_then(|f| Some((f, f.home(&members.zone)?)));
-            let decider = home.map(|(failover, home)| {
-                let (decider, ways) = membership::failover::start(failover, home, &members.region);
-                peers.ways = Some(ways);
-                decider
+            let failover_worker = home.map(|(failover, home)| {
+                let (failover_worker, replica_routes) =
+                    membership::failover::start(failover, home, &members.region);
+                peers.replica_routes = Some(replica_routes);
+                failover_worker
             });
-            Some(membership::MembershipThread::start(members, decider).map_err(Fault::Members)?)
+            Some(
+                membership::MembershipThread::start(members, failover_worker)
+                    .map_err(Fault::Members)?,
+            )
         }
         None => None,
     };
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -5,10 +5,10 @@
 use futures_lite::future;
 use heathspur::Outcome;
 use heathspur_config::Failover as Operated;
-use heathspur_failover::health::{ln_ms, tells};
-use heathspur_failover::pick::Picker;
-use heathspur_failover::register::{Decision, Pace, Voice};
-use heathspur_failover::zone::{Failover, Peer, Plan};
+use heathspur_failover::decision_register::{Ballot, Decision, Hysteresis};
+use heathspur_failover::replica_health::{call_succeeded, ln_latency_ms};
+use heathspur_failover::replica_picker::ReplicaPicker;
+use heathspur_failover::zone_failover::{Failover, Peer, RoutingPlan};
 use heathspur_members::{MemberState, View, ZoneVote};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
@@ -40,22 +40,22 @@
     silent: AtomicU32,
     /// Rises with each plan.
     version: AtomicU64,
-    plan: Mutex<Arc<Plan>>,
+    plan: Mutex<Arc<RoutingPlan>>,
 }
 
 /// The end for the thread that keeps the view.
-pub(crate) struct Decider {
+pub(crate) struct FailoverWorker {
     shared: Arc<Shared>,
     failover: Failover,
     stepped: Instant,
-    plan: Plan,
+    plan: RoutingPlan,
     alone: bool,
     home: SocketAddr,
     every: Duration,
 }
 
 /// The end for the owner, before it is on the owner's thread.
-pub(crate) struct Ways {
+pub(crate) struct ReplicaRoutes {
     shared: Arc<Shared>,
     zones: Vec<String>,
     addresses: Vec<SocketAddr>,
@@ -63,29 +63,33 @@
 }
 
 /// Both ends; `home` is the place of the own zone's replica.
-pub(crate) fn start(operated: &Operated, home: usize, region: &str) -> (Decider, Ways) {
+pub(crate) fn start(
+    operated: &Operated,
+    home: usize,
+    region: &str,
+) -> (FailoverWorker, ReplicaRoutes) {
     let ms = |span: heathspur_config::units::Span| span.0.as_millis() as u32;
-    let pace = Pace {
-        dwell: ms(operated.dwell),
-        leave: ms(operated.leave),
-        back: ms(operated.back),
-        ..Pace::default()
+    let hysteresis = Hysteresis {
+        minimum_hold_ms: ms(operated.dwell),
+        failover_delay_ms: ms(operated.leave),
+        recovery_delay_ms: ms(operated.back),
+        ..Hysteresis::default()
     };
     let zones: Vec<String> = operated.replica.iter().map(|r| r.zone.clone()).collect();
     let addresses: Vec<SocketAddr> = operated.replica.iter().map(|r| r.address).collect();
     let shared = Arc::new(Shared::default());
-    let decider = Decider {
+    let failover_worker = FailoverWorker {
         shared: shared.clone(),
-        failover: Failover::new(zones.clone(), home, region.to_string(), pace),
+        failover: Failover::new(zones.clone(), home, region.to_string(), hysteresis),
         stepped: Instant::now(),
-        plan: Plan::default(),
+        plan: RoutingPlan::default(),
         alone: false,
         home: addresses[home],
         every: operated.check.0,
     };
     (
-        decider,
-        Ways {
+        failover_worker,
+        ReplicaRoutes {
             shared,
             zones,
             addresses,
@@ -94,7 +98,7 @@
     )
 }
 
-impl Decider {
+impl FailoverWorker {
     /// Whether the next step is due; the view is not looked through at each turn of the thread.
     pub(crate) fn is_due(&self, now: Instant) -> bool {
         now.duration_since(self.stepped) >= STEP
@@ -109,10 +113,10 @@
         let (good, bad) = (take(&self.shared.good), take(&self.shared.bad));
         let took_ln = self.shared.took_ln.swap(0, Ordering::Relaxed);
         if good + bad > 0 {
-            self.failover.called(good, bad, took_ln as f64 / LN);
+            self.failover.record_calls(good, bad, took_ln as f64 / LN);
         }
-        (0..take(&self.shared.answered)).for_each(|_| self.failover.checked(true));
-        (0..take(&self.shared.silent)).for_each(|_| self.failover.checked(false));
+        (0..take(&self.shared.answered)).for_each(|_| self.failover.record_check(true));
+        (0..take(&self.shared.silent)).for_each(|_| self.failover.record_check(false));
         let others = view
             .members
             .iter()
@@ -123,32 +127,36 @@
                 region: m.region.clone(),
                 live: state.live(),
                 load: (m.load.concurrency_limit, m.load.in_flight),
-                voice: Voice {
-                    held: Decision {
+                ballot: Ballot {
+                    accepted: Decision {
                         epoch: m.decision_epoch,
-                        near: m.local_traffic_tenths,
+                        local_traffic_tenths: m.local_traffic_tenths,
                     },
-                    wants: m.preferred_tenths,
+                    preferred: m.preferred_tenths,
                 },
             })
             .collect();
         let step = self.failover.step(elapsed, &peers);
-        if let Some(Decision { epoch, near }) = step.decided {
+        if let Some(Decision {
+            epoch,
+            local_traffic_tenths: near,
+        }) = step.new_decision
+        {
             info!(
                 epoch,
                 near, "failover: the zone holds epoch {epoch}: {near} tenths near"
             );
         }
-        if step.alone != self.alone {
-            self.alone = step.alone;
-            let word = if step.alone {
+        if step.without_quorum != self.alone {
+            self.alone = step.without_quorum;
+            let word = if step.without_quorum {
                 "no quorum of the zone is heard: moving alone"
             } else {
                 "the zone is heard"
             };
-            info!(alone = step.alone, "failover: {word}");
+            info!(alone = step.without_quorum, "failover: {word}");
         }
-        self.shared.check.store(step.check, Ordering::Relaxed);
+        self.shared.check.store(step.needs_check, Ordering::Relaxed);
         if step.plan != self.plan {
             self.plan = step.plan.clone();
             *self
@@ -159,9 +167,9 @@
             self.shared.version.fetch_add(1, Ordering::Release);
         }
         ZoneVote {
-            decision_epoch: step.voice.held.epoch,
-            local_traffic_tenths: step.voice.held.near,
-            preferred_tenths: step.voice.wants,
+            decision_epoch: step.ballot.accepted.epoch,
+            local_traffic_tenths: step.ballot.accepted.local_traffic_tenths,
+            preferred_tenths: step.ballot.preferred,
         }
     }
 
@@ -197,13 +205,13 @@
     addresses: Vec<SocketAddr>,
     home: usize,
     version: Cell<u64>,
-    picker: RefCell<Picker>,
+    picker: RefCell<ReplicaPicker>,
 }
 
-impl Ways {
+impl ReplicaRoutes {
     pub(crate) fn routes(self) -> Rc<Routes> {
         Rc::new(Routes {
-            picker: RefCell::new(Picker::new(self.zones, self.home)),
+            picker: RefCell::new(ReplicaPicker::new(self.zones, self.home)),
             shared: self.shared,
             addresses: self.addresses,
             home: self.home,
@@ -224,7 +232,7 @@
                 .lock()
                 .expect("nobody panics while it is held")
                 .clone();
-            self.picker.borrow_mut().set(Plan::clone(&plan));
+            self.picker.borrow_mut().set(RoutingPlan::clone(&plan));
         }
         let replica = self.picker.borrow_mut().pick()?;
         Some(Way {
@@ -255,10 +263,10 @@
             return;
         }
         let shared = &self.routes.shared;
-        match tells(outcome) {
+        match call_succeeded(outcome) {
             Some(true) => {
                 shared.good.fetch_add(1, Ordering::Relaxed);
-                let took_ln = (ln_ms(self.began.elapsed()) * LN) as i64;
+                let took_ln = (ln_latency_ms(self.began.elapsed()) * LN) as i64;
                 shared.took_ln.fetch_add(took_ln, Ordering::Relaxed);
             }
             Some(false) => {
@@ -271,6 +279,6 @@
 
 impl Drop for Way {
     fn drop(&mut self) {
-        self.routes.picker.borrow_mut().give_back(self.replica);
+        self.routes.picker.borrow_mut().release(self.replica);
     }
 }
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -5,7 +5,7 @@
 
 pub(crate) mod failover;
 
-use crate::membership::failover::Decider;
+use crate::membership::failover::FailoverWorker;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -121,7 +121,7 @@
     /// Binds the socket and starts the thread.
     pub(crate) fn start(
         operated: &Operated,
-        decider: Option<Decider>,
+        failover_worker: Option<FailoverWorker>,
     ) -> io::Result<MembershipThread> {
         let invalid = |what: &str| io::Error::new(io::ErrorKind::InvalidInput, what.to_string());
         let settings = settings(operated);
@@ -160,14 +160,14 @@
             told,
             tick,
             started: Instant::now(),
-            decider,
+            failover_worker,
         };
         let thread = thread::Builder::new()
             .name("members".into())
             .spawn(move || {
                 let executor = async_executor::LocalExecutor::new();
-                if let Some(decider) = &keeper.decider {
-                    executor.spawn(decider.checks()).detach();
+                if let Some(failover_worker) = &keeper.failover_worker {
+                    executor.spawn(failover_worker.checks()).detach();
                 }
                 if let Err(e) = async_io::block_on(executor.run(keeper.run(socket))) {
                     warn!(error = %e, "members: stopped: {e}");
@@ -210,7 +210,7 @@
     told: Receiver<Told>,
     tick: Duration,
     started: Instant,
-    decider: Option<Decider>,
+    failover_worker: Option<FailoverWorker>,
 }
 
 impl Keeper {
@@ -267,9 +267,13 @@
                 next = now + self.tick;
                 self.say_load(now, &mut counted);
                 self.core.handle(self.now(), Event::Tick, &mut out);
-                if let Some(decider) = self.decider.as_mut().filter(|decider| decider.is_due(now)) {
+                if let Some(failover_worker) = self
+                    .failover_worker
+                    .as_mut()
+                    .filter(|failover_worker| failover_worker.is_due(now))
+                {
                     let view = self.core.view();
-                    let stand = decider.step(&view, self.core.id());
+                    let stand = failover_worker.step(&view, self.core.id());
                     self.core.set_zone_vote(stand, &mut out);
                 }
             }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -14,7 +14,7 @@
 use crate::frontend::response_buffer::Room;
 use crate::frontend::{Desk, Front};
 use crate::idempotency::Keys;
-use crate::membership::failover::Ways;
+use crate::membership::failover::ReplicaRoutes;
 use crate::membership::MembershipHandle;
 use crate::peers::connection::Target;
 use crate::peers::interpreter;
@@ -67,7 +67,7 @@
 #[derive(Default)]
 pub(crate) struct Peers {
     pub members: Option<MembershipHandle>,
-    pub ways: Option<Ways>,
+    pub replica_routes: Option<ReplicaRoutes>,
 }
 
 /// Starts all tasks and serves until the server has left.
@@ -110,7 +110,7 @@
     let interpreter = interpreter::Link::new();
     let places = config.sockets / CALLS_PART;
     let store = {
-        let routes = peers.ways.map(Ways::routes);
+        let routes = peers.replica_routes.map(ReplicaRoutes::routes);
         store::Link::new(
             executor.clone(),
             config.store,
