--- a/crates/heathspur-members/src/exchange.rs
+++ b/crates/heathspur-members/src/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! How views meet: gossip, push-pull, joins, the word of leaving, and datagrams put together within their bound.
 
-use crate::core::{Action, MemberEntry, Membership};
 use crate::member::{MemberId, MemberState};
+use crate::membership::{Action, MemberEntry, Membership};
 use crate::wire::{self, Body, Envelope, Update, ViewRequest, ViewResponse, ViewRow};
 use rand::seq::SliceRandom;
 use rand::RngExt;
--- a/crates/heathspur-members/src/probe.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Probes, direct and through others (SWIM, section 3.1), and what their failure says (Lifeguard, section 4.1).
 
-use crate::core::{Action, ChangeCause, MemberEntry, Membership};
 use crate::member::{MemberId, MemberState};
+use crate::membership::{Action, ChangeCause, MemberEntry, Membership};
 use crate::wire::{Body, Update};
 use rand::seq::SliceRandom;
 use std::net::SocketAddrV4;
--- a/crates/heathspur-members/src/lib.rs
+++ b/crates/heathspur-members/src/lib.rs
@@ -11,19 +11,19 @@
 //! ([`RejectedInput`]) and dropped. Datagrams are at most [`wire::MAX_DATAGRAM_BYTES`] bytes, postcard in a versioned envelope.
 #![forbid(unsafe_code)]
 
-mod core;
-mod exchange;
+mod anti_entropy;
+mod failure_detector;
 mod gossip_queue;
 mod member;
-mod merge;
-mod probe;
+mod member_table;
+mod membership;
 mod rejected_input;
 mod settings;
 pub mod state_record;
 mod suspicion;
 pub mod wire;
 
-pub use crate::core::{Action, ChangeCause, Event, MemberEntry, Membership, View};
+pub use crate::membership::{Action, ChangeCause, Event, MemberEntry, Membership, View};
 pub use member::{
     Load, Member, MemberId, MemberState, ZoneVote, ALL_TRAFFIC_TENTHS, MAX_NAME_BYTES,
 };
--- a/crates/heathspur-members/src/merge.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -1,7 +1,7 @@
 //! How news of a member is taken in: incarnations order it, and no peer is trusted further than that.
 
-use crate::core::{Action, ChangeCause, MemberEntry, Membership};
 use crate::member::{MemberId, MemberState};
+use crate::membership::{Action, ChangeCause, MemberEntry, Membership};
 use crate::state_record::{self, StateRecord, UpdateEffect};
 use crate::suspicion::Suspicion;
 use crate::wire::{Body, Update};
--- a/crates/heathspur-members/src/core.rs
+++ b/crates/heathspur-members/src/membership.rs
@@ -1,8 +1,8 @@
 //! The member's state machine: what it holds, and how events turn into actions.
 
+use crate::failure_detector::{Probe, Relay};
 use crate::gossip_queue::GossipQueue;
 use crate::member::{Load, Member, MemberId, MemberState, ZoneVote};
-use crate::probe::{Probe, Relay};
 use crate::rejected_input::{RejectedInput, RejectionReport};
 use crate::settings::Settings;
 use crate::state_record::StateRecord;
