--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -249,7 +249,7 @@
             return mistake("@duration", "1 ms to 24 h is expected");
         }
         if let Err(out) = self.settings().check() {
-            return mistake(&format!("@{}", out.0), &out.to_string());
+            return mistake(&format!("@{}", out.name()), &out.to_string());
         }
         if self.faults.len() > 1_000 {
             return mistake("", "1000 faults at most are expected");
--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -1,294 +1,337 @@
-//! Probes, direct and through others (SWIM, section 3.1), and what their failure says (Lifeguard, section 4.1).
+//! The failure detector: direct and indirect probes (SWIM, section 3.1) and the local health multiplier that slows a
+//! member whose own probes fail (Lifeguard, section 4.1).
+//!
+//! It decides whom to probe and which probes have failed; the caller sends the datagrams and raises the suspicions.
 
 use crate::member::{MemberId, MemberState};
-use crate::membership::{Action, ChangeCause, MemberEntry, Membership};
-use crate::wire::{Body, Update};
+use crate::member_table::{MemberEntry, MemberTable};
+use crate::settings::Settings;
+use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
+use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// Indirect probes relayed for others at once; past it, a request is not relayed (the asker sees no nack).
-const RELAYS: usize = 64;
-/// Probes under way at once, and such as failed and may be answered late; a period without room begins none.
-const PROBES: usize = 8;
-/// An ack is waited for so many periods at most, however slow the member usually is.
-const LONGEST_WAIT: u64 = 4;
-/// Its own lag is told in such steps, in milliseconds.
-const LAG_STEP_MS: u64 = 50;
+/// Indirect probes relayed for others at once; past it, a request is not relayed and the requester gets no nack.
+const MAX_RELAYED_PROBES: usize = 64;
+/// Probes in flight at once, and failed ones that may still be answered late; a period without capacity starts none.
+const MAX_PROBES: usize = 8;
+/// The longest wait for an ack, in protocol periods, however slow the member usually is.
+const MAX_ACK_WAIT_PERIODS: u64 = 4;
+/// The published round trip is rounded down to this step, so that views don't change with every probe.
+const PUBLISHED_ROUND_TRIP_STEP_MS: u64 = 50;
 
-pub(crate) struct Probe {
-    pub(crate) target: MemberId,
+/// A probe of one member, direct first and indirect once its ack is late.
+struct Probe {
+    target: MemberId,
+    sequence: u32,
+    started_at: u64,
+    indirect_at: u64,
+    fails_at: u64,
+    indirect_sent: bool,
+    nacks_expected: u32,
+    nacks_received: u32,
+}
+
+/// A probe made on behalf of another member.
+struct RelayedProbe {
+    sequence: u32,
+    requester: Requester,
+    nack_at: u64,
+}
+
+/// Who requested an indirect probe, and the sequence number that its answer carries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Requester {
+    pub(crate) address: SocketAddrV4,
     pub(crate) sequence: u32,
-    started: u64,
-    ask_others_at: u64,
-    until: u64,
-    pub(crate) indirect_sent: bool,
-    pub(crate) nacks_expected: u32,
-    pub(crate) nacks: u32,
 }
 
-pub(crate) struct Relay {
+/// A direct probe to be sent.
+pub(crate) struct DirectProbe {
     pub(crate) sequence: u32,
-    pub(crate) asker: SocketAddrV4,
-    pub(crate) asker_seq: u32,
-    pub(crate) nack_at: u64,
+    pub(crate) target: MemberId,
+    pub(crate) address: SocketAddrV4,
+    /// Whether the target is under suspicion.
+    pub(crate) suspected: bool,
 }
 
-impl Membership {
-    pub(crate) fn relay_nacks(&mut self, out: &mut Vec<Action>) {
-        let now = self.now;
-        let (due, kept): (Vec<Relay>, Vec<Relay>) =
-            self.relays.drain(..).partition(|r| r.nack_at <= now);
-        self.relays = kept;
-        for relay in due {
-            if self.settings.lifeguard {
-                self.send(
-                    relay.asker,
-                    Body::Nack {
-                        sequence: relay.asker_seq,
-                    },
-                    false,
-                    out,
-                );
-            }
+/// An indirect probe to be requested from `helpers`.
+pub(crate) struct IndirectProbe {
+    pub(crate) sequence: u32,
+    pub(crate) target: MemberId,
+    pub(crate) address: SocketAddrV4,
+    pub(crate) helpers: Vec<SocketAddrV4>,
+}
+
+/// The probe that an ack belongs to.
+pub(crate) enum AckedProbe {
+    /// One of the local member's own, with the time that it took.
+    Own {
+        target: MemberId,
+        round_trip_ms: u64,
+    },
+    /// One relayed for another member, which is to get the ack.
+    Relayed(Requester),
+}
+
+/// Probes in flight, the order of the next ones, and what their results say about the local member.
+pub(crate) struct FailureDetector {
+    probes: Vec<Probe>,
+    /// Failed probes, kept for the round trip of a late ack.
+    failed_probes: VecDeque<Probe>,
+    relayed_probes: Vec<RelayedProbe>,
+    last_sequence: u32,
+    /// The shuffled round-robin order of probe targets.
+    target_order: Vec<MemberId>,
+    next_target: usize,
+    next_probe_at: u64,
+    /// Lifeguard's local health multiplier less one; 0 is healthy.
+    local_health: u32,
+    /// The moving average of all members' round trips.
+    usual_round_trip_ms: u64,
+}
+
+impl FailureDetector {
+    pub(crate) fn new() -> FailureDetector {
+        FailureDetector {
+            probes: Vec::new(),
+            failed_probes: VecDeque::new(),
+            relayed_probes: Vec::new(),
+            last_sequence: 0,
+            target_order: Vec::new(),
+            next_target: 0,
+            next_probe_at: 0,
+            local_health: 0,
+            usual_round_trip_ms: 0,
         }
     }
 
-    fn next_seq(&mut self) -> u32 {
-        self.sequence = self.sequence.wrapping_add(1);
-        self.sequence
+    pub(crate) fn local_health(&self) -> u32 {
+        self.local_health
+    }
+
+    /// Worsens the local health, as failed probes and refutations do.
+    pub(crate) fn degrade_local_health(&mut self, by: u32, settings: &Settings) {
+        self.local_health = (self.local_health + by).min(settings.local_health_max);
     }
 
-    pub(crate) fn probe_step(&mut self, out: &mut Vec<Action>) {
-        let now = self.now;
-        for at in 0..self.probes.len() {
-            let probe = &self.probes[at];
-            if !probe.indirect_sent && now >= probe.ask_others_at && now < probe.until {
-                self.indirect_probe(at, out);
+    /// Sets when the first probe starts.
+    pub(crate) fn start_at(&mut self, time: u64) {
+        self.next_probe_at = time;
+    }
+
+    /// Drops the probes in flight: a leaving member accuses nobody.
+    pub(crate) fn stop(&mut self) {
+        self.probes.clear();
+    }
+
+    /// How long the member's ack usually takes at most: twice its round trip as measured here, the average one here
+    /// or the one that it publishes, whichever is longest. A slow member that answers is not suspected each time.
+    pub(crate) fn usual_ack_wait(&self, entry: &MemberEntry, settings: &Settings) -> u64 {
+        if !settings.lifeguard {
+            return 0;
+        }
+        let round_trip = entry
+            .round_trip_ms()
+            .max(self.usual_round_trip_ms)
+            .max(u64::from(entry.member.usual_round_trip_ms));
+        (2 * round_trip).min(MAX_ACK_WAIT_PERIODS * settings.period_ms)
+    }
+
+    /// Starts the indirect phase of the probes whose direct ack is late.
+    pub(crate) fn take_due_indirect_probes(
+        &mut self,
+        now: u64,
+        table: &MemberTable,
+        settings: &Settings,
+        rng: &mut StdRng,
+    ) -> Vec<IndirectProbe> {
+        let mut requests = Vec::new();
+        for probe in &mut self.probes {
+            if probe.indirect_sent || now < probe.indirect_at || now >= probe.fails_at {
+                continue;
             }
+            probe.indirect_sent = true;
+            let Some(target) = table.get(&probe.target) else {
+                continue;
+            };
+            let mut helpers = table.addresses(|entry| {
+                entry.state == MemberState::Alive && entry.member.id != probe.target
+            });
+            helpers.shuffle(rng);
+            helpers.truncate(settings.indirect_probes);
+            probe.nacks_expected = helpers.len() as u32;
+            requests.push(IndirectProbe {
+                sequence: probe.sequence,
+                target: probe.target.clone(),
+                address: target.member.address,
+                helpers,
+            });
         }
-        while let Some(at) = self.probes.iter().position(|probe| now >= probe.until) {
+        requests
+    }
+
+    /// Ends the probes that nobody has answered in time and returns their targets.
+    pub(crate) fn take_failed_targets(&mut self, now: u64, settings: &Settings) -> Vec<MemberId> {
+        let mut targets = Vec::new();
+        while let Some(at) = self.probes.iter().position(|probe| now >= probe.fails_at) {
             let probe = self.probes.swap_remove(at);
-            self.probe_failed(probe, out);
+            if settings.lifeguard {
+                self.degrade_local_health(probe.local_health_penalty(), settings);
+            }
+            targets.push(probe.target.clone());
+            if self.failed_probes.len() >= MAX_PROBES {
+                self.failed_probes.pop_front();
+            }
+            self.failed_probes.push_back(probe);
         }
-        if now < self.next_probe {
-            return;
+        targets
+    }
+
+    /// The direct probe of this period, if it is due.
+    pub(crate) fn take_due_probe(
+        &mut self,
+        now: u64,
+        table: &MemberTable,
+        settings: &Settings,
+        rng: &mut StdRng,
+    ) -> Option<DirectProbe> {
+        if now < self.next_probe_at {
+            return None;
         }
-        let period = self.scaled(self.settings.period_ms);
-        self.next_probe = now + period;
-        if self.probes.len() >= PROBES {
-            return;
+        let period = self.scale_by_local_health(settings.period_ms, settings);
+        self.next_probe_at = now + period;
+        if self.probes.len() >= MAX_PROBES {
+            return None;
         }
-        let Some(target) = self.next_target() else {
-            return;
-        };
-        let sequence = self.next_seq();
-        let entry = &self.table[&target];
-        let address = entry.member.address;
-        let wait = self.usual_wait(entry);
-        let timeout = self.scaled(self.settings.probe_timeout_ms);
-        // Lifeguard's buddy system: a suspect hears first that it is suspected, and can refute at once.
-        let tell = self.settings.lifeguard && entry.state == MemberState::Suspect;
-        let first = tell.then(|| self.accusation(entry));
+        let target = self.take_next_target(table, rng)?;
+        let entry = table.get(&target)?;
+        let sequence = self.next_sequence();
+        let ack_wait = self.usual_ack_wait(entry, settings);
+        let timeout = self.scale_by_local_health(settings.probe_timeout_ms, settings);
         self.probes.push(Probe {
             target: target.clone(),
             sequence,
-            started: now,
-            ask_others_at: now + timeout.max(wait),
-            until: now + period.max(wait + timeout),
+            started_at: now,
+            indirect_at: now + timeout.max(ack_wait),
+            fails_at: now + period.max(ack_wait + timeout),
             indirect_sent: false,
             nacks_expected: 0,
-            nacks: 0,
+            nacks_received: 0,
         });
-        self.send_with(address, Body::Ping { sequence, target }, first, out);
+        Some(DirectProbe {
+            sequence,
+            target,
+            address: entry.member.address,
+            suspected: entry.state == MemberState::Suspect,
+        })
     }
 
-    /// How long an ack of a member may take as it usually does, in milliseconds: twice its round trip, the usual
-    /// one here, or what it says of its own, whichever is longest. A member that is slow but answers is not suspected anew each time.
-    pub(crate) fn usual_wait(&self, entry: &MemberEntry) -> u64 {
-        if !self.settings.lifeguard {
-            return 0;
+    /// Registers an indirect probe for another member; returns its sequence number, `None` at the limit.
+    pub(crate) fn relay(
+        &mut self,
+        requester: Requester,
+        now: u64,
+        settings: &Settings,
+    ) -> Option<u32> {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES {
+            return None;
         }
-        (2 * entry
-            .round_trip_ms
-            .max(self.round_trip_ms)
-            .max(entry.member.usual_round_trip_ms as u64))
-        .min(LONGEST_WAIT * self.settings.period_ms)
+        let sequence = self.next_sequence();
+        self.relayed_probes.push(RelayedProbe {
+            sequence,
+            requester,
+            // Before the requester's own probe timeout has passed.
+            nack_at: now + settings.probe_timeout_ms * 4 / 5,
+        });
+        Some(sequence)
     }
 
-    pub(crate) fn accusation(&self, entry: &MemberEntry) -> Update {
-        let (accuser, member) = (Some(self.me.id.clone()), entry.member.clone());
-        Update {
-            state: MemberState::Suspect,
-            incarnation: entry.incarnation,
-            accuser,
-            member,
-        }
+    /// Ends the relayed probes that were not acked in time; their requesters are to get a nack.
+    pub(crate) fn take_unanswered_relays(&mut self, now: u64) -> Vec<Requester> {
+        let relayed = self.relayed_probes.drain(..);
+        let (due, waiting): (Vec<_>, Vec<_>) = relayed.partition(|relay| relay.nack_at <= now);
+        self.relayed_probes = waiting;
+        due.into_iter().map(|relay| relay.requester).collect()
     }
 
-    fn probe_failed(&mut self, probe: Probe, out: &mut Vec<Action>) {
-        if self.settings.lifeguard {
-            // Missing nacks say that the fault may be ours: our own accusations slow down.
-            let missing = probe.nacks_expected.saturating_sub(probe.nacks);
-            let delta = if probe.nacks_expected == 0 {
-                1
-            } else {
-                missing
-            };
-            self.local_health = (self.local_health + delta).min(self.settings.local_health_max);
-        }
-        let (target, me) = (probe.target.clone(), self.me.id.clone());
-        // Its ack may come yet: it tells how long one takes.
-        if self.late.len() >= PROBES {
-            self.late.pop_front();
+    /// Matches an ack to its probe.
+    pub(crate) fn on_ack(&mut self, sequence: u32, now: u64) -> Option<AckedProbe> {
+        if let Some(at) = self.probes.iter().position(|p| p.sequence == sequence) {
+            self.local_health = self.local_health.saturating_sub(1);
+            return Some(self.probes.swap_remove(at).acked(now));
         }
-        self.late.push_back(probe);
-        let Some(entry) = self.table.get(&target) else {
-            return;
-        };
-        let (begins, incarnation) = (entry.state == MemberState::Alive, entry.incarnation);
-        self.suspect(&target, incarnation, me, ChangeCause::ProbeMissed, out);
-        // The suspect hears it now, not with the next probe: all of its time is for refuting.
-        let entry = self
-            .table
-            .get(&target)
-            .filter(|_| begins && self.settings.lifeguard);
-        if let Some((to, first)) = entry.map(|e| (e.member.address, self.accusation(e))) {
-            self.send_with(to, Body::Gossip, Some(first), out);
+        let mut failed = self.failed_probes.iter();
+        if let Some(at) = failed.position(|p| p.sequence == sequence) {
+            return self.failed_probes.remove(at).map(|probe| probe.acked(now));
         }
+        let mut relayed = self.relayed_probes.iter();
+        let at = relayed.position(|relay| relay.sequence == sequence)?;
+        let relay = self.relayed_probes.swap_remove(at);
+        Some(AckedProbe::Relayed(relay.requester))
     }
 
-    fn indirect_probe(&mut self, at: usize, out: &mut Vec<Action>) {
-        let probe = &mut self.probes[at];
-        probe.indirect_sent = true;
-        let (sequence, target) = (probe.sequence, probe.target.clone());
-        let Some(address) = self.table.get(&target).map(|e| e.member.address) else {
-            return;
-        };
-        let mut helpers: Vec<SocketAddrV4> = self
-            .table
-            .values()
-            .filter(|e| e.state == MemberState::Alive && e.member.id != target)
-            .map(|e| e.member.address)
-            .collect();
-        helpers.shuffle(&mut self.rng);
-        helpers.truncate(self.settings.indirect_probes);
-        self.probes[at].nacks_expected = helpers.len() as u32;
-        if self.settings.lifeguard {
-            // The first one, or its ack, may just have been lost.
-            self.send(
-                address,
-                Body::Ping {
-                    sequence,
-                    target: target.clone(),
-                },
-                true,
-                out,
-            );
-        }
-        for helper in helpers {
-            self.send(
-                helper,
-                Body::PingReq {
-                    sequence,
-                    target: target.clone(),
-                    address,
-                },
-                false,
-                out,
-            );
+    pub(crate) fn on_nack(&mut self, sequence: u32) {
+        if let Some(probe) = self.probes.iter_mut().find(|p| p.sequence == sequence) {
+            probe.nacks_received += 1;
         }
     }
 
-    /// SWIM's round robin: every live member once in a shuffled order, then a new order.
-    fn next_target(&mut self) -> Option<MemberId> {
-        for _ in 0..2 {
-            while self.next_in_order < self.order.len() {
-                let id = self.order[self.next_in_order].clone();
-                self.next_in_order += 1;
-                if self.table.get(&id).is_some_and(|e| e.state.live()) {
-                    return Some(id);
-                }
-            }
-            self.order = self
-                .table
-                .values()
-                .filter(|e| e.state.live())
-                .map(|e| e.member.id.clone())
-                .collect();
-            self.order.shuffle(&mut self.rng);
-            self.next_in_order = 0;
-        }
-        None
+    /// Averages a round trip in and returns the usual one, as it is to be published.
+    pub(crate) fn record_round_trip(&mut self, round_trip_ms: u64) -> u64 {
+        self.usual_round_trip_ms = (7 * self.usual_round_trip_ms + round_trip_ms) / 8;
+        self.usual_round_trip_ms / PUBLISHED_ROUND_TRIP_STEP_MS * PUBLISHED_ROUND_TRIP_STEP_MS
     }
 
-    pub(crate) fn relay(
-        &mut self,
-        asker: SocketAddrV4,
-        asker_seq: u32,
-        target: MemberId,
-        address: SocketAddrV4,
-        out: &mut Vec<Action>,
-    ) {
-        if self.relays.len() >= RELAYS {
-            return;
+    fn scale_by_local_health(&self, milliseconds: u64, settings: &Settings) -> u64 {
+        if settings.lifeguard {
+            milliseconds * (u64::from(self.local_health) + 1)
+        } else {
+            milliseconds
         }
-        let sequence = self.next_seq();
-        let nack_at = self.now + self.settings.probe_timeout_ms * 4 / 5;
-        self.relays.push(Relay {
-            sequence,
-            asker,
-            asker_seq,
-            nack_at,
-        });
-        self.send(address, Body::Ping { sequence, target }, true, out);
     }
 
-    pub(crate) fn acked(&mut self, sequence: u32, from: SocketAddrV4, out: &mut Vec<Action>) {
-        if let Some(at) = self.probes.iter().position(|p| p.sequence == sequence) {
-            let probe = self.probes.swap_remove(at);
-            self.local_health = self.local_health.saturating_sub(1);
-            self.learn_round_trip(&probe, from);
-            return;
+    fn next_sequence(&mut self) -> u32 {
+        self.last_sequence = self.last_sequence.wrapping_add(1);
+        self.last_sequence
+    }
+
+    /// The next target of SWIM's round robin: every live member once in a shuffled order, then in a new order.
+    fn take_next_target(&mut self, table: &MemberTable, rng: &mut StdRng) -> Option<MemberId> {
+        if let Some(target) = self.take_live_target(table) {
+            return Some(target);
         }
-        if let Some(at) = self.late.iter().position(|p| p.sequence == sequence) {
-            if let Some(probe) = self.late.remove(at) {
-                self.learn_round_trip(&probe, from);
+        self.target_order = table.live_ids();
+        self.target_order.shuffle(rng);
+        self.next_target = 0;
+        self.take_live_target(table)
+    }
+
+    fn take_live_target(&mut self, table: &MemberTable) -> Option<MemberId> {
+        while let Some(id) = self.target_order.get(self.next_target) {
+            self.next_target += 1;
+            if table.get(id).is_some_and(|entry| entry.state.live()) {
+                return Some(id.clone());
             }
-            return;
-        }
-        if let Some(i) = self.relays.iter().position(|r| r.sequence == sequence) {
-            let relay = self.relays.swap_remove(i);
-            self.send(
-                relay.asker,
-                Body::Ack {
-                    sequence: relay.asker_seq,
-                },
-                true,
-                out,
-            );
         }
+        None
     }
+}
 
-    /// How long the member itself took; what came through others says nothing of that.
-    fn learn_round_trip(&mut self, probe: &Probe, from: SocketAddrV4) {
-        let took = self.now - probe.started;
-        let Some(entry) = self
-            .table
-            .get_mut(&probe.target)
-            .filter(|e| e.member.address == from)
-        else {
-            return;
-        };
-        // A longer one counts at once, shorter ones bit by bit.
-        let known = entry.round_trip_ms;
-        entry.round_trip_ms = if took >= known {
-            took
+impl Probe {
+    /// How far the failure worsens the local health: missing nacks say that the fault may be local.
+    fn local_health_penalty(&self) -> u32 {
+        if self.nacks_expected == 0 {
+            1
         } else {
-            known - (known - took).div_ceil(4)
-        };
-        // Here all are taken together: one that is slow is not the usual.
-        self.round_trip_ms = (7 * self.round_trip_ms + took) / 8;
-        // In steps, so that others' views do not change with every probe here.
-        self.me.usual_round_trip_ms = (self.round_trip_ms / LAG_STEP_MS * LAG_STEP_MS) as u32;
+            self.nacks_expected.saturating_sub(self.nacks_received)
+        }
+    }
+
+    fn acked(self, now: u64) -> AckedProbe {
+        AckedProbe::Own {
+            target: self.target,
+            round_trip_ms: now - self.started_at,
+        }
     }
 }
--- a/crates/heathspur-members/src/gossip_queue.rs
+++ b/crates/heathspur-members/src/gossip_queue.rs
@@ -1,81 +1,91 @@
-//! Updates waiting to be spread: each sent a bounded number of times, least sent first, one per member.
+//! The queue of updates to disseminate: each sent a bounded number of times, least sent first, one per member.
 
 use crate::member::MemberId;
 use crate::wire::{update_len, Update};
 
-#[derive(Clone, Debug)]
-struct Pending {
+/// The most bytes by which the length prefix of a datagram's updates grows.
+const LENGTH_PREFIX_GROWTH_BYTES: usize = 2;
+
+struct QueuedUpdate {
     update: Update,
-    sent: u32,
-    len: usize,
+    transmissions: u32,
+    encoded_len: usize,
 }
 
-/// The queue of updates to spread, bounded.
-#[derive(Clone, Debug, Default)]
-pub struct GossipQueue {
-    pending: Vec<Pending>,
-    bound: usize,
-    /// Updates dropped because the queue was full.
-    pub dropped: u64,
+/// The bounded queue of updates to disseminate.
+pub(crate) struct GossipQueue {
+    queued: Vec<QueuedUpdate>,
+    capacity: usize,
+    evicted: u64,
 }
 
 impl GossipQueue {
-    /// An empty queue holding at most `bound` updates.
-    pub fn new(bound: usize) -> GossipQueue {
+    /// An empty queue for at most `capacity` updates.
+    pub(crate) fn new(capacity: usize) -> GossipQueue {
         GossipQueue {
-            pending: Vec::new(),
-            bound,
-            dropped: 0,
+            queued: Vec::new(),
+            capacity,
+            evicted: 0,
         }
     }
 
-    /// Queues an update; one of the same member before it is replaced.
-    pub fn push(&mut self, update: Update) {
-        self.pending
-            .retain(|p| p.update.member.id != update.member.id);
-        if self.pending.len() >= self.bound {
-            // The one sent most has done most of its work already.
-            if let Some(most) = (0..self.pending.len()).max_by_key(|&i| self.pending[i].sent) {
-                self.pending.swap_remove(most);
-                self.dropped += 1;
-            }
+    /// Queues an update in place of an older one about the same member.
+    pub(crate) fn push(&mut self, update: Update) {
+        self.queued
+            .retain(|queued| queued.update.member.id != update.member.id);
+        if self.queued.len() >= self.capacity {
+            self.evict_most_sent();
         }
-        let len = update_len(&update);
-        self.pending.push(Pending {
+        self.queued.push(QueuedUpdate {
+            encoded_len: update_len(&update),
             update,
-            sent: 0,
-            len,
+            transmissions: 0,
         });
     }
 
-    /// Whether nothing waits.
-    pub fn is_empty(&self) -> bool {
-        self.pending.is_empty()
+    /// The update sent most often has reached most members already.
+    fn evict_most_sent(&mut self) {
+        let most_sent = (0..self.queued.len()).max_by_key(|&at| self.queued[at].transmissions);
+        if let Some(at) = most_sent {
+            self.queued.swap_remove(at);
+            self.evicted += 1;
+        }
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.queued.is_empty()
     }
 
-    /// Updates waiting.
-    pub fn len(&self) -> usize {
-        self.pending.len()
+    pub(crate) fn len(&self) -> usize {
+        self.queued.len()
     }
 
-    /// Takes updates that fit in `room` bytes, least sent first, and counts them sent; those sent `limit`
-    /// times leave the queue. `skip` is a member whose news is already in the datagram.
-    pub fn take(&mut self, mut room: usize, limit: u32, skip: Option<&MemberId>) -> Vec<Update> {
-        self.pending.sort_by_key(|p| p.sent);
+    /// Updates evicted because the queue was full.
+    pub(crate) fn evicted(&self) -> u64 {
+        self.evicted
+    }
+
+    /// Takes updates that fit in `capacity_bytes`, least sent first, and counts them as sent. An update sent
+    /// `max_transmissions` times leaves the queue. `skip` is a member that the datagram has an update of already.
+    pub(crate) fn take(
+        &mut self,
+        mut capacity_bytes: usize,
+        max_transmissions: u32,
+        skip: &MemberId,
+    ) -> Vec<Update> {
+        self.queued.sort_by_key(|queued| queued.transmissions);
         let mut taken = Vec::new();
-        for pending in &mut self.pending {
-            if skip == Some(&pending.update.member.id) {
-                continue;
-            }
-            // Postcard's length of a sequence takes a byte or two more.
-            if pending.len + 2 > room {
+        for queued in &mut self.queued {
+            let too_long = queued.encoded_len + LENGTH_PREFIX_GROWTH_BYTES > capacity_bytes;
+            if queued.update.member.id == *skip || too_long {
                 continue;
             }
-            room -= pending.len;
-            pending.sent += 1;
-            taken.push(pending.update.clone());
+            capacity_bytes -= queued.encoded_len;
+            queued.transmissions += 1;
+            taken.push(queued.update.clone());
         }
-        self.pending.retain(|p| p.sent < limit);
+        self.queued
+            .retain(|queued| queued.transmissions < max_transmissions);
         taken
     }
 }
--- /dev/null
+++ b/crates/heathspur-members/src/input_limits.rs
@@ -0,0 +1,112 @@
+//! Rate limits on incoming datagrams, and the counts of everything that was rejected.
+
+use crate::rejected_input::{RejectedInput, RejectionReason, RejectionReport};
+use crate::settings::Settings;
+use std::collections::HashMap;
+use std::net::SocketAddrV4;
+
+/// The window over which datagrams and push-pull replies are limited.
+const WINDOW_MS: u64 = 1_000;
+/// Push-pull requests answered in one window; past it, a request is merged but not answered.
+const MAX_PUSH_PULL_REPLIES: u32 = 8;
+/// Source addresses counted in one window, as a multiple of the largest member count.
+const MAX_SOURCES_PER_MEMBER: usize = 2;
+/// The shortest time between two reports of rejected input.
+const MIN_REPORT_INTERVAL_MS: u64 = 1_000;
+
+/// Admits or rejects input, and reports rejections at a bounded rate.
+#[derive(Default)]
+pub(crate) struct InputLimits {
+    window_started_at: u64,
+    datagrams_by_source: HashMap<SocketAddrV4, u32>,
+    push_pull_replies: u32,
+    rejected: RejectedInput,
+    last_sender: Option<SocketAddrV4>,
+    reported_total: u64,
+    next_report_at: u64,
+}
+
+impl InputLimits {
+    /// Starts a new window once the current one is over.
+    pub(crate) fn advance_window(&mut self, now: u64) {
+        if now >= self.window_started_at + WINDOW_MS {
+            self.datagrams_by_source.clear();
+            self.window_started_at = now;
+            self.push_pull_replies = 0;
+        }
+    }
+
+    /// Whether a datagram from this address is within the limits of the window; counts it either way.
+    pub(crate) fn admit(&mut self, from: SocketAddrV4, settings: &Settings) -> bool {
+        let received = self.datagrams_by_source.get(&from).copied();
+        let max_sources = settings.max_members * MAX_SOURCES_PER_MEMBER;
+        // A new source is counted only while the map has capacity, so that spoofed sources can't grow it.
+        let map_full = received.is_none() && self.datagrams_by_source.len() >= max_sources;
+        if map_full || received.is_some_and(|count| count >= settings.per_peer_per_second) {
+            self.reject(RejectionReason::RateLimited, from);
+            return false;
+        }
+        *self.datagrams_by_source.entry(from).or_insert(0) += 1;
+        true
+    }
+
+    /// Whether another push-pull request may be answered in this window; counts the reply.
+    pub(crate) fn admit_push_pull_reply(&mut self) -> bool {
+        let admitted = self.push_pull_replies < MAX_PUSH_PULL_REPLIES;
+        self.push_pull_replies += u32::from(admitted);
+        admitted
+    }
+
+    pub(crate) fn reject(&mut self, reason: RejectionReason, from: SocketAddrV4) {
+        self.rejected.count(reason);
+        self.last_sender = Some(from);
+    }
+
+    /// Counts a newcomer that the full table has no capacity for.
+    pub(crate) fn count_table_full(&mut self) {
+        self.rejected.table_full += 1;
+    }
+
+    /// Counts a datagram that could not be encoded within the largest size.
+    pub(crate) fn count_unsent(&mut self) {
+        self.rejected.unsent += 1;
+    }
+
+    /// Source addresses counted in the current window.
+    pub(crate) fn counted_sources(&self) -> usize {
+        self.datagrams_by_source.len()
+    }
+
+    /// Everything rejected since the start, with the updates that the gossip queue has dropped.
+    pub(crate) fn rejected(&self, gossip_queue_full: u64) -> RejectedInput {
+        RejectedInput {
+            gossip_queue_full,
+            ..self.rejected
+        }
+    }
+
+    /// A report of new rejections, if there are any and the last report is long enough ago.
+    pub(crate) fn take_report(
+        &mut self,
+        now: u64,
+        settings: &Settings,
+        gossip_queue_full: u64,
+    ) -> Option<RejectionReport> {
+        if now < self.next_report_at {
+            return None;
+        }
+        self.next_report_at = now + settings.period_ms.max(MIN_REPORT_INTERVAL_MS);
+        let totals = self.rejected(gossip_queue_full);
+        let total = totals.total();
+        if total <= self.reported_total {
+            return None;
+        }
+        let new_rejections = total - self.reported_total;
+        self.reported_total = total;
+        Some(RejectionReport {
+            totals,
+            new_rejections,
+            last_sender: self.last_sender,
+        })
+    }
+}
--- /dev/null
+++ b/crates/heathspur-members/src/join.rs
@@ -0,0 +1,72 @@
+//! Joining the fleet: the seeds are asked with backoff until a member answers.
+
+use crate::settings::Settings;
+use rand::rngs::StdRng;
+use rand::RngExt;
+use std::net::SocketAddrV4;
+
+/// A member counts as a newcomer for this many protocol periods after it starts to join.
+const NEWCOMER_PERIODS: u64 = 10;
+
+/// The progress of joining the fleet.
+pub(crate) struct Join {
+    seeds: Vec<SocketAddrV4>,
+    joined: bool,
+    next_attempt_at: Option<u64>,
+    backoff_ms: u64,
+    newcomer_until: u64,
+}
+
+impl Join {
+    pub(crate) fn new(seeds: Vec<SocketAddrV4>, settings: &Settings) -> Join {
+        Join {
+            seeds,
+            joined: false,
+            next_attempt_at: None,
+            backoff_ms: settings.join_backoff_ms,
+            newcomer_until: 0,
+        }
+    }
+
+    /// Starts to join at once.
+    pub(crate) fn start(&mut self, now: u64, settings: &Settings) {
+        self.next_attempt_at = Some(now);
+        self.backoff_ms = settings.join_backoff_ms;
+        self.newcomer_until = now + NEWCOMER_PERIODS * settings.period_ms;
+    }
+
+    pub(crate) fn seeds(&self) -> &[SocketAddrV4] {
+        &self.seeds
+    }
+
+    /// Whether a seed or another member has answered.
+    pub(crate) fn joined(&self) -> bool {
+        self.joined
+    }
+
+    pub(crate) fn mark_joined(&mut self) {
+        self.joined = true;
+    }
+
+    /// Whether this member is so new that the fleet knows all that it learns.
+    pub(crate) fn is_newcomer(&self, now: u64) -> bool {
+        now < self.newcomer_until
+    }
+
+    /// The seeds to ask, if an attempt is due; schedules the next attempt.
+    pub(crate) fn take_due_seeds(
+        &mut self,
+        now: u64,
+        settings: &Settings,
+        rng: &mut StdRng,
+    ) -> Vec<SocketAddrV4> {
+        let due = self.next_attempt_at.is_some_and(|at| now >= at);
+        if self.joined || !due {
+            return Vec::new();
+        }
+        let jitter = rng.random_range(0..=self.backoff_ms / 2);
+        self.next_attempt_at = Some(now + self.backoff_ms + jitter);
+        self.backoff_ms = (self.backoff_ms * 2).min(settings.join_backoff_max_ms);
+        self.seeds.clone()
+    }
+}
--- /dev/null
+++ b/crates/heathspur-members/src/local_member.rs
@@ -0,0 +1,97 @@
+//! The local member: its own record, incarnation and whether it is leaving.
+
+use crate::member::{Load, Member, MemberId, MemberState, ZoneVote};
+use crate::wire::Update;
+
+/// The record that this member publishes about itself.
+pub(crate) struct LocalMember {
+    member: Member,
+    incarnation: u64,
+    leaving: bool,
+    /// Changes of the incarnation so far; part of the view's version.
+    version: u64,
+}
+
+impl LocalMember {
+    pub(crate) fn new(member: Member, incarnation: u64) -> LocalMember {
+        LocalMember {
+            member,
+            incarnation,
+            leaving: false,
+            version: 0,
+        }
+    }
+
+    pub(crate) fn id(&self) -> &MemberId {
+        &self.member.id
+    }
+
+    pub(crate) fn member(&self) -> &Member {
+        &self.member
+    }
+
+    pub(crate) fn incarnation(&self) -> u64 {
+        self.incarnation
+    }
+
+    pub(crate) fn version(&self) -> u64 {
+        self.version
+    }
+
+    pub(crate) fn is_leaving(&self) -> bool {
+        self.leaving
+    }
+
+    pub(crate) fn state(&self) -> MemberState {
+        if self.leaving {
+            MemberState::Left
+        } else {
+            MemberState::Alive
+        }
+    }
+
+    /// The update by which this member announces itself.
+    pub(crate) fn update(&self) -> Update {
+        Update {
+            state: self.state(),
+            incarnation: self.incarnation,
+            accuser: None,
+            member: self.member.clone(),
+        }
+    }
+
+    pub(crate) fn set_load(&mut self, load: Load) {
+        self.member.load = load;
+    }
+
+    pub(crate) fn set_usual_round_trip(&mut self, milliseconds: u64) {
+        self.member.usual_round_trip_ms = milliseconds as u32;
+    }
+
+    /// Publishes a new vote at a higher incarnation; false if the vote is unchanged or this member is leaving.
+    pub(crate) fn set_zone_vote(&mut self, vote: ZoneVote) -> bool {
+        if self.member.zone_vote() == vote || self.leaving {
+            return false;
+        }
+        self.member.decision_epoch = vote.decision_epoch;
+        self.member.local_traffic_tenths = vote.local_traffic_tenths;
+        self.member.preferred_tenths = vote.preferred_tenths;
+        self.raise_incarnation(self.incarnation + 1);
+        true
+    }
+
+    /// Starts to leave at a higher incarnation; false if this member is leaving already.
+    pub(crate) fn leave(&mut self) -> bool {
+        if self.leaving {
+            return false;
+        }
+        self.leaving = true;
+        self.raise_incarnation(self.incarnation + 1);
+        true
+    }
+
+    pub(crate) fn raise_incarnation(&mut self, incarnation: u64) {
+        self.incarnation = incarnation;
+        self.version += 1;
+    }
+}
--- a/crates/heathspur-members/src/member.rs
+++ b/crates/heathspur-members/src/member.rs
@@ -1,4 +1,4 @@
-//! What a member is and what it carries.
+//! The record that a member publishes about itself, and the states that others see it in.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,8 +6,10 @@
 
 /// The longest id, zone or region, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
+/// The level at which all of a zone's traffic stays in the zone, in tenths.
+pub const ALL_TRAFFIC_TENTHS: u8 = 10;
 
-/// A member's name in the fleet: 1 to [`MAX_NAME_BYTES`] bytes.
+/// A member's unique name in the fleet: 1 to [`MAX_NAME_BYTES`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub String);
 
@@ -17,23 +19,23 @@
     }
 }
 
-/// A small summary of a member's load, for routing that reads the view; admission never reads it.
+/// A summary of a member's load, for routing that reads the view; admission never reads it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Requests in flight.
     pub in_flight: u32,
-    /// The admission module's current cap on requests in flight.
+    /// The admission controller's current limit on requests in flight.
     pub concurrency_limit: u32,
-    /// Refusals in the last second.
+    /// Requests rejected in the last second.
     pub rejections_per_second: u32,
 }
 
-/// What a member says of itself.
+/// The record that a member publishes about itself. The order of its fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Its unique name.
     pub id: MemberId,
-    /// Where its membership datagrams go (IPv4).
+    /// Where it receives membership datagrams (IPv4).
     pub address: SocketAddrV4,
     /// Its zone.
     pub zone: String,
@@ -41,62 +43,64 @@
     pub region: String,
     /// The version of its program as one number: 1.2.3 is 1002003.
     pub version: u32,
-    /// Its load, as it last said.
+    /// Its load.
     pub load: Load,
-    /// How long its round trips to others usually take, in milliseconds, by its own word: others wait for its
-    /// acks accordingly, within their bound.
+    /// The usual round trip of its probes, in milliseconds. Others wait for its acks accordingly, within a bound.
     pub usual_round_trip_ms: u32,
-    /// The epoch of the decision that it holds in common with its zone; 0 before the first, or without failover.
+    /// The epoch of the zone decision that it has accepted; 0 before the first, or without failover.
     pub decision_epoch: u64,
-    /// That decision: tenths of its zone's traffic that stay near, 0 to [`ALL_TRAFFIC_TENTHS`].
+    /// That decision: tenths of its zone's traffic that stay in the zone, 0 to [`ALL_TRAFFIC_TENTHS`].
     pub local_traffic_tenths: u8,
-    /// The level that it wants itself.
+    /// The level that it prefers itself.
     pub preferred_tenths: u8,
 }
 
-/// All traffic stays near.
-pub const ALL_TRAFFIC_TENTHS: u8 = 10;
-
-/// What a member holds and wants of its zone's decision.
+/// A member's vote on the decision of its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneVote {
-    /// The decision's epoch.
+    /// The epoch of the accepted decision.
     pub decision_epoch: u64,
-    /// The decision's level.
+    /// The level of the accepted decision.
     pub local_traffic_tenths: u8,
-    /// The level that the member wants.
+    /// The level that the member prefers.
     pub preferred_tenths: u8,
 }
 
 impl Member {
-    /// Whether its names and levels keep within their bounds.
+    /// Whether its names and levels are within their bounds.
     pub fn well_formed(&self) -> bool {
-        let fits = |s: &str| s.len() <= MAX_NAME_BYTES;
-        let levels = self.local_traffic_tenths <= ALL_TRAFFIC_TENTHS
+        let fits = |name: &str| name.len() <= MAX_NAME_BYTES;
+        let levels_fit = self.local_traffic_tenths <= ALL_TRAFFIC_TENTHS
             && self.preferred_tenths <= ALL_TRAFFIC_TENTHS;
-        levels
-            && !self.id.0.is_empty()
-            && fits(&self.id.0)
-            && fits(&self.zone)
-            && fits(&self.region)
+        let id_fits = !self.id.0.is_empty() && fits(&self.id.0);
+        levels_fit && id_fits && fits(&self.zone) && fits(&self.region)
+    }
+
+    /// Its vote on the decision of its zone.
+    pub fn zone_vote(&self) -> ZoneVote {
+        ZoneVote {
+            decision_epoch: self.decision_epoch,
+            local_traffic_tenths: self.local_traffic_tenths,
+            preferred_tenths: self.preferred_tenths,
+        }
     }
 }
 
-/// Where a member stands in a view.
+/// The state of a member in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Answers probes.
+    /// It answers probes.
     Alive,
-    /// Missed a probe, and may still refute it.
+    /// It missed a probe and may still refute the suspicion.
     Suspect,
-    /// Did not refute in time.
+    /// It did not refute in time.
     Dead,
-    /// Said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Its word in logs and tables.
+    /// Its name in logs and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Whether the member counts as in the fleet.
+    /// Whether the member counts as part of the fleet.
     pub fn live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/heathspur-members/src/member_table.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -1,268 +1,332 @@
-//! How news of a member is taken in: incarnations order it, and no peer is trusted further than that.
+//! The table of other members: their records, suspicions and round trips, and indexes over their states.
 
-use crate::member::{MemberId, MemberState};
-use crate::membership::{Action, ChangeCause, MemberEntry, Membership};
-use crate::state_record::{self, StateRecord, UpdateEffect};
+use crate::member::{Member, MemberId, MemberState};
+use crate::state_record::StateRecord;
 use crate::suspicion::Suspicion;
-use crate::wire::{Body, Update};
+use crate::wire::Update;
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
+use std::ops::Bound;
 
-/// An incarnation further ahead of the known one than this is taken for garbage. A restarted member's is derived
-/// from the wall clock's milliseconds, so it lies ahead by as long as the member ran: this is four years.
-pub(crate) const FAR_AHEAD: u64 = 1 << 37;
-/// No incarnation is taken above this, so that refutation can always count past it.
-pub(crate) const HIGHEST: u64 = 1 << 48;
+/// One member as seen by the local member.
+#[derive(Clone, Debug)]
+pub struct MemberEntry {
+    /// The record that the member publishes about itself.
+    pub member: Member,
+    /// Its state as known here.
+    pub state: MemberState,
+    /// Its incarnation as known here.
+    pub incarnation: u64,
+    /// When its state last changed here, in milliseconds of the local clock.
+    pub state_since: u64,
+    /// The running suspicion of a suspect.
+    suspicion: Option<Suspicion>,
+    /// The recent round trip of its acks; 0 before the first.
+    round_trip_ms: u64,
+}
 
-impl Membership {
-    pub(crate) fn apply(
-        &mut self,
-        update: &Update,
-        sender: &MemberId,
-        source: SocketAddrV4,
-        news: bool,
-        out: &mut Vec<Action>,
-    ) {
-        if !update.member.well_formed() || update.incarnation > HIGHEST {
-            self.rejected_input.future += update.member.well_formed() as u64;
-            self.rejected_input.garbage += !update.member.well_formed() as u64;
-            self.last_sender = Some(source);
-            return;
+impl MemberEntry {
+    fn alive(member: Member, incarnation: u64, now: u64) -> MemberEntry {
+        MemberEntry {
+            member,
+            state: MemberState::Alive,
+            incarnation,
+            state_since: now,
+            suspicion: None,
+            round_trip_ms: 0,
         }
-        if update.member.id == self.me.id {
-            self.about_me(update, source, out);
-            return;
+    }
+
+    /// State and incarnation as known here.
+    pub fn record(&self) -> StateRecord {
+        StateRecord {
+            state: self.state,
+            incarnation: self.incarnation,
         }
-        let from_itself = *sender == update.member.id && source == update.member.address;
-        let Some(entry) = self.table.get(&update.member.id) else {
-            self.newcomer(update, news, out);
-            return;
-        };
-        if update.incarnation > entry.incarnation.saturating_add(FAR_AHEAD) {
-            self.rejected_input.future += 1;
-            self.last_sender = Some(source);
-            return;
+    }
+
+    pub(crate) fn round_trip_ms(&self) -> u64 {
+        self.round_trip_ms
+    }
+
+    /// The update that accuses this member of being in `state`.
+    pub(crate) fn accusation(&self, state: MemberState, accuser: MemberId) -> Update {
+        Update {
+            state,
+            incarnation: self.incarnation,
+            accuser: Some(accuser),
+            member: self.member.clone(),
         }
-        if update.member.address != entry.member.address && !from_itself {
-            // Another address under a known id: only the member itself, from that address, moves it.
-            self.rejected_input.conflict += 1;
-            self.last_sender = Some(source);
-            return;
+    }
+
+    /// The update that passes on the state of this member as known here.
+    pub(crate) fn update(&self, local: &MemberId) -> Update {
+        let accused = matches!(self.state, MemberState::Suspect | MemberState::Dead);
+        let accuser = || {
+            let first = self.suspicion.as_ref().and_then(Suspicion::first_accuser);
+            // Without a running suspicion the local member stands for the accusation.
+            first.unwrap_or(local).clone()
+        };
+        Update {
+            state: self.state,
+            incarnation: self.incarnation,
+            accuser: accused.then(accuser),
+            member: self.member.clone(),
         }
-        let known = entry.record();
-        let id = update.member.id.clone();
-        match known.effect_of(StateRecord {
-            state: update.state,
-            incarnation: update.incarnation,
-        }) {
-            UpdateEffect::Alive => {
-                self.table.get_mut(&id).expect("present").member = update.member.clone();
-                let cause = if known.state == MemberState::Alive {
-                    ChangeCause::Gossip
-                } else {
-                    ChangeCause::Refuted
-                };
-                self.set(&id, MemberState::Alive, update.incarnation, cause, out);
-                self.spread.push(update.clone());
-            }
-            UpdateEffect::Unchanged if from_itself => {
-                // Its load and epoch, first hand; not spread further, since each member speaks for itself.
-                let entry = self.table.get_mut(&id).expect("present");
-                if entry.member != update.member {
-                    entry.member = update.member.clone();
-                    self.version += 1;
-                }
-            }
-            UpdateEffect::Accused { declared_dead } => {
-                let accuser = update.accuser.clone().unwrap_or_else(|| sender.clone());
-                self.suspect(&id, update.incarnation, accuser, ChangeCause::Gossip, out);
-                if declared_dead {
-                    let entry = self
-                        .table
-                        .get_mut(&id)
-                        .filter(|e| e.incarnation == update.incarnation);
-                    if let Some(suspicion) = entry.and_then(|e| e.suspicion.as_mut()) {
-                        suspicion.declare_dead();
-                    }
-                }
-            }
-            UpdateEffect::Left => {
-                self.set(
-                    &id,
-                    MemberState::Left,
-                    update.incarnation,
-                    ChangeCause::Left,
-                    out,
-                );
-                self.spread.push(update.clone());
-            }
-            UpdateEffect::Unchanged | UpdateEffect::Stale => {}
+    }
+}
+
+/// Members by state, so that a tick does not walk the whole table.
+#[derive(Default)]
+struct StateIndex {
+    suspects: BTreeSet<MemberId>,
+    /// Members that are dead or left.
+    departed: usize,
+}
+
+impl StateIndex {
+    fn add(&mut self, id: &MemberId, state: MemberState) {
+        if state == MemberState::Suspect {
+            self.suspects.insert(id.clone());
         }
+        self.departed += usize::from(!state.live());
     }
 
-    fn newcomer(&mut self, update: &Update, news: bool, out: &mut Vec<Action>) {
-        if !update.state.live() {
-            return;
+    fn remove(&mut self, id: &MemberId, state: MemberState) {
+        if state == MemberState::Suspect {
+            self.suspects.remove(id);
         }
-        if self.table.len() + 1 >= self.settings.max_members {
-            self.rejected_input.table_full += 1;
-            return;
+        self.departed -= usize::from(!state.live());
+    }
+}
+
+/// All other members known here, by id.
+pub(crate) struct MemberTable {
+    entries: BTreeMap<MemberId, MemberEntry>,
+    index: StateIndex,
+    /// Rises with every change; part of the view's version.
+    version: u64,
+}
+
+impl MemberTable {
+    pub(crate) fn new() -> MemberTable {
+        MemberTable {
+            entries: BTreeMap::new(),
+            index: StateIndex::default(),
+            version: 1,
         }
-        let id = update.member.id.clone();
-        self.table.insert(
-            id.clone(),
-            MemberEntry {
-                member: update.member.clone(),
-                state: MemberState::Alive,
-                incarnation: update.incarnation,
-                since: self.now,
-                suspicion: None,
-                round_trip_ms: 0,
-            },
-        );
+    }
+
+    pub(crate) fn version(&self) -> u64 {
+        self.version
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Members that are alive or suspect.
+    pub(crate) fn live_len(&self) -> usize {
+        self.entries.len() - self.index.departed
+    }
+
+    pub(crate) fn has_departed(&self) -> bool {
+        self.index.departed > 0
+    }
+
+    pub(crate) fn get(&self, id: &MemberId) -> Option<&MemberEntry> {
+        self.entries.get(id)
+    }
+
+    /// All members, in the order of ids.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
+        self.entries.values()
+    }
+
+    /// The members whose ids follow `id`, in the order of ids; all of them for `None`.
+    pub(crate) fn after(&self, id: Option<&MemberId>) -> impl Iterator<Item = &MemberEntry> {
+        let start = id.map_or(Bound::Unbounded, Bound::Excluded);
+        self.entries
+            .range((start, Bound::Unbounded))
+            .map(|(_, entry)| entry)
+    }
+
+    /// The ids of all live members, in order.
+    pub(crate) fn live_ids(&self) -> Vec<MemberId> {
+        let live = self.iter().filter(|entry| entry.state.live());
+        live.map(|entry| entry.member.id.clone()).collect()
+    }
+
+    /// The addresses of all live members, in the order of ids.
+    pub(crate) fn live_addresses(&self) -> Vec<SocketAddrV4> {
+        self.addresses(|entry| entry.state.live())
+    }
+
+    /// The addresses of the members for which `matches` holds, in the order of ids.
+    pub(crate) fn addresses(&self, matches: impl Fn(&MemberEntry) -> bool) -> Vec<SocketAddrV4> {
+        let matching = self.iter().filter(|entry| matches(entry));
+        matching.map(|entry| entry.member.address).collect()
+    }
+
+    /// Adds a member that is not in the table yet, as alive.
+    pub(crate) fn insert(&mut self, member: Member, incarnation: u64, now: u64) {
+        let id = member.id.clone();
+        self.index.add(&id, MemberState::Alive);
+        self.entries
+            .insert(id, MemberEntry::alive(member, incarnation, now));
         self.version += 1;
-        self.tally.add(&id, MemberState::Alive);
-        out.push(Action::StateChanged {
-            id: id.clone(),
-            to: Some(MemberState::Alive),
-            incarnation: update.incarnation,
-            cause: ChangeCause::Joined,
-        });
-        if news {
-            let (state, incarnation, member) = (
-                MemberState::Alive,
-                update.incarnation,
-                update.member.clone(),
-            );
-            self.spread.push(Update {
-                state,
-                incarnation,
-                accuser: None,
-                member,
-            });
-        }
-        if update.state == MemberState::Suspect {
-            let accuser = update.accuser.clone().unwrap_or_else(|| id.clone());
-            self.suspect(&id, update.incarnation, accuser, ChangeCause::Gossip, out);
-        }
     }
 
-    fn about_me(&mut self, update: &Update, source: SocketAddrV4, out: &mut Vec<Action>) {
-        if self.leaving {
+    /// Takes over what the member publishes about itself at the known incarnation.
+    pub(crate) fn update_member(&mut self, member: &Member) {
+        let Some(entry) = self.entries.get_mut(&member.id) else {
             return;
+        };
+        if entry.member != *member {
+            entry.member = member.clone();
+            self.version += 1;
         }
-        let said = StateRecord {
-            state: update.state,
-            incarnation: update.incarnation,
+    }
+
+    /// Takes a member as alive at a higher incarnation; returns whether its state changed.
+    pub(crate) fn mark_alive(&mut self, member: &Member, incarnation: u64, now: u64) -> bool {
+        let Some(entry) = self.entries.get_mut(&member.id) else {
+            return false;
         };
-        let Some(higher) = state_record::refuting_incarnation(self.incarnation, said) else {
-            // Refuted already, and who says so has not heard: it is told, or it alone would take this member for dead.
-            if self.settings.lifeguard && said.state != MemberState::Alive {
-                self.send(source, Body::Gossip, true, out);
-            }
-            return;
+        entry.member = member.clone();
+        let alive = StateRecord {
+            state: MemberState::Alive,
+            incarnation,
         };
-        if update.incarnation > self.incarnation.saturating_add(FAR_AHEAD) {
-            self.rejected_input.future += 1;
-            self.last_sender = Some(source);
-            return;
+        self.set_record(&member.id, alive, now)
+    }
+
+    /// Starts a suspicion; returns whether the state of the member changed.
+    pub(crate) fn mark_suspect(
+        &mut self,
+        id: &MemberId,
+        suspected: StateRecord,
+        suspicion: Suspicion,
+        now: u64,
+    ) -> bool {
+        let Some(entry) = self.entries.get_mut(id) else {
+            return false;
+        };
+        entry.suspicion = Some(suspicion);
+        self.set_record(id, suspected, now)
+    }
+
+    /// Sets state and incarnation of a member; returns whether its state changed.
+    pub(crate) fn set_record(&mut self, id: &MemberId, record: StateRecord, now: u64) -> bool {
+        let Some(entry) = self.entries.get_mut(id) else {
+            return false;
+        };
+        let previous = entry.state;
+        entry.incarnation = record.incarnation;
+        if record.state != MemberState::Suspect {
+            entry.suspicion = None;
         }
-        self.incarnation = higher;
-        self.version += 1;
-        if self.settings.lifeguard {
-            self.local_health = (self.local_health + 1).min(self.settings.local_health_max);
+        if previous != record.state {
+            entry.state = record.state;
+            entry.state_since = now;
+            self.index.remove(id, previous);
+            self.index.add(id, record.state);
         }
-        out.push(Action::IncarnationRaised(self.incarnation));
-        self.spread.push(self.me_update());
-        // The refutation goes out at once, to who told us and to a few more, not at the next round.
-        self.send(source, Body::Gossip, true, out);
-        self.gossip_now(out);
+        self.version += 1;
+        previous != record.state
     }
 
-    /// `accuser` suspects `id` at `incarnation`: a new suspicion, or a confirmation of one running.
-    pub(crate) fn suspect(
+    /// Adds an accuser to a running suspicion; returns whether it is a new confirmation.
+    pub(crate) fn confirm_suspicion(
         &mut self,
         id: &MemberId,
         incarnation: u64,
-        accuser: MemberId,
-        cause: ChangeCause,
-        out: &mut Vec<Action>,
-    ) {
-        let count = self.live_count();
-        let (mut least, mut most) = self.settings.suspicion_ms(count);
-        let lifeguard = self.settings.lifeguard;
-        // No more confirmations are waited for than there are others to give them.
-        let expected = if lifeguard {
-            self.settings.indirect_probes.min(count.saturating_sub(2))
-        } else {
-            0
-        };
-        let now = self.now;
-        // Who is slow by its own word, or as was seen here, refutes as slowly.
-        let slow = self.table.get(id).map_or(0, |entry| self.usual_wait(entry));
-        (least, most) = (least + slow, most + slow);
-        let Some(entry) = self.table.get_mut(id) else {
-            return;
+        accuser: &MemberId,
+    ) -> bool {
+        let suspicion = self.suspicion_mut(id, incarnation);
+        suspicion.is_some_and(|suspicion| suspicion.confirm(accuser.clone()))
+    }
+
+    /// Shortens a running suspicion to its least time, since another member has declared the suspect dead.
+    pub(crate) fn shorten_suspicion(&mut self, id: &MemberId, incarnation: u64) {
+        if let Some(suspicion) = self.suspicion_mut(id, incarnation) {
+            suspicion.declare_dead();
+        }
+    }
+
+    fn suspicion_mut(&mut self, id: &MemberId, incarnation: u64) -> Option<&mut Suspicion> {
+        let entry = self.entries.get_mut(id)?;
+        if entry.incarnation != incarnation {
+            return None;
+        }
+        entry.suspicion.as_mut()
+    }
+
+    /// Suspects whose suspicion has timed out.
+    pub(crate) fn expired_suspects(&self, now: u64) -> Vec<MemberId> {
+        let expired = |id: &&MemberId| {
+            let suspicion = self.entries.get(*id).and_then(|e| e.suspicion.as_ref());
+            suspicion.is_some_and(|suspicion| suspicion.deadline() <= now)
         };
-        let Some(suspected) = entry.record().suspect(incarnation) else {
-            if lifeguard && entry.state == MemberState::Suspect && incarnation == entry.incarnation
-            {
-                if let Some(suspicion) = entry.suspicion.as_mut() {
-                    if suspicion.confirm(accuser.clone()) {
-                        // A confirmation is news too: others' timers shorten by it.
-                        let (accuser, member) = (Some(accuser), entry.member.clone());
-                        self.spread.push(Update {
-                            state: MemberState::Suspect,
-                            incarnation,
-                            accuser,
-                            member,
-                        });
-                    }
-                }
+        self.index
+            .suspects
+            .iter()
+            .filter(expired)
+            .cloned()
+            .collect()
+    }
+
+    /// Suspects due for a last direct query before their suspicion times out; each is returned once a suspicion.
+    pub(crate) fn take_suspects_to_query(&mut self, now: u64) -> Vec<MemberId> {
+        let mut due = Vec::new();
+        for id in &self.index.suspects {
+            let suspicion = self.entries.get_mut(id).and_then(|e| e.suspicion.as_mut());
+            if suspicion.is_some_and(|suspicion| suspicion.take_query(now)) {
+                due.push(id.clone());
             }
-            return;
+        }
+        due
+    }
+
+    /// Removes members that have been dead or left for at least `retention_ms`.
+    pub(crate) fn reap(&mut self, now: u64, retention_ms: u64) -> Vec<MemberEntry> {
+        let expired = |entry: &&MemberEntry| {
+            !entry.state.live() && now.saturating_sub(entry.state_since) >= retention_ms
         };
-        // Without Lifeguard a suspicion lasts its least, as SWIM has it.
-        let most = if lifeguard { most } else { least };
-        entry.suspicion = Some(Suspicion::new(now, least, most, expected, accuser.clone()));
-        let member = entry.member.clone();
-        self.set(id, suspected.state, suspected.incarnation, cause, out);
-        self.spread.push(Update {
-            state: MemberState::Suspect,
-            incarnation,
-            accuser: Some(accuser),
-            member,
-        });
+        let ids: Vec<MemberId> = self
+            .iter()
+            .filter(expired)
+            .map(|entry| entry.member.id.clone())
+            .collect();
+        let mut reaped = Vec::with_capacity(ids.len());
+        for id in ids {
+            if let Some(entry) = self.entries.remove(&id) {
+                self.index.remove(&id, entry.state);
+                self.version += 1;
+                reaped.push(entry);
+            }
+        }
+        reaped
     }
 
-    pub(crate) fn set(
+    /// Records the round trip of an ack; false if it did not come from the member itself.
+    pub(crate) fn record_round_trip(
         &mut self,
         id: &MemberId,
-        to: MemberState,
-        incarnation: u64,
-        cause: ChangeCause,
-        out: &mut Vec<Action>,
-    ) {
-        let now = self.now;
-        let Some(entry) = self.table.get_mut(id) else {
-            return;
+        from: SocketAddrV4,
+        round_trip_ms: u64,
+    ) -> bool {
+        let entry = self.entries.get_mut(id);
+        let Some(entry) = entry.filter(|entry| entry.member.address == from) else {
+            return false;
         };
-        let changed = entry.state != to;
-        entry.incarnation = incarnation;
-        if to != MemberState::Suspect {
-            entry.suspicion = None;
-        }
-        if changed {
-            self.tally.remove(id, entry.state);
-            self.tally.add(id, to);
-            entry.state = to;
-            entry.since = now;
-            out.push(Action::StateChanged {
-                id: id.clone(),
-                to: Some(to),
-                incarnation,
-                cause,
-            });
-        }
-        self.version += 1;
+        let known = entry.round_trip_ms;
+        // A longer round trip counts at once, a shorter one gradually.
+        entry.round_trip_ms = if round_trip_ms >= known {
+            round_trip_ms
+        } else {
+            known - (known - round_trip_ms).div_ceil(4)
+        };
+        true
     }
 }
--- a/crates/heathspur-members/src/membership.rs
+++ b/crates/heathspur-members/src/membership.rs
@@ -1,626 +1,798 @@
-//! The member's state machine: what it holds, and how events turn into actions.
+//! The member's state machine: composes its parts and turns events into actions.
 
-use crate::failure_detector::{Probe, Relay};
+use crate::anti_entropy::{self, AntiEntropy};
+use crate::event::{Action, ChangeCause, Event};
+use crate::failure_detector::{AckedProbe, FailureDetector, IndirectProbe, Requester};
 use crate::gossip_queue::GossipQueue;
+use crate::input_limits::InputLimits;
+use crate::join::Join;
+use crate::local_member::LocalMember;
 use crate::member::{Load, Member, MemberId, MemberState, ZoneVote};
-use crate::rejected_input::{RejectedInput, RejectionReport};
+use crate::member_table::{MemberEntry, MemberTable};
+use crate::rejected_input::{RejectedInput, RejectionReason};
 use crate::settings::Settings;
-use crate::state_record::StateRecord;
-use crate::suspicion::Suspicion;
-use crate::wire::{self, Body, Update};
+use crate::state_record::{refuting_incarnation, StateRecord, UpdateEffect};
+use crate::suspicion::{Suspicion, SuspicionTimeout};
+use crate::view::{self, View, ViewResponder};
+use crate::wire::{self, Body, DecodeError, Envelope, Update};
 use rand::rngs::StdRng;
+use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// Entries of the table by what is asked of them at every tick, so that the table is not walked through.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Tally {
-    suspects: BTreeSet<MemberId>,
-    gone: usize,
+/// An incarnation further ahead of the known one is rejected. A restarted member takes its incarnation from the wall
+/// clock's milliseconds, so it is ahead by as long as the member ran: this is four years.
+const MAX_INCARNATION_LEAD: u64 = 1 << 37;
+/// No incarnation above this is accepted, so that a refutation can always exceed it.
+const MAX_INCARNATION: u64 = 1 << 48;
+/// A leaving member announces that to this many times the gossip fanout.
+const LEAVE_FANOUT_FACTOR: usize = 2;
+/// Bytes reserved for the growth of the length prefix when updates are added to a datagram.
+const UPDATES_LENGTH_RESERVE_BYTES: usize = 4;
+
+/// The origin of an update.
+struct UpdateSource<'a> {
+    sender: &'a MemberId,
+    address: SocketAddrV4,
+    /// Whether a newcomer in the update is to be gossiped further.
+    gossip_newcomers: bool,
 }
 
-impl Tally {
-    pub(crate) fn add(&mut self, id: &MemberId, state: MemberState) {
-        if state == MemberState::Suspect {
-            self.suspects.insert(id.clone());
-        }
-        self.gone += !state.live() as usize;
-    }
-
-    pub(crate) fn remove(&mut self, id: &MemberId, state: MemberState) {
-        if state == MemberState::Suspect {
-            self.suspects.remove(id);
-        }
-        self.gone -= !state.live() as usize;
-    }
-}
-
-/// So many periods after it joins, a member counts as a newcomer.
-const FRESH_PERIODS: u64 = 10;
-/// Pushes of the whole view answered in one period; past it, a push is merged but not answered.
-const REPLIES_A_PERIOD: u32 = 4;
-
-/// What happens to a member.
-#[derive(Debug)]
-pub enum Event<'a> {
-    /// A datagram came from `from`.
-    Datagram {
-        /// The address it came from.
-        from: SocketAddrV4,
-        /// Its bytes, at most [`crate::wire::MAX_DATAGRAM_BYTES`] taken.
-        bytes: &'a [u8],
-    },
-    /// Time went on; call at least every tenth of a period.
-    Tick,
-    /// Ask the seeds to let it in, and keep asking with backoff until one answers.
-    Join,
-    /// It leaves: says so to others, and probes nobody after.
-    Leave,
-}
-
-/// Why a member's state changed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangeCause {
-    /// Heard of for the first time.
-    Joined,
-    /// It answered no probe of ours, direct or indirect.
-    ProbeMissed,
-    /// Others said so.
-    Gossip,
-    /// It refuted with a higher incarnation.
-    Refuted,
-    /// Its suspicion ran out.
-    SuspicionTimeout,
-    /// It said that it leaves.
-    Left,
-    /// Dead or left for longer than kept; out of the table.
-    Reaped,
-}
-
-impl ChangeCause {
-    /// Its word in logs.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            ChangeCause::Joined => "joined",
-            ChangeCause::ProbeMissed => "probe missed",
-            ChangeCause::Gossip => "gossip",
-            ChangeCause::Refuted => "refuted",
-            ChangeCause::SuspicionTimeout => "suspicion timed out",
-            ChangeCause::Left => "left",
-            ChangeCause::Reaped => "reaped",
-        }
-    }
-}
-
-/// What the shell is to do.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Send a datagram.
-    Send {
-        /// Where to.
-        to: SocketAddrV4,
-        /// The whole datagram, at most [`crate::wire::MAX_DATAGRAM_BYTES`] bytes.
-        bytes: Vec<u8>,
-    },
-    /// A member's state changed (`None`: out of the table).
-    StateChanged {
-        /// Whose.
-        id: MemberId,
-        /// Its new state; `None` once out of the table.
-        to: Option<MemberState>,
-        /// Its incarnation as known here.
-        incarnation: u64,
-        /// Why.
-        cause: ChangeCause,
-    },
-    /// This member's own incarnation rose, to refute or to leave: the shell may keep it.
-    IncarnationRaised(u64),
-    /// Refusals since the last time told, once a period at most.
-    InputRejected(RejectionReport),
-}
-
-/// One member as this one sees it.
-#[derive(Clone, Debug)]
-pub struct MemberEntry {
-    /// What it says of itself.
-    pub member: Member,
-    /// Its state here.
-    pub state: MemberState,
-    /// Its incarnation as known here.
-    pub incarnation: u64,
-    /// When it last changed state here, in module time.
-    pub since: u64,
-    pub(crate) suspicion: Option<Suspicion>,
-    /// How long its acks take of late; 0 before the first.
-    pub(crate) round_trip_ms: u64,
-}
-
-impl MemberEntry {
-    /// State and incarnation as known here.
-    pub fn record(&self) -> StateRecord {
-        StateRecord {
-            state: self.state,
-            incarnation: self.incarnation,
-        }
-    }
-}
-
-/// The view at one moment, versioned: a reader compares versions instead of waiting.
-#[derive(Clone, Debug, Default)]
-pub struct View {
-    /// Rises with every change.
-    pub version: u64,
-    /// This member's own incarnation.
-    pub incarnation: u64,
-    /// All members in the table, this one too, by id.
-    pub members: Vec<(Member, MemberState, u64)>,
-}
-
-/// One member's view of the fleet and its part in keeping it.
+/// One member's view of the fleet and its part in maintaining it.
 pub struct Membership {
-    pub(crate) settings: Settings,
-    pub(crate) me: Member,
-    pub(crate) incarnation: u64,
-    pub(crate) leaving: bool,
-    pub(crate) rng: StdRng,
-    pub(crate) table: BTreeMap<MemberId, MemberEntry>,
-    pub(crate) tally: Tally,
-    pub(crate) order: Vec<MemberId>,
-    pub(crate) next_in_order: usize,
-    pub(crate) probes: Vec<Probe>,
-    /// Probes that failed; an ack that comes late tells how slow the member is.
-    pub(crate) late: VecDeque<Probe>,
-    pub(crate) round_trip_ms: u64,
-    pub(crate) relays: Vec<Relay>,
-    pub(crate) sequence: u32,
-    pub(crate) spread: GossipQueue,
-    pub(crate) local_health: u32,
-    pub(crate) next_probe: u64,
-    next_gossip: u64,
-    next_push_pull: u64,
-    next_reap: u64,
-    fresh_until: u64,
-    pub(crate) seeds: Vec<SocketAddrV4>,
-    pub(crate) joined: bool,
-    pub(crate) join_at: Option<u64>,
-    pub(crate) join_wait: u64,
-    rate: HashMap<SocketAddrV4, u32>,
-    rate_window: u64,
-    replies: u32,
-    pub(crate) rejected_input: RejectedInput,
-    told: u64,
-    pub(crate) last_sender: Option<SocketAddrV4>,
-    next_tell: u64,
-    pub(crate) version: u64,
-    pub(crate) now: u64,
+    settings: Settings,
+    /// Monotonic time of the last event, in milliseconds.
+    now: u64,
+    rng: StdRng,
+    local: LocalMember,
+    table: MemberTable,
+    detector: FailureDetector,
+    gossip: GossipQueue,
+    next_gossip_at: u64,
+    anti_entropy: AntiEntropy,
+    join: Join,
+    limits: InputLimits,
+    next_reap_at: u64,
 }
 
 impl Membership {
-    /// A member that knows only itself, at `incarnation` (which must never go back across restarts), with the
-    /// addresses of seeds to join through and a seed for its random choices. Settings are checked by the caller.
+    /// A member that knows only itself, at `incarnation`, which must never go back across restarts. `random_seed`
+    /// determines its random choices. The caller has checked the settings.
     pub fn new(
         settings: Settings,
-        me: Member,
+        local: Member,
         incarnation: u64,
         seeds: Vec<SocketAddrV4>,
-        seed: u64,
+        random_seed: u64,
     ) -> Membership {
-        let seeds = seeds.into_iter().filter(|s| *s != me.address).collect();
-        let spread = GossipQueue::new(settings.max_pending);
+        let own_address = local.address;
+        let seeds = seeds.into_iter().filter(|seed| *seed != own_address);
         Membership {
-            join_wait: settings.join_backoff_ms,
-            settings,
-            me,
-            incarnation,
-            leaving: false,
-            rng: StdRng::seed_from_u64(seed),
-            table: BTreeMap::new(),
-            tally: Tally::default(),
-            order: Vec::new(),
-            next_in_order: 0,
-            probes: Vec::new(),
-            late: VecDeque::new(),
-            round_trip_ms: 0,
-            relays: Vec::new(),
-            sequence: 0,
-            spread,
-            local_health: 0,
-            next_probe: 0,
-            next_gossip: 0,
-            next_push_pull: 0,
-            next_reap: 0,
-            fresh_until: 0,
-            seeds,
-            joined: false,
-            join_at: None,
-            rate: HashMap::new(),
-            rate_window: 0,
-            replies: 0,
-            rejected_input: RejectedInput::default(),
-            told: 0,
-            last_sender: None,
-            next_tell: 0,
-            version: 1,
             now: 0,
+            rng: StdRng::seed_from_u64(random_seed),
+            local: LocalMember::new(local, incarnation),
+            table: MemberTable::new(),
+            detector: FailureDetector::new(),
+            gossip: GossipQueue::new(settings.max_pending),
+            next_gossip_at: 0,
+            anti_entropy: AntiEntropy::default(),
+            join: Join::new(seeds.collect(), &settings),
+            limits: InputLimits::default(),
+            next_reap_at: 0,
+            settings,
         }
     }
 
-    /// Takes one event at module time `now` (milliseconds, monotonic) and appends what is to be done.
+    /// Handles one event at monotonic time `now`, in milliseconds, and appends the actions that follow.
     pub fn handle(&mut self, now: u64, event: Event<'_>, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Datagram { from, bytes } => self.receive(from, bytes, out),
-            Event::Tick => self.tick(out),
-            Event::Join => {
-                self.join_at = Some(self.now);
-                self.join_wait = self.settings.join_backoff_ms;
-                self.fresh_until = self.now + FRESH_PERIODS * self.settings.period_ms;
-                // Members started at one moment don't probe, gossip and exchange views in step.
-                let now = self.now;
-                let mut within = |span: u64| now + self.rng.random_range(0..span.max(1));
-                self.next_probe = within(self.settings.period_ms);
-                self.next_gossip = within(self.settings.gossip_ms);
-                self.next_push_pull =
-                    within(self.settings.push_pull_every_ms(1 + self.table.len()));
-                self.tick(out);
-            }
-            Event::Leave => self.leave(out),
+            Event::Datagram { from, bytes } => self.on_datagram(from, bytes, out),
+            Event::Tick => self.on_tick(out),
+            Event::Join => self.on_join(out),
+            Event::Leave => self.on_leave(out),
         }
     }
 
-    /// Sets what this member says of its load; it goes out with its next datagrams.
+    /// Sets the load that this member publishes with its next datagrams.
     pub fn set_load(&mut self, load: Load) {
-        self.me.load = load;
+        self.local.set_load(load);
     }
 
-    /// Sets what it says of its zone's decision. That is news, and is spread like other news.
+    /// Sets the vote that this member publishes on its zone's decision; a new vote is gossiped at once.
     pub fn set_zone_vote(&mut self, vote: ZoneVote, out: &mut Vec<Action>) {
-        let ZoneVote {
-            decision_epoch,
-            local_traffic_tenths,
-            preferred_tenths,
-        } = vote;
-        if (
-            self.me.decision_epoch,
-            self.me.local_traffic_tenths,
-            self.me.preferred_tenths,
-        ) == (decision_epoch, local_traffic_tenths, preferred_tenths)
-            || self.leaving
-        {
-            return;
+        if self.local.set_zone_vote(vote) {
+            self.announce_incarnation(out);
+            self.gossip_to_random_members(out);
         }
-        (
-            self.me.decision_epoch,
-            self.me.local_traffic_tenths,
-            self.me.preferred_tenths,
-        ) = (decision_epoch, local_traffic_tenths, preferred_tenths);
-        self.incarnation += 1;
-        self.version += 1;
-        out.push(Action::IncarnationRaised(self.incarnation));
-        self.spread.push(self.me_update());
-        self.gossip_now(out);
     }
 
-    /// Takes in members that are known to be there, without news of them: where a fleet stands already.
+    /// Adds members that are known to be alive without gossip of them, as in a fleet that stands already.
     pub fn add_known_members(&mut self, members: impl IntoIterator<Item = (Member, u64)>) {
         for (member, incarnation) in members {
-            let full = self.table.len() + 1 >= self.settings.max_members;
-            if full || member.id == self.me.id || self.table.contains_key(&member.id) {
+            let known = member.id == *self.local.id() || self.table.get(&member.id).is_some();
+            if known || self.table_is_full() {
                 continue;
             }
-            let (state, since, suspicion) = (MemberState::Alive, self.now, None);
-            self.table.insert(
-                member.id.clone(),
-                MemberEntry {
-                    member,
-                    state,
-                    incarnation,
-                    since,
-                    suspicion,
-                    round_trip_ms: 0,
-                },
-            );
-            self.joined = true;
-            self.version += 1;
-        }
-    }
-
-    /// The view now.
-    pub fn view(&self) -> View {
-        let mut members = vec![(self.me.clone(), self.my_state(), self.incarnation)];
-        members.extend(
-            self.table
-                .values()
-                .map(|e| (e.member.clone(), e.state, e.incarnation)),
-        );
-        members.sort_by(|a, b| a.0.id.cmp(&b.0.id));
-        View {
-            version: self.version,
-            incarnation: self.incarnation,
-            members,
+            self.table.insert(member, incarnation, self.now);
+            self.join.mark_joined();
         }
     }
 
-    /// The version of the view; it rises with every change.
+    /// The current view.
+    pub fn view(&self) -> View {
+        view::snapshot(&self.local, &self.table)
+    }
+
+    /// The version of the view, which rises with every change.
     pub fn version(&self) -> u64 {
-        self.version
+        view::view_version(&self.local, &self.table)
     }
 
-    /// One member as seen here.
+    /// One other member as known here.
     pub fn entry(&self, id: &MemberId) -> Option<&MemberEntry> {
         self.table.get(id)
     }
 
-    /// This member's own name.
+    /// This member's own id.
     pub fn id(&self) -> &str {
-        &self.me.id.0
+        &self.local.id().0
     }
 
     /// This member's own incarnation.
     pub fn incarnation(&self) -> u64 {
-        self.incarnation
+        self.local.incarnation()
     }
 
-    /// Lifeguard's local health score: 0 is healthy.
+    /// Lifeguard's local health multiplier less one: 0 is healthy.
     pub fn local_health(&self) -> u32 {
-        self.local_health
+        self.detector.local_health()
     }
 
-    /// What was dropped so far.
+    /// Everything rejected since the start.
     pub fn rejected_input(&self) -> RejectedInput {
-        let mut counts = self.rejected_input;
-        counts.gossip_queue_full = self.spread.dropped;
-        counts
+        self.limits.rejected(self.gossip.evicted())
     }
 
-    /// Addresses counted in this second's table of datagrams a peer; at most twice `max_members`.
+    /// Source addresses counted for the rate limit; at most twice `max_members`.
     pub fn counted_addresses(&self) -> usize {
-        self.rate.len()
+        self.limits.counted_sources()
     }
 
-    /// Updates waiting to be spread.
+    /// Updates queued for gossip.
     pub fn pending(&self) -> usize {
-        self.spread.len()
+        self.gossip.len()
     }
 
     /// Whether a seed or another member has answered.
     pub fn joined(&self) -> bool {
-        self.joined
-    }
-
-    pub(crate) fn my_state(&self) -> MemberState {
-        if self.leaving {
-            MemberState::Left
-        } else {
-            MemberState::Alive
-        }
+        self.join.joined()
     }
 
-    pub(crate) fn me_update(&self) -> Update {
-        Update {
-            state: self.my_state(),
-            incarnation: self.incarnation,
-            accuser: None,
-            member: self.me.clone(),
-        }
+    fn on_join(&mut self, out: &mut Vec<Action>) {
+        self.join.start(self.now, &self.settings);
+        // Members started together don't probe, gossip and exchange views in step.
+        let first_probe = self.random_time_within(self.settings.period_ms);
+        self.detector.start_at(first_probe);
+        self.next_gossip_at = self.random_time_within(self.settings.gossip_ms);
+        let push_pull_interval = self.settings.push_pull_every_ms(1 + self.table.len());
+        let first_push_pull = self.random_time_within(push_pull_interval);
+        self.anti_entropy.start_at(first_push_pull);
+        self.on_tick(out);
     }
 
-    /// Members counted for SWIM's scaling: those live, this one too.
-    pub(crate) fn live_count(&self) -> usize {
-        1 + self.table.len() - self.tally.gone
+    fn random_time_within(&mut self, span_ms: u64) -> u64 {
+        self.now + self.rng.random_range(0..span_ms.max(1))
     }
 
-    pub(crate) fn scaled(&self, ms: u64) -> u64 {
-        if self.settings.lifeguard {
-            ms * (self.local_health as u64 + 1)
-        } else {
-            ms
+    fn on_leave(&mut self, out: &mut Vec<Action>) {
+        if !self.local.leave() {
+            return;
+        }
+        self.detector.stop();
+        self.announce_incarnation(out);
+        for to in self.random_live_addresses(self.settings.fanout * LEAVE_FANOUT_FACTOR) {
+            self.send(to, Body::Gossip, out);
         }
     }
 
-    fn tick(&mut self, out: &mut Vec<Action>) {
-        let now = self.now;
-        if now >= self.rate_window + 1_000 {
-            self.rate.clear();
-            self.rate_window = now;
-            self.replies = 0;
-        }
+    fn on_tick(&mut self, out: &mut Vec<Action>) {
+        self.limits.advance_window(self.now);
         self.expire_suspicions(out);
         self.reap(out);
-        self.relay_nacks(out);
-        if now >= self.next_gossip {
-            self.next_gossip = now + self.settings.gossip_ms;
-            self.gossip(out);
-        }
-        if self.leaving {
+        self.send_due_nacks(out);
+        self.gossip_if_due(out);
+        if self.local.is_leaving() {
             return;
         }
-        self.probe_step(out);
-        if now >= self.next_push_pull && self.joined {
-            self.next_push_pull = now + self.settings.push_pull_every_ms(self.live_count());
-            self.push_pull(out);
-        }
-        self.join_step(out);
-        self.tell(out);
+        self.advance_probes(out);
+        self.push_pull_if_due(out);
+        self.join_if_due(out);
+        self.report_rejected_input(out);
     }
 
     fn expire_suspicions(&mut self, out: &mut Vec<Action>) {
-        let now = self.now;
-        let suspects = self
-            .tally
-            .suspects
-            .iter()
-            .filter_map(|id| self.table.get(id));
-        let due: Vec<MemberId> = suspects
-            .filter(|e| e.suspicion.as_ref().is_some_and(|s| s.deadline() <= now))
-            .map(|e| e.member.id.clone())
-            .collect();
+        let expired = self.table.expired_suspects(self.now);
         if self.settings.lifeguard {
-            self.ask_last_words(out);
+            self.query_suspects(out);
         }
-        for id in due {
+        for id in expired {
             let Some(dead) = self.table.get(&id).and_then(|e| e.record().expire()) else {
                 continue;
             };
-            self.set(
-                &id,
-                dead.state,
-                dead.incarnation,
-                ChangeCause::SuspicionTimeout,
-                out,
-            );
-            if let Some(entry) = self.table.get(&id) {
-                self.spread.push(Update {
-                    state: MemberState::Dead,
-                    incarnation: entry.incarnation,
-                    accuser: Some(self.me.id.clone()),
-                    member: entry.member.clone(),
-                });
-            }
+            self.set_record(&id, dead, ChangeCause::SuspicionTimeout, out);
+            self.gossip_accusation(&id, MemberState::Dead, self.local.id().clone());
         }
     }
 
-    /// Who missed a refutation would take a live member for dead alone: it asks the suspect itself in time.
-    fn ask_last_words(&mut self, out: &mut Vec<Action>) {
-        let mut asked = Vec::new();
-        for id in &self.tally.suspects {
-            let Some(entry) = self.table.get_mut(id) else {
-                continue;
-            };
-            if entry.suspicion.as_mut().is_some_and(|s| s.asks(self.now)) {
-                asked.push(id.clone());
-            }
-        }
-        for id in asked {
-            if let Some((to, first)) = self
-                .table
-                .get(&id)
-                .map(|e| (e.member.address, self.accusation(e)))
-            {
-                self.send_with(to, Body::Gossip, Some(first), out);
-            }
+    /// Sends suspects the accusation shortly before they time out: this member may have missed their refutation.
+    fn query_suspects(&mut self, out: &mut Vec<Action>) {
+        for id in self.table.take_suspects_to_query(self.now) {
+            self.send_accusation(&id, Body::Gossip, out);
         }
     }
 
     fn reap(&mut self, out: &mut Vec<Action>) {
-        // Once a period is soon enough.
-        if self.tally.gone == 0 || self.now < self.next_reap {
+        if !self.table.has_departed() || self.now < self.next_reap_at {
             return;
         }
-        self.next_reap = self.now + self.settings.period_ms;
-        let keep = self.settings.dead_keep_ms;
-        let now = self.now;
-        let gone: Vec<MemberId> = self
-            .table
-            .values()
-            .filter(|e| !e.state.live() && now.saturating_sub(e.since) >= keep)
-            .map(|e| e.member.id.clone())
-            .collect();
-        for id in gone {
-            if let Some(entry) = self.table.remove(&id) {
-                self.tally.remove(&id, entry.state);
-                self.version += 1;
-                out.push(Action::StateChanged {
-                    id,
-                    to: None,
-                    incarnation: entry.incarnation,
-                    cause: ChangeCause::Reaped,
-                });
+        self.next_reap_at = self.now + self.settings.period_ms;
+        for entry in self.table.reap(self.now, self.settings.dead_keep_ms) {
+            out.push(Action::StateChanged {
+                id: entry.member.id,
+                to: None,
+                incarnation: entry.incarnation,
+                cause: ChangeCause::Reaped,
+            });
+        }
+    }
+
+    fn send_due_nacks(&mut self, out: &mut Vec<Action>) {
+        for requester in self.detector.take_unanswered_relays(self.now) {
+            if self.settings.lifeguard {
+                let sequence = requester.sequence;
+                self.send(requester.address, Body::Nack { sequence }, out);
             }
         }
     }
 
-    fn tell(&mut self, out: &mut Vec<Action>) {
-        if self.now < self.next_tell {
+    fn gossip_if_due(&mut self, out: &mut Vec<Action>) {
+        if self.now < self.next_gossip_at {
+            return;
+        }
+        self.next_gossip_at = self.now + self.settings.gossip_ms;
+        if !self.gossip.is_empty() {
+            self.gossip_to_random_members(out);
+        }
+    }
+
+    fn push_pull_if_due(&mut self, out: &mut Vec<Action>) {
+        let live_members = self.live_members();
+        let due = self.join.joined()
+            && self
+                .anti_entropy
+                .take_due(self.now, live_members, &self.settings);
+        if !due {
+            return;
+        }
+        let peer = anti_entropy::choose_peer(&self.table, self.join.seeds(), &mut self.rng);
+        if let Some(peer) = peer {
+            self.send_push_pull(peer, true, out);
+        }
+    }
+
+    fn join_if_due(&mut self, out: &mut Vec<Action>) {
+        let seeds = self
+            .join
+            .take_due_seeds(self.now, &self.settings, &mut self.rng);
+        for seed in seeds {
+            self.send_push_pull(seed, true, out);
+        }
+    }
+
+    fn report_rejected_input(&mut self, out: &mut Vec<Action>) {
+        let evicted = self.gossip.evicted();
+        let report = self.limits.take_report(self.now, &self.settings, evicted);
+        out.extend(report.map(Action::InputRejected));
+    }
+
+    fn advance_probes(&mut self, out: &mut Vec<Action>) {
+        let indirect = self.detector.take_due_indirect_probes(
+            self.now,
+            &self.table,
+            &self.settings,
+            &mut self.rng,
+        );
+        for probe in indirect {
+            self.send_indirect_probe(probe, out);
+        }
+        for target in self.detector.take_failed_targets(self.now, &self.settings) {
+            self.on_probe_failed(&target, out);
+        }
+        let direct =
+            self.detector
+                .take_due_probe(self.now, &self.table, &self.settings, &mut self.rng);
+        let Some(probe) = direct else { return };
+        let ping = Body::Ping {
+            sequence: probe.sequence,
+            target: probe.target.clone(),
+        };
+        if self.settings.lifeguard && probe.suspected {
+            // Lifeguard's buddy system: the probe tells a suspect of its suspicion, so that it can refute at once.
+            self.send_accusation(&probe.target, ping, out);
+        } else {
+            self.send(probe.address, ping, out);
+        }
+    }
+
+    fn send_indirect_probe(&mut self, probe: IndirectProbe, out: &mut Vec<Action>) {
+        let IndirectProbe {
+            sequence,
+            target,
+            address,
+            helpers,
+        } = probe;
+        if self.settings.lifeguard {
+            // The first ping or its ack may just have been lost.
+            let ping = Body::Ping {
+                sequence,
+                target: target.clone(),
+            };
+            self.send(address, ping, out);
+        }
+        for helper in helpers {
+            let request = Body::PingReq {
+                sequence,
+                target: target.clone(),
+                address,
+            };
+            self.send(helper, request, out);
+        }
+    }
+
+    fn on_probe_failed(&mut self, target: &MemberId, out: &mut Vec<Action>) {
+        let Some(known) = self.table.get(target).map(MemberEntry::record) else {
             return;
+        };
+        let accuser = self.local.id().clone();
+        let cause = ChangeCause::ProbeMissed;
+        self.suspect(target, known.incarnation, accuser, cause, out);
+        if known.state == MemberState::Alive && self.settings.lifeguard {
+            // Sent now and not with the next probe, so that the suspect has all of its time to refute.
+            self.send_accusation(target, Body::Gossip, out);
         }
-        self.next_tell = self.now + self.settings.period_ms.max(1_000);
-        let counts = self.rejected_input();
-        let total = counts.total();
-        if total > self.told {
-            out.push(Action::InputRejected(RejectionReport {
-                counts,
-                new: total - self.told,
-                last_sender: self.last_sender,
-            }));
-            self.told = total;
-        }
-    }
-
-    pub(crate) fn receive(&mut self, from: SocketAddrV4, bytes: &[u8], out: &mut Vec<Action>) {
-        // A new address is counted only while the table has room: spoofed sources can't grow it.
-        let seen = self.rate.get(&from).copied();
-        let full = seen.is_none() && self.rate.len() >= self.settings.max_members * 2;
-        if full || seen.is_some_and(|n| n >= self.settings.per_peer_per_second) {
-            self.rejected_input.rate += 1;
-            self.last_sender = Some(from);
+    }
+
+    fn on_datagram(&mut self, from: SocketAddrV4, bytes: &[u8], out: &mut Vec<Action>) {
+        if !self.limits.admit(from, &self.settings) {
             return;
         }
-        *self.rate.entry(from).or_insert(0) += 1;
         let envelope = match wire::decode(bytes) {
             Ok(envelope) => envelope,
-            Err(refusal) => {
-                match refusal {
-                    wire::DecodeError::Oversized => self.rejected_input.oversized += 1,
-                    wire::DecodeError::Garbage => self.rejected_input.garbage += 1,
-                    wire::DecodeError::Version => self.rejected_input.version += 1,
-                }
-                self.last_sender = Some(from);
+            Err(error) => {
+                self.limits.reject(rejection_reason(error), from);
                 return;
             }
         };
-        if let Body::ViewRequest(ask) = &envelope.body {
-            self.answer(from, ask, bytes.len(), out);
+        if let Body::ViewRequest(request) = &envelope.body {
+            self.on_view_request(from, request, bytes.len(), out);
             return;
         }
-        if envelope.from == self.me.id {
-            self.rejected_input.conflict += 1;
-            self.last_sender = Some(from);
+        if envelope.from == *self.local.id() {
+            self.limits.reject(RejectionReason::IdConflict, from);
             return;
         }
         if !matches!(envelope.body, Body::Nack { .. } | Body::ViewResponse(_)) {
-            self.joined = true;
+            self.join.mark_joined();
+        }
+        self.apply_updates(&envelope, from, out);
+        if !self.local.is_leaving() {
+            self.on_message(from, envelope.body, out);
         }
-        // What a newcomer is told of the fleet, the fleet knows: it does not tell it on.
-        let known_there =
-            matches!(envelope.body, Body::PushPull { .. }) && self.now < self.fresh_until;
-        let mut of_me = false;
+    }
+
+    fn apply_updates(&mut self, envelope: &Envelope, from: SocketAddrV4, out: &mut Vec<Action>) {
+        // A newcomer learns by push-pull what the fleet knows already, and does not gossip it again.
+        let known_by_fleet =
+            matches!(envelope.body, Body::PushPull { .. }) && self.join.is_newcomer(self.now);
+        let mut local_update_seen = false;
         for update in &envelope.updates {
-            // One word about this member a datagram: each may be answered, and a datagram must not buy many.
-            if update.member.id == self.me.id && std::mem::replace(&mut of_me, true) {
+            let about_local = update.member.id == *self.local.id();
+            // An update about the local member may be answered; one datagram must not cause many answers.
+            if about_local && std::mem::replace(&mut local_update_seen, true) {
                 continue;
             }
-            let news = !known_there || update.member.id == envelope.from;
-            self.apply(update, &envelope.from, from, news, out);
-        }
-        if self.leaving {
-            return;
+            let source = UpdateSource {
+                sender: &envelope.from,
+                address: from,
+                gossip_newcomers: !known_by_fleet || update.member.id == envelope.from,
+            };
+            self.apply_update(update, &source, out);
         }
-        match envelope.body {
+    }
+
+    fn on_message(&mut self, from: SocketAddrV4, message: Body, out: &mut Vec<Action>) {
+        match message {
             Body::Ping { sequence, target } => {
-                if target == self.me.id {
-                    self.send(from, Body::Ack { sequence }, true, out);
+                if target == *self.local.id() {
+                    self.send(from, Body::Ack { sequence }, out);
                 }
             }
             Body::PingReq {
                 sequence,
                 target,
                 address,
-            } => self.relay(from, sequence, target, address, out),
-            Body::Ack { sequence } => self.acked(sequence, from, out),
-            Body::Nack { sequence } => {
-                if let Some(probe) = self.probes.iter_mut().find(|p| p.sequence == sequence) {
-                    probe.nacks += 1;
-                }
+            } => {
+                let requester = Requester {
+                    address: from,
+                    sequence,
+                };
+                self.relay_probe(requester, target, address, out);
             }
+            Body::Ack { sequence } => self.on_ack(sequence, from, out),
+            Body::Nack { sequence } => self.detector.on_nack(sequence),
             Body::PushPull { reply } => {
-                if reply && self.replies < REPLIES_A_PERIOD * 2 {
-                    self.replies += 1;
-                    self.send_view(from, false, out);
+                if reply && self.limits.admit_push_pull_reply() {
+                    self.send_push_pull(from, false, out);
                 }
             }
             Body::Gossip | Body::ViewRequest(_) | Body::ViewResponse(_) => {}
         }
     }
+
+    fn on_view_request(
+        &mut self,
+        from: SocketAddrV4,
+        request: &wire::ViewRequest,
+        request_len: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let responder = ViewResponder {
+            local: &self.local,
+            table: &self.table,
+            now: self.now,
+            local_health: self.detector.local_health(),
+            rejected: self.rejected_input().total(),
+        };
+        if let Some(response) = responder.respond(request, request_len) {
+            self.emit(from, &response, out);
+        }
+    }
+
+    fn relay_probe(
+        &mut self,
+        requester: Requester,
+        target: MemberId,
+        address: SocketAddrV4,
+        out: &mut Vec<Action>,
+    ) {
+        let sequence = self.detector.relay(requester, self.now, &self.settings);
+        if let Some(sequence) = sequence {
+            self.send(address, Body::Ping { sequence, target }, out);
+        }
+    }
+
+    fn on_ack(&mut self, sequence: u32, from: SocketAddrV4, out: &mut Vec<Action>) {
+        match self.detector.on_ack(sequence, self.now) {
+            Some(AckedProbe::Own {
+                target,
+                round_trip_ms,
+            }) => self.record_round_trip(&target, from, round_trip_ms),
+            Some(AckedProbe::Relayed(requester)) => {
+                let sequence = requester.sequence;
+                self.send(requester.address, Body::Ack { sequence }, out);
+            }
+            None => {}
+        }
+    }
+
+    /// Records the round trip of the target itself; an ack relayed by a helper has none.
+    fn record_round_trip(&mut self, target: &MemberId, from: SocketAddrV4, round_trip_ms: u64) {
+        if self.table.record_round_trip(target, from, round_trip_ms) {
+            let usual = self.detector.record_round_trip(round_trip_ms);
+            self.local.set_usual_round_trip(usual);
+        }
+    }
+
+    fn apply_update(&mut self, update: &Update, source: &UpdateSource, out: &mut Vec<Action>) {
+        if let Some(reason) = self.rejects(update, source) {
+            self.limits.reject(reason, source.address);
+            return;
+        }
+        if update.member.id == *self.local.id() {
+            self.apply_local_update(update, source.address, out);
+            return;
+        }
+        let Some(entry) = self.table.get(&update.member.id) else {
+            self.add_newcomer(update, source.gossip_newcomers, out);
+            return;
+        };
+        let known = entry.record();
+        self.apply_known_update(update, source, known, out);
+    }
+
+    /// Why an update is rejected whatever it reports; `None` if it is plausible.
+    fn rejects(&self, update: &Update, source: &UpdateSource) -> Option<RejectionReason> {
+        let member = &update.member;
+        if !member.well_formed() {
+            return Some(RejectionReason::Malformed);
+        }
+        if update.incarnation > MAX_INCARNATION {
+            return Some(RejectionReason::FutureIncarnation);
+        }
+        let entry = self.table.get(&member.id)?;
+        if is_too_far_ahead(update.incarnation, entry.incarnation) {
+            return Some(RejectionReason::FutureIncarnation);
+        }
+        // Only the member itself, from its new address, may change the address of a known id.
+        let moved = member.address != entry.member.address;
+        (moved && !source.is_subject_of(update)).then_some(RejectionReason::IdConflict)
+    }
+
+    fn apply_known_update(
+        &mut self,
+        update: &Update,
+        source: &UpdateSource,
+        known: StateRecord,
+        out: &mut Vec<Action>,
+    ) {
+        let id = &update.member.id;
+        let reported = update.record();
+        match known.effect_of(reported) {
+            UpdateEffect::Alive => self.apply_alive(update, out),
+            UpdateEffect::Unchanged if source.is_subject_of(update) => {
+                // First-hand load and vote; not gossiped, since each member publishes its own.
+                self.table.update_member(&update.member);
+            }
+            UpdateEffect::Accused { declared_dead } => {
+                let accuser = update.accuser.as_ref().unwrap_or(source.sender).clone();
+                self.suspect(id, reported.incarnation, accuser, ChangeCause::Gossip, out);
+                if declared_dead {
+                    self.table.shorten_suspicion(id, reported.incarnation);
+                }
+            }
+            UpdateEffect::Left => {
+                self.set_record(id, reported, ChangeCause::Left, out);
+                self.gossip.push(update.clone());
+            }
+            UpdateEffect::Unchanged | UpdateEffect::Stale => {}
+        }
+    }
+
+    fn apply_alive(&mut self, update: &Update, out: &mut Vec<Action>) {
+        let incarnation = update.incarnation;
+        if self.table.mark_alive(&update.member, incarnation, self.now) {
+            let id = &update.member.id;
+            out.push(state_changed(id, update.record(), ChangeCause::Refuted));
+        }
+        self.gossip.push(update.clone());
+    }
+
+    fn add_newcomer(&mut self, update: &Update, gossip: bool, out: &mut Vec<Action>) {
+        if !update.state.live() {
+            return;
+        }
+        if self.table_is_full() {
+            self.limits.count_table_full();
+            return;
+        }
+        let id = &update.member.id;
+        let alive = StateRecord {
+            state: MemberState::Alive,
+            incarnation: update.incarnation,
+        };
+        self.table
+            .insert(update.member.clone(), update.incarnation, self.now);
+        out.push(state_changed(id, alive, ChangeCause::Joined));
+        if gossip {
+            self.gossip.push(Update {
+                state: MemberState::Alive,
+                accuser: None,
+                ..update.clone()
+            });
+        }
+        if update.state == MemberState::Suspect {
+            let accuser = update.accuser.as_ref().unwrap_or(id).clone();
+            self.suspect(id, update.incarnation, accuser, ChangeCause::Gossip, out);
+        }
+    }
+
+    /// Refutes an accusation of this member, and answers one that was refuted before.
+    fn apply_local_update(&mut self, update: &Update, from: SocketAddrV4, out: &mut Vec<Action>) {
+        if self.local.is_leaving() {
+            return;
+        }
+        let own_incarnation = self.local.incarnation();
+        let Some(refuting) = refuting_incarnation(own_incarnation, update.record()) else {
+            // The sender has missed the refutation; without an answer it alone would take this member for dead.
+            if self.settings.lifeguard && update.state != MemberState::Alive {
+                self.send(from, Body::Gossip, out);
+            }
+            return;
+        };
+        if is_too_far_ahead(update.incarnation, own_incarnation) {
+            self.limits.reject(RejectionReason::FutureIncarnation, from);
+            return;
+        }
+        self.local.raise_incarnation(refuting);
+        if self.settings.lifeguard {
+            self.detector.degrade_local_health(1, &self.settings);
+        }
+        self.announce_incarnation(out);
+        // The refutation goes to the accuser and to a few more at once, not with the next gossip round.
+        self.send(from, Body::Gossip, out);
+        self.gossip_to_random_members(out);
+    }
+
+    /// Starts a suspicion of `id` at `incarnation`, or confirms the running one.
+    fn suspect(
+        &mut self,
+        id: &MemberId,
+        incarnation: u64,
+        accuser: MemberId,
+        cause: ChangeCause,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(entry) = self.table.get(id) else {
+            return;
+        };
+        if let Some(suspected) = entry.record().suspect(incarnation) {
+            let timeout = self.suspicion_timeout(entry);
+            let suspicion = Suspicion::new(self.now, timeout, accuser.clone());
+            if self.table.mark_suspect(id, suspected, suspicion, self.now) {
+                out.push(state_changed(id, suspected, cause));
+            }
+            self.gossip_accusation(id, MemberState::Suspect, accuser);
+        } else if self.settings.lifeguard && self.table.confirm_suspicion(id, incarnation, &accuser)
+        {
+            // A confirmation is gossiped too, since it shortens the timers of others.
+            self.gossip_accusation(id, MemberState::Suspect, accuser);
+        }
+    }
+
+    fn suspicion_timeout(&self, entry: &MemberEntry) -> SuspicionTimeout {
+        let live_members = self.live_members();
+        let (minimum_ms, maximum_ms) = self.settings.suspicion_ms(live_members);
+        if !self.settings.lifeguard {
+            // In plain SWIM a suspicion has a fixed time.
+            return SuspicionTimeout {
+                minimum_ms,
+                maximum_ms: minimum_ms,
+                expected_confirmations: 0,
+            };
+        }
+        // A slow member refutes as slowly as it answers probes.
+        let ack_wait = self.detector.usual_ack_wait(entry, &self.settings);
+        // The suspect and this member can't confirm.
+        let other_members = live_members.saturating_sub(2);
+        SuspicionTimeout {
+            minimum_ms: minimum_ms + ack_wait,
+            maximum_ms: maximum_ms + ack_wait,
+            expected_confirmations: self.settings.indirect_probes.min(other_members),
+        }
+    }
+
+    fn set_record(
+        &mut self,
+        id: &MemberId,
+        record: StateRecord,
+        cause: ChangeCause,
+        out: &mut Vec<Action>,
+    ) {
+        if self.table.set_record(id, record, self.now) {
+            out.push(state_changed(id, record, cause));
+        }
+    }
+
+    fn gossip_accusation(&mut self, id: &MemberId, state: MemberState, accuser: MemberId) {
+        if let Some(entry) = self.table.get(id) {
+            self.gossip.push(entry.accusation(state, accuser));
+        }
+    }
+
+    /// Reports and gossips this member's raised incarnation.
+    fn announce_incarnation(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::IncarnationRaised(self.local.incarnation()));
+        self.gossip.push(self.local.update());
+    }
+
+    fn gossip_to_random_members(&mut self, out: &mut Vec<Action>) {
+        for to in self.random_live_addresses(self.settings.fanout) {
+            self.send(to, Body::Gossip, out);
+        }
+    }
+
+    fn random_live_addresses(&mut self, count: usize) -> Vec<SocketAddrV4> {
+        let mut addresses = self.table.live_addresses();
+        addresses.shuffle(&mut self.rng);
+        addresses.truncate(count);
+        addresses
+    }
+
+    fn table_is_full(&self) -> bool {
+        1 + self.table.len() >= self.settings.max_members
+    }
+
+    /// Live members by which SWIM's times and retransmissions scale, this one included.
+    fn live_members(&self) -> usize {
+        1 + self.table.live_len()
+    }
+
+    fn send_push_pull(&mut self, to: SocketAddrV4, reply: bool, out: &mut Vec<Action>) {
+        for datagram in anti_entropy::push_pull_datagrams(&self.local, &self.table, reply) {
+            self.emit(to, &datagram, out);
+        }
+    }
+
+    /// Sends `body` to a suspect with the accusation in place of this member's own update.
+    fn send_accusation(&mut self, suspect: &MemberId, body: Body, out: &mut Vec<Action>) {
+        let Some(entry) = self.table.get(suspect) else {
+            return;
+        };
+        let to = entry.member.address;
+        let accusation = entry.accusation(MemberState::Suspect, self.local.id().clone());
+        self.send_with_first_update(to, body, accusation, out);
+    }
+
+    /// Sends `body` with this member's own update, which carries its load, and queued gossip.
+    fn send(&mut self, to: SocketAddrV4, body: Body, out: &mut Vec<Action>) {
+        self.send_with_first_update(to, body, self.local.update(), out);
+    }
+
+    /// Sends `body` with `first` and as many queued updates as fit.
+    fn send_with_first_update(
+        &mut self,
+        to: SocketAddrV4,
+        body: Body,
+        first: Update,
+        out: &mut Vec<Action>,
+    ) {
+        let first_id = first.member.id.clone();
+        let mut envelope = Envelope {
+            from: self.local.id().clone(),
+            body,
+            updates: vec![first],
+        };
+        let used = wire::encoded_len(&envelope) + UPDATES_LENGTH_RESERVE_BYTES;
+        let capacity = wire::MAX_DATAGRAM_BYTES.saturating_sub(used);
+        let max_transmissions = self.settings.retransmits(self.live_members());
+        let queued = self.gossip.take(capacity, max_transmissions, &first_id);
+        envelope.updates.extend(queued);
+        self.emit(to, &envelope, out);
+    }
+
+    fn emit(&mut self, to: SocketAddrV4, envelope: &Envelope, out: &mut Vec<Action>) {
+        match wire::encode(envelope) {
+            Some(bytes) => out.push(Action::Send { to, bytes }),
+            None => self.limits.count_unsent(),
+        }
+    }
+}
+
+impl UpdateSource<'_> {
+    /// Whether the update was sent by the member that it is about.
+    fn is_subject_of(&self, update: &Update) -> bool {
+        *self.sender == update.member.id && self.address == update.member.address
+    }
+}
+
+fn is_too_far_ahead(reported: u64, known: u64) -> bool {
+    reported > known.saturating_add(MAX_INCARNATION_LEAD)
+}
+
+fn state_changed(id: &MemberId, record: StateRecord, cause: ChangeCause) -> Action {
+    Action::StateChanged {
+        id: id.clone(),
+        to: Some(record.state),
+        incarnation: record.incarnation,
+        cause,
+    }
+}
+
+fn rejection_reason(error: DecodeError) -> RejectionReason {
+    match error {
+        DecodeError::Oversized { .. } => RejectionReason::Oversized,
+        DecodeError::Malformed => RejectionReason::Malformed,
+        DecodeError::UnsupportedVersion { .. } => RejectionReason::UnsupportedVersion,
+    }
 }
--- a/crates/heathspur-members/src/rejected_input.rs
+++ b/crates/heathspur-members/src/rejected_input.rs
@@ -1,52 +1,75 @@
-//! Counts of what was dropped, told once a period with the last sender.
+//! Counts of rejected input by reason, and the periodic report of them.
 
 use std::net::SocketAddrV4;
 
-/// What was dropped, by cause.
+/// Why a datagram or an update was rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RejectionReason {
+    Oversized,
+    Malformed,
+    UnsupportedVersion,
+    RateLimited,
+    IdConflict,
+    FutureIncarnation,
+}
+
+/// Input rejected since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedInput {
     /// Datagrams over the largest size.
     pub oversized: u64,
-    /// Datagrams not ours, cut short or not decodable.
-    pub garbage: u64,
-    /// Datagrams of another version.
-    pub version: u64,
-    /// Datagrams over one address's share of a second.
-    pub rate: u64,
+    /// Datagrams of another protocol, truncated or not decodable, and members with names or levels out of bounds.
+    pub malformed: u64,
+    /// Datagrams of another version of the protocol.
+    pub unsupported_version: u64,
+    /// Datagrams over the limit of one source address.
+    pub rate_limited: u64,
     /// Updates that claim a known member's id from another address.
-    pub conflict: u64,
-    /// Updates whose incarnation lies too far ahead.
-    pub future: u64,
-    /// News of members past the table's bound.
+    pub id_conflict: u64,
+    /// Updates whose incarnation is too far ahead of the known one.
+    pub future_incarnation: u64,
+    /// Newcomers that the full table had no capacity for.
     pub table_full: u64,
-    /// Updates dropped from a full queue.
+    /// Updates evicted from the full gossip queue.
     pub gossip_queue_full: u64,
-    /// Datagrams that could not be made under the largest size.
+    /// Datagrams that could not be encoded within the largest size.
     pub unsent: u64,
 }
 
 impl RejectedInput {
-    /// All counts together.
+    /// The sum over all reasons.
     pub fn total(&self) -> u64 {
         self.oversized
-            + self.garbage
-            + self.version
-            + self.rate
-            + self.conflict
-            + self.future
+            + self.malformed
+            + self.unsupported_version
+            + self.rate_limited
+            + self.id_conflict
+            + self.future_incarnation
             + self.table_full
             + self.gossip_queue_full
             + self.unsent
     }
+
+    pub(crate) fn count(&mut self, reason: RejectionReason) {
+        let counter = match reason {
+            RejectionReason::Oversized => &mut self.oversized,
+            RejectionReason::Malformed => &mut self.malformed,
+            RejectionReason::UnsupportedVersion => &mut self.unsupported_version,
+            RejectionReason::RateLimited => &mut self.rate_limited,
+            RejectionReason::IdConflict => &mut self.id_conflict,
+            RejectionReason::FutureIncarnation => &mut self.future_incarnation,
+        };
+        *counter += 1;
+    }
 }
 
-/// What is told of refusals once a period.
+/// A periodic report of rejected input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RejectionReport {
     /// The counts since the start.
-    pub counts: RejectedInput,
-    /// Refusals since the last time told.
-    pub new: u64,
-    /// The last address that sent what was dropped.
+    pub totals: RejectedInput,
+    /// Rejections since the last report.
+    pub new_rejections: u64,
+    /// The source address of the last rejected input.
     pub last_sender: Option<SocketAddrV4>,
 }
--- a/crates/heathspur-members/src/settings.rs
+++ b/crates/heathspur-members/src/settings.rs
@@ -1,41 +1,41 @@
 //! The settings of a member, with their units and bounds.
 
-/// How a member probes, suspects and spreads. Times are milliseconds of a monotonic clock.
+/// How a member probes, suspects and gossips. Times are milliseconds of a monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// One probe each period; 50 ms to 60 s.
+    /// The protocol period, with one probe each; 50 ms to 60 s.
     pub period_ms: u64,
-    /// A direct probe waits so long for its ack before asking others; under the period.
+    /// How long a direct probe waits for its ack before indirect ones; at least 10 ms, under the period.
     pub probe_timeout_ms: u64,
     /// Members asked for an indirect probe (SWIM's k); 0 to 8.
     pub indirect_probes: usize,
-    /// Suspicion lasts at least this many periods times log10 of the members (at least 1); 1 to 20.
+    /// The least time of a suspicion, in periods times log10 of the members (at least 1); 1 to 20.
     pub suspicion_mult: u64,
-    /// Suspicion lasts at most this many times its least, without confirmations; 1 to 20.
+    /// The longest time of a suspicion without confirmations, in multiples of the least; 1 to 20.
     pub suspicion_max_mult: u64,
-    /// An update is sent about this many times log10 of the members, plus one (SWIM's λ); 1 to 20.
+    /// Transmissions of an update, in multiples of log10 of the members, plus one (SWIM's λ); 1 to 20.
     pub retransmit_mult: u32,
-    /// Gossip of pending updates to `fanout` members each so many milliseconds; 10 ms to 60 s.
+    /// The interval between gossip rounds; 10 ms to 60 s.
     pub gossip_ms: u64,
-    /// Members that each round of gossip goes to; 1 to 8.
+    /// Members that each gossip round goes to; 1 to 8.
     pub fanout: usize,
-    /// The whole view is exchanged with one peer each so many milliseconds, scaled up past 32 members.
+    /// The interval between push-pulls of the whole view, scaled up past 32 members; at least the period.
     pub push_pull_ms: u64,
-    /// Members in the table, this one too; 2 to 65,536. Past it, news of others is counted and dropped.
+    /// The capacity of the member table, this member included; 2 to 65,536.
     pub max_members: usize,
-    /// Updates waiting to be spread; past it, the most spread one is dropped and counted.
+    /// The capacity of the gossip queue; past it, the update sent most often is evicted. 1 to 65,536.
     pub max_pending: usize,
-    /// Datagrams taken from one address in one second; past it, counted and dropped.
+    /// Datagrams accepted from one address in one second; at least 10.
     pub per_peer_per_second: u32,
-    /// A dead or left member is kept in the table so long, so that a partition can heal through it.
+    /// How long a dead or left member stays in the table, so that a healed partition finds it.
     pub dead_keep_ms: u64,
-    /// The first wait before a seed is asked again; doubled up to `join_backoff_max_ms`, with jitter.
+    /// The first backoff between join attempts, doubled up to `join_backoff_max_ms`, with jitter; at least 10 ms.
     pub join_backoff_ms: u64,
-    /// The longest wait between joins.
+    /// The longest backoff between join attempts; at least `join_backoff_ms`.
     pub join_backoff_max_ms: u64,
-    /// Lifeguard's three parts (local health, confirmations, telling the suspect); off only as a baseline.
+    /// Lifeguard's three parts (local health, confirmations, the buddy system); off only as a baseline.
     pub lifeguard: bool,
-    /// The highest local health score (Lifeguard's S); timeouts grow by it.
+    /// The highest local health score (Lifeguard's S), by which timeouts grow; at most 16.
     pub local_health_max: u32,
 }
 
@@ -63,42 +63,68 @@
     }
 }
 
-/// A setting out of its bounds.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(pub &'static str);
+/// A membership setting is out of its bounds.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// The value is not within a range.
+    #[error("membership setting {name:?} is {value}, but must be from {minimum} to {maximum}")]
+    OutOfRange {
+        /// The setting.
+        name: &'static str,
+        /// Its value.
+        value: u64,
+        /// The least value.
+        minimum: u64,
+        /// The greatest value.
+        maximum: u64,
+    },
+    /// The value is under its minimum.
+    #[error("membership setting {name:?} is {value}, but must be at least {minimum}")]
+    TooSmall {
+        /// The setting.
+        name: &'static str,
+        /// Its value.
+        value: u64,
+        /// The least value.
+        minimum: u64,
+    },
+}
 
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "the members' setting {} is out of its bounds", self.0)
+impl SettingsError {
+    /// The setting that is out of its bounds.
+    pub fn name(&self) -> &'static str {
+        match self {
+            SettingsError::OutOfRange { name, .. } | SettingsError::TooSmall { name, .. } => name,
+        }
     }
 }
 
-impl std::error::Error for SettingsError {}
+/// Members up to which push-pulls keep their interval.
+const UNSCALED_PUSH_PULL_MEMBERS: usize = 32;
 
 impl Settings {
-    /// Checks every bound above.
+    /// Checks the bounds of every setting.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let within = |ok: bool, name| if ok { Ok(()) } else { Err(SettingsError(name)) };
-        within((50..=60_000).contains(&self.period_ms), "period")?;
-        within(
-            self.probe_timeout_ms >= 10 && self.probe_timeout_ms < self.period_ms,
-            "probe-timeout",
-        )?;
-        within(self.indirect_probes <= 8, "indirect")?;
-        within((1..=20).contains(&self.suspicion_mult), "suspicion")?;
-        within((1..=20).contains(&self.suspicion_max_mult), "suspicion-max")?;
-        within((1..=20).contains(&self.retransmit_mult), "retransmit")?;
-        within((10..=60_000).contains(&self.gossip_ms), "gossip")?;
-        within((1..=8).contains(&self.fanout), "fanout")?;
-        within(self.push_pull_ms >= self.period_ms, "push-pull")?;
-        within((2..=65_536).contains(&self.max_members), "members")?;
-        within((1..=65_536).contains(&self.max_pending), "pending")?;
-        within(self.per_peer_per_second >= 10, "per-peer")?;
-        within(
-            self.join_backoff_ms >= 10 && self.join_backoff_max_ms >= self.join_backoff_ms,
-            "join-backoff",
+        within("period", self.period_ms, 50, 60_000)?;
+        let timeout_max = self.period_ms - 1;
+        within("probe-timeout", self.probe_timeout_ms, 10, timeout_max)?;
+        within("indirect", self.indirect_probes as u64, 0, 8)?;
+        within("suspicion", self.suspicion_mult, 1, 20)?;
+        within("suspicion-max", self.suspicion_max_mult, 1, 20)?;
+        within("retransmit", u64::from(self.retransmit_mult), 1, 20)?;
+        within("gossip", self.gossip_ms, 10, 60_000)?;
+        within("fanout", self.fanout as u64, 1, 8)?;
+        at_least("push-pull", self.push_pull_ms, self.period_ms)?;
+        within("members", self.max_members as u64, 2, 65_536)?;
+        within("pending", self.max_pending as u64, 1, 65_536)?;
+        at_least("per-peer", u64::from(self.per_peer_per_second), 10)?;
+        at_least("join-backoff", self.join_backoff_ms, 10)?;
+        at_least(
+            "join-backoff-max",
+            self.join_backoff_max_ms,
+            self.join_backoff_ms,
         )?;
-        within(self.local_health_max <= 16, "awareness")
+        within("awareness", u64::from(self.local_health_max), 0, 16)
     }
 
     /// Log10 of the members, at least 1: how SWIM's times and retransmissions grow with the fleet.
@@ -106,10 +132,10 @@
         (members.max(1) as f64).log10().max(1.0)
     }
 
-    /// How long suspicion lasts at least and at most among `members`, in milliseconds.
+    /// The least and the longest time of a suspicion among `members`, in milliseconds.
     pub fn suspicion_ms(&self, members: usize) -> (u64, u64) {
-        let least =
-            (self.suspicion_mult as f64 * Settings::scale(members) * self.period_ms as f64) as u64;
+        let periods = self.suspicion_mult as f64 * Settings::scale(members);
+        let least = (periods * self.period_ms as f64) as u64;
         (least, least * self.suspicion_max_mult)
     }
 
@@ -118,9 +144,9 @@
         (self.retransmit_mult as f64 * Settings::scale(members)).ceil() as u32 + 1
     }
 
-    /// The time between push-pulls among `members`: doubled in steps past 32, so that bytes stay flat.
+    /// The interval between push-pulls among `members`, doubled in steps past 32, so that traffic stays flat.
     pub fn push_pull_every_ms(&self, members: usize) -> u64 {
-        let steps = if members > 32 {
+        let steps = if members > UNSCALED_PUSH_PULL_MEMBERS {
             ((members as f64).log2() - 5.0).ceil() as u64 + 1
         } else {
             1
@@ -128,3 +154,26 @@
         self.push_pull_ms * steps
     }
 }
+
+fn within(name: &'static str, value: u64, minimum: u64, maximum: u64) -> Result<(), SettingsError> {
+    if (minimum..=maximum).contains(&value) {
+        return Ok(());
+    }
+    Err(SettingsError::OutOfRange {
+        name,
+        value,
+        minimum,
+        maximum,
+    })
+}
+
+fn at_least(name: &'static str, value: u64, minimum: u64) -> Result<(), SettingsError> {
+    if value >= minimum {
+        return Ok(());
+    }
+    Err(SettingsError::TooSmall {
+        name,
+        value,
+        minimum,
+    })
+}
--- a/crates/heathspur-members/src/state_record.rs
+++ b/crates/heathspur-members/src/state_record.rs
@@ -1,52 +1,50 @@
-//! What is held of one member, and what a word about it changes: states ordered by incarnations.
+//! The state of a member at an incarnation, and the effect of an update on it.
 //!
-//! SWIM (section 4.2) lets a word of death override. Here a death said by another is heard as a suspicion: after
-//! a partition heals, each side tells the other that members which answer there are dead.
+//! In SWIM (section 4.2) a death overrides everything. Here a death reported by another member starts a suspicion:
+//! after a partition heals, each side reports members as dead that the other side still reaches.
 
 use crate::member::MemberState;
 
-/// A member's state at an incarnation, held or said.
+/// A member's state at an incarnation, as known or as reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StateRecord {
     /// The state.
     pub state: MemberState,
-    /// The incarnation, which the member alone raises.
+    /// The incarnation, which only the member itself raises.
     pub incarnation: u64,
 }
 
-/// What a word about a member is to whoever holds a record of it.
+/// The effect of a reported record on a known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateEffect {
-    /// Older than what is held.
+    /// The report is older than the known record.
     Stale,
-    /// What is held already; from the member itself, its load may be new.
+    /// The report equals the known record; from the member itself, its load may be new.
     Unchanged,
-    /// It lives, at a higher incarnation.
+    /// The member is alive at a higher incarnation.
     Alive,
-    /// It is accused: a suspicion begins, or one that runs is confirmed.
+    /// The member is accused: a suspicion starts, or a running one is confirmed.
     Accused {
-        /// Whoever says so has waited for its refutation already.
+        /// Whether the accuser has waited for a refutation already.
         declared_dead: bool,
     },
-    /// It said that it leaves.
+    /// The member has announced that it leaves.
     Left,
 }
 
 impl StateRecord {
-    /// What is said of the member whose record this is.
-    pub fn effect_of(self, said: StateRecord) -> UpdateEffect {
-        let (newer, older) = (
-            said.incarnation > self.incarnation,
-            said.incarnation < self.incarnation,
-        );
-        match said.state {
+    /// The effect of `reported` on this known record.
+    pub fn effect_of(self, reported: StateRecord) -> UpdateEffect {
+        let newer = reported.incarnation > self.incarnation;
+        let older = reported.incarnation < self.incarnation;
+        match reported.state {
             MemberState::Alive if newer => UpdateEffect::Alive,
             MemberState::Alive if !older && self.state == MemberState::Alive => {
                 UpdateEffect::Unchanged
             }
             MemberState::Suspect | MemberState::Dead if self.state.live() && !older => {
                 UpdateEffect::Accused {
-                    declared_dead: said.state == MemberState::Dead,
+                    declared_dead: reported.state == MemberState::Dead,
                 }
             }
             MemberState::Left if !older && self.state != MemberState::Left => UpdateEffect::Left,
@@ -54,17 +52,17 @@
         }
     }
 
-    /// The record of a member that is suspected at `incarnation`; `None` where that changes nothing.
+    /// The record once the member is suspected at `incarnation`; `None` if that changes nothing.
     pub fn suspect(self, incarnation: u64) -> Option<StateRecord> {
-        let begins = self.state == MemberState::Alive || incarnation > self.incarnation;
-        let holds = self.state.live() && incarnation >= self.incarnation;
-        (holds && begins).then_some(StateRecord {
+        let starts = self.state == MemberState::Alive || incarnation > self.incarnation;
+        let applies = self.state.live() && incarnation >= self.incarnation;
+        (applies && starts).then_some(StateRecord {
             state: MemberState::Suspect,
             incarnation,
         })
     }
 
-    /// The record once a suspicion has run out; only a suspect is taken for dead.
+    /// The record once a suspicion has timed out; only a suspect becomes dead.
     pub fn expire(self) -> Option<StateRecord> {
         (self.state == MemberState::Suspect).then_some(StateRecord {
             state: MemberState::Dead,
@@ -73,7 +71,8 @@
     }
 }
 
-/// The incarnation by which a member at `own` refutes what is said of itself, if that has to be refuted.
-pub fn refuting_incarnation(own: u64, said: StateRecord) -> Option<u64> {
-    (said.state != MemberState::Alive && said.incarnation >= own).then(|| said.incarnation + 1)
+/// The incarnation by which a member at `own` refutes a report about itself; `None` if none is needed.
+pub fn refuting_incarnation(own: u64, reported: StateRecord) -> Option<u64> {
+    let accused = reported.state != MemberState::Alive && reported.incarnation >= own;
+    accused.then(|| reported.incarnation + 1)
 }
--- a/crates/heathspur-members/src/suspicion.rs
+++ b/crates/heathspur-members/src/suspicion.rs
@@ -1,71 +1,84 @@
-//! A suspicion's timer, shortened by independent confirmations (Lifeguard, section 4.2).
+//! The timer of a suspicion, shortened by independent confirmations (Lifeguard, section 4.2).
 
 use crate::member::MemberId;
 use std::collections::BTreeSet;
 
-/// One member under suspicion.
+/// How long a suspicion lasts and how many confirmations shorten it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SuspicionTimeout {
+    /// The time in which the suspect may refute in any case.
+    pub(crate) minimum_ms: u64,
+    /// The time without any confirmation.
+    pub(crate) maximum_ms: u64,
+    /// Confirmations that shorten the time to its minimum.
+    pub(crate) expected_confirmations: usize,
+}
+
+/// A running suspicion of one member.
 #[derive(Clone, Debug)]
-pub struct Suspicion {
-    started: u64,
-    least: u64,
-    most: u64,
-    expected: usize,
-    confirmers: BTreeSet<MemberId>,
+pub(crate) struct Suspicion {
+    started_at: u64,
+    timeout: SuspicionTimeout,
+    accusers: BTreeSet<MemberId>,
     declared_dead: bool,
-    /// The suspect was asked for its last word.
-    asked: bool,
+    queried: bool,
 }
 
 impl Suspicion {
-    /// A suspicion raised at `now` by `accuser`, lasting `least` to `most`, shortened by up to `expected` others.
-    pub fn new(now: u64, least: u64, most: u64, expected: usize, accuser: MemberId) -> Suspicion {
-        let mut confirmers = BTreeSet::new();
-        confirmers.insert(accuser);
+    /// A suspicion that `accuser` raised at `now`.
+    pub(crate) fn new(now: u64, timeout: SuspicionTimeout, accuser: MemberId) -> Suspicion {
+        let maximum_ms = timeout.maximum_ms.max(timeout.minimum_ms);
         Suspicion {
-            started: now,
-            least,
-            most: most.max(least),
-            expected,
-            confirmers,
+            started_at: now,
+            timeout: SuspicionTimeout {
+                maximum_ms,
+                ..timeout
+            },
+            accusers: BTreeSet::from([accuser]),
             declared_dead: false,
-            asked: false,
+            queried: false,
         }
     }
 
-    /// One of those who accuse.
-    pub fn accuser(&self) -> Option<&MemberId> {
-        self.confirmers.first()
+    /// The first accuser, in the order of ids.
+    pub(crate) fn first_accuser(&self) -> Option<&MemberId> {
+        self.accusers.first()
     }
 
-    /// Another member suspects the same; says whether it was new. Bounded by the expected count.
-    pub fn confirm(&mut self, accuser: MemberId) -> bool {
-        if self.confirmers.len() > self.expected {
+    /// Adds an accuser; returns whether it is a new confirmation. Bounded by the expected confirmations.
+    pub(crate) fn confirm(&mut self, accuser: MemberId) -> bool {
+        if self.accusers.len() > self.timeout.expected_confirmations {
             return false;
         }
-        self.confirmers.insert(accuser)
+        self.accusers.insert(accuser)
     }
 
-    /// Somebody's timer has run out: as good as all confirmations. The least time still stands, in which the
-    /// suspect may refute here.
-    pub fn declare_dead(&mut self) {
+    /// Another member's timer has run out, which counts as all confirmations; the minimum time still applies.
+    pub(crate) fn declare_dead(&mut self) {
         self.declared_dead = true;
     }
 
-    /// Whether the suspect is to be asked for its last word now: once, while two thirds of the least time are left.
-    pub fn asks(&mut self, now: u64) -> bool {
-        let asks = !self.asked && now + 2 * self.least / 3 >= self.deadline();
-        self.asked |= asks;
-        asks
+    /// Whether the suspect is to be queried now: once, while two thirds of the minimum time are left.
+    pub(crate) fn take_query(&mut self, now: u64) -> bool {
+        let due = !self.queried && now + 2 * self.timeout.minimum_ms / 3 >= self.deadline();
+        self.queried |= due;
+        due
     }
 
-    /// When the suspect is taken for dead: `most`, falling by the log of confirmations to `least`.
-    pub fn deadline(&self) -> u64 {
-        let confirmed = self.confirmers.len().saturating_sub(1) as f64;
-        if self.expected == 0 || self.declared_dead {
-            return self.started + self.least;
+    /// When the suspicion times out: the maximum, falling with the logarithm of confirmations to the minimum.
+    pub(crate) fn deadline(&self) -> u64 {
+        let SuspicionTimeout {
+            minimum_ms,
+            maximum_ms,
+            expected_confirmations,
+        } = self.timeout;
+        if expected_confirmations == 0 || self.declared_dead {
+            return self.started_at + minimum_ms;
         }
-        let fraction = ((confirmed + 1.0).ln() / (self.expected as f64 + 1.0).ln()).min(1.0);
-        let span = self.most as f64 - (self.most - self.least) as f64 * fraction;
-        self.started + (span as u64).max(self.least)
+        let confirmations = self.accusers.len().saturating_sub(1) as f64;
+        let expected = expected_confirmations as f64;
+        let fraction = ((confirmations + 1.0).ln() / (expected + 1.0).ln()).min(1.0);
+        let span = maximum_ms as f64 - (maximum_ms - minimum_ms) as f64 * fraction;
+        self.started_at + (span as u64).max(minimum_ms)
     }
 }
--- a/crates/heathspur-members/src/wire.rs
+++ b/crates/heathspur-members/src/wire.rs
@@ -1,94 +1,105 @@
-//! The datagram: a versioned envelope, encoded by postcard. No field is read before the whole has decoded.
+//! The wire format of a datagram: a versioned envelope, encoded by postcard. No field is read before the whole
+//! datagram has been decoded.
+//!
+//! Postcard writes fields and variants by position: their order here is the wire format, their names are not.
 
 use crate::member::{Member, MemberId, MemberState};
+use crate::state_record::StateRecord;
 use serde::{Deserialize, Serialize};
+use std::net::SocketAddrV4;
 
-/// The version of the envelope that this build speaks; another one is refused whole.
+/// The version of the envelope; a datagram of another version is rejected.
 pub const VERSION: u8 = 2;
-/// The largest datagram sent or read, in bytes: under the 1,280 of IPv6's minimum MTU less headers.
+/// The largest datagram sent or accepted, in bytes: under the 1,280 of IPv6's minimum MTU less headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// A mark before the version, so that stray traffic is told from an old peer.
+/// The prefix before the version, which tells stray traffic from a member of another version.
 const MAGIC: [u8; 2] = *b"hm";
+/// The length of the prefix and the version.
+const HEADER_BYTES: usize = MAGIC.len() + 1;
+/// The initial capacity of an encoded datagram, which most don't exceed.
+const TYPICAL_DATAGRAM_BYTES: usize = 256;
+/// The length of a value that can't be encoded: over every bound, and safe to add to others.
+const UNENCODABLE_LEN: usize = usize::MAX / 2;
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sender.
     pub from: MemberId,
-    /// What it asks or answers.
+    /// The message.
     pub body: Body,
-    /// News of members, piggybacked.
+    /// Piggybacked updates of members.
     pub updates: Vec<Update>,
 }
 
-/// What a datagram asks or answers.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there? Answered by an ack with the same sequence.
+    /// A probe, answered by an ack with the same sequence number.
     Ping {
         /// Matches the ack.
         sequence: u32,
-        /// Whom it is meant for: a restarted member at the same address does not answer for another.
+        /// The probed member: a restarted one at the same address does not answer for another.
         target: MemberId,
     },
-    /// Probe `target` for me, and tell me (ack) or say that you could not (nack).
+    /// A request to probe `target` on the sender's behalf, answered by an ack or a nack.
     PingReq {
-        /// Matches the ack or nack sent back.
+        /// Matches the ack or nack.
         sequence: u32,
-        /// Whom to probe.
+        /// The member to probe.
         target: MemberId,
-        /// Where it is.
-        address: std::net::SocketAddrV4,
+        /// Its address.
+        address: SocketAddrV4,
     },
-    /// The target answered.
+    /// The probed member has answered.
     Ack {
-        /// The probe's.
+        /// The sequence number of the ping or the request.
         sequence: u32,
     },
-    /// An indirect probe got no answer in time (Lifeguard): the prober's own path is fine.
+    /// An indirect probe was not answered in time (Lifeguard): the path between requester and helper works.
     Nack {
-        /// The indirect probe's.
+        /// The sequence number of the request.
         sequence: u32,
     },
-    /// A part of the sender's whole view; `reply` asks for the receiver's.
+    /// A part of the sender's whole view.
     PushPull {
         /// Whether the receiver is to answer with its own view.
         reply: bool,
     },
-    /// Nothing asked: only the updates.
+    /// No message, only updates.
     Gossip,
-    /// A tool asks for a part of the view; it is no member and does not become one.
+    /// A tool, which is no member and does not become one, requests a part of the view.
     ViewRequest(ViewRequest),
-    /// The part asked for.
+    /// The requested part of the view.
     ViewResponse(ViewResponse),
 }
 
-/// A question for a part of the view. The answer is never longer than the question, so that a forged source
-/// gains nothing by it (as RFC 9000, section 8.1, has it for QUIC): who asks pads.
+/// A request for a part of the view. The response is never longer than the request, so that a forged source address
+/// gains no amplification (as in RFC 9000, section 8.1, for QUIC): the requester pads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRequest {
-    /// Matches the answer.
+    /// Matches the response.
     pub sequence: u32,
-    /// Members behind this id, in the order of ids; from the first where it is missing.
+    /// The response starts with the member that follows this id; with the first one if missing.
     pub after: Option<MemberId>,
-    /// Room for the answer.
+    /// Padding up to the length that the response may have.
     pub padding: Vec<u8>,
 }
 
-/// A part of a view, as it is now; parts asked for one after another may be of different versions.
+/// A part of the current view; parts requested one after another may be of different versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewResponse {
-    /// The question's.
+    /// The sequence number of the request.
     pub sequence: u32,
     /// The view's version.
     pub version: u64,
     /// Members in the whole view.
     pub members: u32,
-    /// The local health score of who answers (Lifeguard); 0 is healthy.
+    /// The local health score of the responder (Lifeguard); 0 is healthy.
     pub local_health: u32,
-    /// Datagrams and updates that were refused since the start.
-    pub refused: u64,
-    /// Rows that follow behind the last one here.
+    /// Datagrams and updates rejected since the start.
+    pub rejected: u64,
+    /// Whether more rows follow the last one.
     pub more: bool,
     /// Members, in the order of ids.
     pub rows: Vec<ViewRow>,
@@ -97,81 +108,106 @@
 /// One member in a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRow {
-    /// What it says of itself.
+    /// The record that the member publishes about itself.
     pub member: Member,
-    /// Its state there.
+    /// Its state as known to the responder.
     pub state: MemberState,
-    /// Its incarnation there.
+    /// Its incarnation as known to the responder.
     pub incarnation: u64,
-    /// How long it has been in that state there, in milliseconds; 0 for the one that answers.
+    /// How long it has been in that state, in milliseconds; 0 for the responder itself.
     pub in_state_ms: u64,
 }
 
-/// News of one member.
+/// An update of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// Its state.
     pub state: MemberState,
-    /// Its incarnation: the member alone raises it.
+    /// Its incarnation, which only the member itself raises.
     pub incarnation: u64,
-    /// Who accuses it, where it is suspect or dead: only different accusers confirm each other (Lifeguard,
-    /// section 4.2), however often one's word is passed on.
+    /// The accuser of a suspect or dead member: only different accusers confirm each other (Lifeguard, section 4.2),
+    /// however often one accusation is passed on.
     pub accuser: Option<MemberId>,
-    /// What it says of itself.
+    /// The record that the member publishes about itself.
     pub member: Member,
 }
 
-/// Why a datagram was dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+impl Update {
+    /// The reported state and incarnation.
+    pub fn record(&self) -> StateRecord {
+        StateRecord {
+            state: self.state,
+            incarnation: self.incarnation,
+        }
+    }
+}
+
+/// Why a datagram could not be decoded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Longer than [`MAX_DATAGRAM_BYTES`].
-    Oversized,
-    /// Not ours, or cut short, or not decodable.
-    Garbage,
-    /// Ours, of another version.
-    Version,
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("the datagram has {length} bytes, more than {MAX_DATAGRAM_BYTES}")]
+    Oversized {
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// The datagram is of another protocol, truncated or not decodable.
+    #[error("the datagram is not a membership message")]
+    Malformed,
+    /// The datagram is of another version of the protocol.
+    #[error("the datagram has protocol version {version}, but {VERSION} is expected")]
+    UnsupportedVersion {
+        /// Its version.
+        version: u8,
+    },
 }
 
-/// Encodes an envelope; `None` where it would be over [`MAX_DATAGRAM_BYTES`].
+/// Encodes an envelope; `None` if it is longer than [`MAX_DATAGRAM_BYTES`].
 pub fn encode(envelope: &Envelope) -> Option<Vec<u8>> {
-    let mut bytes = Vec::with_capacity(256);
+    let mut bytes = Vec::with_capacity(TYPICAL_DATAGRAM_BYTES);
     bytes.extend_from_slice(&MAGIC);
     bytes.push(VERSION);
     let bytes = postcard::to_extend(envelope, bytes).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// The length that an envelope takes once encoded.
+/// The length of an envelope once encoded.
 pub fn encoded_len(envelope: &Envelope) -> usize {
-    MAGIC.len() + 1 + postcard::to_allocvec(envelope).map_or(usize::MAX / 2, |b| b.len())
+    HEADER_BYTES + value_len(envelope)
 }
 
-/// The length that an update takes once encoded.
+/// The length of an update once encoded.
 pub fn update_len(update: &Update) -> usize {
-    postcard::to_allocvec(update).map_or(usize::MAX / 2, |b| b.len())
+    value_len(update)
 }
 
-/// The length that a row takes once encoded.
+/// The length of a row once encoded.
 pub fn row_len(row: &ViewRow) -> usize {
-    postcard::to_allocvec(row).map_or(usize::MAX / 2, |b| b.len())
+    value_len(row)
+}
+
+fn value_len(value: &impl Serialize) -> usize {
+    postcard::to_allocvec(value).map_or(UNENCODABLE_LEN, |bytes| bytes.len())
 }
 
-/// Decodes a datagram, whole or not at all.
+/// Decodes a whole datagram.
 pub fn decode(bytes: &[u8]) -> Result<Envelope, DecodeError> {
-    if bytes.len() > MAX_DATAGRAM_BYTES {
-        return Err(DecodeError::Oversized);
+    let length = bytes.len();
+    if length > MAX_DATAGRAM_BYTES {
+        return Err(DecodeError::Oversized { length });
     }
-    let [m0, m1, version, rest @ ..] = bytes else {
-        return Err(DecodeError::Garbage);
+    let Some((header, payload)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+        return Err(DecodeError::Malformed);
     };
-    if [*m0, *m1] != MAGIC {
-        return Err(DecodeError::Garbage);
+    let [magic @ .., version] = *header;
+    if magic != MAGIC {
+        return Err(DecodeError::Malformed);
     }
-    if *version != VERSION {
-        return Err(DecodeError::Version);
+    if version != VERSION {
+        return Err(DecodeError::UnsupportedVersion { version });
     }
-    match postcard::take_from_bytes::<Envelope>(rest) {
+    match postcard::take_from_bytes::<Envelope>(payload) {
         Ok((envelope, [])) => Ok(envelope),
-        _ => Err(DecodeError::Garbage),
+        _ => Err(DecodeError::Malformed),
     }
 }
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -82,13 +82,17 @@
     core.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
     let counts = core.rejected_input();
     assert_eq!(
-        (counts.garbage, counts.oversized, counts.version),
+        (
+            counts.malformed,
+            counts.oversized,
+            counts.unsupported_version
+        ),
         (2, 1, 1)
     );
     assert_eq!(core.view().members.len(), 1);
     core.handle(2_000, Event::Tick, &mut out);
     assert!(out.iter().any(
-        |a| matches!(a, Action::InputRejected(told) if told.new == 4 && told.last_sender == Some(from))
+        |a| matches!(a, Action::InputRejected(report) if report.new_rejections == 4 && report.last_sender == Some(from))
     ));
 }
 
@@ -117,7 +121,7 @@
         (entry.member.address, entry.incarnation),
         (member(1).address, 5)
     );
-    assert_eq!(core.rejected_input().conflict, 1);
+    assert_eq!(core.rejected_input().id_conflict, 1);
 }
 
 #[test]
@@ -151,7 +155,7 @@
         MemberState::Alive
     );
     assert_eq!(core.incarnation(), 10);
-    assert_eq!(core.rejected_input().future, 2);
+    assert_eq!(core.rejected_input().future_incarnation, 2);
 }
 
 #[test]
@@ -219,7 +223,10 @@
         );
     }
     assert_eq!(
-        (core.rejected_input().garbage, core.rejected_input().rate),
+        (
+            core.rejected_input().malformed,
+            core.rejected_input().rate_limited
+        ),
         (10, 40)
     );
 }
@@ -274,7 +281,7 @@
         core.handle(1, Event::Datagram { from, bytes: b"x" }, &mut out);
     }
     assert_eq!(core.counted_addresses(), 16);
-    assert_eq!(core.rejected_input().rate, 5_000 - 16);
+    assert_eq!(core.rejected_input().rate_limited, 5_000 - 16);
 }
 
 #[test]
@@ -509,7 +516,7 @@
         core.entry(&MemberId("m1".into())).unwrap().incarnation,
         back.incarnation
     );
-    assert_eq!(core.rejected_input().future, 0);
+    assert_eq!(core.rejected_input().future_incarnation, 0);
 }
 
 #[test]
--- a/crates/heathspur-members/tests/wire_format.rs
+++ b/crates/heathspur-members/tests/wire_format.rs
@@ -93,7 +93,7 @@
         version: 1_000,
         members: 60,
         local_health: 2,
-        refused: 400,
+        rejected: 400,
         more: true,
         rows: vec![ViewRow {
             member: member_with_decision(),
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -117,7 +117,7 @@
                     }) if seen.sequence == sequence => {
                         return Ok((from, seen));
                     }
-                    Err(wire::DecodeError::Version) => {
+                    Err(wire::DecodeError::UnsupportedVersion { .. }) => {
                         return Err(io::Error::other(
                             "it speaks another version of the protocol",
                         ));
@@ -155,7 +155,7 @@
         .collect();
     let head = &whole.head;
     let all = json!({
-        "member": whole.from.0, "view": head.version, "awareness": head.local_health, "refused": head.refused,
+        "member": whole.from.0, "view": head.version, "awareness": head.local_health, "refused": head.rejected,
         "members": rows,
     });
     println!("{all:#}");
@@ -165,7 +165,7 @@
     let head = &whole.head;
     println!(
         "view {} of {}: {} members, local health {} (0 is healthy), {} datagrams or updates refused",
-        head.version, whole.from, head.members, head.local_health, head.refused
+        head.version, whole.from, head.members, head.local_health, head.rejected
     );
     let mut table = plain();
     let names = [
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -9,7 +9,7 @@
 use heathspur_failover::replica_health::{call_succeeded, ln_latency_ms};
 use heathspur_failover::replica_picker::ReplicaPicker;
 use heathspur_failover::zone_failover::{Failover, Peer, RoutingPlan};
-use heathspur_members::{MemberState, View, ZoneVote};
+use heathspur_members::{MemberSnapshot, MemberState, View, ZoneVote};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -120,21 +120,25 @@
         let others = view
             .members
             .iter()
-            .filter(|(m, state, _)| m.id.0 != me && *state != MemberState::Left);
+            .filter(|other| other.member.id.0 != me && other.state != MemberState::Left);
         let peers: Vec<Peer> = others
-            .map(|(m, state, _)| Peer {
-                zone: m.zone.clone(),
-                region: m.region.clone(),
-                live: state.live(),
-                load: (m.load.concurrency_limit, m.load.in_flight),
-                ballot: Ballot {
-                    accepted: Decision {
-                        epoch: m.decision_epoch,
-                        local_traffic_tenths: m.local_traffic_tenths,
+            .map(
+                |MemberSnapshot {
+                     member: m, state, ..
+                 }| Peer {
+                    zone: m.zone.clone(),
+                    region: m.region.clone(),
+                    live: state.live(),
+                    load: (m.load.concurrency_limit, m.load.in_flight),
+                    ballot: Ballot {
+                        accepted: Decision {
+                            epoch: m.decision_epoch,
+                            local_traffic_tenths: m.local_traffic_tenths,
+                        },
+                        preferred: m.preferred_tenths,
                     },
-                    preferred: m.preferred_tenths,
                 },
-            })
+            )
             .collect();
         let step = self.failover.step(elapsed, &peers);
         if let Some(Decision {
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -321,13 +321,16 @@
         Action::IncarnationRaised(incarnation) => {
             info!(incarnation, "members: own incarnation raised")
         }
-        Action::InputRejected(told) => {
-            let sender = told.last_sender.map(|s| s.to_string()).unwrap_or_default();
-            let c = told.counts;
+        Action::InputRejected(report) => {
+            let sender = report
+                .last_sender
+                .map(|s| s.to_string())
+                .unwrap_or_default();
+            let totals = report.totals;
             warn!(
-                new = told.new, sender = %sender, garbage = c.garbage, oversized = c.oversized, version = c.version,
-                rate = c.rate, conflict = c.conflict, future = c.future, table_full = c.table_full,
-                "members: {} datagrams or updates dropped, the last from {sender}", told.new
+                new = report.new_rejections, sender = %sender, garbage = totals.malformed, oversized = totals.oversized, version = totals.unsupported_version,
+                rate = totals.rate_limited, conflict = totals.id_conflict, future = totals.future_incarnation, table_full = totals.table_full,
+                "members: {} datagrams or updates dropped, the last from {sender}", report.new_rejections
             );
         }
     }
