--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -6,6 +6,7 @@
 use crate::member::{MemberId, MemberState};
 use crate::member_table::{MemberEntry, MemberTable};
 use crate::settings::Settings;
+use crate::suspicion::SuspicionTimeout;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use std::collections::VecDeque;
@@ -127,7 +128,7 @@
 
     /// How long the member's ack usually takes at most: twice its round trip as measured here, the average one here
     /// or the one that it publishes, whichever is longest. A slow member that answers is not suspected each time.
-    pub(crate) fn usual_ack_wait(&self, entry: &MemberEntry, settings: &Settings) -> u64 {
+    fn usual_ack_wait(&self, entry: &MemberEntry, settings: &Settings) -> u64 {
         if !settings.lifeguard {
             return 0;
         }
@@ -138,6 +139,33 @@
         (2 * round_trip).min(MAX_ACK_WAIT_PERIODS * settings.period_ms)
     }
 
+    /// How long a suspicion of this member lasts in a fleet of `live_members`.
+    pub(crate) fn suspicion_timeout(
+        &self,
+        entry: &MemberEntry,
+        live_members: usize,
+        settings: &Settings,
+    ) -> SuspicionTimeout {
+        let (minimum_ms, maximum_ms) = settings.suspicion_ms(live_members);
+        if !settings.lifeguard {
+            // In plain SWIM a suspicion has a fixed time.
+            return SuspicionTimeout {
+                minimum_ms,
+                maximum_ms: minimum_ms,
+                expected_confirmations: 0,
+            };
+        }
+        // A slow member refutes as slowly as it answers probes.
+        let ack_wait = self.usual_ack_wait(entry, settings);
+        // Neither the suspect nor the local member confirms.
+        let other_members = live_members.saturating_sub(2);
+        SuspicionTimeout {
+            minimum_ms: minimum_ms + ack_wait,
+            maximum_ms: maximum_ms + ack_wait,
+            expected_confirmations: settings.indirect_probes.min(other_members),
+        }
+    }
+
     /// Starts the indirect phase of the probes whose direct ack is late.
     pub(crate) fn take_due_indirect_probes(
         &mut self,
--- a/crates/heathspur-members/src/gossip_queue.rs
+++ b/crates/heathspur-members/src/gossip_queue.rs
@@ -1,10 +1,11 @@
 //! The queue of updates to disseminate: each sent a bounded number of times, least sent first, one per member.
 
-use crate::member::MemberId;
-use crate::wire::{update_len, Update};
+use crate::wire::{self, Envelope, Update};
 
 /// The most bytes by which the length prefix of a datagram's updates grows.
 const LENGTH_PREFIX_GROWTH_BYTES: usize = 2;
+/// Bytes of a datagram that are left free for that prefix.
+const LENGTH_PREFIX_RESERVE_BYTES: usize = 4;
 
 struct QueuedUpdate {
     update: Update,
@@ -37,7 +38,7 @@
             self.evict_most_sent();
         }
         self.queued.push(QueuedUpdate {
-            encoded_len: update_len(&update),
+            encoded_len: wire::update_len(&update),
             update,
             transmissions: 0,
         });
@@ -65,27 +66,26 @@
         self.evicted
     }
 
-    /// Takes updates that fit in `capacity_bytes`, least sent first, and counts them as sent. An update sent
-    /// `max_transmissions` times leaves the queue. `skip` is a member that the datagram has an update of already.
-    pub(crate) fn take(
-        &mut self,
-        mut capacity_bytes: usize,
-        max_transmissions: u32,
-        skip: &MemberId,
-    ) -> Vec<Update> {
+    /// Fills a datagram up to its largest size with updates, least sent first, and counts them as sent. The member of
+    /// the datagram's first update is skipped; an update sent `max_transmissions` times leaves the queue.
+    pub(crate) fn fill(&mut self, datagram: &mut Envelope, max_transmissions: u32) {
+        let used = wire::encoded_len(datagram) + LENGTH_PREFIX_RESERVE_BYTES;
+        let mut capacity = wire::MAX_DATAGRAM_BYTES.saturating_sub(used);
+        let first = datagram
+            .updates
+            .first()
+            .map(|first| first.member.id.clone());
         self.queued.sort_by_key(|queued| queued.transmissions);
-        let mut taken = Vec::new();
         for queued in &mut self.queued {
-            let too_long = queued.encoded_len + LENGTH_PREFIX_GROWTH_BYTES > capacity_bytes;
-            if queued.update.member.id == *skip || too_long {
+            let too_long = queued.encoded_len + LENGTH_PREFIX_GROWTH_BYTES > capacity;
+            if too_long || first.as_ref() == Some(&queued.update.member.id) {
                 continue;
             }
-            capacity_bytes -= queued.encoded_len;
+            capacity -= queued.encoded_len;
             queued.transmissions += 1;
-            taken.push(queued.update.clone());
+            datagram.updates.push(queued.update.clone());
         }
         self.queued
             .retain(|queued| queued.transmissions < max_transmissions);
-        taken
     }
 }
--- a/crates/heathspur-members/src/lib.rs
+++ b/crates/heathspur-members/src/lib.rs
@@ -23,12 +23,14 @@
 mod join;
 mod local_member;
 mod member;
+mod member_states;
 mod member_table;
 mod membership;
 mod rejected_input;
 mod settings;
 pub mod state_record;
 mod suspicion;
+mod update_check;
 mod view;
 pub mod wire;
 
--- a/crates/heathspur-members/src/membership.rs
+++ b/crates/heathspur-members/src/membership.rs
@@ -2,17 +2,17 @@
 
 use crate::anti_entropy::{self, AntiEntropy};
 use crate::event::{Action, ChangeCause, Event};
-use crate::failure_detector::{AckedProbe, FailureDetector, IndirectProbe, Requester};
-use crate::gossip_queue::GossipQueue;
+use crate::failure_detector::{AckedProbe, DirectProbe, FailureDetector, IndirectProbe, Requester};
 use crate::input_limits::InputLimits;
 use crate::join::Join;
 use crate::local_member::LocalMember;
 use crate::member::{Load, Member, MemberId, MemberState, ZoneVote};
-use crate::member_table::{MemberEntry, MemberTable};
+use crate::member_states::{Accusation, MemberStates};
+use crate::member_table::MemberEntry;
 use crate::rejected_input::{RejectedInput, RejectionReason};
 use crate::settings::Settings;
-use crate::state_record::{refuting_incarnation, StateRecord, UpdateEffect};
-use crate::suspicion::{Suspicion, SuspicionTimeout};
+use crate::state_record::{refuting_incarnation, UpdateEffect};
+use crate::update_check::{check_known_update, check_update, is_too_far_ahead, UpdateSource};
 use crate::view::{self, View, ViewResponder};
 use crate::wire::{self, Body, DecodeError, Envelope, Update};
 use rand::rngs::StdRng;
@@ -20,23 +20,8 @@
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddrV4;
 
-/// An incarnation further ahead of the known one is rejected. A restarted member takes its incarnation from the wall
-/// clock's milliseconds, so it is ahead by as long as the member ran: this is four years.
-const MAX_INCARNATION_LEAD: u64 = 1 << 37;
-/// No incarnation above this is accepted, so that a refutation can always exceed it.
-const MAX_INCARNATION: u64 = 1 << 48;
 /// A leaving member announces that to this many times the gossip fanout.
 const LEAVE_FANOUT_FACTOR: usize = 2;
-/// Bytes reserved for the growth of the length prefix when updates are added to a datagram.
-const UPDATES_LENGTH_RESERVE_BYTES: usize = 4;
-
-/// The origin of an update.
-struct UpdateSource<'a> {
-    sender: &'a MemberId,
-    address: SocketAddrV4,
-    /// Whether a newcomer in the update is to be gossiped further.
-    gossip_newcomers: bool,
-}
 
 /// One member's view of the fleet and its part in maintaining it.
 pub struct Membership {
@@ -45,9 +30,8 @@
     now: u64,
     rng: StdRng,
     local: LocalMember,
-    table: MemberTable,
+    others: MemberStates,
     detector: FailureDetector,
-    gossip: GossipQueue,
     next_gossip_at: u64,
     anti_entropy: AntiEntropy,
     join: Join,
@@ -71,9 +55,8 @@
             now: 0,
             rng: StdRng::seed_from_u64(random_seed),
             local: LocalMember::new(local, incarnation),
-            table: MemberTable::new(),
+            others: MemberStates::new(settings.max_pending),
             detector: FailureDetector::new(),
-            gossip: GossipQueue::new(settings.max_pending),
             next_gossip_at: 0,
             anti_entropy: AntiEntropy::default(),
             join: Join::new(seeds.collect(), &settings),
@@ -110,28 +93,29 @@
     /// Adds members that are known to be alive without gossip of them, as in a fleet that stands already.
     pub fn add_known_members(&mut self, members: impl IntoIterator<Item = (Member, u64)>) {
         for (member, incarnation) in members {
-            let known = member.id == *self.local.id() || self.table.get(&member.id).is_some();
+            let known =
+                member.id == *self.local.id() || self.others.table().get(&member.id).is_some();
             if known || self.table_is_full() {
                 continue;
             }
-            self.table.insert(member, incarnation, self.now);
+            self.others.add_known(member, incarnation, self.now);
             self.join.mark_joined();
         }
     }
 
     /// The current view.
     pub fn view(&self) -> View {
-        view::snapshot(&self.local, &self.table)
+        view::snapshot(&self.local, self.others.table())
     }
 
     /// The version of the view, which rises with every change.
     pub fn version(&self) -> u64 {
-        view::view_version(&self.local, &self.table)
+        view::view_version(&self.local, self.others.table())
     }
 
     /// One other member as known here.
     pub fn entry(&self, id: &MemberId) -> Option<&MemberEntry> {
-        self.table.get(id)
+        self.others.table().get(id)
     }
 
     /// This member's own id.
@@ -151,7 +135,7 @@
 
     /// Everything rejected since the start.
     pub fn rejected_input(&self) -> RejectedInput {
-        self.limits.rejected(self.gossip.evicted())
+        self.limits.rejected(self.others.gossip().evicted())
     }
 
     /// Source addresses counted for the rate limit; at most twice `max_members`.
@@ -161,7 +145,7 @@
 
     /// Updates queued for gossip.
     pub fn pending(&self) -> usize {
-        self.gossip.len()
+        self.others.gossip().len()
     }
 
     /// Whether a seed or another member has answered.
@@ -175,7 +159,9 @@
         let first_probe = self.random_time_within(self.settings.period_ms);
         self.detector.start_at(first_probe);
         self.next_gossip_at = self.random_time_within(self.settings.gossip_ms);
-        let push_pull_interval = self.settings.push_pull_every_ms(1 + self.table.len());
+        let push_pull_interval = self
+            .settings
+            .push_pull_every_ms(1 + self.others.table().len());
         let first_push_pull = self.random_time_within(push_pull_interval);
         self.anti_entropy.start_at(first_push_pull);
         self.on_tick(out);
@@ -199,7 +185,7 @@
     fn on_tick(&mut self, out: &mut Vec<Action>) {
         self.limits.advance_window(self.now);
         self.expire_suspicions(out);
-        self.reap(out);
+        self.reap_if_due(out);
         self.send_due_nacks(out);
         self.gossip_if_due(out);
         if self.local.is_leaving() {
@@ -212,39 +198,29 @@
     }
 
     fn expire_suspicions(&mut self, out: &mut Vec<Action>) {
-        let expired = self.table.expired_suspects(self.now);
+        let expired = self.others.table().expired_suspects(self.now);
         if self.settings.lifeguard {
             self.query_suspects(out);
         }
         for id in expired {
-            let Some(dead) = self.table.get(&id).and_then(|e| e.record().expire()) else {
-                continue;
-            };
-            self.set_record(&id, dead, ChangeCause::SuspicionTimeout, out);
-            self.gossip_accusation(&id, MemberState::Dead, self.local.id().clone());
+            self.others
+                .declare_dead(&id, self.local.id(), self.now, out);
         }
     }
 
     /// Sends suspects the accusation shortly before they time out: this member may have missed their refutation.
     fn query_suspects(&mut self, out: &mut Vec<Action>) {
-        for id in self.table.take_suspects_to_query(self.now) {
+        for id in self.others.take_suspects_to_query(self.now) {
             self.send_accusation(&id, Body::Gossip, out);
         }
     }
 
-    fn reap(&mut self, out: &mut Vec<Action>) {
-        if !self.table.has_departed() || self.now < self.next_reap_at {
+    fn reap_if_due(&mut self, out: &mut Vec<Action>) {
+        if !self.others.table().has_departed() || self.now < self.next_reap_at {
             return;
         }
         self.next_reap_at = self.now + self.settings.period_ms;
-        for entry in self.table.reap(self.now, self.settings.dead_keep_ms) {
-            out.push(Action::StateChanged {
-                id: entry.member.id,
-                to: None,
-                incarnation: entry.incarnation,
-                cause: ChangeCause::Reaped,
-            });
-        }
+        self.others.reap(self.now, self.settings.dead_keep_ms, out);
     }
 
     fn send_due_nacks(&mut self, out: &mut Vec<Action>) {
@@ -261,7 +237,7 @@
             return;
         }
         self.next_gossip_at = self.now + self.settings.gossip_ms;
-        if !self.gossip.is_empty() {
+        if !self.others.gossip().is_empty() {
             self.gossip_to_random_members(out);
         }
     }
@@ -275,7 +251,7 @@
         if !due {
             return;
         }
-        let peer = anti_entropy::choose_peer(&self.table, self.join.seeds(), &mut self.rng);
+        let peer = anti_entropy::choose_peer(self.others.table(), self.join.seeds(), &mut self.rng);
         if let Some(peer) = peer {
             self.send_push_pull(peer, true, out);
         }
@@ -291,28 +267,32 @@
     }
 
     fn report_rejected_input(&mut self, out: &mut Vec<Action>) {
-        let evicted = self.gossip.evicted();
+        let evicted = self.others.gossip().evicted();
         let report = self.limits.take_report(self.now, &self.settings, evicted);
         out.extend(report.map(Action::InputRejected));
     }
 
     fn advance_probes(&mut self, out: &mut Vec<Action>) {
-        let indirect = self.detector.take_due_indirect_probes(
-            self.now,
-            &self.table,
-            &self.settings,
-            &mut self.rng,
-        );
+        let table = self.others.table();
+        let indirect =
+            self.detector
+                .take_due_indirect_probes(self.now, table, &self.settings, &mut self.rng);
         for probe in indirect {
             self.send_indirect_probe(probe, out);
         }
         for target in self.detector.take_failed_targets(self.now, &self.settings) {
             self.on_probe_failed(&target, out);
         }
-        let direct =
-            self.detector
-                .take_due_probe(self.now, &self.table, &self.settings, &mut self.rng);
-        let Some(probe) = direct else { return };
+        let table = self.others.table();
+        let direct = self
+            .detector
+            .take_due_probe(self.now, table, &self.settings, &mut self.rng);
+        if let Some(probe) = direct {
+            self.send_direct_probe(probe, out);
+        }
+    }
+
+    fn send_direct_probe(&mut self, probe: DirectProbe, out: &mut Vec<Action>) {
         let ping = Body::Ping {
             sequence: probe.sequence,
             target: probe.target.clone(),
@@ -351,12 +331,16 @@
     }
 
     fn on_probe_failed(&mut self, target: &MemberId, out: &mut Vec<Action>) {
-        let Some(known) = self.table.get(target).map(MemberEntry::record) else {
+        let Some(known) = self.others.table().get(target).map(MemberEntry::record) else {
             return;
         };
-        let accuser = self.local.id().clone();
-        let cause = ChangeCause::ProbeMissed;
-        self.suspect(target, known.incarnation, accuser, cause, out);
+        let accusation = Accusation {
+            suspect: target,
+            incarnation: known.incarnation,
+            accuser: self.local.id().clone(),
+            cause: ChangeCause::ProbeMissed,
+        };
+        self.suspect(accusation, out);
         if known.state == MemberState::Alive && self.settings.lifeguard {
             // Sent now and not with the next probe, so that the suspect has all of its time to refute.
             self.send_accusation(target, Body::Gossip, out);
@@ -395,6 +379,10 @@
         // A newcomer learns by push-pull what the fleet knows already, and does not gossip it again.
         let known_by_fleet =
             matches!(envelope.body, Body::PushPull { .. }) && self.join.is_newcomer(self.now);
+        let source = UpdateSource {
+            sender: &envelope.from,
+            address: from,
+        };
         let mut local_update_seen = false;
         for update in &envelope.updates {
             let about_local = update.member.id == *self.local.id();
@@ -402,12 +390,8 @@
             if about_local && std::mem::replace(&mut local_update_seen, true) {
                 continue;
             }
-            let source = UpdateSource {
-                sender: &envelope.from,
-                address: from,
-                gossip_newcomers: !known_by_fleet || update.member.id == envelope.from,
-            };
-            self.apply_update(update, &source, out);
+            let gossip_newcomer = !known_by_fleet || update.member.id == envelope.from;
+            self.apply_update(update, &source, gossip_newcomer, out);
         }
     }
 
@@ -449,7 +433,7 @@
     ) {
         let responder = ViewResponder {
             local: &self.local,
-            table: &self.table,
+            table: self.others.table(),
             now: self.now,
             local_health: self.detector.local_health(),
             rejected: self.rejected_input().total(),
@@ -488,14 +472,23 @@
 
     /// Records the round trip of the target itself; an ack relayed by a helper has none.
     fn record_round_trip(&mut self, target: &MemberId, from: SocketAddrV4, round_trip_ms: u64) {
-        if self.table.record_round_trip(target, from, round_trip_ms) {
+        if self.others.record_round_trip(target, from, round_trip_ms) {
             let usual = self.detector.record_round_trip(round_trip_ms);
             self.local.set_usual_round_trip(usual);
         }
     }
 
-    fn apply_update(&mut self, update: &Update, source: &UpdateSource, out: &mut Vec<Action>) {
-        if let Some(reason) = self.rejects(update, source) {
+    fn apply_update(
+        &mut self,
+        update: &Update,
+        source: &UpdateSource<'_>,
+        gossip_newcomer: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let known = self.others.table().get(&update.member.id);
+        let rejection = check_update(update)
+            .or_else(|| known.and_then(|known| check_known_update(update, source, known)));
+        if let Some(reason) = rejection {
             self.limits.reject(reason, source.address);
             return;
         }
@@ -503,100 +496,62 @@
             self.apply_local_update(update, source.address, out);
             return;
         }
-        let Some(entry) = self.table.get(&update.member.id) else {
-            self.add_newcomer(update, source.gossip_newcomers, out);
-            return;
-        };
-        let known = entry.record();
-        self.apply_known_update(update, source, known, out);
+        match known.map(|known| known.record().effect_of(update.record())) {
+            None => self.apply_newcomer(update, gossip_newcomer, out),
+            Some(effect) => self.apply_effect(effect, update, source, out),
+        }
     }
 
-    /// Why an update is rejected whatever it reports; `None` if it is plausible.
-    fn rejects(&self, update: &Update, source: &UpdateSource) -> Option<RejectionReason> {
-        let member = &update.member;
-        if !member.well_formed() {
-            return Some(RejectionReason::Malformed);
+    fn apply_newcomer(&mut self, update: &Update, gossip: bool, out: &mut Vec<Action>) {
+        if !update.state.live() {
+            return;
         }
-        if update.incarnation > MAX_INCARNATION {
-            return Some(RejectionReason::FutureIncarnation);
+        if self.table_is_full() {
+            self.limits.count_table_full();
+            return;
         }
-        let entry = self.table.get(&member.id)?;
-        if is_too_far_ahead(update.incarnation, entry.incarnation) {
-            return Some(RejectionReason::FutureIncarnation);
+        self.others.add_newcomer(update, gossip, self.now, out);
+        if update.state == MemberState::Suspect {
+            let accusation = Accusation {
+                suspect: &update.member.id,
+                incarnation: update.incarnation,
+                accuser: update.accuser.as_ref().unwrap_or(&update.member.id).clone(),
+                cause: ChangeCause::Gossip,
+            };
+            self.suspect(accusation, out);
         }
-        // Only the member itself, from its new address, may change the address of a known id.
-        let moved = member.address != entry.member.address;
-        (moved && !source.is_subject_of(update)).then_some(RejectionReason::IdConflict)
     }
 
-    fn apply_known_update(
+    fn apply_effect(
         &mut self,
+        effect: UpdateEffect,
         update: &Update,
-        source: &UpdateSource,
-        known: StateRecord,
+        source: &UpdateSource<'_>,
         out: &mut Vec<Action>,
     ) {
-        let id = &update.member.id;
-        let reported = update.record();
-        match known.effect_of(reported) {
-            UpdateEffect::Alive => self.apply_alive(update, out),
+        match effect {
+            UpdateEffect::Alive => self.others.apply_alive(update, self.now, out),
+            UpdateEffect::Left => self.others.apply_left(update, self.now, out),
             UpdateEffect::Unchanged if source.is_subject_of(update) => {
-                // First-hand load and vote; not gossiped, since each member publishes its own.
-                self.table.update_member(&update.member);
+                self.others.update_member(&update.member);
             }
             UpdateEffect::Accused { declared_dead } => {
-                let accuser = update.accuser.as_ref().unwrap_or(source.sender).clone();
-                self.suspect(id, reported.incarnation, accuser, ChangeCause::Gossip, out);
+                let accusation = Accusation {
+                    suspect: &update.member.id,
+                    incarnation: update.incarnation,
+                    accuser: update.accuser.as_ref().unwrap_or(source.sender).clone(),
+                    cause: ChangeCause::Gossip,
+                };
+                self.suspect(accusation, out);
                 if declared_dead {
-                    self.table.shorten_suspicion(id, reported.incarnation);
+                    self.others
+                        .shorten_suspicion(&update.member.id, update.incarnation);
                 }
             }
-            UpdateEffect::Left => {
-                self.set_record(id, reported, ChangeCause::Left, out);
-                self.gossip.push(update.clone());
-            }
             UpdateEffect::Unchanged | UpdateEffect::Stale => {}
         }
     }
 
-    fn apply_alive(&mut self, update: &Update, out: &mut Vec<Action>) {
-        let incarnation = update.incarnation;
-        if self.table.mark_alive(&update.member, incarnation, self.now) {
-            let id = &update.member.id;
-            out.push(state_changed(id, update.record(), ChangeCause::Refuted));
-        }
-        self.gossip.push(update.clone());
-    }
-
-    fn add_newcomer(&mut self, update: &Update, gossip: bool, out: &mut Vec<Action>) {
-        if !update.state.live() {
-            return;
-        }
-        if self.table_is_full() {
-            self.limits.count_table_full();
-            return;
-        }
-        let id = &update.member.id;
-        let alive = StateRecord {
-            state: MemberState::Alive,
-            incarnation: update.incarnation,
-        };
-        self.table
-            .insert(update.member.clone(), update.incarnation, self.now);
-        out.push(state_changed(id, alive, ChangeCause::Joined));
-        if gossip {
-            self.gossip.push(Update {
-                state: MemberState::Alive,
-                accuser: None,
-                ..update.clone()
-            });
-        }
-        if update.state == MemberState::Suspect {
-            let accuser = update.accuser.as_ref().unwrap_or(id).clone();
-            self.suspect(id, update.incarnation, accuser, ChangeCause::Gossip, out);
-        }
-    }
-
     /// Refutes an accusation of this member, and answers one that was refuted before.
     fn apply_local_update(&mut self, update: &Update, from: SocketAddrV4, out: &mut Vec<Action>) {
         if self.local.is_leaving() {
@@ -624,76 +579,21 @@
         self.gossip_to_random_members(out);
     }
 
-    /// Starts a suspicion of `id` at `incarnation`, or confirms the running one.
-    fn suspect(
-        &mut self,
-        id: &MemberId,
-        incarnation: u64,
-        accuser: MemberId,
-        cause: ChangeCause,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(entry) = self.table.get(id) else {
+    fn suspect(&mut self, accusation: Accusation<'_>, out: &mut Vec<Action>) {
+        let Some(entry) = self.others.table().get(accusation.suspect) else {
             return;
         };
-        if let Some(suspected) = entry.record().suspect(incarnation) {
-            let timeout = self.suspicion_timeout(entry);
-            let suspicion = Suspicion::new(self.now, timeout, accuser.clone());
-            if self.table.mark_suspect(id, suspected, suspicion, self.now) {
-                out.push(state_changed(id, suspected, cause));
-            }
-            self.gossip_accusation(id, MemberState::Suspect, accuser);
-        } else if self.settings.lifeguard && self.table.confirm_suspicion(id, incarnation, &accuser)
-        {
-            // A confirmation is gossiped too, since it shortens the timers of others.
-            self.gossip_accusation(id, MemberState::Suspect, accuser);
-        }
-    }
-
-    fn suspicion_timeout(&self, entry: &MemberEntry) -> SuspicionTimeout {
         let live_members = self.live_members();
-        let (minimum_ms, maximum_ms) = self.settings.suspicion_ms(live_members);
-        if !self.settings.lifeguard {
-            // In plain SWIM a suspicion has a fixed time.
-            return SuspicionTimeout {
-                minimum_ms,
-                maximum_ms: minimum_ms,
-                expected_confirmations: 0,
-            };
-        }
-        // A slow member refutes as slowly as it answers probes.
-        let ack_wait = self.detector.usual_ack_wait(entry, &self.settings);
-        // The suspect and this member can't confirm.
-        let other_members = live_members.saturating_sub(2);
-        SuspicionTimeout {
-            minimum_ms: minimum_ms + ack_wait,
-            maximum_ms: maximum_ms + ack_wait,
-            expected_confirmations: self.settings.indirect_probes.min(other_members),
-        }
-    }
-
-    fn set_record(
-        &mut self,
-        id: &MemberId,
-        record: StateRecord,
-        cause: ChangeCause,
-        out: &mut Vec<Action>,
-    ) {
-        if self.table.set_record(id, record, self.now) {
-            out.push(state_changed(id, record, cause));
-        }
-    }
-
-    fn gossip_accusation(&mut self, id: &MemberId, state: MemberState, accuser: MemberId) {
-        if let Some(entry) = self.table.get(id) {
-            self.gossip.push(entry.accusation(state, accuser));
-        }
+        let timeout = self
+            .detector
+            .suspicion_timeout(entry, live_members, &self.settings);
+        self.others.suspect(accusation, timeout, self.now, out);
     }
 
     /// Reports and gossips this member's raised incarnation.
     fn announce_incarnation(&mut self, out: &mut Vec<Action>) {
         out.push(Action::IncarnationRaised(self.local.incarnation()));
-        self.gossip.push(self.local.update());
+        self.others.gossip_mut().push(self.local.update());
     }
 
     fn gossip_to_random_members(&mut self, out: &mut Vec<Action>) {
@@ -703,30 +603,30 @@
     }
 
     fn random_live_addresses(&mut self, count: usize) -> Vec<SocketAddrV4> {
-        let mut addresses = self.table.live_addresses();
+        let mut addresses = self.others.table().live_addresses();
         addresses.shuffle(&mut self.rng);
         addresses.truncate(count);
         addresses
     }
 
     fn table_is_full(&self) -> bool {
-        1 + self.table.len() >= self.settings.max_members
+        1 + self.others.table().len() >= self.settings.max_members
     }
 
     /// Live members by which SWIM's times and retransmissions scale, this one included.
     fn live_members(&self) -> usize {
-        1 + self.table.live_len()
+        1 + self.others.table().live_len()
     }
 
     fn send_push_pull(&mut self, to: SocketAddrV4, reply: bool, out: &mut Vec<Action>) {
-        for datagram in anti_entropy::push_pull_datagrams(&self.local, &self.table, reply) {
+        for datagram in anti_entropy::push_pull_datagrams(&self.local, self.others.table(), reply) {
             self.emit(to, &datagram, out);
         }
     }
 
     /// Sends `body` to a suspect with the accusation in place of this member's own update.
     fn send_accusation(&mut self, suspect: &MemberId, body: Body, out: &mut Vec<Action>) {
-        let Some(entry) = self.table.get(suspect) else {
+        let Some(entry) = self.others.table().get(suspect) else {
             return;
         };
         let to = entry.member.address;
@@ -747,17 +647,15 @@
         first: Update,
         out: &mut Vec<Action>,
     ) {
-        let first_id = first.member.id.clone();
         let mut envelope = Envelope {
             from: self.local.id().clone(),
             body,
             updates: vec![first],
         };
-        let used = wire::encoded_len(&envelope) + UPDATES_LENGTH_RESERVE_BYTES;
-        let capacity = wire::MAX_DATAGRAM_BYTES.saturating_sub(used);
         let max_transmissions = self.settings.retransmits(self.live_members());
-        let queued = self.gossip.take(capacity, max_transmissions, &first_id);
-        envelope.updates.extend(queued);
+        self.others
+            .gossip_mut()
+            .fill(&mut envelope, max_transmissions);
         self.emit(to, &envelope, out);
     }
 
@@ -769,26 +667,6 @@
     }
 }
 
-impl UpdateSource<'_> {
-    /// Whether the update was sent by the member that it is about.
-    fn is_subject_of(&self, update: &Update) -> bool {
-        *self.sender == update.member.id && self.address == update.member.address
-    }
-}
-
-fn is_too_far_ahead(reported: u64, known: u64) -> bool {
-    reported > known.saturating_add(MAX_INCARNATION_LEAD)
-}
-
-fn state_changed(id: &MemberId, record: StateRecord, cause: ChangeCause) -> Action {
-    Action::StateChanged {
-        id: id.clone(),
-        to: Some(record.state),
-        incarnation: record.incarnation,
-        cause,
-    }
-}
-
 fn rejection_reason(error: DecodeError) -> RejectionReason {
     match error {
         DecodeError::Oversized { .. } => RejectionReason::Oversized,
