--- /dev/null
+++ b/crates/heathspur-members/src/membership/receive.rs
@@ -0,0 +1,131 @@
+//! Handling of a received datagram and its message.
+
+use super::Membership;
+use crate::event::Action;
+use crate::failure_detector::{AckedProbe, Requester};
+use crate::member::MemberId;
+use crate::rejected_input::RejectionReason;
+use crate::view::ViewResponder;
+use crate::wire::{self, Body, DecodeError};
+use std::net::SocketAddrV4;
+
+impl Membership {
+    pub(super) fn on_datagram(&mut self, from: SocketAddrV4, bytes: &[u8], out: &mut Vec<Action>) {
+        if !self.limits.admit(from, &self.settings) {
+            return;
+        }
+        let envelope = match wire::decode(bytes) {
+            Ok(envelope) => envelope,
+            Err(error) => {
+                self.limits.reject(rejection_reason(error), from);
+                return;
+            }
+        };
+        if let Body::ViewRequest(request) = &envelope.body {
+            self.on_view_request(from, request, bytes.len(), out);
+            return;
+        }
+        if envelope.from == *self.local.id() {
+            self.limits.reject(RejectionReason::IdConflict, from);
+            return;
+        }
+        if !matches!(envelope.body, Body::Nack { .. } | Body::ViewResponse(_)) {
+            self.join.mark_joined();
+        }
+        self.apply_updates(&envelope, from, out);
+        if !self.local.is_leaving() {
+            self.on_message(from, envelope.body, out);
+        }
+    }
+
+    fn on_message(&mut self, from: SocketAddrV4, message: Body, out: &mut Vec<Action>) {
+        match message {
+            Body::Ping { sequence, target } => {
+                if target == *self.local.id() {
+                    self.send(from, Body::Ack { sequence }, out);
+                }
+            }
+            Body::PingReq {
+                sequence,
+                target,
+                address,
+            } => {
+                let requester = Requester {
+                    address: from,
+                    sequence,
+                };
+                self.relay_probe(requester, target, address, out);
+            }
+            Body::Ack { sequence } => self.on_ack(sequence, from, out),
+            Body::Nack { sequence } => self.detector.on_nack(sequence),
+            Body::PushPull { reply } => {
+                if reply && self.limits.admit_push_pull_reply() {
+                    self.send_push_pull(from, false, out);
+                }
+            }
+            Body::Gossip | Body::ViewRequest(_) | Body::ViewResponse(_) => {}
+        }
+    }
+
+    fn on_view_request(
+        &mut self,
+        from: SocketAddrV4,
+        request: &wire::ViewRequest,
+        request_len: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let responder = ViewResponder {
+            local: &self.local,
+            table: self.others.table(),
+            now: self.now,
+            local_health: self.detector.local_health(),
+            rejected: self.rejected_input().total(),
+        };
+        if let Some(response) = responder.respond(request, request_len) {
+            self.emit(from, &response, out);
+        }
+    }
+
+    fn relay_probe(
+        &mut self,
+        requester: Requester,
+        target: MemberId,
+        address: SocketAddrV4,
+        out: &mut Vec<Action>,
+    ) {
+        let sequence = self.detector.relay(requester, self.now, &self.settings);
+        if let Some(sequence) = sequence {
+            self.send(address, Body::Ping { sequence, target }, out);
+        }
+    }
+
+    fn on_ack(&mut self, sequence: u32, from: SocketAddrV4, out: &mut Vec<Action>) {
+        match self.detector.on_ack(sequence, self.now) {
+            Some(AckedProbe::Own {
+                target,
+                round_trip_ms,
+            }) => self.record_round_trip(&target, from, round_trip_ms),
+            Some(AckedProbe::Relayed(requester)) => {
+                let sequence = requester.sequence;
+                self.send(requester.address, Body::Ack { sequence }, out);
+            }
+            None => {}
+        }
+    }
+
+    /// Records the round trip of the target itself; an ack relayed by a helper has none.
+    fn record_round_trip(&mut self, target: &MemberId, from: SocketAddrV4, round_trip_ms: u64) {
+        if self.others.record_round_trip(target, from, round_trip_ms) {
+            let usual = self.detector.record_round_trip(round_trip_ms);
+            self.local.set_usual_round_trip(usual);
+        }
+    }
+}
+
+fn rejection_reason(error: DecodeError) -> RejectionReason {
+    match error {
+        DecodeError::Oversized { .. } => RejectionReason::Oversized,
+        DecodeError::Malformed => RejectionReason::Malformed,
+        DecodeError::UnsupportedVersion { .. } => RejectionReason::UnsupportedVersion,
+    }
+}
--- /dev/null
+++ b/crates/heathspur-members/src/membership/timers.rs
@@ -0,0 +1,177 @@
+//! Handling of a tick: timers of suspicions, gossip, push-pull, join and probes.
+
+use super::Membership;
+use crate::anti_entropy;
+use crate::event::{Action, ChangeCause};
+use crate::failure_detector::{DirectProbe, IndirectProbe};
+use crate::member::{MemberId, MemberState};
+use crate::member_states::Accusation;
+use crate::member_table::MemberEntry;
+use crate::wire::Body;
+
+impl Membership {
+    pub(super) fn on_tick(&mut self, out: &mut Vec<Action>) {
+        self.limits.advance_window(self.now);
+        self.expire_suspicions(out);
+        self.reap_if_due(out);
+        self.send_due_nacks(out);
+        self.gossip_if_due(out);
+        if self.local.is_leaving() {
+            return;
+        }
+        self.advance_probes(out);
+        self.push_pull_if_due(out);
+        self.join_if_due(out);
+        self.report_rejected_input(out);
+    }
+
+    fn expire_suspicions(&mut self, out: &mut Vec<Action>) {
+        let expired = self.others.table().expired_suspects(self.now);
+        if self.settings.lifeguard {
+            self.query_suspects(out);
+        }
+        for id in expired {
+            self.others
+                .declare_dead(&id, self.local.id(), self.now, out);
+        }
+    }
+
+    /// Sends suspects the accusation shortly before they time out: this member may have missed their refutation.
+    fn query_suspects(&mut self, out: &mut Vec<Action>) {
+        for id in self.others.take_suspects_to_query(self.now) {
+            self.send_accusation(&id, Body::Gossip, out);
+        }
+    }
+
+    fn reap_if_due(&mut self, out: &mut Vec<Action>) {
+        if !self.others.table().has_departed() || self.now < self.next_reap_at {
+            return;
+        }
+        self.next_reap_at = self.now + self.settings.period_ms;
+        self.others.reap(self.now, self.settings.dead_keep_ms, out);
+    }
+
+    fn send_due_nacks(&mut self, out: &mut Vec<Action>) {
+        for requester in self.detector.take_unanswered_relays(self.now) {
+            if self.settings.lifeguard {
+                let sequence = requester.sequence;
+                self.send(requester.address, Body::Nack { sequence }, out);
+            }
+        }
+    }
+
+    fn gossip_if_due(&mut self, out: &mut Vec<Action>) {
+        if self.now < self.next_gossip_at {
+            return;
+        }
+        self.next_gossip_at = self.now + self.settings.gossip_ms;
+        if !self.others.gossip().is_empty() {
+            self.gossip_to_random_members(out);
+        }
+    }
+
+    fn push_pull_if_due(&mut self, out: &mut Vec<Action>) {
+        let live_members = self.live_members();
+        let due = self.join.joined()
+            && self
+                .anti_entropy
+                .take_due(self.now, live_members, &self.settings);
+        if !due {
+            return;
+        }
+        let peer = anti_entropy::choose_peer(self.others.table(), self.join.seeds(), &mut self.rng);
+        if let Some(peer) = peer {
+            self.send_push_pull(peer, true, out);
+        }
+    }
+
+    fn join_if_due(&mut self, out: &mut Vec<Action>) {
+        let seeds = self
+            .join
+            .take_due_seeds(self.now, &self.settings, &mut self.rng);
+        for seed in seeds {
+            self.send_push_pull(seed, true, out);
+        }
+    }
+
+    fn report_rejected_input(&mut self, out: &mut Vec<Action>) {
+        let evicted = self.others.gossip().evicted();
+        let report = self.limits.take_report(self.now, &self.settings, evicted);
+        out.extend(report.map(Action::InputRejected));
+    }
+
+    fn advance_probes(&mut self, out: &mut Vec<Action>) {
+        let table = self.others.table();
+        let indirect =
+            self.detector
+                .take_due_indirect_probes(self.now, table, &self.settings, &mut self.rng);
+        for probe in indirect {
+            self.send_indirect_probe(probe, out);
+        }
+        for target in self.detector.take_failed_targets(self.now, &self.settings) {
+            self.on_probe_failed(&target, out);
+        }
+        let table = self.others.table();
+        let direct = self
+            .detector
+            .take_due_probe(self.now, table, &self.settings, &mut self.rng);
+        if let Some(probe) = direct {
+            self.send_direct_probe(probe, out);
+        }
+    }
+
+    fn send_direct_probe(&mut self, probe: DirectProbe, out: &mut Vec<Action>) {
+        let ping = Body::Ping {
+            sequence: probe.sequence,
+            target: probe.target.clone(),
+        };
+        if self.settings.lifeguard && probe.suspected {
+            // Lifeguard's buddy system: the probe tells a suspect of its suspicion, so that it can refute at once.
+            self.send_accusation(&probe.target, ping, out);
+        } else {
+            self.send(probe.address, ping, out);
+        }
+    }
+
+    fn send_indirect_probe(&mut self, probe: IndirectProbe, out: &mut Vec<Action>) {
+        let IndirectProbe {
+            sequence,
+            target,
+            address,
+            helpers,
+        } = probe;
+        if self.settings.lifeguard {
+            // The first ping or its ack may just have been lost.
+            let ping = Body::Ping {
+                sequence,
+                target: target.clone(),
+            };
+            self.send(address, ping, out);
+        }
+        for helper in helpers {
+            let request = Body::PingReq {
+                sequence,
+                target: target.clone(),
+                address,
+            };
+            self.send(helper, request, out);
+        }
+    }
+
+    fn on_probe_failed(&mut self, target: &MemberId, out: &mut Vec<Action>) {
+        let Some(known) = self.others.table().get(target).map(MemberEntry::record) else {
+            return;
+        };
+        let accusation = Accusation {
+            suspect: target,
+            incarnation: known.incarnation,
+            accuser: self.local.id().clone(),
+            cause: ChangeCause::ProbeMissed,
+        };
+        self.suspect(accusation, out);
+        if known.state == MemberState::Alive && self.settings.lifeguard {
+            // Sent now and not with the next probe, so that the suspect has all of its time to refute.
+            self.send_accusation(target, Body::Gossip, out);
+        }
+    }
+}
