--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -14,8 +14,8 @@
 use crate::frontend::response_buffer::ResponseBudget;
 use crate::frontend::{FrontendContext, FrontendHandle};
 use crate::idempotency::IdempotencyStore;
-use crate::membership::failover::Ways;
-use crate::membership::Handle;
+use crate::membership::failover::ReplicaRoutes;
+use crate::membership::MembershipHandle;
 use crate::peers::connection::PeerAddress;
 use crate::peers::interpreter;
 use crate::peers::registration;
@@ -66,8 +66,8 @@
 /// What the fleet's view and failover give the owner, where they are on.
 #[derive(Default)]
 pub(crate) struct Peers {
-    pub members: Option<Handle>,
-    pub ways: Option<Ways>,
+    pub members: Option<MembershipHandle>,
+    pub replica_routes: Option<ReplicaRoutes>,
 }
 
 /// Starts all tasks and serves until the server has left.
@@ -110,7 +110,7 @@
     let interpreter = interpreter::Link::new();
     let places = config.sockets / CALLS_PART;
     let store = {
-        let routes = peers.ways.map(Ways::routes);
+        let routes = peers.replica_routes.map(ReplicaRoutes::routes);
         store::Link::new(
             executor.clone(),
             config.store,
