--- a/crates/heathspurd/src/peers/store.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -329,5 +329,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/store.rs"]
+#[path = "../../../tests/unit/store.rs"]
 mod tests;
