--- a/crates/heathspurd/src/event_loop/inbox.rs
+++ b/crates/heathspurd/src/event_loop/inbox.rs
@@ -11,12 +11,12 @@
     ClientDisconnected(RequestId),
     /// A connection has closed, and somebody waits for the last one.
     ConnectionClosed,
-    Interpreter(interpreter::Event),
-    Store(store::Event),
+    Interpreter(interpreter::InterpreterEvent),
+    Store(store::CallCompleted),
 }
 
-impl From<interpreter::Event> for LoopEvent {
-    fn from(heard: interpreter::Event) -> LoopEvent {
+impl From<interpreter::InterpreterEvent> for LoopEvent {
+    fn from(heard: interpreter::InterpreterEvent) -> LoopEvent {
         LoopEvent::Interpreter(heard)
     }
 }
@@ -33,8 +33,8 @@
     }
 }
 
-impl From<store::Event> for LoopEvent {
-    fn from(called: store::Event) -> LoopEvent {
+impl From<store::CallCompleted> for LoopEvent {
+    fn from(called: store::CallCompleted) -> LoopEvent {
         LoopEvent::Store(called)
     }
 }
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -235,7 +235,7 @@
         );
         self.peer_addresses.interpreter.set(config.vm);
         self.peer_addresses.registration.set(config.announce);
-        self.store.set(config.store);
+        self.store.set_address(config.store);
     }
 
     /// What is due by the clock.
--- a/crates/heathspurd/src/event_loop/peer_events.rs
+++ b/crates/heathspurd/src/event_loop/peer_events.rs
@@ -5,8 +5,8 @@
 };
 use crate::event_loop::state::{EventLoop, LinkState};
 use crate::frontend::Answer;
-use crate::peers::interpreter::Event as Heard;
-use crate::peers::store::Event as Called;
+use crate::peers::interpreter::InterpreterEvent;
+use crate::peers::store::CallCompleted;
 use bytes::Bytes;
 use heathspur::{Event, Gauges, Idempotency, Outcome, Preemption, RequestId, Span};
 use heathspur_wire::interpreter::{Command, End, Warmth};
@@ -24,15 +24,18 @@
         nonce
     }
 
-    pub(crate) fn hear(&mut self, heard: Heard) {
+    pub(crate) fn hear(&mut self, heard: InterpreterEvent) {
         match heard {
-            Heard::Banner { warmth, ago_ms } => {
+            InterpreterEvent::Connected {
+                warmth,
+                started_ms_ago: ago_ms,
+            } => {
                 let ago = Span::from_secs(ago_ms / 1000.0);
                 self.begin(warmth == Warmth::Cold, self.now - ago);
                 let nonce = self.ask();
                 self.interpreter_link = LinkState::Resuming(nonce, self.now + RESUME);
             }
-            Heard::Down => {
+            InterpreterEvent::Disconnected => {
                 if self.interpreter_link.is_up() {
                     self.doubt();
                 }
@@ -44,7 +47,7 @@
                     });
                 }
             }
-            Heard::Gauges { nonce, readings } => {
+            InterpreterEvent::Gauges { nonce, readings } => {
                 // Questions are answered in order, after all that was missed, and after what was told before them.
                 if nonce < self.next_nonce {
                     self.answered = self.answered.max(nonce);
@@ -68,18 +71,29 @@
                     }
                 }
             }
-            Heard::Ended { txn, end, body } => {
+            InterpreterEvent::RunEnded {
+                attempt: txn,
+                end,
+                body,
+            } => {
                 if let Some(id) = self.table.named(&txn) {
                     self.run_ended(id, end, body);
                 }
             }
-            Heard::Waits { txn, index, body } => {
+            InterpreterEvent::CallRequested {
+                attempt: txn,
+                index,
+                body,
+            } => {
                 if let Some(id) = self.table.named(&txn) {
                     self.waits(id, PendingCall { index, body });
                 }
             }
-            Heard::Missed => self.missed(),
-            Heard::Refused { command, txn } => {
+            InterpreterEvent::NoticesLost => self.missed(),
+            InterpreterEvent::CommandRejected {
+                command,
+                attempt: txn,
+            } => {
                 if command == "TOP"
                     && matches!(
                         self.interpreter_link,
@@ -276,8 +290,8 @@
         self.book_out(id);
     }
 
-    pub(crate) fn called(&mut self, called: Called) {
-        let Some(entry) = self.table.get(called.id) else {
+    pub(crate) fn called(&mut self, called: CallCompleted) {
+        let Some(entry) = self.table.get(called.request) else {
             return;
         };
         let ExecutionState::Calling { call, until, .. } = &entry.work else {
@@ -286,10 +300,10 @@
         if *call != called.call {
             return;
         }
-        self.call_timers.remove(&(*until, called.id));
-        self.call_ended(called.id, called.outcome);
+        self.call_timers.remove(&(*until, called.request));
+        self.call_ended(called.request, called.outcome);
         if called.outcome == Outcome::Ok {
-            self.go_on(called.id, |_| LastCommand::Resolve(called.body));
+            self.go_on(called.request, |_| LastCommand::Resolve(called.body));
         }
     }
 
--- a/crates/heathspurd/src/peers/connection.rs
+++ b/crates/heathspurd/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! What the links have in common: connections that come up in time, bytes read.
+//! What all peer connections share: the peer's address, connecting within a time limit, and a buffer of unread bytes.
 
 use crate::clock::within;
 use crate::notify::Notify;
@@ -12,19 +12,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const CHUNK: usize = 16 * 1024;
+/// Initial size of a read buffer, in bytes. It doubles whenever a message does not fit.
+const INITIAL_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Where a peer is found; a new configuration may move it.
+/// A peer's address, which a new configuration may change.
 pub(crate) struct PeerAddress {
     address: Cell<SocketAddr>,
-    moved: Notify,
+    change: Notify,
 }
 
 impl PeerAddress {
     pub fn new(address: SocketAddr) -> PeerAddress {
         PeerAddress {
             address: Cell::new(address),
-            moved: Notify::new(),
+            change: Notify::new(),
         }
     }
 
@@ -34,24 +35,24 @@
 
     pub fn set(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
-            self.moved.notify();
+            self.change.notify();
         }
     }
 
-    /// Waits until it is no longer at this address. One link waits for each target.
+    /// Waits until the address differs from `from`. Only one task may wait for each peer.
     pub async fn changed(&self, from: SocketAddr) {
         while self.address.get() == from {
-            self.moved.notified().await;
+            self.change.notified().await;
         }
     }
 }
 
-/// Open, and nothing came that was not asked for.
-pub(crate) fn is_quiet(stream: &Stream) -> bool {
+/// Whether the connection is open and has no unread bytes.
+pub(crate) fn is_idle(stream: &Stream) -> bool {
     matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// A new connection that comes up within the limit, recorded where links are.
+/// Connects within `limit`; the connection is recorded where peer traffic is.
 pub(crate) async fn connect(
     address: SocketAddr,
     limit: Duration,
@@ -62,46 +63,68 @@
     Ok(Stream::made(stream, recorded))
 }
 
-/// Bytes that were read and not used yet.
+/// Bytes that were received and not consumed yet.
 pub(crate) struct ReadBuffer {
     buffer: Vec<u8>,
     filled: usize,
-    used: usize,
+    consumed: usize,
 }
 
 impl ReadBuffer {
     pub fn new() -> ReadBuffer {
         ReadBuffer {
-            buffer: vec![0; CHUNK],
+            buffer: vec![0; INITIAL_BUFFER_BYTES],
             filled: 0,
-            used: 0,
+            consumed: 0,
         }
     }
 
-    /// Reads more; the end of the stream is an error.
+    /// Receives more bytes; the end of the stream is an error.
     pub async fn fill(&mut self, mut stream: &Stream) -> io::Result<()> {
-        self.buffer.copy_within(self.used..self.filled, 0);
-        (self.filled, self.used) = (self.filled - self.used, 0);
+        self.make_room();
+        let count = stream.read(&mut self.buffer[self.filled..]).await?;
+        if count == 0 {
+            return Err(io::Error::new(
+                io::ErrorKind::UnexpectedEof,
+                "closed by the other side",
+            ));
+        }
+        self.filled += count;
+        Ok(())
+    }
+
+    /// Moves the unread bytes to the front, and grows the buffer where they fill it.
+    fn make_room(&mut self) {
+        self.buffer.copy_within(self.consumed..self.filled, 0);
+        self.filled -= self.consumed;
+        self.consumed = 0;
         if self.filled == self.buffer.len() {
             self.buffer.resize(2 * self.filled, 0);
         }
-        match stream.read(&mut self.buffer[self.filled..]).await? {
-            0 => Err(io::Error::new(
-                io::ErrorKind::UnexpectedEof,
-                "closed by the other side",
-            )),
-            n => {
-                self.filled += n;
-                Ok(())
+    }
+
+    /// Receives bytes until `parse` finds a message at the front of the unread ones.
+    pub async fn read_message<T, E>(
+        &mut self,
+        stream: &Stream,
+        mut parse: impl FnMut(&[u8]) -> Result<Option<T>, E>,
+    ) -> Result<T, E>
+    where
+        E: From<io::Error>,
+    {
+        loop {
+            if let Some(message) = parse(self.bytes())? {
+                return Ok(message);
             }
+            self.fill(stream).await?;
         }
     }
 
     pub fn bytes(&self) -> &[u8] {
-        &self.buffer[self.used..self.filled]
+        &self.buffer[self.consumed..self.filled]
     }
 
-    pub fn use_up(&mut self, count: usize) {
-        self.used = (self.used + count).min(self.filled);
+    pub fn consume(&mut self, count: usize) {
+        self.consumed = (self.consumed + count).min(self.filled);
     }
 }
--- a/crates/heathspurd/src/peers/interpreter.rs
+++ b/crates/heathspurd/src/peers/interpreter.rs
@@ -1,9 +1,13 @@
-//! The link to the interpreter: held open, made again when it breaks, resumed at the last notice read.
+//! The link to the interpreter: one connection, re-established when it breaks and resumed after the last notice that
+//! the event loop has received.
+//!
+//! [`run`] owns the connection and its reconnect backoff. The event loop queues commands on the [`Link`] and receives
+//! [`InterpreterEvent`]s; it never waits for the connection.
 
 use crate::frontend::AttemptId;
 use crate::notify::Notify;
 use crate::peers::connection::{connect, PeerAddress, ReadBuffer};
-use crate::peers::notice_sequence::{Count, Sight};
+use crate::peers::notice_sequence::{NoticeSequence, SequencePosition};
 use crate::recording::recorded_stream::{RecorderHandle, Stream};
 use async_channel::Sender;
 use async_io::Timer;
@@ -12,208 +16,314 @@
 use heathspur_record::recorder::Leg;
 use heathspur_wire::interpreter::{self as wire, Command, End, Notice, Warmth};
 use std::cell::RefCell;
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::warn;
 
-/// Waits before the link is made again.
-const SHORTEST: Duration = Duration::from_millis(10);
-const LONGEST: Duration = Duration::from_millis(500);
-/// The longest wait for a connection. The system sends a dial's lost packet again after one and three seconds
-/// at the latest, so a shorter wait would never get through to a listener that is this slow.
-const DIAL: Duration = Duration::from_secs(4);
-/// Bytes of commands that may wait to be written before the link counts as broken.
-const MOST: usize = 8 << 20;
+/// Bounds on the backoff between connection attempts.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(10);
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// Time limit on one connection attempt. The system retransmits a lost SYN after one and three seconds, so a shorter
+/// limit would never get through to a listener that is this slow.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Bytes of unsent commands at which the connection counts as broken.
+const MAX_QUEUED_COMMAND_BYTES: usize = 8 << 20;
 
-/// What the link tells the owner.
+/// What the link reports to the event loop.
 #[derive(Debug)]
-pub(crate) enum Event {
-    Banner {
-        warmth: Warmth,
-        ago_ms: f64,
-    },
-    Ended {
-        txn: AttemptId,
+pub(crate) enum InterpreterEvent {
+    /// A connection is up; the interpreter started `started_ms_ago` milliseconds earlier.
+    Connected { warmth: Warmth, started_ms_ago: f64 },
+    /// A run has ended; `body` is its result where it succeeded.
+    RunEnded {
+        attempt: AttemptId,
         end: End,
         body: Bytes,
     },
-    Waits {
-        txn: AttemptId,
+    /// A run waits for the reply to its call number `index`.
+    CallRequested {
+        attempt: AttemptId,
         index: u64,
         body: Bytes,
     },
-    Gauges {
-        nonce: u64,
-        readings: Vec<f64>,
-    },
-    Refused {
+    /// The reply to the gauge query with this nonce.
+    Gauges { nonce: u64, readings: Vec<f64> },
+    /// A command was not carried out.
+    CommandRejected {
         command: String,
-        txn: Option<AttemptId>,
+        attempt: Option<AttemptId>,
     },
-    /// Notices were made that are kept no longer.
-    Missed,
-    Down,
+    /// Notices were missed that the interpreter no longer retains.
+    NoticesLost,
+    /// The connection has ended.
+    Disconnected,
+}
+
+/// Why a connection to the interpreter ended.
+#[derive(Debug, thiserror::Error)]
+enum LinkError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("the interpreter's address has changed")]
+    AddressChanged,
+    #[error("{0} bytes of commands are queued, more than {MAX_QUEUED_COMMAND_BYTES}")]
+    CommandBacklog(usize),
+    #[error("a notice has no valid request id")]
+    InvalidRequestId,
+    #[error("notice number {0} is out of sequence")]
+    OutOfSequence(u64),
+    #[error("a line is not a valid notice: {0}")]
+    InvalidNotice(#[source] wire::Nonsense),
+    #[error("a line is longer than {} bytes", wire::LINE)]
+    LineTooLong,
+    #[error("the event loop has ended")]
+    EventLoopEnded,
 }
 
-/// The owner's end of the link: commands wait here to be written.
+/// The event loop's end of the link: commands queue here until the connection's task writes them.
 pub(crate) struct Link {
-    out: RefCell<Vec<u8>>,
-    queued: Notify,
+    queued_commands: RefCell<Vec<u8>>,
+    command_queued: Notify,
 }
 
 impl Link {
     pub fn new() -> Rc<Link> {
         Rc::new(Link {
-            out: RefCell::new(Vec::new()),
-            queued: Notify::new(),
+            queued_commands: RefCell::new(Vec::new()),
+            command_queued: Notify::new(),
         })
     }
 
     pub fn send(&self, command: Command<'_>) {
-        wire::write(&mut self.out.borrow_mut(), command);
-        self.queued.notify();
+        wire::write(&mut self.queued_commands.borrow_mut(), command);
+        self.command_queued.notify();
+    }
+
+    /// Drops what was queued for an earlier connection and queues the command that opens a new one.
+    fn restart_queue(&self, last_notice: u64) {
+        let mut queued = self.queued_commands.borrow_mut();
+        queued.clear();
+        wire::write(&mut queued, Command::Connect(last_notice));
     }
 }
 
-/// Keeps the link up for ever, wherever the interpreter is found.
-pub(crate) async fn keep<N: From<Event>>(
+/// Keeps the link connected until the event loop ends, following changes of the interpreter's address.
+pub(crate) async fn run<N: From<InterpreterEvent>>(
     target: Rc<PeerAddress>,
     link: Rc<Link>,
     events: Sender<N>,
-    tap: Option<Rc<RecorderHandle>>,
+    recorder: Option<Rc<RecorderHandle>>,
 ) {
-    let (mut count, mut wait) = (Count::default(), SHORTEST);
+    let mut sequence = NoticeSequence::default();
+    let mut delay = MIN_RECONNECT_DELAY;
     loop {
         let address = target.get();
-        let dial = connect(
-            address,
-            DIAL,
-            tap.as_ref().map(|tap| (tap, Leg::Interpreter)),
-        );
-        let moved = async {
-            target.changed(address).await;
-            None
-        };
-        match future::or(async { Some(dial.await) }, moved).await {
+        match connect_unless_moved(&target, address, recorder.as_ref()).await {
             Some(Ok(stream)) => {
-                let before = count.last();
-                let moved = async {
-                    target.changed(address).await;
-                    "it has moved".to_string()
-                };
-                let ended = future::or(talk(&stream, &link, &events, &mut count), moved).await;
-                link.out.borrow_mut().clear();
-                let last = count.last();
-                warn!(last, cause = %ended, "the interpreter's link broke after notice {last}: {ended}");
-                if last > before {
-                    wait = SHORTEST;
+                let last_before = sequence.last();
+                let error =
+                    run_connection(&stream, &link, &events, &mut sequence, &target, address).await;
+                link.queued_commands.borrow_mut().clear();
+                let last = sequence.last();
+                warn!(last, cause = %error, "the interpreter's link broke after notice {last}: {error}");
+                if last > last_before {
+                    delay = MIN_RECONNECT_DELAY;
                 }
-                if events.send(Event::Down.into()).await.is_err() {
+                let disconnected = InterpreterEvent::Disconnected.into();
+                if events.send(disconnected).await.is_err() {
                     return;
                 }
             }
-            None => {}
             Some(Err(e)) => warn!(error = %e, "no link to the interpreter: {e}"),
+            None => {}
         }
         if target.get() != address {
-            wait = SHORTEST;
+            delay = MIN_RECONNECT_DELAY;
             continue;
         }
-        let pause = async {
-            Timer::after(wait).await;
-        };
-        future::or(pause, target.changed(address)).await;
-        wait = (wait * 2).min(LONGEST);
+        back_off(&target, address, delay).await;
+        delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
-/// Carries one connection to its end and says why it ended.
-async fn talk<N: From<Event>>(
+/// Connects to the interpreter; `None` once its address has changed.
+async fn connect_unless_moved(
+    target: &PeerAddress,
+    address: SocketAddr,
+    recorder: Option<&Rc<RecorderHandle>>,
+) -> Option<io::Result<Stream>> {
+    let recorded = recorder.map(|recorder| (recorder, Leg::Interpreter));
+    let connected = async { Some(connect(address, CONNECT_TIMEOUT, recorded).await) };
+    let moved = async {
+        target.changed(address).await;
+        None
+    };
+    future::or(connected, moved).await
+}
+
+/// Waits for the delay, or less where the interpreter's address changes.
+async fn back_off(target: &PeerAddress, address: SocketAddr, delay: Duration) {
+    let elapsed = async {
+        Timer::after(delay).await;
+    };
+    future::or(elapsed, target.changed(address)).await;
+}
+
+/// Carries one connection to its end and returns why it ended.
+async fn run_connection<N: From<InterpreterEvent>>(
     stream: &Stream,
     link: &Link,
     events: &Sender<N>,
-    count: &mut Count,
-) -> String {
-    let mut hello = Vec::new();
-    count.begin_link();
-    wire::write(&mut hello, Command::Connect(count.last()));
-    {
-        let mut out = link.out.borrow_mut();
-        out.clear();
-        out.append(&mut hello);
+    sequence: &mut NoticeSequence,
+    target: &PeerAddress,
+    address: SocketAddr,
+) -> LinkError {
+    sequence.begin_connection();
+    link.restart_queue(sequence.last());
+    let exchange = future::or(
+        read_notices(stream, events, sequence),
+        write_commands(stream, link),
+    );
+    let moved = async {
+        target.changed(address).await;
+        LinkError::AddressChanged
+    };
+    future::or(exchange, moved).await
+}
+
+async fn write_commands(stream: &Stream, link: &Link) -> LinkError {
+    match try_write_commands(stream, link).await {
+        Ok(never) => match never {},
+        Err(error) => error,
     }
-    future::or(listen(stream, events, count), speak(stream, link)).await
 }
 
-async fn speak(mut stream: &Stream, link: &Link) -> String {
-    let mut out = Vec::new();
+/// Writes commands as they are queued, until the connection fails.
+async fn try_write_commands(mut stream: &Stream, link: &Link) -> Result<Infallible, LinkError> {
+    let mut commands = Vec::new();
     loop {
-        std::mem::swap(&mut out, &mut *link.out.borrow_mut());
-        if out.len() > MOST {
-            return format!("it left {} bytes of commands unread", out.len());
+        std::mem::swap(&mut commands, &mut *link.queued_commands.borrow_mut());
+        if commands.len() > MAX_QUEUED_COMMAND_BYTES {
+            return Err(LinkError::CommandBacklog(commands.len()));
         }
-        if out.is_empty() {
-            link.queued.notified().await;
+        if commands.is_empty() {
+            link.command_queued.notified().await;
             continue;
         }
-        if let Err(e) = stream.write_all(&out).await {
-            return e.to_string();
-        }
-        out.clear();
+        stream.write_all(&commands).await?;
+        commands.clear();
     }
 }
 
-async fn listen<N: From<Event>>(stream: &Stream, events: &Sender<N>, count: &mut Count) -> String {
-    let mut inflow = ReadBuffer::new();
+async fn read_notices<N: From<InterpreterEvent>>(
+    stream: &Stream,
+    events: &Sender<N>,
+    sequence: &mut NoticeSequence,
+) -> LinkError {
+    match try_read_notices(stream, events, sequence).await {
+        Ok(never) => match never {},
+        Err(error) => error,
+    }
+}
+
+/// Passes notices on as they arrive, until the connection fails.
+async fn try_read_notices<N: From<InterpreterEvent>>(
+    stream: &Stream,
+    events: &Sender<N>,
+    sequence: &mut NoticeSequence,
+) -> Result<Infallible, LinkError> {
+    let mut buffer = ReadBuffer::new();
     loop {
-        if let Err(e) = inflow.fill(stream).await {
-            return e.to_string();
+        buffer.fill(stream).await?;
+        while let Some(end) = wire::line_end(buffer.bytes()) {
+            pass_on_line(&buffer.bytes()[..end], events, sequence).await?;
+            buffer.consume(end + 1);
         }
-        while let Some(end) = wire::line_end(inflow.bytes()) {
-            let line = &inflow.bytes()[..end];
-            // It is taken once the owner has it: a link that ends before that is told it again.
-            let mut read = *count;
-            let mut sight = Sight::Next;
-            let heard = match wire::read(line) {
-                // Its number is not taken either, so it comes again, whole, on the next link.
-                Ok(Notice::Value { task, .. } | Notice::Await { task, .. })
-                    if AttemptId::read(task.as_bytes()).is_none() =>
-                {
-                    return "a notice names no request".to_string();
-                }
-                Ok(notice) => {
-                    if matches!(notice, Notice::Tops { .. }) {
-                        read.caught_up();
-                    }
-                    if let Some(index) = number(&notice) {
-                        sight = read.see(index);
-                        if sight == Sight::Spoilt {
-                            *count = read;
-                            return format!("a notice is numbered {index}");
-                        }
-                    }
-                    understand(notice, sight)
-                }
-                Err(_) if line.trim_ascii().is_empty() => None,
-                Err(e) => return format!("a line makes no sense: {e}"),
-            };
-            let missed = (sight == Sight::NextKept).then_some(Event::Missed);
-            for heard in missed.into_iter().chain(heard) {
-                if events.send(heard.into()).await.is_err() {
-                    return "the server has ended".to_string();
-                }
+        if buffer.bytes().len() > wire::LINE {
+            return Err(LinkError::LineTooLong);
+        }
+    }
+}
+
+/// Passes on what one line says. The sequence advances only once the event loop has received it: a connection that
+/// ends before that reads the notice again.
+async fn pass_on_line<N: From<InterpreterEvent>>(
+    line: &[u8],
+    events: &Sender<N>,
+    sequence: &mut NoticeSequence,
+) -> Result<(), LinkError> {
+    let mut advanced = *sequence;
+    let line_events = match parse_line(line, &mut advanced) {
+        Ok(line_events) => line_events,
+        Err(error) => {
+            if matches!(error, LinkError::OutOfSequence(_)) {
+                // The next connection needs to know the rejected number.
+                *sequence = advanced;
             }
-            *count = read;
-            inflow.use_up(end + 1);
+            return Err(error);
         }
-        if inflow.bytes().len() > wire::LINE {
-            return "a line is too long".to_string();
+    };
+    for event in line_events.into_iter().flatten() {
+        let passed_on = events.send(event.into()).await;
+        passed_on.map_err(|_| LinkError::EventLoopEnded)?;
+    }
+    *sequence = advanced;
+    Ok(())
+}
+
+/// The events that a line stands for, in order.
+fn parse_line(
+    line: &[u8],
+    sequence: &mut NoticeSequence,
+) -> Result<[Option<InterpreterEvent>; 2], LinkError> {
+    let notice = match wire::read(line) {
+        Ok(notice) => notice,
+        Err(_) if line.trim_ascii().is_empty() => return Ok([None, None]),
+        Err(error) => return Err(LinkError::InvalidNotice(error)),
+    };
+    // Checked before the number is accepted, so that the notice is sent again on the next connection.
+    require_request_id(&notice)?;
+    if matches!(notice, Notice::Tops { .. }) {
+        sequence.caught_up();
+    }
+    let position = match notice_number(&notice) {
+        Some(number) => accept_number(sequence, number)?,
+        None => SequencePosition::Next,
+    };
+    if position == SequencePosition::Duplicate {
+        return Ok([None, None]);
+    }
+    let lost =
+        (position == SequencePosition::NextAfterGap).then_some(InterpreterEvent::NoticesLost);
+    Ok([lost, notice_event(notice)])
+}
+
+fn require_request_id(notice: &Notice<'_>) -> Result<(), LinkError> {
+    match notice {
+        Notice::Value { task, .. } | Notice::Await { task, .. }
+            if AttemptId::read(task.as_bytes()).is_none() =>
+        {
+            Err(LinkError::InvalidRequestId)
         }
+        _ => Ok(()),
+    }
+}
+
+fn accept_number(
+    sequence: &mut NoticeSequence,
+    number: u64,
+) -> Result<SequencePosition, LinkError> {
+    match sequence.accept(number) {
+        SequencePosition::OutOfSequence => Err(LinkError::OutOfSequence(number)),
+        position => Ok(position),
     }
 }
 
 /// The number of a notice, where its kind has one.
-fn number(notice: &Notice<'_>) -> Option<u64> {
+fn notice_number(notice: &Notice<'_>) -> Option<u64> {
     match notice {
         Notice::Value { index, .. } | Notice::Await { index, .. } | Notice::Trace { index } => {
             Some(*index)
@@ -222,32 +332,32 @@
     }
 }
 
-/// What a notice tells the owner; nothing when it was taken before.
-fn understand(notice: Notice<'_>, sight: Sight) -> Option<Event> {
-    if sight == Sight::Old {
-        return None;
-    }
+/// The event that a notice stands for, where it concerns the event loop.
+fn notice_event(notice: Notice<'_>) -> Option<InterpreterEvent> {
     match notice {
-        Notice::Banner { warmth, ago_ms } => Some(Event::Banner { warmth, ago_ms }),
+        Notice::Banner { warmth, ago_ms } => Some(InterpreterEvent::Connected {
+            warmth,
+            started_ms_ago: ago_ms,
+        }),
         Notice::Value {
             task, end, body, ..
-        } => Some(Event::Ended {
-            txn: AttemptId::read(task.as_bytes())?,
+        } => Some(InterpreterEvent::RunEnded {
+            attempt: AttemptId::read(task.as_bytes())?,
             end,
             body: body.into(),
         }),
-        Notice::Await { index, task, body } => Some(Event::Waits {
-            txn: AttemptId::read(task.as_bytes())?,
+        Notice::Await { index, task, body } => Some(InterpreterEvent::CallRequested {
+            attempt: AttemptId::read(task.as_bytes())?,
             index,
             body: body.into(),
         }),
-        Notice::Tops { nonce, readings } => Some(Event::Gauges {
+        Notice::Tops { nonce, readings } => Some(InterpreterEvent::Gauges {
             nonce: nonce.parse().ok()?,
             readings,
         }),
-        Notice::Refused { command, task } => Some(Event::Refused {
+        Notice::Refused { command, task } => Some(InterpreterEvent::CommandRejected {
             command: command.into_owned(),
-            txn: AttemptId::read(task.as_bytes()),
+            attempt: AttemptId::read(task.as_bytes()),
         }),
         Notice::Trace { .. } => None,
     }
--- a/crates/heathspurd/src/peers/notice_sequence.rs
+++ b/crates/heathspurd/src/peers/notice_sequence.rs
@@ -1,94 +1,126 @@
-//! The numbers of the interpreter's notices: which are new, which were taken before, and which can't be. They count
-//! up by one, and the last 4,000 are kept for a link that is made again. No I/O.
+//! Classifies the numbers of the interpreter's notices: new, duplicate, or damaged on the way. No I/O.
+//!
+//! The interpreter numbers its notices consecutively and retains the last 4,000 for a connection that resumes. A
+//! number that cannot be right ends the connection, so that the notices after the last accepted one are sent again.
 
-/// Links that are ended for a number that can't be, with nothing taken between, before it is taken at its word.
-const REFUSALS: u32 = 3;
-/// Notices that the interpreter keeps. The first that it still has moves on while a link is made again.
-const KEPT: u64 = 4_000;
+/// Connections ended in a row for an out-of-sequence number before the lowest such number is accepted.
+const MAX_REJECTED_CONNECTIONS: u32 = 3;
+/// Notices that the interpreter retains. The oldest retained number advances while a connection is re-established.
+const RETAINED_NOTICES: u64 = 4_000;
 
-/// What a notice's number says.
+/// How a notice's number relates to the numbers accepted before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sight {
-    /// The next one.
+pub(crate) enum SequencePosition {
+    /// The next notice.
     Next,
-    /// The next one that there is: those between are kept no longer.
-    NextKept,
-    /// Taken before.
-    Old,
-    /// Too high to be the next: the link has to end, and what follows the last good one comes again, whole.
-    Spoilt,
+    /// The next notice that exists: the interpreter no longer retains those in between.
+    NextAfterGap,
+    /// Accepted before.
+    Duplicate,
+    /// Too high to be next: the connection has to end, and the notices after the last accepted one are sent again.
+    OutOfSequence,
 }
 
-/// Numbers up to now. A copy is tried on a notice, and replaces the count once the notice is taken.
+/// Out-of-sequence numbers seen since the last accepted notice.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct RejectedNumbers {
+    lowest: u64,
+    /// Connections that ended for such a number.
+    connections: u32,
+    /// Whether the first of these numbers was the first one on its connection.
+    first_at_connection_start: bool,
+}
+
+impl RejectedNumbers {
+    /// Whether a number that starts the next connection repeats the rejected one, or is as far beyond it as notices
+    /// may have been made meanwhile. A number damaged on the way would come back undamaged.
+    fn is_confirmed_by(&self, number: u64) -> bool {
+        number >= self.lowest && number - self.lowest <= RETAINED_NOTICES
+    }
+}
+
+/// The notice numbers accepted so far. The reader works on a copy, which replaces the original once the notice has
+/// been passed on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Count {
+pub(crate) struct NoticeSequence {
     last: u64,
-    /// Nothing numbered was seen on this link yet, and what was missed may yet come.
-    fresh: bool,
-    /// The least of the numbers too high to follow `last`, the links that ended for one, and whether the first of
-    /// these came at the beginning of a link.
-    least: u64,
-    refused: u32,
-    at_start: bool,
-    /// It was seen to leave numbers out, so a jump says nothing.
-    skips: bool,
+    /// No numbered notice has been read on this connection yet, so missed ones may still arrive.
+    at_connection_start: bool,
+    rejected: Option<RejectedNumbers>,
+    /// The interpreter was seen to skip numbers, so a gap says nothing.
+    peer_skips_numbers: bool,
 }
 
-impl Count {
-    /// The last number that was taken; 0 for none.
+impl NoticeSequence {
+    /// The last accepted number; 0 for none.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// A new link begins behind the last number.
-    pub fn begin_link(&mut self) {
-        self.fresh = true;
+    /// A new connection resumes after the last accepted number.
+    pub fn begin_connection(&mut self) {
+        self.at_connection_start = true;
     }
 
-    /// All that was missed has come: the link has answered a question.
+    /// All missed notices have arrived: the interpreter has answered a query on this connection.
     pub fn caught_up(&mut self) {
-        self.fresh = false;
+        self.at_connection_start = false;
     }
 
-    /// Looks at the next notice's number.
-    pub fn see(&mut self, index: u64) -> Sight {
-        let fresh = std::mem::replace(&mut self.fresh, false);
-        if index <= self.last {
-            return Sight::Old;
+    /// Classifies the next notice's number and accepts it unless it is a duplicate or out of sequence.
+    pub fn accept(&mut self, number: u64) -> SequencePosition {
+        let at_connection_start = std::mem::replace(&mut self.at_connection_start, false);
+        if number <= self.last {
+            return SequencePosition::Duplicate;
         }
-        if index == self.last + 1 || self.skips {
-            self.take(index);
-            return Sight::Next;
+        if number == self.last + 1 || self.peer_skips_numbers {
+            self.advance_to(number);
+            return SequencePosition::Next;
         }
-        // A spoilt line comes again whole. What comes again as it was, or as far on as notices were made meanwhile,
-        // is how it is: either more were missed than are kept, or this peer leaves numbers out.
-        if fresh && self.refused > 0 && index >= self.least && index - self.least <= KEPT {
-            let missed = self.at_start;
-            self.skips = !missed;
-            self.take(index);
-            return if missed { Sight::NextKept } else { Sight::Next };
+        match self.rejected {
+            Some(rejected) if at_connection_start && rejected.is_confirmed_by(number) => {
+                self.accept_gap(number, rejected)
+            }
+            _ => self.reject(number, at_connection_start),
         }
-        self.least = if self.refused == 0 {
-            index
-        } else {
-            self.least.min(index)
-        };
-        self.at_start = if self.refused == 0 {
-            fresh
-        } else {
-            self.at_start
+    }
+
+    /// Accepts a gap that a second connection has confirmed: either more notices were missed than are retained, or
+    /// this interpreter skips numbers.
+    fn accept_gap(&mut self, number: u64, rejected: RejectedNumbers) -> SequencePosition {
+        self.advance_to(number);
+        if rejected.first_at_connection_start {
+            return SequencePosition::NextAfterGap;
+        }
+        self.peer_skips_numbers = true;
+        SequencePosition::Next
+    }
+
+    fn reject(&mut self, number: u64, at_connection_start: bool) -> SequencePosition {
+        let rejected = match self.rejected {
+            None => RejectedNumbers {
+                lowest: number,
+                connections: 1,
+                first_at_connection_start: at_connection_start,
+            },
+            Some(rejected) => RejectedNumbers {
+                lowest: rejected.lowest.min(number),
+                connections: rejected.connections + 1,
+                ..rejected
+            },
         };
-        self.refused += 1;
-        if self.refused > REFUSALS {
-            // Never a link that is made again for ever. Upwards spoilt, the least number is the nearest.
-            self.take(self.least);
-            return Sight::Next;
+        if rejected.connections > MAX_REJECTED_CONNECTIONS {
+            // Bounds the reconnections. Where numbers are damaged upwards, the lowest is the closest to the truth.
+            self.advance_to(rejected.lowest);
+            return SequencePosition::Next;
         }
-        Sight::Spoilt
+        self.rejected = Some(rejected);
+        SequencePosition::OutOfSequence
     }
 
-    fn take(&mut self, index: u64) {
-        (self.last, self.refused) = (index, 0);
+    fn advance_to(&mut self, number: u64) {
+        self.last = number;
+        self.rejected = None;
     }
 }
 
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -1,4 +1,7 @@
-//! Carries out the schedule of reports to the announce service ([`heathspur_server_core::announce`]): dials, sends, answers.
+//! Reports readiness to the announce service.
+//!
+//! When to connect and to report is decided by [`heathspur_server_core::announce`]; this module connects, sends and
+//! receives as that schedule says, and reports the outcomes back to it.
 
 use crate::notify::Notify;
 use crate::peers::connection::{self, PeerAddress, ReadBuffer};
@@ -17,12 +20,13 @@
 use std::time::Instant;
 use tracing::warn;
 
-const LIMITS: Limits = Limits {
+/// Bounds on the announce service's answer, in bytes.
+const ANSWER_LIMITS: Limits = Limits {
     head: 4 * 1024,
     body: 4 * 1024,
 };
 
-/// What is reported; nothing until it is known.
+/// The readiness to report; nothing is reported until it is set.
 pub(crate) struct Readiness {
     ready: Cell<Option<bool>>,
     changed: Notify,
@@ -43,84 +47,106 @@
     }
 }
 
-/// Reports for ever.
-pub(crate) async fn keep(target: Rc<PeerAddress>, name: String, readiness: Rc<Readiness>) {
+/// Reports the readiness of the server `name` for as long as the process runs.
+pub(crate) async fn run(target: Rc<PeerAddress>, name: String, readiness: Rc<Readiness>) {
     let mut reporter = Reporter::new(target.get(), name);
     loop {
         let Some(ready) = readiness.ready.get() else {
             readiness.changed.notified().await;
             continue;
         };
-        if reporter.address != target.get() {
-            reporter.address = target.get();
-            reporter.handle(Event::Moved);
-        }
+        reporter.move_to(target.get());
         reporter.handle(Event::Ready(ready));
-        reporter.act();
-        let (address, next) = (reporter.address, reporter.next_time());
-        let changed = async {
-            future::or(readiness.changed.notified(), target.changed(address)).await;
-            None
-        };
-        let time = async {
-            match next {
-                Some(at) => Timer::at(at).await,
-                None => future::pending().await,
-            };
-            None
-        };
-        let ended = async { Some(reporter.ended().await) };
-        if let Some((at, ended)) = future::or(ended, future::or(changed, time)).await {
-            reporter.take(at, ended);
+        reporter.carry_out_actions();
+        if let Some((index, outcome)) = wait(&mut reporter, &target, &readiness).await {
+            reporter.step_completed(index, outcome);
         }
     }
 }
 
-type Boxed<T> = Pin<Box<dyn Future<Output = io::Result<T>>>>;
+/// Waits until a step completes, or until the readiness, the address or the time calls for another look (`None`).
+async fn wait(
+    reporter: &mut Reporter,
+    target: &PeerAddress,
+    readiness: &Readiness,
+) -> Option<(usize, StepOutcome)> {
+    let (address, wake_at) = (reporter.address, reporter.wake_at());
+    let changed = async {
+        future::or(readiness.changed.notified(), target.changed(address)).await;
+        None
+    };
+    let woken = async {
+        match wake_at {
+            Some(at) => Timer::at(at).await,
+            None => future::pending().await,
+        };
+        None
+    };
+    let completed = async { Some(reporter.next_completed_step().await) };
+    future::or(completed, future::or(changed, woken)).await
+}
 
-/// What a line has under way.
-enum Step {
-    Dial(Boxed<Stream>),
+type IoFuture<T> = Pin<Box<dyn Future<Output = io::Result<T>>>>;
+
+/// What a connection is doing.
+enum ConnectionStep {
+    Connecting(IoFuture<Stream>),
     Idle(Stream),
-    /// The answer's status, and the connection where it stays open.
-    LastCommand(Boxed<(u16, Option<Stream>)>),
+    Reporting(IoFuture<ReportAnswer>),
+}
+
+/// The answer to a report.
+struct ReportAnswer {
+    status: u16,
+    /// The connection, where it can carry another report.
+    reusable: Option<Stream>,
 }
 
-/// What a step came to.
-enum Ended {
-    Up(io::Result<Stream>),
-    /// Closed by the other side, or bytes came unasked.
-    Spent,
-    Answered(io::Result<(u16, Option<Stream>)>),
+/// How a step completed.
+enum StepOutcome {
+    Connected(io::Result<Stream>),
+    /// An idle connection was closed by the other side, or received bytes that were not asked for.
+    IdleClosed,
+    Answered(io::Result<ReportAnswer>),
 }
 
-impl Step {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Ended> {
+impl ConnectionStep {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<StepOutcome> {
         match self {
-            Step::Dial(dial) => dial.as_mut().poll(cx).map(Ended::Up),
-            Step::Idle(stream) => loop {
-                match stream.poll_readable(cx) {
-                    Poll::Pending => return Poll::Pending,
-                    // It may tell of bytes that were read already.
-                    Poll::Ready(Ok(())) if connection::is_quiet(stream) => {}
-                    Poll::Ready(_) => return Poll::Ready(Ended::Spent),
-                }
-            },
-            Step::LastCommand(answer) => answer.as_mut().poll(cx).map(Ended::Answered),
+            ConnectionStep::Connecting(connecting) => {
+                connecting.as_mut().poll(cx).map(StepOutcome::Connected)
+            }
+            ConnectionStep::Idle(stream) => poll_idle(stream, cx),
+            ConnectionStep::Reporting(answer) => {
+                answer.as_mut().poll(cx).map(StepOutcome::Answered)
+            }
         }
     }
 }
 
+/// Ready once the connection is no longer open and free of unread bytes.
+fn poll_idle(stream: &Stream, cx: &mut Context<'_>) -> Poll<StepOutcome> {
+    loop {
+        match stream.poll_readable(cx) {
+            Poll::Pending => return Poll::Pending,
+            // The readiness may stem from bytes that were read already.
+            Poll::Ready(Ok(())) if connection::is_idle(stream) => {}
+            Poll::Ready(_) => return Poll::Ready(StepOutcome::IdleClosed),
+        }
+    }
+}
+
+/// Owns the connections to the announce service and drives the schedule.
 struct Reporter {
     address: SocketAddr,
     name: String,
     schedule: Schedule,
-    /// The schedule's time is what passed since then.
+    /// The origin of the schedule's time.
     start: Instant,
-    /// In the order that they came to their step.
-    lines: Vec<(Line, Step)>,
-    /// The fault that the schedule was told of last.
-    fault: Option<io::Error>,
+    /// In the order in which they began their step.
+    connections: Vec<(Line, ConnectionStep)>,
+    /// The error behind the last [`Event::Lost`], kept for the log.
+    last_error: Option<io::Error>,
 }
 
 impl Reporter {
@@ -132,8 +158,15 @@
             name,
             schedule,
             start,
-            lines: Vec::new(),
-            fault: None,
+            connections: Vec::new(),
+            last_error: None,
+        }
+    }
+
+    fn move_to(&mut self, address: SocketAddr) {
+        if self.address != address {
+            self.address = address;
+            self.handle(Event::Moved);
         }
     }
 
@@ -141,66 +174,73 @@
         self.schedule.handle(self.start.elapsed(), event);
     }
 
-    /// Does what is due.
-    fn act(&mut self) {
+    /// Carries out every action that is due.
+    fn carry_out_actions(&mut self) {
         let now = self.start.elapsed();
         while let Some(action) = self.schedule.poll(now) {
             match action {
-                Action::Dial(line) => {
-                    let dial = Box::pin(connection::connect(self.address, DIAL, None));
-                    self.lines.push((line, Step::Dial(dial)));
-                }
+                Action::Dial(id) => self.connect(id),
                 Action::Report { line, ready } => {
-                    let event = self.send(line, ready);
+                    let event = self.send_report(line, ready);
                     self.schedule.handle(now, event);
                 }
-                Action::Close(line) => drop(self.remove(line)),
-                Action::Failed(why) => self.warn(why),
+                Action::Close(id) => drop(self.remove(id)),
+                Action::Failed(failure) => self.log_failure(failure),
             }
         }
     }
 
-    fn remove(&mut self, line: Line) -> Option<Step> {
-        let at = self.lines.iter().position(|(other, _)| *other == line)?;
-        Some(self.lines.remove(at).1)
+    fn connect(&mut self, id: Line) {
+        let connecting = Box::pin(connection::connect(self.address, DIAL, None));
+        self.connections
+            .push((id, ConnectionStep::Connecting(connecting)));
     }
 
-    fn send(&mut self, line: Line, ready: bool) -> Event {
-        match self.remove(line) {
-            // An answer that comes before the report is none to it.
-            Some(Step::Idle(stream)) if connection::is_quiet(&stream) => {
+    fn remove(&mut self, id: Line) -> Option<ConnectionStep> {
+        let index = self
+            .connections
+            .iter()
+            .position(|(other, _)| *other == id)?;
+        Some(self.connections.remove(index).1)
+    }
+
+    fn send_report(&mut self, id: Line, ready: bool) -> Event {
+        match self.remove(id) {
+            // Bytes that arrived before the report cannot be the answer to it.
+            Some(ConnectionStep::Idle(stream)) if connection::is_idle(&stream) => {
                 let answer = Box::pin(exchange(stream, self.report(ready)));
-                self.lines.push((line, Step::LastCommand(answer)));
-                Event::Sent(line)
+                self.connections
+                    .push((id, ConnectionStep::Reporting(answer)));
+                Event::Sent(id)
             }
-            _ => Event::Spent(line),
+            _ => Event::Spent(id),
         }
     }
 
-    fn warn(&mut self, why: Failure) {
-        let e = match why {
+    fn log_failure(&mut self, failure: Failure) {
+        let error = match failure {
             Failure::Late => io::ErrorKind::TimedOut.into(),
             Failure::Lost => self
-                .fault
+                .last_error
                 .take()
                 .unwrap_or_else(|| io::ErrorKind::Other.into()),
             Failure::Spent => io::ErrorKind::UnexpectedEof.into(),
             Failure::Status(status) => io::Error::other(format!("status {status}")),
         };
-        warn!(error = %e, "the announce service did not take a report: {e}");
+        warn!(error = %error, "the announce service did not take a report: {error}");
     }
 
-    /// When there is something to do again.
-    fn next_time(&self) -> Option<Instant> {
+    /// When an action becomes due without an event.
+    fn wake_at(&self) -> Option<Instant> {
         self.schedule.wake().map(|at| self.start + at)
     }
 
-    /// Waits until a step has ended.
-    async fn ended(&mut self) -> (usize, Ended) {
+    /// Waits until a step completes; returns the connection's index with the outcome.
+    async fn next_completed_step(&mut self) -> (usize, StepOutcome) {
         future::poll_fn(|cx| {
-            for (at, (_, step)) in self.lines.iter_mut().enumerate() {
-                if let Poll::Ready(ended) = step.poll(cx) {
-                    return Poll::Ready((at, ended));
+            for (index, (_, step)) in self.connections.iter_mut().enumerate() {
+                if let Poll::Ready(outcome) = step.poll(cx) {
+                    return Poll::Ready((index, outcome));
                 }
             }
             Poll::Pending
@@ -208,56 +248,72 @@
         .await
     }
 
-    /// Takes in what a connection's step came to.
-    fn take(&mut self, at: usize, ended: Ended) {
-        let (line, _) = self.lines.remove(at);
-        let event = match ended {
-            Ended::Up(Ok(stream)) => {
-                self.lines.push((line, Step::Idle(stream)));
-                Event::Up(line)
-            }
-            Ended::Answered(Ok((status, stream))) => {
-                let open = stream.is_some();
-                self.lines
-                    .extend(stream.map(|stream| (line, Step::Idle(stream))));
-                Event::Answered { line, status, open }
+    /// Moves a connection on to its next step and reports the outcome to the schedule.
+    fn step_completed(&mut self, index: usize, outcome: StepOutcome) {
+        let (id, _) = self.connections.remove(index);
+        let event = match outcome {
+            StepOutcome::Connected(Ok(stream)) => {
+                self.push_idle(id, stream);
+                Event::Up(id)
             }
-            Ended::Spent => Event::Spent(line),
-            Ended::Up(Err(e)) | Ended::Answered(Err(e)) => {
-                let late = e.kind() == io::ErrorKind::TimedOut;
-                self.fault = Some(e);
-                Event::Lost { line, late }
+            StepOutcome::Answered(Ok(answer)) => self.answered(id, answer),
+            StepOutcome::IdleClosed => Event::Spent(id),
+            StepOutcome::Connected(Err(error)) | StepOutcome::Answered(Err(error)) => {
+                self.connection_failed(id, error)
             }
         };
         self.handle(event);
     }
 
-    fn report(&self, ready: bool) -> Vec<u8> {
-        let (path, host) = (format!("/announce/{}", self.name), self.address.to_string());
-        let mut out = Vec::new();
-        http::write_call(
-            &mut out,
-            "PUT",
-            &path,
-            &host,
-            format!(r#"{{"accepting":"{ready}"}}"#).as_bytes(),
-        );
-        out
+    fn push_idle(&mut self, id: Line, stream: Stream) {
+        self.connections.push((id, ConnectionStep::Idle(stream)));
     }
-}
 
-/// One call: the status of its answer, and the connection where it stays open and nothing else came on it.
-async fn exchange(stream: Stream, out: Vec<u8>) -> io::Result<(u16, Option<Stream>)> {
-    (&stream).write_all(&out).await?;
-    let (mut reader, mut inflow) = (Reader::new(LIMITS), ReadBuffer::new());
-    loop {
-        inflow.fill(&stream).await?;
-        if let Some(message) = reader.read(inflow.bytes()).map_err(io::Error::other)? {
-            let status =
-                http::status_line(&inflow.bytes()[message.first]).map_err(io::Error::other)?;
-            let close = http::says_close(Fields::over(&inflow.bytes()[message.fields]));
-            let more = inflow.bytes().len() > message.body.end;
-            return Ok((status, (!close && !more).then_some(stream)));
+    fn answered(&mut self, id: Line, answer: ReportAnswer) -> Event {
+        let open = answer.reusable.is_some();
+        if let Some(stream) = answer.reusable {
+            self.push_idle(id, stream);
+        }
+        Event::Answered {
+            line: id,
+            status: answer.status,
+            open,
         }
     }
+
+    fn connection_failed(&mut self, id: Line, error: io::Error) -> Event {
+        let late = error.kind() == io::ErrorKind::TimedOut;
+        self.last_error = Some(error);
+        Event::Lost { line: id, late }
+    }
+
+    /// The HTTP request that reports the readiness.
+    fn report(&self, ready: bool) -> Vec<u8> {
+        let path = format!("/announce/{}", self.name);
+        let host = self.address.to_string();
+        let body = format!(r#"{{"accepting":"{ready}"}}"#);
+        let mut request = Vec::new();
+        http::write_call(&mut request, "PUT", &path, &host, body.as_bytes());
+        request
+    }
+}
+
+/// Sends one report and reads its answer.
+async fn exchange(stream: Stream, request: Vec<u8>) -> io::Result<ReportAnswer> {
+    (&stream).write_all(&request).await?;
+    let mut reader = Reader::new(ANSWER_LIMITS);
+    let mut buffer = ReadBuffer::new();
+    let message = buffer
+        .read_message(&stream, |bytes| {
+            reader.read(bytes).map_err(io::Error::other)
+        })
+        .await?;
+    let bytes = buffer.bytes();
+    let status = http::status_line(&bytes[message.first]).map_err(io::Error::other)?;
+    let closing = http::says_close(Fields::over(&bytes[message.fields]));
+    let excess_bytes = bytes.len() > message.body.end;
+    Ok(ReportAnswer {
+        status,
+        reusable: (!closing && !excess_bytes).then_some(stream),
+    })
 }
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -1,331 +1,241 @@
-//! The link to the store. Each call has a connection to itself while it lasts, so what spoils one reply, or
-//! breaks one connection, costs that call alone. Connections that brought a whole reply and nothing else are
-//! used again for a moment; giving a call up closes its connection.
+//! The link to the store.
+//!
+//! Each call occupies a connection of its own, so a corrupt reply or a broken connection affects only that call. A
+//! connection that received one complete reply and nothing else is reused for a short time; abandoning a call closes
+//! its connection.
+
+mod connection;
+mod pool;
 
 use crate::frontend::AttemptId;
 use crate::membership::failover::{Routes, Way};
-use crate::peers::connection::{connect, is_quiet, ReadBuffer};
-use crate::recording::recorded_stream::{RecorderHandle, Stream};
-use async_channel::{Receiver, Sender};
+use crate::recording::recorded_stream::RecorderHandle;
+use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use bytes::Bytes;
-use futures_lite::AsyncWriteExt;
 use heathspur::{Outcome, RequestId};
-use heathspur_record::recorder::Leg;
-use heathspur_wire::store::{self as wire, Word};
+use pool::Pool;
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// A connection is used again within this: the other side may close or forget one that stands idle.
-const REUSE: Duration = Duration::from_millis(250);
-
-/// One call of one request; numbers are never used twice.
+/// Identifies one call; numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct CallId(pub u64);
 
-/// A call to be made.
+/// A call to make.
 pub(crate) struct Call {
     pub request: RequestId,
     pub call: CallId,
     pub attempt: AttemptId,
     pub timeout_ms: u64,
     pub body: Bytes,
-    /// Takes a new connection: one that was idle may be forgotten by the other side, and breaking under the
-    /// call it would prove nothing.
+    /// Requires a new connection: the other side may have dropped an idle one, and a connection that breaks under
+    /// the call would not prove that the call did not run.
     pub new_connection: bool,
 }
 
-/// What the link tells the owner: how a call ended, with the reply where it went well.
+/// Reports to the event loop how a call ended; `body` is the reply where the outcome is [`Outcome::Ok`].
 #[derive(Debug)]
-pub(crate) struct Event {
-    pub id: RequestId,
+pub(crate) struct CallCompleted {
+    pub request: RequestId,
     pub call: CallId,
     pub outcome: Outcome,
     pub body: Bytes,
 }
 
-/// A connection, to be used for one call at a time.
-struct Line {
-    stream: Stream,
-    inflow: ReadBuffer,
-    address: SocketAddr,
-    /// Whose call it carried last, and when that ended. Late copies of that reply bear the same name.
-    last: Option<(AttemptId, Instant)>,
+/// A call in progress and the time that it began.
+struct OutgoingCall {
+    call: Call,
+    started: Instant,
+    /// Set once the call may have been written to a connection.
+    written: Rc<Cell<bool>>,
 }
 
-impl Line {
-    /// It may carry a call of this request to this address: it is young, open, and nothing came unasked.
-    fn serves(&self, txn: AttemptId, address: SocketAddr) -> bool {
-        let other = self.last.is_some_and(|(t, _)| t != txn);
-        self.address == address && other && self.is_young() && is_quiet(&self.stream)
+impl OutgoingCall {
+    fn time_left(&self) -> Duration {
+        Duration::from_millis(self.call.timeout_ms).saturating_sub(self.started.elapsed())
     }
+}
 
-    fn is_young(&self) -> bool {
-        self.last.is_some_and(|(_, at)| at.elapsed() < REUSE)
-    }
+/// Where a call goes.
+#[derive(Clone)]
+enum Route {
+    /// To the store's address as it stands when the call is sent.
+    ConfiguredAddress,
+    /// To a replica that failover has chosen.
+    Replica(Rc<Way>),
+    /// Nowhere: no replica may take the call.
+    NoCapacity,
 }
 
-/// A call in hand. Dropping the task closes the connection.
-struct Open {
+/// What the link keeps of a call in progress. Dropping the task closes the call's connection.
+struct PendingCall {
     task: Task<()>,
     written: Rc<Cell<bool>>,
-    way: Option<Rc<Way>>,
+    route: Route,
 }
 
-/// The owner's end of the link. Calls in hand are bounded by the requests that stand at calls, and those that
-/// have a connection by the places.
+/// The event loop's end of the link. Its calls are bounded by the requests that wait for one, and its connections by
+/// the pool's slots.
 pub(crate) struct Link<N> {
     executor: Rc<LocalExecutor<'static>>,
     address: Cell<Option<SocketAddr>>,
-    idle: RefCell<VecDeque<Line>>,
-    open: RefCell<HashMap<CallId, Open>>,
-    give_back: Sender<()>,
-    places: Receiver<()>,
+    pool: Pool,
+    pending: RefCell<HashMap<CallId, PendingCall>>,
     events: Sender<N>,
-    tap: Option<Rc<RecorderHandle>>,
-    /// Where calls go by zones; else all to the one address.
+    /// Routes calls by zone; without it all calls go to the one address.
     routes: Option<Rc<Routes>>,
 }
 
-impl<N: From<Event> + 'static> Link<N> {
-    /// A link that holds so many connections at most.
+impl<N: From<CallCompleted> + 'static> Link<N> {
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         address: Option<SocketAddr>,
-        most: usize,
+        max_connections: usize,
         events: Sender<N>,
-        tap: Option<Rc<RecorderHandle>>,
+        recorder: Option<Rc<RecorderHandle>>,
         routes: Option<Rc<Routes>>,
     ) -> Rc<Link<N>> {
-        let (give_back, places) = async_channel::bounded(most.max(1));
-        while give_back.try_send(()).is_ok() {}
         Rc::new(Link {
             executor,
             address: Cell::new(address),
-            idle: RefCell::default(),
-            open: RefCell::default(),
-            give_back,
-            places,
+            pool: Pool::new(max_connections, routes.is_some(), recorder),
+            pending: RefCell::default(),
             events,
-            tap,
             routes,
         })
     }
 
-    /// New calls go there from now on; those in hand stay where they are.
-    pub fn set(&self, address: Option<SocketAddr>) {
+    /// Sends new calls to this address; calls in progress stay where they are.
+    pub fn set_address(&self, address: Option<SocketAddr>) {
         self.address.set(address);
     }
 
-    /// Makes a call.
+    /// Makes a call; [`CallCompleted`] follows unless the call is abandoned.
     pub fn call(self: &Rc<Self>, call: Call) {
-        let (link, number, written) = (self.clone(), call.call, Rc::new(Cell::new(false)));
-        let way = self
-            .routes
-            .as_ref()
-            .map(|routes| routes.pick().map(Rc::new));
-        let (mark, goes) = (written.clone(), way.clone());
-        let made = Instant::now();
-        let task = self.executor.spawn(async move {
-            let (outcome, body) = match &goes {
-                // Who is due for it has no room: turned away here, before anything of it was sent.
-                Some(None) => (Outcome::Rejected, Bytes::new()),
-                Some(Some(way)) => {
-                    let ended = link.carry(&call, made, Some(way.address()), &mark).await;
-                    way.ended(ended.0);
-                    ended
-                }
-                None => link.carry(&call, made, link.address.get(), &mark).await,
-            };
-            let id = call.request;
-            // From here on it can't be given up: the owner is told.
-            if let Some(open) = link.open.borrow_mut().remove(&number) {
-                open.task.detach();
+        let id = call.call;
+        let route = self.pick_route();
+        let written = Rc::new(Cell::new(false));
+        let outgoing = OutgoingCall {
+            call,
+            started: Instant::now(),
+            written: written.clone(),
+        };
+        let task = self
+            .executor
+            .spawn(self.clone().run_call(outgoing, route.clone()));
+        let pending = PendingCall {
+            task,
+            written,
+            route,
+        };
+        self.pending.borrow_mut().insert(id, pending);
+    }
+
+    fn pick_route(&self) -> Route {
+        match &self.routes {
+            None => Route::ConfiguredAddress,
+            Some(routes) => match routes.pick() {
+                Some(replica) => Route::Replica(Rc::new(replica)),
+                None => Route::NoCapacity,
+            },
+        }
+    }
+
+    /// Carries a call to its end and reports how it ended.
+    async fn run_call(self: Rc<Self>, outgoing: OutgoingCall, route: Route) {
+        let (outcome, body) = match &route {
+            Route::ConfiguredAddress => self.exchange(&outgoing, self.address.get()).await,
+            Route::Replica(replica) => {
+                let (outcome, body) = self.exchange(&outgoing, Some(replica.address())).await;
+                replica.ended(outcome);
+                (outcome, body)
             }
-            // It fails once the server has ended.
-            let _ = link
-                .events
-                .send(
-                    Event {
-                        id,
-                        call: number,
-                        outcome,
-                        body,
-                    }
-                    .into(),
-                )
-                .await;
-        });
-        let way = way.flatten();
-        self.open
-            .borrow_mut()
-            .insert(number, Open { task, written, way });
+            // Nothing of the call was sent, so it is proven not to have run.
+            Route::NoCapacity => (Outcome::Rejected, Bytes::new()),
+        };
+        let completed = CallCompleted {
+            request: outgoing.call.request,
+            call: outgoing.call.call,
+            outcome,
+            body,
+        };
+        self.report(completed).await;
     }
 
-    /// Gives a call up that took too long, which tells of who was called.
+    async fn report(&self, completed: CallCompleted) {
+        // From here on the call cannot be abandoned: the event loop learns its outcome.
+        if let Some(pending) = self.pending.borrow_mut().remove(&completed.call) {
+            pending.task.detach();
+        }
+        // Fails only once the event loop has ended.
+        let _ = self.events.send(completed.into()).await;
+    }
+
+    /// Abandons a call that took too long, which counts against the replica that it went to.
     pub fn give_up_late(&self, call: CallId) -> Outcome {
-        if let Some(way) = self
-            .open
-            .borrow()
-            .get(&call)
-            .and_then(|open| open.way.as_ref())
-        {
-            way.ended(Outcome::Timeout);
+        if let Some(pending) = self.pending.borrow().get(&call) {
+            if let Route::Replica(replica) = &pending.route {
+                replica.ended(Outcome::Timeout);
+            }
         }
         self.give_up(call)
     }
 
-    /// Gives a call up: nothing more is heard of it. The outcome says what that proves.
+    /// Abandons a call, which is not reported any more. The outcome says whether it may have run.
     pub fn give_up(&self, call: CallId) -> Outcome {
-        let open = self.open.borrow_mut().remove(&call);
-        match open {
-            Some(open) if !open.written.get() => Outcome::ConnectFailed,
+        let pending = self.pending.borrow_mut().remove(&call);
+        match pending {
+            Some(pending) if !pending.written.get() => Outcome::ConnectFailed,
             _ => Outcome::Timeout,
         }
     }
 
-    /// Closes connections that will not be used again.
+    /// Closes connections that will not be reused.
     pub fn prune(&self) {
-        self.idle.borrow_mut().retain(Line::is_young);
+        self.pool.close_expired();
     }
 
-    async fn carry(
+    /// Sends a call to `address` and reads its reply.
+    async fn exchange(
         &self,
-        call: &Call,
-        made: Instant,
-        to: Option<SocketAddr>,
-        written: &Cell<bool>,
+        outgoing: &OutgoingCall,
+        address: Option<SocketAddr>,
     ) -> (Outcome, Bytes) {
-        let never = (Outcome::ConnectFailed, Bytes::new());
-        let Some(address) = to else { return never };
-        // The link holds both ends, so a place comes.
-        let _ = self.places.recv().await;
-        let _place = Taken(&self.give_back);
-        // A place and a dial take their time from the call's, which has no other bound.
-        let left = || Duration::from_millis(call.timeout_ms).saturating_sub(made.elapsed());
-        let mut line = match self.line(call, address, left()).await {
-            Ok(line) => line,
+        let call = &outgoing.call;
+        let not_sent = (Outcome::ConnectFailed, Bytes::new());
+        let Some(address) = address else {
+            return not_sent;
+        };
+        // Waiting for a slot and connecting count towards the call's timeout.
+        let _slot = self.pool.acquire_slot().await;
+        let connected = self.pool.connect(call, address, outgoing.time_left()).await;
+        let mut connection = match connected {
+            Ok(connection) => connection,
             Err(e) => {
                 warn!(error = %e, "no connection to the store: {e}");
-                return never;
+                return not_sent;
             }
         };
-        written.set(true);
-        match exchange(&mut line, call, left()).await {
-            Ok((outcome, body, only)) => {
-                if only {
-                    line.last = Some((call.attempt, Instant::now()));
-                    self.keep(line);
+        outgoing.written.set(true);
+        match connection.exchange(call, outgoing.time_left()).await {
+            Ok(reply) => {
+                if reply.connection_reusable {
+                    connection.call_ended(call.attempt);
+                    self.pool.put_back(connection);
                 }
-                (outcome, body)
+                (reply.outcome, reply.body)
             }
-            Err(why) => {
-                warn!(cause = %why, "the store's connection broke under a call: {why}");
+            Err(e) => {
+                warn!(cause = %e, "the store's connection broke under a call: {e}");
                 (Outcome::Reset, Bytes::new())
             }
         }
     }
-
-    /// A connection for a call: the one that was used last, else a new one.
-    async fn line(
-        &self,
-        call: &Call,
-        address: SocketAddr,
-        limit: Duration,
-    ) -> std::io::Result<Line> {
-        let mut idle = self.idle.take();
-        idle.retain(|line| (line.address == address || self.routes.is_some()) && line.is_young());
-        let found = match call.new_connection {
-            true => None,
-            false => idle
-                .iter()
-                .rposition(|line| line.serves(call.attempt, address))
-                .and_then(|i| idle.remove(i)),
-        };
-        if found.is_none() {
-            // A new connection takes the room of an idle one where all places are taken up.
-            while idle.len() > self.places.len() {
-                idle.pop_front();
-            }
-        }
-        self.idle.replace(idle);
-        if let Some(line) = found {
-            return Ok(line);
-        }
-        Ok(Line {
-            stream: connect(
-                address,
-                limit,
-                self.tap.as_ref().map(|tap| (tap, Leg::Store)),
-            )
-            .await?,
-            inflow: ReadBuffer::new(),
-            address,
-            last: None,
-        })
-    }
-
-    /// Keeps a connection. All of them, at work or idle, are no more than the places.
-    fn keep(&self, line: Line) {
-        let mut idle = self.idle.borrow_mut();
-        idle.push_back(line);
-        while idle.len() > self.places.len() + 1 {
-            idle.pop_front();
-        }
-    }
-}
-
-/// A place among the connections; given back when it is dropped.
-struct Taken<'a>(&'a Sender<()>);
-
-impl Drop for Taken<'_> {
-    fn drop(&mut self) {
-        // There is room for all places.
-        let _ = self.0.try_send(());
-    }
-}
-
-/// Writes a call, with the time left to it, and reads its reply; true at the end when nothing else came.
-async fn exchange(
-    line: &mut Line,
-    call: &Call,
-    left: Duration,
-) -> Result<(Outcome, Bytes, bool), String> {
-    let mut out = Vec::new();
-    let left_ms = (left.as_millis() as u64).max(1);
-    wire::write_call(&mut out, call.attempt.as_str(), left_ms, &call.body);
-    let mut stream = &line.stream;
-    stream.write_all(&out).await.map_err(|e| e.to_string())?;
-    let mut only = true;
-    loop {
-        while let Some(reply) = wire::read(line.inflow.bytes()).map_err(|e| e.to_string())? {
-            let bytes = line.inflow.bytes();
-            // A reply to anything else is no answer, but a sign that the connection is not to be trusted.
-            let ours = bytes[reply.id.clone()] == *call.attempt.as_str().as_bytes();
-            let body = Bytes::copy_from_slice(&bytes[reply.body.clone()]);
-            line.inflow.use_up(reply.end);
-            if !ours {
-                only = false;
-                continue;
-            }
-            let outcome = match reply.word {
-                Word::Ok => Outcome::Ok,
-                Word::Busy => Outcome::Rejected,
-                Word::Failed => Outcome::Error,
-                Word::Late => Outcome::Timeout,
-                Word::Void => Outcome::NoLongerNeeded,
-            };
-            return Ok((outcome, body, only && line.inflow.bytes().is_empty()));
-        }
-        line.inflow
-            .fill(&line.stream)
-            .await
-            .map_err(|e| e.to_string())?;
-    }
 }
 
 #[cfg(test)]
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -154,7 +154,7 @@
             .detach();
     }
     executor
-        .spawn(interpreter::keep(
+        .spawn(interpreter::run(
             targets.interpreter.clone(),
             interpreter.clone(),
             to_owner.clone(),
@@ -162,7 +162,7 @@
         ))
         .detach();
     executor
-        .spawn(registration::keep(
+        .spawn(registration::run(
             targets.registration.clone(),
             config.name.clone(),
             readiness.clone(),
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -167,7 +167,7 @@
     let rig = Rig::start();
     let mut vm = rig.link();
     vm.raw(b"{\"verb\":\"VALUE\"}\n");
-    rig.logs("makes no sense");
+    rig.logs("is not a valid notice");
     let mut vm = rig.link();
     let mut client = rig.client();
     client.send(&request(1, None, b"abc"));
--- a/crates/heathspurd/tests/unit/interpreter.rs
+++ b/crates/heathspurd/tests/unit/interpreter.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/interpreter.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/interpreter.rs`, which names this file as its module of tests.
 
 use super::*;
 
@@ -16,26 +16,26 @@
 }
 
 #[test]
-fn a_notice_that_the_owner_has_no_room_for_is_not_taken_when_the_link_ends() {
+fn a_notice_that_the_full_event_queue_did_not_take_is_not_accepted_when_the_connection_ends() {
     let (stream, mut theirs) = pair();
-    let (events, heard) = async_channel::bounded::<Event>(1);
+    let (events, received) = async_channel::bounded::<InterpreterEvent>(1);
     for index in [1, 2] {
         let line = format!(
             "{{\"verb\":\"VALUE\",\"index\":{index},\"task\":\"9b1f03aa5c7e2d41\",\"outcome\":\"error\",\"spent\":1}}\n"
         );
         std::io::Write::write_all(&mut theirs, line.as_bytes()).unwrap();
     }
-    let mut count = Count::default();
-    // The first notice takes up the room; the second waits, and then the link ends under it.
+    let mut sequence = NoticeSequence::default();
+    // The first notice fills the queue; the second waits, and then the connection ends.
     async_io::block_on(future::or(
         async {
-            listen(&stream, &events, &mut count).await;
+            read_notices(&stream, &events, &mut sequence).await;
         },
         async {
-            while !heard.is_full() {
+            while !received.is_full() {
                 future::yield_now().await;
             }
         },
     ));
-    assert_eq!((count.last(), heard.len()), (1, 1));
+    assert_eq!((sequence.last(), received.len()), (1, 1));
 }
--- a/crates/heathspurd/tests/unit/notice_sequence.rs
+++ b/crates/heathspurd/tests/unit/notice_sequence.rs
@@ -1,72 +1,108 @@
-//! Unit tests of `src/count.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/notice_sequence.rs`, which names this file as its module of tests.
 
 use super::*;
 
-/// What these numbers say on a link of their own.
-fn link(count: &mut Count, numbers: &[u64]) -> Vec<Sight> {
-    count.begin_link();
-    numbers.iter().map(|&n| count.see(n)).collect()
+/// How these numbers are classified on a connection of their own.
+fn connection(sequence: &mut NoticeSequence, numbers: &[u64]) -> Vec<SequencePosition> {
+    sequence.begin_connection();
+    numbers.iter().map(|&n| sequence.accept(n)).collect()
 }
 
 #[test]
-fn each_number_is_taken_once() {
-    let mut count = Count::default();
+fn each_number_is_accepted_once() {
+    let mut sequence = NoticeSequence::default();
     assert_eq!(
-        link(&mut count, &[1, 2, 1, 2, 3]),
+        connection(&mut sequence, &[1, 2, 1, 2, 3]),
         [
-            Sight::Next,
-            Sight::Next,
-            Sight::Old,
-            Sight::Old,
-            Sight::Next
+            SequencePosition::Next,
+            SequencePosition::Next,
+            SequencePosition::Duplicate,
+            SequencePosition::Duplicate,
+            SequencePosition::Next
         ]
     );
-    assert_eq!(link(&mut count, &[3, 4]), [Sight::Old, Sight::Next]);
-    assert_eq!(count.last(), 4);
+    assert_eq!(
+        connection(&mut sequence, &[3, 4]),
+        [SequencePosition::Duplicate, SequencePosition::Next]
+    );
+    assert_eq!(sequence.last(), 4);
 }
 
 #[test]
-fn a_number_spoilt_upwards_is_not_taken_and_comes_again() {
-    let mut count = Count::default();
-    assert_eq!(link(&mut count, &[1, 902]), [Sight::Next, Sight::Spoilt]);
-    assert_eq!(count.last(), 1);
-    assert_eq!(link(&mut count, &[2, 3]), [Sight::Next, Sight::Next]);
-    // Its refusal is forgotten: the next jump is not the second one.
-    assert_eq!(link(&mut count, &[904]), [Sight::Spoilt]);
+fn a_number_damaged_upwards_is_rejected_and_sent_again() {
+    let mut sequence = NoticeSequence::default();
+    assert_eq!(
+        connection(&mut sequence, &[1, 902]),
+        [SequencePosition::Next, SequencePosition::OutOfSequence]
+    );
+    assert_eq!(sequence.last(), 1);
+    assert_eq!(
+        connection(&mut sequence, &[2, 3]),
+        [SequencePosition::Next, SequencePosition::Next]
+    );
+    // The rejection is forgotten: the next gap counts as the first one.
+    assert_eq!(
+        connection(&mut sequence, &[904]),
+        [SequencePosition::OutOfSequence]
+    );
 }
 
 #[test]
-fn what_is_kept_no_longer_is_left_out_once_two_links_begin_behind_it() {
-    let mut count = Count::default();
-    link(&mut count, &[1]);
-    assert_eq!(link(&mut count, &[7]), [Sight::Spoilt]);
-    // Two more were made meanwhile, and as many left.
-    assert_eq!(link(&mut count, &[9, 10]), [Sight::NextKept, Sight::Next]);
-    assert_eq!(link(&mut count, &[11, 40]), [Sight::Next, Sight::Spoilt]);
+fn a_gap_is_accepted_once_two_connections_begin_after_it() {
+    let mut sequence = NoticeSequence::default();
+    connection(&mut sequence, &[1]);
+    assert_eq!(
+        connection(&mut sequence, &[7]),
+        [SequencePosition::OutOfSequence]
+    );
+    // Two more notices were made meanwhile, and two are retained no longer.
+    assert_eq!(
+        connection(&mut sequence, &[9, 10]),
+        [SequencePosition::NextAfterGap, SequencePosition::Next]
+    );
+    assert_eq!(
+        connection(&mut sequence, &[11, 40]),
+        [SequencePosition::Next, SequencePosition::OutOfSequence]
+    );
 }
 
 #[test]
-fn a_peer_that_leaves_numbers_out_is_taken_at_its_word_after_one_link() {
-    let mut count = Count::default();
-    assert_eq!(link(&mut count, &[1, 3]), [Sight::Next, Sight::Spoilt]);
-    assert_eq!(link(&mut count, &[3, 5, 8]), [Sight::Next; 3]);
+fn a_peer_that_skips_numbers_is_accepted_after_one_rejected_connection() {
+    let mut sequence = NoticeSequence::default();
+    assert_eq!(
+        connection(&mut sequence, &[1, 3]),
+        [SequencePosition::Next, SequencePosition::OutOfSequence]
+    );
+    assert_eq!(
+        connection(&mut sequence, &[3, 5, 8]),
+        [SequencePosition::Next; 3]
+    );
 }
 
 #[test]
-fn a_jump_behind_all_that_was_missed_is_none_of_it() {
-    let mut count = Count::default();
-    count.begin_link();
-    count.caught_up();
-    assert_eq!(count.see(9), Sight::Spoilt);
-    assert_eq!(link(&mut count, &[9, 19]), [Sight::Next, Sight::Next]);
+fn a_gap_after_catching_up_does_not_count_as_missed_notices() {
+    let mut sequence = NoticeSequence::default();
+    sequence.begin_connection();
+    sequence.caught_up();
+    assert_eq!(sequence.accept(9), SequencePosition::OutOfSequence);
+    assert_eq!(
+        connection(&mut sequence, &[9, 19]),
+        [SequencePosition::Next, SequencePosition::Next]
+    );
 }
 
 #[test]
-fn numbers_that_are_never_right_end_so_many_links_and_no_more() {
-    let mut count = Count::default();
+fn numbers_that_never_fit_end_a_bounded_number_of_connections() {
+    let mut sequence = NoticeSequence::default();
     for index in [90_000, 80_000, 70_000] {
-        assert_eq!(link(&mut count, &[index]), [Sight::Spoilt]);
+        assert_eq!(
+            connection(&mut sequence, &[index]),
+            [SequencePosition::OutOfSequence]
+        );
     }
-    assert_eq!(link(&mut count, &[60_000]), [Sight::Next]);
-    assert_eq!(count.last(), 60_000);
+    assert_eq!(
+        connection(&mut sequence, &[60_000]),
+        [SequencePosition::Next]
+    );
+    assert_eq!(sequence.last(), 60_000);
 }
--- a/crates/heathspurd/tests/unit/peer_events.rs
+++ b/crates/heathspurd/tests/unit/peer_events.rs
@@ -101,8 +101,8 @@
     owner.table.insert(arrival, None);
     owner.run(ID);
     owner.stop(ID);
-    owner.hear(Heard::Waits {
-        txn: txn(),
+    owner.hear(InterpreterEvent::CallRequested {
+        attempt: txn(),
         index: 1,
         body: Bytes::new(),
     });
@@ -112,8 +112,8 @@
 #[test]
 fn a_stop_that_crosses_a_call_is_known_as_one_when_the_run_ends() {
     let (mut owner, answers) = crossed();
-    owner.hear(Heard::Ended {
-        txn: txn(),
+    owner.hear(InterpreterEvent::RunEnded {
+        attempt: txn(),
         end: End::Cancelled,
         body: Bytes::new(),
     });
--- a/crates/heathspurd/tests/unit/store.rs
+++ b/crates/heathspurd/tests/unit/store.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/store.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/store/mod.rs`, which names this file as its module of tests.
 
 use super::*;
 use std::io::Read;
@@ -8,7 +8,7 @@
 fn a_call_that_was_never_written_is_proven_not_to_have_run() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let executor = Rc::new(LocalExecutor::new());
-    let (events, _heard) = async_channel::bounded::<Event>(4);
+    let (events, _events_received) = async_channel::bounded::<CallCompleted>(4);
     let link = Link::new(
         executor.clone(),
         Some(listener.local_addr().unwrap()),
@@ -17,11 +17,11 @@
         None,
         None,
     );
-    let txn = AttemptId::read(b"9b1f03aa5c7e2d41").unwrap();
+    let attempt = AttemptId::read(b"9b1f03aa5c7e2d41").unwrap();
     let call = |n| Call {
         request: RequestId(1),
         call: CallId(n),
-        attempt: txn,
+        attempt,
         timeout_ms: 250,
         body: Bytes::new(),
         new_connection: false,
