--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -321,7 +321,7 @@
             self.clock
                 .instant(self.now + span(stop.saturating_sub(LEAVE))),
         ));
-        self.frontend.connections.tell_closed(self.closed.clone());
+        self.frontend.connections.notify_closed(self.closed.clone());
         self.events.push(Event::Drain(span(stop)));
     }
 
--- a/crates/heathspurd/src/frontend/accept.rs
+++ b/crates/heathspurd/src/frontend/accept.rs
@@ -1,4 +1,4 @@
-//! Connections of any front: accepted while there is room for them.
+//! Accepts connections for any frontend, within the connection pool's permits.
 
 use crate::frontend::connection_pool::Permit;
 use crate::frontend::FrontendContext;
@@ -11,70 +11,84 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Time to wait for room or descriptors before accepting again.
-const BACK_OFF: Duration = Duration::from_millis(20);
+/// Delay before the next attempt where permits or file descriptors have run out.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections while there are permits and has each served; ends with the socket once no new request is
-/// taken.
+/// Accepts connections and has each served by `serve`, until no new requests are accepted and the listener's backlog
+/// is empty. Closes the listener then.
 pub(crate) async fn accept(
     listener: Async<TcpListener>,
-    desk: Rc<FrontendContext>,
+    context: Rc<FrontendContext>,
     serve: impl Fn(Stream, Permit),
 ) {
-    while !desk.stop_accepting.is_closed() {
-        let Some(permit) = permit(&desk).await else {
+    accept_until_stopped(&listener, &context, &serve).await;
+    accept_backlog(&listener, &context, &serve).await;
+}
+
+async fn accept_until_stopped(
+    listener: &Async<TcpListener>,
+    context: &FrontendContext,
+    serve: &impl Fn(Stream, Permit),
+) {
+    while !context.stop_accepting.is_closed() {
+        let Some(permit) = acquire_permit(context).await else {
             continue;
         };
-        let shut = async {
-            desk.accepting_stopped().await;
+        let stopped = async {
+            context.accepting_stopped().await;
             None
         };
-        match future::or(async { Some(listener.accept().await) }, shut).await {
+        match future::or(async { Some(listener.accept().await) }, stopped).await {
             None => {}
             Some(Ok((stream, _))) => {
-                serve(Stream::accepted(stream, desk.recorder.as_ref()), permit)
+                serve(Stream::accepted(stream, context.recorder.as_ref()), permit)
             }
             Some(Err(e)) => {
                 error!(error = %e, "cannot accept a connection: {e}");
                 drop(permit);
-                Timer::after(BACK_OFF).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
-    // What the machine has accepted already is served still, as permits come back: the socket's end resets what it
-    // finds there, and a request in it would be lost.
-    while !desk.are_responses_abandoned() {
-        let Some(permit) = permit(&desk).await else {
+}
+
+/// Serves the connections that the system has established already, as permits become free. Closing the listener
+/// would reset them, and a request that has arrived on one would be lost.
+async fn accept_backlog(
+    listener: &Async<TcpListener>,
+    context: &FrontendContext,
+    serve: &impl Fn(Stream, Permit),
+) {
+    while !context.are_responses_abandoned() {
+        let Some(permit) = acquire_permit(context).await else {
             continue;
         };
-        match listener
-            .get_ref()
-            .accept()
-            .and_then(|(stream, _)| Async::new(stream))
-        {
-            Ok(stream) => serve(Stream::accepted(stream, desk.recorder.as_ref()), permit),
+        let accepted = listener.get_ref().accept();
+        match accepted.and_then(|(stream, _)| Async::new(stream)) {
+            Ok(stream) => serve(Stream::accepted(stream, context.recorder.as_ref()), permit),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
             Err(e) => {
                 error!(error = %e, "cannot accept a connection: {e}");
-                Timer::after(BACK_OFF).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// A permit for the next connection; none when it has to be asked for again.
-async fn permit(desk: &FrontendContext) -> Option<Permit> {
-    if desk.connections.is_scarce() {
-        // Those accepted last are known as idle once they had a turn; without it, older ones leave in their place.
+/// A permit for the next connection; `None` where the caller has to try again.
+async fn acquire_permit(context: &FrontendContext) -> Option<Permit> {
+    let connections = &context.connections;
+    if connections.is_scarce() {
+        // Lets the connections accepted last register as idle; otherwise older ones would be closed in their place.
         future::yield_now().await;
-        desk.connections.make_room();
+        connections.reclaim_permits();
     }
-    let permit = Permit::take(&desk.connections);
+    let permit = Permit::acquire(connections);
     if permit.is_none() {
-        let pause = async {
-            Timer::after(BACK_OFF).await;
+        let delay = async {
+            Timer::after(RETRY_DELAY).await;
         };
-        future::or(desk.connections.freed(), pause).await;
+        future::or(connections.permit_freed(), delay).await;
     }
     permit
 }
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -1,5 +1,7 @@
-//! The pool of connections from balancers: their permits, and how one is told to leave when another needs its own.
-//! Which one that is decides [`heathspur_server_core::permits`].
+//! Permits for connections from load balancers, and the requests to leave that free one for another connection.
+//!
+//! Which connection has to leave is decided by [`heathspur_server_core::permits`]; this module delivers the decision to
+//! the connection's task.
 
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
@@ -10,33 +12,36 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-pub(crate) use heathspur_server_core::permits::Asked;
+pub(crate) use heathspur_server_core::permits::Asked as LeaveRequest;
 
-/// All connections. Who leaves for whom is decided by the permits.
+type SharedPermits = RefCell<Permits<Sender<LeaveRequest>>>;
+
+/// The connections of all frontends.
 pub(crate) struct ConnectionPool {
-    permits: RefCell<Permits<Sender<Asked>>>,
-    /// The permits' time is what passed since then.
+    permits: SharedPermits,
+    /// The origin of the permits' time.
     start: Instant,
     freed: Notify,
-    /// Told of each that closes, once somebody waits for the last one.
+    /// Notified of each connection that closes, once the event loop waits for the last one.
     closed: RefCell<Option<Sender<()>>>,
 }
 
 impl ConnectionPool {
-    pub fn new(most: usize) -> ConnectionPool {
+    pub fn new(max_connections: usize) -> ConnectionPool {
         ConnectionPool {
-            permits: RefCell::new(Permits::new(most)),
+            permits: RefCell::new(Permits::new(max_connections)),
             start: Instant::now(),
             freed: Notify::new(),
             closed: RefCell::default(),
         }
     }
 
-    /// From now on each connection that closes is told there; a full channel holds what is to be known already.
-    pub fn tell_closed(&self, closed: Sender<()>) {
+    /// Notifies `closed` of each connection that closes from now on. A full channel already holds a notification.
+    pub fn notify_closed(&self, closed: Sender<()>) {
         self.closed.replace(Some(closed));
     }
 
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.permits.borrow().open()
     }
@@ -46,103 +51,109 @@
         self.permits.borrow().is_scarce()
     }
 
-    /// Asks one connection to leave where few permits are free or about to be.
-    pub fn make_room(&self) {
-        let asked = self.permits.borrow_mut().make_room(self.start.elapsed());
-        for (leave, asked) in asked.into_iter().flatten() {
-            // A full channel says so already.
-            let _ = leave.try_send(asked);
+    /// Requests connections to leave where few permits are free or about to be freed.
+    pub fn reclaim_permits(&self) {
+        let now = self.start.elapsed();
+        let leaving = self.permits.borrow_mut().make_room(now);
+        for (leave, request) in leaving.into_iter().flatten() {
+            // A full channel already holds a request.
+            let _ = leave.try_send(request);
         }
     }
 
-    /// Waits until a permit was given back, or is about to be.
-    pub async fn freed(&self) {
+    /// Waits until a permit was returned or is about to be.
+    pub async fn permit_freed(&self) {
         self.freed.notified().await;
     }
 }
 
-/// One connection's permit; given back when it is dropped.
+/// One connection's permit; returned when it is dropped.
 pub(crate) struct Permit {
     pool: Rc<ConnectionPool>,
-    heard: Cell<bool>,
-    /// Its number among the idle ones.
-    number: Cell<u64>,
-    leave: Sender<Asked>,
-    told: Receiver<Asked>,
+    has_received_request: Cell<bool>,
+    /// Its latest entry among the idle connections.
+    idle_entry: Cell<u64>,
+    leave: Sender<LeaveRequest>,
+    leave_requests: Receiver<LeaveRequest>,
 }
 
 impl Permit {
-    pub fn take(pool: &Rc<ConnectionPool>) -> Option<Permit> {
+    /// `None` where all permits are in use.
+    pub fn acquire(pool: &Rc<ConnectionPool>) -> Option<Permit> {
         pool.permits.borrow_mut().take().then(|| {
-            let (leave, told) = async_channel::bounded(1);
+            let (leave, leave_requests) = async_channel::bounded(1);
             Permit {
                 pool: pool.clone(),
-                heard: Cell::new(false),
-                number: Cell::new(0),
+                has_received_request: Cell::new(false),
+                idle_entry: Cell::new(0),
                 leave,
-                told,
+                leave_requests,
             }
         })
     }
 
-    /// Whether a whole request has come on this connection.
-    pub fn was_heard(&self) -> bool {
-        self.heard.get()
+    /// Whether a complete request has arrived on this connection.
+    pub fn has_received_request(&self) -> bool {
+        self.has_received_request.get()
     }
 
-    pub fn heard(&self) {
-        self.heard.set(true);
+    /// Notes that a complete request has arrived.
+    pub fn request_received(&self) {
+        self.has_received_request.set(true);
     }
 
-    /// A part of a request has come while it was idle.
-    pub fn begun(&self) {
-        self.pool.permits.borrow_mut().begun(self.number.get());
+    /// Notes that a part of a request has arrived while the connection was idle.
+    pub fn request_begun(&self) {
+        self.pool.permits.borrow_mut().begun(self.idle_entry.get());
     }
 
-    /// Does what may be broken off when the permit is needed; the error says that it was.
-    pub async fn idle<T>(&self, work: impl Future<Output = T>) -> Result<T, Asked> {
+    /// Runs `work` while the connection counts as idle; fails where the connection is requested to leave meanwhile.
+    pub async fn idle<T>(&self, work: impl Future<Output = T>) -> Result<T, LeaveRequest> {
         let now = self.pool.start.elapsed();
-        let number = self
-            .pool
-            .permits
-            .borrow_mut()
-            .idle(now, self.heard.get(), self.leave.clone());
-        self.number.set(number);
-        let _entry = Entry(&self.pool.permits, Permits::busy, number);
-        self.unless_told(work).await
+        let leave = self.leave.clone();
+        let entry =
+            self.pool
+                .permits
+                .borrow_mut()
+                .idle(now, self.has_received_request.get(), leave);
+        self.idle_entry.set(entry);
+        let _entry = PermitEntry {
+            permits: &self.pool.permits,
+            remove: Permits::busy,
+            entry,
+        };
+        self.until_leave_requested(work).await
     }
 
-    /// Does the last thing that it does, which counts as an end that is near; broken off where nothing else is left.
+    /// Runs the connection's last `work` while it counts as about to end; cut short where no other permit is left.
     pub async fn linger(&self, work: impl Future<Output = ()>) {
-        let number = self.pool.permits.borrow_mut().linger(self.leave.clone());
-        // Whoever waits for a permit may take this one.
+        let entry = self.pool.permits.borrow_mut().linger(self.leave.clone());
+        // A connection that waits for a permit may get this one.
         self.pool.freed.notify();
-        let _entry = Entry(&self.pool.permits, Permits::lingered, number);
-        // It ends either way.
-        let _ = self.unless_told(work).await;
-    }
-
-    async fn unless_told<T>(&self, work: impl Future<Output = T>) -> Result<T, Asked> {
-        // What was told before is void.
-        let _ = self.told.try_recv();
-        let told = async {
-            // It holds its own sender, so the channel is never closed.
-            Err(self.told.recv().await.unwrap_or(Asked::Idle))
+        let _entry = PermitEntry {
+            permits: &self.pool.permits,
+            remove: Permits::lingered,
+            entry,
         };
-        future::or(async { Ok(work.await) }, told).await
+        // The connection ends either way.
+        let _ = self.until_leave_requested(work).await;
     }
-}
-
-/// An entry among the permits; taken out as the function says when it is dropped.
-struct Entry<'a, F: Fn(&mut Permits<Sender<Asked>>, u64)>(
-    &'a RefCell<Permits<Sender<Asked>>>,
-    F,
-    u64,
-);
 
-impl<F: Fn(&mut Permits<Sender<Asked>>, u64)> Drop for Entry<'_, F> {
-    fn drop(&mut self) {
-        self.1(&mut self.0.borrow_mut(), self.2);
+    async fn until_leave_requested<T>(
+        &self,
+        work: impl Future<Output = T>,
+    ) -> Result<T, LeaveRequest> {
+        // A request from before applied to an earlier state.
+        let _ = self.leave_requests.try_recv();
+        let leave_requested = async {
+            // The permit owns a sender, so the channel is never closed.
+            Err(self
+                .leave_requests
+                .recv()
+                .await
+                .unwrap_or(LeaveRequest::Idle))
+        };
+        future::or(async { Ok(work.await) }, leave_requested).await
     }
 }
 
@@ -156,6 +167,19 @@
     }
 }
 
+/// An entry among the idle or lingering connections; removed when it is dropped.
+struct PermitEntry<'a, F: Fn(&mut Permits<Sender<LeaveRequest>>, u64)> {
+    permits: &'a SharedPermits,
+    remove: F,
+    entry: u64,
+}
+
+impl<F: Fn(&mut Permits<Sender<LeaveRequest>>, u64)> Drop for PermitEntry<'_, F> {
+    fn drop(&mut self) {
+        (self.remove)(&mut self.permits.borrow_mut(), self.entry);
+    }
+}
+
 #[cfg(test)]
 #[path = "../../tests/unit/connection_pool.rs"]
 mod tests;
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -1,4 +1,4 @@
-//! The one final answer of each request, back to the connection it came on.
+//! Writes responses to an HTTP/1.1 connection.
 
 use crate::clock::within;
 use crate::frontend::lingering_close;
@@ -12,61 +12,63 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A peer that takes none of its answer for so long is left.
-const SLOW: Duration = Duration::from_secs(10);
+/// Time within which a client has to accept a response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes reserved for a response's head.
+const HEAD_CAPACITY_BYTES: usize = 256;
 
-/// Writes an answer; an error means that the connection is of no more use.
+/// Writes a response; after an error the connection cannot be used any more.
 pub(crate) async fn write(
     stream: &Stream,
-    desk: &FrontendContext,
+    context: &FrontendContext,
     response: &Response,
     last: Last,
 ) -> io::Result<()> {
-    let mut out = Vec::with_capacity(256 + response.body.len());
+    let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + response.body.len());
     http::write_answer(
-        &mut out,
+        &mut bytes,
         response.status,
         &response.fields,
         last,
         &response.body,
     );
-    match &desk.response_budget {
-        None => write_all(stream, &out).await,
-        Some(room) => write_within(stream, room, &out).await,
+    match &context.response_budget {
+        None => write_all(stream, &bytes).await,
+        Some(budget) => write_within_budget(stream, budget, &bytes).await,
     }
 }
 
-/// Answers what is no request that can be taken, and ends its connection.
+/// Answers an invalid request and ends its connection.
 pub(crate) async fn reject(stream: &Stream, status: u16) {
-    let mut out = Vec::new();
-    http::write_answer(&mut out, status, &[], Last::Yes, b"");
+    let mut bytes = Vec::new();
+    http::write_answer(&mut bytes, status, &[], Last::Yes, b"");
     // The connection ends either way.
-    let _ = write_all(stream, &out).await;
+    let _ = write_all(stream, &bytes).await;
     lingering_close::close(stream).await;
 }
 
-async fn write_all(mut stream: &Stream, out: &[u8]) -> io::Result<()> {
-    within(SLOW, stream.write_all(out)).await
+async fn write_all(mut stream: &Stream, bytes: &[u8]) -> io::Result<()> {
+    within(WRITE_TIMEOUT, stream.write_all(bytes)).await
 }
 
-/// The same under a budget of memory that other fronts share: what a slow reader leaves lying is held in it, and
-/// given up with the connection when others need the room.
-async fn write_within(
+/// Writes under a memory budget shared with other frontends. What a slow reader does not accept at once is reserved
+/// in the budget; the connection is given up where others need the memory.
+async fn write_within_budget(
     mut stream: &Stream,
-    room: &Rc<ResponseBudget>,
-    out: &[u8],
+    budget: &Rc<ResponseBudget>,
+    bytes: &[u8],
 ) -> io::Result<()> {
-    let written = match future::poll_once(stream.write(out)).await {
+    let written = match future::poll_once(stream.write(bytes)).await {
         Some(written) => written?,
         None => 0,
     };
-    if written == out.len() {
+    if written == bytes.len() {
         return Ok(());
     }
-    let held = room.hold(room.holder(), out.len() - written);
-    let crowded = async {
-        held.crowded().await;
+    let reservation = budget.reserve(budget.new_holder(), bytes.len() - written);
+    let evicted = async {
+        reservation.evicted().await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(write_all(stream, &out[written..]), crowded).await
+    future::or(write_all(stream, &bytes[written..]), evicted).await
 }
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -1,303 +1,210 @@
-//! The front for HTTP/1.1: bytes from balancers become requests, and answers bytes. A task for each connection; a
-//! slow one stalls itself.
+//! The HTTP/1.1 frontend. Each connection has a task, so that a slow client stalls only itself.
+//!
+//! The `input` module receives requests, the `answer` module writes responses; this module carries a connection from one request to the
+//! next and decides when it closes.
 
 mod answer;
+mod input;
 
-use crate::frontend::connection_pool::{Asked as Leave, Permit};
+use crate::frontend::connection_pool::{LeaveRequest, Permit};
 use crate::frontend::lingering_close;
-use crate::frontend::request::{Asked, Draft};
+use crate::frontend::request::{RequestDraft, RequestTarget};
 use crate::frontend::response::Response;
-use crate::frontend::{Answer, FrontendHandle, IncomingRequest};
+use crate::frontend::{Answer, FrontendContext, FrontendHandle, IncomingRequest};
 use crate::recording::recorded_stream::Stream;
+use async_channel::Receiver;
 use async_executor::LocalExecutor;
-use async_io::Timer;
-use bytes::{Buf, Bytes, BytesMut};
-use futures_lite::{future, AsyncRead};
-use heathspur_wire::http::{self, Fields, Last, Message, Reader};
-use std::cell::RefCell;
-use std::io;
-use std::pin::Pin;
+use bytes::Bytes;
+use futures_lite::future;
+use heathspur::ClassId;
+use heathspur_wire::http::{self, Fields, Last, Message};
+use input::Input;
 use std::rc::Rc;
-use std::task::Poll;
-use std::time::{Duration, Instant};
 
-/// Bounds on a request.
-const LIMITS: http::Limits = http::Limits {
-    head: 8 * 1024,
-    body: 2 * 1024,
-};
-/// Bytes read at once, and bytes kept of what follows an open request.
-const CHUNK: usize = 4 * 1024;
-const AHEAD: usize = 16 * 1024;
-/// A new connection must say something within this, and a request be whole within it from its first byte.
-const WHOLE: Duration = Duration::from_secs(2);
-/// The longest sleep of an idle connection before it looks at the settings again.
-const LOOK: Duration = Duration::from_millis(500);
-
-thread_local! {
-    /// What is read lies here until its connection's buffer takes it, within one look: room made for it in the
-    /// buffer itself would have to be cleared for each read, and is many times what a request needs.
-    static READ: RefCell<[u8; CHUNK]> = const { RefCell::new([0; CHUNK]) };
-}
-
-/// Why a connection's next request is none.
-enum Ended {
-    /// The other side closed it, or it failed.
-    Closed,
-    /// It was idle for too long, or nothing new is taken: ours to close.
-    Idle,
-    /// What came can't be taken; the status says why.
-    Bad(u16),
+/// Why a connection takes no further request.
+enum CloseReason {
+    /// The client closed it, or it failed.
+    ClosedByClient,
+    /// It was idle for too long, or no more requests are accepted on it: the server closes it.
+    NoMoreRequests,
+    /// What arrived is not a valid request; the status says why.
+    InvalidRequest(u16),
 }
 
-/// What a whole message is.
-enum Read {
-    Health,
-    Request(Box<IncomingRequest>, async_channel::Receiver<Answer>),
-    Bad(u16),
+/// What a complete message asks for.
+enum ParsedMessage {
+    HealthCheck,
+    Request(Box<IncomingRequest>, Receiver<Answer>),
+    /// Not a valid request; the status says why.
+    Invalid(u16),
 }
 
-/// What serves a connection of this front.
+/// Returns the function that serves a connection of this frontend.
 pub(crate) fn serve(
     executor: Rc<LocalExecutor<'static>>,
-    front: Rc<FrontendHandle>,
+    frontend: Rc<FrontendHandle>,
 ) -> impl Fn(Stream, Permit) {
     move |stream, permit| {
-        executor
-            .spawn(connection(stream, front.clone(), permit))
-            .detach()
-    }
-}
-
-/// Serves one connection to its end.
-async fn connection(stream: Stream, front: Rc<FrontendHandle>, permit: Permit) {
-    // It fails on a connection that is gone, which the first read tells.
-    let _ = stream.get_ref().set_nodelay(true);
-    let (mut buffer, mut reader) = (BytesMut::new(), Reader::new(LIMITS));
-    loop {
-        let ended = match permit
-            .idle(next(&stream, &front, &permit, &mut buffer, &mut reader))
-            .await
-        {
-            Ok(Ok(message)) => {
-                let close = http::says_close(Fields::over(&buffer[message.fields.clone()]));
-                let whole = buffer.split_to(message.body.end).freeze();
-                match respond(
-                    &stream,
-                    &front,
-                    &permit,
-                    &mut buffer,
-                    whole,
-                    &message,
-                    close,
-                )
-                .await
-                {
-                    Ok(Last::No) => continue,
-                    Ok(Last::Yes) => Ended::Idle,
-                    Err(ended) => ended,
-                }
-            }
-            Ok(Err(Ended::Idle)) => match look(&stream, &mut buffer).await {
-                Some(Ok(1..)) => continue,
-                Some(_) => Ended::Closed,
-                None => Ended::Idle,
-            },
-            // Its permit is needed, but for one of whose next request something has come meanwhile. What is whole
-            // by now is a request that this server has; a part is none.
-            Err(asked) => match look(&stream, &mut buffer).await {
-                Some(Ok(0) | Err(_)) => Ended::Closed,
-                None if buffer.is_empty() => Ended::Idle,
-                _ if asked == Leave::Idle || matches!(reader.read(&buffer), Ok(Some(_))) => {
-                    continue
-                }
-                _ => Ended::Bad(408),
-            },
-            Ok(Err(ended)) => ended,
-        };
-        return match ended {
-            Ended::Closed => {}
-            Ended::Idle => permit.linger(lingering_close::close(&stream)).await,
-            Ended::Bad(status) => permit.linger(answer::reject(&stream, status)).await,
+        let connection = Connection {
+            input: Input::new(stream),
+            frontend: frontend.clone(),
+            permit,
         };
+        executor.spawn(connection.run()).detach()
     }
 }
 
-/// Has a whole message answered; says whether the answer was the connection's last.
-async fn respond(
-    stream: &Stream,
-    front: &FrontendHandle,
-    permit: &Permit,
-    buffer: &mut BytesMut,
-    whole: Bytes,
-    message: &Message,
-    close: bool,
-) -> Result<Last, Ended> {
-    let desk = &front.context;
-    let mut last = if close { Last::Yes } else { Last::No };
-    let asked = understand(&whole, message, front);
-    drop(whole);
-    let response = match asked {
-        Read::Bad(status) => return Err(Ended::Bad(status)),
-        Read::Health => {
-            permit.heard();
-            Response::of_health(desk)
-        }
-        Read::Request(arrival, answers) => {
-            permit.heard();
-            let id = arrival.id;
-            // The owner outlives all connections, or nothing is owed any more.
-            front
-                .requests
-                .send(*arrival)
-                .await
-                .map_err(|_| Ended::Closed)?;
-            let Some(given) = wait(stream, buffer, &answers).await else {
-                answers.close();
-                let _ = front.disconnected.send(id).await;
-                return Err(Ended::Closed);
-            };
-            if desk.draining.get() && buffer.is_empty() {
-                // What came behind it is owed an answer too, which is the last then.
-                last = match look(stream, buffer).await {
-                    Some(Ok(1..)) => last,
-                    _ => Last::Yes,
-                };
-            }
-            Response::of(&given, desk)
-        }
-    };
-    answer::write(stream, desk, &response, last)
-        .await
-        .map_err(|_| Ended::Closed)?;
-    Ok(last)
+struct Connection {
+    input: Input,
+    frontend: Rc<FrontendHandle>,
+    permit: Permit,
 }
 
-/// Waits for the answer while it watches the connection; none once the caller is gone.
-async fn wait(
-    stream: &Stream,
-    buffer: &mut BytesMut,
-    answers: &async_channel::Receiver<Answer>,
-) -> Option<Answer> {
-    let gone = async {
-        while buffer.len() < AHEAD {
-            match read(stream, buffer).await {
-                Ok(0) | Err(_) => return None,
-                Ok(_) => {}
+impl Connection {
+    /// Serves the connection to its end.
+    async fn run(mut self) {
+        // Fails on a connection that is gone, which the first read reports.
+        let _ = self.input.stream().get_ref().set_nodelay(true);
+        let reason = loop {
+            if let Err(reason) = self.serve_next().await {
+                break reason;
+            }
+        };
+        let stream = self.input.stream();
+        match reason {
+            CloseReason::ClosedByClient => {}
+            CloseReason::NoMoreRequests => self.permit.linger(lingering_close::close(stream)).await,
+            CloseReason::InvalidRequest(status) => {
+                self.permit.linger(answer::reject(stream, status)).await
             }
         }
-        future::pending().await
-    };
-    future::or(async { answers.recv().await.ok() }, gone).await
-}
+    }
 
-/// Reads until the buffer starts with a whole message.
-async fn next(
-    stream: &Stream,
-    front: &FrontendHandle,
-    permit: &Permit,
-    buffer: &mut BytesMut,
-    reader: &mut Reader,
-) -> Result<Message, Ended> {
-    let mut since = Instant::now();
-    loop {
-        // An empty line before a request is skipped.
-        while buffer.starts_with(b"\r\n") {
-            buffer.advance(2);
+    /// Serves the next request, or finds out why there is none.
+    async fn serve_next(&mut self) -> Result<(), CloseReason> {
+        let next = self
+            .input
+            .next_message(&self.frontend.context, &self.permit);
+        match self.permit.idle(next).await {
+            Ok(Ok(message)) => self.serve_message(message).await,
+            Ok(Err(CloseReason::NoMoreRequests)) => self.close_unless_received().await,
+            Ok(Err(reason)) => Err(reason),
+            Err(request) => self.leave(request).await,
         }
-        if let Some(message) = reader
-            .read(buffer)
-            .map_err(|fault| Ended::Bad(fault.status()))?
-        {
-            return Ok(message);
+    }
+
+    /// Closes the connection unless something has arrived meanwhile.
+    async fn close_unless_received(&mut self) -> Result<(), CloseReason> {
+        match self.input.try_read().await {
+            Some(Ok(1..)) => Ok(()),
+            Some(_) => Err(CloseReason::ClosedByClient),
+            None => Err(CloseReason::NoMoreRequests),
         }
-        let begun = !buffer.is_empty();
-        if begun {
-            permit.begun();
+    }
+
+    /// Closes the connection for one that needs its permit, unless a request has arrived meanwhile. A request that is
+    /// complete by now has to be answered; an incomplete one has not been received.
+    async fn leave(&mut self, request: LeaveRequest) -> Result<(), CloseReason> {
+        match self.input.try_read().await {
+            Some(Ok(0) | Err(_)) => Err(CloseReason::ClosedByClient),
+            None if self.input.is_empty() => Err(CloseReason::NoMoreRequests),
+            _ if request == LeaveRequest::Idle || self.input.has_message() => Ok(()),
+            _ => Err(CloseReason::InvalidRequest(408)),
         }
-        let left = match begun {
-            true => WHOLE.checked_sub(since.elapsed()).ok_or(Ended::Bad(408))?,
-            false if front.context.stop_accepting.is_closed() => return Err(Ended::Idle),
-            false => {
-                let idle = Duration::from_micros(front.context.idle_timeout.get().0);
-                let idle = if permit.was_heard() {
-                    idle
-                } else {
-                    idle.min(WHOLE)
-                };
-                idle.checked_sub(since.elapsed())
-                    .ok_or(Ended::Idle)?
-                    .min(LOOK)
-            }
+    }
+
+    /// Answers a complete message.
+    async fn serve_message(&mut self, message: Message) -> Result<(), CloseReason> {
+        let fields = Fields::over(&self.input.bytes()[message.fields.clone()]);
+        let mut last = match http::says_close(fields) {
+            true => Last::Yes,
+            false => Last::No,
         };
-        let late = async {
-            if begun {
-                Timer::after(left).await;
-            } else {
-                let shut = front.context.accepting_stopped();
-                let tired = async {
-                    Timer::after(left).await;
-                };
-                future::or(shut, tired).await;
+        let bytes = self.input.take_message(&message);
+        let parsed = parse(&bytes, &message, &self.frontend.context);
+        // The request keeps the parts that it needs.
+        drop(bytes);
+        let response = match parsed {
+            ParsedMessage::Invalid(status) => return Err(CloseReason::InvalidRequest(status)),
+            ParsedMessage::HealthCheck => {
+                self.permit.request_received();
+                Response::of_health(&self.frontend.context)
+            }
+            ParsedMessage::Request(request, answers) => {
+                self.permit.request_received();
+                let answer = self.obtain_answer(request, answers).await?;
+                if self.frontend.context.draining.get() && !self.has_next_request().await {
+                    last = Last::Yes;
+                }
+                Response::of(&answer, &self.frontend.context)
             }
-            Ok(None)
         };
-        match future::or(async { read(stream, buffer).await.map(Some) }, late).await {
-            Ok(Some(0)) | Err(_) => return Err(Ended::Closed),
-            Ok(Some(_)) if !begun => since = Instant::now(),
-            Ok(_) => {}
+        let stream = self.input.stream();
+        answer::write(stream, &self.frontend.context, &response, last)
+            .await
+            .map_err(|_| CloseReason::ClosedByClient)?;
+        match last {
+            Last::No => Ok(()),
+            Last::Yes => Err(CloseReason::NoMoreRequests),
         }
     }
-}
 
-/// Waits for bytes and appends them.
-async fn read(stream: &Stream, buffer: &mut BytesMut) -> io::Result<usize> {
-    loop {
-        stream.readable().await?;
-        if let Some(read) = look(stream, buffer).await {
-            return read;
+    /// Submits a request and waits for its answer, or until the client has disconnected.
+    async fn obtain_answer(
+        &mut self,
+        request: Box<IncomingRequest>,
+        answers: Receiver<Answer>,
+    ) -> Result<Answer, CloseReason> {
+        let id = request.id;
+        // The event loop outlives all connections; once it has ended, no answer is owed.
+        let submitted = self.frontend.requests.send(*request).await;
+        submitted.map_err(|_| CloseReason::ClosedByClient)?;
+        let answered = async { answers.recv().await.ok() };
+        let disconnected = async {
+            self.input.client_disconnected().await;
+            None
+        };
+        match future::or(answered, disconnected).await {
+            Some(answer) => Ok(answer),
+            None => {
+                answers.close();
+                let _ = self.frontend.disconnected.send(id).await;
+                Err(CloseReason::ClosedByClient)
+            }
         }
     }
-}
 
-/// Appends what has come already; none where nothing has. It never waits, so nothing can break it off half-way
-/// and leave bytes in the buffer that nobody sent.
-async fn look(mut stream: &Stream, buffer: &mut BytesMut) -> Option<io::Result<usize>> {
-    let looked = future::poll_fn(|cx| {
-        let read = READ.with_borrow_mut(|chunk| {
-            let read = Pin::new(&mut stream).poll_read(cx, chunk);
-            if let Poll::Ready(Ok(count)) = read {
-                buffer.extend_from_slice(&chunk[..count]);
-            }
-            read
-        });
-        Poll::Ready(match read {
-            Poll::Ready(read) => Some(read),
-            Poll::Pending => None,
-        })
-    });
-    looked.await
+    /// Whether something has arrived after the current request, which is owed an answer too.
+    async fn has_next_request(&mut self) -> bool {
+        !self.input.is_empty() || matches!(self.input.try_read().await, Some(Ok(1..)))
+    }
 }
 
-/// Makes a request of a message, or says why it is none. `whole` holds the message and nothing else.
-fn understand(whole: &Bytes, message: &Message, front: &FrontendHandle) -> Read {
-    let Ok((method, target)) = http::request_line(&whole[message.first.clone()]) else {
-        return Read::Bad(400);
+/// Parses a message; `bytes` holds the message and nothing else.
+fn parse(bytes: &Bytes, message: &Message, context: &FrontendContext) -> ParsedMessage {
+    let Ok((method, target)) = http::request_line(&bytes[message.first.clone()]) else {
+        return ParsedMessage::Invalid(400);
     };
-    let class = match Asked::of(method, target, &front.context) {
-        Asked::Health => return Read::Health,
-        Asked::Bad(status) => return Read::Bad(status),
-        Asked::ExecutionState(class) => class,
-    };
-    let mut draft = Draft::new(&front.context, |part| whole.slice_ref(part));
-    for field in Fields::over(&whole[message.fields.clone()]) {
-        let taken = field.ok().and_then(|(name, value)| draft.take(name, value));
-        if taken.is_none() {
-            return Read::Bad(400);
-        }
+    match RequestTarget::of(method, target, context) {
+        RequestTarget::HealthCheck => ParsedMessage::HealthCheck,
+        RequestTarget::Invalid(status) => ParsedMessage::Invalid(status),
+        RequestTarget::Service(class) => match parse_request(bytes, message, class, context) {
+            Some((request, answers)) => ParsedMessage::Request(Box::new(request), answers),
+            None => ParsedMessage::Invalid(400),
+        },
     }
-    match draft.finish(class, whole.slice(message.body.clone())) {
-        Some((arrival, answers)) => Read::Request(Box::new(arrival), answers),
-        None => Read::Bad(400),
+}
+
+fn parse_request(
+    bytes: &Bytes,
+    message: &Message,
+    class: ClassId,
+    context: &FrontendContext,
+) -> Option<(IncomingRequest, Receiver<Answer>)> {
+    let mut draft = RequestDraft::new(context, |part| bytes.slice_ref(part));
+    for field in Fields::over(&bytes[message.fields.clone()]) {
+        let (name, value) = field.ok()?;
+        draft.add_header(name, value)?;
     }
+    draft.finish(class, bytes.slice(message.body.clone()))
 }
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -141,7 +141,7 @@
         return;
     };
     let conn = Rc::new(Conn {
-        holder: shared.room.holder(),
+        holder: shared.room.new_holder(),
         seen,
         open: Cell::new(0),
         idle_since: Cell::new(Instant::now()),
@@ -220,7 +220,7 @@
         let mut steps = [Step::None; 3];
         match woken {
             Woken::Stream(asked) => {
-                permit.heard();
+                permit.request_received();
                 take(*asked, conn, &drain);
                 h2.set_target_window_size(shared.share.borrow().window());
             }
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -1,9 +1,9 @@
 //! One stream: events from the library, the owner and the clock go to its [`Life`], and what that says is done.
 
 use super::{Conn, Taken};
-use crate::frontend::request::{Asked, Draft};
+use crate::frontend::request::{RequestDraft, RequestTarget};
 use crate::frontend::response;
-use crate::frontend::response_buffer::Held;
+use crate::frontend::response_buffer::Reservation;
 use crate::frontend::{Answer, IncomingRequest};
 use async_channel::Receiver;
 use async_io::Timer;
@@ -30,7 +30,7 @@
     /// What has come of the body.
     kept: BytesMut,
     /// What its head asks for.
-    asked: Asked,
+    asked: RequestTarget,
     fields: HeaderMap,
     /// By when it must be whole, and later by when its answer must be read.
     until: Instant,
@@ -40,7 +40,7 @@
     /// Where the answer's body goes, how far it has gone, and what of it waits in the budget.
     out: Option<SendStream<Bytes>>,
     sent: usize,
-    held: Option<Held>,
+    held: Option<Reservation>,
 }
 
 /// Serves a stream to its end.
@@ -56,7 +56,7 @@
         .path_and_query()
         .map_or("", |target| target.as_str());
     let desk = &conn.shared.front.context;
-    let asked = Asked::of(head.method.as_str().as_bytes(), target.as_bytes(), desk);
+    let asked = RequestTarget::of(head.method.as_str().as_bytes(), target.as_bytes(), desk);
     let bounds = &conn.shared.bounds;
     let (most, until) = (
         bounds.request.body.0 as u32,
@@ -79,14 +79,14 @@
     };
     let mut first = match stream.asked {
         // It is answered by the front alone, so it needs to be read no further.
-        Asked::Health => {
+        RequestTarget::HealthCheck => {
             stream.conn.seen.meter.borrow_mut().request();
             let reply = response::Response::of_health(&stream.conn.shared.front.context);
             let _ = stream.head(&reply, true);
             return;
         }
-        Asked::Bad(status) => Some(Event::Wrong { status }),
-        Asked::ExecutionState(_) => None,
+        RequestTarget::Invalid(status) => Some(Event::Wrong { status }),
+        RequestTarget::Service(_) => None,
     };
     while !matches!(stream.life.state(), State::Over(_)) {
         let event = match first.take() {
@@ -184,7 +184,7 @@
             return Event::Window { room: room as u32 };
         }
         if self.held.is_none() {
-            self.held = Some(conn.shared.room.hold(conn.holder, left));
+            self.held = Some(conn.shared.room.reserve(conn.holder, left));
             return Event::Window { room: 0 };
         }
         let flows = async {
@@ -232,7 +232,7 @@
         };
         let crowded = async {
             match &self.held {
-                Some(held) => held.crowded().await,
+                Some(held) => held.evicted().await,
                 None => future::pending().await,
             }
             Event::Crowded
@@ -254,11 +254,7 @@
                 None
             }
             Action::Say { status } => {
-                let reply = response::Response {
-                    status,
-                    fields: Vec::new(),
-                    body: Bytes::new(),
-                };
+                let reply = response::Response::of_status(status);
                 self.head(&reply, true).err()
             }
             Action::Head => {
@@ -300,18 +296,14 @@
 
     /// Makes a request of what was read and hands it in; the front's own answer where it is none.
     async fn hand_in(&mut self) -> Option<Event> {
-        let Asked::ExecutionState(class) = self.asked else {
+        let RequestTarget::Service(class) = self.asked else {
             return None;
         };
         let conn = self.conn.clone();
         let front = &conn.shared.front;
         let Some((arrival, answers)) = self.draft(class) else {
             // It is answered as one that the owner found wrong, and never reached it.
-            self.reply = Some(response::Response {
-                status: 400,
-                fields: Vec::new(),
-                body: Bytes::new(),
-            });
+            self.reply = Some(response::Response::of_status(400));
             return Some(Event::Answer { bytes: 0 });
         };
         conn.seen.meter.borrow_mut().request();
@@ -325,9 +317,9 @@
     }
 
     fn draft(&mut self, class: ClassId) -> Option<(IncomingRequest, Receiver<Answer>)> {
-        let mut draft = Draft::new(&self.conn.shared.front.context, Bytes::copy_from_slice);
+        let mut draft = RequestDraft::new(&self.conn.shared.front.context, Bytes::copy_from_slice);
         for (name, value) in &self.fields {
-            draft.take(name.as_str().as_bytes(), value.as_bytes())?;
+            draft.add_header(name.as_str().as_bytes(), value.as_bytes())?;
         }
         let request = draft.finish(class, std::mem::take(&mut self.kept).freeze());
         // The head may be large, and the request may wait for long.
--- a/crates/heathspurd/src/frontend/lingering_close.rs
+++ b/crates/heathspurd/src/frontend/lingering_close.rs
@@ -1,5 +1,7 @@
-//! The lingering close of a connection. A close over unread bytes resets the connection, and an answer that is still
-//! on its way goes with it: so our side is shut first, and what still comes is read off, never sent on.
+//! The lingering close of a connection.
+//!
+//! Closing a socket with unread bytes resets the connection, and an answer that is still in transit is lost with it. So
+//! only the sending side is shut down first, and what still arrives is read and discarded.
 
 use crate::clock::within;
 use crate::recording::recorded_stream::Stream;
@@ -8,24 +10,26 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// It is read off for so long, and so far, before the connection is closed.
-const LINGER: Duration = Duration::from_secs(1);
-const LINGER_BYTES: usize = 16 << 20;
-const CHUNK: usize = 2 * 1024;
+/// Bounds on the time and the bytes for which a closing connection is still read.
+const MAX_LINGER_TIME: Duration = Duration::from_secs(1);
+const MAX_LINGER_BYTES: usize = 16 << 20;
+/// Bytes discarded by one read.
+const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
-/// Shuts our side and reads until the other side has closed its own, or the bounds are reached.
+/// Shuts down the sending side, then discards what arrives until the other side has closed too or a bound is reached.
 pub(crate) async fn close(stream: &Stream) {
-    // It ends either way.
-    let _ = within(LINGER, read_off(stream)).await;
+    // The connection ends either way.
+    let _ = within(MAX_LINGER_TIME, discard_input(stream)).await;
 }
 
-async fn read_off(mut stream: &Stream) -> io::Result<()> {
+async fn discard_input(mut stream: &Stream) -> io::Result<()> {
     stream.get_ref().shutdown(Shutdown::Write)?;
-    let (mut chunk, mut left) = (vec![0; CHUNK], LINGER_BYTES);
-    while left > 0 {
-        match stream.read(&mut chunk).await? {
+    let mut discarded = vec![0; DISCARD_BUFFER_BYTES];
+    let mut remaining = MAX_LINGER_BYTES;
+    while remaining > 0 {
+        match stream.read(&mut discarded).await? {
             0 => break,
-            count => left = left.saturating_sub(count),
+            count => remaining = remaining.saturating_sub(count),
         }
     }
     Ok(())
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -1,179 +1,216 @@
-//! A request as all fronts hand it in: its fields checked, whatever protocol they came by.
+//! Builds a request from a protocol's message: the target and the header fields are checked here, independent of the
+//! HTTP version.
 
 use crate::clock;
+use crate::frontend::header::RequestHeader;
 use crate::frontend::{Answer, AttemptId, FrontendContext, IncomingRequest};
 use bytes::Bytes;
 use heathspur::{ClassId, Span, TenantId};
 use heathspur_wire::http;
 
-/// Where requests and health checks go.
-const SERVICE: &[u8] = b"/svc/";
-const HEALTH: &[u8] = b"/status/live";
-/// How far ahead of our clock a request's stamp may lie, in Unix microseconds.
-const AHEAD_OF_US: u64 = 60_000_000;
+/// Path prefix of requests; the rest of the path is the class.
+const SERVICE_PATH_PREFIX: &[u8] = b"/svc/";
+const HEALTH_CHECK_PATH: &[u8] = b"/status/live";
+/// How far ahead of the local clock a request's timestamp may lie.
+const MAX_CLOCK_SKEW_MICROS: u64 = 60_000_000;
+/// Kilobytes of memory that a request may declare, exclusive.
+const MAX_MEMORY_KB: f64 = 2000.0;
+/// Length of an idempotency key or subject in bytes.
+const MAX_KEY_BYTES: usize = 64;
 
-/// What a method and a target ask for.
-pub(crate) enum Asked {
-    Health,
-    ExecutionState(ClassId),
-    /// Nothing that is here; the status says so.
-    Bad(u16),
+/// What a method and a path address.
+pub(crate) enum RequestTarget {
+    HealthCheck,
+    Service(ClassId),
+    /// Nothing that this server has; answered with this status.
+    Invalid(u16),
 }
 
-impl Asked {
-    pub fn of(method: &[u8], target: &[u8], desk: &FrontendContext) -> Asked {
+impl RequestTarget {
+    pub fn of(method: &[u8], target: &[u8], context: &FrontendContext) -> RequestTarget {
         let path = target.split(|&b| b == b'?').next().unwrap_or(target);
-        if path == HEALTH {
-            return if method == b"GET" || method == b"HEAD" {
-                Asked::Health
-            } else {
-                Asked::Bad(405)
+        if path == HEALTH_CHECK_PATH {
+            return match method {
+                b"GET" | b"HEAD" => RequestTarget::HealthCheck,
+                _ => RequestTarget::Invalid(405),
             };
         }
-        let class = path.strip_prefix(SERVICE);
-        let class =
-            class.and_then(|name| desk.names.classes.iter().position(|c| c.as_bytes() == name));
+        let class = path
+            .strip_prefix(SERVICE_PATH_PREFIX)
+            .and_then(|name| position(&context.names.classes, name));
         match class {
-            None => Asked::Bad(404),
-            Some(_) if method != b"POST" => Asked::Bad(405),
-            Some(class) => Asked::ExecutionState(ClassId(class)),
+            None => RequestTarget::Invalid(404),
+            Some(_) if method != b"POST" => RequestTarget::Invalid(405),
+            Some(class) => RequestTarget::Service(ClassId(class)),
         }
     }
 }
 
-/// The fields of a request as they come. `keep` makes what outlives the message of a part of it.
-pub(crate) struct Draft<'a, K> {
-    desk: &'a FrontendContext,
-    keep: K,
-    latest: u64,
-    txn: Option<AttemptId>,
-    ingress: Option<u64>,
-    held_kb: Option<f64>,
-    key: Option<Bytes>,
-    row: Option<Bytes>,
+/// The header fields of a request as far as they were read.
+#[derive(Default)]
+struct HeaderValues {
+    attempt: Option<AttemptId>,
+    received_unix_micros: Option<u64>,
+    memory_kb: Option<f64>,
+    idempotency_key: Option<Bytes>,
+    subject: Option<Bytes>,
     tenant: Option<usize>,
-    retry: bool,
-    left: Option<Span>,
-    cost: Option<f64>,
-    rank: Option<f64>,
+    is_retry: bool,
+    client_timeout: Option<Span>,
+    cost_hint: Option<f64>,
+    shed_rank: Option<f64>,
     router: Option<u64>,
 }
 
-impl<'a, K: Fn(&[u8]) -> Bytes> Draft<'a, K> {
-    pub fn new(desk: &'a FrontendContext, keep: K) -> Draft<'a, K> {
-        let latest = clock::unix() + AHEAD_OF_US;
-        let (txn, ingress, held_kb, key, row, tenant) = (None, None, None, None, None, None);
-        let (left, cost, rank, router) = (None, None, None, None);
-        let retry = false;
-        Draft {
-            desk,
-            keep,
-            latest,
-            txn,
-            ingress,
-            held_kb,
-            key,
-            row,
-            tenant,
-            retry,
-            left,
-            cost,
-            rank,
-            router,
+/// A request whose header fields are being read. `to_bytes` turns a field's value into bytes that outlive the message.
+pub(crate) struct RequestDraft<'a, F> {
+    context: &'a FrontendContext,
+    to_bytes: F,
+    /// The latest timestamp that a request may bear, in Unix microseconds.
+    latest_unix_micros: u64,
+    values: HeaderValues,
+}
+
+impl<'a, F: Fn(&[u8]) -> Bytes> RequestDraft<'a, F> {
+    pub fn new(context: &'a FrontendContext, to_bytes: F) -> RequestDraft<'a, F> {
+        RequestDraft {
+            context,
+            to_bytes,
+            latest_unix_micros: clock::unix() + MAX_CLOCK_SKEW_MICROS,
+            values: HeaderValues::default(),
         }
     }
 
-    /// Takes a field; none when it makes no sense, or stands there a second time. Unknown ones are passed over.
-    pub fn take(&mut self, name: &[u8], value: &[u8]) -> Option<()> {
-        let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
-        let again = if is("X-Txn") {
-            self.txn.replace(AttemptId::read(value)?).is_some()
-        } else if is("X-Ingress-Time") {
-            let stamp = http::number(value)?
-                .checked_mul(1000)
-                .filter(|&stamp| stamp <= self.latest)?;
-            self.ingress.replace(stamp).is_some()
-        } else if is("X-Working-Set-Kb") {
-            self.held_kb
-                .replace(decimal(value).filter(|kb| *kb > 0.0 && *kb < 2000.0)?)
-                .is_some()
-        } else if is("X-Shed-Order") {
-            self.rank
-                .replace(decimal(value).filter(|rank| *rank < 1.0)?)
-                .is_some()
-        } else if is("X-Router") {
-            self.router.replace(http::number(value)?).is_some()
-        } else if is("X-Merchant") {
-            let tenants = &self.desk.names.tenants;
-            self.tenant
-                .replace(tenants.iter().position(|t| t.as_bytes() == value)?)
-                .is_some()
-        } else if is("X-Second-Try") {
-            std::mem::replace(&mut self.retry, (value == b"1").then_some(true)?)
-        } else if is("X-Txn-Key") {
-            self.key.replace(self.subject(value)?).is_some()
-        } else if is("X-Ttl-Ms") {
-            self.left
-                .replace(Span::from_secs(decimal(value)? / 1000.0))
-                .is_some()
-        } else if is("X-Cpu-Hint") {
-            self.cost.replace(decimal(value)? / 1000.0).is_some()
-        } else if is("X-Row") {
-            self.row.replace(self.subject(value)?).is_some()
-        } else {
-            false
+    /// Reads a header field; `None` where its value is invalid or it was read before. Unknown fields are ignored.
+    pub fn add_header(&mut self, name: &[u8], value: &[u8]) -> Option<()> {
+        let Some(header) = RequestHeader::from_name(name) else {
+            return Some(());
         };
-        (!again).then_some(())
+        let is_duplicate = self.set(header, value)?;
+        (!is_duplicate).then_some(())
+    }
+
+    /// Sets a field's value; `Some(true)` where it had one before.
+    fn set(&mut self, header: RequestHeader, value: &[u8]) -> Option<bool> {
+        let is_duplicate = match header {
+            RequestHeader::AttemptId => {
+                let attempt = AttemptId::read(value)?;
+                self.values.attempt.replace(attempt).is_some()
+            }
+            RequestHeader::ReceivedAt => {
+                let received = self.timestamp(value)?;
+                self.values.received_unix_micros.replace(received).is_some()
+            }
+            RequestHeader::MemoryKb => {
+                let memory_kb = decimal(value).filter(|kb| *kb > 0.0 && *kb < MAX_MEMORY_KB)?;
+                self.values.memory_kb.replace(memory_kb).is_some()
+            }
+            RequestHeader::ShedRank => {
+                let rank = decimal(value).filter(|rank| *rank < 1.0)?;
+                self.values.shed_rank.replace(rank).is_some()
+            }
+            RequestHeader::Router => {
+                let router = http::number(value)?;
+                self.values.router.replace(router).is_some()
+            }
+            RequestHeader::Tenant => {
+                let tenant = position(&self.context.names.tenants, value)?;
+                self.values.tenant.replace(tenant).is_some()
+            }
+            RequestHeader::IsRetry => {
+                let is_retry = (value == b"1").then_some(true)?;
+                std::mem::replace(&mut self.values.is_retry, is_retry)
+            }
+            RequestHeader::IdempotencyKey => {
+                let key = self.key(value)?;
+                self.values.idempotency_key.replace(key).is_some()
+            }
+            RequestHeader::ClientTimeout => {
+                let timeout = Span::from_secs(decimal(value)? / 1000.0);
+                self.values.client_timeout.replace(timeout).is_some()
+            }
+            RequestHeader::CostHint => {
+                let cost_seconds = decimal(value)? / 1000.0;
+                self.values.cost_hint.replace(cost_seconds).is_some()
+            }
+            RequestHeader::Subject => {
+                let subject = self.key(value)?;
+                self.values.subject.replace(subject).is_some()
+            }
+        };
+        Some(is_duplicate)
+    }
+
+    /// Unix microseconds from a timestamp in milliseconds.
+    fn timestamp(&self, value: &[u8]) -> Option<u64> {
+        http::number(value)?
+            .checked_mul(1000)
+            .filter(|&micros| micros <= self.latest_unix_micros)
     }
 
-    /// The request with its body, and where its answer will come; none when a field that is needed is missing.
+    fn key(&self, value: &[u8]) -> Option<Bytes> {
+        (1..=MAX_KEY_BYTES)
+            .contains(&value.len())
+            .then(|| (self.to_bytes)(value))
+    }
+
+    /// Completes the request with its body and a channel for its answer; `None` where a required field is missing or
+    /// one does not belong to the class.
     pub fn finish(
         self,
         class: ClassId,
         body: Bytes,
     ) -> Option<(IncomingRequest, async_channel::Receiver<Answer>)> {
-        let (Some(_), Some(_)) = (self.rank, self.router) else {
-            return None;
-        };
-        let keyed = self.desk.keyed[class.0];
-        let (has_key, row, has_tenant) = (
-            self.key.is_some(),
-            self.row.is_some(),
-            self.tenant.is_some(),
-        );
-        // A key belongs to keyed classes, a subject to the others, and a tenant to all where there are tenants.
-        if keyed != has_key || keyed && row || self.desk.names.tenants.is_empty() == has_tenant {
+        if !self.has_required_fields(class) {
             return None;
         }
-        let (txn, ingress, held_kb) = (self.txn?, self.ingress?, self.held_kb?);
+        let values = self.values;
+        let attempt = values.attempt?;
+        let received_unix_micros = values.received_unix_micros?;
+        let queued_memory_kb = values.memory_kb?;
         let (reply, answers) = async_channel::bounded(1);
-        let arrival = IncomingRequest {
-            id: self.desk.next_id(),
-            attempt: txn,
+        let request = IncomingRequest {
+            id: self.context.next_id(),
+            attempt,
             class,
-            tenant: self.tenant.map(TenantId),
-            received_unix_micros: ingress,
-            has_subject: row,
-            idempotency_key: self.key.or(self.row),
-            is_retry: self.retry,
-            client_timeout: self.left,
-            cost_hint: self.cost,
-            queued_memory_kb: held_kb,
+            tenant: values.tenant.map(TenantId),
+            received_unix_micros,
+            has_subject: values.subject.is_some(),
+            idempotency_key: values.idempotency_key.or(values.subject),
+            is_retry: values.is_retry,
+            client_timeout: values.client_timeout,
+            cost_hint: values.cost_hint,
+            queued_memory_kb,
             body,
             reply,
         };
-        Some((arrival, answers))
+        Some((request, answers))
     }
 
-    /// What tells repeats: from 1 to 64 bytes.
-    fn subject(&self, value: &[u8]) -> Option<Bytes> {
-        (1..=64).contains(&value.len()).then(|| (self.keep)(value))
+    /// Whether the fields fit the class. A key belongs to keyed classes, a subject to the others, and a tenant to
+    /// every request where the settings have tenants.
+    fn has_required_fields(&self, class: ClassId) -> bool {
+        let values = &self.values;
+        let is_keyed = self.context.keyed_classes[class.0];
+        let has_tenants = !self.context.names.tenants.is_empty();
+        values.shed_rank.is_some()
+            && values.router.is_some()
+            && values.idempotency_key.is_some() == is_keyed
+            && !(is_keyed && values.subject.is_some())
+            && values.tenant.is_some() == has_tenants
     }
 }
 
-/// Decimal digits with at most one point among them.
+/// The index of a name.
+fn position(names: &[String], name: &[u8]) -> Option<usize> {
+    names.iter().position(|known| known.as_bytes() == name)
+}
+
+/// A finite number of decimal digits with at most one decimal point.
 fn decimal(text: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(text).ok()?;
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|n: &f64| plain && n.is_finite())
+    let is_plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    text.parse()
+        .ok()
+        .filter(|number: &f64| is_plain && number.is_finite())
 }
--- a/crates/heathspurd/src/frontend/request_queue.rs
+++ b/crates/heathspurd/src/frontend/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests of several fronts, taken by turns: what floods one front's queue starves no other's.
+//! The frontends' request queues, served round-robin so that a flood on one frontend cannot starve another.
 
 use async_channel::{Receiver, Recv};
 use futures_lite::future;
@@ -6,31 +6,34 @@
 use std::pin::Pin;
 use std::task::Poll;
 
-/// The queues, and whose turn it is.
+/// The queues, and the index of the one to serve first.
 pub(crate) struct RequestQueues<T> {
     queues: Vec<Receiver<T>>,
-    turn: usize,
+    next_queue: usize,
 }
 
 impl<T> RequestQueues<T> {
     pub fn new(queues: Vec<Receiver<T>>) -> RequestQueues<T> {
-        RequestQueues { queues, turn: 0 }
+        RequestQueues {
+            queues,
+            next_queue: 0,
+        }
     }
 
-    /// The next one that is there, of the first queue that has one from the one on whose turn it is.
+    /// The next queued item, if there is one.
     pub fn try_next(&mut self) -> Option<T> {
         let count = self.queues.len();
-        for step in 0..count {
-            let at = (self.turn + step) % count;
-            if let Ok(item) = self.queues[at].try_recv() {
-                self.turn = (at + 1) % count;
+        for offset in 0..count {
+            let index = (self.next_queue + offset) % count;
+            if let Ok(item) = self.queues[index].try_recv() {
+                self.next_queue = (index + 1) % count;
                 return Some(item);
             }
         }
         None
     }
 
-    /// Waits for the next one.
+    /// Waits for the next item.
     pub async fn next(&mut self) -> T {
         if let [only] = &self.queues[..] {
             return match only.recv().await {
@@ -41,21 +44,28 @@
         if let Some(item) = self.try_next() {
             return item;
         }
-        let mut waits: Vec<Pin<Box<Recv<'_, T>>>> =
-            self.queues.iter().map(|q| Box::pin(q.recv())).collect();
-        let (at, item) = future::poll_fn(|cx| {
-            for (at, wait) in waits.iter_mut().enumerate() {
-                // A front that has ended brings nothing more.
-                if let Poll::Ready(Ok(item)) = wait.as_mut().poll(cx) {
-                    return Poll::Ready((at, item));
+        let (index, item) = self.first_received().await;
+        self.next_queue = (index + 1) % self.queues.len();
+        item
+    }
+
+    /// Waits on all queues; returns the index of the queue with its item.
+    async fn first_received(&self) -> (usize, T) {
+        let mut receives: Vec<Pin<Box<Recv<'_, T>>>> = self
+            .queues
+            .iter()
+            .map(|queue| Box::pin(queue.recv()))
+            .collect();
+        future::poll_fn(|cx| {
+            for (index, receive) in receives.iter_mut().enumerate() {
+                // A closed queue belongs to a frontend that has ended.
+                if let Poll::Ready(Ok(item)) = receive.as_mut().poll(cx) {
+                    return Poll::Ready((index, item));
                 }
             }
             Poll::Pending
         })
-        .await;
-        drop(waits);
-        self.turn = (at + 1) % self.queues.len();
-        item
+        .await
     }
 }
 
--- a/crates/heathspurd/src/frontend/response.rs
+++ b/crates/heathspurd/src/frontend/response.rs
@@ -1,9 +1,9 @@
-//! What an answer says, in any version of HTTP: status, fields and body.
+//! The content of a response, independent of the HTTP version: status, header fields and body.
 
-use crate::frontend::{Answer, FrontendContext};
+use crate::frontend::{header, Answer, FrontendContext};
 use bytes::Bytes;
 
-/// What an answer says.
+/// A response to write in any version of HTTP.
 pub(crate) struct Response {
     pub status: u16,
     pub fields: Vec<(&'static str, f64)>,
@@ -11,20 +11,21 @@
 }
 
 impl Response {
-    /// Those of a request's final answer.
-    pub fn of(answer: &Answer, desk: &FrontendContext) -> Response {
-        let mut fields = free_value(desk);
+    /// The response that carries a request's final answer.
+    pub fn of(answer: &Answer, context: &FrontendContext) -> Response {
+        let mut fields = common_fields(context);
         let (status, body) = match answer {
             Answer::Success(body) => (200, body.clone()),
             Answer::Rejected {
-                retry_after: stay_away,
-                no_retry: give_up,
+                retry_after,
+                no_retry,
             } => {
-                if let Some(span) = stay_away {
-                    fields.push(("X-Throttle-Ms", span.0.div_ceil(1000) as f64));
+                if let Some(delay) = retry_after {
+                    let delay_ms = delay.0.div_ceil(1000);
+                    fields.push((header::RETRY_AFTER_MS, delay_ms as f64));
                 }
-                if *give_up {
-                    fields.push(("X-Give-Up", 1.0));
+                if *no_retry {
+                    fields.push((header::NO_RETRY, 1.0));
                 }
                 (503, Bytes::new())
             }
@@ -40,22 +41,32 @@
         }
     }
 
-    /// Those of a health check.
-    pub fn of_health(desk: &FrontendContext) -> Response {
-        let status = if desk.healthy.get() { 200 } else { 503 };
+    /// The response to a health check.
+    pub fn of_health(context: &FrontendContext) -> Response {
+        let status = if context.healthy.get() { 200 } else { 503 };
         Response {
             status,
-            fields: free_value(desk),
+            fields: common_fields(context),
+            body: Bytes::new(),
+        }
+    }
+
+    /// A response that consists of its status alone.
+    pub fn of_status(status: u16) -> Response {
+        Response {
+            status,
+            fields: Vec::new(),
             body: Bytes::new(),
         }
     }
 }
 
-/// The field that every answer and check carries once the value is set.
-fn free_value(desk: &FrontendContext) -> Vec<(&'static str, f64)> {
-    desk.load_signal
+/// The fields of every answer and health check: the load signal once it is set.
+fn common_fields(context: &FrontendContext) -> Vec<(&'static str, f64)> {
+    context
+        .load_signal
         .get()
-        .map(|value| ("X-Capacity", value))
+        .map(|value| (header::LOAD_SIGNAL, value))
         .into_iter()
         .collect()
 }
--- a/crates/heathspurd/src/frontend/response_buffer.rs
+++ b/crates/heathspurd/src/frontend/response_buffer.rs
@@ -1,5 +1,6 @@
-//! Room for answers that wait for their readers, one budget over all fronts. The ledger decides who gives way;
-//! here those are told.
+//! The memory budget for answers that wait for slow readers, shared by all frontends.
+//!
+//! The ledger decides which answers have to be dropped; this module delivers the decision to those that hold them.
 
 use async_channel::{Receiver, Sender};
 use heathspur_streams::ledger::{Bounds, Holder, Ledger, Part};
@@ -7,78 +8,81 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The budget.
+/// The budget. Owns the ledger and a channel to each reservation in it.
 pub(crate) struct ResponseBudget {
     ledger: RefCell<Ledger>,
-    /// How those that wait are told to give way; as many as the ledger knows.
-    told: RefCell<HashMap<(Holder, Part), Sender<()>>>,
-    next: Cell<u64>,
+    /// Notifies a reservation of its eviction; one entry for each that the ledger holds.
+    evictions: RefCell<HashMap<(Holder, Part), Sender<()>>>,
+    next_number: Cell<u64>,
 }
 
 impl ResponseBudget {
     pub fn new(bounds: Bounds) -> Rc<ResponseBudget> {
         Rc::new(ResponseBudget {
             ledger: RefCell::new(Ledger::new(bounds)),
-            told: RefCell::default(),
-            next: Cell::new(1),
+            evictions: RefCell::default(),
+            next_number: Cell::new(1),
         })
     }
 
-    fn number(&self) -> u64 {
-        let number = self.next.get();
-        self.next.set(number + 1);
+    fn next_number(&self) -> u64 {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         number
     }
 
-    /// A connection, for the account.
-    pub fn holder(&self) -> Holder {
-        Holder(self.number())
+    /// Identifies a connection in the ledger.
+    pub fn new_holder(&self) -> Holder {
+        Holder(self.next_number())
     }
 
-    /// So many bytes of a connection begin to wait; others, or they themselves, may have to give way for it.
-    pub fn hold(self: &Rc<ResponseBudget>, holder: Holder, bytes: usize) -> Held {
-        let part = Part(self.number());
-        let (tell, told) = async_channel::bounded(1);
-        self.told.borrow_mut().insert((holder, part), tell);
-        let gone = self.ledger.borrow_mut().hold(holder, part, bytes as u64);
-        for who in gone {
-            if let Some(tell) = self.told.borrow_mut().remove(&who) {
-                // There is room for the one thing that is ever told.
-                let _ = tell.try_send(());
-            }
+    /// Reserves memory for bytes of a connection that wait to be read. Other reservations, or this one, may be evicted
+    /// for it.
+    pub fn reserve(self: &Rc<ResponseBudget>, holder: Holder, bytes: usize) -> Reservation {
+        let part = Part(self.next_number());
+        let (evict, evicted) = async_channel::bounded(1);
+        self.evictions.borrow_mut().insert((holder, part), evict);
+        let evictions = self.ledger.borrow_mut().hold(holder, part, bytes as u64);
+        for reservation in evictions {
+            self.evict(reservation);
         }
-        Held {
-            room: self.clone(),
+        Reservation {
+            budget: self.clone(),
             holder,
             part,
-            told,
+            evicted,
+        }
+    }
+
+    fn evict(&self, reservation: (Holder, Part)) {
+        if let Some(evict) = self.evictions.borrow_mut().remove(&reservation) {
+            // The channel has capacity for the one notification that is ever sent.
+            let _ = evict.try_send(());
         }
     }
 }
 
-/// Bytes that wait; given back when it is dropped.
-pub(crate) struct Held {
-    room: Rc<ResponseBudget>,
+/// Memory reserved for waiting bytes; released when it is dropped.
+pub(crate) struct Reservation {
+    budget: Rc<ResponseBudget>,
     holder: Holder,
     part: Part,
-    told: Receiver<()>,
+    evicted: Receiver<()>,
 }
 
-impl Held {
-    /// Ends when they have to give way.
-    pub async fn crowded(&self) {
-        // The other end stays until something was told, or this is dropped.
-        let _ = self.told.recv().await;
+impl Reservation {
+    /// Waits until the bytes have to be dropped.
+    pub async fn evicted(&self) {
+        // The sender exists until a notification was sent or the reservation is dropped.
+        let _ = self.evicted.recv().await;
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.room
-            .told
-            .borrow_mut()
-            .remove(&(self.holder, self.part));
-        self.room
+        let key = (self.holder, self.part);
+        self.budget.evictions.borrow_mut().remove(&key);
+        self.budget
             .ledger
             .borrow_mut()
             .give_back(self.holder, self.part);
