--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -5,7 +5,7 @@
 //! A task for each connection, and one for each stream of it, which ends with the stream.
 
 mod stream;
-mod wire;
+mod transport;
 
 use crate::clock::within;
 use crate::frontend::connection_pool::Permit;
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
-use wire::{Seen, Wire};
+use transport::{Seen, Wire};
 
 /// What a client says first (RFC 9113, section 3.4).
 const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
