--- /dev/null
+++ b/crates/heathspurd/src/frontend/http2/receive.rs
@@ -0,0 +1,100 @@
+//! The receiving half of a stream: the request's header fields and body.
+
+use crate::frontend::request::{RequestDraft, RequestTarget};
+use crate::frontend::{Answer, FrontendContext, IncomingRequest};
+use async_channel::Receiver;
+use async_io::Timer;
+use bytes::{Bytes, BytesMut};
+use futures_lite::future;
+use h2::RecvStream;
+use heathspur::ClassId;
+use heathspur_streams::life::Event;
+use http::{HeaderMap, Request};
+use std::time::{Duration, Instant};
+
+/// Owns the parts of the request until it is complete.
+pub(super) struct RequestReceiver {
+    target: RequestTarget,
+    headers: HeaderMap,
+    body: RecvStream,
+    received_body: BytesMut,
+    /// When the request has to be complete.
+    deadline: Instant,
+}
+
+impl RequestReceiver {
+    pub fn new(
+        request: Request<RecvStream>,
+        timeout: Duration,
+        context: &FrontendContext,
+    ) -> RequestReceiver {
+        let (head, body) = request.into_parts();
+        let path = head.uri.path_and_query().map_or("", |path| path.as_str());
+        RequestReceiver {
+            target: RequestTarget::of(head.method.as_str().as_bytes(), path.as_bytes(), context),
+            headers: head.headers,
+            body,
+            received_body: BytesMut::new(),
+            deadline: Instant::now() + timeout,
+        }
+    }
+
+    pub fn target(&self) -> &RequestTarget {
+        &self.target
+    }
+
+    /// Waits for the next bytes of the body.
+    pub async fn next_event(&mut self, context: &FrontendContext) -> Event {
+        let deadline = self.deadline;
+        let data = self.receive_data();
+        let late = async {
+            Timer::at(deadline).await;
+            Event::Late
+        };
+        let accepting_stopped = async {
+            context.accepting_stopped().await;
+            Event::Shut
+        };
+        future::or(data, future::or(late, accepting_stopped)).await
+    }
+
+    async fn receive_data(&mut self) -> Event {
+        match self.body.data().await {
+            Some(Ok(bytes)) => self.store(&bytes),
+            Some(Err(e)) => super::stream::failure(&e),
+            // Trailers may follow, which are ignored.
+            None => Event::Data {
+                bytes: 0,
+                end: true,
+            },
+        }
+    }
+
+    fn store(&mut self, bytes: &Bytes) -> Event {
+        // The stream's state machine bounds the body: past its limit nothing more is read.
+        self.received_body.extend_from_slice(bytes);
+        let count = bytes.len();
+        let _ = self.body.flow_control().release_capacity(count);
+        Event::Data {
+            bytes: count as u32,
+            end: self.body.is_end_stream(),
+        }
+    }
+
+    /// Builds the request, once its body is complete; `None` where it is invalid.
+    pub fn finish(
+        &mut self,
+        class: ClassId,
+        context: &FrontendContext,
+    ) -> Option<(IncomingRequest, Receiver<Answer>)> {
+        let mut draft = RequestDraft::new(context, Bytes::copy_from_slice);
+        for (name, value) in &self.headers {
+            draft.add_header(name.as_str().as_bytes(), value.as_bytes())?;
+        }
+        let body = std::mem::take(&mut self.received_body).freeze();
+        let request = draft.finish(class, body);
+        // The header fields may be large, and the request may wait for long.
+        self.headers = HeaderMap::new();
+        request
+    }
+}
--- /dev/null
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -0,0 +1,222 @@
+//! The sending half of a stream: the response's head, and its body as far as windows and buffers allow.
+
+use super::connection::ConnectionState;
+use super::stream::failure;
+use super::transport::TransportMonitor;
+use crate::frontend::response::Response;
+use crate::frontend::response_buffer::Reservation;
+use async_io::Timer;
+use bytes::Bytes;
+use futures_lite::future;
+use h2::server::SendResponse;
+use h2::{Reason, SendStream};
+use heathspur_streams::life::Event;
+use http::{HeaderName, HeaderValue, StatusCode};
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Instant;
+
+/// Estimated bytes of a response's head among the bytes that wait to be sent.
+const HEAD_BYTES: usize = 64;
+
+/// Owns the response and what of it waits to be sent.
+pub(super) struct ResponseSender {
+    connection: Rc<ConnectionState>,
+    responder: SendResponse<Bytes>,
+    response: Option<Response>,
+    /// Takes the body, once the head is sent.
+    body: Option<SendStream<Bytes>>,
+    sent_bytes: usize,
+    /// Memory for the part of the body that waits.
+    reservation: Option<Reservation>,
+    /// When the client has to have read the response; set with its head.
+    deadline: Option<Instant>,
+}
+
+impl ResponseSender {
+    pub fn new(connection: Rc<ConnectionState>, responder: SendResponse<Bytes>) -> ResponseSender {
+        ResponseSender {
+            connection,
+            responder,
+            response: None,
+            body: None,
+            sent_bytes: 0,
+            reservation: None,
+            deadline: None,
+        }
+    }
+
+    /// Sets the response to send; returns the event that announces it.
+    pub fn set_response(&mut self, response: Response) -> Event {
+        let bytes = response.body.len() as u32;
+        self.response = Some(response);
+        Event::Answer { bytes }
+    }
+
+    /// Waits until the client resets the stream, or the connection ends.
+    pub async fn client_reset(&mut self) -> Event {
+        future::poll_fn(|cx| {
+            self.responder
+                .poll_reset(cx)
+                .map(|reset| reset_event(&reset))
+        })
+        .await
+    }
+
+    /// Sends the head of the response that was set; the event is what it failed with.
+    pub fn send_response_head(&mut self) -> Option<Event> {
+        let response = self.response.take()?;
+        let frontend = self.connection.frontend.clone();
+        self.deadline = Some(Instant::now() + frontend.settings.patience.stalled.0);
+        let failed = self.send_head(&response, response.body.is_empty()).err();
+        frontend.stream_quota.borrow_mut().answered();
+        let mut meter = self.connection.monitor.meter.borrow_mut();
+        meter.answer(response.body.len() as u64);
+        drop(meter);
+        self.response = Some(response);
+        failed
+    }
+
+    /// Sends a response without a body; the event is what it failed with.
+    pub fn send_without_body(&mut self, response: &Response) -> Option<Event> {
+        self.send_head(response, true).err()
+    }
+
+    fn send_head(&mut self, response: &Response, is_end: bool) -> Result<(), Event> {
+        self.connection.monitor.add_queued(HEAD_BYTES);
+        let body = self
+            .responder
+            .send_response(response_head(response), is_end)
+            .map_err(|e| failure(&e))?;
+        self.body = (!is_end).then_some(body);
+        Ok(())
+    }
+
+    /// Sends the next bytes of the body; the event is what it failed with.
+    pub fn send_body(&mut self, bytes: usize, is_end: bool) -> Option<Event> {
+        let (response, body) = (self.response.as_ref()?, self.body.as_mut()?);
+        let end = self.sent_bytes + bytes;
+        let part = response.body.slice(self.sent_bytes..end);
+        self.sent_bytes = end;
+        self.reservation = None;
+        self.connection.monitor.add_queued(part.len());
+        body.send_data(part, is_end).err().map(|e| failure(&e))
+    }
+
+    /// Refuses the stream, which proves to the client that nothing of it ran (RFC 9113, section 8.7).
+    pub fn refuse(&mut self) {
+        self.responder.send_reset(Reason::REFUSED_STREAM);
+    }
+
+    /// Drops the response and resets the stream.
+    pub fn abort(&mut self) {
+        self.reservation = None;
+        match &mut self.body {
+            Some(body) => body.send_reset(Reason::ENHANCE_YOUR_CALM),
+            None => self.responder.send_reset(Reason::ENHANCE_YOUR_CALM),
+        }
+    }
+
+    /// Waits until some of the remaining bytes may be sent: the client's window and the connection's buffers allow it.
+    pub async fn next_event(&mut self, remaining: usize) -> Event {
+        let (Some(body), Some(deadline)) = (&mut self.body, self.deadline) else {
+            return Event::Lost;
+        };
+        let connection = &self.connection;
+        body.reserve_capacity(remaining);
+        let capacity = body.capacity().min(connection.monitor.send_capacity());
+        if capacity > 0 {
+            return Event::Window {
+                room: capacity as u32,
+            };
+        }
+        let Some(reservation) = &self.reservation else {
+            let budget = &connection.frontend.response_budget;
+            self.reservation = Some(budget.reserve(connection.holder, remaining));
+            return Event::Window { room: 0 };
+        };
+        let sendable = wait_for_capacity(body, &connection.monitor);
+        let late = async {
+            let timed_out = async {
+                Timer::at(deadline).await;
+            };
+            future::or(timed_out, connection.context().responses_abandoned()).await;
+            Event::Late
+        };
+        let evicted = async {
+            reservation.evicted().await;
+            Event::Crowded
+        };
+        future::or(sendable, future::or(late, evicted)).await
+    }
+}
+
+/// Waits until the client's window and the connection's buffers allow to send.
+async fn wait_for_capacity(body: &mut SendStream<Bytes>, monitor: &TransportMonitor) -> Event {
+    loop {
+        if let Some(event) = wait_for_window(body).await {
+            return event;
+        }
+        if body.capacity() > 0 {
+            if let Some(event) = wait_for_buffers(body, monitor).await {
+                return event;
+            }
+            return Event::Window {
+                room: body.capacity().min(monitor.send_capacity()) as u32,
+            };
+        }
+    }
+}
+
+/// Waits until the client's window allows to send; the event is what happened instead.
+async fn wait_for_window(body: &mut SendStream<Bytes>) -> Option<Event> {
+    future::poll_fn(|cx| {
+        if let Poll::Ready(reset) = body.poll_reset(cx) {
+            return Poll::Ready(Some(reset_event(&reset)));
+        }
+        if body.capacity() > 0 {
+            return Poll::Ready(None);
+        }
+        body.poll_capacity(cx).map(|capacity| match capacity {
+            Some(Ok(_)) => None,
+            Some(Err(e)) => Some(failure(&e)),
+            None => Some(Event::Lost),
+        })
+    })
+    .await
+}
+
+/// Waits until the connection's buffers allow to send; the event is what happened instead.
+async fn wait_for_buffers(
+    body: &mut SendStream<Bytes>,
+    monitor: &TransportMonitor,
+) -> Option<Event> {
+    let available = async {
+        monitor.send_capacity_available().await;
+        None
+    };
+    let reset = future::poll_fn(|cx| body.poll_reset(cx).map(|reset| Some(reset_event(&reset))));
+    future::or(reset, available).await
+}
+
+fn response_head(response: &Response) -> http::Response<()> {
+    let mut head = http::Response::new(());
+    *head.status_mut() =
+        StatusCode::from_u16(response.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let headers = head.headers_mut();
+    for (name, value) in &response.fields {
+        let name = HeaderName::from_bytes(name.as_bytes());
+        if let (Ok(name), Ok(value)) = (name, HeaderValue::try_from(value.to_string())) {
+            headers.insert(name, value);
+        }
+    }
+    headers.insert(http::header::CONTENT_LENGTH, response.body.len().into());
+    head
+}
+
+fn reset_event(reset: &Result<Reason, h2::Error>) -> Event {
+    match reset {
+        Ok(_) => Event::Reset,
+        Err(error) => failure(error),
+    }
+}
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -1,367 +1,172 @@
-//! One stream: events from the library, the owner and the clock go to its [`Life`], and what that says is done.
+//! The task of one stream. Events from the library, the event loop and the clock go to the stream's state machine
+//! ([`Life`]), and the task carries out the actions that it returns.
 
-use super::{Conn, Taken};
-use crate::frontend::request::{RequestDraft, RequestTarget};
-use crate::frontend::response;
-use crate::frontend::response_buffer::Reservation;
-use crate::frontend::{Answer, IncomingRequest};
+use super::connection::{ConnectionState, StreamSlot};
+use super::receive::RequestReceiver;
+use super::send::ResponseSender;
+use crate::frontend::request::RequestTarget;
+use crate::frontend::response::Response;
+use crate::frontend::Answer;
 use async_channel::Receiver;
-use async_io::Timer;
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use futures_lite::future;
 use h2::server::SendResponse;
-use h2::{Reason, RecvStream, SendStream};
-use heathspur::{ClassId, RequestId};
+use h2::RecvStream;
+use heathspur::RequestId;
 use heathspur_streams::life::{Action, Event, Life, State};
-use http::{HeaderMap, HeaderName, HeaderValue, Request, Response, StatusCode};
+use http::Request;
 use std::rc::Rc;
-use std::task::Poll;
-use std::time::Instant;
 
-/// What a head counts for among the bytes that wait to be sent.
-const HEAD: usize = 64;
+/// A request that was submitted to the event loop.
+struct SubmittedRequest {
+    id: RequestId,
+    answers: Receiver<Answer>,
+}
 
-/// What a stream has at hand.
-struct Stream {
-    conn: Rc<Conn>,
+struct StreamTask {
+    connection: Rc<ConnectionState>,
     life: Life,
-    respond: SendResponse<Bytes>,
-    body: RecvStream,
-    /// What has come of the body.
-    kept: BytesMut,
-    /// What its head asks for.
-    asked: RequestTarget,
-    fields: HeaderMap,
-    /// By when it must be whole, and later by when its answer must be read.
-    until: Instant,
-    /// Where its answer comes, once it is handed in.
-    given: Option<(RequestId, Receiver<Answer>)>,
-    reply: Option<response::Response>,
-    /// Where the answer's body goes, how far it has gone, and what of it waits in the budget.
-    out: Option<SendStream<Bytes>>,
-    sent: usize,
-    held: Option<Reservation>,
+    receiver: RequestReceiver,
+    sender: ResponseSender,
+    submitted: Option<SubmittedRequest>,
 }
 
-/// Serves a stream to its end.
+/// Serves a stream to its end. The slot is occupied for as long as the library keeps something of the stream.
 pub(super) async fn serve(
     request: Request<RecvStream>,
-    respond: SendResponse<Bytes>,
-    taken: Taken,
+    responder: SendResponse<Bytes>,
+    slot: StreamSlot,
 ) {
-    let conn = taken.0.clone();
-    let (head, body) = request.into_parts();
-    let target = head
-        .uri
-        .path_and_query()
-        .map_or("", |target| target.as_str());
-    let desk = &conn.shared.front.context;
-    let asked = RequestTarget::of(head.method.as_str().as_bytes(), target.as_bytes(), desk);
-    let bounds = &conn.shared.bounds;
-    let (most, until) = (
-        bounds.request.body.0 as u32,
-        Instant::now() + bounds.request.whole.0,
-    );
-    let mut stream = Stream {
-        life: Life::new(most),
-        respond,
-        body,
-        kept: BytesMut::new(),
-        asked,
-        fields: head.headers,
-        until,
-        given: None,
-        reply: None,
-        out: None,
-        sent: 0,
-        held: None,
-        conn,
-    };
-    let mut first = match stream.asked {
-        // It is answered by the front alone, so it needs to be read no further.
-        RequestTarget::HealthCheck => {
-            stream.conn.seen.meter.borrow_mut().request();
-            let reply = response::Response::of_health(&stream.conn.shared.front.context);
-            let _ = stream.head(&reply, true);
-            return;
-        }
-        RequestTarget::Invalid(status) => Some(Event::Wrong { status }),
-        RequestTarget::Service(_) => None,
+    let connection = slot.connection().clone();
+    let limits = &connection.frontend.settings.request;
+    let max_body_bytes = limits.body.0 as u32;
+    let task = StreamTask {
+        life: Life::new(max_body_bytes),
+        receiver: RequestReceiver::new(request, limits.whole.0, connection.context()),
+        sender: ResponseSender::new(connection.clone(), responder),
+        submitted: None,
+        connection,
     };
-    while !matches!(stream.life.state(), State::Over(_)) {
-        let event = match first.take() {
-            Some(event) => event,
-            None => stream.next().await,
-        };
-        let action = stream.life.on(event);
-        first = stream.carry_out(action).await;
-    }
-    // Its place is taken for as long as the library holds something of it.
-    stream.conn.seen.settled().await;
+    task.run().await;
 }
 
-impl Stream {
-    /// Waits for what happens next.
-    async fn next(&mut self) -> Event {
-        match self.life.state() {
-            State::Body { .. } => self.read().await,
-            State::Given => self.wait().await,
-            State::Answering { left } | State::Blocked { left } => self.window(left as usize).await,
-            State::Over(_) => future::pending().await,
+impl StreamTask {
+    async fn run(mut self) {
+        let mut pending_event = match self.receiver.target() {
+            RequestTarget::HealthCheck => return self.answer_health_check(),
+            RequestTarget::Invalid(status) => Some(Event::Wrong { status: *status }),
+            RequestTarget::Service(_) => None,
+        };
+        while !matches!(self.life.state(), State::Over(_)) {
+            let event = match pending_event.take() {
+                Some(event) => event,
+                None => self.next_event().await,
+            };
+            let action = self.life.on(event);
+            pending_event = self.carry_out(action).await;
         }
+        self.connection.monitor.unblocked().await;
     }
 
-    /// The next bytes of the body.
-    async fn read(&mut self) -> Event {
-        let desk = self.conn.shared.front.context.clone();
-        let (body, kept) = (&mut self.body, &mut self.kept);
-        let data = async {
-            match body.data().await {
-                Some(Ok(bytes)) => {
-                    // What is kept is bounded by the life's own bound: past it nothing is read any more.
-                    kept.extend_from_slice(&bytes);
-                    let count = bytes.len();
-                    let _ = body.flow_control().release_capacity(count);
-                    Event::Data {
-                        bytes: count as u32,
-                        end: body.is_end_stream(),
-                    }
-                }
-                Some(Err(e)) => ended(&e),
-                // Trailers may follow; nobody asks for them.
-                None => Event::Data {
-                    bytes: 0,
-                    end: true,
-                },
-            }
-        };
-        let late = async {
-            Timer::at(self.until).await;
-            Event::Late
-        };
-        let shut = async {
-            desk.accepting_stopped().await;
-            Event::Shut
-        };
-        future::or(data, future::or(late, shut)).await
+    /// Answers a health check, of which nothing more needs to be read.
+    fn answer_health_check(&mut self) {
+        self.connection.monitor.meter.borrow_mut().request();
+        let response = Response::of_health(self.connection.context());
+        let _ = self.sender.send_without_body(&response);
     }
 
-    /// The module's answer, or the caller's going.
-    async fn wait(&mut self) -> Event {
-        let Some((_, answers)) = &self.given else {
-            return Event::Lost;
-        };
-        let desk = &self.conn.shared.front.context;
-        let answer = async {
-            match answers.recv().await {
-                Ok(answer) => {
-                    let reply = response::Response::of(&answer, desk);
-                    let bytes = reply.body.len() as u32;
-                    self.reply = Some(reply);
-                    Event::Answer { bytes }
-                }
-                // The owner gives every request an answer, or has been told that its caller is gone.
-                Err(_) => future::pending().await,
+    /// Waits for what happens next.
+    async fn next_event(&mut self) -> Event {
+        match self.life.state() {
+            State::Body { .. } => self.receiver.next_event(self.connection.context()).await,
+            State::Given => self.answer_or_reset().await,
+            State::Answering { left } | State::Blocked { left } => {
+                self.sender.next_event(left as usize).await
             }
-        };
-        let respond = &mut self.respond;
-        future::or(
-            answer,
-            future::poll_fn(|cx| respond.poll_reset(cx).map(|reset| reset_by(&reset))),
-        )
-        .await
+            State::Over(_) => future::pending().await,
+        }
     }
 
-    /// Room to send, in the caller's window and in what may lie in the connection's buffers.
-    async fn window(&mut self, left: usize) -> Event {
-        let (conn, until) = (self.conn.clone(), self.until);
-        let Some(out) = &mut self.out else {
+    /// Waits for the event loop's answer, or until the client gives up.
+    async fn answer_or_reset(&mut self) -> Event {
+        let Some(submitted) = &self.submitted else {
             return Event::Lost;
         };
-        out.reserve_capacity(left);
-        let room = out.capacity().min(conn.seen.room());
-        if room > 0 {
-            return Event::Window { room: room as u32 };
-        }
-        if self.held.is_none() {
-            self.held = Some(conn.shared.room.reserve(conn.holder, left));
-            return Event::Window { room: 0 };
-        }
-        let flows = async {
-            loop {
-                let turned = future::poll_fn(|cx| {
-                    if let Poll::Ready(reset) = out.poll_reset(cx) {
-                        return Poll::Ready(Some(reset_by(&reset)));
-                    }
-                    match out.capacity() {
-                        0 => match out.poll_capacity(cx) {
-                            Poll::Ready(Some(Ok(_))) => Poll::Ready(None),
-                            Poll::Ready(Some(Err(e))) => Poll::Ready(Some(ended(&e))),
-                            Poll::Ready(None) => Poll::Ready(Some(Event::Lost)),
-                            Poll::Pending => Poll::Pending,
-                        },
-                        _ => Poll::Ready(None),
-                    }
-                });
-                if let Some(event) = turned.await {
-                    return event;
-                }
-                if out.capacity() > 0 {
-                    let flowed = async {
-                        conn.seen.flowed().await;
-                        None
-                    };
-                    let reset = future::poll_fn(|cx| {
-                        out.poll_reset(cx).map(|reset| Some(reset_by(&reset)))
-                    });
-                    if let Some(event) = future::or(reset, flowed).await {
-                        return event;
-                    }
-                    return Event::Window {
-                        room: out.capacity().min(conn.seen.room()) as u32,
-                    };
-                }
+        let answered = async {
+            match submitted.answers.recv().await {
+                Ok(answer) => Ok(answer),
+                // The event loop answers every request unless its client has disconnected.
+                Err(_) => future::pending().await,
             }
         };
-        let late = async {
-            let timed = async {
-                Timer::at(until).await;
-            };
-            future::or(timed, conn.shared.front.context.responses_abandoned()).await;
-            Event::Late
-        };
-        let crowded = async {
-            match &self.held {
-                Some(held) => held.evicted().await,
-                None => future::pending().await,
+        let reset = async { Err(self.sender.client_reset().await) };
+        match future::or(answered, reset).await {
+            Ok(answer) => {
+                let response = Response::of(&answer, self.connection.context());
+                self.sender.set_response(response)
             }
-            Event::Crowded
-        };
-        future::or(flows, future::or(late, crowded)).await
+            Err(event) => event,
+        }
     }
 
-    /// Does what is to be done; an event where that has one at once.
+    /// Carries out an action; returns an event where it causes one at once.
     async fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::None | Action::Keep => None,
-            Action::HandIn => self.hand_in().await,
+            Action::HandIn => self.submit().await,
             Action::TellGone => {
-                if let Some((id, answers)) = self.given.take() {
-                    answers.close();
-                    // The owner outlives all connections, or nothing is owed any more.
-                    let _ = self.conn.shared.front.disconnected.send(id).await;
-                }
+                self.report_disconnect().await;
                 None
             }
-            Action::Say { status } => {
-                let reply = response::Response::of_status(status);
-                self.head(&reply, true).err()
-            }
-            Action::Head => {
-                let reply = self.reply.take()?;
-                self.until = Instant::now() + self.conn.shared.bounds.patience.stalled.0;
-                let failed = self.head(&reply, reply.body.is_empty()).err();
-                self.conn.shared.share.borrow_mut().answered();
-                self.conn
-                    .seen
-                    .meter
-                    .borrow_mut()
-                    .answer(reply.body.len() as u64);
-                self.reply = Some(reply);
-                failed
-            }
-            Action::Send { bytes, end } => {
-                let (reply, out) = (self.reply.as_ref()?, self.out.as_mut()?);
-                let to = self.sent + bytes as usize;
-                let part = reply.body.slice(self.sent..to);
-                self.sent = to;
-                self.held = None;
-                self.conn.seen.queue(part.len());
-                out.send_data(part, end).err().map(|e| ended(&e))
-            }
+            Action::Say { status } => self.sender.send_without_body(&Response::of_status(status)),
+            Action::Head => self.sender.send_response_head(),
+            Action::Send { bytes, end } => self.sender.send_body(bytes as usize, end),
             Action::Refuse => {
-                self.respond.send_reset(Reason::REFUSED_STREAM);
+                self.sender.refuse();
                 None
             }
             Action::Drop => {
-                self.held = None;
-                match &mut self.out {
-                    Some(out) => out.send_reset(Reason::ENHANCE_YOUR_CALM),
-                    None => self.respond.send_reset(Reason::ENHANCE_YOUR_CALM),
-                }
+                self.sender.abort();
                 None
             }
         }
     }
 
-    /// Makes a request of what was read and hands it in; the front's own answer where it is none.
-    async fn hand_in(&mut self) -> Option<Event> {
-        let RequestTarget::Service(class) = self.asked else {
+    /// Submits the request to the event loop; the event is this frontend's own answer where the request is invalid.
+    async fn submit(&mut self) -> Option<Event> {
+        let RequestTarget::Service(class) = *self.receiver.target() else {
             return None;
         };
-        let conn = self.conn.clone();
-        let front = &conn.shared.front;
-        let Some((arrival, answers)) = self.draft(class) else {
-            // It is answered as one that the owner found wrong, and never reached it.
-            self.reply = Some(response::Response::of_status(400));
-            return Some(Event::Answer { bytes: 0 });
+        let context = self.connection.context();
+        let Some((request, answers)) = self.receiver.finish(class, context) else {
+            return Some(self.sender.set_response(Response::of_status(400)));
         };
-        conn.seen.meter.borrow_mut().request();
-        self.given = Some((arrival.id, answers));
-        if let Err(full) = front.requests.try_send(arrival) {
-            conn.shared.share.borrow_mut().waited(conn.shared.now());
-            // The owner outlives all connections, or nothing is owed any more.
-            let _ = front.requests.send(full.into_inner()).await;
+        self.connection.monitor.meter.borrow_mut().request();
+        let id = request.id;
+        self.submitted = Some(SubmittedRequest { id, answers });
+        let frontend = &self.connection.frontend;
+        if let Err(full) = frontend.handle.requests.try_send(request) {
+            let now = frontend.now();
+            frontend.stream_quota.borrow_mut().waited(now);
+            // The event loop outlives all connections; once it has ended, no answer is owed.
+            let _ = frontend.handle.requests.send(full.into_inner()).await;
         }
         None
     }
 
-    fn draft(&mut self, class: ClassId) -> Option<(IncomingRequest, Receiver<Answer>)> {
-        let mut draft = RequestDraft::new(&self.conn.shared.front.context, Bytes::copy_from_slice);
-        for (name, value) in &self.fields {
-            draft.add_header(name.as_str().as_bytes(), value.as_bytes())?;
+    async fn report_disconnect(&mut self) {
+        if let Some(SubmittedRequest { id, answers }) = self.submitted.take() {
+            answers.close();
+            // The event loop outlives all connections; once it has ended, no answer is owed.
+            let _ = self.connection.frontend.handle.disconnected.send(id).await;
         }
-        let request = draft.finish(class, std::mem::take(&mut self.kept).freeze());
-        // The head may be large, and the request may wait for long.
-        self.fields = HeaderMap::new();
-        request
-    }
-
-    /// Sends a head; the event is what it failed with.
-    fn head(&mut self, reply: &response::Response, end: bool) -> Result<(), Event> {
-        let mut response = Response::new(());
-        *response.status_mut() =
-            StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        for (name, value) in &reply.fields {
-            let name = HeaderName::from_bytes(name.as_bytes());
-            if let (Ok(name), Ok(value)) = (name, HeaderValue::try_from(value.to_string())) {
-                response.headers_mut().insert(name, value);
-            }
-        }
-        response
-            .headers_mut()
-            .insert(http::header::CONTENT_LENGTH, reply.body.len().into());
-        self.conn.seen.queue(HEAD);
-        let sent = self
-            .respond
-            .send_response(response, end)
-            .map_err(|e| ended(&e))?;
-        self.out = (!end).then_some(sent);
-        Ok(())
     }
 }
 
-/// Whether an error is a reset of the stream by its caller, or the end of the connection.
-fn ended(error: &h2::Error) -> Event {
+/// The event that an error of the library stands for: a reset by the client, or the end of the connection.
+pub(super) fn failure(error: &h2::Error) -> Event {
     match error.is_reset() {
         true => Event::Reset,
         false => Event::Lost,
     }
 }
-
-fn reset_by(reset: &Result<Reason, h2::Error>) -> Event {
-    match reset {
-        Ok(_) => Event::Reset,
-        Err(error) => ended(error),
-    }
-}
--- a/crates/heathspurd/src/frontend/http2/transport.rs
+++ b/crates/heathspurd/src/frontend/http2/transport.rs
@@ -1,5 +1,5 @@
-//! A stream as the `h2` crate wants it: tokio's traits over ours, with the frames that come in counted and the
-//! bytes that go out watched.
+//! The transport that the `h2` crate reads and writes: tokio's I/O traits over the server's stream, with incoming
+//! frames metered and outgoing bytes tracked.
 
 use crate::notify::Notify;
 use crate::recording::recorded_stream::Stream;
@@ -12,39 +12,40 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes of one connection that are taken in before others have their turn.
-const TURN: usize = 16 * 1024;
-/// Bytes of answers that may lie in the library's own buffers, for a connection.
-const QUEUE: usize = 32 * 1024;
+/// Bytes read from one connection before other connections have their turn.
+const MAX_BYTES_PER_TURN: usize = 16 * 1024;
+/// Bytes of answers that may lie in the library's buffers, per connection.
+const MAX_QUEUED_BYTES: usize = 32 * 1024;
 
-/// What is seen on a connection's wire.
-pub(crate) struct Seen {
+/// What is known of a connection's transport, shared between the transport, the connection's task and its streams.
+pub(crate) struct TransportMonitor {
     start: Instant,
     pub meter: RefCell<Meter>,
-    turn: Cell<usize>,
-    behind: Cell<bool>,
-    /// Since when the socket has taken nothing although there was something to be sent.
-    stuck: Cell<Option<Instant>>,
-    /// Bytes of answers handed to the library and not seen on the socket yet, as far as can be told: its own
-    /// frames on the way are few and count as answers.
-    queued: Cell<usize>,
-    flowed: Notify,
+    bytes_read_this_turn: Cell<usize>,
+    /// Streams that were received may still wait to be accepted.
+    has_waiting_streams: Cell<bool>,
+    /// When the socket stopped accepting bytes, while there are some to send.
+    blocked_since: Cell<Option<Instant>>,
+    /// Bytes of answers passed to the library and not written to the socket yet. An estimate: the library's own frames
+    /// are few and count as answers.
+    queued_bytes: Cell<usize>,
+    progress: Notify,
     closed: Cell<bool>,
 }
 
-impl Seen {
-    pub fn new() -> Rc<Seen> {
-        Rc::new(Seen {
+impl TransportMonitor {
+    pub fn new() -> Rc<TransportMonitor> {
+        Rc::new(TransportMonitor {
             start: Instant::now(),
             meter: RefCell::new(Meter::new(Time(0))),
-            turn: Cell::new(0),
-            behind: Cell::new(false),
-            stuck: Cell::new(None),
-            queued: Cell::new(0),
-            flowed: Notify::new(),
+            bytes_read_this_turn: Cell::new(0),
+            has_waiting_streams: Cell::new(false),
+            blocked_since: Cell::new(None),
+            queued_bytes: Cell::new(0),
+            progress: Notify::new(),
             closed: Cell::new(false),
         })
     }
@@ -54,148 +55,185 @@
         Time(self.start.elapsed().as_micros() as u64)
     }
 
-    /// A new turn of this connection. While streams that were read wait to be taken no more are read: the library
-    /// would keep them all, whole heads at a time.
+    /// Begins a new turn of this connection. Nothing is read in it while received streams wait to be accepted: the
+    /// library would buffer all of them, with their complete heads.
     pub fn begin_turn(&self) {
-        self.turn.set(if self.behind.get() { TURN } else { 0 });
+        let bytes_read = match self.has_waiting_streams.get() {
+            true => MAX_BYTES_PER_TURN,
+            false => 0,
+        };
+        self.bytes_read_this_turn.set(bytes_read);
     }
 
-    /// Whether a stream was there to be taken, so that there may be more of them.
-    pub fn took_one(&self, took: bool) {
-        self.behind.set(took);
+    /// Notes whether the library had a stream to accept, since there may be more then.
+    pub fn set_has_waiting_streams(&self, has_waiting_streams: bool) {
+        self.has_waiting_streams.set(has_waiting_streams);
     }
 
-    /// Whether the socket takes nothing now.
-    pub fn is_stuck(&self) -> bool {
-        self.stuck.get().is_some()
+    /// Whether the socket accepts no bytes at present.
+    pub fn is_blocked(&self) -> bool {
+        self.blocked_since.get().is_some()
     }
 
-    /// How long the socket has taken nothing.
-    pub fn stuck_for(&self) -> std::time::Duration {
-        self.stuck
+    /// How long the socket has accepted no bytes.
+    pub fn blocked_for(&self) -> Duration {
+        self.blocked_since
             .get()
             .map(|since| since.elapsed())
             .unwrap_or_default()
     }
 
-    /// Bytes that may be handed to the library now.
-    pub fn room(&self) -> usize {
-        QUEUE.saturating_sub(self.queued.get())
+    /// Bytes that may be passed to the library now.
+    pub fn send_capacity(&self) -> usize {
+        MAX_QUEUED_BYTES.saturating_sub(self.queued_bytes.get())
     }
 
-    pub fn queue(&self, bytes: usize) {
-        self.queued.set(self.queued.get() + bytes);
+    /// Notes that bytes were passed to the library.
+    pub fn add_queued(&self, bytes: usize) {
+        self.queued_bytes.set(self.queued_bytes.get() + bytes);
     }
 
-    /// Waits until the socket has taken something. Many may wait: each rings for the next one.
-    pub async fn flowed(&self) {
-        self.until(|seen| seen.room() > 0).await;
+    /// Waits until bytes may be passed to the library, or the connection ends.
+    pub async fn send_capacity_available(&self) {
+        self.wait_until(|monitor| monitor.send_capacity() > 0).await;
     }
 
-    /// Waits while the socket takes nothing: the library holds what a stream has left behind until then.
-    pub async fn settled(&self) {
-        self.until(|seen| !seen.is_stuck()).await;
+    /// Waits until the socket accepts bytes, or the connection ends. The library keeps what a stream has left behind
+    /// until then.
+    pub async fn unblocked(&self) {
+        self.wait_until(|monitor| !monitor.is_blocked()).await;
     }
 
-    async fn until(&self, test: impl Fn(&Seen) -> bool) {
-        if test(self) {
+    async fn wait_until(&self, condition: impl Fn(&TransportMonitor) -> bool) {
+        if condition(self) {
             return;
         }
-        while !test(self) && !self.closed.get() {
-            self.flowed.notified().await;
+        while !condition(self) && !self.closed.get() {
+            self.progress.notified().await;
         }
-        self.flowed.notify();
+        // A notification wakes one waiter, so each waiter wakes the next one.
+        self.progress.notify();
     }
 
-    /// The connection has ended: nobody waits for it any more.
+    /// Notes that the connection has ended and wakes everything that waits for it.
     pub fn close(&self) {
         self.closed.set(true);
-        self.flowed.notify();
+        self.progress.notify();
+    }
+
+    /// Whether nothing may be read now, although bytes may have arrived; the connection's task wakes as needed.
+    fn defers_reading(&self, cx: &Context<'_>) -> bool {
+        if self.bytes_read_this_turn.get() >= MAX_BYTES_PER_TURN {
+            cx.waker().wake_by_ref();
+            return true;
+        }
+        if self.is_blocked() {
+            // A client that reads nothing is not read either, since each of its frames may queue a reply. The library
+            // is polled again once the socket accepts bytes.
+            return true;
+        }
+        if self.meter.borrow().is_used_up() {
+            // The connection's task wakes and closes the connection.
+            cx.waker().wake_by_ref();
+            return true;
+        }
+        false
+    }
+
+    fn bytes_read(&self, bytes: &[u8]) {
+        self.bytes_read_this_turn
+            .set(self.bytes_read_this_turn.get() + bytes.len());
+        self.meter.borrow_mut().read(bytes, self.now());
+    }
+
+    fn write_blocked(&self) {
+        let since = self.blocked_since.get().unwrap_or_else(Instant::now);
+        self.blocked_since.set(Some(since));
+    }
+
+    fn bytes_written(&self, count: usize) {
+        self.blocked_since.set(None);
+        self.queued_bytes
+            .set(self.queued_bytes.get().saturating_sub(count));
+        self.progress.notify();
+    }
+
+    /// Notes that all that was queued has been written. Frames of streams that were reset never reach the socket, so
+    /// the count alone would stay too high.
+    fn all_written(&self) {
+        self.queued_bytes.set(0);
+        self.progress.notify();
     }
 }
 
 /// The two directions of a connection.
-pub(crate) struct Wire {
+pub(crate) struct Transport {
     stream: Rc<Stream>,
-    /// What was read before the library was asked.
-    head: Bytes,
-    seen: Rc<Seen>,
+    /// Bytes that were read before the library took over.
+    received: Bytes,
+    monitor: Rc<TransportMonitor>,
 }
 
-impl Wire {
-    /// `head` are the bytes that were read already, the preface first; `counted` of them are the preface.
-    pub fn new(stream: Rc<Stream>, head: Bytes, counted: usize, seen: Rc<Seen>) -> Wire {
-        seen.meter.borrow_mut().read(&head[counted..], seen.now());
-        Wire { stream, head, seen }
+impl Transport {
+    /// `received` was read already and starts with the connection preface of `preface_len` bytes.
+    pub fn new(
+        stream: Rc<Stream>,
+        received: Bytes,
+        preface_len: usize,
+        monitor: Rc<TransportMonitor>,
+    ) -> Transport {
+        let frames = &received[preface_len..];
+        monitor.meter.borrow_mut().read(frames, monitor.now());
+        Transport {
+            stream,
+            received,
+            monitor,
+        }
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for Transport {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if !self.head.is_empty() {
-            let count = self.head.len().min(buffer.remaining());
-            buffer.put_slice(&self.head[..count]);
-            self.head.advance(count);
+        if !self.received.is_empty() {
+            let count = self.received.len().min(buffer.remaining());
+            buffer.put_slice(&self.received[..count]);
+            self.received.advance(count);
             return Poll::Ready(Ok(()));
         }
-        let seen = &self.seen;
-        if seen.turn.get() >= TURN {
-            cx.waker().wake_by_ref();
-            return Poll::Pending;
-        }
-        if seen.is_stuck() {
-            // Who reads nothing is not read either: each frame of it may leave one of ours behind. The library is
-            // polled again once the socket takes something.
-            return Poll::Pending;
-        }
-        if seen.meter.borrow().is_used_up() {
-            // Nothing more is read; the connection's task ends it.
-            cx.waker().wake_by_ref();
+        if self.monitor.defers_reading(cx) {
             return Poll::Pending;
         }
         let polled = Pin::new(&mut &*self.stream).poll_read(cx, buffer.initialize_unfilled());
         polled.map_ok(|count| {
             let start = buffer.filled().len();
             buffer.advance(count);
-            seen.turn.set(seen.turn.get() + count);
-            seen.meter
-                .borrow_mut()
-                .read(&buffer.filled()[start..], seen.now());
+            self.monitor.bytes_read(&buffer.filled()[start..]);
         })
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for Transport {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut &*self.stream).poll_write(cx, bytes);
-        let seen = &self.seen;
         match &polled {
-            Poll::Pending => drop(
-                seen.stuck
-                    .replace(Some(seen.stuck.get().unwrap_or_else(Instant::now))),
-            ),
-            Poll::Ready(Ok(count)) => {
-                seen.stuck.set(None);
-                seen.queued.set(seen.queued.get().saturating_sub(*count));
-                seen.flowed.notify();
-            }
+            Poll::Pending => self.monitor.write_blocked(),
+            Poll::Ready(Ok(count)) => self.monitor.bytes_written(*count),
             Poll::Ready(Err(_)) => {}
         }
         polled
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // All that was written before is gone; frames of streams that were reset never come by here.
-        self.seen.queued.set(0);
-        self.seen.flowed.notify();
+        // The library flushes only once it has written everything.
+        self.monitor.all_written();
         Pin::new(&mut &*self.stream).poll_flush(cx)
     }
 
