--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -2,7 +2,7 @@
 
 use crate::frontend::connection_pool::ConnectionPool;
 use crate::frontend::response_buffer::ResponseBudget;
-use crate::recording::recorded_stream::RecorderHandle;
+use crate::recording::RecorderHandle;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -128,7 +128,7 @@
         }
         None => None,
     };
-    let tap = recording.as_ref().map(|recording| recording.tap.clone());
+    let tap = recording.as_ref().map(|recording| recording.handle.clone());
     let executor = Rc::new(LocalExecutor::new());
     peers.members = membership.as_ref().map(membership::Membership::handle);
     let serving = serve::serve(executor.clone(), config, listeners, signals, tap, peers);
--- a/crates/heathspurd/src/peers/connection.rs
+++ b/crates/heathspurd/src/peers/connection.rs
@@ -2,7 +2,8 @@
 
 use crate::clock::within;
 use crate::notify::Notify;
-use crate::recording::recorded_stream::{RecorderHandle, Stream};
+use crate::recording::recorded_stream::Stream;
+use crate::recording::RecorderHandle;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use heathspur_record::recorder::Leg;
--- a/crates/heathspurd/src/peers/store/connection.rs
+++ b/crates/heathspurd/src/peers/store/connection.rs
@@ -3,7 +3,8 @@
 use crate::frontend::AttemptId;
 use crate::peers::connection::{connect, is_idle, ReadBuffer};
 use crate::peers::store::Call;
-use crate::recording::recorded_stream::{RecorderHandle, Stream};
+use crate::recording::recorded_stream::Stream;
+use crate::recording::RecorderHandle;
 use bytes::Bytes;
 use futures_lite::AsyncWriteExt;
 use heathspur::Outcome;
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::frontend::AttemptId;
 use crate::membership::failover::{Routes, Way};
-use crate::recording::recorded_stream::RecorderHandle;
+use crate::recording::RecorderHandle;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use bytes::Bytes;
--- a/crates/heathspurd/src/peers/store/pool.rs
+++ b/crates/heathspurd/src/peers/store/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::peers::store::connection::Connection;
 use crate::peers::store::Call;
-use crate::recording::recorded_stream::RecorderHandle;
+use crate::recording::RecorderHandle;
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/heathspurd/src/recording/recorded_stream.rs
+++ b/crates/heathspurd/src/recording/recorded_stream.rs
@@ -1,178 +1,156 @@
-//! Streams whose bytes are recorded where that is switched on. Off, it costs a look at an option for each read
-//! and write.
+//! TCP streams whose traffic is recorded where that is enabled. Without recording, each read and write costs one look at
+//! an option.
 
+use crate::recording::RecorderHandle;
 use async_io::Async;
 use bytes::Bytes;
 use futures_lite::{AsyncRead, AsyncWrite};
-use heathspur_capture::{Side, Stamp};
-use heathspur_record::recorder::{Ends, Event, Leg, Seen};
+use heathspur_capture::Side;
+use heathspur_record::recorder::{Ends, Leg, Seen};
 use std::cell::Cell;
 use std::io;
-use std::net::{SocketAddr, TcpStream};
+use std::net::TcpStream;
 use std::ops::Deref;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::mpsc::SyncSender;
-use std::sync::Arc;
 use std::task::{Context, Poll};
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// An event on its way to the recorder, and how many of each leg were left out before it.
-pub(crate) struct Item {
-    pub event: Event,
-    pub missed: [u64; 3],
-}
-
-/// Where all recorded streams send what they see. It never waits: past the budget events are left out.
-pub(crate) struct RecorderHandle {
-    items: SyncSender<Item>,
-    /// Bytes on their way; the recorder counts down.
-    waiting: Arc<AtomicUsize>,
-    budget: usize,
-    links: bool,
-    missed: Cell<[u64; 3]>,
-    next: Cell<u64>,
-    /// Wall clock and monotonic clock at the start: a jump of the first moves no time within a recording.
-    started: (u64, Instant),
+/// A connection's stream.
+pub(crate) struct Stream {
+    inner: Async<TcpStream>,
+    recorder: Option<StreamRecorder>,
 }
 
-impl RecorderHandle {
-    pub fn new(
-        items: SyncSender<Item>,
-        waiting: Arc<AtomicUsize>,
-        budget: usize,
-        links: bool,
-    ) -> RecorderHandle {
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        RecorderHandle {
-            items,
-            waiting,
-            budget,
-            links,
-            missed: Cell::new([0; 3]),
-            next: Cell::new(1),
-            started: (unix.as_nanos() as u64, Instant::now()),
-        }
+impl Stream {
+    /// A connection that a client has made.
+    pub fn accepted(inner: Async<TcpStream>, handle: Option<&Rc<RecorderHandle>>) -> Stream {
+        let recorder = handle
+            .and_then(|handle| StreamRecorder::start(&inner, handle, Leg::Front, Side::Server));
+        Stream { inner, recorder }
     }
 
-    /// False if it was left out.
-    fn send(&self, ends: Ends, seen: Seen) -> bool {
-        let (unix, start) = self.started;
-        let time = Stamp(unix + start.elapsed().as_nanos() as u64);
-        let event = Event { ends, time, seen };
-        let (weight, mut missed) = (event.weight(), self.missed.get());
-        let leg = ends.leg as usize;
-        if self.waiting.load(Ordering::Relaxed) + weight <= self.budget {
-            self.waiting.fetch_add(weight, Ordering::Relaxed);
-            if self.items.try_send(Item { event, missed }).is_ok() {
-                self.missed.set([0; 3]);
-                return true;
-            }
-            self.waiting.fetch_sub(weight, Ordering::Relaxed);
-        }
-        missed[leg] += 1;
-        self.missed.set(missed);
-        false
+    /// A connection made to a peer.
+    pub fn made(inner: Async<TcpStream>, recorded: Option<(&Rc<RecorderHandle>, Leg)>) -> Stream {
+        let recorder = recorded
+            .filter(|(handle, _)| handle.records_peer_links())
+            .and_then(|(handle, leg)| StreamRecorder::start(&inner, handle, leg, Side::Client));
+        Stream { inner, recorder }
     }
 }
 
-/// The recording of one stream.
-struct Tape {
-    tap: Rc<RecorderHandle>,
+/// Records one stream; its end is recorded when it is dropped.
+struct StreamRecorder {
+    handle: Rc<RecorderHandle>,
     ends: Ends,
-    /// Which side we are.
-    us: Side,
-    /// Bytes of the client and of the server that were left out.
-    missed: Cell<[u64; 2]>,
-    /// Who ended it, and whether by a reset.
-    ended: Cell<(Side, bool)>,
+    /// The side of the connection that this process is.
+    local_side: Side,
+    dropped_bytes: Cell<DroppedBytes>,
+    end: Cell<StreamEnd>,
 }
 
-impl Tape {
-    fn said(&self, side: Side, bytes: &[u8]) {
-        let (at, mut missed) = (usize::from(side == Side::Server), self.missed.get());
-        let seen = Seen::Said {
-            side,
-            bytes: Bytes::copy_from_slice(bytes),
-            missed: missed[at],
-        };
-        missed[at] = if self.tap.send(self.ends, seen) {
-            0
-        } else {
-            missed[at] + bytes.len() as u64
-        };
-        self.missed.set(missed);
-    }
+/// Bytes of each side that were not recorded since the last recorded ones.
+#[derive(Clone, Copy, Default)]
+struct DroppedBytes {
+    client: u64,
+    server: u64,
 }
 
-impl Drop for Tape {
-    fn drop(&mut self) {
-        let (by, reset) = self.ended.get();
-        self.tap.send(self.ends, Seen::Closed { by, reset });
+impl DroppedBytes {
+    fn of(&mut self, side: Side) -> &mut u64 {
+        match side {
+            Side::Client => &mut self.client,
+            Side::Server => &mut self.server,
+        }
     }
 }
 
-/// A connection's stream.
-pub(crate) struct Stream {
-    inner: Async<TcpStream>,
-    tape: Option<Tape>,
+/// Which side ended a stream, and whether by a reset.
+#[derive(Clone, Copy)]
+struct StreamEnd {
+    by: Side,
+    is_reset: bool,
 }
 
-impl Stream {
-    /// One that came to us.
-    pub fn accepted(inner: Async<TcpStream>, tap: Option<&Rc<RecorderHandle>>) -> Stream {
-        let tape = tap.and_then(|tap| tape(&inner, tap, Leg::Front, Side::Server));
-        Stream { inner, tape }
+impl StreamRecorder {
+    /// Records the start of a stream; `None` where its addresses are unknown because it has ended.
+    fn start(
+        stream: &Async<TcpStream>,
+        handle: &Rc<RecorderHandle>,
+        leg: Leg,
+        local_side: Side,
+    ) -> Option<StreamRecorder> {
+        let local = stream.get_ref().local_addr().ok()?;
+        let remote = stream.get_ref().peer_addr().ok()?;
+        let (client, server) = match local_side {
+            Side::Client => (local, remote),
+            Side::Server => (remote, local),
+        };
+        let ends = Ends {
+            number: handle.next_connection(),
+            leg,
+            client,
+            server,
+        };
+        handle.send(ends, Seen::Opened);
+        Some(StreamRecorder::new(handle.clone(), ends, local_side))
     }
 
-    /// One that we made.
-    pub fn made(inner: Async<TcpStream>, recorded: Option<(&Rc<RecorderHandle>, Leg)>) -> Stream {
-        let tape = recorded.filter(|(tap, _)| tap.links);
-        let tape = tape.and_then(|(tap, leg)| self::tape(&inner, tap, leg, Side::Client));
-        Stream { inner, tape }
+    fn new(handle: Rc<RecorderHandle>, ends: Ends, local_side: Side) -> StreamRecorder {
+        StreamRecorder {
+            handle,
+            ends,
+            local_side,
+            dropped_bytes: Cell::default(),
+            end: Cell::new(StreamEnd {
+                by: local_side,
+                is_reset: false,
+            }),
+        }
     }
 
-    fn ended(&self, result: &io::Result<usize>) {
-        let Some(tape) = &self.tape else { return };
+    /// Records bytes that a side has sent.
+    fn record_bytes(&self, side: Side, bytes: &[u8]) {
+        let mut dropped_bytes = self.dropped_bytes.get();
+        let dropped = dropped_bytes.of(side);
+        let seen = Seen::Said {
+            side,
+            bytes: Bytes::copy_from_slice(bytes),
+            missed: *dropped,
+        };
+        *dropped = match self.handle.send(self.ends, seen) {
+            true => 0,
+            false => *dropped + bytes.len() as u64,
+        };
+        self.dropped_bytes.set(dropped_bytes);
+    }
+
+    /// Records the result of a read into `buffer`.
+    fn record_read(&self, result: &io::Result<usize>, buffer: &[u8]) {
+        let remote_side = self.local_side.other();
         match result {
-            Ok(0) => tape.ended.set((tape.us.other(), false)),
-            Err(e) if e.kind() == io::ErrorKind::ConnectionReset => {
-                tape.ended.set((tape.us.other(), true))
-            }
-            _ => {}
+            Ok(0) => self.end.set(StreamEnd {
+                by: remote_side,
+                is_reset: false,
+            }),
+            Ok(count) => self.record_bytes(remote_side, &buffer[..*count]),
+            Err(e) if e.kind() == io::ErrorKind::ConnectionReset => self.end.set(StreamEnd {
+                by: remote_side,
+                is_reset: true,
+            }),
+            Err(_) => {}
         }
     }
 }
 
-fn tape(stream: &Async<TcpStream>, tap: &Rc<RecorderHandle>, leg: Leg, us: Side) -> Option<Tape> {
-    let (ours, theirs): (SocketAddr, SocketAddr) = (
-        stream.get_ref().local_addr().ok()?,
-        stream.get_ref().peer_addr().ok()?,
-    );
-    let (client, server) = if us == Side::Client {
-        (ours, theirs)
-    } else {
-        (theirs, ours)
-    };
-    let number = tap.next.get();
-    tap.next.set(number + 1);
-    let ends = Ends {
-        number,
-        leg,
-        client,
-        server,
-    };
-    tap.send(ends, Seen::Opened);
-    Some(Tape {
-        tap: tap.clone(),
-        ends,
-        us,
-        missed: Cell::new([0; 2]),
-        ended: Cell::new((us, false)),
-    })
+impl Drop for StreamRecorder {
+    fn drop(&mut self) {
+        let StreamEnd { by, is_reset } = self.end.get();
+        let closed = Seen::Closed {
+            by,
+            reset: is_reset,
+        };
+        self.handle.send(self.ends, closed);
+    }
 }
 
 impl Deref for Stream {
@@ -189,13 +167,10 @@
         cx: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let this = *self;
-        let polled = Pin::new(&mut &this.inner).poll_read(cx, buffer);
-        if let (Some(tape), Poll::Ready(result)) = (&this.tape, &polled) {
-            this.ended(result);
-            if let Ok(count @ 1..) = result {
-                tape.said(tape.us.other(), &buffer[..*count]);
-            }
+        let stream = *self;
+        let polled = Pin::new(&mut &stream.inner).poll_read(cx, buffer);
+        if let (Some(recorder), Poll::Ready(result)) = (&stream.recorder, &polled) {
+            recorder.record_read(result, buffer);
         }
         polled
     }
@@ -207,10 +182,10 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let this = *self;
-        let polled = Pin::new(&mut &this.inner).poll_write(cx, bytes);
-        if let (Some(tape), Poll::Ready(Ok(count))) = (&this.tape, &polled) {
-            tape.said(tape.us, &bytes[..*count]);
+        let stream = *self;
+        let polled = Pin::new(&mut &stream.inner).poll_write(cx, bytes);
+        if let (Some(recorder), Poll::Ready(Ok(count))) = (&stream.recorder, &polled) {
+            recorder.record_bytes(recorder.local_side, &bytes[..*count]);
         }
         polled
     }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::peers::interpreter;
 use crate::peers::registration;
 use crate::peers::store;
-use crate::recording::recorded_stream::RecorderHandle;
+use crate::recording::RecorderHandle;
 use crate::signals;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
--- a/crates/heathspurd/tests/unit/recorded_stream.rs
+++ b/crates/heathspurd/tests/unit/recorded_stream.rs
@@ -1,7 +1,11 @@
-//! Unit tests of `src/tape.rs`, which names this file as its module of tests.
+//! Unit tests of `src/recording/recorded_stream.rs`, which names this file as its module of tests.
 
 use super::*;
+use crate::recording::handle::QueuedEvent;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::sync_channel;
+use std::sync::Arc;
 
 fn ends() -> Ends {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -14,50 +18,36 @@
 }
 
 #[test]
-fn a_recorder_that_hangs_costs_events_and_never_a_wait() {
-    let (items, recorder) = sync_channel(1000);
-    let waiting = Arc::new(AtomicUsize::new(0));
-    let tap = Rc::new(RecorderHandle::new(items, waiting.clone(), 10_000, false));
-    let tape = Tape {
-        tap: tap.clone(),
-        ends: ends(),
-        us: Side::Server,
-        missed: Cell::new([0; 2]),
-        ended: Cell::new((Side::Server, false)),
-    };
+fn a_stalled_recorder_drops_events_and_never_blocks() {
+    let (events, recorder) = sync_channel(1000);
+    let queued_bytes = Arc::new(AtomicUsize::new(0));
+    let handle = Rc::new(RecorderHandle::new(
+        events,
+        queued_bytes.clone(),
+        10_000,
+        false,
+    ));
+    let stream = StreamRecorder::new(handle.clone(), ends(), Side::Server);
     for _ in 0..100 {
-        tape.said(Side::Client, &[b'a'; 500]);
+        stream.record_bytes(Side::Client, &[b'a'; 500]);
     }
-    let taken: Vec<Item> = recorder.try_iter().collect();
+    let taken: Vec<QueuedEvent> = recorder.try_iter().collect();
     assert!((5..20).contains(&taken.len()), "{}", taken.len());
-    assert!(waiting.load(Ordering::Relaxed) <= 10_000);
-    // It goes on: what was left out is told with the next event, in bytes and in number.
-    waiting.store(0, Ordering::Relaxed);
-    tape.said(Side::Client, b"next");
+    assert!(queued_bytes.load(Ordering::Relaxed) <= 10_000);
+    // The next event reports what was dropped, in bytes and in events.
+    queued_bytes.store(0, Ordering::Relaxed);
+    stream.record_bytes(Side::Client, b"next");
     let next = recorder.try_recv().unwrap();
-    let left_out = 100 - taken.len() as u64;
-    assert_eq!(next.missed, [left_out, 0, 0]);
+    let dropped = 100 - taken.len() as u64;
+    assert_eq!(next.dropped_events, [dropped, 0, 0]);
     let Seen::Said { missed, .. } = next.event.seen else {
         panic!("{:?}", next.event)
     };
-    assert_eq!(missed, left_out * 500);
-    tape.said(Side::Server, b"answer");
+    assert_eq!(missed, dropped * 500);
+    stream.record_bytes(Side::Server, b"answer");
     let answer = recorder.try_recv().unwrap();
-    assert!(matches!(answer.event.seen, Seen::Said { missed: 0, .. }) && answer.missed == [0; 3]);
-}
-
-#[test]
-fn a_full_queue_counts_as_a_hanging_recorder() {
-    let (items, recorder) = sync_channel(2);
-    let waiting = Arc::new(AtomicUsize::new(0));
-    let tap = RecorderHandle::new(items, waiting.clone(), 1 << 20, false);
-    let sent = (0..10).filter(|_| tap.send(ends(), Seen::Opened)).count();
-    assert_eq!((sent, tap.missed.get()), (2, [8, 0, 0]));
-    assert_eq!(
-        recorder
-            .try_iter()
-            .map(|item| item.event.weight())
-            .sum::<usize>(),
-        waiting.load(Ordering::Relaxed)
+    assert!(
+        matches!(answer.event.seen, Seen::Said { missed: 0, .. })
+            && answer.dropped_events == [0; 3]
     );
 }
--- /dev/null
+++ b/crates/heathspurd/tests/unit/recorder_handle.rs
@@ -0,0 +1,33 @@
+//! Unit tests of `src/recording/handle.rs`, which names this file as its module of tests.
+
+use super::*;
+use std::net::SocketAddr;
+use std::sync::mpsc::sync_channel;
+
+fn ends() -> Ends {
+    let address = SocketAddr::from(([127, 0, 0, 1], 9));
+    Ends {
+        number: 1,
+        leg: Leg::Front,
+        client: address,
+        server: address,
+    }
+}
+
+#[test]
+fn a_full_queue_drops_events_and_counts_them() {
+    let (events, recorder) = sync_channel(2);
+    let queued_bytes = Arc::new(AtomicUsize::new(0));
+    let handle = RecorderHandle::new(events, queued_bytes.clone(), 1 << 20, false);
+    let sent = (0..10)
+        .filter(|_| handle.send(ends(), Seen::Opened))
+        .count();
+    assert_eq!((sent, handle.dropped_events.get()), (2, [8, 0, 0]));
+    assert_eq!(
+        recorder
+            .try_iter()
+            .map(|queued| queued.event.weight())
+            .sum::<usize>(),
+        queued_bytes.load(Ordering::Relaxed)
+    );
+}
