--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -235,7 +235,7 @@
         );
         self.peer_addresses.interpreter.set(config.vm);
         self.peer_addresses.registration.set(config.announce);
-        self.store.set(config.store);
+        self.store.set_address(config.store);
     }
 
     /// What is due by the clock.
@@ -321,7 +321,7 @@
             self.clock
                 .instant(self.now + span(stop.saturating_sub(LEAVE))),
         ));
-        self.frontend.connections.tell_closed(self.closed.clone());
+        self.frontend.connections.notify_closed(self.closed.clone());
         self.events.push(Event::Drain(span(stop)));
     }
 
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -20,7 +20,7 @@
 use crate::peers::interpreter;
 use crate::peers::registration;
 use crate::peers::store;
-use crate::recording::recorded_stream::RecorderHandle;
+use crate::recording::RecorderHandle;
 use crate::signals;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -154,7 +154,7 @@
             .detach();
     }
     executor
-        .spawn(interpreter::keep(
+        .spawn(interpreter::run(
             targets.interpreter.clone(),
             interpreter.clone(),
             to_owner.clone(),
@@ -162,7 +162,7 @@
         ))
         .detach();
     executor
-        .spawn(registration::keep(
+        .spawn(registration::run(
             targets.registration.clone(),
             config.name.clone(),
             readiness.clone(),
