--- a/crates/heathspurd/src/frontend/header.rs
+++ b/crates/heathspurd/src/frontend/header.rs
@@ -26,23 +26,21 @@
 impl RequestHeader {
     /// The field with this name, compared without case; `None` for fields that are ignored.
     pub fn from_name(name: &[u8]) -> Option<RequestHeader> {
-        const NAMES: [(&str, RequestHeader); 11] = [
-            ("X-Txn", RequestHeader::AttemptId),
-            ("X-Ingress-Time", RequestHeader::ReceivedAt),
-            ("X-Working-Set-Kb", RequestHeader::MemoryKb),
-            ("X-Shed-Order", RequestHeader::ShedRank),
-            ("X-Router", RequestHeader::Router),
-            ("X-Merchant", RequestHeader::Tenant),
-            ("X-Second-Try", RequestHeader::IsRetry),
-            ("X-Txn-Key", RequestHeader::IdempotencyKey),
-            ("X-Ttl-Ms", RequestHeader::ClientTimeout),
-            ("X-Cpu-Hint", RequestHeader::CostHint),
-            ("X-Row", RequestHeader::Subject),
-        ];
-        NAMES
-            .iter()
-            .find(|(known, _)| name.eq_ignore_ascii_case(known.as_bytes()))
-            .map(|(_, header)| *header)
+        let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
+        match name {
+            _ if is("X-Txn") => Some(RequestHeader::AttemptId),
+            _ if is("X-Ingress-Time") => Some(RequestHeader::ReceivedAt),
+            _ if is("X-Working-Set-Kb") => Some(RequestHeader::MemoryKb),
+            _ if is("X-Shed-Order") => Some(RequestHeader::ShedRank),
+            _ if is("X-Router") => Some(RequestHeader::Router),
+            _ if is("X-Merchant") => Some(RequestHeader::Tenant),
+            _ if is("X-Second-Try") => Some(RequestHeader::IsRetry),
+            _ if is("X-Txn-Key") => Some(RequestHeader::IdempotencyKey),
+            _ if is("X-Ttl-Ms") => Some(RequestHeader::ClientTimeout),
+            _ if is("X-Cpu-Hint") => Some(RequestHeader::CostHint),
+            _ if is("X-Row") => Some(RequestHeader::Subject),
+            _ => None,
+        }
     }
 }
 
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -39,21 +39,33 @@
     Invalid(u16),
 }
 
+/// A complete message, and whether the client expects its answer to be the last one on the connection.
+struct ReceivedMessage {
+    content: ParsedMessage,
+    last: Last,
+}
+
 /// Returns the function that serves a connection of this frontend.
 pub(crate) fn serve(
     executor: Rc<LocalExecutor<'static>>,
     frontend: Rc<FrontendHandle>,
 ) -> impl Fn(Stream, Permit) {
     move |stream, permit| {
-        let connection = Connection {
-            input: Input::new(stream),
-            frontend: frontend.clone(),
-            permit,
-        };
-        executor.spawn(connection.run()).detach()
+        executor
+            .spawn(serve_connection(stream, frontend.clone(), permit))
+            .detach()
     }
 }
 
+async fn serve_connection(stream: Stream, frontend: Rc<FrontendHandle>, permit: Permit) {
+    let mut connection = Connection {
+        input: Input::new(stream),
+        frontend,
+        permit,
+    };
+    connection.run().await;
+}
+
 struct Connection {
     input: Input,
     frontend: Rc<FrontendHandle>,
@@ -62,7 +74,7 @@
 
 impl Connection {
     /// Serves the connection to its end.
-    async fn run(mut self) {
+    async fn run(&mut self) {
         // Fails on a connection that is gone, which the first read reports.
         let _ = self.input.stream().get_ref().set_nodelay(true);
         let reason = loop {
@@ -86,7 +98,10 @@
             .input
             .next_message(&self.frontend.context, &self.permit);
         match self.permit.idle(next).await {
-            Ok(Ok(message)) => self.serve_message(message).await,
+            Ok(Ok(message)) => {
+                let message = self.take_message(&message);
+                self.serve_message(message).await
+            }
             Ok(Err(CloseReason::NoMoreRequests)) => self.close_unless_received().await,
             Ok(Err(reason)) => Err(reason),
             Err(request) => self.leave(request).await,
@@ -113,18 +128,22 @@
         }
     }
 
-    /// Answers a complete message.
-    async fn serve_message(&mut self, message: Message) -> Result<(), CloseReason> {
+    /// Takes a complete message from the input.
+    fn take_message(&mut self, message: &Message) -> ReceivedMessage {
         let fields = Fields::over(&self.input.bytes()[message.fields.clone()]);
-        let mut last = match http::says_close(fields) {
+        let last = match http::says_close(fields) {
             true => Last::Yes,
             false => Last::No,
         };
-        let bytes = self.input.take_message(&message);
-        let parsed = parse(&bytes, &message, &self.frontend.context);
-        // The request keeps the parts that it needs.
-        drop(bytes);
-        let response = match parsed {
+        let bytes = self.input.take_message(message);
+        let content = parse(&bytes, message, &self.frontend.context);
+        ReceivedMessage { content, last }
+    }
+
+    /// Answers a complete message.
+    async fn serve_message(&mut self, message: ReceivedMessage) -> Result<(), CloseReason> {
+        let ReceivedMessage { content, mut last } = message;
+        let response = match content {
             ParsedMessage::Invalid(status) => return Err(CloseReason::InvalidRequest(status)),
             ParsedMessage::HealthCheck => {
                 self.permit.request_received();
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -40,7 +40,7 @@
     let connection = slot.connection().clone();
     let limits = &connection.frontend.settings.request;
     let max_body_bytes = limits.body.0 as u32;
-    let task = StreamTask {
+    let mut task = StreamTask {
         life: Life::new(max_body_bytes),
         receiver: RequestReceiver::new(request, limits.whole.0, connection.context()),
         sender: ResponseSender::new(connection.clone(), responder),
@@ -51,7 +51,7 @@
 }
 
 impl StreamTask {
-    async fn run(mut self) {
+    async fn run(&mut self) {
         let mut pending_event = match self.receiver.target() {
             RequestTarget::HealthCheck => return self.answer_health_check(),
             RequestTarget::Invalid(status) => Some(Event::Wrong { status: *status }),
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -125,9 +125,10 @@
             started: Instant::now(),
             written: written.clone(),
         };
+        let (link, task_route) = (self.clone(), route.clone());
         let task = self
             .executor
-            .spawn(self.clone().run_call(outgoing, route.clone()));
+            .spawn(async move { link.run_call(&outgoing, &task_route).await });
         let pending = PendingCall {
             task,
             written,
@@ -147,33 +148,33 @@
     }
 
     /// Carries a call to its end and reports how it ended.
-    async fn run_call(self: Rc<Self>, outgoing: OutgoingCall, route: Route) {
-        let (outcome, body) = match &route {
-            Route::ConfiguredAddress => self.exchange(&outgoing, self.address.get()).await,
+    async fn run_call(&self, outgoing: &OutgoingCall, route: &Route) {
+        let (outcome, body) = match route {
+            Route::ConfiguredAddress => self.exchange(outgoing, self.address.get()).await,
             Route::Replica(replica) => {
-                let (outcome, body) = self.exchange(&outgoing, Some(replica.address())).await;
+                let (outcome, body) = self.exchange(outgoing, Some(replica.address())).await;
                 replica.ended(outcome);
                 (outcome, body)
             }
             // Nothing of the call was sent, so it is proven not to have run.
             Route::NoCapacity => (Outcome::Rejected, Bytes::new()),
         };
+        self.detach(outgoing.call.call);
         let completed = CallCompleted {
             request: outgoing.call.request,
             call: outgoing.call.call,
             outcome,
             body,
         };
-        self.report(completed).await;
+        // Fails only once the event loop has ended.
+        let _ = self.events.send(completed.into()).await;
     }
 
-    async fn report(&self, completed: CallCompleted) {
-        // From here on the call cannot be abandoned: the event loop learns its outcome.
-        if let Some(pending) = self.pending.borrow_mut().remove(&completed.call) {
+    /// Makes a call impossible to abandon, since the event loop will learn its outcome.
+    fn detach(&self, call: CallId) {
+        if let Some(pending) = self.pending.borrow_mut().remove(&call) {
             pending.task.detach();
         }
-        // Fails only once the event loop has ended.
-        let _ = self.events.send(completed.into()).await;
     }
 
     /// Abandons a call that took too long, which counts against the replica that it went to.
@@ -213,8 +214,8 @@
         };
         // Waiting for a slot and connecting count towards the call's timeout.
         let _slot = self.pool.acquire_slot().await;
-        let connected = self.pool.connect(call, address, outgoing.time_left()).await;
-        let mut connection = match connected {
+        let time_left = outgoing.time_left();
+        let mut connection = match self.pool.connect(call, address, time_left).await {
             Ok(connection) => connection,
             Err(e) => {
                 warn!(error = %e, "no connection to the store: {e}");
