--- a/crates/heathspurd/src/peers/interpreter.rs
+++ b/crates/heathspurd/src/peers/interpreter/mod.rs
@@ -4,10 +4,11 @@
 //! [`run`] owns the connection and its reconnect backoff. The event loop queues commands on the [`Link`] and receives
 //! [`InterpreterEvent`]s; it never waits for the connection.
 
+mod notice_sequence;
+
 use crate::frontend::AttemptId;
 use crate::notify::Notify;
 use crate::peers::connection::{connect, PeerAddress, ReadBuffer};
-use crate::peers::notice_sequence::{NoticeSequence, SequencePosition};
 use crate::recording::recorded_stream::Stream;
 use crate::recording::RecorderHandle;
 use async_channel::Sender;
@@ -16,6 +17,7 @@
 use futures_lite::{future, AsyncWriteExt};
 use heathspur_record::recorder::Leg;
 use heathspur_wire::interpreter::{self as wire, Command, End, Notice, Warmth};
+use notice_sequence::{NoticeSequence, SequencePosition};
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::io;
@@ -365,5 +367,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/interpreter.rs"]
+#[path = "../../../tests/unit/interpreter.rs"]
 mod tests;
--- a/crates/heathspurd/src/peers/notice_sequence.rs
+++ b/crates/heathspurd/src/peers/interpreter/notice_sequence.rs
@@ -125,5 +125,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/notice_sequence.rs"]
+#[path = "../../../tests/unit/notice_sequence.rs"]
 mod tests;
--- a/crates/heathspurd/src/peers/mod.rs
+++ b/crates/heathspurd/src/peers/mod.rs
@@ -5,6 +5,5 @@
 
 pub(crate) mod connection;
 pub(crate) mod interpreter;
-pub(crate) mod notice_sequence;
 pub(crate) mod registration;
 pub(crate) mod store;
--- a/crates/heathspurd/tests/unit/interpreter.rs
+++ b/crates/heathspurd/tests/unit/interpreter.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/peers/interpreter.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/interpreter/mod.rs`, which names this file as its module of tests.
 
 use super::*;
 
