--- a/crates/heathspur-failover/src/call_budget.rs
+++ b/crates/heathspur-failover/src/call_budget.rs
@@ -1,42 +1,68 @@
-//! What may be under way to other zones at once: a far zone takes from others at most what its members report to
-//! have spare, shared evenly among the instances that send.
+//! Limits on calls in flight to other zones: a zone takes from all others at most the spare capacity that its members
+//! report, shared evenly among the instances that send there.
 
 use std::collections::BTreeMap;
 
-/// A far zone's spare capacity as its members report it: the admission's cap less what is in flight, summed.
-pub fn spare_capacity(members: impl Iterator<Item = (u32, u32)>) -> u32 {
-    members
-        .map(|(cap, in_flight)| cap.saturating_sub(in_flight))
-        .sum()
+/// The load that a member reports.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PeerLoad {
+    /// The limit of its admission on requests in flight.
+    pub concurrency_limit: u32,
+    /// Its requests in flight.
+    pub in_flight: u32,
 }
 
-/// Requests and calls under way to other zones, each given back once.
+impl PeerLoad {
+    /// Requests that it could take in addition.
+    pub fn spare(self) -> u32 {
+        self.concurrency_limit.saturating_sub(self.in_flight)
+    }
+}
+
+/// The spare capacity of a zone, in requests, as the sum over its members.
+pub fn spare_capacity(members: impl Iterator<Item = PeerLoad>) -> u32 {
+    members.map(PeerLoad::spare).sum()
+}
+
+/// The capacity of another zone and the instances that share it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ZoneCapacity {
+    /// The zone.
+    pub zone: String,
+    /// Requests that it has spare.
+    pub spare_capacity: u32,
+    /// Instances that send there, this one included.
+    pub senders: usize,
+}
+
+/// Calls of this instance in flight to other zones, each released once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CallBudget {
-    /// What this instance may have under way, by zone.
-    call_limits: BTreeMap<String, u32>,
+    /// The most calls in flight, by zone.
+    limits: BTreeMap<String, u32>,
     in_flight: BTreeMap<String, u32>,
 }
 
 impl CallBudget {
-    /// A new view: what each zone has spare, and how many instances send there (this one too).
-    pub fn set(&mut self, zones: impl Iterator<Item = (String, u32, usize)>) {
-        self.call_limits = zones
-            .map(|(zone, spare_capacity, senders)| (zone, spare_capacity / senders.max(1) as u32))
+    /// Sets the limits anew. Calls in flight stay counted.
+    pub fn set_capacities(&mut self, zones: impl Iterator<Item = ZoneCapacity>) {
+        let limit = |zone: &ZoneCapacity| zone.spare_capacity / zone.senders.max(1) as u32;
+        self.limits = zones
+            .map(|zone| (zone.zone.clone(), limit(&zone)))
             .collect();
     }
 
-    /// Takes a place on the way to a zone; false where it has none left for this instance.
+    /// Counts a call to a zone as in flight; false if the zone has no capacity left for this instance.
     #[must_use]
     pub fn try_acquire(&mut self, zone: &str) -> bool {
-        let call_limits = self.call_limits.get(zone).copied().unwrap_or(0);
+        let limit = self.limits.get(zone).copied().unwrap_or(0);
         let in_flight = self.in_flight.entry(zone.to_string()).or_insert(0);
-        let has = *in_flight < call_limits;
-        *in_flight += u32::from(has);
-        has
+        let acquired = *in_flight < limit;
+        *in_flight += u32::from(acquired);
+        acquired
     }
 
-    /// One that was taken has come back, with whatever end.
+    /// Releases a call that was acquired, whatever its outcome.
     pub fn release(&mut self, zone: &str) {
         if let Some(in_flight) = self.in_flight.get_mut(zone) {
             *in_flight = in_flight.saturating_sub(1);
@@ -46,7 +72,7 @@
         }
     }
 
-    /// What is under way to a zone.
+    /// Calls in flight to a zone.
     pub fn in_flight(&self, zone: &str) -> u32 {
         self.in_flight.get(zone).copied().unwrap_or(0)
     }
--- a/crates/heathspur-failover/src/replica_health.rs
+++ b/crates/heathspur-failover/src/replica_health.rs
@@ -1,6 +1,7 @@
-//! What one instance sees of one replica: how many calls succeed, and how long they take beside their quiet time.
+//! The health of one replica as one instance observes it: the part of calls that succeed, and their latency against
+//! the replica's own baseline.
 //!
-//! Counts decay, so that the sight is of the last seconds; a replica that nobody called of late is not seen at all.
+//! Counts decay, so that the observation is of the last seconds; without recent calls there is none.
 
 use crate::ALL_TRAFFIC_TENTHS;
 use heathspur::Outcome;
@@ -8,21 +9,25 @@
 
 /// Counts lose 63% of their weight in this time, in milliseconds.
 const DECAY_MS: f64 = 2_000.0;
-/// The quiet time follows the mean so slowly upwards, in milliseconds: a slow minute is not the new quiet.
+/// How slowly the latency baseline rises to the typical latency, in milliseconds: a slow minute is no new baseline.
 const BASELINE_RISE_MS: f64 = 600_000.0;
-/// And so slowly downwards. It follows the mean, not the fastest call: calls of one replica differ widely.
+/// How slowly the baseline falls, in milliseconds. It follows the typical latency and not the lowest one, since the
+/// calls of one replica differ widely.
 const BASELINE_FALL_MS: f64 = 5_000.0;
-/// Calls that take up to this many times their quiet time count as whole.
+/// Latencies up to this multiple of the baseline count as fully healthy.
 const LATENCY_TOLERANCE: f64 = 2.0;
-/// The level that checks without calls speak for at most.
+/// The highest level that health checks alone, without calls, justify.
 pub const MAX_LEVEL_BY_CHECKS: u8 = 2;
-/// Calls that have to be remembered, by weight, before anything is said.
-const MIN_CALL_WEIGHT: f64 = 3.0;
+/// The weight of one health check, in calls.
+const CHECK_WEIGHT: f64 = 2.0;
+/// The least weight of calls and checks that gives an observation.
+const MIN_OBSERVATION_WEIGHT: f64 = 3.0;
+/// The least weight of timed calls without which the level rests on checks alone.
+const MIN_TIMED_CALL_WEIGHT: f64 = 1.0;
 /// Envoy's overprovisioning factor: a replica that is healthy to 10 in 14 still takes all of its zone.
 const OVERPROVISIONING: f64 = 1.4;
 
-/// What a call's end tells of the replica that it went to: well, or not; `None` where it tells nothing, since the
-/// caller broke it off.
+/// Whether a call's outcome shows that its replica works; `None` if it shows neither, since the caller cancelled.
 pub fn call_succeeded(outcome: Outcome) -> Option<bool> {
     match outcome {
         Outcome::Ok | Outcome::NoLongerNeeded => Some(true),
@@ -35,91 +40,109 @@
     }
 }
 
-/// The natural logarithm of a call's time in milliseconds, for [`ReplicaHealth::record_calls`]; under 1 µs counts as 1 µs.
+/// The natural logarithm of a latency in milliseconds; under 1 µs counts as 1 µs.
 pub fn ln_latency_ms(latency: Duration) -> f64 {
     (latency.max(Duration::from_micros(1)).as_secs_f64() * 1e3).ln()
 }
 
-/// The sight of one replica.
+/// Calls to a replica that have completed. A call that was given up because it took too long has failed.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct CompletedCalls {
+    /// Calls that succeeded.
+    pub succeeded: u32,
+    /// Calls that failed.
+    pub failed: u32,
+    /// The sum of [`ln_latency_ms`] over the calls that succeeded.
+    pub latency_ln_sum: f64,
+}
+
+/// The observed health of one replica.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaHealth {
-    calls: f64,
+    /// The decayed weight of calls and checks.
+    weight: f64,
+    /// The part of it that succeeded.
     succeeded: f64,
-    /// Good calls whose times are known; a check's is none.
+    /// The decayed weight of successful calls, whose latency is known; checks have none.
     timed_calls: f64,
-    /// The decaying sum of the logarithms of the times of good calls. Their geometric mean tells of the typical
-    /// call: a few calls that met a stall of their own machine, a hundred times as long, hardly move it, where an
-    /// arithmetic mean would call a good replica five times as slow.
+    /// The decayed sum of the logarithms of their latencies. The geometric mean shows the typical call: a few calls
+    /// stalled by their own machine, a hundred times as long, hardly move it.
     latency_ln_sum: f64,
-    /// The geometric mean of a call's time in quiet, in milliseconds; `None` before it is known.
+    /// The typical latency of the healthy replica, in milliseconds; `None` before it is known.
     baseline_ms: Option<f64>,
 }
 
 impl ReplicaHealth {
-    /// Time passes.
+    /// Decays the counts by the elapsed time and moves the baseline towards the typical latency.
     pub fn advance(&mut self, elapsed_ms: u64) {
-        let left = (-(elapsed_ms as f64) / DECAY_MS).exp();
-        self.calls *= left;
-        self.succeeded *= left;
-        self.timed_calls *= left;
-        self.latency_ln_sum *= left;
-        if self.timed_calls < MIN_CALL_WEIGHT {
-            return;
+        let remaining = (-(elapsed_ms as f64) / DECAY_MS).exp();
+        self.weight *= remaining;
+        self.succeeded *= remaining;
+        self.timed_calls *= remaining;
+        self.latency_ln_sum *= remaining;
+        if self.timed_calls >= MIN_OBSERVATION_WEIGHT {
+            self.follow_baseline(elapsed_ms);
         }
-        let mean = self.typical_latency_ms();
-        let baseline_ms = self.baseline_ms.get_or_insert(mean);
-        let over = if mean > *baseline_ms {
+    }
+
+    fn follow_baseline(&mut self, elapsed_ms: u64) {
+        let typical_ms = self.typical_latency_ms();
+        let baseline_ms = self.baseline_ms.get_or_insert(typical_ms);
+        let time_constant_ms = if typical_ms > *baseline_ms {
             BASELINE_RISE_MS
         } else {
             BASELINE_FALL_MS
         };
-        *baseline_ms += (mean - *baseline_ms) * (1.0 - (-(elapsed_ms as f64) / over).exp());
+        let gain = 1.0 - (-(elapsed_ms as f64) / time_constant_ms).exp();
+        *baseline_ms += (typical_ms - *baseline_ms) * gain;
     }
 
-    /// So many calls ended well, with the natural logarithms of their times in milliseconds summed, and so many not.
-    /// A call that was given up because it took too long is not well.
-    pub fn record_calls(&mut self, succeeded: f64, failed: f64, latency_ln_sum: f64) {
-        self.calls += succeeded + failed;
+    /// Counts completed calls.
+    pub fn record_calls(&mut self, calls: CompletedCalls) {
+        let succeeded = f64::from(calls.succeeded);
+        self.weight += succeeded + f64::from(calls.failed);
         self.succeeded += succeeded;
         self.timed_calls += succeeded;
-        self.latency_ln_sum += latency_ln_sum;
+        self.latency_ln_sum += calls.latency_ln_sum;
     }
 
-    /// The geometric mean of the calls' times, in milliseconds.
-    fn typical_latency_ms(&self) -> f64 {
-        (self.latency_ln_sum / self.timed_calls).exp()
+    /// Counts a completed health check, which has no latency.
+    pub fn record_check(&mut self, succeeded: bool) {
+        self.weight += CHECK_WEIGHT;
+        self.succeeded += if succeeded { CHECK_WEIGHT } else { 0.0 };
     }
 
-    /// A check ended: something answered there, or not. It weighs two calls, and says nothing of times.
-    pub fn record_check(&mut self, succeeded: bool) {
-        self.calls += 2.0;
-        self.succeeded += if succeeded { 2.0 } else { 0.0 };
+    /// The geometric mean of the latencies.
+    fn typical_latency_ms(&self) -> f64 {
+        (self.latency_ln_sum / self.timed_calls).exp()
     }
 
-    /// How healthy it is, 0 to 1; `None` where too few calls tell.
+    /// The health from 0 to 1; `None` if there are too few calls and checks.
     pub fn score(&self) -> Option<f64> {
-        if self.calls < MIN_CALL_WEIGHT {
+        if self.weight < MIN_OBSERVATION_WEIGHT {
             return None;
         }
-        let part = self.succeeded / self.calls;
-        // Before there is a quiet time, or without a good call, there is no slowness to tell.
-        let speed = match self.baseline_ms {
+        let success_rate = self.succeeded / self.weight;
+        Some(success_rate * self.speed())
+    }
+
+    /// The baseline against the typical latency, 0 to 1; 1 while either is unknown.
+    fn speed(&self) -> f64 {
+        match self.baseline_ms {
             Some(baseline_ms) if self.timed_calls > 0.0 => {
                 (LATENCY_TOLERANCE * baseline_ms / self.typical_latency_ms()).min(1.0)
             }
             _ => 1.0,
-        };
-        Some(part * speed)
+        }
     }
 
-    /// The level that this sight speaks for; what is not seen stays as it is held. Checks alone speak for no more than
-    /// [`MAX_LEVEL_BY_CHECKS`]: what answers a check may still serve no call.
+    /// The level that the health justifies; `None` if it is unknown. Checks alone justify no more than
+    /// [`MAX_LEVEL_BY_CHECKS`], since a replica that accepts connections may still fail calls.
     pub fn level(&self) -> Option<u8> {
-        let health = self.score()?;
-        let level = (OVERPROVISIONING * health * f64::from(ALL_TRAFFIC_TENTHS))
-            .round()
-            .min(f64::from(ALL_TRAFFIC_TENTHS)) as u8;
-        Some(if self.timed_calls < 1.0 {
+        let all_traffic = f64::from(ALL_TRAFFIC_TENTHS);
+        let tenths = OVERPROVISIONING * self.score()? * all_traffic;
+        let level = tenths.round().min(all_traffic) as u8;
+        Some(if self.timed_calls < MIN_TIMED_CALL_WEIGHT {
             level.min(MAX_LEVEL_BY_CHECKS)
         } else {
             level
--- a/crates/heathspur-failover/src/traffic_split.rs
+++ b/crates/heathspur-failover/src/traffic_split.rs
@@ -1,66 +1,100 @@
-//! From what zones hold and report to shares: how much stays near, how much goes to which other zone.
+//! The split of an instance's calls between the local zone and others, by level and reported spare capacity.
 
-use crate::ALL_TRAFFIC_TENTHS;
+use crate::{ALL_CALLS_THOUSANDTHS, ALL_TRAFFIC_TENTHS};
 
-/// Another zone as the view has it.
+/// Thousandths of the calls in one tenth.
+const THOUSANDTHS_PER_TENTH: u16 = ALL_CALLS_THOUSANDTHS / ALL_TRAFFIC_TENTHS as u16;
+
+/// Another zone in the fleet's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RemoteZone {
     /// Its name.
     pub zone: String,
-    /// Whether it is in the same region.
+    /// Whether it is in the local region.
     pub same_region: bool,
-    /// What its members report to have spare, in requests.
+    /// Requests that its members report as spare capacity.
     pub spare_capacity: u32,
-    /// The level that it holds for its own traffic: one that moves its own away is no place for others'.
+    /// The level of its own decision: a zone that moves its own traffic away is unfit to take others'.
     pub local_traffic_tenths: u8,
 }
 
-/// Parts of an instance's calls, in thousandths; they add up to 1,000.
+impl RemoteZone {
+    /// Its weight in the split: the spare capacity by the level of health; 0 if it can take nothing.
+    fn weight(&self) -> u64 {
+        let level = self.local_traffic_tenths.min(ALL_TRAFFIC_TENTHS);
+        u64::from(self.spare_capacity) * u64::from(level)
+    }
+}
+
+/// The part of an instance's calls that goes to another zone.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ZoneShare {
+    /// The zone.
+    pub zone: String,
+    /// Its part, in thousandths.
+    pub thousandths: u16,
+}
+
+/// The parts of an instance's calls, which add up to [`ALL_CALLS_THOUSANDTHS`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrafficSplit {
-    /// What stays in the own zone.
+    /// The part that stays in the local zone.
     pub local_thousandths: u16,
-    /// What goes to other zones.
-    pub remote: Vec<(String, u16)>,
-    /// Nobody far is fit to take anything, so all stays near although that is not healthy (Envoy's panic).
+    /// The parts of other zones, none of them empty.
+    pub remote: Vec<ZoneShare>,
+    /// No other zone can take anything, so all calls stay although the local zone is unhealthy (Envoy's panic mode).
     pub panic: bool,
 }
 
-/// The shares at a level. What moves goes to the own region while anyone there can take it, by what they have
-/// spare and how healthy they are, and elsewhere only then.
+/// Splits calls at a level. What leaves the zone goes to zones of the same region while any of them can take it, by
+/// spare capacity and health, and only otherwise to other regions.
 pub fn split_traffic(local_traffic_tenths: u8, others: &[RemoteZone]) -> TrafficSplit {
-    let moved = u32::from(ALL_TRAFFIC_TENTHS - local_traffic_tenths.min(ALL_TRAFFIC_TENTHS)) * 100;
-    let weight = |other: &RemoteZone| {
-        u64::from(other.spare_capacity)
-            * u64::from(other.local_traffic_tenths.min(ALL_TRAFFIC_TENTHS))
-    };
-    let fit = |same_region: bool| -> Vec<&RemoteZone> {
-        others
-            .iter()
-            .filter(|o| o.same_region == same_region && weight(o) > 0)
-            .collect()
-    };
-    let mut chosen = fit(true);
-    if chosen.is_empty() {
-        chosen = fit(false);
-    }
-    if moved == 0 || chosen.is_empty() {
+    let local_tenths = local_traffic_tenths.min(ALL_TRAFFIC_TENTHS);
+    let local_thousandths = u16::from(local_tenths) * THOUSANDTHS_PER_TENTH;
+    let moved = ALL_CALLS_THOUSANDTHS - local_thousandths;
+    let targets = target_zones(others);
+    if moved == 0 || targets.is_empty() {
         return TrafficSplit {
-            local_thousandths: 1_000,
+            local_thousandths: ALL_CALLS_THOUSANDTHS,
             remote: Vec::new(),
             panic: moved > 0,
         };
     }
-    let all: u64 = chosen.iter().map(|o| weight(o)).sum();
-    let part = |o: &RemoteZone| (u64::from(moved) * weight(o) / all) as u16;
-    let mut remote: Vec<(String, u16)> = chosen.iter().map(|o| (o.zone.clone(), part(o))).collect();
-    // What rounding left goes to the first.
-    let given: u32 = remote.iter().map(|(_, part)| u32::from(*part)).sum();
-    remote[0].1 += (moved - given) as u16;
-    remote.retain(|(_, part)| *part > 0);
     TrafficSplit {
-        local_thousandths: 1_000 - moved as u16,
-        remote,
+        local_thousandths,
+        remote: split_by_weight(moved, &targets),
         panic: false,
     }
 }
+
+/// The zones that can take calls: those of the same region, or else those of other regions.
+fn target_zones(others: &[RemoteZone]) -> Vec<&RemoteZone> {
+    let fit = |same_region: bool| -> Vec<&RemoteZone> {
+        let zones = others.iter();
+        zones
+            .filter(|zone| zone.same_region == same_region && zone.weight() > 0)
+            .collect()
+    };
+    let same_region = fit(true);
+    if same_region.is_empty() {
+        fit(false)
+    } else {
+        same_region
+    }
+}
+
+/// Shares of `moved` thousandths by weight; the first zone gets what rounding leaves over.
+fn split_by_weight(moved: u16, targets: &[&RemoteZone]) -> Vec<ZoneShare> {
+    let total: u64 = targets.iter().map(|zone| zone.weight()).sum();
+    let mut shares: Vec<ZoneShare> = targets
+        .iter()
+        .map(|zone| ZoneShare {
+            zone: zone.zone.clone(),
+            thousandths: (u64::from(moved) * zone.weight() / total) as u16,
+        })
+        .collect();
+    let given: u16 = shares.iter().map(|share| share.thousandths).sum();
+    shares[0].thousandths += moved - given;
+    shares.retain(|share| share.thousandths > 0);
+    shares
+}
--- a/crates/heathspur-failover/tests/model.rs
+++ b/crates/heathspur-failover/tests/model.rs
@@ -4,7 +4,7 @@
 //!
 //! The mutants take out one part each; every one has to be found.
 
-use heathspur_failover::call_budget::CallBudget;
+use heathspur_failover::call_budget::{CallBudget, ZoneCapacity};
 use heathspur_failover::decision_register::{Ballot, Decision, DecisionRegister, Hysteresis};
 use heathspur_failover::ALL_TRAFFIC_TENTHS;
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -156,7 +156,12 @@
         };
         let instance = |i: usize| {
             let mut budget = CallBudget::default();
-            budget.set([((1 - zone(i)).to_string(), SPARE, senders)].into_iter());
+            let other_zone = ZoneCapacity {
+                zone: (1 - zone(i)).to_string(),
+                spare_capacity: SPARE,
+                senders,
+            };
+            budget.set_capacities([other_zone].into_iter());
             Instance {
                 heard: register.ballot(),
                 register: register.clone(),
--- a/crates/heathspur-failover/tests/parts.rs
+++ b/crates/heathspur-failover/tests/parts.rs
@@ -1,19 +1,19 @@
-//! Sight, register, shares and budget, each by itself.
+//! Replica health, decision register, traffic split and call budget, each by itself.
 
 use heathspur::Outcome;
-use heathspur_failover::call_budget::{spare_capacity, CallBudget};
+use heathspur_failover::call_budget::{spare_capacity, CallBudget, PeerLoad, ZoneCapacity};
 use heathspur_failover::decision_register::{Ballot, Decision, DecisionRegister, Hysteresis};
 use heathspur_failover::replica_health::{
-    call_succeeded, ln_latency_ms, ReplicaHealth, MAX_LEVEL_BY_CHECKS,
+    call_succeeded, ln_latency_ms, CompletedCalls, ReplicaHealth, MAX_LEVEL_BY_CHECKS,
 };
 use heathspur_failover::replica_picker::ReplicaPicker;
-use heathspur_failover::traffic_split::{split_traffic, RemoteZone};
+use heathspur_failover::traffic_split::{split_traffic, RemoteZone, ZoneShare};
 use heathspur_failover::zone_failover::{Failover, Peer, RoutingPlan};
 use heathspur_failover::ALL_TRAFFIC_TENTHS;
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Calls to a replica for so many seconds, 20 a second.
+/// Records 20 calls a second to a replica.
 fn calls(health: &mut ReplicaHealth, seconds: u64, call: impl Fn(u64) -> (bool, f64)) {
     for n in 0..seconds * 20 {
         health.advance(50);
@@ -23,21 +23,21 @@
         } else {
             0.0
         };
-        health.record_calls(
-            f64::from(u8::from(good)),
-            f64::from(u8::from(!good)),
+        health.record_calls(CompletedCalls {
+            succeeded: u32::from(good),
+            failed: u32::from(!good),
             latency_ln_sum,
-        );
+        });
     }
 }
 
 #[test]
-fn a_replica_is_seen_by_its_failures_and_by_its_slowness() {
+fn the_level_falls_with_failed_calls_and_with_latency_over_the_baseline() {
     let mut health = ReplicaHealth::default();
     assert_eq!(health.level(), None);
     calls(&mut health, 10, |_| (true, 2.0));
     assert_eq!(health.level(), Some(ALL_TRAFFIC_TENTHS));
-    // A quarter of the calls fails: still within what is provided over.
+    // A quarter of the calls fails: still within the overprovisioning factor.
     let mut some = health.clone();
     calls(&mut some, 10, |n| (n % 4 != 0, 2.0));
     assert_eq!(some.level(), Some(ALL_TRAFFIC_TENTHS));
@@ -60,7 +60,7 @@
     assert_eq!(dead.level(), Some(0));
     calls(&mut dead, 15, |_| (true, 2.0));
     assert_eq!(dead.level(), Some(ALL_TRAFFIC_TENTHS));
-    // Times that differ widely are not slowness.
+    // Latencies that differ widely are no degradation.
     let mut wide = ReplicaHealth::default();
     calls(&mut wide, 60, |n| {
         (
@@ -73,7 +73,7 @@
         )
     });
     assert_eq!(wide.level(), Some(ALL_TRAFFIC_TENTHS));
-    // Nor does a slow minute become the quiet.
+    // A slow minute does not become the baseline.
     let mut long = wide.clone();
     calls(&mut long, 60, |n| {
         (
@@ -86,21 +86,21 @@
         )
     });
     assert!(long.level() < Some(6), "{:?}", long.level());
-    // Nor is a machine that stands still now and then: the calls that it held say nothing of the replica.
+    // Stalls of the local machine are no degradation of the replica.
     let mut stalls = health.clone();
     calls(&mut stalls, 20, |n| {
         (true, if n % 20 == 0 { 200.0 } else { 2.0 })
     });
     assert_eq!(stalls.level(), Some(ALL_TRAFFIC_TENTHS));
-    // What nobody called of late is not seen.
+    // Without recent calls the level is unknown.
     health.advance(60_000);
     assert_eq!(health.level(), None);
 }
 
-/// Three instances of a zone that hear each other at each step of 500 ms; what each sees is given.
+/// Three instances of a zone that exchange ballots at each step of 500 ms; `observed` is the level that each observes.
 fn zone(
     steps: u32,
-    sight: impl Fn(usize, u32) -> u8,
+    observed: impl Fn(usize, u32) -> u8,
 ) -> (Vec<DecisionRegister>, Vec<(u32, Decision)>) {
     let mut all = vec![DecisionRegister::new(Hysteresis::default()); 3];
     let mut newest = Vec::new();
@@ -108,7 +108,7 @@
         let ballots: Vec<Ballot> = all.iter().map(DecisionRegister::ballot).collect();
         for (i, register) in all.iter_mut().enumerate() {
             let others: Vec<Ballot> = (0..3).filter(|j| *j != i).map(|j| ballots[j]).collect();
-            let changed = register.step(500, Some(sight(i, step)), &others, 3);
+            let changed = register.step(500, Some(observed(i, step)), &others, 3);
             if let Some(decision) =
                 changed.filter(|d| newest.last().is_none_or(|(_, last)| d.supersedes(*last)))
             {
@@ -120,8 +120,8 @@
 }
 
 #[test]
-fn a_dead_replica_moves_its_zone_together_and_back_together() {
-    // It is dead from 5 s to 20 s.
+fn instances_of_a_zone_fail_over_and_recover_together_when_their_replica_does() {
+    // The replica is dead from 5 s to 20 s.
     let (all, changes) = zone(200, |_, step| {
         if (10..40).contains(&step) {
             0
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn one_that_sees_a_dead_replica_alone_moves_nobody() {
+fn a_failure_that_one_instance_observes_alone_moves_no_traffic() {
     let (all, changes) = zone(200, |i, _| if i == 0 { 0 } else { ALL_TRAFFIC_TENTHS });
     assert_eq!(changes, []);
     assert!(all
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn who_hears_no_quorum_moves_only_itself_and_comes_back_to_its_zone() {
+fn an_instance_without_quorum_moves_only_its_own_calls_until_it_has_one_again() {
     let mut cut = DecisionRegister::new(Hysteresis::default());
     for _ in 0..10 {
         assert_eq!(cut.step(500, Some(0), &[], 3), None);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_call_that_was_broken_off_tells_nothing_of_a_replica() {
+fn a_cancelled_call_counts_neither_for_nor_against_a_replica() {
     assert_eq!(call_succeeded(Outcome::Cancelled), None);
     assert_eq!(
         (
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn what_only_answers_checks_is_believed_a_little() {
+fn checks_without_calls_justify_a_low_level_only() {
     let mut health = ReplicaHealth::default();
     for _ in 0..10 {
         health.advance(1_000);
@@ -211,7 +211,17 @@
     assert_eq!(health.level(), Some(ALL_TRAFFIC_TENTHS));
 }
 
-fn peer(zone: &str, region: &str, load: (u32, u32), epoch: u64, local_traffic_tenths: u8) -> Peer {
+fn peer(
+    zone: &str,
+    region: &str,
+    (concurrency_limit, in_flight): (u32, u32),
+    epoch: u64,
+    local_traffic_tenths: u8,
+) -> Peer {
+    let load = PeerLoad {
+        concurrency_limit,
+        in_flight,
+    };
     let ballot = Ballot {
         accepted: Decision {
             epoch,
@@ -229,7 +239,7 @@
 }
 
 #[test]
-fn an_instance_plans_by_the_view_and_picks_by_its_plan() {
+fn an_instance_plans_by_the_view_and_picks_replicas_by_its_plan() {
     let zones: Vec<String> = ["a", "b", "c"].map(String::from).into();
     let mut failover = Failover::new(zones.clone(), 0, "west".into(), Hysteresis::default());
     let mut peers = vec![
@@ -249,7 +259,7 @@
         ),
         (vec![1_000, 0, 0], None, false)
     );
-    // Its own zone decided to move six tenths away.
+    // The local zone decided to move six tenths of its traffic.
     peers.iter_mut().take(2).for_each(|p| {
         p.ballot = Ballot {
             accepted: Decision {
@@ -277,8 +287,8 @@
     assert!(step.needs_check);
     let mut picker = ReplicaPicker::new(zones, 0);
     assert_eq!((picker.pick(), picker.pick()), (Some(0), Some(0)));
-    picker.set(step.plan);
-    // Two may be under way to b; a third that is due there is turned away, and near is not pushed on for it.
+    picker.set_plan(step.plan);
+    // Two calls may be in flight to b; a third that is due there is rejected and not kept in the local zone.
     let picked: Vec<_> = (0..10).map(|_| picker.pick()).collect();
     let count = |to| picked.iter().filter(|p| **p == to).count();
     assert_eq!(
@@ -305,8 +315,15 @@
     }
 }
 
+fn share(zone: &str, thousandths: u16) -> ZoneShare {
+    ZoneShare {
+        zone: zone.into(),
+        thousandths,
+    }
+}
+
 #[test]
-fn what_moves_goes_to_the_region_by_what_it_has_spare_and_elsewhere_only_then() {
+fn traffic_moves_within_the_region_by_spare_capacity_and_to_other_regions_only_without_any() {
     let zones = [
         other("b", true, 30, ALL_TRAFFIC_TENTHS),
         other("c", true, 10, ALL_TRAFFIC_TENTHS),
@@ -314,11 +331,8 @@
     ];
     let split = split_traffic(6, &zones);
     assert_eq!((split.local_thousandths, split.panic), (600, false));
-    assert_eq!(
-        split.remote,
-        [("b".to_string(), 300), ("c".to_string(), 100)]
-    );
-    // A zone that moves its own traffic away takes nobody else's; the region is full: elsewhere.
+    assert_eq!(split.remote, [share("b", 300), share("c", 100)]);
+    // A zone that moves its own traffic away takes no other's, and the region has no capacity.
     let split = split_traffic(
         0,
         &[
@@ -329,7 +343,7 @@
     );
     assert_eq!(
         (split.local_thousandths, split.remote),
-        (0, vec![("d".to_string(), 1_000)])
+        (0, vec![share("d", 1_000)])
     );
     let split = split_traffic(0, &[other("b", true, 0, ALL_TRAFFIC_TENTHS)]);
     assert_eq!(
@@ -340,30 +354,31 @@
 
 proptest! {
     #[test]
-    fn shares_add_up_and_only_go_where_there_is_room(
+    fn shares_add_up_and_go_only_to_zones_with_spare_capacity(
         near in 0u8..=10,
         zones in proptest::collection::vec((any::<bool>(), 0u32..50, 0u8..=10), 0..6),
     ) {
         let zones: Vec<RemoteZone> = zones.into_iter().enumerate()
             .map(|(i, (region, spare_capacity, near))| other(&format!("z{i}"), region, spare_capacity, near)).collect();
         let split = split_traffic(near, &zones);
-        let far: u32 = split.remote.iter().map(|(_, part)| u32::from(*part)).sum();
+        let far: u32 = split.remote.iter().map(|share| u32::from(share.thousandths)).sum();
         prop_assert_eq!(u32::from(split.local_thousandths) + far, 1_000);
-        for (zone, part) in &split.remote {
+        for ZoneShare { zone, thousandths } in &split.remote {
             let to = zones.iter().find(|z| z.zone == *zone).unwrap();
-            prop_assert!(*part > 0 && to.spare_capacity > 0 && to.local_traffic_tenths > 0);
+            prop_assert!(*thousandths > 0 && to.spare_capacity > 0 && to.local_traffic_tenths > 0);
         }
         prop_assert!(split.panic || u32::from(split.local_thousandths) == u32::from(near) * 100);
     }
 
     #[test]
-    fn all_senders_together_never_pass_what_is_spare(
+    fn all_senders_together_never_exceed_the_spare_capacity(
         room in 0u32..40,
         senders in 1usize..8,
         moves in proptest::collection::vec((0usize..8, any::<bool>()), 0..300),
     ) {
+        let capacity = ZoneCapacity { zone: "b".to_string(), spare_capacity: room, senders };
         let mut budgets = vec![CallBudget::default(); senders];
-        budgets.iter_mut().for_each(|b| b.set([("b".to_string(), room, senders)].into_iter()));
+        budgets.iter_mut().for_each(|b| b.set_capacities([capacity.clone()].into_iter()));
         for (who, takes) in moves {
             let budget = &mut budgets[who % senders];
             let before = budget.in_flight("b");
@@ -380,14 +395,22 @@
 }
 
 #[test]
-fn what_is_spare_is_the_cap_less_what_is_in_flight_and_never_negative() {
+fn spare_capacity_is_the_limit_less_the_requests_in_flight_and_never_negative() {
+    let loads = [(10, 4), (5, 9), (3, 3), (8, 0)];
     assert_eq!(
-        spare_capacity([(10, 4), (5, 9), (3, 3), (8, 0)].into_iter()),
+        spare_capacity(
+            loads
+                .into_iter()
+                .map(|(concurrency_limit, in_flight)| PeerLoad {
+                    concurrency_limit,
+                    in_flight,
+                })
+        ),
         14
     );
     let mut budget = CallBudget::default();
     assert!(
         !budget.try_acquire("b"),
-        "a zone that nobody reported takes nothing"
+        "a zone without reported capacity takes nothing"
     );
 }
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -20,7 +20,7 @@
                 no_retry: last,
             } => {
                 if let Some(members) = &self.members {
-                    members.refused();
+                    members.count_rejection();
                 }
                 self.answer(id, Answer::Refused { stay_away, last });
                 self.discard(id);
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -184,7 +184,7 @@
         self.events.clear();
         self.carry_out(actions);
         if let Some(members) = &self.members {
-            members.load(self.table.len(), cap);
+            members.set_load(self.table.len(), cap);
         }
     }
 
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -50,7 +50,7 @@
     /// The notices of the operators can't be heard.
     Signals(io::Error),
     /// The fleet's view can't be kept: its socket, its settings or its thread.
-    Members(io::Error),
+    Members(membership::MembershipError),
 }
 
 impl Fault {
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -1,60 +1,120 @@
-//! The shell of failover: what the owner's calls tell goes to the thread that keeps the view, and its plan comes
-//! back as a versioned snapshot. Nothing here decides: `heathspur-failover` does, and neither side waits for the other.
+//! The shell of failover: the event loop's calls are counted for the membership thread, whose routing plan comes back
+//! as a versioned snapshot. `heathspur-failover` makes the decisions, and neither side waits for the other.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
 use heathspur::Outcome;
-use heathspur_config::Failover as Operated;
+use heathspur_config::units::Span;
+use heathspur_config::Failover as FailoverConfig;
+use heathspur_failover::call_budget::PeerLoad;
 use heathspur_failover::decision_register::{Ballot, Decision, Hysteresis};
-use heathspur_failover::replica_health::{call_succeeded, ln_latency_ms};
+use heathspur_failover::replica_health::{call_succeeded, ln_latency_ms, CompletedCalls};
 use heathspur_failover::replica_picker::ReplicaPicker;
-use heathspur_failover::zone_failover::{Failover, Peer, RoutingPlan};
+use heathspur_failover::zone_failover::{Failover, Peer, RoutingPlan, StepOutcome};
 use heathspur_members::{MemberSnapshot, MemberState, View, ZoneVote};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU32, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// A step is made so often.
-const STEP: Duration = Duration::from_millis(100);
-/// A check's connection comes up within this, or the check has failed.
-const CHECKED: Duration = Duration::from_millis(500);
+/// The interval between steps of the failover state machine.
+const STEP_INTERVAL: Duration = Duration::from_millis(100);
+/// A health check fails if its connection takes longer.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Logarithms of latencies cross threads as integers in this fraction of a unit.
+const LN_SCALE: f64 = 1e6;
 
-/// Parts of a unit in which logarithms cross to the other thread.
-const LN: f64 = 1e6;
+/// Counts of calls and health checks of the local replica that the failover worker has not taken yet.
+#[derive(Default)]
+struct Counters {
+    calls_succeeded: AtomicU32,
+    calls_failed: AtomicU32,
+    /// The sum of the logarithms of the successful calls' latencies, scaled by [`LN_SCALE`].
+    latency_ln_sum: AtomicI64,
+    checks_succeeded: AtomicU32,
+    checks_failed: AtomicU32,
+}
+
+impl Counters {
+    fn record_call(&self, outcome: Outcome, latency: Duration) {
+        match call_succeeded(outcome) {
+            Some(true) => {
+                self.calls_succeeded.fetch_add(1, Ordering::Relaxed);
+                let latency_ln = (ln_latency_ms(latency) * LN_SCALE) as i64;
+                self.latency_ln_sum.fetch_add(latency_ln, Ordering::Relaxed);
+            }
+            Some(false) => {
+                self.calls_failed.fetch_add(1, Ordering::Relaxed);
+            }
+            None => {}
+        }
+    }
+
+    fn record_check(&self, succeeded: bool) {
+        let counter = if succeeded {
+            &self.checks_succeeded
+        } else {
+            &self.checks_failed
+        };
+        counter.fetch_add(1, Ordering::Relaxed);
+    }
 
-/// What both threads see.
+    /// Moves all counts into the failover state machine.
+    fn drain_into(&self, failover: &mut Failover) {
+        let take = |counter: &AtomicU32| counter.swap(0, Ordering::Relaxed);
+        let succeeded = take(&self.calls_succeeded);
+        let failed = take(&self.calls_failed);
+        let latency_ln_sum = self.latency_ln_sum.swap(0, Ordering::Relaxed) as f64 / LN_SCALE;
+        if succeeded + failed > 0 {
+            failover.record_calls(CompletedCalls {
+                succeeded,
+                failed,
+                latency_ln_sum,
+            });
+        }
+        (0..take(&self.checks_succeeded)).for_each(|_| failover.record_check(true));
+        (0..take(&self.checks_failed)).for_each(|_| failover.record_check(false));
+    }
+}
+
+/// The state that the event loop and the membership thread share.
 #[derive(Default)]
 struct Shared {
-    /// Calls to the own zone's replica that ended since they were last taken in.
-    good: AtomicU32,
-    bad: AtomicU32,
-    /// The logarithms of the times of the good ones, in [`LN`] parts, summed.
-    took_ln: AtomicI64,
-    /// Whether the own zone's replica is to be checked, and what checks came to.
-    check: AtomicBool,
-    answered: AtomicU32,
-    silent: AtomicU32,
+    counters: Counters,
+    /// Whether the local replica needs health checks.
+    needs_check: AtomicBool,
     /// Rises with each plan.
-    version: AtomicU64,
+    plan_version: AtomicU64,
     plan: Mutex<Arc<RoutingPlan>>,
 }
 
-/// The end for the thread that keeps the view.
+impl Shared {
+    fn publish_plan(&self, plan: RoutingPlan) {
+        *self.lock_plan() = Arc::new(plan);
+        self.plan_version.fetch_add(1, Ordering::Release);
+    }
+
+    /// Locked for no longer than the exchange of a pointer; a poisoned lock still has a whole plan.
+    fn lock_plan(&self) -> MutexGuard<'_, Arc<RoutingPlan>> {
+        self.plan.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// The membership thread's end: steps the failover state machine.
 pub(crate) struct FailoverWorker {
     shared: Arc<Shared>,
     failover: Failover,
-    stepped: Instant,
+    stepped_at: Instant,
     plan: RoutingPlan,
-    alone: bool,
-    home: SocketAddr,
-    every: Duration,
+    without_quorum: bool,
+    local_replica: SocketAddr,
+    check_interval: Duration,
 }
 
-/// The end for the owner, before it is on the owner's thread.
+/// The event loop's end, before it is moved to the event loop's thread.
 pub(crate) struct ReplicaRoutes {
     shared: Arc<Shared>,
     zones: Vec<String>,
@@ -62,227 +122,225 @@
     home: usize,
 }
 
-/// Both ends; `home` is the place of the own zone's replica.
+/// Creates both ends; `home` is the index of the local zone's replica.
 pub(crate) fn start(
-    operated: &Operated,
+    config: &FailoverConfig,
     home: usize,
     region: &str,
 ) -> (FailoverWorker, ReplicaRoutes) {
-    let ms = |span: heathspur_config::units::Span| span.0.as_millis() as u32;
-    let hysteresis = Hysteresis {
-        minimum_hold_ms: ms(operated.dwell),
-        failover_delay_ms: ms(operated.leave),
-        recovery_delay_ms: ms(operated.back),
-        ..Hysteresis::default()
-    };
-    let zones: Vec<String> = operated.replica.iter().map(|r| r.zone.clone()).collect();
-    let addresses: Vec<SocketAddr> = operated.replica.iter().map(|r| r.address).collect();
+    let zones: Vec<String> = config.replica.iter().map(|r| r.zone.clone()).collect();
+    let addresses: Vec<SocketAddr> = config.replica.iter().map(|r| r.address).collect();
     let shared = Arc::new(Shared::default());
-    let failover_worker = FailoverWorker {
+    let worker = FailoverWorker {
         shared: shared.clone(),
-        failover: Failover::new(zones.clone(), home, region.to_string(), hysteresis),
-        stepped: Instant::now(),
+        failover: Failover::new(zones.clone(), home, region.to_string(), hysteresis(config)),
+        stepped_at: Instant::now(),
         plan: RoutingPlan::default(),
-        alone: false,
-        home: addresses[home],
-        every: operated.check.0,
+        without_quorum: false,
+        local_replica: addresses[home],
+        check_interval: config.check.0,
     };
-    (
-        failover_worker,
-        ReplicaRoutes {
-            shared,
-            zones,
-            addresses,
-            home,
-        },
-    )
+    let routes = ReplicaRoutes {
+        shared,
+        zones,
+        addresses,
+        home,
+    };
+    (worker, routes)
+}
+
+/// The hysteresis by the names of the operator's file; the dead band keeps its default.
+fn hysteresis(config: &FailoverConfig) -> Hysteresis {
+    let milliseconds = |span: Span| span.0.as_millis() as u32;
+    Hysteresis {
+        minimum_hold_ms: milliseconds(config.dwell),
+        failover_delay_ms: milliseconds(config.leave),
+        recovery_delay_ms: milliseconds(config.back),
+        ..Hysteresis::default()
+    }
 }
 
 impl FailoverWorker {
-    /// Whether the next step is due; the view is not looked through at each turn of the thread.
+    /// Whether the next step is due; the view is not read at each turn of the thread.
     pub(crate) fn is_due(&self, now: Instant) -> bool {
-        now.duration_since(self.stepped) >= STEP
+        now.duration_since(self.stepped_at) >= STEP_INTERVAL
     }
 
-    /// Steps on with the view as it is; what is to be said of it to others.
-    pub(crate) fn step(&mut self, view: &View, me: &str) -> ZoneVote {
-        let now = Instant::now();
-        let elapsed = now.duration_since(self.stepped).as_millis() as u32;
-        self.stepped += Duration::from_millis(u64::from(elapsed));
-        let take = |count: &AtomicU32| count.swap(0, Ordering::Relaxed);
-        let (good, bad) = (take(&self.shared.good), take(&self.shared.bad));
-        let took_ln = self.shared.took_ln.swap(0, Ordering::Relaxed);
-        if good + bad > 0 {
-            self.failover.record_calls(good, bad, took_ln as f64 / LN);
+    /// Steps with the current view and publishes the routing plan; returns the vote to publish to other members.
+    pub(crate) fn step(&mut self, view: &View, local_id: &str) -> ZoneVote {
+        let elapsed_ms = self.stepped_at.elapsed().as_millis() as u32;
+        self.stepped_at += Duration::from_millis(u64::from(elapsed_ms));
+        self.shared.counters.drain_into(&mut self.failover);
+        let outcome = self.failover.step(elapsed_ms, &peers(view, local_id));
+        self.log_changes(&outcome);
+        let Ballot {
+            accepted,
+            preferred,
+        } = outcome.ballot;
+        let needs_check = &self.shared.needs_check;
+        needs_check.store(outcome.needs_check, Ordering::Relaxed);
+        if outcome.plan != self.plan {
+            self.plan = outcome.plan.clone();
+            self.shared.publish_plan(outcome.plan);
         }
-        (0..take(&self.shared.answered)).for_each(|_| self.failover.record_check(true));
-        (0..take(&self.shared.silent)).for_each(|_| self.failover.record_check(false));
-        let others = view
-            .members
-            .iter()
-            .filter(|other| other.member.id.0 != me && other.state != MemberState::Left);
-        let peers: Vec<Peer> = others
-            .map(
-                |MemberSnapshot {
-                     member: m, state, ..
-                 }| Peer {
-                    zone: m.zone.clone(),
-                    region: m.region.clone(),
-                    live: state.live(),
-                    load: (m.load.concurrency_limit, m.load.in_flight),
-                    ballot: Ballot {
-                        accepted: Decision {
-                            epoch: m.decision_epoch,
-                            local_traffic_tenths: m.local_traffic_tenths,
-                        },
-                        preferred: m.preferred_tenths,
-                    },
-                },
-            )
-            .collect();
-        let step = self.failover.step(elapsed, &peers);
-        if let Some(Decision {
-            epoch,
-            local_traffic_tenths: near,
-        }) = step.new_decision
-        {
+        ZoneVote {
+            decision_epoch: accepted.epoch,
+            local_traffic_tenths: accepted.local_traffic_tenths,
+            preferred_tenths: preferred,
+        }
+    }
+
+    fn log_changes(&mut self, outcome: &StepOutcome) {
+        if let Some(decision) = outcome.new_decision {
+            let Decision {
+                epoch,
+                local_traffic_tenths: tenths,
+            } = decision;
             info!(
                 epoch,
-                near, "failover: the zone holds epoch {epoch}: {near} tenths near"
+                local_traffic_tenths = tenths,
+                "failover: accepted decision of epoch {epoch}: {tenths} tenths of the traffic stay local"
             );
         }
-        if step.without_quorum != self.alone {
-            self.alone = step.without_quorum;
-            let word = if step.without_quorum {
-                "no quorum of the zone is heard: moving alone"
-            } else {
-                "the zone is heard"
-            };
-            info!(alone = step.without_quorum, "failover: {word}");
-        }
-        self.shared.check.store(step.needs_check, Ordering::Relaxed);
-        if step.plan != self.plan {
-            self.plan = step.plan.clone();
-            *self
-                .shared
-                .plan
-                .lock()
-                .expect("nobody panics while it is held") = Arc::new(step.plan);
-            self.shared.version.fetch_add(1, Ordering::Release);
+        let without_quorum = outcome.without_quorum;
+        if without_quorum == self.without_quorum {
+            return;
         }
-        ZoneVote {
-            decision_epoch: step.ballot.accepted.epoch,
-            local_traffic_tenths: step.ballot.accepted.local_traffic_tenths,
-            preferred_tenths: step.ballot.preferred,
+        self.without_quorum = without_quorum;
+        if without_quorum {
+            info!(
+                without_quorum,
+                "failover: no quorum of the zone: only this server's own calls move"
+            );
+        } else {
+            info!(without_quorum, "failover: quorum of the zone restored");
         }
     }
 
-    /// Checks the own zone's replica while no calls tell of it; never ends.
-    pub(crate) fn checks(&self) -> impl std::future::Future<Output = ()> {
-        let (shared, home, every) = (self.shared.clone(), self.home, self.every);
+    /// Checks the local replica while too few calls show its health; never completes.
+    pub(crate) fn run_checks(&self) -> impl std::future::Future<Output = ()> {
+        let (shared, replica) = (self.shared.clone(), self.local_replica);
+        let interval = self.check_interval;
         async move {
             loop {
-                Timer::after(every).await;
-                if !shared.check.load(Ordering::Relaxed) {
-                    continue;
+                Timer::after(interval).await;
+                if shared.needs_check.load(Ordering::Relaxed) {
+                    let succeeded = accepts_connections(replica).await;
+                    shared.counters.record_check(succeeded);
                 }
-                let connected = async { Async::<TcpStream>::connect(home).await.is_ok() };
-                let late = async {
-                    Timer::after(CHECKED).await;
-                    false
-                };
-                let answers = future::or(connected, late).await;
-                let count = if answers {
-                    &shared.answered
-                } else {
-                    &shared.silent
-                };
-                count.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 }
 
-/// Where calls go, on the owner's thread.
-pub(crate) struct Routes {
+/// Whether a TCP connection to the replica is established in time.
+async fn accepts_connections(replica: SocketAddr) -> bool {
+    let connected = async { Async::<TcpStream>::connect(replica).await.is_ok() };
+    let timed_out = async {
+        Timer::after(CHECK_TIMEOUT).await;
+        false
+    };
+    future::or(connected, timed_out).await
+}
+
+/// All other members in the view that have not left.
+fn peers(view: &View, local_id: &str) -> Vec<Peer> {
+    let others = view.members.iter().filter(|other| {
+        let is_local = other.member.id.0 == local_id;
+        !is_local && other.state != MemberState::Left
+    });
+    others.map(peer).collect()
+}
+
+fn peer(snapshot: &MemberSnapshot) -> Peer {
+    let MemberSnapshot { member, state, .. } = snapshot;
+    Peer {
+        zone: member.zone.clone(),
+        region: member.region.clone(),
+        live: state.live(),
+        load: PeerLoad {
+            concurrency_limit: member.load.concurrency_limit,
+            in_flight: member.load.in_flight,
+        },
+        ballot: Ballot {
+            accepted: Decision {
+                epoch: member.decision_epoch,
+                local_traffic_tenths: member.local_traffic_tenths,
+            },
+            preferred: member.preferred_tenths,
+        },
+    }
+}
+
+/// The routing of calls, on the event loop's thread.
+pub(crate) struct Router {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
     home: usize,
-    version: Cell<u64>,
+    plan_version: Cell<u64>,
     picker: RefCell<ReplicaPicker>,
 }
 
 impl ReplicaRoutes {
-    pub(crate) fn routes(self) -> Rc<Routes> {
-        Rc::new(Routes {
+    /// The router, once on the event loop's thread.
+    pub(crate) fn into_router(self) -> Rc<Router> {
+        Rc::new(Router {
             picker: RefCell::new(ReplicaPicker::new(self.zones, self.home)),
             shared: self.shared,
             addresses: self.addresses,
             home: self.home,
-            version: Cell::new(0),
+            plan_version: Cell::new(0),
         })
     }
 }
 
-impl Routes {
-    /// The way of the next call; none where who is due has no room for it.
-    pub(crate) fn pick(self: &Rc<Routes>) -> Option<Way> {
-        let version = self.shared.version.load(Ordering::Acquire);
-        if self.version.replace(version) != version {
-            // Held over there for the exchange of a pointer.
-            let plan = self
-                .shared
-                .plan
-                .lock()
-                .expect("nobody panics while it is held")
-                .clone();
-            self.picker.borrow_mut().set(RoutingPlan::clone(&plan));
-        }
+impl Router {
+    /// The route of the next call; `None` if the replica that is due has no capacity for it.
+    pub(crate) fn pick(self: &Rc<Router>) -> Option<Route> {
+        self.take_new_plan();
         let replica = self.picker.borrow_mut().pick()?;
-        Some(Way {
-            routes: self.clone(),
+        Some(Route {
+            router: self.clone(),
             replica,
-            began: Instant::now(),
-            told: Cell::new(false),
+            started_at: Instant::now(),
+            completed: Cell::new(false),
         })
     }
+
+    fn take_new_plan(&self) {
+        let version = self.shared.plan_version.load(Ordering::Acquire);
+        if self.plan_version.replace(version) != version {
+            let plan = self.shared.lock_plan().clone();
+            self.picker.borrow_mut().set_plan(RoutingPlan::clone(&plan));
+        }
+    }
 }
 
-/// A call's place on the way to a replica; given back when it is dropped.
-pub(crate) struct Way {
-    routes: Rc<Routes>,
+/// The route of one call to a replica, released when it is dropped.
+pub(crate) struct Route {
+    router: Rc<Router>,
     replica: usize,
-    began: Instant,
-    told: Cell<bool>,
+    started_at: Instant,
+    completed: Cell<bool>,
 }
 
-impl Way {
+impl Route {
     pub(crate) fn address(&self) -> SocketAddr {
-        self.routes.addresses[self.replica]
+        self.router.addresses[self.replica]
     }
 
-    /// How the call ended, where that tells of the replica; once.
-    pub(crate) fn ended(&self, outcome: Outcome) {
-        if self.replica != self.routes.home || self.told.replace(true) {
+    /// Counts the outcome of a call to the local replica, once.
+    pub(crate) fn complete(&self, outcome: Outcome) {
+        if self.replica != self.router.home || self.completed.replace(true) {
             return;
         }
-        let shared = &self.routes.shared;
-        match call_succeeded(outcome) {
-            Some(true) => {
-                shared.good.fetch_add(1, Ordering::Relaxed);
-                let took_ln = (ln_latency_ms(self.began.elapsed()) * LN) as i64;
-                shared.took_ln.fetch_add(took_ln, Ordering::Relaxed);
-            }
-            Some(false) => {
-                shared.bad.fetch_add(1, Ordering::Relaxed);
-            }
-            None => {}
-        }
+        let counters = &self.router.shared.counters;
+        counters.record_call(outcome, self.started_at.elapsed());
     }
 }
 
-impl Drop for Way {
+impl Drop for Route {
     fn drop(&mut self) {
-        self.routes.picker.borrow_mut().release(self.replica);
+        self.router.picker.borrow_mut().release(self.replica);
     }
 }
--- a/crates/heathspurd/src/peers/store.rs
+++ b/crates/heathspurd/src/peers/store.rs
@@ -3,7 +3,7 @@
 //! used again for a moment; giving a call up closes its connection.
 
 use crate::frontend::Txn;
-use crate::membership::failover::{Routes, Way};
+use crate::membership::failover::{Route, Router};
 use crate::peers::connection::{connect, is_quiet, Inflow};
 use crate::recording::recorded_stream::{Stream, Tap};
 use async_channel::{Receiver, Sender};
@@ -73,7 +73,7 @@
 struct Open {
     task: Task<()>,
     written: Rc<Cell<bool>>,
-    way: Option<Rc<Way>>,
+    way: Option<Rc<Route>>,
 }
 
 /// The owner's end of the link. Calls in hand are bounded by the requests that stand at calls, and those that
@@ -88,7 +88,7 @@
     events: Sender<N>,
     tap: Option<Rc<Tap>>,
     /// Where calls go by zones; else all to the one address.
-    routes: Option<Rc<Routes>>,
+    routes: Option<Rc<Router>>,
 }
 
 impl<N: From<Event> + 'static> Link<N> {
@@ -99,7 +99,7 @@
         most: usize,
         events: Sender<N>,
         tap: Option<Rc<Tap>>,
-        routes: Option<Rc<Routes>>,
+        routes: Option<Rc<Router>>,
     ) -> Rc<Link<N>> {
         let (give_back, places) = async_channel::bounded(most.max(1));
         while give_back.try_send(()).is_ok() {}
@@ -136,7 +136,7 @@
                 Some(None) => (Outcome::Rejected, Bytes::new()),
                 Some(Some(way)) => {
                     let ended = link.carry(&call, made, Some(way.address()), &mark).await;
-                    way.ended(ended.0);
+                    way.complete(ended.0);
                     ended
                 }
                 None => link.carry(&call, made, link.address.get(), &mark).await,
@@ -174,7 +174,7 @@
             .get(&call)
             .and_then(|open| open.way.as_ref())
         {
-            way.ended(Outcome::Timeout);
+            way.complete(Outcome::Timeout);
         }
         self.give_up(call)
     }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -110,7 +110,7 @@
     let interpreter = interpreter::Link::new();
     let places = config.sockets / CALLS_PART;
     let store = {
-        let routes = peers.replica_routes.map(ReplicaRoutes::routes);
+        let routes = peers.replica_routes.map(ReplicaRoutes::into_router);
         store::Link::new(
             executor.clone(),
             config.store,
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -75,13 +75,13 @@
             .collect()
     }
 
-    /// The levels that a server said its zone holds, in order.
+    /// The levels of the decisions that a server logged, in order.
     fn levels(fleet: &Fleet, i: usize) -> Vec<u8> {
         let said = fleet.servers[i]
             .failover
             .iter()
-            .filter(|(_, said)| said.contains("the zone holds"));
-        // "the zone holds epoch 1: 0 tenths near"
+            .filter(|(_, said)| said.contains("accepted decision of epoch"));
+        // "accepted decision of epoch 1: 0 tenths of the traffic stay local"
         said.filter_map(|(_, said)| said.split(": ").nth(1)?.split(' ').next()?.parse().ok())
             .collect()
     }
