--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -193,7 +193,7 @@
         self.events.clear();
         self.carry_out(actions);
         if let Some(members) = &self.members {
-            members.load(self.table.len(), cap);
+            members.set_load(self.table.len(), cap);
         }
     }
 
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -8,7 +8,7 @@
 mod pool;
 
 use crate::frontend::AttemptId;
-use crate::membership::failover::{Routes, Way};
+use crate::membership::failover::{Route as ReplicaRoute, Router};
 use crate::recording::RecorderHandle;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
@@ -67,7 +67,7 @@
     /// To the store's address as it stands when the call is sent.
     ConfiguredAddress,
     /// To a replica that failover has chosen.
-    Replica(Rc<Way>),
+    Replica(Rc<ReplicaRoute>),
     /// Nowhere: no replica may take the call.
     NoCapacity,
 }
@@ -87,8 +87,8 @@
     pool: Pool,
     pending: RefCell<HashMap<CallId, PendingCall>>,
     events: Sender<N>,
-    /// Routes calls by zone; without it all calls go to the one address.
-    routes: Option<Rc<Routes>>,
+    /// Router calls by zone; without it all calls go to the one address.
+    routes: Option<Rc<Router>>,
 }
 
 impl<N: From<CallCompleted> + 'static> Link<N> {
@@ -98,7 +98,7 @@
         max_connections: usize,
         events: Sender<N>,
         recorder: Option<Rc<RecorderHandle>>,
-        routes: Option<Rc<Routes>>,
+        routes: Option<Rc<Router>>,
     ) -> Rc<Link<N>> {
         Rc::new(Link {
             executor,
@@ -153,7 +153,7 @@
             Route::ConfiguredAddress => self.exchange(outgoing, self.address.get()).await,
             Route::Replica(replica) => {
                 let (outcome, body) = self.exchange(outgoing, Some(replica.address())).await;
-                replica.ended(outcome);
+                replica.complete(outcome);
                 (outcome, body)
             }
             // Nothing of the call was sent, so it is proven not to have run.
@@ -181,7 +181,7 @@
     pub fn give_up_late(&self, call: CallId) -> Outcome {
         if let Some(pending) = self.pending.borrow().get(&call) {
             if let Route::Replica(replica) = &pending.route {
-                replica.ended(Outcome::Timeout);
+                replica.complete(Outcome::Timeout);
             }
         }
         self.give_up(call)
