--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -1,7 +1,7 @@
 //! Stage two: a request that was read becomes one that the module knows, linked to what it repeats.
 
 use crate::clock;
-use crate::event_loop::state::EventLoop;
+use crate::event_loop::EventLoop;
 use crate::frontend::{Answer, IncomingRequest};
 use crate::idempotency::{Attempt, Barred, Key};
 use heathspur::{Event, Idempotency, Request, Span};
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -1,9 +1,9 @@
 //! Stage four: what the interpreter and the store are told of a request.
 
-use crate::event_loop::request_table::{
+use crate::event_loop::execution::{
     CommandDelivery, ExecutionState, Halting, LastCommand, PendingCall,
 };
-use crate::event_loop::state::EventLoop;
+use crate::event_loop::EventLoop;
 use crate::peers::store::{Call, CallId};
 use heathspur::{Idempotency, RequestId, Span};
 use heathspur_wire::interpreter::Command;
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -1,7 +1,7 @@
 //! Stage five: the one final answer of each request, and the one place where what a request held is given back.
 
-use crate::event_loop::request_table::ExecutionState;
-use crate::event_loop::state::EventLoop;
+use crate::event_loop::execution::ExecutionState;
+use crate::event_loop::EventLoop;
 use crate::frontend::Answer;
 use bytes::Bytes;
 use heathspur::{Event, Outcome, RequestId};
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -1,8 +1,8 @@
 //! Stage three: each action of the module goes to where it is carried out.
 
 use crate::clock;
-use crate::event_loop::request_table::{ExecutionState, LastCommand};
-use crate::event_loop::state::EventLoop;
+use crate::event_loop::execution::{ExecutionState, LastCommand};
+use crate::event_loop::EventLoop;
 use crate::frontend::Answer;
 use crate::idempotency::Attached;
 use heathspur::{Action, RequestId, Span};
--- a/crates/heathspurd/src/event_loop/peer_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -1,9 +1,10 @@
 //! What the interpreter and the store tell: ends of runs, calls that are needed, gauges, replies.
 
-use crate::event_loop::request_table::{
+use crate::event_loop::execution::{
     CommandDelivery, ExecutionState, Halting, LastCommand, PendingCall,
 };
-use crate::event_loop::state::{EventLoop, LinkState};
+use crate::event_loop::interpreter_session::LinkState;
+use crate::event_loop::EventLoop;
 use crate::frontend::Answer;
 use crate::peers::interpreter::Event as Heard;
 use crate::peers::store::Event as Called;
@@ -322,5 +323,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/peer_events.rs"]
+#[path = "../../tests/unit/interpreter_events.rs"]
 mod tests;
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -5,23 +5,35 @@
 pub(crate) mod commands;
 pub(crate) mod completion;
 pub(crate) mod dispatch;
+pub(crate) mod execution;
 pub(crate) mod inbox;
-pub(crate) mod peer_events;
+pub(crate) mod interpreter_events;
+pub(crate) mod interpreter_session;
 pub(crate) mod request_table;
-pub(crate) mod state;
 
-use crate::clock;
+use crate::clock::{self, Clock};
 use crate::config::Config;
+use crate::event_loop::execution::ExecutionState;
 use crate::event_loop::inbox::LoopEvent;
-use crate::event_loop::request_table::ExecutionState;
-use crate::event_loop::state::{EventLoop, LinkState, PendingTimer};
+use crate::event_loop::interpreter_session::{LinkState, PeerAddresses, PendingTimer};
+use crate::event_loop::request_table::RequestTable;
 use crate::frontend::request_queue::RequestQueues;
-use crate::frontend::IncomingRequest;
-use async_channel::Receiver;
+use crate::frontend::{FrontendContext, IncomingRequest};
+use crate::idempotency::IdempotencyStore;
+use crate::membership::Handle;
+use crate::peers::interpreter;
+use crate::peers::registration;
+use crate::peers::store;
+use crate::signals::SignalState;
+use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use heathspur::{Action, AdmissionController, Event, Gauges, Span, Time};
+use heathspur::{
+    Action, AdmissionController, Event, Gauges, RequestId, Settings, Span, Time, Token,
+};
 use std::cmp::Reverse;
+use std::collections::{BTreeSet, BinaryHeap, VecDeque};
+use std::rc::Rc;
 use std::time::Duration;
 use tracing::info;
 
@@ -50,6 +62,43 @@
     Time,
 }
 
+/// All that the owning task owns.
+pub(crate) struct EventLoop {
+    pub settings: Settings,
+    pub frontend: Rc<FrontendContext>,
+    pub readiness: Rc<registration::Readiness>,
+    pub interpreter: Rc<interpreter::Link>,
+    pub peer_addresses: PeerAddresses,
+    pub interpreter_link: LinkState,
+    pub store: Rc<store::Link<LoopEvent>>,
+    pub table: RequestTable,
+    pub idempotency: IdempotencyStore,
+    pub timers: BinaryHeap<Reverse<(Time, Token)>>,
+    pub call_timers: BTreeSet<(Time, RequestId)>,
+    pub next_call: u64,
+    /// Where the fleet's view is kept: what others are told of this server.
+    pub members: Option<Handle>,
+    /// What the operators ask for.
+    pub signals: Rc<SignalState>,
+    pub events: Vec<Event>,
+    /// The time of this batch.
+    pub now: Time,
+    pub clock: Clock,
+    pub seed: u64,
+    pub stop: Duration,
+    pub controller: Option<AdmissionController>,
+    pub pending_timers: VecDeque<PendingTimer>,
+    pub next_nonce: u64,
+    /// The last question that was answered.
+    pub answered: u64,
+    pub prune_at: Time,
+    /// When the fronts are shut, and when the process ends whatever is left.
+    pub drain: Option<(Time, Time)>,
+    pub stop_accepting: Sender<()>,
+    /// Where connections that close are told, once the last one is waited for.
+    pub closed: Sender<()>,
+}
+
 impl EventLoop {
     pub(crate) async fn work(
         mut self,
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -3,9 +3,9 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::event_loop::inbox::LoopEvent;
+use crate::event_loop::interpreter_session::{LinkState, PeerAddresses};
 use crate::event_loop::request_table::RequestTable;
-use crate::event_loop::state::{EventLoop, LinkState, PeerAddresses};
-use crate::event_loop::{EVENTS, PRUNE};
+use crate::event_loop::{EventLoop, EVENTS, PRUNE};
 use crate::frontend::accept::accept;
 use crate::frontend::connection_pool::ConnectionPool;
 use crate::frontend::http1;
--- a/crates/heathspurd/tests/unit/peer_events.rs
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -4,8 +4,8 @@
 use super::*;
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::event_loop::interpreter_session::PeerAddresses;
 use crate::event_loop::request_table::RequestTable;
-use crate::event_loop::state::PeerAddresses;
 use crate::frontend::connection_pool::ConnectionPool;
 use crate::frontend::{AttemptId, FrontendContext, IncomingRequest};
 use crate::idempotency::IdempotencyStore;
