--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -1,82 +1,103 @@
-//! Stage two: a request that was read becomes one that the module knows, linked to what it repeats.
+//! Passes incoming requests to the admission controller, linked to the attempts that they repeat.
 
 use crate::clock;
 use crate::event_loop::EventLoop;
 use crate::frontend::{Answer, IncomingRequest};
 use crate::idempotency::{Attempt, Barred, Key};
-use heathspur::{Event, Idempotency, Request, Span};
+use heathspur::{Event, Idempotency, Request, RequestId, Span};
 use tracing::warn;
 
 impl EventLoop {
-    pub(crate) fn admit(&mut self, arrival: IncomingRequest) {
-        if arrival.reply.is_closed() {
-            // Its caller went before it was looked at.
+    /// Enters a request into the table and reports it to the controller, or answers it at once where it can't be
+    /// run here. A request whose client has disconnected meanwhile is dropped.
+    pub(super) fn admit(&mut self, request: IncomingRequest) {
+        if request.reply.is_closed() {
             return;
         }
-        if self.table.named(&arrival.attempt).is_some() {
-            let _ = arrival.reply.try_send(Answer::Conflict);
+        if self.table.find_attempt(&request.attempt).is_some() {
+            let _ = request.reply.try_send(Answer::Conflict);
             return;
         }
-        let linked = !arrival.has_subject || self.settings.cache_ttl.0 > 0;
-        let key = arrival
+        let key = self.dedup_key(&request);
+        let previous_attempt = match self.register_attempt(&request, key.as_ref()) {
+            Ok(previous_attempt) => previous_attempt,
+            Err(error) => {
+                warn!(id = request.id.0, %error, "request rejected: {error}");
+                let _ = request.reply.try_send(answer_to(&error));
+                return;
+            }
+        };
+        self.controller.push(Event::Request(controller_request(
+            &request,
+            previous_attempt,
+        )));
+        self.table.insert(request, key);
+    }
+
+    /// What the request shares with its repeats: an idempotency key, or the subject of a read while reads are cached.
+    fn dedup_key(&self, request: &IncomingRequest) -> Option<Key> {
+        let is_linked = !request.has_subject || self.controller.settings().cache_ttl.0 > 0;
+        request
             .idempotency_key
             .as_ref()
-            .filter(|_| linked)
-            .map(|bytes| Key::new(arrival.class, bytes));
-        let keyed = self.settings.classes[arrival.class.0].idempotency == Idempotency::Keyed;
-        // Reads of one thing may ask for it in different words.
-        let body = if keyed {
-            self.idempotency.digest(&arrival.body)
+            .filter(|_| is_linked)
+            .map(|bytes| Key::new(request.class, bytes))
+    }
+
+    /// Registers the request among the attempts of its key, and returns the attempt that it repeats.
+    fn register_attempt(
+        &mut self,
+        request: &IncomingRequest,
+        key: Option<&Key>,
+    ) -> Result<Option<RequestId>, Barred> {
+        let Some(key) = key else {
+            return Ok(None);
+        };
+        let class = &self.controller.settings().classes[request.class.0];
+        // Reads of one subject may be worded differently, so only bodies of keyed requests are compared.
+        let body = if class.idempotency == Idempotency::Keyed {
+            self.idempotency.digest(&request.body)
         } else {
             0
         };
-        let window = self.settings.classes[arrival.class.0].dedup_window;
-        let this = Attempt {
-            id: arrival.id,
-            ingress: arrival.received_unix_micros,
+        let attempt = Attempt {
+            id: request.id,
+            ingress: request.received_unix_micros,
             body,
-            window,
+            window: class.dedup_window,
         };
-        let repeats = match key.as_ref().map(|key| self.idempotency.link(key, this)) {
-            None => None,
-            Some(Ok(repeats)) => repeats,
-            Some(Err(Barred::Full)) => {
-                // A repeat could not be told any more, so it must not run here.
-                warn!(
-                    id = arrival.id.0,
-                    "a request was turned away: the table of keys is full"
-                );
-                let _ = arrival.reply.try_send(Answer::Rejected {
-                    retry_after: None,
-                    no_retry: false,
-                });
-                return;
-            }
-            Some(Err(Barred::OtherBody)) => {
-                warn!(
-                    id = arrival.id.0,
-                    "a request was turned away: its key came with another body before"
-                );
-                let _ = arrival.reply.try_send(Answer::KeyReused);
-                return;
-            }
-        };
-        let waited = clock::since(arrival.received_unix_micros, clock::unix());
-        self.events.push(Event::Request(Request {
-            id: arrival.id,
-            class: arrival.class,
-            tenant: arrival.tenant,
-            has_subject: arrival.has_subject,
-            // None at all is no patience told, so what has run out leaves the smallest span.
-            remaining_deadline: arrival
-                .client_timeout
-                .map(|left| Span(left.0.saturating_sub(waited.0).max(1))),
-            cost_hint: arrival.cost_hint.filter(|cost| *cost > 0.0),
-            queued_memory_kb: arrival.queued_memory_kb,
-            is_retry: arrival.is_retry,
-            queueing_delay: waited,
-            previous_attempt: repeats,
-        }));
-        self.table.insert(arrival, key);
+        self.idempotency.link(key, attempt)
+    }
+}
+
+/// The answer to a request that could not be registered.
+fn answer_to(error: &Barred) -> Answer {
+    match error {
+        // Its repeats could not be recognized, so it must not run here.
+        Barred::Full => Answer::Rejected {
+            retry_after: None,
+            no_retry: false,
+        },
+        Barred::OtherBody => Answer::KeyReused,
+    }
+}
+
+/// The request as the controller sees it.
+fn controller_request(request: &IncomingRequest, previous_attempt: Option<RequestId>) -> Request {
+    let queueing_delay = clock::since(request.received_unix_micros, clock::unix());
+    Request {
+        id: request.id,
+        class: request.class,
+        tenant: request.tenant,
+        has_subject: request.has_subject,
+        // Without a deadline the client waits for ever, so one that has passed leaves the smallest span instead.
+        remaining_deadline: request
+            .client_timeout
+            .map(|timeout| Span(timeout.0.saturating_sub(queueing_delay.0).max(1))),
+        cost_hint: request.cost_hint.filter(|cost| *cost > 0.0),
+        queued_memory_kb: request.queued_memory_kb,
+        is_retry: request.is_retry,
+        queueing_delay,
+        previous_attempt,
     }
 }
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -1,156 +1,106 @@
-//! Stage four: what the interpreter and the store are told of a request.
+//! Commands for a request: runs at the interpreter, dependency calls at the store.
 
-use crate::event_loop::execution::{
-    CommandDelivery, ExecutionState, Halting, LastCommand, PendingCall,
-};
+use crate::event_loop::execution::{CommandDelivery, ExecutionState, LastCommand, PendingCall};
+use crate::event_loop::store_calls::CallRequest;
 use crate::event_loop::EventLoop;
-use crate::peers::store::{Call, CallId};
 use heathspur::{Idempotency, RequestId, Span};
 use heathspur_wire::interpreter::Command;
 
-/// Time past its limit at which a call that nothing was heard of is given up here: the store tells first.
-const BACKSTOP: Span = Span(20_000);
-
 impl EventLoop {
-    /// Starts a held request, or goes on with a paused one.
-    pub(crate) fn run(&mut self, id: RequestId) {
+    /// Starts a queued request, or continues a paused one.
+    pub(super) fn start_run(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let (since, told) = match entry.work {
-            ExecutionState::Held => (self.now, LastCommand::Apply),
-            ExecutionState::Paused { since } => (since, LastCommand::Continue),
-            _ => return,
-        };
-        let delivery = CommandDelivery::Here {
-            before: self.next_nonce,
-        };
-        entry.work = ExecutionState::Running {
-            since,
-            told,
-            halting: Halting::No,
-            delivery,
-        };
+        let delivery = self.interpreter.delivery();
+        if !entry.execution.start_run(self.now, delivery) {
+            return;
+        }
         if let Some(key) = &entry.key {
             self.idempotency.runs(key, id);
         }
-        self.tell(id);
+        self.send_last_command(id);
     }
 
-    /// Stops a run.
-    pub(crate) fn stop(&mut self, id: RequestId) {
+    /// Asks the interpreter to stop a run.
+    pub(super) fn stop_run(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        if let ExecutionState::Running { halting, .. } = &mut entry.work {
-            *halting = Halting::Asked;
-            if self.interpreter_link.is_up() {
-                self.interpreter.send(Command::Break(entry.txn.as_str()));
-            }
+        if entry.execution.request_stop() && self.interpreter.is_up() {
+            self.interpreter
+                .send(Command::Break(entry.attempt.as_str()));
         }
     }
 
-    /// Makes the call that a run waits for.
-    pub(crate) fn call(&mut self, id: RequestId, limit: Span) {
+    /// Makes the call that a run needs.
+    pub(super) fn start_call(&mut self, id: RequestId, timeout: Span) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let ExecutionState::AtCall {
-            since,
-            need,
-            halting,
-        } = entry.work.clone()
-        else {
+        let ExecutionState::AwaitingCall { call, .. } = &entry.execution else {
             return;
         };
-        let call = CallId(self.next_call);
-        self.next_call += 1;
-        let until = self.now + limit + BACKSTOP;
-        let fresh = self.settings.classes[entry.class.0].idempotency != Idempotency::Idempotent;
-        let (txn, limit_ms, body) = (entry.txn, (limit.0 / 1000).max(1), need.body.clone());
-        self.store.call(Call {
+        let class = &self.controller.settings().classes[entry.class.0];
+        let request = CallRequest {
             request: id,
-            call,
-            attempt: txn,
-            timeout_ms: limit_ms,
-            body,
-            new_connection: fresh,
-        });
-        self.call_timers.insert((until, id));
-        entry.work = ExecutionState::Calling {
-            since,
-            need,
-            halting,
-            call,
-            made: self.now,
-            until,
+            attempt: entry.attempt,
+            timeout,
+            body: call.body.clone(),
+            new_connection: class.idempotency != Idempotency::Idempotent,
         };
+        let in_flight = self.calls.start(request, self.now);
+        entry.execution.begin_call(in_flight);
     }
 
-    /// Goes on with the reply to the call, or without it.
-    pub(crate) fn go_on(&mut self, id: RequestId, told: impl FnOnce(&PendingCall) -> LastCommand) {
+    /// Resumes a run that needs a call, with the call's reply or without it.
+    pub(super) fn resume_run(
+        &mut self,
+        id: RequestId,
+        command: impl FnOnce(&PendingCall) -> LastCommand,
+    ) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let (ExecutionState::AtCall {
-            since,
-            need,
-            halting,
+        if entry
+            .execution
+            .resume_run(command, self.interpreter.delivery())
+        {
+            self.send_last_command(id);
         }
-        | ExecutionState::Calling {
-            since,
-            need,
-            halting,
-            ..
-        }) = &entry.work
-        else {
-            return;
-        };
-        let delivery = CommandDelivery::Here {
-            before: self.next_nonce,
-        };
-        entry.work = ExecutionState::Running {
-            since: *since,
-            told: told(need),
-            halting: *halting,
-            delivery,
-        };
-        self.tell(id);
     }
 
-    /// Tells the interpreter where a running request stands; once more after the link was made again, but for what it
-    /// is known to have.
-    pub(crate) fn tell(&self, id: RequestId) {
-        let Some(entry) = self.table.get(id).filter(|_| self.interpreter_link.is_up()) else {
+    /// Sends a running request's last command, unless the interpreter is known to have it, and the stop that was
+    /// requested since. Without a link nothing is sent: it is sent once the link is up.
+    pub(super) fn send_last_command(&self, id: RequestId) {
+        let Some(entry) = self.table.get(id).filter(|_| self.interpreter.is_up()) else {
             return;
         };
         let ExecutionState::Running {
-            told,
-            halting,
+            run,
+            last_command,
             delivery,
-            ..
-        } = &entry.work
+        } = &entry.execution
         else {
             return;
         };
-        let task = entry.txn.as_str();
-        let command = match told {
-            LastCommand::Apply => Command::Apply {
-                task,
-                class: &self.frontend.names.classes[entry.class.0],
-                body: &entry.body,
-            },
-            LastCommand::Continue => Command::Continue(task),
-            LastCommand::Resolve(body) => Command::Resolve { task, body },
-            LastCommand::Stub(index) => Command::Stub {
-                task,
-                index: *index,
-            },
-        };
-        if *delivery != CommandDelivery::Taken {
-            self.interpreter.send(command);
+        let task = entry.attempt.as_str();
+        if *delivery != CommandDelivery::Confirmed {
+            self.interpreter.send(match last_command {
+                LastCommand::Apply => Command::Apply {
+                    task,
+                    class: &self.frontend.names.classes[entry.class.0],
+                    body: &entry.body,
+                },
+                LastCommand::Continue => Command::Continue(task),
+                LastCommand::Resolve(body) => Command::Resolve { task, body },
+                LastCommand::Stub(index) => Command::Stub {
+                    task,
+                    index: *index,
+                },
+            });
         }
-        if *halting == Halting::Asked {
+        if run.stop_requested {
             self.interpreter.send(Command::Break(task));
         }
     }
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -1,4 +1,4 @@
-//! Stage five: the one final answer of each request, and the one place where what a request held is given back.
+//! The end of a request: its one final answer, and the one place where its resources are released.
 
 use crate::event_loop::execution::ExecutionState;
 use crate::event_loop::EventLoop;
@@ -7,34 +7,34 @@
 use heathspur::{Event, Outcome, RequestId};
 
 impl EventLoop {
-    /// Hands the answer to the request's front, once; later ones go nowhere.
-    pub(crate) fn answer(&mut self, id: RequestId, answer: Answer) {
+    /// Sends the answer to the request's connection, once; any later answer is dropped.
+    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(reply) = self.table.get_mut(id).and_then(|entry| entry.reply.take()) {
-            // A front that closed the way back has told us, or will, that the caller is gone.
+            // It fails where the connection is gone, which is reported by an event of its own.
             let _ = reply.try_send(answer);
         }
     }
 
-    /// Takes a request off the table and gives back all that it held: its bytes, its call with the timer,
-    /// its place among the tries of its key. Its connection is its own owner.
-    pub(crate) fn book_out(&mut self, id: RequestId) {
+    /// Removes a request and releases all its resources: its body, its call with the timeout, its entry among the
+    /// attempts of its key. The front end owns its connection.
+    pub(super) fn release(&mut self, id: RequestId) {
         let Some(entry) = self.table.remove(id) else {
             return;
         };
-        if let ExecutionState::Calling { call, until, .. } = entry.work {
-            let _ = self.store.give_up(call);
-            self.call_timers.remove(&(until, id));
+        if let ExecutionState::Calling { in_flight, .. } = entry.execution {
+            self.calls.cancel(id, in_flight);
         }
         if let Some(key) = &entry.key {
-            for orphan in self.idempotency.leave(key, id) {
-                self.end_waiting(orphan, None);
+            for unanswerable in self.idempotency.leave(key, id) {
+                self.complete_waiting(unanswerable, None);
             }
         }
     }
 
-    /// A request that waited for another try's result has it, or never will.
-    pub(crate) fn end_waiting(&mut self, id: RequestId, result: Option<&Bytes>) {
-        let Some(ExecutionState::Waiting { since }) = self.table.get(id).map(|e| e.work.clone())
+    /// Completes a request that waits for another attempt's result, with that result or as failed.
+    pub(super) fn complete_waiting(&mut self, id: RequestId, result: Option<&Bytes>) {
+        let Some(&ExecutionState::AwaitingResult { since }) =
+            self.table.get(id).map(|entry| &entry.execution)
         else {
             return;
         };
@@ -43,53 +43,36 @@
             None => (Answer::Failed, Outcome::Error),
         };
         self.answer(id, answer);
-        self.events.push(Event::RunCompleted {
+        self.controller.push(Event::RunCompleted {
             id,
             outcome,
             latency: self.now - since,
         });
-        self.book_out(id);
+        self.release(id);
     }
 
-    /// The caller of a request is gone: nothing is owed, and what does not run is over.
-    pub(crate) fn gone(&mut self, id: RequestId) {
+    /// The client of a request has disconnected: no answer is due, and what does not run is discarded.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
         if entry.reply.take().is_none() || !self.frontend.names.cancel_seen {
             return;
         }
-        self.events.push(Event::ClientCancelled(id));
+        self.controller.push(Event::ClientCancelled(id));
         self.discard(id);
     }
 
-    /// After its answer, or without one to give: what is held, paused or waiting is over; a call is given
-    /// up, and the interpreter ends its run; what runs goes on.
-    pub(crate) fn discard(&mut self, id: RequestId) {
+    /// Discards a request that is owed no answer. Without a run it is released; a call in flight is cancelled; a run
+    /// goes on until the interpreter ends it.
+    pub(super) fn discard(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        match entry.work.clone() {
-            ExecutionState::Held
-            | ExecutionState::Paused { .. }
-            | ExecutionState::Waiting { .. } => self.book_out(id),
-            ExecutionState::Calling {
-                since,
-                need,
-                halting,
-                call,
-                until,
-                ..
-            } => {
-                entry.work = ExecutionState::AtCall {
-                    since,
-                    need,
-                    halting,
-                };
-                let _ = self.store.give_up(call);
-                self.call_timers.remove(&(until, id));
-            }
-            ExecutionState::Running { .. } | ExecutionState::AtCall { .. } => {}
+        if entry.execution.run().is_none() {
+            self.release(id);
+        } else if let Some(in_flight) = entry.execution.end_call() {
+            self.calls.cancel(id, in_flight);
         }
     }
 }
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -1,4 +1,4 @@
-//! Stage three: each action of the module goes to where it is carried out.
+//! Carries out the admission controller's actions.
 
 use crate::clock;
 use crate::event_loop::execution::{ExecutionState, LastCommand};
@@ -6,81 +6,80 @@
 use crate::frontend::Answer;
 use crate::idempotency::Attached;
 use heathspur::{Action, RequestId, Span};
-use std::cmp::Reverse;
 use tracing::info;
 
 impl EventLoop {
-    pub(crate) fn route(&mut self, action: Action) {
+    pub(super) fn dispatch(&mut self, action: Action) {
         match action {
-            Action::Run(id) => self.run(id),
-            Action::Stop(id) => self.stop(id),
+            Action::Run(id) => self.start_run(id),
+            Action::Stop(id) => self.stop_run(id),
             Action::Reject {
                 id,
-                retry_after: stay_away,
-                no_retry: last,
-            } => {
-                if let Some(members) = &self.members {
-                    members.refused();
-                }
-                self.answer(
-                    id,
-                    Answer::Rejected {
-                        retry_after: stay_away,
-                        no_retry: last,
-                    },
-                );
-                self.discard(id);
-            }
+                retry_after,
+                no_retry,
+            } => self.reject(id, retry_after, no_retry),
             Action::Fail(id) => {
                 self.answer(id, Answer::DeadlineExceeded);
                 self.discard(id);
             }
-            Action::Call { id, timeout: limit } => self.call(id, limit),
-            Action::SkipCall(id) => self.go_on(id, |need| LastCommand::Stub(need.index)),
-            Action::RetainResult { id, ttl } => {
-                if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
-                    self.idempotency.keep(key, id, clock::unix() + ttl.0);
-                }
-            }
+            Action::Call { id, timeout } => self.start_call(id, timeout),
+            Action::SkipCall(id) => self.resume_run(id, |call| LastCommand::Stub(call.index)),
+            Action::RetainResult { id, ttl } => self.retain_result(id, ttl),
             Action::EvictResult(id) => self.idempotency.forget(id),
-            Action::ReplayResult(id) => self.reuse(id),
-            Action::Health { healthy: good, .. } => {
-                self.frontend.healthy.set(good);
-                self.readiness.set(good);
-            }
-            Action::SetLoadSignal(value) => self.frontend.load_signal.set(Some(value)),
-            Action::CloseIdleConnections(after) => {
-                let all = after == Span(0);
-                self.frontend.idle_timeout.set(if all {
-                    self.settings.client_idle_timeout
-                } else {
-                    after
-                });
-            }
-            Action::SetTimer { after, token } => {
-                self.timers.push(Reverse((self.now + after, token)));
+            Action::ReplayResult(id) => self.replay_result(id),
+            Action::Health { healthy, .. } => {
+                self.frontend.healthy.set(healthy);
+                self.readiness.set(healthy);
             }
+            Action::SetLoadSignal(signal) => self.frontend.load_signal.set(Some(signal)),
+            Action::CloseIdleConnections(after) => self.set_idle_timeout(after),
+            Action::SetTimer { after, token } => self.timers.schedule(self.now + after, token),
             Action::Log(text) => info!("{text}"),
         }
     }
 
-    /// Answers a repeat with the result of the try that ran, or lets it wait for that.
-    fn reuse(&mut self, id: RequestId) {
+    fn reject(&mut self, id: RequestId, retry_after: Option<Span>, no_retry: bool) {
+        if let Some(members) = &self.members {
+            members.refused();
+        }
+        let answer = Answer::Rejected {
+            retry_after,
+            no_retry,
+        };
+        self.answer(id, answer);
+        self.discard(id);
+    }
+
+    fn retain_result(&mut self, id: RequestId, ttl: Span) {
+        if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
+            self.idempotency.keep(key, id, clock::unix() + ttl.0);
+        }
+    }
+
+    /// Answers a repeat with the result of the attempt that ran, or has it wait for that result.
+    fn replay_result(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        let Some(key) = entry
-            .key
-            .as_ref()
-            .filter(|_| matches!(entry.work, ExecutionState::Held))
-        else {
+        let (Some(key), ExecutionState::Queued) = (&entry.key, &entry.execution) else {
             return;
         };
-        entry.work = ExecutionState::Waiting { since: self.now };
-        match self.idempotency.attach(key, id) {
+        let attached = self.idempotency.attach(key, id);
+        entry.execution.await_result(self.now);
+        match attached {
             Attached::Waits => {}
-            Attached::Result(body) => self.end_waiting(id, Some(&body)),
-            Attached::Failed => self.end_waiting(id, None),
+            Attached::Result(body) => self.complete_waiting(id, Some(&body)),
+            Attached::Failed => self.complete_waiting(id, None),
         }
     }
+
+    /// Closes idle connections after this time from now on; zero stands for the timeout of the settings.
+    fn set_idle_timeout(&mut self, after: Span) {
+        let timeout = if after == Span(0) {
+            self.controller.settings().client_idle_timeout
+        } else {
+            after
+        };
+        self.frontend.idle_timeout.set(timeout);
+    }
 }
--- a/crates/heathspurd/src/event_loop/inbox.rs
+++ b/crates/heathspurd/src/event_loop/inbox.rs
@@ -1,29 +1,29 @@
-//! What reaches the owner beside requests.
+//! The events that reach the event loop beside requests.
 
 use crate::peers::interpreter;
 use crate::peers::store;
 use heathspur::RequestId;
 
-/// What happened.
+/// An event from a front end or a peer.
 #[derive(Debug)]
 pub(crate) enum LoopEvent {
-    /// The caller of a request is gone.
+    /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
-    /// A connection has closed, and somebody waits for the last one.
+    /// A connection has closed while the server drains.
     ConnectionClosed,
     Interpreter(interpreter::Event),
     Store(store::Event),
 }
 
 impl From<interpreter::Event> for LoopEvent {
-    fn from(heard: interpreter::Event) -> LoopEvent {
-        LoopEvent::Interpreter(heard)
+    fn from(event: interpreter::Event) -> LoopEvent {
+        LoopEvent::Interpreter(event)
     }
 }
 
 impl From<RequestId> for LoopEvent {
-    fn from(gone: RequestId) -> LoopEvent {
-        LoopEvent::ClientDisconnected(gone)
+    fn from(id: RequestId) -> LoopEvent {
+        LoopEvent::ClientDisconnected(id)
     }
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl From<store::Event> for LoopEvent {
-    fn from(called: store::Event) -> LoopEvent {
-        LoopEvent::Store(called)
+    fn from(event: store::Event) -> LoopEvent {
+        LoopEvent::Store(event)
     }
 }
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -1,389 +1,399 @@
-//! The one task that owns the module and all requests. It takes in what has arrived as one batch, lets the
-//! module decide once, and carries the actions out in order. It never waits for a peer.
+//! The one task that owns the admission controller and the state of all requests. Each turn takes in what has arrived
+//! as one batch, lets the controller decide once, and carries its actions out in order. It never waits for a peer.
+//!
+//! A request passes through `admission` (registered and passed to the controller), `dispatch` (the controller's
+//! actions), `commands` (to interpreter and store), `interpreter_events` and `store_events` (their results) and
+//! `completion` (answered and released). `execution` has the states that it goes through.
 
-pub(crate) mod admission;
-pub(crate) mod commands;
-pub(crate) mod completion;
-pub(crate) mod dispatch;
-pub(crate) mod execution;
+mod admission;
+mod commands;
+mod completion;
+mod controller;
+mod controller_timers;
+mod dispatch;
+mod drain;
+mod execution;
 pub(crate) mod inbox;
-pub(crate) mod interpreter_events;
-pub(crate) mod interpreter_session;
-pub(crate) mod request_table;
+mod interpreter_events;
+mod interpreter_session;
+mod peer_addresses;
+mod request_table;
+mod store_calls;
+mod store_events;
+
+pub(crate) use peer_addresses::PeerAddresses;
 
 use crate::clock::{self, Clock};
 use crate::config::Config;
-use crate::event_loop::execution::ExecutionState;
+use crate::event_loop::controller::Controller;
+use crate::event_loop::controller_timers::ControllerTimers;
+use crate::event_loop::drain::Drain;
 use crate::event_loop::inbox::LoopEvent;
-use crate::event_loop::interpreter_session::{LinkState, PeerAddresses, PendingTimer};
+use crate::event_loop::interpreter_session::InterpreterSession;
 use crate::event_loop::request_table::RequestTable;
+use crate::event_loop::store_calls::StoreCalls;
 use crate::frontend::request_queue::RequestQueues;
 use crate::frontend::{FrontendContext, IncomingRequest};
 use crate::idempotency::IdempotencyStore;
 use crate::membership::Handle;
 use crate::peers::interpreter;
-use crate::peers::registration;
+use crate::peers::registration::Readiness;
 use crate::peers::store;
 use crate::signals::SignalState;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use heathspur::{
-    Action, AdmissionController, Event, Gauges, RequestId, Settings, Span, Time, Token,
-};
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap, VecDeque};
+use heathspur::{Action, Event, Gauges, Settings, Span, Time, Token};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::info;
 
-/// Requests, and events of other kinds, that are taken in at once.
-const REQUESTS_AT_ONCE: usize = 64;
-pub(crate) const EVENTS: usize = 1024;
-/// A timer that is so late says that the process stood still. What has come meanwhile is read within this: by then the
-/// reactor, which wakes timers first and may do so from its own thread, has woken those who read as well.
-const STOOD: Span = Span(10_000);
-const READ: Duration = Duration::from_millis(1);
-/// A timer of the module waits so long for the gauges.
-const GAUGES: Span = Span(10_000);
-pub(crate) const PRUNE: Span = Span(1_000_000);
-/// The process ends by itself so long before it is killed, and its fronts are shut so long before that.
-const EARLY: Duration = Duration::from_millis(100);
-const LEAVE: Duration = Duration::from_millis(300);
-
-/// The last answers are written within this, which lies well within `EARLY`.
-const LAST_WRITES: Duration = Duration::from_millis(20);
+/// Requests that one turn takes in at most.
+const MAX_REQUESTS_PER_TURN: usize = 64;
+/// Other events that one turn takes in at most, and that may wait for it.
+pub(crate) const INBOX_CAPACITY: usize = 1024;
+/// A deadline missed by this much (10 ms) shows that the process was stalled.
+const STALL_THRESHOLD: Span = Span(10_000);
+/// Time after a stall in which readers take in what arrived meanwhile. The reactor wakes timers first, possibly from
+/// a thread of its own; within this time it has woken the readers too.
+const STALL_READ_TIME: Duration = Duration::from_millis(1);
+/// Between two prunings of idempotency entries and idle connections (1 s).
+const PRUNE_INTERVAL: Span = Span(1_000_000);
+/// For writing the last answers at the exit; well within the exit margin of a drain.
+const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What wakes the owner.
-enum Woken {
+/// What ends the wait for the next turn.
+enum Wakeup {
     Request(IncomingRequest),
     Event(LoopEvent),
-    Notice,
-    Time,
+    Signal,
+    Deadline,
 }
 
-/// All that the owning task owns.
-pub(crate) struct EventLoop {
+/// What an event loop is built from.
+pub(crate) struct EventLoopParts {
     pub settings: Settings,
+    /// Seeds the controller's random numbers.
+    pub seed: u64,
+    /// From the signal to drain to the end of the process.
+    pub stop_timeout: Duration,
     pub frontend: Rc<FrontendContext>,
-    pub readiness: Rc<registration::Readiness>,
+    pub readiness: Rc<Readiness>,
     pub interpreter: Rc<interpreter::Link>,
-    pub peer_addresses: PeerAddresses,
-    pub interpreter_link: LinkState,
     pub store: Rc<store::Link<LoopEvent>>,
-    pub table: RequestTable,
+    pub peer_addresses: PeerAddresses,
     pub idempotency: IdempotencyStore,
-    pub timers: BinaryHeap<Reverse<(Time, Token)>>,
-    pub call_timers: BTreeSet<(Time, RequestId)>,
-    pub next_call: u64,
-    /// Where the fleet's view is kept: what others are told of this server.
     pub members: Option<Handle>,
-    /// What the operators ask for.
     pub signals: Rc<SignalState>,
-    pub events: Vec<Event>,
-    /// The time of this batch.
-    pub now: Time,
-    pub clock: Clock,
-    pub seed: u64,
-    pub stop: Duration,
-    pub controller: Option<AdmissionController>,
-    pub pending_timers: VecDeque<PendingTimer>,
-    pub next_nonce: u64,
-    /// The last question that was answered.
-    pub answered: u64,
-    pub prune_at: Time,
-    /// When the fronts are shut, and when the process ends whatever is left.
-    pub drain: Option<(Time, Time)>,
+    /// Closed by the event loop once no new request is accepted.
     pub stop_accepting: Sender<()>,
-    /// Where connections that close are told, once the last one is waited for.
-    pub closed: Sender<()>,
+    /// Notified of each connection that closes during a drain.
+    pub connection_closed: Sender<()>,
+}
+
+/// The owner of the admission controller and of all requests. Each part owns its state.
+pub(crate) struct EventLoop {
+    controller: Controller,
+    timers: ControllerTimers,
+    table: RequestTable,
+    idempotency: IdempotencyStore,
+    interpreter: InterpreterSession,
+    calls: StoreCalls,
+    peer_addresses: PeerAddresses,
+    frontend: Rc<FrontendContext>,
+    readiness: Rc<Readiness>,
+    /// The fleet membership, where it is on.
+    members: Option<Handle>,
+    signals: Rc<SignalState>,
+    drain: Drain,
+    connection_closed: Sender<()>,
+    clock: Clock,
+    /// The time of this turn.
+    now: Time,
+    next_prune: Time,
 }
 
 impl EventLoop {
-    pub(crate) async fn work(
+    pub fn new(parts: EventLoopParts) -> EventLoop {
+        let clock = Clock::start();
+        let now = clock.now();
+        EventLoop {
+            controller: Controller::new(parts.settings, parts.seed),
+            timers: ControllerTimers::default(),
+            table: RequestTable::default(),
+            idempotency: parts.idempotency,
+            interpreter: InterpreterSession::new(parts.interpreter),
+            calls: StoreCalls::new(parts.store),
+            peer_addresses: parts.peer_addresses,
+            frontend: parts.frontend,
+            readiness: parts.readiness,
+            members: parts.members,
+            signals: parts.signals,
+            drain: Drain::new(parts.stop_timeout, parts.stop_accepting),
+            connection_closed: parts.connection_closed,
+            clock,
+            now,
+            next_prune: now + PRUNE_INTERVAL,
+        }
+    }
+
+    /// Runs until the server has drained.
+    pub async fn run(
         mut self,
         mut requests: RequestQueues<IncomingRequest>,
         inbox: Receiver<LoopEvent>,
     ) {
         let mut actions = Vec::new();
         loop {
-            let woken = self.wait(&mut requests, &inbox).await;
-            // What has arrived comes before a timer that is late: let it be read first.
+            let wakeup = self.wait(&mut requests, &inbox).await;
+            // Input that has arrived precedes a deadline that was missed: let the readers run first.
             future::yield_now().await;
             self.now = self.clock.now();
-            if self.next_time().is_some_and(|at| self.now - at >= STOOD) {
-                Timer::after(READ).await;
+            if self.has_stalled() {
+                Timer::after(STALL_READ_TIME).await;
                 self.now = self.clock.now();
             }
-            match woken {
-                Woken::Request(arrival) => self.take_request(arrival),
-                Woken::Event(item) => self.take_event(item),
-                Woken::Notice | Woken::Time => {}
-            }
-            self.take_notices();
-            // Events before requests: results, gauges and notices are few and must not wait behind a flood.
-            for _ in 0..EVENTS {
-                let Ok(item) = inbox.try_recv() else { break };
-                self.take_event(item);
-            }
-            for _ in 0..REQUESTS_AT_ONCE {
-                let Some(arrival) = requests.try_next() else {
-                    break;
-                };
-                self.take_request(arrival);
-            }
-            self.take_time();
+            self.take_inputs(wakeup, &mut requests, &inbox);
+            self.handle_deadlines();
             self.decide(&mut actions);
-            if self.has_left() {
+            if self.is_drained() {
                 return self.finish(requests, inbox, actions).await;
             }
         }
     }
 
-    /// The last turn. Whatever kept the process from its time, what is owed by now is answered, and what was answered
-    /// is written: the front's tasks have this long for it.
-    async fn finish(
-        mut self,
-        mut requests: RequestQueues<IncomingRequest>,
-        inbox: Receiver<LoopEvent>,
-        mut actions: Vec<Action>,
-    ) {
-        while let Some(arrival) = requests.try_next() {
-            self.take_request(arrival);
-        }
-        let due = self.pending_timers.drain(..).map(|due| due.token);
-        for token in due.chain(self.timers.drain().map(|Reverse((_, token))| token)) {
-            self.events.push(Event::Timer {
-                token,
-                gauges: Gauges::default(),
-            });
-        }
-        self.decide(&mut actions);
-        let closed =
-            async { while self.frontend.connections.open() > 0 && inbox.recv().await.is_ok() {} };
-        let late = async {
-            Timer::after(LAST_WRITES).await;
-        };
-        future::or(closed, late).await;
-    }
-
+    /// Waits for input or for the next deadline; not at all while events wait for a decision.
     async fn wait(
         &self,
         requests: &mut RequestQueues<IncomingRequest>,
         inbox: &Receiver<LoopEvent>,
-    ) -> Woken {
-        if !self.events.is_empty() {
-            return Woken::Time;
+    ) -> Wakeup {
+        if self.controller.has_events() {
+            return Wakeup::Deadline;
         }
-        let request = async { Woken::Request(requests.next().await) };
-        let item = async {
+        let request = async { Wakeup::Request(requests.next().await) };
+        let event = async {
             match inbox.recv().await {
-                Ok(item) => Woken::Event(item),
+                Ok(event) => Wakeup::Event(event),
                 Err(_) => future::pending().await,
             }
         };
-        let notice = async {
+        let signal = async {
             self.signals.notified().await;
-            Woken::Notice
+            Wakeup::Signal
         };
-        let time = async {
-            match self.next_time() {
+        let deadline = async {
+            match self.next_deadline() {
                 Some(at) => Timer::at(self.clock.instant(at)).await,
                 None => future::pending().await,
             };
-            Woken::Time
+            Wakeup::Deadline
         };
-        future::or(notice, future::or(item, future::or(request, time))).await
+        future::or(signal, future::or(event, future::or(request, deadline))).await
     }
 
-    fn next_time(&self) -> Option<Time> {
-        let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let call = self.call_timers.first().map(|(at, _)| *at);
-        let gauges = self.pending_timers.front().map(|due| due.until);
-        let leave = self.drain.map(|(shut, end)| {
-            if self.frontend.stop_accepting.is_closed() {
-                end
-            } else {
-                shut
-            }
-        });
-        let resume = match self.interpreter_link {
-            LinkState::Resuming(_, until) => Some(until),
-            LinkState::Up | LinkState::Late | LinkState::Down => None,
-        };
-        [timer, call, gauges, leave, resume, Some(self.prune_at)]
-            .into_iter()
-            .flatten()
-            .min()
+    /// The earliest of all deadlines.
+    fn next_deadline(&self) -> Option<Time> {
+        [
+            self.timers.next_due(),
+            self.calls.next_timeout(),
+            self.drain.next_deadline(),
+            self.interpreter.resume_deadline(),
+            Some(self.next_prune),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
+    }
+
+    /// Whether the process was stalled past a deadline.
+    fn has_stalled(&self) -> bool {
+        self.next_deadline()
+            .is_some_and(|at| self.now - at >= STALL_THRESHOLD)
+    }
+
+    /// Takes in what has arrived. Events come before requests: results, gauges and notices are few and must not wait
+    /// behind a burst of requests.
+    fn take_inputs(
+        &mut self,
+        wakeup: Wakeup,
+        requests: &mut RequestQueues<IncomingRequest>,
+        inbox: &Receiver<LoopEvent>,
+    ) {
+        match wakeup {
+            Wakeup::Request(request) => self.on_request(request),
+            Wakeup::Event(event) => self.on_event(event),
+            Wakeup::Signal | Wakeup::Deadline => {}
+        }
+        self.handle_signals();
+        for _ in 0..INBOX_CAPACITY {
+            let Ok(event) = inbox.try_recv() else { break };
+            self.on_event(event);
+        }
+        for _ in 0..MAX_REQUESTS_PER_TURN {
+            let Some(request) = requests.try_next() else {
+                break;
+            };
+            self.on_request(request);
+        }
+    }
+
+    fn on_request(&mut self, request: IncomingRequest) {
+        self.start_controller(self.controller.settings().cold_start, self.now);
+        self.admit(request);
     }
 
-    /// The module begins with the interpreter's start: from then on the machine warms up.
-    pub(crate) fn begin(&mut self, cold: bool, started: Time) {
-        if self.controller.is_some() {
+    fn on_event(&mut self, event: LoopEvent) {
+        match event {
+            LoopEvent::ClientDisconnected(id) => self.on_client_disconnected(id),
+            LoopEvent::ConnectionClosed => {}
+            LoopEvent::Interpreter(event) => self.on_interpreter_event(event),
+            LoopEvent::Store(event) => self.on_call_completed(event),
+        }
+    }
+
+    /// Starts the controller, once, as of the given time.
+    fn start_controller(&mut self, cold: bool, started: Time) {
+        if self.controller.is_started() {
             return;
         }
-        self.settings.cold_start = cold;
-        let mut module = AdmissionController::new(self.settings.clone(), self.seed);
         let mut actions = Vec::new();
-        module.decide(started, &[], &mut actions);
-        self.controller = Some(module);
+        self.controller.start(cold, started, &mut actions);
         self.carry_out(&mut actions);
     }
 
+    /// Has the controller decide on the events of this turn, and carries its actions out.
     fn decide(&mut self, actions: &mut Vec<Action>) {
-        if self.events.is_empty() {
-            return;
-        }
-        let Some(module) = &mut self.controller else {
+        let Some(concurrency_limit) = self.controller.decide(self.now, actions) else {
             return;
         };
-        module.decide(self.now, &self.events, actions);
-        let cap = module.concurrency_limit();
-        self.events.clear();
         self.carry_out(actions);
         if let Some(members) = &self.members {
-            members.load(self.table.len(), cap);
+            members.load(self.table.len(), concurrency_limit);
         }
     }
 
     fn carry_out(&mut self, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
-            self.route(action);
+            self.dispatch(action);
         }
     }
 
-    fn take_request(&mut self, arrival: IncomingRequest) {
-        self.begin(self.settings.cold_start, self.now);
-        self.admit(arrival);
+    /// Handles all deadlines that have passed.
+    fn handle_deadlines(&mut self) {
+        self.handle_timers();
+        while let Some(id) = self.calls.pop_timed_out(self.now) {
+            self.on_call_timed_out(id);
+        }
+        if self
+            .interpreter
+            .resume_deadline()
+            .is_some_and(|deadline| deadline <= self.now)
+        {
+            self.resume_late();
+        }
+        if self.next_prune <= self.now {
+            self.next_prune = self.now + PRUNE_INTERVAL;
+            self.idempotency.prune(clock::unix());
+            self.calls.prune_connections();
+        }
     }
 
-    fn take_event(&mut self, event: LoopEvent) {
-        match event {
-            LoopEvent::ClientDisconnected(id) => self.gone(id),
-            LoopEvent::ConnectionClosed => {}
-            LoopEvent::Interpreter(heard) => self.hear(heard),
-            LoopEvent::Store(called) => self.called(called),
+    /// Delivers due timers: with gauges where the interpreter answers in time, else without.
+    fn handle_timers(&mut self) {
+        while let Some(token) = self.timers.pop_due(self.now) {
+            if self.interpreter.is_up() {
+                let query = self.interpreter.query_gauges();
+                self.timers.await_gauges(query, token, self.now);
+            } else {
+                self.controller.push(timer_without_gauges(token));
+            }
+        }
+        while let Some(token) = self.timers.pop_unanswered(self.now) {
+            self.controller.push(timer_without_gauges(token));
         }
     }
 
-    fn take_notices(&mut self) {
+    fn handle_signals(&mut self) {
         let (drain, config) = self.signals.take();
         if let Some(config) = config {
-            self.move_to(&config);
+            self.move_peers(&config);
         }
         if drain {
-            self.leave();
+            self.begin_drain();
         }
     }
 
-    /// The peers are found elsewhere from now on. What else the file says holds from the next start.
-    fn move_to(&mut self, config: &Config) {
+    /// Takes the peers' addresses from a new configuration. Its other fields apply from the next start.
+    fn move_peers(&mut self, config: &Config) {
         info!(
             "peers at {}, {} and {:?}",
             config.vm, config.announce, config.store
         );
-        self.peer_addresses.interpreter.set(config.vm);
-        self.peer_addresses.registration.set(config.announce);
-        self.store.set(config.store);
-    }
-
-    /// What is due by the clock.
-    fn take_time(&mut self) {
-        while self
-            .timers
-            .peek()
-            .is_some_and(|Reverse((at, _))| *at <= self.now)
-        {
-            let Some(Reverse((_, token))) = self.timers.pop() else {
-                break;
-            };
-            if self.interpreter_link.is_up() {
-                let nonce = self.ask();
-                self.pending_timers.push_back(PendingTimer {
-                    nonce,
-                    token,
-                    until: self.now + GAUGES,
-                });
-            } else {
-                self.events.push(Event::Timer {
-                    token,
-                    gauges: Gauges::default(),
-                });
-            }
-        }
-        while self
-            .pending_timers
-            .front()
-            .is_some_and(|due| due.until <= self.now)
-        {
-            let Some(due) = self.pending_timers.pop_front() else {
-                break;
-            };
-            self.events.push(Event::Timer {
-                token: due.token,
-                gauges: Gauges::default(),
-            });
-        }
-        while self
-            .call_timers
-            .first()
-            .is_some_and(|(at, _)| *at <= self.now)
-        {
-            let Some((_, id)) = self.call_timers.pop_first() else {
-                break;
-            };
-            let Some(entry) = self.table.get(id) else {
-                continue;
-            };
-            if let ExecutionState::Calling { call, .. } = entry.work {
-                let outcome = self.store.give_up_late(call);
-                self.call_ended(id, outcome);
-            }
-        }
-        if matches!(self.interpreter_link, LinkState::Resuming(_, until) if until <= self.now) {
-            self.resume_late();
-        }
-        if self.prune_at <= self.now {
-            self.prune_at = self.now + PRUNE;
-            self.idempotency.prune(clock::unix());
-            self.store.prune();
-        }
+        self.peer_addresses.set(config);
+        self.calls.set_address(config.store);
     }
 
-    /// The notice to drain.
-    fn leave(&mut self) {
-        if self.drain.is_some() {
+    /// Begins the graceful shutdown, once.
+    fn begin_drain(&mut self) {
+        if self.drain.has_begun() {
             return;
         }
-        info!("told to leave");
-        self.begin(self.settings.cold_start, self.now);
-        let span = |d: Duration| Span(d.as_micros() as u64);
-        let stop = self.stop.saturating_sub(EARLY);
-        let shut = span(stop.saturating_sub(LEAVE)).min(self.settings.drain_grace);
-        // The last answers are given before the stop that the module is told; they are on their way then.
-        self.drain = Some((self.now + shut, self.now + span(stop + EARLY / 2)));
+        info!("graceful shutdown started");
+        self.start_controller(self.controller.settings().cold_start, self.now);
+        let grace = self.controller.settings().drain_grace;
+        let plan = self.drain.begin(self.now, grace);
         if let Some(members) = &self.members {
             members.leave();
         }
         self.frontend.draining.set(true);
-        self.frontend.abandon_responses_at.set(Some(
-            self.clock
-                .instant(self.now + span(stop.saturating_sub(LEAVE))),
-        ));
-        self.frontend.connections.tell_closed(self.closed.clone());
-        self.events.push(Event::Drain(span(stop)));
+        self.frontend
+            .abandon_responses_at
+            .set(Some(self.clock.instant(plan.abandon_responses)));
+        self.frontend
+            .connections
+            .tell_closed(self.connection_closed.clone());
+        self.controller.push(Event::Drain(plan.controller_limit));
     }
 
-    /// Shuts the front when nothing new would be run any more; true once all is answered, or nothing can be.
-    fn has_left(&mut self) -> bool {
-        let Some((shut, end)) = self.drain else {
+    /// Stops accepting once that is due; true once everything is answered, or the exit is due.
+    fn is_drained(&self) -> bool {
+        if !self.drain.has_begun() {
             return false;
-        };
-        if self.now >= shut {
-            self.stop_accepting.close();
         }
-        let owed = || self.table.find(|entry| entry.reply.is_some()).len();
-        self.frontend.stop_accepting.is_closed()
-            && (self.frontend.connections.open() == 0 && owed() == 0 || self.now >= end)
+        self.drain.stop_accepting_if_due(self.now);
+        let is_idle = || self.frontend.connections.open() == 0 && !self.table.owes_reply();
+        self.drain.has_stopped_accepting() && (is_idle() || self.drain.is_exit_due(self.now))
+    }
+
+    /// The last turn. Whatever delayed the process, each request that is due an answer gets it now, and the
+    /// front ends' tasks have a short time to write the answers.
+    async fn finish(
+        mut self,
+        mut requests: RequestQueues<IncomingRequest>,
+        inbox: Receiver<LoopEvent>,
+        mut actions: Vec<Action>,
+    ) {
+        while let Some(request) = requests.try_next() {
+            self.on_request(request);
+        }
+        for token in self.timers.drain_all() {
+            self.controller.push(timer_without_gauges(token));
+        }
+        self.decide(&mut actions);
+        let closed =
+            async { while self.frontend.connections.open() > 0 && inbox.recv().await.is_ok() {} };
+        let timeout = async {
+            Timer::after(LAST_WRITES_TIMEOUT).await;
+        };
+        future::or(closed, timeout).await;
+    }
+}
+
+/// The event of a timer for which no gauges were read.
+fn timer_without_gauges(token: Token) -> Event {
+    Event::Timer {
+        token,
+        gauges: Gauges::default(),
     }
 }
--- /dev/null
+++ b/crates/heathspurd/src/event_loop/peer_addresses.rs
@@ -0,0 +1,27 @@
+//! The addresses of the peers that a new configuration may move.
+
+use crate::config::Config;
+use crate::peers::connection::PeerAddress;
+use std::rc::Rc;
+
+/// The addresses of the interpreter and of the registration service, shared with the tasks that connect to them.
+pub(crate) struct PeerAddresses {
+    pub interpreter: Rc<PeerAddress>,
+    pub registration: Rc<PeerAddress>,
+}
+
+impl PeerAddresses {
+    /// The addresses in a configuration.
+    pub fn new(config: &Config) -> PeerAddresses {
+        PeerAddresses {
+            interpreter: Rc::new(PeerAddress::new(config.vm)),
+            registration: Rc::new(PeerAddress::new(config.announce)),
+        }
+    }
+
+    /// Moves the peers to the addresses in a new configuration.
+    pub fn set(&self, config: &Config) {
+        self.interpreter.set(config.vm);
+        self.registration.set(config.announce);
+    }
+}
--- a/crates/heathspurd/src/event_loop/request_table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of requests: where each stands, from its admission until nothing of it is left.
+//! The table of all requests that the admission controller knows.
 
 use crate::event_loop::execution::ExecutionState;
 use crate::frontend::{Answer, AttemptId, IncomingRequest};
@@ -8,28 +8,36 @@
 use heathspur::{ClassId, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// One request, from its admission until nothing of it is left.
+/// One request, from its admission until its release.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    pub txn: AttemptId,
+    pub attempt: AttemptId,
     pub class: ClassId,
     pub body: Bytes,
-    /// The way to its caller while an answer is owed.
+    /// Where its answer goes, until it is answered or its client is gone.
     pub reply: Option<Sender<Answer>>,
+    /// What it shares with its repeats.
     pub key: Option<Key>,
-    pub work: ExecutionState,
+    pub execution: ExecutionState,
 }
 
-/// All requests that the module knows. Bounded by the connections, and for those that are answered and
-/// still run by the module's cap.
+impl Entry {
+    /// Whether an answer is due.
+    pub fn owes_reply(&self) -> bool {
+        self.reply.is_some()
+    }
+}
+
+/// All requests from their admission until their release. Bounded by the connections, and for requests that are
+/// answered and still run by the controller's concurrency limit.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     entries: BTreeMap<RequestId, Entry>,
-    names: HashMap<AttemptId, RequestId>,
+    attempts: HashMap<AttemptId, RequestId>,
 }
 
 impl RequestTable {
-    /// Requests in it: held, running, at calls, waiting.
+    /// The number of requests in any state.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -42,46 +50,52 @@
         self.entries.get(&id)
     }
 
-    pub fn named(&self, txn: &AttemptId) -> Option<RequestId> {
-        self.names.get(txn).copied()
+    /// The request with this attempt id on the wire.
+    pub fn find_attempt(&self, attempt: &AttemptId) -> Option<RequestId> {
+        self.attempts.get(attempt).copied()
     }
 
-    /// The requests that pass a test, oldest first.
-    pub fn find(&self, test: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
+    /// The requests that match a predicate, oldest first.
+    pub fn find(&self, predicate: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
         self.entries
             .iter()
-            .filter(|(_, e)| test(e))
+            .filter(|(_, entry)| predicate(entry))
             .map(|(&id, _)| id)
             .collect()
     }
 
-    pub fn insert(&mut self, arrival: IncomingRequest, key: Option<Key>) {
-        let IncomingRequest {
-            id,
-            attempt: txn,
-            class,
-            body,
-            reply,
-            ..
-        } = arrival;
-        self.names.insert(txn, id);
+    /// Whether an answer is due to any request.
+    pub fn owes_reply(&self) -> bool {
+        self.entries.values().any(Entry::owes_reply)
+    }
+
+    /// Applies a change to the execution of all requests, oldest first.
+    pub fn for_each_execution(&mut self, change: impl Fn(&mut ExecutionState)) {
+        self.entries
+            .values_mut()
+            .for_each(|entry| change(&mut entry.execution));
+    }
+
+    /// Adds a queued request.
+    pub fn insert(&mut self, request: IncomingRequest, key: Option<Key>) {
+        self.attempts.insert(request.attempt, request.id);
         self.entries.insert(
-            id,
+            request.id,
             Entry {
-                txn,
-                class,
-                body,
-                reply: Some(reply),
+                attempt: request.attempt,
+                class: request.class,
+                body: request.body,
+                reply: Some(request.reply),
                 key,
-                work: ExecutionState::Held,
+                execution: ExecutionState::Queued,
             },
         );
     }
 
-    /// Takes one off; only booking out does.
+    /// Removes a request; only the event loop's `release` does.
     pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
         let entry = self.entries.remove(&id)?;
-        self.names.remove(&entry.txn);
+        self.attempts.remove(&entry.attempt);
         Some(entry)
     }
 }
--- a/crates/heathspurd/src/idempotency.rs
+++ b/crates/heathspurd/src/idempotency.rs
@@ -78,11 +78,11 @@
 }
 
 /// Why a try can't be entered.
-#[derive(Debug, PartialEq)]
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub(crate) enum Barred {
-    /// The table is full.
+    #[error("the idempotency store is full")]
     Full,
-    /// Another try of that key carried another body.
+    #[error("its idempotency key was used with another body before")]
     OtherBody,
 }
 
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -1,11 +1,8 @@
 //! Starts all tasks of a server and serves until it has left.
 
-use crate::clock::Clock;
 use crate::config::Config;
 use crate::event_loop::inbox::LoopEvent;
-use crate::event_loop::interpreter_session::{LinkState, PeerAddresses};
-use crate::event_loop::request_table::RequestTable;
-use crate::event_loop::{EventLoop, EVENTS, PRUNE};
+use crate::event_loop::{EventLoop, EventLoopParts, PeerAddresses, INBOX_CAPACITY};
 use crate::frontend::accept::accept;
 use crate::frontend::connection_pool::ConnectionPool;
 use crate::frontend::http1;
@@ -16,7 +13,6 @@
 use crate::idempotency::IdempotencyStore;
 use crate::membership::failover::Ways;
 use crate::membership::Handle;
-use crate::peers::connection::PeerAddress;
 use crate::peers::interpreter;
 use crate::peers::registration;
 use crate::peers::store;
@@ -29,7 +25,6 @@
 use heathspur::Idempotency;
 use heathspur_config::Http2;
 use heathspur_streams::ledger::Bounds;
-use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -79,7 +74,7 @@
     tap: Option<Rc<RecorderHandle>>,
     peers: Peers,
 ) -> io::Result<()> {
-    let (to_owner, inbox) = async_channel::bounded(EVENTS);
+    let (to_owner, inbox) = async_channel::bounded(INBOX_CAPACITY);
     let (shutter, shutting) = async_channel::bounded(1);
     let (closed, closings) = async_channel::bounded(1);
     let settings = config.settings.clone();
@@ -120,10 +115,7 @@
             routes,
         )
     };
-    let targets = PeerAddresses {
-        interpreter: Rc::new(PeerAddress::new(config.vm)),
-        registration: Rc::new(PeerAddress::new(config.announce)),
-    };
+    let targets = PeerAddresses::new(&config);
     let readiness = registration::Readiness::new();
     let mut queues = Vec::new();
     let mut front = || {
@@ -173,42 +165,27 @@
     executor
         .spawn(signals::hear(signals, config.clone(), notices.clone()))
         .detach();
-    let clock = Clock::start();
     let late = settings
         .classes
         .iter()
         .map(|c| c.client_timeout)
         .max()
         .unwrap_or_default();
-    let owner = EventLoop {
+    let event_loop = EventLoop::new(EventLoopParts {
         settings,
+        seed: config.seed,
+        stop_timeout: config.stop,
         frontend: desk,
         readiness,
         interpreter,
-        peer_addresses: targets,
-        interpreter_link: LinkState::Down,
         store,
-        table: RequestTable::default(),
+        peer_addresses: targets,
         idempotency: IdempotencyStore::new(KEYS, config.memory / RESULTS_PART, late),
-        timers: BinaryHeap::new(),
-        call_timers: BTreeSet::new(),
-        next_call: 1,
         members: peers.members,
         signals: notices,
-        events: Vec::new(),
-        now: clock.now(),
-        clock,
-        seed: config.seed,
-        stop: config.stop,
-        controller: None,
-        pending_timers: VecDeque::new(),
-        next_nonce: 1,
-        answered: 0,
-        prune_at: clock.now() + PRUNE,
-        drain: None,
         stop_accepting: shutter,
-        closed,
-    };
-    owner.work(RequestQueues::new(queues), inbox).await;
+        connection_closed: closed,
+    });
+    event_loop.run(RequestQueues::new(queues), inbox).await;
     Ok(())
 }
