--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -3,8 +3,8 @@
 use crate::clock;
 use crate::event_loop::EventLoop;
 use crate::frontend::{Answer, IncomingRequest};
-use crate::idempotency::{Attempt, Barred, Key};
-use heathspur::{Event, Idempotency, Request, RequestId, Span};
+use crate::idempotency::{Attempt, Key, RegisterError, Registration};
+use heathspur::{Event, Idempotency, Request, Span};
 use tracing::warn;
 
 impl EventLoop {
@@ -19,18 +19,16 @@
             return;
         }
         let key = self.dedup_key(&request);
-        let previous_attempt = match self.register_attempt(&request, key.as_ref()) {
-            Ok(previous_attempt) => previous_attempt,
+        let registration = match self.register_attempt(&request, key.as_ref()) {
+            Ok(registration) => registration,
             Err(error) => {
                 warn!(id = request.id.0, %error, "request rejected: {error}");
                 let _ = request.reply.try_send(answer_to(&error));
                 return;
             }
         };
-        self.controller.push(Event::Request(controller_request(
-            &request,
-            previous_attempt,
-        )));
+        self.controller
+            .push(Event::Request(controller_request(&request, registration)));
         self.table.insert(request, key);
     }
 
@@ -44,46 +42,46 @@
             .map(|bytes| Key::new(request.class, bytes))
     }
 
-    /// Registers the request among the attempts of its key, and returns the attempt that it repeats.
+    /// Registers the request among the attempts of its key. Without a key it repeats none.
     fn register_attempt(
         &mut self,
         request: &IncomingRequest,
         key: Option<&Key>,
-    ) -> Result<Option<RequestId>, Barred> {
+    ) -> Result<Registration, RegisterError> {
         let Some(key) = key else {
-            return Ok(None);
+            return Ok(Registration::First);
         };
         let class = &self.controller.settings().classes[request.class.0];
         // Reads of one subject may be worded differently, so only bodies of keyed requests are compared.
-        let body = if class.idempotency == Idempotency::Keyed {
+        let body_digest = if class.idempotency == Idempotency::Keyed {
             self.idempotency.digest(&request.body)
         } else {
             0
         };
         let attempt = Attempt {
             id: request.id,
-            ingress: request.received_unix_micros,
-            body,
-            window: class.dedup_window,
+            received_at: request.received_unix_micros,
+            body_digest,
+            dedup_window: class.dedup_window,
         };
-        self.idempotency.link(key, attempt)
+        self.idempotency.register(key, attempt)
     }
 }
 
 /// The answer to a request that could not be registered.
-fn answer_to(error: &Barred) -> Answer {
+fn answer_to(error: &RegisterError) -> Answer {
     match error {
         // Its repeats could not be recognized, so it must not run here.
-        Barred::Full => Answer::Rejected {
+        RegisterError::StoreFull { .. } => Answer::Rejected {
             retry_after: None,
             no_retry: false,
         },
-        Barred::OtherBody => Answer::KeyReused,
+        RegisterError::BodyMismatch => Answer::KeyReused,
     }
 }
 
 /// The request as the controller sees it.
-fn controller_request(request: &IncomingRequest, previous_attempt: Option<RequestId>) -> Request {
+fn controller_request(request: &IncomingRequest, registration: Registration) -> Request {
     let queueing_delay = clock::since(request.received_unix_micros, clock::unix());
     Request {
         id: request.id,
@@ -98,6 +96,9 @@
         queued_memory_kb: request.queued_memory_kb,
         is_retry: request.is_retry,
         queueing_delay,
-        previous_attempt,
+        previous_attempt: match registration {
+            Registration::First => None,
+            Registration::RepeatOf(attempt) => Some(attempt),
+        },
     }
 }
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -17,7 +17,7 @@
             return;
         }
         if let Some(key) = &entry.key {
-            self.idempotency.runs(key, id);
+            self.idempotency.run_started(key, id);
         }
         self.send_last_command(id);
     }
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -25,7 +25,7 @@
             self.calls.cancel(id, in_flight);
         }
         if let Some(key) = &entry.key {
-            for unanswerable in self.idempotency.leave(key, id) {
+            for unanswerable in self.idempotency.remove_attempt(key, id) {
                 self.complete_waiting(unanswerable, None);
             }
         }
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::event_loop::execution::{ExecutionState, LastCommand};
 use crate::event_loop::EventLoop;
 use crate::frontend::Answer;
-use crate::idempotency::Attached;
+use crate::idempotency::Attachment;
 use heathspur::{Action, RequestId, Span};
 use tracing::info;
 
@@ -25,7 +25,7 @@
             Action::Call { id, timeout } => self.start_call(id, timeout),
             Action::SkipCall(id) => self.resume_run(id, |call| LastCommand::Stub(call.index)),
             Action::RetainResult { id, ttl } => self.retain_result(id, ttl),
-            Action::EvictResult(id) => self.idempotency.forget(id),
+            Action::EvictResult(id) => self.idempotency.evict(id),
             Action::ReplayResult(id) => self.replay_result(id),
             Action::Health { healthy, .. } => {
                 self.frontend.healthy.set(healthy);
@@ -52,7 +52,7 @@
 
     fn retain_result(&mut self, id: RequestId, ttl: Span) {
         if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
-            self.idempotency.keep(key, id, clock::unix() + ttl.0);
+            self.idempotency.retain(key, id, clock::unix() + ttl.0);
         }
     }
 
@@ -64,12 +64,12 @@
         let (Some(key), ExecutionState::Queued) = (&entry.key, &entry.execution) else {
             return;
         };
-        let attached = self.idempotency.attach(key, id);
+        let attachment = self.idempotency.attach(key, id);
         entry.execution.await_result(self.now);
-        match attached {
-            Attached::Waits => {}
-            Attached::Result(body) => self.complete_waiting(id, Some(&body)),
-            Attached::Failed => self.complete_waiting(id, None),
+        match attachment {
+            Attachment::Pending => {}
+            Attachment::Result(body) => self.complete_waiting(id, Some(&body)),
+            Attachment::Failed => self.complete_waiting(id, None),
         }
     }
 
--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -174,7 +174,7 @@
         let waiting = entry
             .key
             .as_ref()
-            .map(|key| self.idempotency.ended(key, id, result))
+            .map(|key| self.idempotency.run_ended(key, id, result))
             .unwrap_or_default();
         for repeat in waiting {
             self.complete_waiting(repeat, result);
--- a/crates/heathspurd/src/idempotency.rs
+++ b/crates/heathspurd/src/idempotency.rs
@@ -1,6 +1,6 @@
-//! What tells a repeat: the tries of each keyed request, and of reads of one thing, with kept results.
+//! Recognizes repeats: the attempts of each keyed request and of reads of one subject, with retained results.
 //!
-//! An entry stands while a try of it is in the request table, and once kept until its time is over. Its
+//! An entry stays while an attempt of it is in the request table, and once it is retained until its time is over. Its
 //! result goes with it.
 
 use bytes::Bytes;
@@ -9,15 +9,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasher;
 
+/// Unix time in microseconds.
+type UnixMicros = u64;
+
 /// What a request shares with its repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Key {
-    pub class: ClassIndex,
-    pub bytes: Box<[u8]>,
+    /// The index of the request's class.
+    class: usize,
+    bytes: Box<[u8]>,
 }
 
-type ClassIndex = usize;
-
 impl Key {
     pub fn new(class: ClassId, bytes: &[u8]) -> Key {
         Key {
@@ -27,281 +29,370 @@
     }
 }
 
-/// The run of one of the tries.
+/// An attempt of a keyed request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Attempt {
+    pub id: RequestId,
+    /// When it reached the machine.
+    pub received_at: UnixMicros,
+    /// The digest of its body.
+    pub body_digest: u64,
+    /// For how long after `received_at` it may be repeated.
+    pub dedup_window: Span,
+}
+
+/// What a new attempt is to its key.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum Registration {
+    /// It repeats no other attempt.
+    First,
+    /// It repeats this attempt.
+    RepeatOf(RequestId),
+}
+
+/// An attempt can't be registered.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum RegisterError {
+    #[error("the idempotency store is full ({max_entries} entries)")]
+    StoreFull { max_entries: usize },
+    #[error("its idempotency key was used with another body before")]
+    BodyMismatch,
+}
+
+/// How a repeat gets another attempt's result.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum Attachment {
+    /// The result, or its failure, is yet to come.
+    Pending,
+    /// The result.
+    Result(Bytes),
+    /// There is no result.
+    Failed,
+}
+
+/// The run of one of a key's attempts.
 #[derive(Debug)]
 enum Run {
-    /// None of them ran.
-    None,
-    Going(RequestId),
-    /// Ended, with the result where there is one.
+    NotStarted,
+    Running(RequestId),
+    /// With the result where there is one.
     Ended(RequestId, Option<Bytes>),
 }
 
 impl Run {
-    /// Bytes of the result that is kept.
+    /// The attempt that runs or ran.
+    fn attempt(&self) -> Option<RequestId> {
+        match self {
+            Run::NotStarted => None,
+            Run::Running(id) | Run::Ended(id, _) => Some(*id),
+        }
+    }
+
+    /// Bytes of the cached result.
     fn result_len(&self) -> usize {
         match self {
             Run::Ended(_, Some(result)) => result.len(),
-            Run::None | Run::Going(_) | Run::Ended(_, None) => 0,
+            Run::NotStarted | Run::Running(_) | Run::Ended(_, None) => 0,
         }
     }
 }
 
+/// An attempt that is in the request table.
+#[derive(Clone, Copy, Debug)]
+struct LiveAttempt {
+    id: RequestId,
+    window_ends_at: UnixMicros,
+}
+
+/// The run of an entry that was replaced.
+#[derive(Clone, Copy, Debug)]
+struct PreviousRun {
+    attempt: RequestId,
+    retained_until: UnixMicros,
+}
+
 #[derive(Debug)]
 struct Entry {
-    /// The tries in the request table, and the Unix microseconds at which the window of each is over.
-    live: Vec<(RequestId, u64)>,
-    /// Of these, those that wait for the result.
+    live: Vec<LiveAttempt>,
+    /// Of the live attempts, those that wait for the result.
     waiting: Vec<RequestId>,
-    /// The try that holds the entry.
-    holder: RequestId,
-    /// Unix microseconds until which it is kept; 0 while nothing keeps it.
-    until: u64,
+    /// The attempt for which the entry is retained; the first one until then.
+    owner: RequestId,
+    /// 0 while the entry is not retained.
+    retained_until: UnixMicros,
     run: Run,
-    /// The try that ran before this entry took the place of its entry, and until when that one was kept: what
-    /// reached the machine before then and is read only now must not run.
-    before: Option<(RequestId, u64)>,
-    /// What its tries carry, in short, and the Unix microseconds until which that is remembered.
-    body: u64,
-    known: u64,
+    /// The run of the entry that this one replaced. An attempt that reached the machine before that entry's end and is
+    /// read only now must not run.
+    previous_run: Option<PreviousRun>,
+    body_digest: u64,
+    /// Until when another body with the same key is refused.
+    fingerprint_expires_at: UnixMicros,
 }
 
-/// What a repeat that wants another try's result gets.
-#[derive(Debug, PartialEq)]
-pub(crate) enum Attached {
-    /// The result will come, or its failure.
-    Waits,
-    /// Here it is.
-    Result(Bytes),
-    /// There is none.
-    Failed,
-}
+impl Entry {
+    fn new(attempt: Attempt, previous_run: Option<PreviousRun>) -> Entry {
+        let window_ends_at = attempt.window_ends_at();
+        Entry {
+            live: vec![LiveAttempt {
+                id: attempt.id,
+                window_ends_at,
+            }],
+            waiting: Vec::new(),
+            owner: attempt.id,
+            retained_until: 0,
+            run: Run::NotStarted,
+            previous_run,
+            body_digest: attempt.body_digest,
+            fingerprint_expires_at: window_ends_at,
+        }
+    }
 
-/// Why a try can't be entered.
-#[derive(Debug, PartialEq, thiserror::Error)]
-pub(crate) enum Barred {
-    #[error("the idempotency store is full")]
-    Full,
-    #[error("its idempotency key was used with another body before")]
-    OtherBody,
+    /// Whether an attempt that arrived then repeats those of this entry.
+    fn covers(&self, received_at: UnixMicros) -> bool {
+        !self.live.is_empty() || received_at < self.retained_until
+    }
+
+    /// Whether another body with the same key is refused.
+    fn mismatches(&self, attempt: &Attempt) -> bool {
+        attempt.body_digest != self.body_digest
+            && (self.covers(attempt.received_at)
+                || attempt.received_at < self.fingerprint_expires_at)
+    }
+
+    /// The attempt that a new one repeats.
+    fn repeated_by(&self, attempt: &Attempt) -> Option<RequestId> {
+        let previous_run = self
+            .previous_run
+            .filter(|previous| attempt.received_at < previous.retained_until);
+        match previous_run {
+            Some(previous) => Some(previous.attempt),
+            None if self.covers(attempt.received_at) => {
+                Some(self.run.attempt().unwrap_or(self.owner))
+            }
+            None => None,
+        }
+    }
+
+    /// What an entry that replaces this one has to know about its run.
+    fn into_previous_run(self) -> Option<PreviousRun> {
+        match self.run.attempt() {
+            None => self.previous_run,
+            Some(attempt) => Some(PreviousRun {
+                attempt,
+                retained_until: self.retained_until,
+            }),
+        }
+    }
+
+    /// Whether the entry serves only to refuse other bodies.
+    fn is_fingerprint_only(&self) -> bool {
+        self.live.is_empty() && self.retained_until == 0 && self.previous_run.is_none()
+    }
+
+    /// Whether nothing refers to the entry; `late` is for how long after its end an attempt may be read.
+    fn is_expired(&self, now: UnixMicros, late: Span) -> bool {
+        let previous_until = self
+            .previous_run
+            .map_or(0, |previous| previous.retained_until);
+        let until = self.retained_until.max(previous_until);
+        self.live.is_empty()
+            && now >= until.saturating_add(late.0)
+            && now >= self.fingerprint_expires_at
+    }
 }
 
-/// A try as far as its key goes.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Attempt {
-    pub id: RequestId,
-    /// Unix microseconds at which it reached the machine.
-    pub ingress: u64,
-    /// Its body in short.
-    pub body: u64,
-    /// For how long from `ingress` on it may come again.
-    pub window: Span,
+impl Attempt {
+    fn window_ends_at(&self) -> UnixMicros {
+        self.received_at.saturating_add(self.dedup_window.0)
+    }
 }
 
-/// The table. Bounded in entries and in bytes of results.
+/// All entries. Bounded in entries and in bytes of results.
 #[derive(Debug)]
 pub(crate) struct IdempotencyStore {
     entries: HashMap<Key, Entry>,
-    /// Whose entries are kept.
-    holders: BTreeMap<RequestId, Key>,
-    most_entries: usize,
-    bytes: usize,
-    most_bytes: usize,
-    /// How long after its end an entry may still be asked for by what was read late.
+    /// The keys of retained entries, by the attempts that own them.
+    owners: BTreeMap<RequestId, Key>,
+    max_entries: usize,
+    result_bytes: usize,
+    max_result_bytes: usize,
+    /// For how long after an entry's end an attempt may be read that reached the machine before it.
     late: Span,
-    digest: RandomState,
+    digest_keys: RandomState,
 }
 
 impl IdempotencyStore {
-    pub fn new(most_entries: usize, most_bytes: usize, late: Span) -> IdempotencyStore {
-        let (entries, holders, digest) = (HashMap::new(), BTreeMap::new(), RandomState::new());
+    pub fn new(max_entries: usize, max_result_bytes: usize, late: Span) -> IdempotencyStore {
         IdempotencyStore {
-            entries,
-            holders,
-            most_entries,
-            bytes: 0,
-            most_bytes,
+            entries: HashMap::new(),
+            owners: BTreeMap::new(),
+            max_entries,
+            result_bytes: 0,
+            max_result_bytes,
             late,
-            digest,
+            digest_keys: RandomState::new(),
         }
     }
 
-    /// A body in short. Others can't know what comes out, nor make two bodies come out alike.
+    /// The digest of a body, under random keys: no client can predict it or construct a collision.
     pub fn digest(&self, body: &[u8]) -> u64 {
-        self.digest.hash_one(body)
+        self.digest_keys.hash_one(body)
     }
 
-    /// Enters a try; the answer is the one that it repeats.
-    pub fn link(&mut self, key: &Key, this: Attempt) -> Result<Option<RequestId>, Barred> {
-        let Attempt {
-            id,
-            ingress,
-            body,
-            window,
-        } = this;
-        let known = ingress.saturating_add(window.0);
+    /// Registers an attempt of a key.
+    pub fn register(&mut self, key: &Key, attempt: Attempt) -> Result<Registration, RegisterError> {
         if let Some(entry) = self.entries.get_mut(key) {
-            let stands = !entry.live.is_empty() || ingress < entry.until;
-            if body != entry.body && (stands || ingress < entry.known) {
-                return Err(Barred::OtherBody);
-            }
-            entry.known = entry.known.max(known);
-            if let Some((ran, _)) = entry.before.filter(|(_, until)| ingress < *until) {
-                entry.live.push((id, known));
-                return Ok(Some(ran));
+            if entry.mismatches(&attempt) {
+                return Err(RegisterError::BodyMismatch);
             }
-            if stands {
-                entry.live.push((id, known));
-                return Ok(Some(match entry.run {
-                    Run::None => entry.holder,
-                    Run::Going(ran) | Run::Ended(ran, _) => ran,
-                }));
+            let window_ends_at = attempt.window_ends_at();
+            entry.fingerprint_expires_at = entry.fingerprint_expires_at.max(window_ends_at);
+            if let Some(repeated) = entry.repeated_by(&attempt) {
+                entry.live.push(LiveAttempt {
+                    id: attempt.id,
+                    window_ends_at,
+                });
+                return Ok(Registration::RepeatOf(repeated));
             }
         }
-        let before = self.remove(key).and_then(|entry| match entry.run {
-            Run::None => entry.before,
-            Run::Going(ran) | Run::Ended(ran, _) => Some((ran, entry.until)),
-        });
-        if self.entries.len() >= self.most_entries {
-            // What is only remembered makes room.
-            let remembered =
-                |entry: &Entry| entry.live.is_empty() && entry.until == 0 && entry.before.is_none();
-            self.drop_where(remembered);
+        let previous_run = self.remove(key).and_then(Entry::into_previous_run);
+        self.make_room()?;
+        self.entries
+            .insert(key.clone(), Entry::new(attempt, previous_run));
+        Ok(Registration::First)
+    }
+
+    /// Makes room for an entry; those that serve only to refuse other bodies give way.
+    fn make_room(&mut self) -> Result<(), RegisterError> {
+        if self.entries.len() >= self.max_entries {
+            self.remove_matching(Entry::is_fingerprint_only);
         }
-        if self.entries.len() >= self.most_entries {
-            return Err(Barred::Full);
+        if self.entries.len() >= self.max_entries {
+            return Err(RegisterError::StoreFull {
+                max_entries: self.max_entries,
+            });
         }
-        let (live, waiting, run) = (vec![(id, known)], Vec::new(), Run::None);
-        let fresh = Entry {
-            live,
-            waiting,
-            holder: id,
-            until: 0,
-            run,
-            before,
-            body,
-            known,
-        };
-        self.entries.insert(key.clone(), fresh);
-        Ok(None)
+        Ok(())
     }
 
-    /// Keeps the entry, now held by this try.
-    pub fn keep(&mut self, key: &Key, id: RequestId, until: u64) {
+    /// Retains an entry, which this attempt owns from now on.
+    pub fn retain(&mut self, key: &Key, id: RequestId, until: UnixMicros) {
         if let Some(entry) = self.entries.get_mut(key) {
-            self.holders.remove(&entry.holder);
-            (entry.holder, entry.until) = (id, until);
-            self.holders.insert(id, key.clone());
+            self.owners.remove(&entry.owner);
+            (entry.owner, entry.retained_until) = (id, until);
+            self.owners.insert(id, key.clone());
         }
     }
 
-    /// Keeps the entry that this try holds no longer; the try itself may be gone.
-    pub fn forget(&mut self, id: RequestId) {
-        let Some(key) = self.holders.remove(&id) else {
+    /// No longer retains the entry that this attempt owns; the attempt itself may have been released.
+    pub fn evict(&mut self, id: RequestId) {
+        let Some(key) = self.owners.remove(&id) else {
             return;
         };
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.until = 0;
+            entry.retained_until = 0;
         }
     }
 
-    /// A try of it is run. It is kept for the window from when that try reached the machine by its own stamp, the
-    /// window's end included, also where our clock is behind the stamp.
-    pub fn runs(&mut self, key: &Key, id: RequestId) {
+    /// An attempt starts to run. A retained entry lasts at least for the window from when that attempt reached the
+    /// machine by its own timestamp, the window's end included, also where our clock is behind that timestamp.
+    pub fn run_started(&mut self, key: &Key, id: RequestId) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        if let (Some((_, over)), true) = (
-            entry.live.iter().find(|(try_, _)| *try_ == id),
-            entry.until > 0,
-        ) {
-            entry.until = entry.until.max(over.saturating_add(1));
+        let attempt = entry.live.iter().find(|attempt| attempt.id == id);
+        if let Some(attempt) = attempt.filter(|_| entry.retained_until > 0) {
+            let past_window = attempt.window_ends_at.saturating_add(1);
+            entry.retained_until = entry.retained_until.max(past_window);
         }
-        self.bytes -= entry.run.result_len();
-        entry.run = Run::Going(id);
+        self.result_bytes -= entry.run.result_len();
+        entry.run = Run::Running(id);
     }
 
-    /// The run has ended: the tries that waited for it.
-    pub fn ended(&mut self, key: &Key, id: RequestId, result: Option<&Bytes>) -> Vec<RequestId> {
+    /// An attempt's run has ended. Returns the attempts that waited for it.
+    pub fn run_ended(
+        &mut self,
+        key: &Key,
+        id: RequestId,
+        result: Option<&Bytes>,
+    ) -> Vec<RequestId> {
         let Some(entry) = self.entries.get_mut(key) else {
             return Vec::new();
         };
-        if !matches!(entry.run, Run::Going(ran) if ran == id) {
+        if !matches!(entry.run, Run::Running(running) if running == id) {
             return Vec::new();
         }
-        // A result must outlive the buffer that it was read into.
-        let kept = result.filter(|r| self.bytes + r.len() <= self.most_bytes);
-        self.bytes += kept.map_or(0, |r| r.len());
-        entry.run = Run::Ended(id, kept.cloned());
+        let cached = result.filter(|r| self.result_bytes + r.len() <= self.max_result_bytes);
+        self.result_bytes += cached.map_or(0, |r| r.len());
+        entry.run = Run::Ended(id, cached.cloned());
         std::mem::take(&mut entry.waiting)
     }
 
-    /// A try wants the result of the one that it repeats.
-    pub fn attach(&mut self, key: &Key, id: RequestId) -> Attached {
+    /// Attaches a repeat to the result of the attempt that it repeats.
+    pub fn attach(&mut self, key: &Key, id: RequestId) -> Attachment {
         let Some(entry) = self.entries.get_mut(key) else {
-            return Attached::Failed;
+            return Attachment::Failed;
         };
         match &entry.run {
-            Run::Ended(_, Some(result)) => Attached::Result(result.clone()),
-            Run::Ended(_, None) => Attached::Failed,
-            // All others wait as well, so nobody is left to run.
-            Run::None if entry.live.len() <= entry.waiting.len() + 1 => Attached::Failed,
-            Run::None | Run::Going(_) => {
+            Run::Ended(_, Some(result)) => Attachment::Result(result.clone()),
+            Run::Ended(_, None) => Attachment::Failed,
+            // All others wait as well, so no attempt is left to run.
+            Run::NotStarted if entry.live.len() <= entry.waiting.len() + 1 => Attachment::Failed,
+            Run::NotStarted | Run::Running(_) => {
                 entry.waiting.push(id);
-                Attached::Waits
+                Attachment::Pending
             }
         }
     }
 
-    /// A try has left the request table. The answer is those that wait for a run which now never comes.
-    pub fn leave(&mut self, key: &Key, id: RequestId) -> Vec<RequestId> {
+    /// Removes an attempt that leaves the request table. Returns those that wait for a run that will never end now.
+    pub fn remove_attempt(&mut self, key: &Key, id: RequestId) -> Vec<RequestId> {
         let Some(entry) = self.entries.get_mut(key) else {
             return Vec::new();
         };
-        entry.live.retain(|&(other, _)| other != id);
-        entry.waiting.retain(|&other| other != id);
-        if entry.live.is_empty() && entry.until == 0 {
-            // Nobody can ask for its result any more.
-            self.bytes -= entry.run.result_len();
-            entry.run = Run::None;
+        entry.live.retain(|attempt| attempt.id != id);
+        entry.waiting.retain(|&waiting| waiting != id);
+        if entry.live.is_empty() && entry.retained_until == 0 {
+            // No attempt can ask for its result any more.
+            self.result_bytes -= entry.run.result_len();
+            entry.run = Run::NotStarted;
         }
-        // One that is given up while its run is halted never ends.
-        let given_up = matches!(entry.run, Run::Going(ran) if ran == id);
-        if given_up {
+        // A run that is given up while it is stopped never ends.
+        let is_abandoned = matches!(entry.run, Run::Running(running) if running == id);
+        if is_abandoned {
             entry.run = Run::Ended(id, None);
         }
-        let idle = matches!(entry.run, Run::None) && entry.live.len() == entry.waiting.len();
-        if idle || given_up {
+        let all_wait =
+            matches!(entry.run, Run::NotStarted) && entry.live.len() == entry.waiting.len();
+        if all_wait || is_abandoned {
             std::mem::take(&mut entry.waiting)
         } else {
             Vec::new()
         }
     }
 
-    /// Drops entries whose time has been over for long enough.
-    pub fn prune(&mut self, now: u64) {
-        let late = self.late.0;
-        let over = |entry: &Entry| {
-            let until = entry.until.max(entry.before.map_or(0, |(_, until)| until));
-            now >= until.saturating_add(late) && now >= entry.known
-        };
-        self.drop_where(|entry| entry.live.is_empty() && over(entry));
+    /// Removes expired entries.
+    pub fn prune(&mut self, now: UnixMicros) {
+        let late = self.late;
+        self.remove_matching(|entry| entry.is_expired(now, late));
     }
 
-    fn drop_where(&mut self, over: impl Fn(&Entry) -> bool) {
-        let over: Vec<_> = self
+    fn remove_matching(&mut self, predicate: impl Fn(&Entry) -> bool) {
+        let matching: Vec<_> = self
             .entries
             .iter()
-            .filter(|(_, e)| over(e))
+            .filter(|(_, entry)| predicate(entry))
             .map(|(key, _)| key.clone())
             .collect();
-        over.iter().for_each(|key| drop(self.remove(key)));
+        for key in &matching {
+            self.remove(key);
+        }
     }
 
     fn remove(&mut self, key: &Key) -> Option<Entry> {
         let entry = self.entries.remove(key)?;
-        self.holders.remove(&entry.holder);
-        self.bytes -= entry.run.result_len();
+        self.owners.remove(&entry.owner);
+        self.result_bytes -= entry.run.result_len();
         Some(entry)
     }
 }
