--- a/crates/heathspurd/src/clock.rs
+++ b/crates/heathspurd/src/clock.rs
@@ -1,5 +1,5 @@
-//! The two clocks: a monotonic one for the module, the system's Unix clock for what others stamp; and work that
-//! has to be done in time.
+//! The monotonic clock of the admission controller, the system's Unix clock for timestamps of others, and work with a
+//! timeout.
 
 use async_io::Timer;
 use futures_lite::future;
@@ -8,52 +8,54 @@
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The module's time at the start of the process, so that what came before it has a time as well.
-const ORIGIN: u64 = 3_600_000_000;
+/// The controller's time at the start of the process (one hour, in microseconds): earlier events have a time as well.
+const ORIGIN_MICROS: u64 = 3_600_000_000;
 
-/// Module time: microseconds on a clock that only advances.
+/// The controller's clock: monotonic, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Instant,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
+    /// The controller's time.
     pub fn now(&self) -> Time {
-        Time(ORIGIN + self.start.elapsed().as_micros() as u64)
+        Time(ORIGIN_MICROS + self.start.elapsed().as_micros() as u64)
     }
 
-    /// When that module time is on the executor's clock; at once for what lies before the start.
+    /// The instant of a controller's time; the start of the clock for earlier times.
     pub fn instant(&self, at: Time) -> Instant {
-        self.start + Duration::from_micros(at.0.saturating_sub(ORIGIN))
+        self.start + Duration::from_micros(at.0.saturating_sub(ORIGIN_MICROS))
     }
 }
 
-/// Microseconds of the Unix clock.
-pub(crate) fn unix() -> u64 {
+/// The Unix time in microseconds.
+pub(crate) fn unix_micros() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as u64)
+        .map_or(0, |elapsed| elapsed.as_micros() as u64)
 }
 
-/// The time from a stamp until now on the Unix clock; none when the stamp lies ahead.
-pub(crate) fn since(stamp: u64, unix_now: u64) -> Span {
-    Span(unix_now.saturating_sub(stamp))
+/// The time since a Unix timestamp; zero when the timestamp is ahead of our clock.
+pub(crate) fn elapsed_since(timestamp: u64, now: u64) -> Span {
+    Span(now.saturating_sub(timestamp))
 }
 
-/// Does the work, or fails once the time is over.
+/// Does the work, or fails with `TimedOut` once the time is over.
 pub(crate) async fn within<T>(
     time: Duration,
     work: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
-    let late = async {
+    let timeout = async {
         Timer::after(time).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(work, late).await
+    future::or(work, timeout).await
 }
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -1,85 +1,97 @@
-//! The configuration file: where the server listens, whom it talks to, its limits and its settings.
+//! The platform's configuration file: where the server listens, its peers, its limits and its settings.
 
 use heathspur::Settings;
 use heathspur_server_core::reload::{self, Foreign, View};
 use heathspur_settings::{Facts, Names};
 use serde::{Deserialize, Deserializer};
-use std::fmt;
+use std::ffi::OsString;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The variable that names the configuration file.
+/// The environment variable that names the configuration file.
 pub const VARIABLE: &str = "NODE_CONFIG";
 
-/// What a server is told when it starts.
+/// Bytes in a MiB.
+const MIB: usize = 1 << 20;
+
+/// The configuration of a server.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The file that it was read from, where there is one.
     pub file: Option<PathBuf>,
-    /// Its name in the announce service.
+    /// The server's name in the registration service.
     pub name: String,
-    /// Where balancers connect.
+    /// Where load balancers connect.
     pub listen: SocketAddr,
-    /// The interpreter.
-    pub vm: SocketAddr,
-    /// The announce service.
-    pub announce: SocketAddr,
-    /// The way to the next tier, for all tiers but the last.
+    /// The address of the interpreter.
+    pub interpreter: SocketAddr,
+    /// The address of the registration service.
+    pub registration: SocketAddr,
+    /// The address of the proxy to the next tier, for all tiers but the last.
     pub store: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seeds random numbers.
     pub seed: u64,
-    /// Time from the notice to drain to the end of the process.
-    pub stop: Duration,
-    /// Memory of the process, in bytes.
-    pub memory: usize,
-    /// File descriptors of the process.
-    pub sockets: usize,
-    /// The settings in the module's terms.
+    /// From the signal to drain to the end of the process.
+    pub stop_timeout: Duration,
+    /// The memory limit of the process, in bytes.
+    pub memory_bytes: usize,
+    /// The limit of file descriptors of the process.
+    pub max_descriptors: usize,
+    /// The settings of the admission controller.
     pub settings: Settings,
-    /// The words of the wire that the settings give.
+    /// The names on the wire that the settings give.
     pub names: Names,
 }
 
-/// Why the configuration can't be used.
-#[derive(Debug)]
-pub enum Fault {
-    /// The variable is not set.
+/// The configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The environment variable is not set.
+    #[error("{variable} names no configuration file", variable = VARIABLE)]
     Unset,
     /// The file can't be read.
-    Unread(PathBuf, std::io::Error),
-    /// Its text is wrong.
-    Wrong {
+    #[error("{}: {source}", file.display())]
+    Read {
+        /// The file.
+        file: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
+    /// A field of the file is invalid.
+    #[error("{}: {invalid}", file.display())]
+    Invalid {
         /// The file.
         file: PathBuf,
-        /// The field, as a path.
-        field: String,
-        /// What is wrong with it.
-        what: String,
+        /// The field.
+        #[source]
+        invalid: InvalidField,
     },
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Unset => write!(f, "{VARIABLE} names no configuration file"),
-            Fault::Unread(file, e) => write!(f, "{}: {e}", file.display()),
-            Fault::Wrong { file, field, what } => write!(f, "{}: {field}: {what}", file.display()),
-        }
-    }
+/// A field of the configuration is invalid.
+#[derive(Debug, thiserror::Error)]
+#[error("{field}: {reason}")]
+pub struct InvalidField {
+    /// The field, as a path.
+    pub field: String,
+    /// Why it is invalid.
+    pub reason: String,
 }
 
-impl std::error::Error for Fault {}
-
+/// The file as it is written.
 #[derive(Deserialize)]
 struct File {
     name: String,
     listen: SocketAddr,
-    vm: SocketAddr,
-    announce: SocketAddr,
+    #[serde(rename = "vm")]
+    interpreter: SocketAddr,
+    #[serde(rename = "announce")]
+    registration: SocketAddr,
     #[serde(default)]
     store: Option<SocketAddr>,
-    #[serde(deserialize_with = "hex")]
+    #[serde(deserialize_with = "hexadecimal")]
     seed: u64,
     stop_ms: u64,
     limits: Limits,
@@ -92,89 +104,98 @@
     sockets: usize,
 }
 
-fn hex<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
+fn hexadecimal<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
     let text = String::deserialize(from)?;
     u64::from_str_radix(&text, 16).map_err(serde::de::Error::custom)
 }
 
-/// The file that the environment names.
-pub fn path() -> Result<std::ffi::OsString, Fault> {
-    std::env::var_os(VARIABLE).ok_or(Fault::Unset)
+/// The path of the configuration file, from the environment.
+pub fn path() -> Result<OsString, ConfigError> {
+    std::env::var_os(VARIABLE).ok_or(ConfigError::Unset)
 }
 
 impl Config {
-    /// Gives a later one back where it is this server's: of its name, its address and its tier, and of a
-    /// customer whose classes and tenants have the same names and whose keys hold in the same way. All else
-    /// may change while the server stays the same one.
-    pub fn check_own(&self, other: Config) -> Result<Config, Fault> {
-        match reload::check_own(&self.view(), &other.view()) {
-            Ok(()) => Ok(other),
-            Err(Foreign { field, what }) => Err(Fault::Wrong {
-                file: other.file.unwrap_or_default(),
-                field,
-                what,
-            }),
-        }
-    }
-
-    fn view(&self) -> View<'_> {
-        View {
-            name: &self.name,
-            listen: self.listen,
-            store: self.store,
-            stop: self.stop,
-            memory: self.memory,
-            sockets: self.sockets,
-            settings: &self.settings,
-            classes: &self.names.classes,
-            tenants: &self.names.tenants,
-        }
-    }
-
-    /// The fields that hold from the start on and in which a later one of this server's differs. The seed is new
-    /// with each start, and so is what the settings say of that moment.
-    pub fn differs(&self, other: &Config) -> Vec<&'static str> {
-        reload::differs(&self.view(), &other.view())
-    }
-
-    /// Reads a file.
-    pub fn read(file: &Path) -> Result<Config, Fault> {
-        let text = std::fs::read(file).map_err(|e| Fault::Unread(file.to_path_buf(), e))?;
+    /// Reads a configuration file.
+    pub fn read(file: &Path) -> Result<Config, ConfigError> {
+        let text = std::fs::read(file).map_err(|source| ConfigError::Read {
+            file: file.to_path_buf(),
+            source,
+        })?;
         match Config::parse(&text) {
             Ok(config) => Ok(Config {
                 file: Some(file.to_path_buf()),
                 ..config
             }),
-            Err((field, what)) => Err(Fault::Wrong {
+            Err(invalid) => Err(ConfigError::Invalid {
                 file: file.to_path_buf(),
-                field,
-                what,
+                invalid,
             }),
         }
     }
 
-    /// Reads a file's text; the error is the path of a field and what is wrong there.
-    pub fn parse(text: &[u8]) -> Result<Config, (String, String)> {
+    /// Parses the text of a configuration file.
+    pub fn parse(text: &[u8]) -> Result<Config, InvalidField> {
         let mut json = serde_json::Deserializer::from_slice(text);
-        let file: File = serde_path_to_error::deserialize(&mut json)
-            .map_err(|e| (e.path().to_string(), e.inner().to_string()))?;
-        json.end().map_err(|e| (".".to_string(), e.to_string()))?;
+        let file: File =
+            serde_path_to_error::deserialize(&mut json).map_err(|error| InvalidField {
+                field: error.path().to_string(),
+                reason: error.inner().to_string(),
+            })?;
+        json.end().map_err(|error| InvalidField {
+            field: ".".to_string(),
+            reason: error.to_string(),
+        })?;
         let (settings, names) = heathspur_settings::read(file.settings);
         Ok(Config {
             file: None,
             name: file.name,
             listen: file.listen,
-            vm: file.vm,
-            announce: file.announce,
+            interpreter: file.interpreter,
+            registration: file.registration,
             store: file.store,
             seed: file.seed,
-            stop: Duration::from_millis(file.stop_ms),
-            memory: (file.limits.memory_mb as usize).saturating_mul(1 << 20),
-            sockets: file.limits.sockets,
+            stop_timeout: Duration::from_millis(file.stop_ms),
+            memory_bytes: (file.limits.memory_mb as usize).saturating_mul(MIB),
+            max_descriptors: file.limits.sockets,
             settings,
             names,
         })
     }
+
+    /// Checks that a later configuration is this server's, and returns it. The server's name, address and tier have to
+    /// be the same, and the customer's classes and tenants with their names and idempotency; all else may change.
+    pub fn check_own(&self, other: Config) -> Result<Config, ConfigError> {
+        match reload::check_own(&self.view(), &other.view()) {
+            Ok(()) => Ok(other),
+            Err(Foreign { field, what }) => Err(ConfigError::Invalid {
+                file: other.file.unwrap_or_default(),
+                invalid: InvalidField {
+                    field,
+                    reason: what,
+                },
+            }),
+        }
+    }
+
+    /// The fields in which a later configuration of this server differs and that apply only from the next start. The
+    /// seed and what the settings say of the moment of a start are not among them.
+    pub fn differs(&self, other: &Config) -> Vec<&'static str> {
+        reload::differs(&self.view(), &other.view())
+    }
+
+    fn view(&self) -> View<'_> {
+        View {
+            name: &self.name,
+            listen: self.listen,
+            store: self.store,
+            stop: self.stop_timeout,
+            memory: self.memory_bytes,
+            sockets: self.max_descriptors,
+            settings: &self.settings,
+            classes: &self.names.classes,
+            tenants: &self.names.tenants,
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -82,7 +82,7 @@
 
 /// The request as the controller sees it.
 fn controller_request(request: &IncomingRequest, registration: Registration) -> Request {
-    let queueing_delay = clock::since(request.received_unix_micros, clock::unix());
+    let queueing_delay = clock::elapsed_since(request.received_unix_micros, clock::unix_micros());
     Request {
         id: request.id,
         class: request.class,
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -52,7 +52,8 @@
 
     fn retain_result(&mut self, id: RequestId, ttl: Span) {
         if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
-            self.idempotency.retain(key, id, clock::unix() + ttl.0);
+            self.idempotency
+                .retain(key, id, clock::unix_micros() + ttl.0);
         }
     }
 
--- a/crates/heathspurd/src/event_loop/execution.rs
+++ b/crates/heathspurd/src/event_loop/execution.rs
@@ -285,3 +285,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/execution.rs"]
+mod tests;
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -294,7 +294,7 @@
         }
         if self.next_prune <= self.now {
             self.next_prune = self.now + PRUNE_INTERVAL;
-            self.idempotency.prune(clock::unix());
+            self.idempotency.prune(clock::unix_micros());
             self.calls.prune_connections();
         }
     }
@@ -315,23 +315,22 @@
     }
 
     fn handle_signals(&mut self) {
-        let (drain, config) = self.signals.take();
-        if let Some(config) = config {
+        let requests = self.signals.take();
+        if let Some(config) = requests.config {
             self.move_peers(&config);
         }
-        if drain {
+        if requests.drain {
             self.begin_drain();
         }
     }
 
     /// Takes the peers' addresses from a new configuration. Its other fields apply from the next start.
     fn move_peers(&mut self, config: &Config) {
-        info!(
-            "peers at {}, {} and {:?}",
-            config.vm, config.announce, config.store
-        );
+        let (interpreter, registration) = (config.interpreter, config.registration);
+        let store = config.store;
+        info!(%interpreter, %registration, ?store, "peers at {interpreter}, {registration} and {store:?}");
         self.peer_addresses.set(config);
-        self.calls.set_address(config.store);
+        self.calls.set_address(store);
     }
 
     /// Begins the graceful shutdown, once.
--- a/crates/heathspurd/src/event_loop/peer_addresses.rs
+++ b/crates/heathspurd/src/event_loop/peer_addresses.rs
@@ -14,14 +14,14 @@
     /// The addresses in a configuration.
     pub fn new(config: &Config) -> PeerAddresses {
         PeerAddresses {
-            interpreter: Rc::new(PeerAddress::new(config.vm)),
-            registration: Rc::new(PeerAddress::new(config.announce)),
+            interpreter: Rc::new(PeerAddress::new(config.interpreter)),
+            registration: Rc::new(PeerAddress::new(config.registration)),
         }
     }
 
     /// Moves the peers to the addresses in a new configuration.
     pub fn set(&self, config: &Config) {
-        self.interpreter.set(config.vm);
-        self.registration.set(config.announce);
+        self.interpreter.set(config.interpreter);
+        self.registration.set(config.registration);
     }
 }
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -61,7 +61,7 @@
 
 impl<'a, K: Fn(&[u8]) -> Bytes> Draft<'a, K> {
     pub fn new(desk: &'a FrontendContext, keep: K) -> Draft<'a, K> {
-        let latest = clock::unix() + AHEAD_OF_US;
+        let latest = clock::unix_micros() + AHEAD_OF_US;
         let (txn, ingress, held_kb, key, row, tenant) = (None, None, None, None, None, None);
         let (left, cost, rank, router) = (None, None, None, None);
         let retry = false;
--- a/crates/heathspurd/src/idempotency.rs
+++ b/crates/heathspurd/src/idempotency.rs
@@ -256,14 +256,14 @@
             }
         }
         let previous_run = self.remove(key).and_then(Entry::into_previous_run);
-        self.make_room()?;
+        self.ensure_free_entry()?;
         self.entries
             .insert(key.clone(), Entry::new(attempt, previous_run));
         Ok(Registration::First)
     }
 
-    /// Makes room for an entry; those that serve only to refuse other bodies give way.
-    fn make_room(&mut self) -> Result<(), RegisterError> {
+    /// Ensures that an entry can be added; those that serve only to refuse other bodies are removed for it.
+    fn ensure_free_entry(&mut self) -> Result<(), RegisterError> {
         if self.entries.len() >= self.max_entries {
             self.remove_matching(Entry::is_fingerprint_only);
         }
--- a/crates/heathspurd/src/logging.rs
+++ b/crates/heathspurd/src/logging.rs
@@ -1,8 +1,7 @@
-//! The program's log: lines on standard error, at most so many a second, what is left out counted by the place
-//! in the program that it comes from.
+//! The program's log: rate-limited lines on standard error. Lines beyond the limit are counted by call site.
 //!
-//! Events go through `tracing`: a level that is off costs one comparison. Plain lines are the words alone;
-//! lines of JSON carry the fields as well.
+//! Events go through `tracing`: a disabled level costs one comparison. Plain lines are the message alone; JSON lines
+//! have the fields as well.
 
 use heathspur_config::{Format, Level, Log};
 use std::collections::BTreeMap;
@@ -20,63 +19,65 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A place in the program that writes lines: its file and line.
-type Site = (&'static str, u32);
+/// A call site that logs: its file and line.
+type CallSite = (&'static str, u32);
 
 /// Decides which lines are written. It has no clock of its own.
 #[derive(Debug)]
-struct Limiter {
-    most: u32,
-    second: Option<Instant>,
-    lines: u32,
-    /// As many as there are places in the program at most.
-    left_out: BTreeMap<Site, u64>,
+struct RateLimiter {
+    lines_per_second: u32,
+    /// When the current second began, and the lines written in it.
+    window_start: Option<Instant>,
+    window_lines: u32,
+    /// Counts of suppressed lines; bounded by the call sites of the program.
+    suppressed: BTreeMap<CallSite, u64>,
 }
 
-impl Limiter {
-    fn new(most: u32) -> Limiter {
-        Limiter {
-            most,
-            second: None,
-            lines: 0,
-            left_out: BTreeMap::new(),
+impl RateLimiter {
+    fn new(lines_per_second: u32) -> RateLimiter {
+        RateLimiter {
+            lines_per_second,
+            window_start: None,
+            window_lines: 0,
+            suppressed: BTreeMap::new(),
         }
     }
 
-    fn admits(&mut self, now: Instant, site: Site) -> bool {
+    /// Whether a line is written; else it is counted as suppressed.
+    fn admits(&mut self, now: Instant, site: CallSite) -> bool {
         if self
-            .second
+            .window_start
             .is_none_or(|start| now.saturating_duration_since(start) >= SECOND)
         {
-            (self.second, self.lines) = (Some(now), 0);
+            (self.window_start, self.window_lines) = (Some(now), 0);
         }
-        if self.lines < self.most {
-            self.lines += 1;
+        if self.window_lines < self.lines_per_second {
+            self.window_lines += 1;
             true
         } else {
-            *self.left_out.entry(site).or_default() += 1;
+            *self.suppressed.entry(site).or_default() += 1;
             false
         }
     }
 
-    /// What was left out since it was told last.
-    fn tell(&mut self) -> BTreeMap<Site, u64> {
-        std::mem::take(&mut self.left_out)
+    /// Takes the counts of lines suppressed since the last time.
+    fn take_suppressed(&mut self) -> BTreeMap<CallSite, u64> {
+        std::mem::take(&mut self.suppressed)
     }
 }
 
-/// The limiter as the parts of the log share it.
+/// The rate limiter, shared by the filter and the formatter.
 #[derive(Clone)]
-struct Shared(Arc<Mutex<Limiter>>);
+struct SharedLimiter(Arc<Mutex<RateLimiter>>);
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Limiter> {
-        // It is whole after a panic: nothing is done in steps to it.
+impl SharedLimiter {
+    fn lock(&self) -> MutexGuard<'_, RateLimiter> {
+        // A panic leaves it consistent: no change to it takes several steps.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl<S> Filter<S> for Shared {
+impl<S> Filter<S> for SharedLimiter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -86,17 +87,17 @@
     }
 }
 
-fn site(metadata: &'static Metadata<'static>) -> Site {
+fn site(metadata: &'static Metadata<'static>) -> CallSite {
     (metadata.file().unwrap_or(""), metadata.line().unwrap_or(0))
 }
 
-/// A line as it looks, and before it how many were left out and where they came from.
-struct Lines {
-    limiter: Shared,
+/// Formats lines. Before a line come the counts of the lines that were suppressed since the last one.
+struct LineFormat {
+    limiter: SharedLimiter,
     json: Option<tracing_subscriber::fmt::format::Format<Json>>,
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for LineFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -107,8 +108,8 @@
         mut to: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let left_out = self.limiter.lock().tell();
-        for ((file, line), count) in left_out {
+        let suppressed = self.limiter.lock().take_suppressed();
+        for ((file, line), count) in suppressed {
             match self.json {
                 None => writeln!(to, "heathspurd: {count} lines left out ({file}:{line})")?,
                 Some(_) => writeln!(
@@ -120,16 +121,16 @@
         if let Some(json) = &self.json {
             return json.format_event(ctx, to, event);
         }
-        let mut words = Words(String::new());
-        event.record(&mut words);
-        writeln!(to, "heathspurd: {}", words.0)
+        let mut message = Message(String::new());
+        event.record(&mut message);
+        writeln!(to, "heathspurd: {}", message.0)
     }
 }
 
-/// The words of an event, without its fields.
-struct Words(String);
+/// The message of an event, without its fields.
+struct Message(String);
 
-impl Visit for Words {
+impl Visit for Message {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
             self.0 = format!("{value:?}");
@@ -137,9 +138,9 @@
     }
 }
 
-/// Sends the process's events to standard error from now on. A second call changes nothing.
+/// Logs the process's events to standard error from now on. A second call has no effect.
 pub(crate) fn install(log: &Log) {
-    let limiter = Shared(Arc::new(Mutex::new(Limiter::new(log.lines_per_second))));
+    let limiter = SharedLimiter(Arc::new(Mutex::new(RateLimiter::new(log.lines_per_second))));
     let json = (log.format == Format::Json).then(|| {
         tracing_subscriber::fmt::format()
             .json()
@@ -152,9 +153,9 @@
         Level::Info => LevelFilter::INFO,
         Level::Debug => LevelFilter::DEBUG,
     };
-    // A reader that has closed standard error must not end the server, nor be told of it there.
+    // A reader that closes standard error must not end the server, and errors of the log can't be logged.
     let layer = tracing_subscriber::fmt::layer()
-        .event_format(Lines {
+        .event_format(LineFormat {
             limiter: limiter.clone(),
             json,
         })
--- a/crates/heathspurd/src/notify.rs
+++ b/crates/heathspurd/src/notify.rs
@@ -4,14 +4,14 @@
 use std::cell::{Cell, RefCell};
 use std::task::{Poll, Waker};
 
-/// One task notifies, another waits. Notifications that nobody has waited for yet count as one.
+/// One task notifies, another waits. Notifications count as one until a task waits for them.
 ///
-/// A flag and wakers, since a channel makes a listener for each wait, and the owner waits at every turn.
+/// A flag and wakers: a channel would allocate a listener for each wait, and the event loop waits at every turn.
 #[derive(Default)]
 pub(crate) struct Notify {
-    told: Cell<bool>,
-    /// Of the tasks that wait, and of those that gave up waiting since the last notification: one for each.
-    waiting: RefCell<Vec<Waker>>,
+    notified: Cell<bool>,
+    /// One waker for each task that waits or has stopped waiting since the last notification.
+    wakers: RefCell<Vec<Waker>>,
 }
 
 impl Notify {
@@ -19,24 +19,27 @@
         Notify::default()
     }
 
+    /// Notifies one of the tasks that wait, or the next one to do so.
     pub fn notify(&self) {
-        self.told.set(true);
-        // All of them: one that no longer waits would keep it from the others. Who comes first takes it.
-        self.waiting.borrow_mut().drain(..).for_each(Waker::wake);
+        self.notified.set(true);
+        // All are woken, since a task that no longer waits would keep the notification from the others. The first one
+        // takes it.
+        self.wakers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
+    /// Waits for a notification and takes it.
     pub async fn notified(&self) {
-        let taken = future::poll_fn(|cx| {
-            if self.told.take() {
+        let notified = future::poll_fn(|cx| {
+            if self.notified.take() {
                 return Poll::Ready(());
             }
-            let mut waiting = self.waiting.borrow_mut();
-            if !waiting.iter().any(|waker| waker.will_wake(cx.waker())) {
-                waiting.push(cx.waker().clone());
+            let mut wakers = self.wakers.borrow_mut();
+            if !wakers.iter().any(|waker| waker.will_wake(cx.waker())) {
+                wakers.push(cx.waker().clone());
             }
             Poll::Pending
         });
-        taken.await;
+        notified.await;
     }
 }
 
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts all tasks of a server and serves until it has left.
+//! Starts all tasks of a server and serves until it has drained.
 
 use crate::config::Config;
 use crate::event_loop::inbox::LoopEvent;
@@ -9,7 +9,7 @@
 use crate::frontend::http2;
 use crate::frontend::request_queue::RequestQueues;
 use crate::frontend::response_buffer::ResponseBudget;
-use crate::frontend::{FrontendContext, FrontendHandle};
+use crate::frontend::{FrontendContext, FrontendHandle, IncomingRequest};
 use crate::idempotency::IdempotencyStore;
 use crate::membership::failover::Ways;
 use crate::membership::Handle;
@@ -17,175 +17,234 @@
 use crate::peers::registration;
 use crate::peers::store;
 use crate::recording::recorded_stream::RecorderHandle;
-use crate::signals;
+use crate::signals::{self, SignalState};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use async_signal::Signals;
-use heathspur::Idempotency;
+use heathspur::{Idempotency, Settings};
 use heathspur_config::Http2;
 use heathspur_streams::ledger::Bounds;
+use std::future::Future;
 use std::io;
 use std::net::TcpListener;
 use std::rc::Rc;
 use tracing::info;
 
-/// Requests of each front that may wait to be taken in.
-const REQUESTS: usize = 256;
-/// Callers of each front that are gone and may wait to be told.
-const GONE: usize = 256;
-/// Descriptors kept for the links, the log and what the standard library opens.
-const SPARE: usize = 20;
-/// The part of the descriptors that calls may take.
-const CALLS_PART: usize = 8;
-/// Entries in the table of keys at most, and the part of the memory for their results.
-const KEYS: usize = 16 * 1024;
-const RESULTS_PART: usize = 4;
-
-/// Hands on what comes in one queue to the owner, in order.
-async fn hand_on<T: Into<LoopEvent>>(from: Receiver<T>, to_owner: Sender<LoopEvent>) {
-    while let Ok(item) = from.recv().await {
-        if to_owner.send(item.into()).await.is_err() {
-            return;
-        }
-    }
-}
+/// Requests of each front end that may wait for the event loop.
+const REQUEST_QUEUE_CAPACITY: usize = 256;
+/// Disconnected clients of each front end that may wait to be reported.
+const DISCONNECTED_QUEUE_CAPACITY: usize = 256;
+/// File descriptors reserved for the links, the log and what the standard library opens.
+const RESERVED_DESCRIPTORS: usize = 20;
+/// One in so many file descriptors is for connections to the store.
+const STORE_DESCRIPTOR_DIVISOR: usize = 8;
+/// Entries in the idempotency store at most.
+const MAX_IDEMPOTENCY_ENTRIES: usize = 16 * 1024;
+/// One in so many bytes of the memory limit is for results in the idempotency store.
+const RESULT_MEMORY_DIVISOR: usize = 4;
 
-/// The sockets of the fronts, bound already.
+/// The bound sockets of the front ends.
 pub(crate) struct Listeners {
     pub http1: TcpListener,
-    /// The port for HTTP/2 and its bounds, where it is on.
+    /// The socket for HTTP/2 with its settings, where it is on.
     pub http2: Option<(TcpListener, Http2)>,
 }
 
-/// What the fleet's view and failover give the owner, where they are on.
-#[derive(Default)]
-pub(crate) struct Peers {
-    pub members: Option<Handle>,
-    pub ways: Option<Ways>,
+/// The handles of fleet membership and failover, where they are on.
+pub(crate) struct FleetHandles {
+    pub membership: Option<Handle>,
+    pub routes: Option<Ways>,
 }
 
-/// Starts all tasks and serves until the server has left.
+/// Starts all tasks and serves until the server has drained.
 pub(crate) async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     config: Config,
     listeners: Listeners,
     signals: Signals,
-    tap: Option<Rc<RecorderHandle>>,
-    peers: Peers,
+    recorder: Option<Rc<RecorderHandle>>,
+    fleet: FleetHandles,
 ) -> io::Result<()> {
-    let (to_owner, inbox) = async_channel::bounded(INBOX_CAPACITY);
-    let (shutter, shutting) = async_channel::bounded(1);
-    let (closed, closings) = async_channel::bounded(1);
-    let settings = config.settings.clone();
-    let room = listeners.http2.as_ref().map(|(_, http2)| {
-        let memory = &http2.memory;
-        ResponseBudget::new(Bounds {
-            connection: memory.connection.0,
-            all: memory.answers.0,
-        })
-    });
-    let desk = Rc::new(FrontendContext::new(
-        config.names.clone(),
-        settings
-            .classes
-            .iter()
-            .map(|c| c.idempotency == Idempotency::Keyed)
-            .collect(),
-        settings.client_idle_timeout,
-        shutting,
-        tap.clone(),
-        Rc::new(ConnectionPool::new(
-            config
-                .sockets
-                .saturating_sub(SPARE + config.sockets / CALLS_PART),
-        )),
-        room.clone(),
-    ));
-    let interpreter = interpreter::Link::new();
-    let places = config.sockets / CALLS_PART;
-    let store = {
-        let routes = peers.ways.map(Ways::routes);
-        store::Link::new(
-            executor.clone(),
-            config.store,
-            places,
-            to_owner.clone(),
-            tap.clone(),
-            routes,
-        )
+    let (to_event_loop, inbox) = async_channel::bounded(INBOX_CAPACITY);
+    let (stop_accepting, accepting_stopped) = async_channel::bounded(1);
+    let (connection_closed, closed_connections) = async_channel::bounded(1);
+    let tasks = Tasks {
+        executor: executor.clone(),
+        to_event_loop: to_event_loop.clone(),
     };
-    let targets = PeerAddresses::new(&config);
+    let frontend = frontend_context(&config, &listeners, accepting_stopped, recorder.clone());
+    let interpreter = interpreter::Link::new();
+    let store = store::Link::new(
+        executor,
+        config.store,
+        config.max_descriptors / STORE_DESCRIPTOR_DIVISOR,
+        to_event_loop.clone(),
+        recorder.clone(),
+        fleet.routes.map(Ways::routes),
+    );
+    let peer_addresses = PeerAddresses::new(&config);
     let readiness = registration::Readiness::new();
-    let mut queues = Vec::new();
-    let mut front = || {
-        let ((requests, queue), (gone, going)) = (
-            async_channel::bounded(REQUESTS),
-            async_channel::bounded(GONE),
-        );
-        queues.push(queue);
-        executor.spawn(hand_on(going, to_owner.clone())).detach();
-        FrontendHandle {
-            context: desk.clone(),
-            requests,
-            disconnected: gone,
+    let queues = start_front_ends(&tasks, &frontend, listeners)?;
+    tasks.spawn(interpreter::keep(
+        peer_addresses.interpreter.clone(),
+        interpreter.clone(),
+        to_event_loop,
+        recorder,
+    ));
+    tasks.spawn(registration::keep(
+        peer_addresses.registration.clone(),
+        config.name.clone(),
+        readiness.clone(),
+    ));
+    tasks.forward(closed_connections);
+    let signal_state = SignalState::new();
+    tasks.spawn(signals::handle(
+        signals,
+        config.clone(),
+        signal_state.clone(),
+    ));
+    let idempotency = idempotency_store(&config);
+    let event_loop = EventLoop::new(EventLoopParts {
+        settings: config.settings,
+        seed: config.seed,
+        stop_timeout: config.stop_timeout,
+        frontend,
+        readiness,
+        interpreter,
+        store,
+        peer_addresses,
+        idempotency,
+        members: fleet.membership,
+        signals: signal_state,
+        stop_accepting,
+        connection_closed,
+    });
+    event_loop.run(RequestQueues::new(queues), inbox).await;
+    Ok(())
+}
+
+/// Spawns tasks, and feeds the event loop's inbox.
+struct Tasks {
+    executor: Rc<LocalExecutor<'static>>,
+    to_event_loop: Sender<LoopEvent>,
+}
+
+impl Tasks {
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.executor.spawn(task).detach();
+    }
+
+    /// Forwards the items of a queue to the event loop, in order.
+    fn forward<T: Into<LoopEvent> + 'static>(&self, from: Receiver<T>) {
+        self.spawn(forward(from, self.to_event_loop.clone()));
+    }
+}
+
+async fn forward<T: Into<LoopEvent>>(from: Receiver<T>, to_event_loop: Sender<LoopEvent>) {
+    while let Ok(item) = from.recv().await {
+        if to_event_loop.send(item.into()).await.is_err() {
+            return;
         }
-    };
+    }
+}
+
+/// What the front ends share with the event loop.
+fn frontend_context(
+    config: &Config,
+    listeners: &Listeners,
+    accepting_stopped: Receiver<()>,
+    recorder: Option<Rc<RecorderHandle>>,
+) -> Rc<FrontendContext> {
+    let store_descriptors = config.max_descriptors / STORE_DESCRIPTOR_DIVISOR;
+    let max_connections = config
+        .max_descriptors
+        .saturating_sub(RESERVED_DESCRIPTORS + store_descriptors);
+    let budget = listeners
+        .http2
+        .as_ref()
+        .map(|(_, http2)| response_budget(http2));
+    Rc::new(FrontendContext::new(
+        config.names.clone(),
+        keyed_classes(&config.settings),
+        config.settings.client_idle_timeout,
+        accepting_stopped,
+        recorder,
+        Rc::new(ConnectionPool::new(max_connections)),
+        budget,
+    ))
+}
+
+/// Per class, whether its requests carry an idempotency key.
+fn keyed_classes(settings: &Settings) -> Vec<bool> {
+    settings
+        .classes
+        .iter()
+        .map(|class| class.idempotency == Idempotency::Keyed)
+        .collect()
+}
+
+fn response_budget(http2: &Http2) -> Rc<ResponseBudget> {
+    ResponseBudget::new(Bounds {
+        connection: http2.memory.connection.0,
+        all: http2.memory.answers.0,
+    })
+}
+
+/// Starts the front ends; each has a request queue of its own.
+fn start_front_ends(
+    tasks: &Tasks,
+    frontend: &Rc<FrontendContext>,
+    listeners: Listeners,
+) -> io::Result<Vec<Receiver<IncomingRequest>>> {
+    let mut queues = Vec::new();
     let address = listeners.http1.local_addr()?;
     info!(%address, "listening on {address}");
-    let spoken = http1::serve(executor.clone(), Rc::new(front()));
-    executor
-        .spawn(accept(Async::new(listeners.http1)?, desk.clone(), spoken))
-        .detach();
-    if let (Some((listener, bounds)), Some(room)) = (listeners.http2, room) {
+    let (handle, queue) = front_end(tasks, frontend);
+    queues.push(queue);
+    let connections = http1::serve(tasks.executor.clone(), Rc::new(handle));
+    let listener = Async::new(listeners.http1)?;
+    tasks.spawn(accept(listener, frontend.clone(), connections));
+
+    if let (Some((listener, http2)), Some(budget)) = (listeners.http2, &frontend.response_budget) {
         let address = listener.local_addr()?;
         info!(%address, "listening for HTTP/2 on {address}");
-        let spoken = http2::serve(executor.clone(), front(), bounds, room);
-        executor
-            .spawn(accept(Async::new(listener)?, desk.clone(), spoken))
-            .detach();
+        let (handle, queue) = front_end(tasks, frontend);
+        queues.push(queue);
+        let connections = http2::serve(tasks.executor.clone(), handle, http2, budget.clone());
+        tasks.spawn(accept(Async::new(listener)?, frontend.clone(), connections));
     }
-    executor
-        .spawn(interpreter::keep(
-            targets.interpreter.clone(),
-            interpreter.clone(),
-            to_owner.clone(),
-            tap,
-        ))
-        .detach();
-    executor
-        .spawn(registration::keep(
-            targets.registration.clone(),
-            config.name.clone(),
-            readiness.clone(),
-        ))
-        .detach();
-    executor.spawn(hand_on(closings, to_owner.clone())).detach();
-    let notices = signals::SignalState::new();
-    executor
-        .spawn(signals::hear(signals, config.clone(), notices.clone()))
-        .detach();
-    let late = settings
+    Ok(queues)
+}
+
+/// The handle of a new front end, and the queue of its requests.
+fn front_end(
+    tasks: &Tasks,
+    frontend: &Rc<FrontendContext>,
+) -> (FrontendHandle, Receiver<IncomingRequest>) {
+    let (requests, queue) = async_channel::bounded(REQUEST_QUEUE_CAPACITY);
+    let (disconnected, disconnections) = async_channel::bounded(DISCONNECTED_QUEUE_CAPACITY);
+    tasks.forward(disconnections);
+    let handle = FrontendHandle {
+        context: frontend.clone(),
+        requests,
+        disconnected,
+    };
+    (handle, queue)
+}
+
+fn idempotency_store(config: &Config) -> IdempotencyStore {
+    // An attempt is read at most as late as its client waits for the answer.
+    let late = config
+        .settings
         .classes
         .iter()
-        .map(|c| c.client_timeout)
+        .map(|class| class.client_timeout)
         .max()
         .unwrap_or_default();
-    let event_loop = EventLoop::new(EventLoopParts {
-        settings,
-        seed: config.seed,
-        stop_timeout: config.stop,
-        frontend: desk,
-        readiness,
-        interpreter,
-        store,
-        peer_addresses: targets,
-        idempotency: IdempotencyStore::new(KEYS, config.memory / RESULTS_PART, late),
-        members: peers.members,
-        signals: notices,
-        stop_accepting: shutter,
-        connection_closed: closed,
-    });
-    event_loop.run(RequestQueues::new(queues), inbox).await;
-    Ok(())
+    IdempotencyStore::new(
+        MAX_IDEMPOTENCY_ENTRIES,
+        config.memory_bytes / RESULT_MEMORY_DIVISOR,
+        late,
+    )
 }
--- a/crates/heathspurd/src/signals.rs
+++ b/crates/heathspurd/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM is the notice to drain, SIGHUP that the configuration was replaced.
+//! The operators' signals: SIGTERM and SIGINT begin the drain, SIGHUP has the configuration read again.
 
 use crate::config::Config;
 use crate::notify::Notify;
@@ -12,21 +12,30 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// A configuration that can't be used is read so often, and again after this.
-const READ_TRIES: u32 = 10;
-const READ_AGAIN: Duration = Duration::from_millis(100);
+/// How often a configuration that can't be used is read before it is ignored.
+const READ_ATTEMPTS: u32 = 10;
+/// Between two of these attempts.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listens from now on.
-pub(crate) fn notices() -> io::Result<Signals> {
+/// Catches the operators' signals from now on.
+pub(crate) fn subscribe() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// What the operators' signals ask for, until the owner takes it. Nothing of it queues behind what peers send:
-/// a notice to drain is one however often it comes, and of new configurations the last one holds.
+/// What the signals have asked for since the last time.
+#[derive(Debug, Default)]
+pub(crate) struct SignalRequests {
+    pub drain: bool,
+    /// The configuration to use from now on.
+    pub config: Option<Config>,
+}
+
+/// What the signals ask for, until the event loop takes it. It queues behind nothing that peers send: several signals
+/// to drain count as one, and of several configurations the last one counts.
 pub(crate) struct SignalState {
     drain: Cell<bool>,
     config: RefCell<Option<Config>>,
-    told: Notify,
+    notified: Notify,
 }
 
 impl SignalState {
@@ -34,75 +43,83 @@
         Rc::new(SignalState {
             drain: Cell::new(false),
             config: RefCell::new(None),
-            told: Notify::new(),
+            notified: Notify::new(),
         })
     }
 
-    fn drain(&self) {
+    fn request_drain(&self) {
         self.drain.set(true);
-        self.told.notify();
+        self.notified.notify();
     }
 
-    fn reload(&self, config: Config) {
+    fn request_reload(&self, config: Config) {
         self.config.replace(Some(config));
-        self.told.notify();
+        self.notified.notify();
     }
 
     /// Waits until there is something to take.
     pub async fn notified(&self) {
-        self.told.notified().await;
+        self.notified.notified().await;
     }
 
-    /// Whether to drain, and the configuration that holds from now on.
-    pub fn take(&self) -> (bool, Option<Config>) {
-        (self.drain.take(), self.config.take())
+    /// Takes what was asked for.
+    pub fn take(&self) -> SignalRequests {
+        SignalRequests {
+            drain: self.drain.take(),
+            config: self.config.take(),
+        }
     }
 }
 
-/// Hears the notices to drain and to read the configuration again. While it is read again and again the next
-/// signal is heard: a drain begins at once, and another SIGHUP has all tries begin anew.
-pub(crate) async fn hear(mut signals: Signals, started: Config, notices: Rc<SignalState>) {
-    let mut tries = 0;
+/// Handles signals for as long as the server runs. Signals are handled between attempts to read a configuration: a
+/// drain begins at once, and another SIGHUP has the attempts begin anew.
+pub(crate) async fn handle(mut signals: Signals, started: Config, state: Rc<SignalState>) {
+    let mut attempts_left = 0;
     loop {
         let signal = async { Some(signals.next().await) };
-        let again = async {
-            match tries {
-                0 => future::pending().await,
-                READ_TRIES => {}
-                _ => drop(Timer::after(READ_AGAIN).await),
-            }
+        let next_attempt = async {
+            wait_for_attempt(attempts_left).await;
             None
         };
-        match (future::or(signal, again).await, &started.file) {
-            (Some(Some(Ok(Signal::Hup))), Some(_)) => tries = READ_TRIES,
+        match (future::or(signal, next_attempt).await, &started.file) {
+            (Some(Some(Ok(Signal::Hup))), Some(_)) => attempts_left = READ_ATTEMPTS,
             (Some(Some(Ok(Signal::Hup))), None) => {}
-            (Some(Some(Ok(_))), _) => notices.drain(),
+            (Some(Some(Ok(_))), _) => state.request_drain(),
             (None, Some(file)) => match read_again(&started, file) {
                 Some(config) => {
-                    notices.reload(config);
-                    tries = 0;
+                    state.request_reload(config);
+                    attempts_left = 0;
                 }
-                None => tries -= 1,
+                None => attempts_left -= 1,
             },
             (Some(_), _) | (None, None) => return,
         }
     }
 }
 
-/// The configuration's file as it is now, where it is this server's.
+/// Waits until the next attempt to read the configuration: the first is made at once, and none without attempts left.
+async fn wait_for_attempt(attempts_left: u32) {
+    match attempts_left {
+        0 => future::pending().await,
+        READ_ATTEMPTS => {}
+        _ => drop(Timer::after(READ_RETRY_DELAY).await),
+    }
+}
+
+/// Reads the configuration's file again; nothing where it can't be used by this server.
 fn read_again(started: &Config, file: &Path) -> Option<Config> {
     let config = match Config::read(file).and_then(|config| started.check_own(config)) {
         Ok(config) => config,
-        Err(fault) => {
-            warn!(%fault, "the configuration stays as it was: {fault}");
+        Err(error) => {
+            warn!(%error, "the configuration stays as it was: {error}");
             return None;
         }
     };
-    let more = started.differs(&config).join(", ");
-    if !more.is_empty() {
+    let fields = started.differs(&config).join(", ");
+    if !fields.is_empty() {
         warn!(
-            more,
-            "only the peers' addresses are taken from the new configuration; it differs in more: {more}"
+            fields,
+            "only the peers' addresses are taken from the new configuration; it differs in more: {fields}"
         );
     }
     Some(config)
--- /dev/null
+++ b/crates/heathspurd/src/startup.rs
@@ -0,0 +1,87 @@
+//! Starts what a server needs beside its tasks, serves, and stops it again.
+
+use crate::config::Config;
+use crate::error::Error;
+use crate::membership::failover::{self, Ways};
+use crate::membership::Membership;
+use crate::recording::Recording;
+use crate::serve::{self, FleetHandles, Listeners};
+use async_executor::LocalExecutor;
+use async_signal::Signals;
+use heathspur_config::Operator;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long the end of the process waits for the last blocks of a recording.
+const RECORDING_TIMEOUT: Duration = Duration::from_millis(30);
+
+/// Serves until the server has drained. The signals are caught since before the files were read: none of them ends
+/// the process by itself, and a configuration that is replaced meanwhile is read again.
+pub(crate) fn run(signals: Signals, config: Config, operator: Operator) -> Result<(), Error> {
+    let listeners = bind_listeners(&config, &operator)?;
+    let recording = start_recording(&config, &operator)?;
+    let (membership, routes) = start_membership(&operator)?;
+    let recorder = recording.as_ref().map(|recording| recording.tap.clone());
+    let fleet = FleetHandles {
+        membership: membership.as_ref().map(Membership::handle),
+        routes,
+    };
+    let executor = Rc::new(LocalExecutor::new());
+    let serving = serve::serve(
+        executor.clone(),
+        config,
+        listeners,
+        signals,
+        recorder,
+        fleet,
+    );
+    let served = async_io::block_on(executor.run(serving));
+    // The streams that are left hold the recorder.
+    drop(executor);
+    if let Some(membership) = membership {
+        membership.stop();
+    }
+    if let Some(recording) = recording {
+        recording.finish(RECORDING_TIMEOUT);
+    }
+    served.map_err(Error::Signals)
+}
+
+fn bind_listeners(config: &Config, operator: &Operator) -> Result<Listeners, Error> {
+    let http1 = bind(config.listen)?;
+    let http2 = match operator.http2.clone() {
+        Some(http2) => Some((bind(http2.listen)?, http2)),
+        None => None,
+    };
+    Ok(Listeners { http1, http2 })
+}
+
+fn bind(address: SocketAddr) -> Result<TcpListener, Error> {
+    TcpListener::bind(address).map_err(|source| Error::Bind { address, source })
+}
+
+fn start_recording(config: &Config, operator: &Operator) -> Result<Option<Recording>, Error> {
+    let Some(record) = &operator.record else {
+        return Ok(None);
+    };
+    Recording::start(&config.name, record)
+        .map(Some)
+        .map_err(Error::Thread)
+}
+
+/// Starts the fleet membership, and the failover between zones where this server's zone takes part in it.
+fn start_membership(operator: &Operator) -> Result<(Option<Membership>, Option<Ways>), Error> {
+    let Some(members) = &operator.members else {
+        return Ok((None, None));
+    };
+    let home_zone = operator
+        .failover
+        .as_ref()
+        .and_then(|failover| Some((failover, failover.home(&members.zone)?)));
+    let (decider, routes) = home_zone
+        .map(|(failover, home)| failover::start(failover, home, &members.region))
+        .unzip();
+    let membership = Membership::start(members, decider).map_err(Error::Membership)?;
+    Ok((Some(membership), routes))
+}
--- a/crates/heathspurd/tests/unit/config.rs
+++ b/crates/heathspurd/tests/unit/config.rs
@@ -1,9 +1,9 @@
-//! Unit tests of `src/config.rs`, which names this file as its module of tests.
+//! Unit tests of `src/config.rs`, which includes this file as its module of tests.
 
 use super::*;
 use serde_json::{json, Value};
 
-/// The rig's configuration with a change.
+/// The testkit's configuration with a change.
 fn with(edit: impl FnOnce(&mut Value)) -> Config {
     let somewhere = "127.0.0.1:9".parse().unwrap();
     let mut config = heathspur_testkit::scripted::config(somewhere, somewhere, somewhere);
@@ -12,10 +12,10 @@
 }
 
 #[test]
-fn another_servers_or_customers_file_is_told_apart_by_a_field() {
+fn the_file_of_another_server_or_customer_is_refused_with_the_field_that_differs() {
     let own = with(|_| {});
     let field = |edit: &dyn Fn(&mut Value)| match own.check_own(with(edit)) {
-        Err(Fault::Wrong { field, .. }) => field,
+        Err(ConfigError::Invalid { invalid, .. }) => invalid.field,
         other => panic!("{other:?}"),
     };
     let service =
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_a_start_changes_is_no_difference_and_all_else_is_told() {
+fn all_differences_are_reported_but_for_those_that_each_start_has() {
     let own = with(|_| {});
     let differs = |edit: &dyn Fn(&mut Value)| own.differs(&own.check_own(with(edit)).unwrap());
     let info =
--- a/crates/heathspurd/tests/unit/interpreter_events.rs
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -36,7 +36,7 @@
     );
     let mut event_loop = EventLoop::new(EventLoopParts {
         seed: 1,
-        stop_timeout: config.stop,
+        stop_timeout: config.stop_timeout,
         frontend: Rc::new(frontend),
         readiness: Readiness::new(),
         interpreter: crate::peers::interpreter::Link::new(),
--- a/crates/heathspurd/tests/unit/notify.rs
+++ b/crates/heathspurd/tests/unit/notify.rs
@@ -1,11 +1,11 @@
-//! Unit tests of `src/notify.rs`, which names this file as its module of tests.
+//! Unit tests of `src/notify.rs`, which includes this file as its module of tests.
 
 use super::*;
 use async_executor::LocalExecutor;
 use std::rc::Rc;
 
 #[test]
-fn notifications_that_nobody_waited_for_count_as_one() {
+fn notifications_without_a_waiting_task_count_as_one() {
     let notify = Notify::new();
     notify.notify();
     notify.notify();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn one_that_gave_up_waiting_keeps_a_notification_from_nobody() {
+fn a_task_that_stopped_waiting_keeps_a_notification_from_no_other() {
     let (notify, executor) = (Rc::new(Notify::new()), LocalExecutor::new());
     let left = notify.clone();
     executor
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_notification_wakes_one_of_those_that_wait() {
+fn each_notification_is_taken_by_one_waiting_task() {
     let (notify, executor) = (Rc::new(Notify::new()), LocalExecutor::new());
     let served = Rc::new(Cell::new(0));
     for _ in 0..2 {
@@ -40,15 +40,15 @@
         };
         executor.spawn(waits).detach();
     }
-    for told in 0..=2 {
+    for notifications in 0..=2 {
         while executor.try_tick() {}
-        assert_eq!(served.get(), told);
+        assert_eq!(served.get(), notifications);
         notify.notify();
     }
 }
 
 #[test]
-fn a_task_that_waits_again_and_again_is_remembered_once() {
+fn a_task_that_waits_repeatedly_has_one_waker() {
     let notify = Notify::new();
     let again = async {
         for _ in 0..100 {
@@ -56,5 +56,5 @@
         }
     };
     future::block_on(again);
-    assert_eq!(notify.waiting.borrow().len(), 1);
+    assert_eq!(notify.wakers.borrow().len(), 1);
 }
