--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -1,8 +1,9 @@
 //! Events of the interpreter's link: ends of runs, calls that runs need, gauges, the link's state.
 
+use crate::event_loop::deadlines::timer_without_gauges;
 use crate::event_loop::execution::{CallRequirement, PendingCall};
 use crate::event_loop::interpreter_session::Resend;
-use crate::event_loop::{timer_without_gauges, EventLoop};
+use crate::event_loop::EventLoop;
 use crate::frontend::{Answer, AttemptId};
 use crate::peers::interpreter::Event as InterpreterEvent;
 use bytes::Bytes;
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -10,6 +10,7 @@
 mod completion;
 mod controller;
 mod controller_timers;
+mod deadlines;
 mod dispatch;
 mod drain;
 mod execution;
@@ -18,15 +19,17 @@
 mod interpreter_session;
 mod peer_addresses;
 mod request_table;
+mod shutdown;
 mod store_calls;
 mod store_events;
 
 pub(crate) use peer_addresses::PeerAddresses;
 
-use crate::clock::{self, Clock};
+use crate::clock::Clock;
 use crate::config::Config;
 use crate::event_loop::controller::Controller;
 use crate::event_loop::controller_timers::ControllerTimers;
+use crate::event_loop::deadlines::PRUNE_INTERVAL;
 use crate::event_loop::drain::Drain;
 use crate::event_loop::inbox::LoopEvent;
 use crate::event_loop::interpreter_session::InterpreterSession;
@@ -43,7 +46,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use heathspur::{Action, Event, Gauges, Settings, Span, Time, Token};
+use heathspur::{Action, Settings, Time};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::info;
@@ -52,15 +55,9 @@
 const MAX_REQUESTS_PER_TURN: usize = 64;
 /// Other events that one turn takes in at most, and that may wait for it.
 pub(crate) const INBOX_CAPACITY: usize = 1024;
-/// A deadline missed by this much (10 ms) shows that the process was stalled.
-const STALL_THRESHOLD: Span = Span(10_000);
 /// Time after a stall in which readers take in what arrived meanwhile. The reactor wakes timers first, possibly from
 /// a thread of its own; within this time it has woken the readers too.
 const STALL_READ_TIME: Duration = Duration::from_millis(1);
-/// Between two prunings of idempotency entries and idle connections (1 s).
-const PRUNE_INTERVAL: Span = Span(1_000_000);
-/// For writing the last answers at the exit; well within the exit margin of a drain.
-const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// What ends the wait for the next turn.
 enum Wakeup {
@@ -192,26 +189,6 @@
         future::or(signal, future::or(event, future::or(request, deadline))).await
     }
 
-    /// The earliest of all deadlines.
-    fn next_deadline(&self) -> Option<Time> {
-        [
-            self.timers.next_due(),
-            self.calls.next_timeout(),
-            self.drain.next_deadline(),
-            self.interpreter.resume_deadline(),
-            Some(self.next_prune),
-        ]
-        .into_iter()
-        .flatten()
-        .min()
-    }
-
-    /// Whether the process was stalled past a deadline.
-    fn has_stalled(&self) -> bool {
-        self.next_deadline()
-            .is_some_and(|at| self.now - at >= STALL_THRESHOLD)
-    }
-
     /// Takes in what has arrived. Events come before requests: results, gauges and notices are few and must not wait
     /// behind a burst of requests.
     fn take_inputs(
@@ -279,41 +256,6 @@
         }
     }
 
-    /// Handles all deadlines that have passed.
-    fn handle_deadlines(&mut self) {
-        self.handle_timers();
-        while let Some(id) = self.calls.pop_timed_out(self.now) {
-            self.on_call_timed_out(id);
-        }
-        if self
-            .interpreter
-            .resume_deadline()
-            .is_some_and(|deadline| deadline <= self.now)
-        {
-            self.resume_late();
-        }
-        if self.next_prune <= self.now {
-            self.next_prune = self.now + PRUNE_INTERVAL;
-            self.idempotency.prune(clock::unix_micros());
-            self.calls.prune_connections();
-        }
-    }
-
-    /// Delivers due timers: with gauges where the interpreter answers in time, else without.
-    fn handle_timers(&mut self) {
-        while let Some(token) = self.timers.pop_due(self.now) {
-            if self.interpreter.is_up() {
-                let query = self.interpreter.query_gauges();
-                self.timers.await_gauges(query, token, self.now);
-            } else {
-                self.controller.push(timer_without_gauges(token));
-            }
-        }
-        while let Some(token) = self.timers.pop_unanswered(self.now) {
-            self.controller.push(timer_without_gauges(token));
-        }
-    }
-
     fn handle_signals(&mut self) {
         let requests = self.signals.take();
         if let Some(config) = requests.config {
@@ -332,67 +274,4 @@
         self.peer_addresses.set(config);
         self.calls.set_address(store);
     }
-
-    /// Begins the graceful shutdown, once.
-    fn begin_drain(&mut self) {
-        if self.drain.has_begun() {
-            return;
-        }
-        info!("graceful shutdown started");
-        self.start_controller(self.controller.settings().cold_start, self.now);
-        let grace = self.controller.settings().drain_grace;
-        let plan = self.drain.begin(self.now, grace);
-        if let Some(members) = &self.members {
-            members.leave();
-        }
-        self.frontend.draining.set(true);
-        self.frontend
-            .abandon_responses_at
-            .set(Some(self.clock.instant(plan.abandon_responses)));
-        self.frontend
-            .connections
-            .tell_closed(self.connection_closed.clone());
-        self.controller.push(Event::Drain(plan.controller_limit));
-    }
-
-    /// Stops accepting once that is due; true once everything is answered, or the exit is due.
-    fn is_drained(&self) -> bool {
-        if !self.drain.has_begun() {
-            return false;
-        }
-        self.drain.stop_accepting_if_due(self.now);
-        let is_idle = || self.frontend.connections.open() == 0 && !self.table.owes_reply();
-        self.drain.has_stopped_accepting() && (is_idle() || self.drain.is_exit_due(self.now))
-    }
-
-    /// The last turn. Whatever delayed the process, each request that is due an answer gets it now, and the
-    /// front ends' tasks have a short time to write the answers.
-    async fn finish(
-        mut self,
-        mut requests: RequestQueues<IncomingRequest>,
-        inbox: Receiver<LoopEvent>,
-        mut actions: Vec<Action>,
-    ) {
-        while let Some(request) = requests.try_next() {
-            self.on_request(request);
-        }
-        for token in self.timers.drain_all() {
-            self.controller.push(timer_without_gauges(token));
-        }
-        self.decide(&mut actions);
-        let closed =
-            async { while self.frontend.connections.open() > 0 && inbox.recv().await.is_ok() {} };
-        let timeout = async {
-            Timer::after(LAST_WRITES_TIMEOUT).await;
-        };
-        future::or(closed, timeout).await;
-    }
-}
-
-/// The event of a timer for which no gauges were read.
-fn timer_without_gauges(token: Token) -> Event {
-    Event::Timer {
-        token,
-        gauges: Gauges::default(),
-    }
 }
--- a/crates/heathspurd/src/idempotency.rs
+++ b/crates/heathspurd/src/idempotency/mod.rs
@@ -3,6 +3,9 @@
 //! An entry stays while an attempt of it is in the request table, and once it is retained until its time is over. Its
 //! result goes with it.
 
+mod entry;
+
+use crate::idempotency::entry::{Entry, LiveAttempt, Run};
 use bytes::Bytes;
 use heathspur::{ClassId, RequestId, Span};
 use std::collections::hash_map::RandomState;
@@ -41,6 +44,12 @@
     pub dedup_window: Span,
 }
 
+impl Attempt {
+    fn window_ends_at(&self) -> UnixMicros {
+        self.received_at.saturating_add(self.dedup_window.0)
+    }
+}
+
 /// What a new attempt is to its key.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Registration {
@@ -70,143 +79,6 @@
     Failed,
 }
 
-/// The run of one of a key's attempts.
-#[derive(Debug)]
-enum Run {
-    NotStarted,
-    Running(RequestId),
-    /// With the result where there is one.
-    Ended(RequestId, Option<Bytes>),
-}
-
-impl Run {
-    /// The attempt that runs or ran.
-    fn attempt(&self) -> Option<RequestId> {
-        match self {
-            Run::NotStarted => None,
-            Run::Running(id) | Run::Ended(id, _) => Some(*id),
-        }
-    }
-
-    /// Bytes of the cached result.
-    fn result_len(&self) -> usize {
-        match self {
-            Run::Ended(_, Some(result)) => result.len(),
-            Run::NotStarted | Run::Running(_) | Run::Ended(_, None) => 0,
-        }
-    }
-}
-
-/// An attempt that is in the request table.
-#[derive(Clone, Copy, Debug)]
-struct LiveAttempt {
-    id: RequestId,
-    window_ends_at: UnixMicros,
-}
-
-/// The run of an entry that was replaced.
-#[derive(Clone, Copy, Debug)]
-struct PreviousRun {
-    attempt: RequestId,
-    retained_until: UnixMicros,
-}
-
-#[derive(Debug)]
-struct Entry {
-    live: Vec<LiveAttempt>,
-    /// Of the live attempts, those that wait for the result.
-    waiting: Vec<RequestId>,
-    /// The attempt for which the entry is retained; the first one until then.
-    owner: RequestId,
-    /// 0 while the entry is not retained.
-    retained_until: UnixMicros,
-    run: Run,
-    /// The run of the entry that this one replaced. An attempt that reached the machine before that entry's end and is
-    /// read only now must not run.
-    previous_run: Option<PreviousRun>,
-    body_digest: u64,
-    /// Until when another body with the same key is refused.
-    fingerprint_expires_at: UnixMicros,
-}
-
-impl Entry {
-    fn new(attempt: Attempt, previous_run: Option<PreviousRun>) -> Entry {
-        let window_ends_at = attempt.window_ends_at();
-        Entry {
-            live: vec![LiveAttempt {
-                id: attempt.id,
-                window_ends_at,
-            }],
-            waiting: Vec::new(),
-            owner: attempt.id,
-            retained_until: 0,
-            run: Run::NotStarted,
-            previous_run,
-            body_digest: attempt.body_digest,
-            fingerprint_expires_at: window_ends_at,
-        }
-    }
-
-    /// Whether an attempt that arrived then repeats those of this entry.
-    fn covers(&self, received_at: UnixMicros) -> bool {
-        !self.live.is_empty() || received_at < self.retained_until
-    }
-
-    /// Whether another body with the same key is refused.
-    fn mismatches(&self, attempt: &Attempt) -> bool {
-        attempt.body_digest != self.body_digest
-            && (self.covers(attempt.received_at)
-                || attempt.received_at < self.fingerprint_expires_at)
-    }
-
-    /// The attempt that a new one repeats.
-    fn repeated_by(&self, attempt: &Attempt) -> Option<RequestId> {
-        let previous_run = self
-            .previous_run
-            .filter(|previous| attempt.received_at < previous.retained_until);
-        match previous_run {
-            Some(previous) => Some(previous.attempt),
-            None if self.covers(attempt.received_at) => {
-                Some(self.run.attempt().unwrap_or(self.owner))
-            }
-            None => None,
-        }
-    }
-
-    /// What an entry that replaces this one has to know about its run.
-    fn into_previous_run(self) -> Option<PreviousRun> {
-        match self.run.attempt() {
-            None => self.previous_run,
-            Some(attempt) => Some(PreviousRun {
-                attempt,
-                retained_until: self.retained_until,
-            }),
-        }
-    }
-
-    /// Whether the entry serves only to refuse other bodies.
-    fn is_fingerprint_only(&self) -> bool {
-        self.live.is_empty() && self.retained_until == 0 && self.previous_run.is_none()
-    }
-
-    /// Whether nothing refers to the entry; `late` is for how long after its end an attempt may be read.
-    fn is_expired(&self, now: UnixMicros, late: Span) -> bool {
-        let previous_until = self
-            .previous_run
-            .map_or(0, |previous| previous.retained_until);
-        let until = self.retained_until.max(previous_until);
-        self.live.is_empty()
-            && now >= until.saturating_add(late.0)
-            && now >= self.fingerprint_expires_at
-    }
-}
-
-impl Attempt {
-    fn window_ends_at(&self) -> UnixMicros {
-        self.received_at.saturating_add(self.dedup_window.0)
-    }
-}
-
 /// All entries. Bounded in entries and in bytes of results.
 #[derive(Debug)]
 pub(crate) struct IdempotencyStore {
@@ -398,5 +270,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/idempotency.rs"]
+#[path = "../../tests/unit/idempotency.rs"]
 mod tests;
