--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -1,6 +1,7 @@
 //! The end of a request: its one final answer, and the one place where its resources are released.
 
 use crate::event_loop::execution::ExecutionState;
+use crate::event_loop::request_table::Entry;
 use crate::event_loop::EventLoop;
 use crate::frontend::Answer;
 use bytes::Bytes;
@@ -9,7 +10,7 @@
 impl EventLoop {
     /// Sends the answer to the request's connection, once; any later answer is dropped.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(reply) = self.table.get_mut(id).and_then(|entry| entry.reply.take()) {
+        if let Some(reply) = self.table.get_mut(id).and_then(Entry::take_reply) {
             // It fails where the connection is gone, which is reported by an event of its own.
             let _ = reply.try_send(answer);
         }
@@ -56,7 +57,7 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        if entry.reply.take().is_none() || !self.frontend.names.cancel_seen {
+        if entry.take_reply().is_none() || !self.frontend.names.cancel_seen {
             return;
         }
         self.controller.push(Event::ClientCancelled(id));
--- a/crates/heathspurd/src/event_loop/controller_timers.rs
+++ b/crates/heathspurd/src/event_loop/controller_timers.rs
@@ -84,3 +84,7 @@
         scheduled.into_iter().chain(gauges).min()
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/controller_timers.rs"]
+mod tests;
--- a/crates/heathspurd/src/event_loop/drain.rs
+++ b/crates/heathspurd/src/event_loop/drain.rs
@@ -94,3 +94,7 @@
 fn span(duration: Duration) -> Span {
     Span(duration.as_micros() as u64)
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/drain.rs"]
+mod tests;
--- a/crates/heathspurd/src/event_loop/interpreter_session.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_session.rs
@@ -155,3 +155,7 @@
         self.last_answered
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/interpreter_session.rs"]
+mod tests;
--- a/crates/heathspurd/src/event_loop/request_table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -15,7 +15,7 @@
     pub class: ClassId,
     pub body: Bytes,
     /// Where its answer goes, until it is answered or its client is gone.
-    pub reply: Option<Sender<Answer>>,
+    reply: Option<Sender<Answer>>,
     /// What it shares with its repeats.
     pub key: Option<Key>,
     pub execution: ExecutionState,
@@ -26,6 +26,11 @@
     pub fn owes_reply(&self) -> bool {
         self.reply.is_some()
     }
+
+    /// Takes the sender of the answer, after which none is due.
+    pub fn take_reply(&mut self) -> Option<Sender<Answer>> {
+        self.reply.take()
+    }
 }
 
 /// All requests from their admission until their release. Bounded by the connections, and for requests that are
--- a/crates/heathspurd/src/idempotency/entry.rs
+++ b/crates/heathspurd/src/idempotency/entry.rs
@@ -1,6 +1,6 @@
 //! The entry of one key: its attempts, its run, and for how long it is retained.
 
-use crate::idempotency::{Attempt, UnixMicros};
+use crate::idempotency::{Attachment, Attempt, UnixMicros};
 use bytes::Bytes;
 use heathspur::{RequestId, Span};
 
@@ -45,6 +45,16 @@
     pub retained_until: UnixMicros,
 }
 
+impl LiveAttempt {
+    pub fn new(attempt: &Attempt) -> LiveAttempt {
+        LiveAttempt {
+            id: attempt.id,
+            window_ends_at: attempt.window_ends_at(),
+        }
+    }
+}
+
+/// What is known about a key.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub live: Vec<LiveAttempt>,
@@ -65,19 +75,15 @@
 
 impl Entry {
     pub fn new(attempt: Attempt, previous_run: Option<PreviousRun>) -> Entry {
-        let window_ends_at = attempt.window_ends_at();
         Entry {
-            live: vec![LiveAttempt {
-                id: attempt.id,
-                window_ends_at,
-            }],
+            live: vec![LiveAttempt::new(&attempt)],
             waiting: Vec::new(),
             owner: attempt.id,
             retained_until: 0,
             run: Run::NotStarted,
             previous_run,
             body_digest: attempt.body_digest,
-            fingerprint_expires_at: window_ends_at,
+            fingerprint_expires_at: attempt.window_ends_at(),
         }
     }
 
@@ -107,6 +113,67 @@
         }
     }
 
+    /// Refuses other bodies until the end of the attempt's window as well.
+    pub fn extend_fingerprint(&mut self, attempt: &Attempt) {
+        self.fingerprint_expires_at = self.fingerprint_expires_at.max(attempt.window_ends_at());
+    }
+
+    /// Starts the run of an attempt. A retained entry lasts at least for the window from when that attempt reached the
+    /// machine by its own timestamp, the window's end included, also where our clock is behind that timestamp.
+    pub fn start_run(&mut self, id: RequestId) {
+        let attempt = self.live.iter().find(|attempt| attempt.id == id);
+        if let Some(attempt) = attempt.filter(|_| self.retained_until > 0) {
+            let past_window = attempt.window_ends_at.saturating_add(1);
+            self.retained_until = self.retained_until.max(past_window);
+        }
+        self.run = Run::Running(id);
+    }
+
+    /// Whether this attempt runs.
+    pub fn runs(&self, id: RequestId) -> bool {
+        matches!(self.run, Run::Running(running) if running == id)
+    }
+
+    /// Attaches a repeat to the result of the run.
+    pub fn attach(&mut self, id: RequestId) -> Attachment {
+        match &self.run {
+            Run::Ended(_, Some(result)) => Attachment::Result(result.clone()),
+            Run::Ended(_, None) => Attachment::Failed,
+            // All others wait as well, so no attempt is left to run.
+            Run::NotStarted if self.live.len() <= self.waiting.len() + 1 => Attachment::Failed,
+            Run::NotStarted | Run::Running(_) => {
+                self.waiting.push(id);
+                Attachment::Pending
+            }
+        }
+    }
+
+    /// Removes an attempt from those in the request table.
+    pub fn remove_live(&mut self, id: RequestId) {
+        self.live.retain(|attempt| attempt.id != id);
+        self.waiting.retain(|&waiting| waiting != id);
+    }
+
+    /// Whether an attempt can still ask for the result.
+    pub fn is_reachable(&self) -> bool {
+        !self.live.is_empty() || self.retained_until > 0
+    }
+
+    /// Takes the attempts that wait for a run that will never end, now that this attempt was removed: it was the one
+    /// that ran, given up while it was stopped, or only waiting attempts are left.
+    pub fn take_unanswerable(&mut self, removed: RequestId) -> Vec<RequestId> {
+        let is_abandoned = self.runs(removed);
+        if is_abandoned {
+            self.run = Run::Ended(removed, None);
+        }
+        let all_wait = matches!(self.run, Run::NotStarted) && self.live.len() == self.waiting.len();
+        if all_wait || is_abandoned {
+            std::mem::take(&mut self.waiting)
+        } else {
+            Vec::new()
+        }
+    }
+
     /// What an entry that replaces this one has to know about its run.
     pub fn into_previous_run(self) -> Option<PreviousRun> {
         match self.run.attempt() {
@@ -120,7 +187,7 @@
 
     /// Whether the entry serves only to refuse other bodies.
     pub fn is_fingerprint_only(&self) -> bool {
-        self.live.is_empty() && self.retained_until == 0 && self.previous_run.is_none()
+        !self.is_reachable() && self.previous_run.is_none()
     }
 
     /// Whether nothing refers to the entry; `late` is for how long after its end an attempt may be read.
--- a/crates/heathspurd/src/idempotency/mod.rs
+++ b/crates/heathspurd/src/idempotency/mod.rs
@@ -117,13 +117,9 @@
             if entry.mismatches(&attempt) {
                 return Err(RegisterError::BodyMismatch);
             }
-            let window_ends_at = attempt.window_ends_at();
-            entry.fingerprint_expires_at = entry.fingerprint_expires_at.max(window_ends_at);
+            entry.extend_fingerprint(&attempt);
             if let Some(repeated) = entry.repeated_by(&attempt) {
-                entry.live.push(LiveAttempt {
-                    id: attempt.id,
-                    window_ends_at,
-                });
+                entry.live.push(LiveAttempt::new(&attempt));
                 return Ok(Registration::RepeatOf(repeated));
             }
         }
@@ -151,7 +147,8 @@
     pub fn retain(&mut self, key: &Key, id: RequestId, until: UnixMicros) {
         if let Some(entry) = self.entries.get_mut(key) {
             self.owners.remove(&entry.owner);
-            (entry.owner, entry.retained_until) = (id, until);
+            entry.owner = id;
+            entry.retained_until = until;
             self.owners.insert(id, key.clone());
         }
     }
@@ -166,19 +163,12 @@
         }
     }
 
-    /// An attempt starts to run. A retained entry lasts at least for the window from when that attempt reached the
-    /// machine by its own timestamp, the window's end included, also where our clock is behind that timestamp.
+    /// An attempt starts to run.
     pub fn run_started(&mut self, key: &Key, id: RequestId) {
-        let Some(entry) = self.entries.get_mut(key) else {
-            return;
-        };
-        let attempt = entry.live.iter().find(|attempt| attempt.id == id);
-        if let Some(attempt) = attempt.filter(|_| entry.retained_until > 0) {
-            let past_window = attempt.window_ends_at.saturating_add(1);
-            entry.retained_until = entry.retained_until.max(past_window);
+        if let Some(entry) = self.entries.get_mut(key) {
+            self.result_bytes -= entry.run.result_len();
+            entry.start_run(id);
         }
-        self.result_bytes -= entry.run.result_len();
-        entry.run = Run::Running(id);
     }
 
     /// An attempt's run has ended. Returns the attempts that waited for it.
@@ -188,32 +178,21 @@
         id: RequestId,
         result: Option<&Bytes>,
     ) -> Vec<RequestId> {
-        let Some(entry) = self.entries.get_mut(key) else {
+        let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.runs(id)) else {
             return Vec::new();
         };
-        if !matches!(entry.run, Run::Running(running) if running == id) {
-            return Vec::new();
-        }
-        let cached = result.filter(|r| self.result_bytes + r.len() <= self.max_result_bytes);
-        self.result_bytes += cached.map_or(0, |r| r.len());
+        let used_bytes = self.result_bytes;
+        let cached = result.filter(|result| used_bytes + result.len() <= self.max_result_bytes);
         entry.run = Run::Ended(id, cached.cloned());
+        self.result_bytes += entry.run.result_len();
         std::mem::take(&mut entry.waiting)
     }
 
     /// Attaches a repeat to the result of the attempt that it repeats.
     pub fn attach(&mut self, key: &Key, id: RequestId) -> Attachment {
-        let Some(entry) = self.entries.get_mut(key) else {
-            return Attachment::Failed;
-        };
-        match &entry.run {
-            Run::Ended(_, Some(result)) => Attachment::Result(result.clone()),
-            Run::Ended(_, None) => Attachment::Failed,
-            // All others wait as well, so no attempt is left to run.
-            Run::NotStarted if entry.live.len() <= entry.waiting.len() + 1 => Attachment::Failed,
-            Run::NotStarted | Run::Running(_) => {
-                entry.waiting.push(id);
-                Attachment::Pending
-            }
+        match self.entries.get_mut(key) {
+            Some(entry) => entry.attach(id),
+            None => Attachment::Failed,
         }
     }
 
@@ -222,25 +201,12 @@
         let Some(entry) = self.entries.get_mut(key) else {
             return Vec::new();
         };
-        entry.live.retain(|attempt| attempt.id != id);
-        entry.waiting.retain(|&waiting| waiting != id);
-        if entry.live.is_empty() && entry.retained_until == 0 {
-            // No attempt can ask for its result any more.
+        entry.remove_live(id);
+        if !entry.is_reachable() {
             self.result_bytes -= entry.run.result_len();
             entry.run = Run::NotStarted;
         }
-        // A run that is given up while it is stopped never ends.
-        let is_abandoned = matches!(entry.run, Run::Running(running) if running == id);
-        if is_abandoned {
-            entry.run = Run::Ended(id, None);
-        }
-        let all_wait =
-            matches!(entry.run, Run::NotStarted) && entry.live.len() == entry.waiting.len();
-        if all_wait || is_abandoned {
-            std::mem::take(&mut entry.waiting)
-        } else {
-            Vec::new()
-        }
+        entry.take_unanswerable(id)
     }
 
     /// Removes expired entries.
--- /dev/null
+++ b/crates/heathspurd/tests/unit/interpreter_session.rs
@@ -0,0 +1,54 @@
+//! Unit tests of `src/event_loop/interpreter_session.rs`, which includes this file as its module of tests.
+
+use super::*;
+
+const EVERY_DELIVERY: [CommandDelivery; 3] = [
+    CommandDelivery::CurrentLink { before_query: 1 },
+    CommandDelivery::Uncertain,
+    CommandDelivery::Confirmed,
+];
+
+fn covered(resend: Resend) -> [bool; 3] {
+    EVERY_DELIVERY.map(|delivery| resend.covers(delivery))
+}
+
+#[test]
+fn commands_reach_the_interpreter_once_missed_notices_have_come() {
+    let mut session = InterpreterSession::new(Link::new());
+    assert!(!session.is_up());
+    session.begin_resume(Time(5));
+    assert!(session.is_resuming() && !session.is_up());
+    assert_eq!(session.resume_deadline(), Some(Time(5) + RESUME_TIMEOUT));
+    assert!(session.resumes_with(1) && !session.resumes_with(2));
+    assert_eq!(covered(session.finish_resume()), [true, true, true]);
+    assert!(session.is_up() && !session.is_resuming());
+    assert_eq!(session.resume_deadline(), None);
+    assert!(session.disconnect());
+    assert!(!session.disconnect() && !session.is_up());
+}
+
+#[test]
+fn after_a_late_answer_each_command_is_sent_by_one_of_the_two_steps() {
+    let mut session = InterpreterSession::new(Link::new());
+    session.begin_resume(Time(5));
+    assert_eq!(covered(session.resume_late()), [true, false, false]);
+    assert!(session.is_up() && session.is_late());
+    assert_eq!(covered(session.finish_resume()), [false, true, true]);
+    assert!(!session.is_late());
+}
+
+#[test]
+fn only_answers_to_queries_that_were_sent_count() {
+    let mut session = InterpreterSession::new(Link::new());
+    assert_eq!(session.query_gauges(), 1);
+    assert_eq!(session.query_gauges(), 2);
+    session.record_answer(3);
+    assert_eq!(session.last_answered(), 0);
+    session.record_answer(2);
+    session.record_answer(1);
+    assert_eq!(session.last_answered(), 2);
+    assert_eq!(
+        session.delivery(),
+        CommandDelivery::CurrentLink { before_query: 3 }
+    );
+}
