--- a/crates/heathspurd/src/cli.rs
+++ b/crates/heathspurd/src/cli.rs
@@ -26,7 +26,7 @@
 enum Command {
     /// Serve until a signal to drain.
     Serve(Files),
-    /// Check the files, report what is wrong with them, and exit.
+    /// Check the files, report the first error, and exit.
     Check(Files),
 }
 
--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -32,7 +32,7 @@
         self.table.insert(request, key);
     }
 
-    /// What the request shares with its repeats: an idempotency key, or the subject of a read while reads are cached.
+    /// The key that the request shares with its repeats: an idempotency key, or the subject of a read while reads are cached.
     fn dedup_key(&self, request: &IncomingRequest) -> Option<Key> {
         let is_linked = !request.has_subject || self.controller.settings().cache_ttl.0 > 0;
         request
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -52,7 +52,7 @@
         self.release(id);
     }
 
-    /// The client of a request has disconnected: no answer is due, and what does not run is discarded.
+    /// The client of a request has disconnected: no answer is due, and a request without a run is released.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
--- a/crates/heathspurd/src/event_loop/controller.rs
+++ b/crates/heathspurd/src/event_loop/controller.rs
@@ -2,7 +2,7 @@
 
 use heathspur::{Action, AdmissionController, Event, Settings, Time};
 
-/// The controller starts with the interpreter, or with the first request: from then on the machine warms up.
+/// The admission controller and its pending events. It starts with the interpreter, or with the first request: from then on the machine warms up.
 pub(crate) struct Controller {
     settings: Settings,
     seed: u64,
@@ -11,6 +11,7 @@
 }
 
 impl Controller {
+    /// A controller that has not started.
     pub fn new(settings: Settings, seed: u64) -> Controller {
         Controller {
             settings,
@@ -20,10 +21,12 @@
         }
     }
 
+    /// The settings in effect.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
+    /// Whether the controller has started.
     pub fn is_started(&self) -> bool {
         self.admission.is_some()
     }
--- a/crates/heathspurd/src/event_loop/controller_timers.rs
+++ b/crates/heathspurd/src/event_loop/controller_timers.rs
@@ -15,7 +15,7 @@
     deadline: Time,
 }
 
-/// Timers that are set, and due ones that wait for the gauges. Both bounded by what the controller sets.
+/// Timers that are set, and due ones that wait for the gauges. Both are bounded by the timers that the controller sets.
 #[derive(Default)]
 pub(crate) struct ControllerTimers {
     scheduled: BinaryHeap<Reverse<(Time, Token)>>,
--- a/crates/heathspurd/src/event_loop/deadlines.rs
+++ b/crates/heathspurd/src/event_loop/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of the event loop: when the next one is, and what is done once they have passed.
+//! Deadlines of the event loop: the next one, and the handling of those that have passed.
 
 use crate::clock;
 use crate::event_loop::EventLoop;
--- a/crates/heathspurd/src/event_loop/drain.rs
+++ b/crates/heathspurd/src/event_loop/drain.rs
@@ -16,7 +16,7 @@
     exit: Time,
 }
 
-/// What the rest of the server needs to know about a drain that begins.
+/// The time limits of a drain for the other parts of the server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DrainPlan {
     /// The time that the controller has for all requests.
@@ -35,6 +35,7 @@
 }
 
 impl Drain {
+    /// A server that does not drain yet.
     pub fn new(stop_timeout: Duration, stop_accepting: Sender<()>) -> Drain {
         Drain {
             stop_timeout,
--- a/crates/heathspurd/src/event_loop/execution.rs
+++ b/crates/heathspurd/src/event_loop/execution.rs
@@ -1,7 +1,7 @@
 //! The state machine of one request's execution.
 //!
-//! Every transition is a method of [`ExecutionState`]. What a transition requires outside, such as commands to the
-//! interpreter, dependency calls and events for the admission controller, is the event loop's part.
+//! Every transition is a method of [`ExecutionState`]. The event loop does the rest of a transition: commands to the
+//! interpreter, dependency calls and events for the admission controller.
 
 use crate::peers::store::CallId;
 use bytes::Bytes;
@@ -16,7 +16,7 @@
     Stub(u64),
 }
 
-/// What is known about the delivery of a run's last command.
+/// The delivery of a run's last command, as far as it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandDelivery {
     /// No link that carried it has broken: it was sent on the current link before the gauge query of this number, or
--- a/crates/heathspurd/src/event_loop/interpreter_session.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_session.rs
@@ -1,5 +1,5 @@
-//! The event loop's side of the interpreter's link: whether commands reach it, which gauge queries were answered, and
-//! what is sent again after the link was made anew.
+//! The event loop's side of the interpreter's link: its state, the answered gauge queries, and the commands to send
+//! again after a reconnection.
 
 use crate::event_loop::execution::CommandDelivery;
 use crate::peers::interpreter::Link;
@@ -19,8 +19,8 @@
         query: u64,
         deadline: Time,
     },
-    /// The answer is late, so missed notices may yet come. What an earlier link carried is not sent again: it may have
-    /// ended, and would run twice.
+    /// The answer is late, so missed notices may yet come. Commands of an earlier link are not sent again: their runs
+    /// may have ended, and would run twice.
     Late,
     Up,
 }
@@ -57,6 +57,7 @@
 }
 
 impl InterpreterSession {
+    /// A session on a link that is down.
     pub fn new(link: Rc<Link>) -> InterpreterSession {
         InterpreterSession {
             link,
@@ -71,6 +72,7 @@
         matches!(self.state, LinkState::Up | LinkState::Late)
     }
 
+    /// Sends a command on the link.
     pub fn send(&self, command: Command<'_>) {
         self.link.send(command);
     }
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the admission controller and the state of all requests. Each turn takes in what has arrived
-//! as one batch, lets the controller decide once, and carries its actions out in order. It never waits for a peer.
+//! The one task that owns the admission controller and the state of all requests. Each turn takes in all
+//! input as one batch, lets the controller decide once, and carries its actions out in order. It never waits for a peer.
 //!
 //! A request passes through `admission` (registered and passed to the controller), `dispatch` (the controller's
 //! actions), `commands` (to interpreter and store), `interpreter_events` and `store_events` (their results) and
@@ -55,11 +55,11 @@
 const MAX_REQUESTS_PER_TURN: usize = 64;
 /// Other events that one turn takes in at most, and that may wait for it.
 pub(crate) const INBOX_CAPACITY: usize = 1024;
-/// Time after a stall in which readers take in what arrived meanwhile. The reactor wakes timers first, possibly from
+/// Time after a stall in which readers take in the input that arrived meanwhile. The reactor wakes timers first, possibly from
 /// a thread of its own; within this time it has woken the readers too.
 const STALL_READ_TIME: Duration = Duration::from_millis(1);
 
-/// What ends the wait for the next turn.
+/// The cause of the next turn.
 enum Wakeup {
     Request(IncomingRequest),
     Event(LoopEvent),
@@ -67,7 +67,7 @@
     Deadline,
 }
 
-/// What an event loop is built from.
+/// The parts that an event loop is built from.
 pub(crate) struct EventLoopParts {
     pub settings: Settings,
     /// Seeds the controller's random numbers.
@@ -111,6 +111,7 @@
 }
 
 impl EventLoop {
+    /// An event loop without requests, whose controller has not started.
     pub fn new(parts: EventLoopParts) -> EventLoop {
         let clock = Clock::start();
         let now = clock.now();
@@ -189,7 +190,7 @@
         future::or(signal, future::or(event, future::or(request, deadline))).await
     }
 
-    /// Takes in what has arrived. Events come before requests: results, gauges and notices are few and must not wait
+    /// Takes in all input that has arrived. Events come before requests: results, gauges and notices are few and must not wait
     /// behind a burst of requests.
     fn take_inputs(
         &mut self,
--- a/crates/heathspurd/src/event_loop/request_table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -16,7 +16,7 @@
     pub body: Bytes,
     /// Where its answer goes, until it is answered or its client is gone.
     reply: Option<Sender<Answer>>,
-    /// What it shares with its repeats.
+    /// The key that it shares with its repeats.
     pub key: Option<Key>,
     pub execution: ExecutionState,
 }
@@ -47,10 +47,12 @@
         self.entries.len()
     }
 
+    /// The request with this id, for a change.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Entry> {
         self.entries.get_mut(&id)
     }
 
+    /// The request with this id.
     pub fn get(&self, id: RequestId) -> Option<&Entry> {
         self.entries.get(&id)
     }
--- a/crates/heathspurd/src/idempotency/entry.rs
+++ b/crates/heathspurd/src/idempotency/entry.rs
@@ -46,6 +46,7 @@
 }
 
 impl LiveAttempt {
+    /// A new attempt in the request table.
     pub fn new(attempt: &Attempt) -> LiveAttempt {
         LiveAttempt {
             id: attempt.id,
@@ -54,7 +55,7 @@
     }
 }
 
-/// What is known about a key.
+/// The state of one key.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub live: Vec<LiveAttempt>,
@@ -74,6 +75,7 @@
 }
 
 impl Entry {
+    /// An entry for the first attempt of a key.
     pub fn new(attempt: Attempt, previous_run: Option<PreviousRun>) -> Entry {
         Entry {
             live: vec![LiveAttempt::new(&attempt)],
@@ -174,7 +176,7 @@
         }
     }
 
-    /// What an entry that replaces this one has to know about its run.
+    /// The run that an entry which replaces this one has to remember.
     pub fn into_previous_run(self) -> Option<PreviousRun> {
         match self.run.attempt() {
             None => self.previous_run,
--- a/crates/heathspurd/src/idempotency/mod.rs
+++ b/crates/heathspurd/src/idempotency/mod.rs
@@ -15,7 +15,7 @@
 /// Unix time in microseconds.
 type UnixMicros = u64;
 
-/// What a request shares with its repeats.
+/// The key that a request shares with its repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Key {
     /// The index of the request's class.
@@ -24,6 +24,7 @@
 }
 
 impl Key {
+    /// The key of a request of this class.
     pub fn new(class: ClassId, bytes: &[u8]) -> Key {
         Key {
             class: class.0,
@@ -50,7 +51,7 @@
     }
 }
 
-/// What a new attempt is to its key.
+/// The relation of a new attempt to the earlier ones of its key.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Registration {
     /// It repeats no other attempt.
@@ -94,6 +95,7 @@
 }
 
 impl IdempotencyStore {
+    /// An empty store; `late` is for how long a request may be read after it reached the machine.
     pub fn new(max_entries: usize, max_result_bytes: usize, late: Span) -> IdempotencyStore {
         IdempotencyStore {
             entries: HashMap::new(),
--- a/crates/heathspurd/src/notify.rs
+++ b/crates/heathspurd/src/notify.rs
@@ -15,6 +15,7 @@
 }
 
 impl Notify {
+    /// A notification that has not been given.
     pub fn new() -> Notify {
         Notify::default()
     }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -35,7 +35,7 @@
 const REQUEST_QUEUE_CAPACITY: usize = 256;
 /// Disconnected clients of each front end that may wait to be reported.
 const DISCONNECTED_QUEUE_CAPACITY: usize = 256;
-/// File descriptors reserved for the links, the log and what the standard library opens.
+/// File descriptors reserved for the links, the log and the standard library.
 const RESERVED_DESCRIPTORS: usize = 20;
 /// One in so many file descriptors is for connections to the store.
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
@@ -149,7 +149,7 @@
     }
 }
 
-/// What the front ends share with the event loop.
+/// The state that the front ends share with the event loop.
 fn frontend_context(
     config: &Config,
     listeners: &Listeners,
--- a/crates/heathspurd/src/signals.rs
+++ b/crates/heathspurd/src/signals.rs
@@ -22,7 +22,7 @@
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// What the signals have asked for since the last time.
+/// The requests of the signals since the last time.
 #[derive(Debug, Default)]
 pub(crate) struct SignalRequests {
     pub drain: bool,
@@ -30,7 +30,7 @@
     pub config: Option<Config>,
 }
 
-/// What the signals ask for, until the event loop takes it. It queues behind nothing that peers send: several signals
+/// The requests of the signals, until the event loop takes them. They queue behind nothing that peers send: several signals
 /// to drain count as one, and of several configurations the last one counts.
 pub(crate) struct SignalState {
     drain: Cell<bool>,
@@ -39,6 +39,7 @@
 }
 
 impl SignalState {
+    /// A state without requests.
     pub fn new() -> Rc<SignalState> {
         Rc::new(SignalState {
             drain: Cell::new(false),
@@ -57,12 +58,12 @@
         self.notified.notify();
     }
 
-    /// Waits until there is something to take.
+    /// Waits until there is a request to take.
     pub async fn notified(&self) {
         self.notified.notified().await;
     }
 
-    /// Takes what was asked for.
+    /// Takes all requests.
     pub fn take(&self) -> SignalRequests {
         SignalRequests {
             drain: self.drain.take(),
--- a/crates/heathspurd/src/startup.rs
+++ b/crates/heathspurd/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts what a server needs beside its tasks, serves, and stops it again.
+//! Starts the listeners, recording and membership of a server, serves, and stops them again.
 
 use crate::config::Config;
 use crate::error::Error;
--- a/crates/heathspurd/tests/unit/idempotency.rs
+++ b/crates/heathspurd/tests/unit/idempotency.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/idempotency.rs`, which includes this file as its module of tests.
+//! Unit tests of `src/idempotency/mod.rs`, which includes this file as its module of tests.
 
 use super::*;
 
@@ -261,7 +261,7 @@
         let window = [0, 1, 40, 300][draw(state, 4) as usize];
         let late = 200;
         let mut store = IdempotencyStore::new(64, 100, Span(late));
-        let names = [key("a"), key("b"), key("c")];
+        let keys = [key("a"), key("b"), key("c")];
         let mut now = 10_000;
         let mut next = 1;
         let mut groups: BTreeMap<RequestId, Group> = BTreeMap::new();
@@ -278,13 +278,13 @@
                     let (n, at) = (id(next), draw(state, 3) as usize);
                     next += 1;
                     let stamp = now + draw(state, 4) * draw(state, 150) - draw(state, late);
-                    let this = Attempt {
+                    let attempt = Attempt {
                         id: n,
                         received_at: stamp,
                         body_digest: 7,
                         dedup_window: Span(window),
                     };
-                    let registration = store.register(&names[at], this).unwrap();
+                    let registration = store.register(&keys[at], attempt).unwrap();
                     let root = match registration {
                         Registration::First => n,
                         Registration::RepeatOf(previous) => roots[&previous],
@@ -293,19 +293,19 @@
                     let group = groups.entry(root).or_default();
                     if !group.ran {
                         group.queued.push(n);
-                        store.retain(&names[at], n, now + window);
+                        store.retain(&keys[at], n, now + window);
                         queued.push((n, at, stamp));
-                    } else if store.attach(&names[at], n) == Attachment::Pending {
+                    } else if store.attach(&keys[at], n) == Attachment::Pending {
                         waiting.push((n, at));
                     } else {
-                        store.remove_attempt(&names[at], n);
+                        store.remove_attempt(&keys[at], n);
                     }
                 }
                 3 if !queued.is_empty() => {
                     let (n, at, stamp) =
                         queued.swap_remove(draw(state, queued.len() as u64) as usize);
                     groups.get_mut(&roots[&n]).unwrap().ran = true;
-                    store.run_started(&names[at], n);
+                    store.run_started(&keys[at], n);
                     for &before in &runs[at] {
                         let within = before <= stamp && stamp <= before + window;
                         assert!(
@@ -321,7 +321,7 @@
                         queued.drain(..).partition(|(m, ..)| roots[m] == roots[&n]);
                     queued = others;
                     for (m, at, _) in repeats as Vec<_> {
-                        assert_eq!(store.attach(&names[at], m), Attachment::Pending);
+                        assert_eq!(store.attach(&keys[at], m), Attachment::Pending);
                         waiting.push((m, at));
                     }
                 }
@@ -331,21 +331,21 @@
                     // Some are abandoned while they are stopped.
                     let mut released = match draw(state, 4) {
                         0 => Vec::new(),
-                        1 => store.run_ended(&names[at], n, None),
-                        _ => store.run_ended(&names[at], n, Some(&result)),
+                        1 => store.run_ended(&keys[at], n, None),
+                        _ => store.run_ended(&keys[at], n, Some(&result)),
                     };
-                    released.extend(store.remove_attempt(&names[at], n));
+                    released.extend(store.remove_attempt(&keys[at], n));
                     for m in released {
                         let place = waiting.iter().position(|(other, _)| *other == m).unwrap();
                         let (m, at) = waiting.swap_remove(place);
-                        store.remove_attempt(&names[at], m);
+                        store.remove_attempt(&keys[at], m);
                     }
                 }
                 6 if !queued.is_empty() => {
                     let (n, at, _) = queued.swap_remove(draw(state, queued.len() as u64) as usize);
-                    for m in store.remove_attempt(&names[at], n) {
+                    for m in store.remove_attempt(&keys[at], n) {
                         waiting.retain(|(other, _)| *other != m);
-                        store.remove_attempt(&names[at], m);
+                        store.remove_attempt(&keys[at], m);
                     }
                     let group = groups.get_mut(&roots[&n]).unwrap();
                     group.queued.retain(|other| *other != n);
