--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -76,7 +76,7 @@
         RequestDraft {
             context,
             to_bytes,
-            latest_unix_micros: clock::unix() + MAX_CLOCK_SKEW_MICROS,
+            latest_unix_micros: clock::unix_micros() + MAX_CLOCK_SKEW_MICROS,
             values: HeaderValues::default(),
         }
     }
--- /dev/null
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -0,0 +1,129 @@
+//! Unit tests of `src/event_loop/interpreter_events.rs`, which includes this file as its module of tests. The
+//! controller of today stops only requests that are owed no answer, so a stop of another request is carried out here.
+
+use super::*;
+use crate::config::Config;
+use crate::event_loop::execution::{ExecutionState, LastCommand};
+use crate::event_loop::{EventLoopParts, PeerAddresses};
+use crate::frontend::connection_pool::ConnectionPool;
+use crate::frontend::{FrontendContext, IncomingRequest};
+use crate::idempotency::IdempotencyStore;
+use crate::peers::registration::Readiness;
+use crate::signals::SignalState;
+use async_channel::Receiver;
+use heathspur::{ClassId, Time};
+use std::rc::Rc;
+
+fn config() -> Config {
+    let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
+    let text = heathspur_testkit::scripted::config(nowhere, nowhere, nowhere).to_string();
+    Config::parse(text.as_bytes()).unwrap()
+}
+
+/// An event loop without a controller, whose links all lead nowhere and count as up.
+fn event_loop() -> EventLoop {
+    let config = config();
+    let (inbox, _) = async_channel::bounded(1);
+    let (stop_accepting, accepting_stopped) = async_channel::bounded(1);
+    let frontend = FrontendContext::new(
+        config.names.clone(),
+        vec![false, true],
+        config.settings.client_idle_timeout,
+        accepting_stopped,
+        None,
+        Rc::new(ConnectionPool::new(8)),
+        None,
+    );
+    let mut event_loop = EventLoop::new(EventLoopParts {
+        seed: 1,
+        stop_timeout: config.stop_timeout,
+        frontend: Rc::new(frontend),
+        readiness: Readiness::new(),
+        interpreter: crate::peers::interpreter::Link::new(),
+        store: crate::peers::store::Link::new(Rc::default(), None, 1, inbox, None, None),
+        peer_addresses: PeerAddresses::new(&config),
+        idempotency: IdempotencyStore::new(1, 1, Span(1)),
+        members: None,
+        signals: SignalState::new(),
+        stop_accepting,
+        connection_closed: async_channel::bounded(1).0,
+        settings: config.settings,
+    });
+    event_loop.interpreter.begin_resume(Time(0));
+    event_loop.finish_resume();
+    event_loop
+}
+
+const ID: RequestId = RequestId(1);
+
+fn attempt() -> AttemptId {
+    AttemptId::read(b"9b1f03aa5c7e2d41").unwrap()
+}
+
+/// A run that is asked to stop while the notice that it needs a call is on its way.
+fn stop_crossing_a_call() -> (EventLoop, Receiver<Answer>) {
+    let mut event_loop = event_loop();
+    let (reply, answers) = async_channel::bounded(1);
+    let request = IncomingRequest {
+        id: ID,
+        attempt: attempt(),
+        class: ClassId(0),
+        tenant: None,
+        received_unix_micros: 0,
+        idempotency_key: None,
+        has_subject: false,
+        is_retry: false,
+        client_timeout: None,
+        cost_hint: None,
+        queued_memory_kb: 1.0,
+        body: Bytes::new(),
+        reply,
+    };
+    event_loop.table.insert(request, None);
+    event_loop.start_run(ID);
+    event_loop.stop_run(ID);
+    event_loop.on_interpreter_event(InterpreterEvent::CallRequested {
+        attempt: attempt(),
+        index: 1,
+        body: Bytes::new(),
+    });
+    (event_loop, answers)
+}
+
+fn execution(event_loop: &EventLoop) -> Option<ExecutionState> {
+    event_loop
+        .table
+        .get(ID)
+        .map(|entry| entry.execution.clone())
+}
+
+#[test]
+fn a_stop_that_crosses_a_call_pauses_the_run_when_it_ends() {
+    let (mut event_loop, answers) = stop_crossing_a_call();
+    event_loop.on_interpreter_event(InterpreterEvent::RunEnded {
+        attempt: attempt(),
+        end: End::Cancelled,
+        body: Bytes::new(),
+    });
+    // It is paused as requested, and its answer still due.
+    assert!(answers.is_empty() && !answers.is_closed());
+    let execution = execution(&event_loop);
+    assert!(
+        matches!(execution, Some(ExecutionState::Paused { .. })),
+        "{execution:?}"
+    );
+}
+
+#[test]
+fn a_stop_that_crosses_a_call_stays_requested_after_the_reply() {
+    let (mut event_loop, _answers) = stop_crossing_a_call();
+    event_loop.resume_run(ID, |call| LastCommand::Stub(call.index));
+    let execution = execution(&event_loop);
+    assert!(
+        matches!(
+            execution,
+            Some(ExecutionState::Running { run, .. }) if run.stop_requested
+        ),
+        "{execution:?}"
+    );
+}
