--- a/crates/heathspur-streams/tests/model.rs
+++ b/crates/heathspur-streams/tests/model.rs
@@ -1,11 +1,13 @@
-//! A model of streams, connections, one keyed request, its run and the drain, explored to completion with the
-//! crate's own state machines in it. The owner and the module are what the rules ask of them, no more.
+//! A model of streams, connections, one keyed request, its run and the drain, explored exhaustively with
+//! the crate's own state machines. The event loop and admission are modelled by the rules they keep.
 //!
-//! Every step that a caller, the network, the module or the clock may take comes in any order. Each rule is an
-//! invariant; each mutant breaks one and must be found.
+//! Every step of a client, the network, admission or the clock can occur in any order. Each rule is an
+//! invariant; each mutant violates one and must be found.
 
-use heathspur_streams::drain::{Drain, Stage, Step};
-use heathspur_streams::life::{Action as Todo, End, Event, Life, State};
+use heathspur_streams::connection_drain::{ConnectionDrain, DrainStage, DrainStep};
+use heathspur_streams::stream_lifecycle::{
+    StreamAction, StreamEnd, StreamEvent, StreamLifecycle, StreamState,
+};
 use heathspur_streams::Time;
 use stateright::{Checker, Model, Property};
 
@@ -15,16 +17,16 @@
 const CONNECTIONS: usize = 2;
 const BODY: u32 = 4;
 
-/// What the owner knows of a request.
+/// What the event loop knows of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Work {
-    /// Never handed in.
+    /// Never submitted.
     Unknown,
     Held,
     Running,
-    /// Waits for the result of the try that runs.
+    /// Waits for the result of the attempt that runs.
     Waiting,
-    /// Booked out.
+    /// Released.
     Done,
 }
 
@@ -37,9 +39,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Stream {
-    life: Option<Life>,
+    life: Option<StreamLifecycle>,
     work: Work,
-    /// Final answers that the owner gave it.
+    /// Final responses that the event loop gave it.
     answers: u8,
     /// It began after its connection's last stream was fixed.
     past: bool,
@@ -47,7 +49,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Conn {
-    drain: Drain,
+    drain: ConnectionDrain,
     alive: bool,
 }
 
@@ -59,9 +61,9 @@
     runs: u8,
     leaving: bool,
     shut: bool,
-    /// A try was refused although its key had run.
+    /// An attempt was rejected although its key had run.
     refused_after_run: bool,
-    /// Something began to run that came after its connection's last stream.
+    /// A request ran that arrived after its connection's last stream.
     ran_past: bool,
 }
 
@@ -73,7 +75,7 @@
     Window(usize),
     NoWindow(usize),
     Late(usize),
-    Crowded(usize),
+    MemoryReclaimed(usize),
     Lose(usize),
     Pong(usize),
     Timeout(usize),
@@ -84,21 +86,21 @@
     Shut,
 }
 
-/// What is wrong on purpose.
+/// Deliberate faults, each of which violates a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// The result goes with the stream that its run was for.
+    /// The result is lost with the stream that started the run.
     ResultDroppedAtReset,
-    /// Streams past the last one are taken.
-    TakesPastLast,
-    /// Repeats that wait are not told when the run ends.
-    WaitingForgotten,
-    /// A reset is not told, and the caller's request stays.
-    RefusesWhatRan,
-    /// What is handed in at the drain is dropped without an answer.
-    DroppedAtShut,
-    /// A reset stream is answered all the same, and again.
+    /// Streams after the last one are accepted.
+    AcceptsPastLast,
+    /// Retries that wait are not answered when the run ends.
+    WaitingRetryForgotten,
+    /// A reset is not reported, and the client's request stays.
+    RejectsAfterRun,
+    /// A submitted request is dropped without a response in a drain.
+    DroppedInDrain,
+    /// A reset stream is answered, and answered again.
     AnsweredTwice,
 }
 
@@ -107,7 +109,7 @@
 }
 
 impl Server {
-    /// Gives a stream its one final answer.
+    /// Gives a stream its one final response.
     fn answer(&mut self, at: usize) {
         let stream = &mut self.streams[at];
         if stream.work == Work::Done {
@@ -115,15 +117,15 @@
         }
         stream.work = Work::Done;
         let Some(life) = &mut stream.life else { return };
-        if life.on(Event::Answer { bytes: 2 }) == Todo::Head {
+        if life.handle(StreamEvent::Response { bytes: 2 }) == StreamAction::SendHeaders {
             stream.answers += 1;
         }
     }
 
-    /// The owner hears that the caller of a stream is gone.
-    fn gone(&mut self, at: usize, mutant: Mutant) {
+    /// The event loop learns that a stream's client has client_gone.
+    fn client_gone(&mut self, at: usize, mutant: Mutant) {
         match self.streams[at].work {
-            // The run goes on, and its result stays.
+            // The run continues, and its result is retained.
             Work::Running => {
                 if mutant == Mutant::ResultDroppedAtReset {
                     self.run = Run::None;
@@ -135,14 +137,14 @@
         }
     }
 
-    fn tell(&mut self, at: usize, event: Event, mutant: Mutant) {
+    fn deliver(&mut self, at: usize, event: StreamEvent, mutant: Mutant) {
         let Some(life) = &mut self.streams[at].life else {
             return;
         };
-        match life.on(event) {
-            Todo::TellGone => self.gone(at, mutant),
-            Todo::HandIn => {
-                // A repeat of what ran has its result at once, or waits for it.
+        match life.handle(event) {
+            StreamAction::ReportDisconnect => self.client_gone(at, mutant),
+            StreamAction::SubmitRequest => {
+                // A retry of a request that ran gets its result at once, or waits for it.
                 match self.run {
                     Run::Ended => {
                         self.streams[at].work = Work::Waiting;
@@ -169,7 +171,7 @@
             past: false,
         };
         let conn = Conn {
-            drain: Drain::new(1),
+            drain: ConnectionDrain::new(1),
             alive: true,
         };
         vec![Server {
@@ -187,19 +189,23 @@
     fn actions(&self, state: &Server, moves: &mut Vec<Move>) {
         for (at, stream) in state.streams.iter().enumerate() {
             let alive = state.conns[ON[at]].alive;
-            match stream.life.as_ref().map(Life::state) {
+            match stream.life.as_ref().map(StreamLifecycle::state) {
                 None if alive => moves.push(Move::Open(at)),
-                Some(State::Body { .. }) if alive => {
+                Some(StreamState::ReceivingBody { .. }) if alive => {
                     moves.extend([Move::Body(at), Move::Reset(at), Move::Late(at)])
                 }
-                Some(State::Given) if alive => moves.push(Move::Reset(at)),
-                Some(State::Answering { .. } | State::Blocked { .. }) if alive => moves.extend([
-                    Move::Window(at),
-                    Move::NoWindow(at),
-                    Move::Late(at),
-                    Move::Crowded(at),
-                    Move::Reset(at),
-                ]),
+                Some(StreamState::Submitted) if alive => moves.push(Move::Reset(at)),
+                Some(StreamState::SendingResponse { .. } | StreamState::FlowBlocked { .. })
+                    if alive =>
+                {
+                    moves.extend([
+                        Move::Window(at),
+                        Move::NoWindow(at),
+                        Move::Late(at),
+                        Move::MemoryReclaimed(at),
+                        Move::Reset(at),
+                    ])
+                }
                 _ => {}
             }
             if stream.work == Work::Held {
@@ -216,7 +222,7 @@
             .filter(|(_, conn)| conn.alive)
         {
             moves.push(Move::Lose(at));
-            if matches!(conn.drain.stage(), Stage::Announced(_)) {
+            if matches!(conn.drain.stage(), DrainStage::GoingAway(_)) {
                 moves.extend([Move::Pong(at), Move::Timeout(at)]);
             }
         }
@@ -234,42 +240,48 @@
             Move::Open(at) => {
                 let drain = &state.conns[ON[at]].drain;
                 let (takes, past) = (
-                    drain.takes() || mutant == Mutant::TakesPastLast,
-                    !drain.takes(),
+                    drain.accepts_streams() || mutant == Mutant::AcceptsPastLast,
+                    !drain.accepts_streams(),
                 );
-                let mut life = Life::new(BODY);
-                if !takes && life.on(Event::Shut) != Todo::Refuse {
+                let mut life = StreamLifecycle::new(BODY);
+                if !takes && life.handle(StreamEvent::StopReading) != StreamAction::RefuseStream {
                     return None;
                 }
                 let stream = &mut state.streams[at];
                 (stream.life, stream.past) = (Some(life), past);
             }
-            Move::Body(at) => state.tell(
+            Move::Body(at) => state.deliver(
                 at,
-                Event::Data {
+                StreamEvent::Data {
                     bytes: 1,
                     end: true,
                 },
                 mutant,
             ),
             Move::Reset(at) => {
-                state.tell(at, Event::Reset, mutant);
+                state.deliver(at, StreamEvent::Reset, mutant);
                 if mutant == Mutant::AnsweredTwice && state.streams[at].answers > 0 {
                     state.streams[at].answers += 1;
                 }
             }
-            Move::Window(at) => state.tell(at, Event::Window { room: 1 }, mutant),
-            Move::NoWindow(at) => state.tell(at, Event::Window { room: 0 }, mutant),
-            Move::Late(at) => state.tell(at, Event::Late, mutant),
-            Move::Crowded(at) => state.tell(at, Event::Crowded, mutant),
+            Move::Window(at) => state.deliver(at, StreamEvent::FlowWindow { bytes: 1 }, mutant),
+            Move::NoWindow(at) => state.deliver(at, StreamEvent::FlowWindow { bytes: 0 }, mutant),
+            Move::Late(at) => state.deliver(at, StreamEvent::TimedOut, mutant),
+            Move::MemoryReclaimed(at) => state.deliver(at, StreamEvent::MemoryReclaimed, mutant),
             Move::Lose(conn) => {
                 state.conns[conn].alive = false;
                 for at in (0..STREAMS).filter(|&at| ON[at] == conn) {
-                    state.tell(at, Event::Lost, mutant);
+                    state.deliver(at, StreamEvent::ConnectionLost, mutant);
                 }
             }
-            Move::Pong(conn) => assert_eq!(state.conns[conn].drain.pong(), Step::Fix),
-            Move::Timeout(conn) => assert_eq!(state.conns[conn].drain.tick(Time(9)), Step::Fix),
+            Move::Pong(conn) => assert_eq!(
+                state.conns[conn].drain.on_ping_acknowledged(),
+                DrainStep::FixLastStream
+            ),
+            Move::Timeout(conn) => assert_eq!(
+                state.conns[conn].drain.on_time(Time(9)),
+                DrainStep::FixLastStream
+            ),
             Move::Start(at) => match state.run {
                 Run::None => {
                     state.run = Run::Going(at);
@@ -277,13 +289,13 @@
                     state.streams[at].work = Work::Running;
                     state.ran_past |= state.streams[at].past;
                 }
-                // It repeats what runs, or has run.
+                // It repeats an attempt that runs or has run.
                 Run::Going(_) => state.streams[at].work = Work::Waiting,
                 Run::Ended => state.answer(at),
             },
             Move::Refuse(at) => {
                 let ran = state.run != Run::None;
-                if ran && mutant != Mutant::RefusesWhatRan {
+                if ran && mutant != Mutant::RejectsAfterRun {
                     return None;
                 }
                 state.refused_after_run |= ran;
@@ -296,7 +308,8 @@
                 state.run = Run::Ended;
                 state.answer(runner);
                 for at in 0..STREAMS {
-                    if state.streams[at].work == Work::Waiting && mutant != Mutant::WaitingForgotten
+                    if state.streams[at].work == Work::Waiting
+                        && mutant != Mutant::WaitingRetryForgotten
                     {
                         state.answer(at);
                     }
@@ -305,17 +318,17 @@
             Move::Notice => {
                 state.leaving = true;
                 for conn in &mut state.conns {
-                    conn.drain.leave(Time(0));
+                    conn.drain.begin(Time(0));
                 }
             }
             Move::Shut => {
                 state.shut = true;
                 for conn in &mut state.conns {
-                    conn.drain.shut();
+                    conn.drain.stop_accepting();
                 }
                 for at in 0..STREAMS {
-                    state.tell(at, Event::Shut, mutant);
-                    if mutant == Mutant::DroppedAtShut && state.streams[at].work == Work::Held {
+                    state.deliver(at, StreamEvent::StopReading, mutant);
+                    if mutant == Mutant::DroppedInDrain && state.streams[at].work == Work::Held {
                         state.streams[at].work = Work::Done;
                     }
                 }
@@ -333,7 +346,7 @@
                         let given = stream
                             .life
                             .as_ref()
-                            .is_some_and(|life| life.state() == State::Given);
+                            .is_some_and(|life| life.state() == StreamState::Submitted);
                         let owed = match stream.work {
                             Work::Held | Work::Running => true,
                             Work::Waiting => matches!(s.run, Run::Going(_)),
@@ -350,10 +363,10 @@
                         .iter()
                         .filter_map(|stream| Some((stream, stream.life.as_ref()?)))
                         .all(|(stream, life)| match life.state() {
-                            State::Over(End::Answered) => {
+                            StreamState::Closed(StreamEnd::Completed) => {
                                 stream.answers == 1 || stream.work == Work::Unknown
                             }
-                            State::Over(End::Refused) => stream.work == Work::Unknown,
+                            StreamState::Closed(StreamEnd::Refused) => stream.work == Work::Unknown,
                             _ => true,
                         })
                 },
@@ -373,7 +386,7 @@
                         && s.streams[0]
                             .life
                             .as_ref()
-                            .is_some_and(|l| l.state() == State::Over(End::Reset))
+                            .is_some_and(|l| l.state() == StreamState::Closed(StreamEnd::Reset))
                         && s.streams[0].work == Work::Done
                         && s.streams[2].answers == 1
                         && s.run == Run::Ended
@@ -403,10 +416,10 @@
 fn each_mutant_is_found() {
     for mutant in [
         Mutant::ResultDroppedAtReset,
-        Mutant::TakesPastLast,
-        Mutant::WaitingForgotten,
-        Mutant::RefusesWhatRan,
-        Mutant::DroppedAtShut,
+        Mutant::AcceptsPastLast,
+        Mutant::WaitingRetryForgotten,
+        Mutant::RejectsAfterRun,
+        Mutant::DroppedInDrain,
         Mutant::AnsweredTwice,
     ] {
         let checker = check(mutant);
@@ -415,6 +428,6 @@
             .into_keys()
             .filter(|name| name.starts_with("rule"))
             .collect();
-        assert!(!found.is_empty(), "{mutant:?} breaks no rule");
+        assert!(!found.is_empty(), "{mutant:?} violates no rule");
     }
 }
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -11,8 +11,8 @@
 use futures_lite::future;
 use h2::server::{Connection, SendResponse};
 use h2::{Reason, RecvStream};
-use heathspur_streams::drain::{Drain, Step};
-use heathspur_streams::ledger::Holder;
+use heathspur_streams::connection_drain::{ConnectionDrain, DrainStep};
+use heathspur_streams::response_memory::ConnectionKey;
 use http::Request;
 use std::cell::Cell;
 use std::future::Future;
@@ -30,7 +30,7 @@
     pub frontend: Rc<Http2Frontend>,
     pub monitor: Rc<TransportMonitor>,
     /// Identifies the connection in the response budget.
-    pub holder: Holder,
+    pub holder: ConnectionKey,
     /// Streams that have a task.
     open_streams: Cell<u32>,
     idle_since: Cell<Instant>,
@@ -68,7 +68,7 @@
     fn acquire(connection: &Rc<ConnectionState>) -> Option<StreamSlot> {
         let open_streams = connection.open_streams.get();
         let mut quota = connection.frontend.stream_quota.borrow_mut();
-        quota.take(open_streams).ok()?;
+        quota.try_open(open_streams).ok()?;
         connection.open_streams.set(open_streams + 1);
         Some(StreamSlot {
             connection: connection.clone(),
@@ -87,7 +87,7 @@
             .open_streams
             .set(connection.open_streams.get() - 1);
         connection.idle_since.set(Instant::now());
-        connection.frontend.stream_quota.borrow_mut().give_back();
+        connection.frontend.stream_quota.borrow_mut().close_stream();
     }
 }
 
@@ -102,7 +102,7 @@
         h2,
         state,
         permit,
-        drain: Drain::new(round_trip.as_micros() as u64),
+        drain: ConnectionDrain::new(round_trip.as_micros() as u64),
         accepting_stopped: false,
         pongs: 0,
     };
@@ -138,7 +138,7 @@
     h2: &'a mut Connection<Transport, Bytes>,
     state: &'a Rc<ConnectionState>,
     permit: &'a Permit,
-    drain: Drain,
+    drain: ConnectionDrain,
     accepting_stopped: bool,
     /// PING acknowledgements that were seen.
     pongs: u64,
@@ -152,7 +152,7 @@
                 return ConnectionEnd::Close;
             };
             let steps = [step, self.leave_if_draining(), self.advance_drain()];
-            if steps.iter().any(|step| *step != Step::None) {
+            if steps.iter().any(|step| *step != DrainStep::None) {
                 self.h2.graceful_shutdown();
             }
             if let Some(end) = self.end() {
@@ -162,7 +162,7 @@
     }
 
     async fn next_wakeup(&mut self) -> Wakeup {
-        let sleep = match self.drain.next() {
+        let sleep = match self.drain.next_deadline() {
             Some(at) => {
                 let until_next = at.since(self.state.monitor.now());
                 MAX_SLEEP.min(Duration::from_micros(until_next))
@@ -180,28 +180,28 @@
     }
 
     /// Handles a wakeup and returns the drain's next step; `None` once the connection has ended.
-    fn handle(&mut self, wakeup: Wakeup) -> Option<Step> {
+    fn handle(&mut self, wakeup: Wakeup) -> Option<DrainStep> {
         let now = self.state.monitor.now();
         match wakeup {
             Wakeup::Stream(stream) => {
                 self.permit.request_received();
                 self.accept(*stream);
-                Some(Step::None)
+                Some(DrainStep::None)
             }
             Wakeup::Ended => None,
             Wakeup::AcceptingStopped => {
                 self.accepting_stopped = true;
-                Some(self.drain.shut())
+                Some(self.drain.stop_accepting())
             }
-            Wakeup::LeaveRequested => Some(self.drain.leave(now)),
-            Wakeup::Tick if self.state.is_idle_too_long() => Some(self.drain.leave(now)),
-            Wakeup::Tick => Some(Step::None),
+            Wakeup::LeaveRequested => Some(self.drain.begin(now)),
+            Wakeup::Tick if self.state.is_idle_too_long() => Some(self.drain.begin(now)),
+            Wakeup::Tick => Some(DrainStep::None),
         }
     }
 
     /// Serves a stream, or refuses it: nothing of it is submitted then, and the client may repeat it at once.
     fn accept(&mut self, (request, mut responder): NewStream) {
-        let slot = match self.drain.takes() {
+        let slot = match self.drain.accepts_streams() {
             true => StreamSlot::acquire(self.state),
             false => None,
         };
@@ -212,28 +212,32 @@
                 .spawn(stream::serve(request, responder, slot))
                 .detach(),
             None => {
-                self.state.monitor.meter.borrow_mut().refused();
+                self.state
+                    .monitor
+                    .meter
+                    .borrow_mut()
+                    .charge_refused_stream();
                 responder.send_reset(Reason::REFUSED_STREAM);
             }
         }
-        let window = frontend.stream_quota.borrow().window();
+        let window = frontend.stream_quota.borrow().connection_window();
         self.h2.set_target_window_size(window);
     }
 
-    fn leave_if_draining(&mut self) -> Step {
+    fn leave_if_draining(&mut self) -> DrainStep {
         match self.state.context().draining.get() {
-            true => self.drain.leave(self.state.monitor.now()),
-            false => Step::None,
+            true => self.drain.begin(self.state.monitor.now()),
+            false => DrainStep::None,
         }
     }
 
     /// Advances the drain by the PING acknowledgements and the time.
-    fn advance_drain(&mut self) -> Step {
-        let pongs = self.state.monitor.meter.borrow().counts().pongs;
+    fn advance_drain(&mut self) -> DrainStep {
+        let pongs = self.state.monitor.meter.borrow().counts().ping_acks;
         let step = if pongs > self.pongs {
-            self.drain.pong()
+            self.drain.on_ping_acknowledged()
         } else {
-            self.drain.tick(self.state.monitor.now())
+            self.drain.on_time(self.state.monitor.now())
         };
         self.pongs = pongs;
         step
@@ -241,7 +245,7 @@
 
     /// How the connection has to end, if it has to.
     fn end(&self) -> Option<ConnectionEnd> {
-        if self.state.monitor.meter.borrow().is_used_up() {
+        if self.state.monitor.meter.borrow().is_exhausted() {
             let counts = self.state.monitor.meter.borrow().counts();
             warn!(
                 frames = counts.frames,
@@ -256,7 +260,7 @@
         }
         // Without the drain's round trip the library would accept streams for ever.
         let is_drained =
-            self.drain.is_over(self.state.open_streams.get()) && !self.h2.has_streams();
+            self.drain.is_complete(self.state.open_streams.get()) && !self.h2.has_streams();
         is_drained.then_some(ConnectionEnd::GoAway(Reason::NO_ERROR))
     }
 
@@ -285,7 +289,7 @@
         Wakeup::Tick
     };
     // Once the budget is used up nothing more is read, and the task has to end the connection.
-    let budget_used_up = future::poll_fn(|_| match state.monitor.meter.borrow().is_used_up() {
+    let budget_used_up = future::poll_fn(|_| match state.monitor.meter.borrow().is_exhausted() {
         true => Poll::Ready(Wakeup::Tick),
         false => Poll::Pending,
     });
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -22,7 +22,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use h2::server::Builder;
 use heathspur_config::Http2;
-use heathspur_streams::share::{Bounds, Share};
+use heathspur_streams::stream_limits::{LimitSettings, StreamLimits};
 use heathspur_wire::http::{write_answer, Last};
 use std::cell::RefCell;
 use std::io;
@@ -45,7 +45,7 @@
     handle: FrontendHandle,
     settings: Http2,
     /// Distributes streams and receive windows among the connections.
-    stream_quota: RefCell<Share>,
+    stream_quota: RefCell<StreamLimits>,
     response_budget: Rc<ResponseBudget>,
     start: Instant,
 }
@@ -61,14 +61,14 @@
 
 impl QuotaRegistration {
     fn new(frontend: &Rc<Http2Frontend>) -> QuotaRegistration {
-        frontend.stream_quota.borrow_mut().joined();
+        frontend.stream_quota.borrow_mut().connection_opened();
         QuotaRegistration(frontend.clone())
     }
 }
 
 impl Drop for QuotaRegistration {
     fn drop(&mut self) {
-        self.0.stream_quota.borrow_mut().left();
+        self.0.stream_quota.borrow_mut().connection_closed();
     }
 }
 
@@ -79,10 +79,10 @@
     settings: Http2,
     response_budget: Rc<ResponseBudget>,
 ) -> impl Fn(Stream, Permit) {
-    let stream_quota = Share::new(Bounds {
-        connection: settings.streams.connection,
-        all: settings.streams.all,
-        receive: settings.memory.receive.0,
+    let stream_quota = StreamLimits::new(LimitSettings {
+        per_connection: settings.streams.connection,
+        total: settings.streams.all,
+        receive_bytes: settings.memory.receive.0,
     });
     let frontend = Rc::new(Http2Frontend {
         executor: executor.clone(),
@@ -127,11 +127,11 @@
     let to_u32 = |bytes: u64| u32::try_from(bytes).unwrap_or(u32::MAX);
     let mut builder = Builder::new();
     builder
-        .max_concurrent_streams(quota.advertised())
+        .max_concurrent_streams(quota.advertised_limit())
         .max_header_list_size(to_u32(settings.request.header_list.0))
         // One byte more than a body may have, so that a longer one is noticed.
         .initial_window_size(to_u32(settings.request.body.0 + 1))
-        .initial_connection_window_size(quota.window())
+        .initial_connection_window_size(quota.connection_window())
         .max_send_buffer_size(settings.memory.stream.0 as usize);
     builder
 }
--- a/crates/heathspurd/src/frontend/http2/receive.rs
+++ b/crates/heathspurd/src/frontend/http2/receive.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use h2::RecvStream;
 use heathspur::ClassId;
-use heathspur_streams::life::Event;
+use heathspur_streams::stream_lifecycle::StreamEvent;
 use http::{HeaderMap, Request};
 use std::time::{Duration, Instant};
 
@@ -44,38 +44,38 @@
     }
 
     /// Waits for the next bytes of the body.
-    pub async fn next_event(&mut self, context: &FrontendContext) -> Event {
+    pub async fn next_event(&mut self, context: &FrontendContext) -> StreamEvent {
         let deadline = self.deadline;
         let data = self.receive_data();
         let late = async {
             Timer::at(deadline).await;
-            Event::Late
+            StreamEvent::TimedOut
         };
         let accepting_stopped = async {
             context.accepting_stopped().await;
-            Event::Shut
+            StreamEvent::StopReading
         };
         future::or(data, future::or(late, accepting_stopped)).await
     }
 
-    async fn receive_data(&mut self) -> Event {
+    async fn receive_data(&mut self) -> StreamEvent {
         match self.body.data().await {
             Some(Ok(bytes)) => self.store(&bytes),
             Some(Err(e)) => super::stream::failure(&e),
             // Trailers may follow, which are ignored.
-            None => Event::Data {
+            None => StreamEvent::Data {
                 bytes: 0,
                 end: true,
             },
         }
     }
 
-    fn store(&mut self, bytes: &Bytes) -> Event {
+    fn store(&mut self, bytes: &Bytes) -> StreamEvent {
         // The stream's state machine bounds the body: past its limit nothing more is read.
         self.received_body.extend_from_slice(bytes);
         let count = bytes.len();
         let _ = self.body.flow_control().release_capacity(count);
-        Event::Data {
+        StreamEvent::Data {
             bytes: count as u32,
             end: self.body.is_end_stream(),
         }
--- a/crates/heathspurd/src/frontend/http2/send.rs
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use h2::server::SendResponse;
 use h2::{Reason, SendStream};
-use heathspur_streams::life::Event;
+use heathspur_streams::stream_lifecycle::StreamEvent;
 use http::{HeaderName, HeaderValue, StatusCode};
 use std::rc::Rc;
 use std::task::Poll;
@@ -47,14 +47,14 @@
     }
 
     /// Sets the response to send; returns the event that announces it.
-    pub fn set_response(&mut self, response: Response) -> Event {
+    pub fn set_response(&mut self, response: Response) -> StreamEvent {
         let bytes = response.body.len() as u32;
         self.response = Some(response);
-        Event::Answer { bytes }
+        StreamEvent::Response { bytes }
     }
 
     /// Waits until the client resets the stream, or the connection ends.
-    pub async fn client_reset(&mut self) -> Event {
+    pub async fn client_reset(&mut self) -> StreamEvent {
         future::poll_fn(|cx| {
             self.responder
                 .poll_reset(cx)
@@ -64,25 +64,25 @@
     }
 
     /// Sends the head of the response that was set; the event is what it failed with.
-    pub fn send_response_head(&mut self) -> Option<Event> {
+    pub fn send_response_head(&mut self) -> Option<StreamEvent> {
         let response = self.response.take()?;
         let frontend = self.connection.frontend.clone();
         self.deadline = Some(Instant::now() + frontend.settings.patience.stalled.0);
         let failed = self.send_head(&response, response.body.is_empty()).err();
-        frontend.stream_quota.borrow_mut().answered();
+        frontend.stream_quota.borrow_mut().on_response();
         let mut meter = self.connection.monitor.meter.borrow_mut();
-        meter.answer(response.body.len() as u64);
+        meter.credit_response(response.body.len() as u64);
         drop(meter);
         self.response = Some(response);
         failed
     }
 
     /// Sends a response without a body; the event is what it failed with.
-    pub fn send_without_body(&mut self, response: &Response) -> Option<Event> {
+    pub fn send_without_body(&mut self, response: &Response) -> Option<StreamEvent> {
         self.send_head(response, true).err()
     }
 
-    fn send_head(&mut self, response: &Response, is_end: bool) -> Result<(), Event> {
+    fn send_head(&mut self, response: &Response, is_end: bool) -> Result<(), StreamEvent> {
         self.connection.monitor.add_queued(HEAD_BYTES);
         let body = self
             .responder
@@ -93,7 +93,7 @@
     }
 
     /// Sends the next bytes of the body; the event is what it failed with.
-    pub fn send_body(&mut self, bytes: usize, is_end: bool) -> Option<Event> {
+    pub fn send_body(&mut self, bytes: usize, is_end: bool) -> Option<StreamEvent> {
         let (response, body) = (self.response.as_ref()?, self.body.as_mut()?);
         let end = self.sent_bytes + bytes;
         let part = response.body.slice(self.sent_bytes..end);
@@ -118,22 +118,22 @@
     }
 
     /// Waits until some of the remaining bytes may be sent: the client's window and the connection's buffers allow it.
-    pub async fn next_event(&mut self, remaining: usize) -> Event {
+    pub async fn next_event(&mut self, remaining: usize) -> StreamEvent {
         let (Some(body), Some(deadline)) = (&mut self.body, self.deadline) else {
-            return Event::Lost;
+            return StreamEvent::ConnectionLost;
         };
         let connection = &self.connection;
         body.reserve_capacity(remaining);
         let capacity = body.capacity().min(connection.monitor.send_capacity());
         if capacity > 0 {
-            return Event::Window {
-                room: capacity as u32,
+            return StreamEvent::FlowWindow {
+                bytes: capacity as u32,
             };
         }
         let Some(reservation) = &self.reservation else {
             let budget = &connection.frontend.response_budget;
             self.reservation = Some(budget.reserve(connection.holder, remaining));
-            return Event::Window { room: 0 };
+            return StreamEvent::FlowWindow { bytes: 0 };
         };
         let sendable = wait_for_capacity(body, &connection.monitor);
         let late = async {
@@ -141,18 +141,21 @@
                 Timer::at(deadline).await;
             };
             future::or(timed_out, connection.context().responses_abandoned()).await;
-            Event::Late
+            StreamEvent::TimedOut
         };
         let evicted = async {
             reservation.evicted().await;
-            Event::Crowded
+            StreamEvent::MemoryReclaimed
         };
         future::or(sendable, future::or(late, evicted)).await
     }
 }
 
 /// Waits until the client's window and the connection's buffers allow to send.
-async fn wait_for_capacity(body: &mut SendStream<Bytes>, monitor: &TransportMonitor) -> Event {
+async fn wait_for_capacity(
+    body: &mut SendStream<Bytes>,
+    monitor: &TransportMonitor,
+) -> StreamEvent {
     loop {
         if let Some(event) = wait_for_window(body).await {
             return event;
@@ -161,15 +164,15 @@
             if let Some(event) = wait_for_buffers(body, monitor).await {
                 return event;
             }
-            return Event::Window {
-                room: body.capacity().min(monitor.send_capacity()) as u32,
+            return StreamEvent::FlowWindow {
+                bytes: body.capacity().min(monitor.send_capacity()) as u32,
             };
         }
     }
 }
 
 /// Waits until the client's window allows to send; the event is what happened instead.
-async fn wait_for_window(body: &mut SendStream<Bytes>) -> Option<Event> {
+async fn wait_for_window(body: &mut SendStream<Bytes>) -> Option<StreamEvent> {
     future::poll_fn(|cx| {
         if let Poll::Ready(reset) = body.poll_reset(cx) {
             return Poll::Ready(Some(reset_event(&reset)));
@@ -180,7 +183,7 @@
         body.poll_capacity(cx).map(|capacity| match capacity {
             Some(Ok(_)) => None,
             Some(Err(e)) => Some(failure(&e)),
-            None => Some(Event::Lost),
+            None => Some(StreamEvent::ConnectionLost),
         })
     })
     .await
@@ -190,7 +193,7 @@
 async fn wait_for_buffers(
     body: &mut SendStream<Bytes>,
     monitor: &TransportMonitor,
-) -> Option<Event> {
+) -> Option<StreamEvent> {
     let available = async {
         monitor.send_capacity_available().await;
         None
@@ -214,9 +217,9 @@
     head
 }
 
-fn reset_event(reset: &Result<Reason, h2::Error>) -> Event {
+fn reset_event(reset: &Result<Reason, h2::Error>) -> StreamEvent {
     match reset {
-        Ok(_) => Event::Reset,
+        Ok(_) => StreamEvent::Reset,
         Err(error) => failure(error),
     }
 }
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -13,7 +13,9 @@
 use h2::server::SendResponse;
 use h2::RecvStream;
 use heathspur::RequestId;
-use heathspur_streams::life::{Action, Event, Life, State};
+use heathspur_streams::stream_lifecycle::{
+    StreamAction, StreamEvent, StreamLifecycle, StreamState,
+};
 use http::Request;
 use std::rc::Rc;
 
@@ -25,7 +27,7 @@
 
 struct StreamTask {
     connection: Rc<ConnectionState>,
-    life: Life,
+    life: StreamLifecycle,
     receiver: RequestReceiver,
     sender: ResponseSender,
     submitted: Option<SubmittedRequest>,
@@ -41,7 +43,7 @@
     let limits = &connection.frontend.settings.request;
     let max_body_bytes = limits.body.0 as u32;
     let task = StreamTask {
-        life: Life::new(max_body_bytes),
+        life: StreamLifecycle::new(max_body_bytes),
         receiver: RequestReceiver::new(request, limits.whole.0, connection.context()),
         sender: ResponseSender::new(connection.clone(), responder),
         submitted: None,
@@ -54,15 +56,15 @@
     async fn run(mut self) {
         let mut pending_event = match self.receiver.target() {
             RequestTarget::HealthCheck => return self.answer_health_check(),
-            RequestTarget::Invalid(status) => Some(Event::Wrong { status: *status }),
+            RequestTarget::Invalid(status) => Some(StreamEvent::InvalidRequest { status: *status }),
             RequestTarget::Service(_) => None,
         };
-        while !matches!(self.life.state(), State::Over(_)) {
+        while !matches!(self.life.state(), StreamState::Closed(_)) {
             let event = match pending_event.take() {
                 Some(event) => event,
                 None => self.next_event().await,
             };
-            let action = self.life.on(event);
+            let action = self.life.handle(event);
             pending_event = self.carry_out(action).await;
         }
         self.connection.monitor.unblocked().await;
@@ -70,27 +72,29 @@
 
     /// Answers a health check, of which nothing more needs to be read.
     fn answer_health_check(&mut self) {
-        self.connection.monitor.meter.borrow_mut().request();
+        self.connection.monitor.meter.borrow_mut().credit_request();
         let response = Response::of_health(self.connection.context());
         let _ = self.sender.send_without_body(&response);
     }
 
     /// Waits for what happens next.
-    async fn next_event(&mut self) -> Event {
+    async fn next_event(&mut self) -> StreamEvent {
         match self.life.state() {
-            State::Body { .. } => self.receiver.next_event(self.connection.context()).await,
-            State::Given => self.answer_or_reset().await,
-            State::Answering { left } | State::Blocked { left } => {
-                self.sender.next_event(left as usize).await
+            StreamState::ReceivingBody { .. } => {
+                self.receiver.next_event(self.connection.context()).await
             }
-            State::Over(_) => future::pending().await,
+            StreamState::Submitted => self.answer_or_reset().await,
+            StreamState::SendingResponse { remaining } | StreamState::FlowBlocked { remaining } => {
+                self.sender.next_event(remaining as usize).await
+            }
+            StreamState::Closed(_) => future::pending().await,
         }
     }
 
     /// Waits for the event loop's answer, or until the client gives up.
-    async fn answer_or_reset(&mut self) -> Event {
+    async fn answer_or_reset(&mut self) -> StreamEvent {
         let Some(submitted) = &self.submitted else {
-            return Event::Lost;
+            return StreamEvent::ConnectionLost;
         };
         let answered = async {
             match submitted.answers.recv().await {
@@ -110,22 +114,24 @@
     }
 
     /// Carries out an action; returns an event where it causes one at once.
-    async fn carry_out(&mut self, action: Action) -> Option<Event> {
+    async fn carry_out(&mut self, action: StreamAction) -> Option<StreamEvent> {
         match action {
-            Action::None | Action::Keep => None,
-            Action::HandIn => self.submit().await,
-            Action::TellGone => {
+            StreamAction::None | StreamAction::BufferData => None,
+            StreamAction::SubmitRequest => self.submit().await,
+            StreamAction::ReportDisconnect => {
                 self.report_disconnect().await;
                 None
             }
-            Action::Say { status } => self.sender.send_without_body(&Response::of_status(status)),
-            Action::Head => self.sender.send_response_head(),
-            Action::Send { bytes, end } => self.sender.send_body(bytes as usize, end),
-            Action::Refuse => {
+            StreamAction::RespondWithStatus { status } => {
+                self.sender.send_without_body(&Response::of_status(status))
+            }
+            StreamAction::SendHeaders => self.sender.send_response_head(),
+            StreamAction::SendData { bytes, end } => self.sender.send_body(bytes as usize, end),
+            StreamAction::RefuseStream => {
                 self.sender.refuse();
                 None
             }
-            Action::Drop => {
+            StreamAction::DropResponse => {
                 self.sender.abort();
                 None
             }
@@ -133,7 +139,7 @@
     }
 
     /// Submits the request to the event loop; the event is this frontend's own answer where the request is invalid.
-    async fn submit(&mut self) -> Option<Event> {
+    async fn submit(&mut self) -> Option<StreamEvent> {
         let RequestTarget::Service(class) = *self.receiver.target() else {
             return None;
         };
@@ -141,13 +147,13 @@
         let Some((request, answers)) = self.receiver.finish(class, context) else {
             return Some(self.sender.set_response(Response::of_status(400)));
         };
-        self.connection.monitor.meter.borrow_mut().request();
+        self.connection.monitor.meter.borrow_mut().credit_request();
         let id = request.id;
         self.submitted = Some(SubmittedRequest { id, answers });
         let frontend = &self.connection.frontend;
         if let Err(full) = frontend.handle.requests.try_send(request) {
             let now = frontend.now();
-            frontend.stream_quota.borrow_mut().waited(now);
+            frontend.stream_quota.borrow_mut().on_backpressure(now);
             // The event loop outlives all connections; once it has ended, no answer is owed.
             let _ = frontend.handle.requests.send(full.into_inner()).await;
         }
@@ -164,9 +170,9 @@
 }
 
 /// The event that an error of the library stands for: a reset by the client, or the end of the connection.
-pub(super) fn failure(error: &h2::Error) -> Event {
+pub(super) fn failure(error: &h2::Error) -> StreamEvent {
     match error.is_reset() {
-        true => Event::Reset,
-        false => Event::Lost,
+        true => StreamEvent::Reset,
+        false => StreamEvent::ConnectionLost,
     }
 }
--- a/crates/heathspurd/src/frontend/http2/transport.rs
+++ b/crates/heathspurd/src/frontend/http2/transport.rs
@@ -5,7 +5,7 @@
 use crate::recording::recorded_stream::Stream;
 use bytes::{Buf, Bytes};
 use futures_lite::{AsyncRead as _, AsyncWrite as _};
-use heathspur_streams::meter::Meter;
+use heathspur_streams::frame_cost::FrameCostMeter;
 use heathspur_streams::Time;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -23,7 +23,7 @@
 /// What is known of a connection's transport, shared between the transport, the connection's task and its streams.
 pub(crate) struct TransportMonitor {
     start: Instant,
-    pub meter: RefCell<Meter>,
+    pub meter: RefCell<FrameCostMeter>,
     bytes_read_this_turn: Cell<usize>,
     /// Streams that were received may still wait to be accepted.
     has_waiting_streams: Cell<bool>,
@@ -40,7 +40,7 @@
     pub fn new() -> Rc<TransportMonitor> {
         Rc::new(TransportMonitor {
             start: Instant::now(),
-            meter: RefCell::new(Meter::new(Time(0))),
+            meter: RefCell::new(FrameCostMeter::new(Time(0))),
             bytes_read_this_turn: Cell::new(0),
             has_waiting_streams: Cell::new(false),
             blocked_since: Cell::new(None),
@@ -132,7 +132,7 @@
             // is polled again once the socket accepts bytes.
             return true;
         }
-        if self.meter.borrow().is_used_up() {
+        if self.meter.borrow().is_exhausted() {
             // The connection's task wakes and closes the connection.
             cx.waker().wake_by_ref();
             return true;
@@ -143,7 +143,7 @@
     fn bytes_read(&self, bytes: &[u8]) {
         self.bytes_read_this_turn
             .set(self.bytes_read_this_turn.get() + bytes.len());
-        self.meter.borrow_mut().read(bytes, self.now());
+        self.meter.borrow_mut().record_bytes(bytes, self.now());
     }
 
     fn write_blocked(&self) {
@@ -183,7 +183,10 @@
         monitor: Rc<TransportMonitor>,
     ) -> Transport {
         let frames = &received[preface_len..];
-        monitor.meter.borrow_mut().read(frames, monitor.now());
+        monitor
+            .meter
+            .borrow_mut()
+            .record_bytes(frames, monitor.now());
         Transport {
             stream,
             received,
--- a/crates/heathspurd/src/frontend/response_buffer.rs
+++ b/crates/heathspurd/src/frontend/response_buffer.rs
@@ -3,23 +3,25 @@
 //! The ledger decides which answers have to be dropped; this module delivers the decision to those that hold them.
 
 use async_channel::{Receiver, Sender};
-use heathspur_streams::ledger::{Bounds, Holder, Ledger, Part};
+use heathspur_streams::response_memory::{
+    ConnectionKey, MemoryLimits, ResponseKey, ResponseMemory,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// The budget. Owns the ledger and a channel to each reservation in it.
 pub(crate) struct ResponseBudget {
-    ledger: RefCell<Ledger>,
+    ledger: RefCell<ResponseMemory>,
     /// Notifies a reservation of its eviction; one entry for each that the ledger holds.
-    evictions: RefCell<HashMap<(Holder, Part), Sender<()>>>,
+    evictions: RefCell<HashMap<(ConnectionKey, ResponseKey), Sender<()>>>,
     next_number: Cell<u64>,
 }
 
 impl ResponseBudget {
-    pub fn new(bounds: Bounds) -> Rc<ResponseBudget> {
+    pub fn new(bounds: MemoryLimits) -> Rc<ResponseBudget> {
         Rc::new(ResponseBudget {
-            ledger: RefCell::new(Ledger::new(bounds)),
+            ledger: RefCell::new(ResponseMemory::new(bounds)),
             evictions: RefCell::default(),
             next_number: Cell::new(1),
         })
@@ -32,17 +34,17 @@
     }
 
     /// Identifies a connection in the ledger.
-    pub fn new_holder(&self) -> Holder {
-        Holder(self.next_number())
+    pub fn new_holder(&self) -> ConnectionKey {
+        ConnectionKey(self.next_number())
     }
 
     /// Reserves memory for bytes of a connection that wait to be read. Other reservations, or this one, may be evicted
     /// for it.
-    pub fn reserve(self: &Rc<ResponseBudget>, holder: Holder, bytes: usize) -> Reservation {
-        let part = Part(self.next_number());
+    pub fn reserve(self: &Rc<ResponseBudget>, holder: ConnectionKey, bytes: usize) -> Reservation {
+        let part = ResponseKey(self.next_number());
         let (evict, evicted) = async_channel::bounded(1);
         self.evictions.borrow_mut().insert((holder, part), evict);
-        let evictions = self.ledger.borrow_mut().hold(holder, part, bytes as u64);
+        let evictions = self.ledger.borrow_mut().reserve(holder, part, bytes as u64);
         for reservation in evictions {
             self.evict(reservation);
         }
@@ -54,7 +56,7 @@
         }
     }
 
-    fn evict(&self, reservation: (Holder, Part)) {
+    fn evict(&self, reservation: (ConnectionKey, ResponseKey)) {
         if let Some(evict) = self.evictions.borrow_mut().remove(&reservation) {
             // The channel has capacity for the one notification that is ever sent.
             let _ = evict.try_send(());
@@ -65,8 +67,8 @@
 /// Memory reserved for waiting bytes; released when it is dropped.
 pub(crate) struct Reservation {
     budget: Rc<ResponseBudget>,
-    holder: Holder,
-    part: Part,
+    holder: ConnectionKey,
+    part: ResponseKey,
     evicted: Receiver<()>,
 }
 
@@ -85,7 +87,7 @@
         self.budget
             .ledger
             .borrow_mut()
-            .give_back(self.holder, self.part);
+            .release(self.holder, self.part);
     }
 }
 
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -28,7 +28,7 @@
 use async_signal::Signals;
 use heathspur::Idempotency;
 use heathspur_config::Http2;
-use heathspur_streams::ledger::Bounds;
+use heathspur_streams::response_memory::MemoryLimits;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 use std::io;
 use std::net::TcpListener;
@@ -85,9 +85,9 @@
     let settings = config.settings.clone();
     let room = listeners.http2.as_ref().map(|(_, http2)| {
         let memory = &http2.memory;
-        ResponseBudget::new(Bounds {
-            connection: memory.connection.0,
-            all: memory.answers.0,
+        ResponseBudget::new(MemoryLimits {
+            per_connection: memory.connection.0,
+            total: memory.answers.0,
         })
     });
     let desk = Rc::new(FrontendContext::new(
