--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -24,7 +24,7 @@
 use async_signal::Signals;
 use heathspur::{Idempotency, Settings};
 use heathspur_config::Http2;
-use heathspur_streams::ledger::Bounds;
+use heathspur_streams::response_memory::MemoryLimits;
 use std::future::Future;
 use std::io;
 use std::net::TcpListener;
@@ -185,9 +185,9 @@
 }
 
 fn response_budget(http2: &Http2) -> Rc<ResponseBudget> {
-    ResponseBudget::new(Bounds {
-        connection: http2.memory.connection.0,
-        all: http2.memory.answers.0,
+    ResponseBudget::new(MemoryLimits {
+        per_connection: http2.memory.connection.0,
+        total: http2.memory.answers.0,
     })
 }
 
