--- a/crates/heathspur-server-core/src/permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -180,5 +180,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/permits.rs"]
+#[path = "../tests/unit/connection_permits.rs"]
 mod tests;
--- a/crates/heathspur-server-core/src/lib.rs
+++ b/crates/heathspur-server-core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of a server around its traffic, without I/O and clocks: events in, actions out. Who carries them out
 //! moves bytes and nothing else.
 //!
-//! [`announce`] is the schedule of reports to the announce service. [`permits`] says how many connections there may be,
+//! [`registration`] is the schedule of reports to the announce service. [`connection_permits`] says how many connections there may be,
 //! and which one leaves when another needs its permit. [`reload`] says what of a configuration that is read again may
 //! hold.
 //!
@@ -9,6 +9,6 @@
 //! those that passed since any point, the same one for all calls of one object.
 #![forbid(unsafe_code)]
 
-pub mod announce;
-pub mod permits;
+pub mod connection_permits;
+pub mod registration;
 pub mod reload;
--- a/crates/heathspur-server-core/tests/unit/permits.rs
+++ b/crates/heathspur-server-core/tests/unit/connection_permits.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/permits.rs`, which names this file as its module of tests.
+//! Tests of `src/connection_permits.rs`, which names this file as its module of tests.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/heathspur-server-core/tests/unit/announce.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/announce.rs`, which names this file as its module of tests: the schedule with a service whose dials
+//! Tests of `src/registration.rs`, which names this file as its module of tests: the schedule with a service whose dials
 //! and answers come as a plan says, in any order.
 
 use super::*;
--- a/crates/heathspur-server-core/tests/unit/announce_model.rs
+++ b/crates/heathspur-server-core/tests/unit/registration_model.rs
@@ -1,4 +1,4 @@
-//! A model of `src/announce.rs`, which names this file as its module: a service that takes and answers reports of two
+//! A model of `src/registration.rs`, which names this file as its module: a service that takes and answers reports of two
 //! connections in any order, dials that come up, fail or stand, connections that end while they are idle or with a
 //! report, and changes of what is to be reported there and back, between steps of the clock of 100 ms.
 //!
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -1,16 +1,16 @@
 //! The pool of connections from balancers: their permits, and how one is told to leave when another needs its own.
-//! Which one that is decides [`heathspur_server_core::permits`].
+//! Which one that is decides [`heathspur_server_core::connection_permits`].
 
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use heathspur_server_core::permits::Permits;
+use heathspur_server_core::connection_permits::Permits;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Instant;
 
-pub(crate) use heathspur_server_core::permits::Asked;
+pub(crate) use heathspur_server_core::connection_permits::Asked;
 
 /// All connections. Who leaves for whom is decided by the permits.
 pub(crate) struct Pool {
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -1,11 +1,11 @@
-//! Carries out the schedule of reports to the announce service ([`heathspur_server_core::announce`]): dials, sends, answers.
+//! Carries out the schedule of reports to the announce service ([`heathspur_server_core::registration`]): dials, sends, answers.
 
 use crate::notify::Notify;
 use crate::peers::connection::{self, Inflow, Target};
 use crate::recording::recorded_stream::Stream;
 use async_io::Timer;
 use futures_lite::{future, AsyncWriteExt};
-use heathspur_server_core::announce::{Action, Event, Failure, Line, Schedule, DIAL};
+use heathspur_server_core::registration::{Action, Event, Failure, Line, Schedule, DIAL};
 use heathspur_wire::http::{self, Fields, Limits, Reader};
 use std::cell::Cell;
 use std::future::Future;
