--- a/crates/heathspur-server-core/src/registration.rs
+++ b/crates/heathspur-server-core/src/registration/mod.rs
@@ -405,9 +405,9 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/registration.rs"]
+#[path = "../../tests/unit/registration.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "../tests/unit/registration_model.rs"]
+#[path = "../../tests/unit/registration_model.rs"]
 mod model;
