--- /dev/null
+++ b/crates/heathspur-server-core/src/registration/connections.rs
@@ -0,0 +1,183 @@
+//! The connections to the registration service: which there are, and what each is used for.
+
+use super::{CONNECT_TIMEOUT, HEDGED_CONNECT_TIMEOUT, MAX_CONNECTIONS, RESPONSE_TIMEOUT};
+use std::time::Duration;
+
+/// A connection to the service, from its connection attempt on. Identifiers are never reused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct ConnectionId(u64);
+
+/// What a connection is used for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) enum ConnectionState {
+    Connecting,
+    Idle,
+    Reporting(Report),
+}
+
+/// A report in flight.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Report {
+    pub ready: bool,
+    /// The report carries the current readiness, and no earlier report can overwrite it, except outdated ones that
+    /// are still in flight.
+    pub current: bool,
+}
+
+/// A report that ended.
+pub(super) struct FinishedReport {
+    pub report: Report,
+    /// Its connection carried an earlier report: the service may have closed it meanwhile.
+    pub reused: bool,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Connection {
+    id: ConnectionId,
+    pub state: ConnectionState,
+    /// When the connection entered its state.
+    pub since: Duration,
+    /// When the state times out.
+    deadline: Option<Duration>,
+    /// The connection has carried a report.
+    pub reused: bool,
+}
+
+/// All connections, at most [`MAX_CONNECTIONS`], in the order in which they entered their state.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Connections {
+    entries: Vec<Connection>,
+    next_id: u64,
+}
+
+impl Connections {
+    pub fn is_full(&self) -> bool {
+        self.entries.len() >= MAX_CONNECTIONS
+    }
+
+    /// The connection that has been in its state for longest.
+    pub fn oldest(&self) -> Option<&Connection> {
+        self.entries.first()
+    }
+
+    pub fn idle(&self) -> Option<ConnectionId> {
+        self.find(|connection| connection.state == ConnectionState::Idle)
+    }
+
+    /// A connection whose state has timed out.
+    pub fn expired(&self, now: Duration) -> Option<ConnectionId> {
+        self.find(|connection| connection.deadline.is_some_and(|deadline| deadline <= now))
+    }
+
+    pub fn next_deadline(&self) -> Option<Duration> {
+        self.entries
+            .iter()
+            .filter_map(|connection| connection.deadline)
+            .min()
+    }
+
+    /// Adds a connection that is being established.
+    pub fn add_connecting(&mut self, now: Duration) -> ConnectionId {
+        let is_hedge = self
+            .find(|connection| connection.state == ConnectionState::Connecting)
+            .is_some();
+        let timeout = if is_hedge {
+            HEDGED_CONNECT_TIMEOUT
+        } else {
+            CONNECT_TIMEOUT
+        };
+        let id = ConnectionId(self.next_id);
+        self.next_id += 1;
+        self.entries.push(Connection {
+            id,
+            state: ConnectionState::Connecting,
+            since: now,
+            deadline: Some(now + timeout),
+            reused: false,
+        });
+        id
+    }
+
+    pub fn add_idle(&mut self, id: ConnectionId, now: Duration, reused: bool) {
+        self.entries.push(Connection {
+            id,
+            state: ConnectionState::Idle,
+            since: now,
+            deadline: None,
+            reused,
+        });
+    }
+
+    pub fn add_reporting(&mut self, id: ConnectionId, now: Duration, report: Report, reused: bool) {
+        self.entries.push(Connection {
+            id,
+            state: ConnectionState::Reporting(report),
+            since: now,
+            deadline: Some(now + RESPONSE_TIMEOUT),
+            reused,
+        });
+    }
+
+    pub fn remove_connecting(&mut self, id: ConnectionId) -> Option<Connection> {
+        self.remove(id, |state| *state == ConnectionState::Connecting)
+    }
+
+    pub fn remove_idle(&mut self, id: ConnectionId) -> Option<Connection> {
+        self.remove(id, |state| *state == ConnectionState::Idle)
+    }
+
+    pub fn remove_reporting(&mut self, id: ConnectionId) -> Option<FinishedReport> {
+        let is_reporting = |state: &ConnectionState| matches!(state, ConnectionState::Reporting(_));
+        let connection = self.remove(id, is_reporting)?;
+        let ConnectionState::Reporting(report) = connection.state else {
+            return None;
+        };
+        Some(FinishedReport {
+            report,
+            reused: connection.reused,
+        })
+    }
+
+    /// Removes all connections.
+    pub fn remove_all(&mut self) -> Vec<ConnectionId> {
+        let removed = std::mem::take(&mut self.entries);
+        removed.iter().map(|connection| connection.id).collect()
+    }
+
+    /// Removes all connections that carry no report.
+    pub fn remove_all_but_reporting(&mut self) -> Vec<ConnectionId> {
+        let (kept, removed) = std::mem::take(&mut self.entries)
+            .into_iter()
+            .partition(|connection| matches!(connection.state, ConnectionState::Reporting(_)));
+        self.entries = kept;
+        let removed: Vec<Connection> = removed;
+        removed.iter().map(|connection| connection.id).collect()
+    }
+
+    /// Marks every report in flight as outdated.
+    pub fn outdate_reports(&mut self) {
+        for connection in &mut self.entries {
+            if let ConnectionState::Reporting(report) = &mut connection.state {
+                report.current = false;
+            }
+        }
+    }
+
+    fn find(&self, matches: impl Fn(&Connection) -> bool) -> Option<ConnectionId> {
+        let found = self.entries.iter().find(|connection| matches(connection))?;
+        Some(found.id)
+    }
+
+    /// Removes the connection if its state matches.
+    fn remove(
+        &mut self,
+        id: ConnectionId,
+        matches: impl Fn(&ConnectionState) -> bool,
+    ) -> Option<Connection> {
+        let index = self
+            .entries
+            .iter()
+            .position(|connection| connection.id == id && matches(&connection.state))?;
+        Some(self.entries.remove(index))
+    }
+}
--- a/crates/heathspur-server-core/src/registration/mod.rs
+++ b/crates/heathspur-server-core/src/registration/mod.rs
@@ -1,406 +1,322 @@
-//! The schedule of reports to the announce service: one a period, at once on a change, again soon after a failure.
+//! The schedule of reports to the registration service: one per interval, immediately on a change, and again soon
+//! after a failure.
 //!
-//! An entry lapses 3 s after the last report that counted, so no single fault may hold reports up for so
-//! long: a report that stays unanswered, and a dial that stands, are not broken off at once, but a second
-//! connection is tried beside them. Reports on two connections may be taken in either order. So a report
-//! counts only where it was sent after the last change, and after the end of each report of another content:
-//! until one that counts is on its way, the next is due at once, whatever becomes of the others. One that was
-//! given up unanswered can be taken yet: the next report, a period later at most, puts that right.
+//! The service drops an entry 3 s after the last accepted report, so no single fault may delay reports for that long.
+//! A report without an answer and a pending connection attempt are not aborted early: they are hedged on a second
+//! connection. The service may accept reports on two connections in either order. A report is therefore current only
+//! if it was sent after the last change, and after the end of each report with other content. Until a current
+//! report is in flight the next one is due immediately, regardless of the others. A report that timed out can still
+//! be accepted late: the next report, at most one interval later, corrects that.
 
+mod connections;
+
+pub use connections::ConnectionId;
+
+use connections::{Connection, ConnectionState, Connections, FinishedReport, Report};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between reports, and after one that failed.
-const PERIOD: Duration = Duration::from_millis(800);
-const AGAIN: Duration = Duration::from_millis(100);
-/// What stands longer has another connection tried beside it.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// The longest waits for an answer, for a connection, and for one that is tried beside another dial: the
-/// system sends a dial's lost packet again after a second.
-const ANSWER: Duration = Duration::from_secs(2);
-/// The longest wait for a connection, which the dial itself may be bounded by.
-pub const DIAL: Duration = Duration::from_secs(10);
-const SECOND_DIAL: Duration = Duration::from_millis(1250);
-/// Connections at once, dials among them.
-const MOST: usize = 2;
-
-/// A connection to the service or the dial for one; a number that is not used again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Line(u64);
+/// Time between reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(800);
+/// Time until the next report or connection attempt after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// A report or connection attempt that takes longer is hedged on another connection.
+const HEDGE_DELAY: Duration = Duration::from_millis(300);
+/// The longest wait for an answer to a report.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest wait for a connection.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The longest wait for a connection beside another attempt: the kernel resends a lost SYN after 1 s.
+const HEDGED_CONNECT_TIMEOUT: Duration = Duration::from_millis(1250);
+/// Connections at once, including attempts.
+const MAX_CONNECTIONS: usize = 2;
+/// The answer's status to an accepted report.
+const STATUS_NO_CONTENT: u16 = 204;
 
-/// What happened. Events of a line that is closed, or that don't fit what it is at, change nothing.
+/// An input of the schedule. Events of a connection that is closed, or that don't fit its state, are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// What is to be reported from here on.
+    /// The readiness to report from now on.
     Ready(bool),
-    /// The service is found at another address: all starts anew there.
-    Moved,
-    /// A dial has come up.
-    Up(Line),
-    /// A dial has failed, or a report's connection broke before its answer.
-    Lost {
-        /// Whose.
-        line: Line,
-        /// It took too long.
-        late: bool,
+    /// The service's address changed: everything starts anew there.
+    AddressChanged,
+    /// A connection attempt succeeded.
+    Connected(ConnectionId),
+    /// A connection attempt failed, or a connection broke before the answer to its report.
+    Failed {
+        /// The connection.
+        connection: ConnectionId,
+        /// The attempt or the report timed out.
+        timed_out: bool,
     },
-    /// The report that [`Action::Report`] asks for is on its way.
-    Sent(Line),
-    /// An idle line can't be used: the other side closed it, or bytes came unasked.
-    Spent(Line),
-    /// A report's answer.
-    Answered {
-        /// Whose.
-        line: Line,
-        /// The answer's status.
+    /// The report requested by [`Action::SendReport`] was sent.
+    ReportSent(ConnectionId),
+    /// An idle connection is unusable: the peer closed it, or unexpected bytes arrived.
+    Closed(ConnectionId),
+    /// A report was answered.
+    ReportAnswered {
+        /// The connection.
+        connection: ConnectionId,
+        /// The status of the answer.
         status: u16,
-        /// The connection stays open, and nothing else came on it.
-        open: bool,
+        /// The connection stays open, and no further bytes arrived on it.
+        reusable: bool,
     },
 }
 
-/// What is to be done.
+/// An output of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Dial the service.
-    Dial(Line),
-    /// Report on an idle line, and say [`Event::Sent`]; or say [`Event::Spent`] where the line turns out to be so.
-    Report {
-        /// The line.
-        line: Line,
-        /// The content.
+    /// Connect to the service.
+    Connect(ConnectionId),
+    /// Send a report on an idle connection, then pass [`Event::ReportSent`], or [`Event::Closed`] if the connection
+    /// is unusable.
+    SendReport {
+        /// The connection.
+        connection: ConnectionId,
+        /// The readiness to report.
         ready: bool,
     },
-    /// Drop the line and what is under way on it.
-    Close(Line),
-    /// A fault for the log.
-    Failed(Failure),
+    /// Close the connection and abort whatever is in progress on it.
+    Close(ConnectionId),
+    /// Log a failure.
+    LogFailure(Failure),
 }
 
-/// Why a report or a dial did not get through.
+/// Why a report or a connection attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// It took too long.
-    Late,
-    /// As the last [`Event::Lost`] said.
-    Lost,
-    /// The other side closed a new connection, or sent bytes unasked.
-    Spent,
-    /// The answer had this status, which is not 204.
-    Status(u16),
-}
-
-/// What a connection is at.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Step {
-    Dial,
-    Idle,
-    Told(Told),
-}
-
-/// A report on its way.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Told {
-    said: bool,
-    /// It says what holds, and nothing that the service takes in after it can say otherwise, but for reports of
-    /// another content that are still on their way.
-    counts: bool,
+    /// It timed out in the schedule.
+    TimedOut,
+    /// The connection failed, as the last [`Event::Failed`] reported.
+    ConnectionFailed,
+    /// The peer closed a new connection, or sent unexpected bytes.
+    ConnectionClosed,
+    /// The status of the answer was not 204.
+    UnexpectedStatus(u16),
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Entry {
-    line: Line,
-    step: Step,
-    since: Duration,
-    /// When the step has taken too long.
-    until: Option<Duration>,
-    /// It carried a report before: the other side may have closed it meanwhile.
-    kept: bool,
-}
-
-/// How a report ended.
-enum Outcome {
-    Answered { status: u16, open: bool },
-    Lost { late: bool, why: Failure },
-}
-
-/// The schedule. After each [`handle`](Schedule::handle), [`poll`](Schedule::poll) it until nothing is left to do, and
-/// again when time comes to [`wake`](Schedule::wake).
+/// The schedule. After each [`handle`](Schedule::handle), call [`poll`](Schedule::poll) until it returns `None`, and
+/// again at the time returned by [`next_wakeup`](Schedule::next_wakeup).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Schedule {
-    /// At most `MOST`, in the order that they came to their step.
-    lines: Vec<Entry>,
-    /// The number of the next line.
-    next: u64,
-    /// What is reported, and when the next report is due.
+    connections: Connections,
+    /// The readiness to report, once known.
     ready: Option<bool>,
-    due: Duration,
-    /// No dial before this, and how long the last one took.
-    dial_at: Duration,
-    took: Duration,
-    /// What followed from events and is not carried out yet.
+    /// When the next report is due.
+    report_due: Duration,
+    /// No connection attempt before this time.
+    connect_not_before: Duration,
+    /// How long the last successful connection attempt took.
+    connect_latency: Duration,
+    /// Actions that follow from events, not polled yet.
     actions: VecDeque<Action>,
 }
 
 impl Schedule {
-    /// Without a connection, and without anything to report yet.
+    /// Creates a schedule without connections, and without a readiness to report.
     pub fn new(now: Duration) -> Schedule {
         Schedule {
-            lines: Vec::new(),
-            next: 0,
+            connections: Connections::default(),
             ready: None,
-            due: now,
-            dial_at: now,
-            took: Duration::ZERO,
+            report_due: now,
+            connect_not_before: now,
+            connect_latency: Duration::ZERO,
             actions: VecDeque::new(),
         }
     }
 
-    /// Takes an event in.
+    /// Processes an event.
     pub fn handle(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Ready(ready) => {
-                if self.ready.replace(ready) != Some(ready) {
-                    self.tell_anew(now);
-                }
-            }
-            Event::Moved => {
-                let next = self.next;
-                self.close(|_| false);
-                let actions = std::mem::take(&mut self.actions);
-                *self = Schedule {
-                    next,
-                    actions,
-                    ..Schedule::new(now)
-                };
-            }
-            Event::Up(line) => {
-                if let Some(entry) = self.remove(line, |step| step == Step::Dial) {
-                    self.took = now.saturating_sub(entry.since);
-                    self.push(line, Step::Idle, now, None, false);
-                }
-            }
-            Event::Lost { line, late } => match self.remove(line, |step| step != Step::Idle) {
-                Some(Entry {
-                    step: Step::Told(told),
-                    kept,
-                    ..
-                }) => {
-                    self.ended(
-                        now,
-                        line,
-                        told,
-                        kept,
-                        Outcome::Lost {
-                            late,
-                            why: Failure::Lost,
-                        },
-                    );
-                }
-                Some(_) => self.failed(now, Failure::Lost),
-                None => {}
-            },
-            Event::Sent(line) => {
-                let Some(ready) = self.ready else { return };
-                if let Some(entry) = self.remove(line, |step| step == Step::Idle) {
-                    let told = Step::Told(Told {
-                        said: ready,
-                        counts: true,
-                    });
-                    self.push(line, told, now, Some(now + ANSWER), entry.kept);
-                    self.due = now + PATIENCE;
-                }
-            }
-            Event::Spent(line) => {
-                // One that was kept may end at any time.
-                if self
-                    .remove(line, |step| step == Step::Idle)
-                    .is_some_and(|entry| !entry.kept)
-                {
-                    self.failed(now, Failure::Spent);
-                }
-            }
-            Event::Answered { line, status, open } => {
-                let entry = self.remove(line, |step| matches!(step, Step::Told(_)));
-                if let Some(Entry {
-                    step: Step::Told(told),
-                    kept,
-                    ..
-                }) = entry
-                {
-                    self.ended(now, line, told, kept, Outcome::Answered { status, open });
-                }
-            }
+            Event::Ready(ready) => self.on_ready(now, ready),
+            Event::AddressChanged => self.on_address_changed(now),
+            Event::Connected(connection) => self.on_connected(now, connection),
+            Event::Failed {
+                connection,
+                timed_out,
+            } => self.on_failed(now, connection, timed_out, Failure::ConnectionFailed),
+            Event::ReportSent(connection) => self.on_report_sent(now, connection),
+            Event::Closed(connection) => self.on_closed(now, connection),
+            Event::ReportAnswered {
+                connection,
+                status,
+                reusable,
+            } => self.on_report_answered(now, connection, status, reusable),
         }
     }
 
-    /// What is to be done next: gives up what took too long, reports, dials.
+    /// Returns the next action: aborts what timed out, reports, connects.
     pub fn poll(&mut self, now: Duration) -> Option<Action> {
         if let Some(action) = self.actions.pop_front() {
             return Some(action);
         }
         let ready = self.ready?;
-        let late = |entry: &&Entry| entry.until.is_some_and(|until| until <= now);
-        if let Some(line) = self.lines.iter().find(late).map(|entry| entry.line) {
-            self.give_up(now, line);
-            return Some(Action::Close(line));
+        if let Some(connection) = self.connections.expired(now) {
+            self.on_failed(now, connection, true, Failure::TimedOut);
+            return Some(Action::Close(connection));
         }
-        if self.due <= now {
-            if let Some(entry) = self.lines.iter().find(|entry| entry.step == Step::Idle) {
-                return Some(Action::Report {
-                    line: entry.line,
-                    ready,
-                });
+        if self.report_due <= now {
+            if let Some(connection) = self.connections.idle() {
+                return Some(Action::SendReport { connection, ready });
             }
         }
-        if self.dial_from().is_some_and(|at| at <= now) {
-            let beside = self.lines.iter().any(|entry| entry.step == Step::Dial);
-            let line = Line(self.next);
-            self.next += 1;
-            self.push(
-                line,
-                Step::Dial,
-                now,
-                Some(now + if beside { SECOND_DIAL } else { DIAL }),
-                false,
-            );
-            return Some(Action::Dial(line));
-        }
-        None
+        let connect_due = self.next_connect().is_some_and(|at| at <= now);
+        connect_due.then(|| Action::Connect(self.connections.add_connecting(now)))
     }
 
-    /// When there is something to do again without an event. It may lie in the past.
-    pub fn wake(&self) -> Option<Duration> {
+    /// When to poll again without an event. The time may be in the past.
+    pub fn next_wakeup(&self) -> Option<Duration> {
         self.ready?;
-        let due = self
-            .lines
-            .iter()
-            .any(|entry| entry.step == Step::Idle)
-            .then_some(self.due);
-        let limits = self.lines.iter().filter_map(|entry| entry.until);
-        limits.chain(due).chain(self.dial_from()).min()
+        let report = self.connections.idle().map(|_| self.report_due);
+        [
+            self.connections.next_deadline(),
+            report,
+            self.next_connect(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
-    /// When the next dial is due, if one is: so early that the connection is up when the report is due, and
-    /// beside another one when that has stood for too long or its report doesn't count.
-    fn dial_from(&self) -> Option<Duration> {
-        if self.lines.len() >= MOST || self.lines.iter().any(|entry| entry.step == Step::Idle) {
+    /// When the next connection attempt is due, if any: early enough to have the connection when the report is
+    /// due, and as a hedge when the other connection exceeds the hedge delay or its report is outdated.
+    fn next_connect(&self) -> Option<Duration> {
+        if self.connections.is_full() || self.connections.idle().is_some() {
             return None;
         }
-        let from = self.dial_at.max(self.due.saturating_sub(self.took));
-        Some(match self.lines.first() {
-            Some(Entry {
-                step: Step::Told(Told { counts: false, .. }),
+        let for_report = self.report_due.saturating_sub(self.connect_latency);
+        let earliest = self.connect_not_before.max(for_report);
+        Some(match self.connections.oldest() {
+            Some(Connection {
+                state: ConnectionState::Reporting(Report { current: false, .. }),
                 ..
-            }) => from,
-            Some(entry) => from.max(entry.since + PATIENCE),
-            None => from,
+            }) => earliest,
+            Some(connection) => earliest.max(connection.since + HEDGE_DELAY),
+            None => earliest,
         })
     }
 
-    /// A step has taken too long.
-    fn give_up(&mut self, now: Duration, line: Line) {
-        match self.remove(line, |_| true) {
-            Some(Entry {
-                step: Step::Told(told),
-                kept,
-                ..
-            }) => {
-                let outcome = Outcome::Lost {
-                    late: true,
-                    why: Failure::Late,
-                };
-                self.ended(now, line, told, kept, outcome);
-            }
-            _ => self.failed(now, Failure::Late),
+    fn on_ready(&mut self, now: Duration, ready: bool) {
+        if self.ready.replace(ready) != Some(ready) {
+            self.report_immediately(now);
         }
     }
 
-    /// A report has ended; its line is taken out already.
-    fn ended(&mut self, now: Duration, line: Line, told: Told, kept: bool, outcome: Outcome) {
-        let due = match outcome {
-            Outcome::Answered { status, open } => {
-                // One connection is enough from here on, but for what is to be told at once and has no line else;
-                // what is under way on another may end there.
-                if open || told.counts {
-                    self.close(|step| matches!(step, Step::Told(_)));
-                }
-                if open {
-                    self.push(line, Step::Idle, now, None, true);
-                }
-                if status != 204 {
-                    self.failed(now, Failure::Status(status));
-                }
-                now + if status == 204 { PERIOD } else { AGAIN }
-            }
-            // Closed by the other side meanwhile: a new connection tells at once.
-            Outcome::Lost { late: false, .. } if kept => now,
-            Outcome::Lost { why, .. } => {
-                self.failed(now, why);
-                now + AGAIN
-            }
+    /// Resets everything but the connection identifiers and the pending actions.
+    fn on_address_changed(&mut self, now: Duration) {
+        let closed = self.connections.remove_all();
+        self.close(closed);
+        *self = Schedule {
+            connections: std::mem::take(&mut self.connections),
+            actions: std::mem::take(&mut self.actions),
+            ..Schedule::new(now)
         };
-        // The end of one that doesn't count puts nothing off: the next is due at once, or one that counts set its time.
-        if told.counts {
-            self.due = due;
+    }
+
+    fn on_connected(&mut self, now: Duration, id: ConnectionId) {
+        if let Some(connection) = self.connections.remove_connecting(id) {
+            self.connect_latency = now.saturating_sub(connection.since);
+            self.connections.add_idle(id, now, false);
         }
-        // The service may have taken this one last.
-        if self.ready != Some(told.said) {
-            self.tell_anew(now);
+    }
+
+    /// A connection attempt or a report failed.
+    fn on_failed(&mut self, now: Duration, id: ConnectionId, timed_out: bool, failure: Failure) {
+        if let Some(finished) = self.connections.remove_reporting(id) {
+            self.on_report_failed(now, finished, timed_out, failure);
+        } else if self.connections.remove_connecting(id).is_some() {
+            self.record_failure(now, failure);
         }
     }
 
-    /// No report that was sent up to now tells what holds.
-    fn tell_anew(&mut self, now: Duration) {
-        self.due = now;
-        for entry in &mut self.lines {
-            if let Step::Told(told) = &mut entry.step {
-                told.counts = false;
-            }
+    fn on_report_failed(
+        &mut self,
+        now: Duration,
+        finished: FinishedReport,
+        timed_out: bool,
+        failure: Failure,
+    ) {
+        // The service may close a reused connection at any time: no failure, a new connection reports at once.
+        let closed_between_reports = finished.reused && !timed_out;
+        let next_due = if closed_between_reports {
+            now
+        } else {
+            self.record_failure(now, failure);
+            now + RETRY_DELAY
+        };
+        self.finish_report(now, finished.report, next_due);
+    }
+
+    fn on_report_sent(&mut self, now: Duration, id: ConnectionId) {
+        let Some(ready) = self.ready else { return };
+        if let Some(connection) = self.connections.remove_idle(id) {
+            let report = Report {
+                ready,
+                current: true,
+            };
+            self.connections
+                .add_reporting(id, now, report, connection.reused);
+            self.report_due = now + HEDGE_DELAY;
         }
     }
 
-    fn failed(&mut self, now: Duration, why: Failure) {
-        self.actions.push_back(Action::Failed(why));
-        self.dial_at = now + AGAIN;
+    fn on_closed(&mut self, now: Duration, id: ConnectionId) {
+        let removed = self.connections.remove_idle(id);
+        // The service may close a reused connection at any time.
+        if removed.is_some_and(|connection| !connection.reused) {
+            self.record_failure(now, Failure::ConnectionClosed);
+        }
     }
 
-    /// Closes all lines but those at such a step.
-    fn close(&mut self, stays: impl Fn(Step) -> bool) {
-        let actions = &mut self.actions;
-        self.lines.retain(|entry| {
-            let stays = stays(entry.step);
-            if !stays {
-                actions.push_back(Action::Close(entry.line));
-            }
-            stays
-        });
+    fn on_report_answered(&mut self, now: Duration, id: ConnectionId, status: u16, reusable: bool) {
+        let Some(finished) = self.connections.remove_reporting(id) else {
+            return;
+        };
+        // One connection is enough from now on, unless another report is due at once and has no other connection.
+        // Reports in flight may end.
+        if reusable || finished.report.current {
+            let closed = self.connections.remove_all_but_reporting();
+            self.close(closed);
+        }
+        if reusable {
+            self.connections.add_idle(id, now, true);
+        }
+        let next_due = if status == STATUS_NO_CONTENT {
+            now + REPORT_INTERVAL
+        } else {
+            self.record_failure(now, Failure::UnexpectedStatus(status));
+            now + RETRY_DELAY
+        };
+        self.finish_report(now, finished.report, next_due);
     }
 
-    fn push(
-        &mut self,
-        line: Line,
-        step: Step,
-        since: Duration,
-        until: Option<Duration>,
-        kept: bool,
-    ) {
-        self.lines.push(Entry {
-            line,
-            step,
-            since,
-            until,
-            kept,
-        });
+    /// Sets the time of the next report after one has ended.
+    fn finish_report(&mut self, now: Duration, report: Report, next_due: Duration) {
+        // An outdated report delays nothing: the next one is due at once, or a current one has set its time.
+        if report.current {
+            self.report_due = next_due;
+        }
+        // The service may have accepted the outdated report last.
+        if self.ready != Some(report.ready) {
+            self.report_immediately(now);
+        }
+    }
+
+    /// Makes a report due now, and outdates all reports in flight.
+    fn report_immediately(&mut self, now: Duration) {
+        self.report_due = now;
+        self.connections.outdate_reports();
+    }
+
+    fn record_failure(&mut self, now: Duration, failure: Failure) {
+        self.actions.push_back(Action::LogFailure(failure));
+        self.connect_not_before = now + RETRY_DELAY;
     }
 
-    /// Takes the line out if it is at such a step.
-    fn remove(&mut self, line: Line, fits: impl Fn(Step) -> bool) -> Option<Entry> {
-        let at = self
-            .lines
-            .iter()
-            .position(|entry| entry.line == line && fits(entry.step))?;
-        Some(self.lines.remove(at))
+    fn close(&mut self, connections: Vec<ConnectionId>) {
+        self.actions
+            .extend(connections.into_iter().map(Action::Close));
     }
 }
 
--- a/crates/heathspur-server-core/tests/unit/registration.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -1,40 +1,42 @@
-//! Tests of `src/registration.rs`, which names this file as its module of tests: the schedule with a service whose dials
-//! and answers come as a plan says, in any order.
+//! Tests of `src/registration/mod.rs`, which includes this file as its test module: the schedule against a simulated
+//! service whose connection attempts and answers follow a generated plan, in any order.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-const LAPSE: u64 = 3000;
-/// The longest dial of a service that is well.
-const WELL: u64 = 250;
+/// How long the service keeps an entry after its last accepted report, in ms.
+const ENTRY_LIFETIME: u64 = 3000;
+/// The longest connection attempt to a healthy service, in ms.
+const HEALTHY_CONNECT: u64 = 250;
+/// Length of a run, in ms.
 const END: u64 = 40_000;
 
 fn ms(time: Duration) -> u64 {
     time.as_millis() as u64
 }
 
-/// How a dial ends, and after how long; never where it has no end.
+/// How a connection attempt ends, and after how many ms.
 #[derive(Clone, Copy, Debug)]
-enum Dialled {
-    Up(u64),
+enum ConnectOutcome {
+    Succeeds(u64),
     Fails(u64),
-    Stands,
+    Hangs,
 }
 
-/// What becomes of a report.
+/// What happens to a report.
 #[derive(Clone, Copy, Debug)]
-struct Fate {
-    /// The line turns out to be spent before it.
-    spent: bool,
-    /// Where the line carried a report before, its connection breaks under this one after so long.
+struct ReportOutcome {
+    /// The connection turns out to be closed before the report.
+    closed: bool,
+    /// A reused connection breaks during this report after so long.
     breaks: Option<u64>,
-    /// When the service takes it in, if at all.
-    taken: Option<u64>,
-    /// When it is answered, or its connection breaks where it has no status; never where there is no time.
+    /// When the service accepts the report, if at all.
+    accepted: Option<u64>,
+    /// When the report is answered, or its connection breaks if it has no status; `None`: never.
     ends: Option<u64>,
     status: Option<u16>,
-    /// The connection stays open, and for how long.
+    /// The connection stays open, and for how long it is idle.
     open: bool,
     idle: u64,
 }
@@ -42,281 +44,303 @@
 #[derive(Clone, Copy, Debug)]
 enum Change {
     Ready(bool),
-    Moved,
+    AddressChanged,
 }
 
 #[derive(Clone, Debug)]
 struct Plan {
-    /// In order, and then from the first again.
-    dials: Vec<Dialled>,
-    reports: Vec<Fate>,
+    /// Used in turn, then from the first again.
+    connects: Vec<ConnectOutcome>,
+    reports: Vec<ReportOutcome>,
     /// With the time since the last one.
     changes: Vec<(u64, Change)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Happens {
-    Up(Line),
-    Lost(Line),
-    Spent(Line),
+enum Occurrence {
+    Connected(ConnectionId),
+    Failed(ConnectionId),
+    Closed(ConnectionId),
     Answer {
-        line: Line,
+        connection: ConnectionId,
         status: u16,
         open: bool,
-        said: bool,
+        reported: bool,
     },
-    Taken {
-        said: bool,
+    Accepted {
+        reported: bool,
         epoch: u32,
     },
     Change(usize),
 }
 
-impl Happens {
-    fn line(self) -> Option<Line> {
+impl Occurrence {
+    fn connection(self) -> Option<ConnectionId> {
         match self {
-            Happens::Up(line) | Happens::Lost(line) | Happens::Spent(line) => Some(line),
-            Happens::Answer { line, .. } => Some(line),
-            Happens::Taken { .. } | Happens::Change(_) => None,
+            Occurrence::Connected(connection)
+            | Occurrence::Failed(connection)
+            | Occurrence::Closed(connection) => Some(connection),
+            Occurrence::Answer { connection, .. } => Some(connection),
+            Occurrence::Accepted { .. } | Occurrence::Change(_) => None,
         }
     }
 }
 
-/// What was seen, with its time.
-struct World {
+/// The simulated service and clock, with a record of the run.
+struct Simulation {
     plan: Plan,
     schedule: Schedule,
     now: u64,
     ready: bool,
-    /// Services so far.
+    /// Number of address changes so far.
     epoch: u32,
-    ahead: Vec<(u64, Happens)>,
-    open: Vec<Line>,
+    upcoming: Vec<(u64, Occurrence)>,
+    open: Vec<ConnectionId>,
     /// Lines that carried a report.
-    kept: Vec<Line>,
-    dials: usize,
-    told: usize,
+    reused: Vec<ConnectionId>,
+    connects: usize,
+    reports_started: usize,
     sent: Vec<(u64, bool)>,
-    taken: Vec<(u64, bool)>,
-    /// Changes of what is reported, and how many reports were on their way then.
+    accepted: Vec<(u64, bool)>,
+    /// Changes of the readiness, and how many reports were in flight then.
     changed: Vec<(u64, bool, usize)>,
-    /// The reports on their way.
-    under_way: Vec<(Line, bool)>,
-    /// When reports ended that said what held no more, with what held and how many reports were sent until then.
+    /// The reports in flight.
+    in_flight: Vec<(ConnectionId, bool)>,
+    /// When outdated reports ended, with the readiness and the number of reports sent until then.
     outdated: Vec<(u64, bool, usize)>,
 }
 
-impl World {
-    fn played(plan: &Plan) -> World {
-        let (mut ahead, mut at) = (Vec::new(), 0);
+impl Simulation {
+    fn run(plan: &Plan) -> Simulation {
+        let (mut upcoming, mut at) = (Vec::new(), 0);
         for (i, (gap, _)) in plan.changes.iter().enumerate() {
             at += gap;
-            ahead.push((at, Happens::Change(i)));
+            upcoming.push((at, Occurrence::Change(i)));
         }
-        let mut world = World {
+        let mut simulation = Simulation {
             plan: plan.clone(),
             schedule: Schedule::new(Duration::ZERO),
             now: 0,
             ready: true,
             epoch: 0,
-            ahead,
+            upcoming,
             open: Vec::new(),
-            kept: Vec::new(),
-            dials: 0,
-            told: 0,
+            reused: Vec::new(),
+            connects: 0,
+            reports_started: 0,
             sent: Vec::new(),
-            taken: Vec::new(),
+            accepted: Vec::new(),
             changed: Vec::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             outdated: Vec::new(),
         };
-        world.handle(Event::Ready(true));
-        world.act();
-        while world.now < END {
-            world.turn();
+        simulation.handle(Event::Ready(true));
+        simulation.act();
+        while simulation.now < END {
+            simulation.advance();
         }
-        world
+        simulation
     }
 
     fn handle(&mut self, event: Event) {
         self.schedule.handle(Duration::from_millis(self.now), event);
     }
 
-    fn after(&mut self, wait: u64, happens: Happens) {
-        self.ahead.push((self.now + wait, happens));
+    fn after(&mut self, wait: u64, occurrence: Occurrence) {
+        self.upcoming.push((self.now + wait, occurrence));
     }
 
-    /// Goes to the next time at which something is to be done.
-    fn turn(&mut self) {
-        let next = (0..self.ahead.len()).min_by_key(|&i| self.ahead[i].0);
-        let wake = self.schedule.wake().map_or(END, ms).clamp(self.now, END);
-        match next.filter(|&i| self.ahead[i].0 <= wake) {
+    /// Advances to the next occurrence or wake-up.
+    fn advance(&mut self) {
+        let next = (0..self.upcoming.len()).min_by_key(|&i| self.upcoming[i].0);
+        let wake = self
+            .schedule
+            .next_wakeup()
+            .map_or(END, ms)
+            .clamp(self.now, END);
+        match next.filter(|&i| self.upcoming[i].0 <= wake) {
             Some(i) => {
-                let (at, happens) = self.ahead.remove(i);
+                let (at, occurrence) = self.upcoming.remove(i);
                 self.now = at;
-                self.happen(happens);
+                self.occur(occurrence);
             }
             None => self.now = wake,
         }
-        let before = (self.now, self.dials, self.told);
+        let before = (self.now, self.connects, self.reports_started);
         self.act();
-        let busy = self.schedule.wake().is_some_and(|at| ms(at) <= self.now);
+        let busy = self
+            .schedule
+            .next_wakeup()
+            .is_some_and(|at| ms(at) <= self.now);
         assert!(
-            !busy || before != (self.now, self.dials, self.told),
-            "it wakes for nothing"
+            !busy || before != (self.now, self.connects, self.reports_started),
+            "a wake-up without an action"
         );
     }
 
-    fn happen(&mut self, happens: Happens) {
-        match happens {
-            Happens::Up(line) => self.handle(Event::Up(line)),
-            Happens::Lost(line) => {
-                self.gone(line);
-                self.handle(Event::Lost { line, late: false });
+    fn occur(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Connected(connection) => self.handle(Event::Connected(connection)),
+            Occurrence::Failed(connection) => {
+                self.remove(connection);
+                self.handle(Event::Failed {
+                    connection,
+                    timed_out: false,
+                });
             }
-            Happens::Spent(line) => {
-                self.gone(line);
-                self.handle(Event::Spent(line));
+            Occurrence::Closed(connection) => {
+                self.remove(connection);
+                self.handle(Event::Closed(connection));
             }
-            Happens::Answer {
-                line,
+            Occurrence::Answer {
+                connection,
                 status,
                 open,
-                said,
+                reported,
             } => {
-                self.report_ended(line);
+                self.report_ended(connection);
                 if !open {
-                    self.gone(line);
+                    self.remove(connection);
                 }
-                let idle = self.plan.reports[(self.told - 1) % self.plan.reports.len()].idle;
+                let idle =
+                    self.plan.reports[(self.reports_started - 1) % self.plan.reports.len()].idle;
                 if open {
-                    self.after(idle, Happens::Spent(line));
+                    self.after(idle, Occurrence::Closed(connection));
                 }
                 let sent = self.sent.len();
-                self.handle(Event::Answered { line, status, open });
+                self.handle(Event::ReportAnswered {
+                    connection,
+                    status,
+                    reusable: open,
+                });
                 self.act();
-                // The older report may have been taken last: what holds is told again, at once where a line is there.
-                if open && said != self.ready && self.open.contains(&line) {
+                // The outdated report may have been accepted last: the readiness is reported again, at once on a connection.
+                if open && reported != self.ready && self.open.contains(&connection) {
                     assert_eq!(
                         self.sent[sent..],
                         [(self.now, self.ready)],
-                        "the last word was {said}"
+                        "the last accepted report was {reported}"
                     );
                 }
             }
-            Happens::Taken { said, epoch } if epoch == self.epoch => {
-                self.taken.push((self.now, said))
+            Occurrence::Accepted { reported, epoch } if epoch == self.epoch => {
+                self.accepted.push((self.now, reported))
             }
-            Happens::Taken { .. } => {}
-            Happens::Change(i) => match self.plan.changes[i].1 {
+            Occurrence::Accepted { .. } => {}
+            Occurrence::Change(i) => match self.plan.changes[i].1 {
                 Change::Ready(ready) => {
                     if ready != self.ready {
-                        self.changed.push((self.now, ready, self.under_way.len()));
+                        self.changed.push((self.now, ready, self.in_flight.len()));
                     }
                     self.ready = ready;
                     self.handle(Event::Ready(ready));
                 }
-                Change::Moved => {
+                Change::AddressChanged => {
                     self.epoch += 1;
-                    self.handle(Event::Moved);
+                    self.handle(Event::AddressChanged);
                     self.handle(Event::Ready(self.ready));
                 }
             },
         }
     }
 
-    fn report_ended(&mut self, line: Line) {
+    fn report_ended(&mut self, connection: ConnectionId) {
         if self
-            .under_way
+            .in_flight
             .iter()
-            .any(|(other, said)| *other == line && *said != self.ready)
+            .any(|(other, reported)| *other == connection && *reported != self.ready)
         {
             self.outdated.push((self.now, self.ready, self.sent.len()));
         }
-        self.under_way.retain(|(other, _)| *other != line);
+        self.in_flight.retain(|(other, _)| *other != connection);
     }
 
-    fn gone(&mut self, line: Line) {
-        self.report_ended(line);
-        self.open.retain(|other| *other != line);
-        self.ahead
-            .retain(|(_, happens)| happens.line() != Some(line));
+    fn remove(&mut self, connection: ConnectionId) {
+        self.report_ended(connection);
+        self.open.retain(|other| *other != connection);
+        self.upcoming
+            .retain(|(_, occurrence)| occurrence.connection() != Some(connection));
     }
 
     fn act(&mut self) {
         let mut actions = 0;
         while let Some(action) = self.schedule.poll(Duration::from_millis(self.now)) {
             actions += 1;
-            assert!(actions < 32, "it acts for ever");
+            assert!(actions < 32, "endless actions");
             match action {
-                Action::Dial(line) => {
-                    self.open.push(line);
-                    assert!(self.open.len() <= MOST, "{:?}", self.open);
-                    match self.plan.dials[self.dials % self.plan.dials.len()] {
-                        Dialled::Up(wait) => self.after(wait, Happens::Up(line)),
-                        Dialled::Fails(wait) => self.after(wait, Happens::Lost(line)),
-                        Dialled::Stands => {}
+                Action::Connect(connection) => {
+                    self.open.push(connection);
+                    assert!(self.open.len() <= MAX_CONNECTIONS, "{:?}", self.open);
+                    match self.plan.connects[self.connects % self.plan.connects.len()] {
+                        ConnectOutcome::Succeeds(wait) => {
+                            self.after(wait, Occurrence::Connected(connection))
+                        }
+                        ConnectOutcome::Fails(wait) => {
+                            self.after(wait, Occurrence::Failed(connection))
+                        }
+                        ConnectOutcome::Hangs => {}
                     }
-                    self.dials += 1;
+                    self.connects += 1;
                 }
-                Action::Report { line, ready } => self.report(line, ready),
-                Action::Close(line) => {
-                    assert!(self.open.contains(&line));
-                    self.gone(line);
+                Action::SendReport { connection, ready } => self.report(connection, ready),
+                Action::Close(connection) => {
+                    assert!(self.open.contains(&connection));
+                    self.remove(connection);
                 }
-                Action::Failed(_) => {}
+                Action::LogFailure(_) => {}
             }
         }
     }
 
-    fn report(&mut self, line: Line, ready: bool) {
+    fn report(&mut self, connection: ConnectionId, ready: bool) {
         assert!(
-            self.open.contains(&line) && self.under_way.iter().all(|(other, _)| *other != line)
+            self.open.contains(&connection)
+                && self.in_flight.iter().all(|(other, _)| *other != connection)
         );
         assert_eq!(ready, self.ready);
-        let fate = self.plan.reports[self.told % self.plan.reports.len()];
-        self.told += 1;
-        self.ahead
-            .retain(|(_, happens)| happens.line() != Some(line));
-        if fate.spent {
-            self.gone(line);
-            return self.handle(Event::Spent(line));
+        let outcome = self.plan.reports[self.reports_started % self.plan.reports.len()];
+        self.reports_started += 1;
+        self.upcoming
+            .retain(|(_, occurrence)| occurrence.connection() != Some(connection));
+        if outcome.closed {
+            self.remove(connection);
+            return self.handle(Event::Closed(connection));
         }
         self.sent.push((self.now, ready));
-        self.under_way.push((line, ready));
-        if let Some(wait) = fate.breaks.filter(|_| self.kept.contains(&line)) {
-            self.after(wait, Happens::Lost(line));
-            return self.handle(Event::Sent(line));
+        self.in_flight.push((connection, ready));
+        if let Some(wait) = outcome.breaks.filter(|_| self.reused.contains(&connection)) {
+            self.after(wait, Occurrence::Failed(connection));
+            return self.handle(Event::ReportSent(connection));
         }
-        self.kept.push(line);
-        if let Some(wait) = fate.taken {
+        self.reused.push(connection);
+        if let Some(wait) = outcome.accepted {
             self.after(
                 wait,
-                Happens::Taken {
-                    said: ready,
+                Occurrence::Accepted {
+                    reported: ready,
                     epoch: self.epoch,
                 },
             );
         }
-        match (fate.ends, fate.status) {
+        match (outcome.ends, outcome.status) {
             (Some(wait), Some(status)) => {
                 self.after(
                     wait,
-                    Happens::Answer {
-                        line,
+                    Occurrence::Answer {
+                        connection,
                         status,
-                        open: fate.open,
-                        said: ready,
+                        open: outcome.open,
+                        reported: ready,
                     },
                 );
             }
-            (Some(wait), None) => self.after(wait, Happens::Lost(line)),
+            (Some(wait), None) => self.after(wait, Occurrence::Failed(connection)),
             (None, _) => {}
         }
-        self.handle(Event::Sent(line));
+        self.handle(Event::ReportSent(connection));
     }
 
-    /// The longest time between two reports on their way, and between two that were taken, also to the end.
+    /// The longest time between two sent reports, and between two accepted ones, including the time to the end.
     fn gaps(&self) -> (u64, u64) {
         let longest = |times: &[(u64, bool)]| {
             let ends = times.iter().skip(1).map(|(at, _)| *at).chain([END]);
@@ -327,15 +351,15 @@
                 .max()
                 .unwrap_or(END)
         };
-        (longest(&self.sent), longest(&self.taken))
+        (longest(&self.sent), longest(&self.accepted))
     }
 }
 
-fn any_dial() -> impl Strategy<Value = Dialled> {
+fn any_connect() -> impl Strategy<Value = ConnectOutcome> {
     prop_oneof![
-        6 => (0..3000u64).prop_map(Dialled::Up),
-        2 => (0..3000u64).prop_map(Dialled::Fails),
-        1 => Just(Dialled::Stands),
+        6 => (0..3000u64).prop_map(ConnectOutcome::Succeeds),
+        2 => (0..3000u64).prop_map(ConnectOutcome::Fails),
+        1 => Just(ConnectOutcome::Hangs),
     ]
 }
 
@@ -343,7 +367,7 @@
     prop_oneof![5 => Just(None), 1 => (0..50u64).prop_map(Some)]
 }
 
-fn any_report() -> impl Strategy<Value = Fate> {
+fn any_report() -> impl Strategy<Value = ReportOutcome> {
     let status = prop_oneof![6 => Just(Some(204)), 1 => Just(Some(500)), 1 => Just(None)];
     let ends = prop_oneof![3 => (0..400u64).prop_map(Some), 2 => (0..2500u64).prop_map(Some), 1 => Just(None)];
     let rest = (
@@ -353,24 +377,26 @@
         0..8u8,
         0..1500u64,
     );
-    (0..10u8, breaks(), rest).prop_map(|(spent, breaks, (taken, ends, status, open, idle))| Fate {
-        spent: spent == 0,
-        breaks,
-        taken,
-        ends,
-        status,
-        open: open > 0,
-        idle,
+    (0..10u8, breaks(), rest).prop_map(|(closed, breaks, (accepted, ends, status, open, idle))| {
+        ReportOutcome {
+            closed: closed == 0,
+            breaks,
+            accepted,
+            ends,
+            status,
+            open: open > 0,
+            idle,
+        }
     })
 }
 
-/// A report that is taken and answered within the limit; the connection may end at any time behind it.
-fn well_told(limit: u64) -> impl Strategy<Value = Fate> {
+/// A report that is accepted and answered within the limit; the connection may end at any time behind it.
+fn accepted_report(limit: u64) -> impl Strategy<Value = ReportOutcome> {
     (breaks(), 0..=limit, 0..=limit, 0..6u8, 0..4000u64).prop_map(
-        |(breaks, one, other, open, idle)| Fate {
-            spent: false,
+        |(breaks, one, other, open, idle)| ReportOutcome {
+            closed: false,
             breaks,
-            taken: Some(one.min(other)),
+            accepted: Some(one.min(other)),
             ends: Some(one.max(other)),
             status: Some(204),
             open: open > 0,
@@ -381,34 +407,34 @@
 
 fn changes(moves: bool) -> impl Strategy<Value = Vec<(u64, Change)>> {
     let change = (0..8u8, any::<bool>()).prop_map(move |(kind, ready)| match kind {
-        0 if moves => Change::Moved,
+        0 if moves => Change::AddressChanged,
         _ => Change::Ready(ready),
     });
-    // Also there and back while one dial or report is under way.
-    let gap = prop_oneof![0..3000u64, 0..WELL];
+    // Also a change and its reversal during one connection attempt or report.
+    let gap = prop_oneof![0..3000u64, 0..HEALTHY_CONNECT];
     prop::collection::vec((gap, change), 0..10)
 }
 
 fn plan(
-    dial: impl Strategy<Value = Dialled>,
-    report: impl Strategy<Value = Fate>,
+    connect: impl Strategy<Value = ConnectOutcome>,
+    report: impl Strategy<Value = ReportOutcome>,
     changes: impl Strategy<Value = Vec<(u64, Change)>>,
 ) -> impl Strategy<Value = Plan> {
-    let (dials, reports) = (
-        prop::collection::vec(dial, 1..12),
+    let (connects, reports) = (
+        prop::collection::vec(connect, 1..12),
         prop::collection::vec(report, 1..24),
     );
-    (dials, reports, changes).prop_map(|(dials, reports, changes)| Plan {
-        dials,
+    (connects, reports, changes).prop_map(|(connects, reports, changes)| Plan {
+        connects,
         reports,
         changes,
     })
 }
 
-fn well(limit: u64) -> impl Strategy<Value = Plan> {
+fn healthy_service(limit: u64) -> impl Strategy<Value = Plan> {
     plan(
-        (0..=WELL).prop_map(Dialled::Up),
-        well_told(limit),
+        (0..=HEALTHY_CONNECT).prop_map(ConnectOutcome::Succeeds),
+        accepted_report(limit),
         changes(false),
     )
 }
@@ -421,91 +447,91 @@
         ..Config::default()
     })]
 
-    /// The world itself checks that no more than `MOST` lines are open, that each report has an idle line and says
-    /// what holds, and that a report of another content that ends is followed by what holds.
+    /// The simulation itself checks that at most `MAX_CONNECTIONS` connections are open, that each report uses an idle
+    /// connection and carries the readiness, and that an outdated report that ends is followed by a current one.
     #[test]
-    fn whatever_comes_lines_are_few_and_no_older_report_has_the_last_word(
-        plan in plan(any_dial(), any_report(), changes(true))
+    fn connections_are_bounded_and_an_outdated_report_is_followed_by_a_current_one(
+        plan in plan(any_connect(), any_report(), changes(true))
     ) {
-        World::played(&plan);
+        Simulation::run(&plan);
     }
 
-    /// Each line may carry one report at once after another; from there on a failure's pause holds. A change has what
-    /// holds told at once, and so has the end of each older report.
+    /// Each connection may carry one report immediately after another; then the retry delay applies. A change is
+    /// reported immediately, and so is the readiness after the end of each outdated report.
     #[test]
-    fn whatever_comes_reports_and_dials_are_no_flood(plan in plan(any_dial(), any_report(), changes(true))) {
-        let world = World::played(&plan);
-        for (i, (from, _)) in world.sent.iter().enumerate() {
-            let within = world.sent[i..].iter().filter(|(at, _)| *at < from + 1000).count();
-            let changes = world.changed.iter().filter(|(at, ..)| at + ms(ANSWER) >= *from && *at < from + 1000);
-            let moves = world.plan.changes.iter().filter(|(_, change)| matches!(change, Change::Moved)).count();
-            let most = 2 * (1000 / ms(AGAIN)) as usize + (1 + MOST) * changes.count() + moves;
+    fn the_rate_of_reports_is_bounded(plan in plan(any_connect(), any_report(), changes(true))) {
+        let simulation = Simulation::run(&plan);
+        for (i, (from, _)) in simulation.sent.iter().enumerate() {
+            let within = simulation.sent[i..].iter().filter(|(at, _)| *at < from + 1000).count();
+            let changes = simulation.changed.iter().filter(|(at, ..)| at + ms(RESPONSE_TIMEOUT) >= *from && *at < from + 1000);
+            let moves = simulation.plan.changes.iter().filter(|(_, change)| matches!(change, Change::AddressChanged)).count();
+            let most = 2 * (1000 / ms(RETRY_DELAY)) as usize + (1 + MAX_CONNECTIONS) * changes.count() + moves;
             prop_assert!(within <= most, "{within} reports from {from} on, not {most}");
         }
     }
 
     #[test]
-    fn a_service_that_is_well_is_reported_to_each_period(plan in well(ms(PATIENCE))) {
-        let (sent, taken) = World::played(&plan).gaps();
-        // An answer, the pause, and a dial that takes longer than the last one.
-        prop_assert!(sent <= ms(PERIOD + PATIENCE) + WELL + 1, "{sent}");
-        prop_assert!(taken < LAPSE, "{taken}");
+    fn a_healthy_service_gets_a_report_each_interval(plan in healthy_service(ms(HEDGE_DELAY))) {
+        let (sent, accepted) = Simulation::run(&plan).gaps();
+        // An answer, the interval, and a connection attempt that takes longer than the last one.
+        prop_assert!(sent <= ms(REPORT_INTERVAL + HEDGE_DELAY) + HEALTHY_CONNECT + 1, "{sent}");
+        prop_assert!(accepted < ENTRY_LIFETIME, "{accepted}");
     }
 
     #[test]
-    fn a_service_that_answers_within_the_limit_is_reported_to(plan in well(ms(ANSWER) - 1)) {
-        let (sent, _) = World::played(&plan).gaps();
-        prop_assert!(sent <= ms(PERIOD + ANSWER) + WELL + 1, "{sent}");
+    fn a_service_that_answers_within_the_timeout_gets_reports(plan in healthy_service(ms(RESPONSE_TIMEOUT) - 1)) {
+        let (sent, _) = Simulation::run(&plan).gaps();
+        prop_assert!(sent <= ms(REPORT_INTERVAL + RESPONSE_TIMEOUT) + HEALTHY_CONNECT + 1, "{sent}");
     }
 
     #[test]
-    fn one_dial_or_report_that_never_ends_does_not_hold_reports_up(
-        plan in well(ms(PATIENCE)), dial in any::<bool>(), which in 0..6usize
+    fn one_hanging_connection_attempt_or_report_does_not_delay_reports(
+        plan in healthy_service(ms(HEDGE_DELAY)), connect in any::<bool>(), which in 0..6usize
     ) {
         let mut plan = plan;
-        // So many that none stands a second time.
-        plan.dials = plan.dials.iter().copied().cycle().take(200).collect();
+        // So many that none hangs a second time.
+        plan.connects = plan.connects.iter().copied().cycle().take(200).collect();
         plan.reports = plan.reports.iter().copied().cycle().take(200).collect();
-        if dial {
-            plan.dials[which] = Dialled::Stands;
+        if connect {
+            plan.connects[which] = ConnectOutcome::Hangs;
         } else {
-            plan.reports[which] = Fate { breaks: None, taken: None, ends: None, ..plan.reports[which] };
+            plan.reports[which] = ReportOutcome { breaks: None, accepted: None, ends: None, ..plan.reports[which] };
         }
-        let world = World::played(&plan);
-        let (sent, taken) = world.gaps();
-        // The first one may stand from the start.
-        prop_assert!(world.taken[0].0 < LAPSE);
-        prop_assert!(sent <= ms(PERIOD + PATIENCE + PATIENCE) + 2 * WELL + 1, "{sent}");
-        prop_assert!(taken < LAPSE, "{taken}");
+        let simulation = Simulation::run(&plan);
+        let (sent, accepted) = simulation.gaps();
+        // The first one may hang from the start.
+        prop_assert!(simulation.accepted[0].0 < ENTRY_LIFETIME);
+        prop_assert!(sent <= ms(REPORT_INTERVAL + HEDGE_DELAY + HEDGE_DELAY) + 2 * HEALTHY_CONNECT + 1, "{sent}");
+        prop_assert!(accepted < ENTRY_LIFETIME, "{accepted}");
     }
 
     #[test]
-    fn a_change_is_told_at_once_and_is_the_last_word(plan in well(ms(ANSWER) - 1)) {
-        let world = World::played(&plan);
-        for (i, (at, ready, under_way)) in world.changed.iter().enumerate() {
+    fn a_change_is_reported_immediately_and_accepted_last(plan in healthy_service(ms(RESPONSE_TIMEOUT) - 1)) {
+        let simulation = Simulation::run(&plan);
+        for (i, (at, ready, in_flight)) in simulation.changed.iter().enumerate() {
             let (at, ready) = (*at, *ready);
-            let next = world.changed.get(i + 1).map_or(END, |(at, ..)| *at);
-            // With a place for a line it needs a dial, at most one more where an answer ends that one; else one of the
-            // reports that are on their way has to end.
-            let place = if *under_way < MOST { 0 } else { ms(ANSWER) };
-            let promptly = at + place + ms(AGAIN) + 2 * WELL + 1;
-            let told = world.sent.iter().find(|(sent, said)| *sent >= at && *said == ready).map(|(sent, _)| *sent);
-            prop_assert!(next <= promptly || told.is_some_and(|told| told <= promptly), "{at} {told:?}");
-            // What is said after it is the same.
-            prop_assert!(world.sent.iter().all(|(sent, said)| *sent <= at || *sent >= next || *said == ready));
-            // Reports that were on their way may be taken until the limit, and what follows them needs as long.
-            let settled = at + 2 * ms(ANSWER) + ms(AGAIN) + 2 * WELL + 1;
-            let late = world.taken.iter().find(|(taken, said)| (settled..next).contains(taken) && *said != ready);
+            let next = simulation.changed.get(i + 1).map_or(END, |(at, ..)| *at);
+            // With capacity for a connection the change needs an attempt, at most two if an answer ends the first; without,
+            // one of the reports in flight has to end.
+            let wait = if *in_flight < MAX_CONNECTIONS { 0 } else { ms(RESPONSE_TIMEOUT) };
+            let deadline = at + wait + ms(RETRY_DELAY) + 2 * HEALTHY_CONNECT + 1;
+            let first_sent = simulation.sent.iter().find(|(sent, reported)| *sent >= at && *reported == ready).map(|(sent, _)| *sent);
+            prop_assert!(next <= deadline || first_sent.is_some_and(|first| first <= deadline), "{at} {first_sent:?}");
+            // All reports until the next change carry it.
+            prop_assert!(simulation.sent.iter().all(|(sent, reported)| *sent <= at || *sent >= next || *reported == ready));
+            // Reports in flight may be accepted until their timeout, and the ones that follow need as long.
+            let settled = at + 2 * ms(RESPONSE_TIMEOUT) + ms(RETRY_DELAY) + 2 * HEALTHY_CONNECT + 1;
+            let late = simulation.accepted.iter().find(|(accepted, reported)| (settled..next).contains(accepted) && *reported != ready);
             prop_assert!(late.is_none(), "{at} {late:?}");
-            let last = world.taken.iter().rfind(|(taken, _)| *taken < next);
-            prop_assert!(next < settled || last.is_some_and(|(_, said)| *said == ready), "{at} {last:?}");
+            let last = simulation.accepted.iter().rfind(|(accepted, _)| *accepted < next);
+            prop_assert!(next < settled || last.is_some_and(|(_, reported)| *reported == ready), "{at} {last:?}");
         }
-        // The last word may have been a report that was outdated: once it has ended, what holds is sent anew.
-        for (at, ready, sent) in &world.outdated {
-            let next = world.changed.iter().map(|(next, ..)| *next).find(|next| next > at).unwrap_or(END);
-            let promptly = at + ms(AGAIN) + 2 * WELL + 1;
-            let again = world.sent[*sent..].first();
-            prop_assert!(next <= promptly || again.is_some_and(|again| again.0 <= promptly && again.1 == *ready));
+        // An outdated report may have been accepted last: once it has ended, the readiness is sent again.
+        for (at, ready, sent) in &simulation.outdated {
+            let next = simulation.changed.iter().map(|(next, ..)| *next).find(|next| next > at).unwrap_or(END);
+            let deadline = at + ms(RETRY_DELAY) + 2 * HEALTHY_CONNECT + 1;
+            let again = simulation.sent[*sent..].first();
+            prop_assert!(next <= deadline || again.is_some_and(|again| again.0 <= deadline && again.1 == *ready));
         }
     }
 }
--- a/crates/heathspur-server-core/tests/unit/registration_model.rs
+++ b/crates/heathspur-server-core/tests/unit/registration_model.rs
@@ -1,97 +1,98 @@
-//! A model of `src/registration.rs`, which names this file as its module: a service that takes and answers reports of two
-//! connections in any order, dials that come up, fail or stand, connections that end while they are idle or with a
-//! report, and changes of what is to be reported there and back, between steps of the clock of 100 ms.
+//! A model check of `src/registration/mod.rs`, which includes this file as a module: a service that accepts and answers
+//! reports of two connections in any order; connection attempts that succeed, fail or hang; connections that fail
+//! while idle or with a report in flight; readiness that changes, also back again; clock ticks of 100 ms.
 //!
-//! The mutants take out one part each; every one has to be found.
+//! Each mutant breaks one part of the schedule; the model check must find every one.
 
 use super::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const STEP: Duration = Duration::from_millis(100);
-/// Connections that fail, and dials.
-const FAULTS: u8 = 1;
+/// The clock's tick.
+const TICK: Duration = Duration::from_millis(100);
+/// Failures of connections and connection attempts.
+const MAX_FAILURES: u8 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum At {
-    Dial,
+enum Stage {
+    Connecting,
     Idle,
-    Told { said: bool, taken: bool },
+    Reporting { ready: bool, accepted: bool },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     schedule: Schedule,
-    steps: u32,
+    ticks: u32,
     ready: bool,
-    lines: Vec<(Line, At)>,
-    /// What the service holds.
-    entry: Option<bool>,
+    connections: Vec<(ConnectionId, Stage)>,
+    /// The readiness that the service has registered.
+    registered: Option<bool>,
     changes: u8,
-    /// What holds was not sent since it does, or not since a report that said otherwise has ended.
-    owed: bool,
-    /// The older report was taken after the later one.
-    crossed: bool,
-    faults: u8,
+    /// The current readiness was not sent since the change, or since the end of an outdated report.
+    report_pending: bool,
+    /// An older report was accepted after a later one.
+    reordered: bool,
+    failures: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Move {
-    Step,
+enum Step {
+    Tick,
     Change,
-    Up(Line),
-    Fails(Line),
-    Taken(Line),
-    Answered(Line),
+    Connected(ConnectionId),
+    Failed(ConnectionId),
+    Accepted(ConnectionId),
+    Answered(ConnectionId),
     /// Answered, and the connection closed.
-    Closed(Line),
+    AnsweredAndClosed(ConnectionId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// What holds is not told again after an older report.
-    NotAgain,
-    /// A change is told with the next report that is due.
-    NotAtOnce,
-    /// What is to be closed stays.
-    NotClosed,
+    /// The readiness is not reported again after an outdated report.
+    NoRepeat,
+    /// A change is reported with the next report of the interval.
+    DelayedChange,
+    /// Connections to be closed stay open.
+    NoClose,
 }
 
-struct Reports {
+struct RegistrationModel {
     mutant: Mutant,
-    /// Steps of the clock.
-    steps: u32,
-    /// Changes of what is to be reported.
+    /// Ticks of the clock.
+    ticks: u32,
+    /// Changes of the readiness.
     changes: u8,
-    /// Connections also end with a report, or behind its answer.
-    ends: bool,
+    /// Connections also fail with a report in flight, or close after its answer.
+    failures_in_reports: bool,
 }
 
-impl Reports {
-    /// One change, in a time past a period, and past the patience with what was begun then.
-    fn long(mutant: Mutant) -> Reports {
-        Reports {
+impl RegistrationModel {
+    /// One change, over more than an interval and a hedge delay.
+    fn one_change(mutant: Mutant) -> RegistrationModel {
+        RegistrationModel {
             mutant,
-            steps: 12,
+            ticks: 12,
             changes: 1,
-            ends: false,
+            failures_in_reports: false,
         }
     }
 
-    /// There and back, in a time past the patience.
-    fn back(mutant: Mutant) -> Reports {
-        Reports {
+    /// A change and its reversal, over more than the hedge delay.
+    fn reversed_change(mutant: Mutant) -> RegistrationModel {
+        RegistrationModel {
             mutant,
-            steps: 3,
+            ticks: 3,
             changes: 2,
-            ends: true,
+            failures_in_reports: true,
         }
     }
 }
 
 impl World {
     fn now(&self) -> Duration {
-        STEP * self.steps
+        TICK * self.ticks
     }
 
     fn handle(&mut self, event: Event, mutant: Mutant) {
@@ -99,171 +100,187 @@
         self.schedule.handle(now, event);
         while let Some(action) = self.schedule.poll(now) {
             match action {
-                Action::Dial(line) => self.lines.push((line, At::Dial)),
-                Action::Report { line, ready } => {
+                Action::Connect(connection) => {
+                    self.connections.push((connection, Stage::Connecting))
+                }
+                Action::SendReport { connection, ready } => {
                     self.set(
-                        line,
-                        At::Told {
-                            said: ready,
-                            taken: false,
+                        connection,
+                        Stage::Reporting {
+                            ready,
+                            accepted: false,
                         },
                     );
-                    self.owed &= ready != self.ready;
-                    self.schedule.handle(now, Event::Sent(line));
+                    self.report_pending &= ready != self.ready;
+                    self.schedule.handle(now, Event::ReportSent(connection));
                 }
-                Action::Close(_) if mutant == Mutant::NotClosed => {}
-                Action::Close(line) => self.ends(line),
-                Action::Failed(_) => {}
+                Action::Close(_) if mutant == Mutant::NoClose => {}
+                Action::Close(connection) => self.remove(connection),
+                Action::LogFailure(_) => {}
             }
         }
     }
 
-    fn set(&mut self, line: Line, at: At) {
-        self.lines.retain(|(other, _)| *other != line);
-        self.lines.push((line, at));
+    fn set(&mut self, connection: ConnectionId, stage: Stage) {
+        self.connections.retain(|(other, _)| *other != connection);
+        self.connections.push((connection, stage));
     }
 
-    fn at(&self, line: Line) -> Option<&At> {
-        self.lines
+    fn stage(&self, connection: ConnectionId) -> Option<&Stage> {
+        self.connections
             .iter()
-            .find(|(other, _)| *other == line)
-            .map(|(_, at)| at)
+            .find(|(other, _)| *other == connection)
+            .map(|(_, stage)| stage)
     }
 
-    /// A report ends, and its line.
-    fn ends(&mut self, line: Line) {
-        self.owed |= matches!(self.at(line), Some(At::Told { said, .. }) if *said != self.ready);
-        self.lines.retain(|(other, _)| *other != line);
+    /// A connection ends, and with it any report in flight.
+    fn remove(&mut self, connection: ConnectionId) {
+        self.report_pending |= matches!(self.stage(connection), Some(Stage::Reporting { ready, .. }) if *ready != self.ready);
+        self.connections.retain(|(other, _)| *other != connection);
     }
 
-    fn is_told(&self) -> bool {
-        self.lines
+    fn is_reporting(&self) -> bool {
+        self.connections
             .iter()
-            .any(|(_, at)| matches!(at, At::Told { .. }))
+            .any(|(_, stage)| matches!(stage, Stage::Reporting { .. }))
     }
 }
 
-impl Model for Reports {
+impl Model for RegistrationModel {
     type State = World;
-    type Action = Move;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         let mut world = World {
             schedule: Schedule::new(Duration::ZERO),
-            steps: 0,
+            ticks: 0,
             ready: true,
-            lines: Vec::new(),
-            entry: None,
+            connections: Vec::new(),
+            registered: None,
             changes: 0,
-            owed: true,
-            crossed: false,
-            faults: 0,
+            report_pending: true,
+            reordered: false,
+            failures: 0,
         };
         world.handle(Event::Ready(true), self.mutant);
         vec![world]
     }
 
-    fn actions(&self, world: &World, moves: &mut Vec<Move>) {
-        if world.steps < self.steps {
-            moves.push(Move::Step);
+    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+        if world.ticks < self.ticks {
+            steps.push(Step::Tick);
         }
         if world.changes < self.changes {
-            moves.push(Move::Change);
+            steps.push(Step::Change);
         }
-        for (line, at) in &world.lines {
-            match at {
-                At::Dial => moves.push(Move::Up(*line)),
-                At::Told { taken: false, .. } => moves.push(Move::Taken(*line)),
-                At::Told { taken: true, .. } => moves.push(Move::Answered(*line)),
-                At::Idle => {}
+        for (connection, stage) in &world.connections {
+            match stage {
+                Stage::Connecting => steps.push(Step::Connected(*connection)),
+                Stage::Reporting {
+                    accepted: false, ..
+                } => steps.push(Step::Accepted(*connection)),
+                Stage::Reporting { accepted: true, .. } => steps.push(Step::Answered(*connection)),
+                Stage::Idle => {}
             }
-            if self.ends && matches!(at, At::Told { taken: true, .. }) {
-                moves.push(Move::Closed(*line));
+            if self.failures_in_reports && matches!(stage, Stage::Reporting { accepted: true, .. })
+            {
+                steps.push(Step::AnsweredAndClosed(*connection));
             }
-            if world.faults < FAULTS && (self.ends || !matches!(at, At::Told { .. })) {
-                moves.push(Move::Fails(*line));
+            if world.failures < MAX_FAILURES
+                && (self.failures_in_reports || !matches!(stage, Stage::Reporting { .. }))
+            {
+                steps.push(Step::Failed(*connection));
             }
         }
     }
 
-    fn next_state(&self, before: &World, step: Move) -> Option<World> {
+    fn next_state(&self, before: &World, step: Step) -> Option<World> {
         let (mut world, mutant) = (before.clone(), self.mutant);
         match step {
-            Move::Step => {
-                world.steps += 1;
-                // Nothing new is to be reported: only time has passed.
+            Step::Tick => {
+                world.ticks += 1;
+                // No change: only time has passed.
                 let ready = world.schedule.ready?;
                 world.handle(Event::Ready(ready), mutant);
             }
-            Move::Change => {
+            Step::Change => {
                 world.ready = !world.ready;
                 world.changes += 1;
-                world.owed = true;
-                if mutant == Mutant::NotAtOnce {
+                world.report_pending = true;
+                if mutant == Mutant::DelayedChange {
                     world.schedule.ready = Some(world.ready);
                 }
                 world.handle(Event::Ready(world.ready), mutant);
             }
-            Move::Up(line) => {
-                world.set(line, At::Idle);
-                world.handle(Event::Up(line), mutant);
+            Step::Connected(connection) => {
+                world.set(connection, Stage::Idle);
+                world.handle(Event::Connected(connection), mutant);
             }
-            Move::Fails(line) => {
-                world.faults += 1;
-                let idle = world.at(line) == Some(&At::Idle);
-                world.ends(line);
+            Step::Failed(connection) => {
+                world.failures += 1;
+                let idle = world.stage(connection) == Some(&Stage::Idle);
+                world.remove(connection);
                 let event = if idle {
-                    Event::Spent(line)
+                    Event::Closed(connection)
                 } else {
-                    Event::Lost { line, late: false }
+                    Event::Failed {
+                        connection,
+                        timed_out: false,
+                    }
                 };
                 world.handle(event, mutant);
             }
-            Move::Taken(line) => {
-                let Some(At::Told { said, .. }) = world.at(line).cloned() else {
+            Step::Accepted(connection) => {
+                let Some(Stage::Reporting { ready, .. }) = world.stage(connection).cloned() else {
                     return None;
                 };
-                world.crossed |= world.entry == Some(world.ready) && said != world.ready;
-                world.entry = Some(said);
-                let at = world.lines.iter_mut().find(|(other, _)| *other == line)?;
-                at.1 = At::Told { said, taken: true };
+                world.reordered |= world.registered == Some(world.ready) && ready != world.ready;
+                world.registered = Some(ready);
+                let entry = world
+                    .connections
+                    .iter_mut()
+                    .find(|(other, _)| *other == connection)?;
+                entry.1 = Stage::Reporting {
+                    ready,
+                    accepted: true,
+                };
             }
-            Move::Answered(line) => {
-                let Some(At::Told { said, .. }) = world.at(line).cloned() else {
+            Step::Answered(connection) => {
+                let Some(Stage::Reporting { ready, .. }) = world.stage(connection).cloned() else {
                     return None;
                 };
-                world.ends(line);
-                world.lines.push((line, At::Idle));
-                if mutant == Mutant::NotAgain && said != world.ready {
-                    world.schedule.ready = Some(said);
+                world.remove(connection);
+                world.connections.push((connection, Stage::Idle));
+                if mutant == Mutant::NoRepeat && ready != world.ready {
+                    world.schedule.ready = Some(ready);
                     world.schedule.handle(
                         world.now(),
-                        Event::Answered {
-                            line,
+                        Event::ReportAnswered {
+                            connection,
                             status: 204,
-                            open: true,
+                            reusable: true,
                         },
                     );
                     world.schedule.ready = Some(world.ready);
                     world.handle(Event::Ready(world.ready), mutant);
                 } else {
                     world.handle(
-                        Event::Answered {
-                            line,
+                        Event::ReportAnswered {
+                            connection,
                             status: 204,
-                            open: true,
+                            reusable: true,
                         },
                         mutant,
                     );
                 }
             }
-            Move::Closed(line) => {
-                world.ends(line);
+            Step::AnsweredAndClosed(connection) => {
+                world.remove(connection);
                 world.handle(
-                    Event::Answered {
-                        line,
+                    Event::ReportAnswered {
+                        connection,
                         status: 204,
-                        open: false,
+                        reusable: false,
                     },
                     mutant,
                 );
@@ -274,68 +291,79 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("rule: two lines at most", |_, w: &World| {
-                w.lines.len() <= MOST
+            Property::always("rule: two connections at most", |_, w: &World| {
+                w.connections.len() <= MAX_CONNECTIONS
             }),
             Property::always(
-                "rule: what is wrong in the list is being put right",
+                "rule: a wrong registration is being corrected",
                 |_, w: &World| {
-                    // A report is on its way, or one is due as soon as there is a line: after a failure's pause, if any.
-                    let pause = AGAIN * u32::from(w.faults);
-                    w.entry.is_none_or(|entry| entry == w.ready)
-                        || w.is_told()
-                        || w.schedule.due <= w.now() + pause
+                    // A report is in flight, or due as soon as there is a connection, after a failure's retry delay if any.
+                    let retry_delay = RETRY_DELAY * u32::from(w.failures);
+                    w.registered.is_none_or(|registered| registered == w.ready)
+                        || w.is_reporting()
+                        || w.schedule.report_due <= w.now() + retry_delay
                 },
             ),
             Property::always(
-                "rule: what holds is told as soon as there is a line",
+                "rule: a change is reported as soon as there is a connection",
                 |_, w: &World| {
-                    let idle = w.lines.iter().any(|(_, at)| *at == At::Idle);
-                    !w.owed || !idle && w.schedule.due <= w.now()
+                    let idle = w.connections.iter().any(|(_, stage)| *stage == Stage::Idle);
+                    !w.report_pending || !idle && w.schedule.report_due <= w.now()
                 },
             ),
             Property::always(
-                "rule: a line is had for it, or dialled after the pause",
+                "rule: a pending report has a connection, or an attempt after the retry delay",
                 |_, w: &World| {
-                    let under_way =
-                        w.lines.iter().any(|(_, at)| *at == At::Dial) || w.lines.len() == MOST;
-                    !w.owed
-                        || under_way
-                        || w.schedule.wake().is_some_and(|at| at <= w.now() + AGAIN)
+                    let connecting = w
+                        .connections
+                        .iter()
+                        .any(|(_, stage)| *stage == Stage::Connecting)
+                        || w.connections.len() == MAX_CONNECTIONS;
+                    !w.report_pending
+                        || connecting
+                        || w.schedule
+                            .next_wakeup()
+                            .is_some_and(|at| at <= w.now() + RETRY_DELAY)
                 },
             ),
-            Property::sometimes("an older report is taken last", |_, w: &World| w.crossed),
-            Property::sometimes("and is put right", |_, w: &World| {
-                w.crossed && w.entry == Some(w.ready)
+            Property::sometimes("an older report is accepted last", |_, w: &World| {
+                w.reordered
+            }),
+            Property::sometimes("and is corrected", |_, w: &World| {
+                w.reordered && w.registered == Some(w.ready)
             }),
-            Property::sometimes("a second dial", |_, w: &World| {
-                w.lines.iter().filter(|(_, at)| *at == At::Dial).count() == MOST
+            Property::sometimes("a hedged connection attempt", |_, w: &World| {
+                w.connections
+                    .iter()
+                    .filter(|(_, stage)| *stage == Stage::Connecting)
+                    .count()
+                    == MAX_CONNECTIONS
             }),
         ]
     }
 }
 
-fn check(reports: Reports) {
-    let checker = reports.checker().threads(2).spawn_bfs().join();
+fn check(model: RegistrationModel) {
+    let checker = model.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.is_done());
     println!("{} states", checker.unique_state_count());
 }
 
 #[test]
-fn a_change_is_the_last_word_in_every_order_of_events() {
-    check(Reports::long(Mutant::None));
+fn a_change_is_registered_last_in_every_order_of_events() {
+    check(RegistrationModel::one_change(Mutant::None));
 }
 
 #[test]
-fn a_change_there_and_back_is_told_in_every_order_of_events() {
-    check(Reports::back(Mutant::None));
+fn a_reversed_change_is_reported_in_every_order_of_events() {
+    check(RegistrationModel::reversed_change(Mutant::None));
 }
 
 #[test]
 fn each_mutant_is_found() {
-    for mutant in [Mutant::NotAgain, Mutant::NotAtOnce, Mutant::NotClosed] {
-        let checker = Reports::long(mutant)
+    for mutant in [Mutant::NoRepeat, Mutant::DelayedChange, Mutant::NoClose] {
+        let checker = RegistrationModel::one_change(mutant)
             .checker()
             .threads(2)
             .finish_when(HasDiscoveries::AnyFailures);
@@ -345,6 +373,6 @@
             .filter(|name| name.starts_with("rule"))
             .collect();
         println!("{mutant:?}: {rules:?}");
-        assert!(!rules.is_empty(), "{mutant:?} breaks no rule");
+        assert!(!rules.is_empty(), "{mutant:?} violates no rule");
     }
 }
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -5,7 +5,9 @@
 use crate::recording::recorded_stream::Stream;
 use async_io::Timer;
 use futures_lite::{future, AsyncWriteExt};
-use heathspur_server_core::registration::{Action, Event, Failure, Line, Schedule, DIAL};
+use heathspur_server_core::registration::{
+    Action, ConnectionId, Event, Failure, Schedule, CONNECT_TIMEOUT,
+};
 use heathspur_wire::http::{self, Fields, Limits, Reader};
 use std::cell::Cell;
 use std::future::Future;
@@ -53,7 +55,7 @@
         };
         if reporter.address != target.get() {
             reporter.address = target.get();
-            reporter.handle(Event::Moved);
+            reporter.handle(Event::AddressChanged);
         }
         reporter.handle(Event::Ready(ready));
         reporter.act();
@@ -118,7 +120,7 @@
     /// The schedule's time is what passed since then.
     start: Instant,
     /// In the order that they came to their step.
-    lines: Vec<(Line, Step)>,
+    lines: Vec<(ConnectionId, Step)>,
     /// The fault that the schedule was told of last.
     fault: Option<io::Error>,
 }
@@ -146,53 +148,56 @@
         let now = self.start.elapsed();
         while let Some(action) = self.schedule.poll(now) {
             match action {
-                Action::Dial(line) => {
-                    let dial = Box::pin(connection::connect(self.address, DIAL, None));
+                Action::Connect(line) => {
+                    let dial = Box::pin(connection::connect(self.address, CONNECT_TIMEOUT, None));
                     self.lines.push((line, Step::Dial(dial)));
                 }
-                Action::Report { line, ready } => {
+                Action::SendReport {
+                    connection: line,
+                    ready,
+                } => {
                     let event = self.send(line, ready);
                     self.schedule.handle(now, event);
                 }
                 Action::Close(line) => drop(self.remove(line)),
-                Action::Failed(why) => self.warn(why),
+                Action::LogFailure(why) => self.warn(why),
             }
         }
     }
 
-    fn remove(&mut self, line: Line) -> Option<Step> {
+    fn remove(&mut self, line: ConnectionId) -> Option<Step> {
         let at = self.lines.iter().position(|(other, _)| *other == line)?;
         Some(self.lines.remove(at).1)
     }
 
-    fn send(&mut self, line: Line, ready: bool) -> Event {
+    fn send(&mut self, line: ConnectionId, ready: bool) -> Event {
         match self.remove(line) {
             // An answer that comes before the report is none to it.
             Some(Step::Idle(stream)) if connection::is_quiet(&stream) => {
                 let answer = Box::pin(exchange(stream, self.report(ready)));
                 self.lines.push((line, Step::Told(answer)));
-                Event::Sent(line)
+                Event::ReportSent(line)
             }
-            _ => Event::Spent(line),
+            _ => Event::Closed(line),
         }
     }
 
     fn warn(&mut self, why: Failure) {
         let e = match why {
-            Failure::Late => io::ErrorKind::TimedOut.into(),
-            Failure::Lost => self
+            Failure::TimedOut => io::ErrorKind::TimedOut.into(),
+            Failure::ConnectionFailed => self
                 .fault
                 .take()
                 .unwrap_or_else(|| io::ErrorKind::Other.into()),
-            Failure::Spent => io::ErrorKind::UnexpectedEof.into(),
-            Failure::Status(status) => io::Error::other(format!("status {status}")),
+            Failure::ConnectionClosed => io::ErrorKind::UnexpectedEof.into(),
+            Failure::UnexpectedStatus(status) => io::Error::other(format!("status {status}")),
         };
         warn!(error = %e, "the announce service did not take a report: {e}");
     }
 
     /// When there is something to do again.
     fn next_time(&self) -> Option<Instant> {
-        self.schedule.wake().map(|at| self.start + at)
+        self.schedule.next_wakeup().map(|at| self.start + at)
     }
 
     /// Waits until a step has ended.
@@ -214,19 +219,26 @@
         let event = match ended {
             Ended::Up(Ok(stream)) => {
                 self.lines.push((line, Step::Idle(stream)));
-                Event::Up(line)
+                Event::Connected(line)
             }
             Ended::Answered(Ok((status, stream))) => {
                 let open = stream.is_some();
                 self.lines
                     .extend(stream.map(|stream| (line, Step::Idle(stream))));
-                Event::Answered { line, status, open }
+                Event::ReportAnswered {
+                    connection: line,
+                    status,
+                    reusable: open,
+                }
             }
-            Ended::Spent => Event::Spent(line),
+            Ended::Spent => Event::Closed(line),
             Ended::Up(Err(e)) | Ended::Answered(Err(e)) => {
                 let late = e.kind() == io::ErrorKind::TimedOut;
                 self.fault = Some(e);
-                Event::Lost { line, late }
+                Event::Failed {
+                    connection: line,
+                    timed_out: late,
+                }
             }
         };
         self.handle(event);
