--- a/crates/heathspur-server-core/src/connection_permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -1,181 +1,220 @@
-//! The permits of connections from balancers: how many there may be, and which connection leaves when another needs
-//! its permit.
+//! The permits of connections from load balancers: how many connections there may be, and which one is evicted when
+//! another needs its permit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Permits kept free for those that come next.
-const FREE: usize = 16;
-/// A new peer that said nothing whole after this is not spared any more: a first request follows its connection at once,
-/// in one piece or two.
-const FIRST: Duration = Duration::from_millis(250);
+/// Permits kept free for new connections.
+const MAX_RESERVED_PERMITS: usize = 16;
+/// At most this part of all permits is reserved: a quarter.
+const RESERVED_PART: usize = 4;
+/// A new connection without a whole request after this time loses its protection from eviction: a first request
+/// immediately follows its connection, in one segment or two.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a connection was doing when it was asked to leave.
+/// What a connection was doing when it was evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// It rested. What has come since is a reason to stay.
+pub enum ConnectionPhase {
+    /// It was idle. A request that has arrived since is a reason to stay.
     Idle,
-    /// A part of a request was there.
-    Begun,
-    /// It was about to end.
+    /// A part of a request had arrived.
+    ReadingRequest,
+    /// It was lingering before its close.
     Lingering,
 }
 
-/// All permits, with what `T` tells a connection to leave. Connections that wait for a request of their peer are idle;
-/// only these and those that linger are asked.
+/// A connection to evict.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Eviction<T> {
+    /// The handle passed with the connection.
+    pub handle: T,
+    /// What the connection was doing.
+    pub phase: ConnectionPhase,
+}
+
+/// All permits, and the connections that can be evicted, each with a handle `T` to notify it. Only connections that
+/// wait for a request (idle) or linger before their close can be evicted.
 #[derive(Debug)]
 pub struct Permits<T> {
-    open: usize,
-    most: usize,
-    next: u64,
-    /// By when they became idle, the longest first.
-    idle: BTreeMap<u64, Idle<T>>,
-    /// Those that have shut their side and read off what still comes, the longest first. They end by themselves.
+    acquired: usize,
+    limit: usize,
+    next_token: u64,
+    /// The token grows with the time at which the connection became idle: the longest idle is first.
+    idle: BTreeMap<u64, IdleConnection<T>>,
+    /// Connections that shut down their write side and drain what still arrives; the longest lingering is first. They
+    /// end by themselves.
     lingering: BTreeMap<u64, T>,
 }
 
 #[derive(Debug)]
-struct Idle<T> {
-    /// A whole request came before.
-    heard: bool,
-    /// A part of a request has come.
-    begun: bool,
+struct IdleConnection<T> {
+    /// A whole request arrived earlier.
+    served_request: bool,
+    /// A part of a request has arrived.
+    reading_request: bool,
     since: Duration,
-    leave: T,
+    handle: T,
+}
+
+/// The order in which idle connections are evicted.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionOrder {
+    /// Nothing arrived before the first request's timeout.
+    SilentPastTimeout,
+    /// Only a part of a request arrived before the first request's timeout.
+    SlowPastTimeout,
+    /// Between requests, or new.
+    Idle,
+    /// In the middle of a request: evicted only if no permit is left.
+    ReadingRequest,
 }
 
-impl<T> Idle<T> {
-    /// Who leaves first: who said nothing for long, then who is slow to say it for the first time, then who rests between
-    /// requests or has just come. The last ones are in the midst of a request, and leave only where no permit is left.
-    fn rank(&self, now: Duration) -> u8 {
-        let slow = !self.heard && now.saturating_sub(self.since) >= FIRST;
-        match (slow, self.begun) {
-            (true, false) => 0,
-            (true, true) => 1,
-            (false, false) => 2,
-            (false, true) => 3,
+impl<T> IdleConnection<T> {
+    fn eviction_order(&self, now: Duration) -> EvictionOrder {
+        let waiting = now.saturating_sub(self.since);
+        let past_timeout = !self.served_request && waiting >= FIRST_REQUEST_TIMEOUT;
+        match (past_timeout, self.reading_request) {
+            (true, false) => EvictionOrder::SilentPastTimeout,
+            (true, true) => EvictionOrder::SlowPastTimeout,
+            (false, false) => EvictionOrder::Idle,
+            (false, true) => EvictionOrder::ReadingRequest,
+        }
+    }
+
+    fn into_eviction(self) -> Eviction<T> {
+        let phase = if self.reading_request {
+            ConnectionPhase::ReadingRequest
+        } else {
+            ConnectionPhase::Idle
+        };
+        Eviction {
+            handle: self.handle,
+            phase,
         }
     }
 }
 
 impl<T> Permits<T> {
-    /// So many, at least one.
-    pub fn new(most: usize) -> Permits<T> {
+    /// Creates so many permits, at least one.
+    pub fn new(limit: usize) -> Permits<T> {
         Permits {
-            open: 0,
-            most: most.max(1),
-            next: 0,
+            acquired: 0,
+            limit: limit.max(1),
+            next_token: 0,
             idle: BTreeMap::new(),
             lingering: BTreeMap::new(),
         }
     }
 
-    /// Connections that hold a permit.
-    pub fn open(&self) -> usize {
-        self.open
+    /// The number of permits in use.
+    pub fn acquired(&self) -> usize {
+        self.acquired
     }
 
-    /// Takes a permit if one is left.
-    pub fn take(&mut self) -> bool {
-        let left = self.open < self.most;
-        self.open += usize::from(left);
-        left
+    /// Acquires a permit if one is free.
+    pub fn try_acquire(&mut self) -> bool {
+        let is_free = self.acquired < self.limit;
+        self.acquired += usize::from(is_free);
+        is_free
     }
 
-    /// Gives one back that was taken.
-    pub fn give_back(&mut self) {
-        self.open = self.open.saturating_sub(1);
+    /// Releases an acquired permit.
+    pub fn release(&mut self) {
+        self.acquired = self.acquired.saturating_sub(1);
     }
 
-    /// A connection becomes idle, after a whole request or as a new one; its number until it is idle no more.
-    pub fn idle(&mut self, now: Duration, heard: bool, leave: T) -> u64 {
-        let number = self.number();
+    /// Registers a connection as idle, after a whole request or as a new one. Returns its token while it is idle.
+    pub fn mark_idle(&mut self, now: Duration, served_request: bool, handle: T) -> u64 {
+        let token = self.allocate_token();
         self.idle.insert(
-            number,
-            Idle {
-                heard,
-                begun: false,
+            token,
+            IdleConnection {
+                served_request,
+                reading_request: false,
                 since: now,
-                leave,
+                handle,
             },
         );
-        number
+        token
     }
 
-    /// A part of a request has come on the idle connection of that number.
-    pub fn begun(&mut self, number: u64) {
-        if let Some(idle) = self.idle.get_mut(&number) {
-            idle.begun = true;
+    /// Records that a part of a request has arrived on the idle connection.
+    pub fn mark_reading(&mut self, token: u64) {
+        if let Some(connection) = self.idle.get_mut(&token) {
+            connection.reading_request = true;
         }
     }
 
-    /// It is idle no more, or was asked to leave already.
-    pub fn busy(&mut self, number: u64) {
-        self.idle.remove(&number);
+    /// Removes a connection that is no longer idle; no effect if it was evicted already.
+    pub fn remove_idle(&mut self, token: u64) {
+        self.idle.remove(&token);
     }
 
-    /// A connection is about to end; its number until it has.
-    pub fn linger(&mut self, leave: T) -> u64 {
-        let number = self.number();
-        self.lingering.insert(number, leave);
-        number
+    /// Registers a connection as lingering before its close. Returns its token until it has ended.
+    pub fn mark_lingering(&mut self, handle: T) -> u64 {
+        let token = self.allocate_token();
+        self.lingering.insert(token, handle);
+        token
     }
 
-    /// It has ended, or was asked to already.
-    pub fn lingered(&mut self, number: u64) {
-        self.lingering.remove(&number);
+    /// Removes a lingering connection that has ended; no effect if it was evicted already.
+    pub fn remove_lingering(&mut self, token: u64) {
+        self.lingering.remove(&token);
     }
 
-    /// Whether few permits are free.
+    /// Whether fewer permits are free than are reserved for new connections.
     pub fn is_scarce(&self) -> bool {
-        self.most - self.open < self.reserve()
+        self.free() < self.reserve()
     }
 
-    fn reserve(&self) -> usize {
-        FREE.min(self.most / 4)
-    }
-
-    /// Who is to be asked to leave, in this order, where few permits are free or about to be: one that lingers where
-    /// none is free, and one that is idle. Who is given here is not given again.
-    pub fn make_room(&mut self, now: Duration) -> [Option<(T, Asked)>; 2] {
-        let free = self.most - self.open;
-        let mut lingering = None;
-        if free == 0 {
-            lingering = self
-                .lingering
-                .pop_first()
-                .map(|(_, leave)| (leave, Asked::Lingering));
-        }
-        let leaving = self.lingering.len();
-        if free + leaving >= self.reserve() {
+    /// Selects the connections to evict, in order, if permits are scarce or about to be: a lingering one if no permit is
+    /// free, and an idle one. A connection is selected once only.
+    pub fn evict(&mut self, now: Duration) -> [Option<Eviction<T>>; 2] {
+        let lingering = if self.free() == 0 {
+            self.evict_lingering()
+        } else {
+            None
+        };
+        let soon_free = self.free() + self.lingering.len();
+        if soon_free >= self.reserve() {
             return [lingering, None];
         }
-        [lingering, self.ask_one(now, free + leaving == 0)]
+        [lingering, self.evict_idle(now, soon_free == 0)]
+    }
+
+    fn free(&self) -> usize {
+        self.limit - self.acquired
+    }
+
+    fn reserve(&self) -> usize {
+        MAX_RESERVED_PERMITS.min(self.limit / RESERVED_PART)
+    }
+
+    fn evict_lingering(&mut self) -> Option<Eviction<T>> {
+        let (_, handle) = self.lingering.pop_first()?;
+        Some(Eviction {
+            handle,
+            phase: ConnectionPhase::Lingering,
+        })
     }
 
-    /// The first in rank is to leave; one in the midst of a request only if it has to be.
-    fn ask_one(&mut self, now: Duration, must: bool) -> Option<(T, Asked)> {
-        let first = self
+    /// Evicts the first idle connection in eviction order; one in the middle of a request only if `must_evict`.
+    fn evict_idle(&mut self, now: Duration, must_evict: bool) -> Option<Eviction<T>> {
+        let (order, token) = self
             .idle
             .iter()
-            .map(|(&number, idle)| (idle.rank(now), number))
-            .min();
-        let (_, number) = first.filter(|&(rank, _)| rank < 3 || must)?;
-        let leaver = self.idle.remove(&number)?;
-        Some((
-            leaver.leave,
-            if leaver.begun {
-                Asked::Begun
-            } else {
-                Asked::Idle
-            },
-        ))
+            .map(|(&token, connection)| (connection.eviction_order(now), token))
+            .min()?;
+        if order == EvictionOrder::ReadingRequest && !must_evict {
+            return None;
+        }
+        self.idle.remove(&token).map(IdleConnection::into_eviction)
     }
 
-    fn number(&mut self) -> u64 {
-        let number = self.next;
-        self.next += 1;
-        number
+    fn allocate_token(&mut self) -> u64 {
+        let token = self.next_token;
+        self.next_token += 1;
+        token
     }
 }
 
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -4,13 +4,13 @@
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use heathspur_server_core::connection_permits::Permits;
+use heathspur_server_core::connection_permits::{Eviction, Permits};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Instant;
 
-pub(crate) use heathspur_server_core::connection_permits::Asked;
+pub(crate) use heathspur_server_core::connection_permits::ConnectionPhase as Asked;
 
 /// All connections. Who leaves for whom is decided by the permits.
 pub(crate) struct Pool {
@@ -38,7 +38,7 @@
     }
 
     pub fn open(&self) -> usize {
-        self.permits.borrow().open()
+        self.permits.borrow().acquired()
     }
 
     /// Whether few permits are free.
@@ -48,8 +48,12 @@
 
     /// Asks one connection to leave where few permits are free or about to be.
     pub fn make_room(&self) {
-        let asked = self.permits.borrow_mut().make_room(self.start.elapsed());
-        for (leave, asked) in asked.into_iter().flatten() {
+        let asked = self.permits.borrow_mut().evict(self.start.elapsed());
+        for Eviction {
+            handle: leave,
+            phase: asked,
+        } in asked.into_iter().flatten()
+        {
             // A full channel says so already.
             let _ = leave.try_send(asked);
         }
@@ -73,7 +77,7 @@
 
 impl Permit {
     pub fn take(pool: &Rc<Pool>) -> Option<Permit> {
-        pool.permits.borrow_mut().take().then(|| {
+        pool.permits.borrow_mut().try_acquire().then(|| {
             let (leave, told) = async_channel::bounded(1);
             Permit {
                 pool: pool.clone(),
@@ -96,28 +100,35 @@
 
     /// A part of a request has come while it was idle.
     pub fn begun(&self) {
-        self.pool.permits.borrow_mut().begun(self.number.get());
+        self.pool
+            .permits
+            .borrow_mut()
+            .mark_reading(self.number.get());
     }
 
     /// Does what may be broken off when the permit is needed; the error says that it was.
     pub async fn idle<T>(&self, work: impl Future<Output = T>) -> Result<T, Asked> {
         let now = self.pool.start.elapsed();
-        let number = self
-            .pool
-            .permits
-            .borrow_mut()
-            .idle(now, self.heard.get(), self.leave.clone());
+        let number =
+            self.pool
+                .permits
+                .borrow_mut()
+                .mark_idle(now, self.heard.get(), self.leave.clone());
         self.number.set(number);
-        let _entry = Entry(&self.pool.permits, Permits::busy, number);
+        let _entry = Entry(&self.pool.permits, Permits::remove_idle, number);
         self.unless_told(work).await
     }
 
     /// Does the last thing that it does, which counts as an end that is near; broken off where nothing else is left.
     pub async fn linger(&self, work: impl Future<Output = ()>) {
-        let number = self.pool.permits.borrow_mut().linger(self.leave.clone());
+        let number = self
+            .pool
+            .permits
+            .borrow_mut()
+            .mark_lingering(self.leave.clone());
         // Whoever waits for a permit may take this one.
         self.pool.freed.notify();
-        let _entry = Entry(&self.pool.permits, Permits::lingered, number);
+        let _entry = Entry(&self.pool.permits, Permits::remove_lingering, number);
         // It ends either way.
         let _ = self.unless_told(work).await;
     }
@@ -148,7 +159,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.pool.permits.borrow_mut().give_back();
+        self.pool.permits.borrow_mut().release();
         self.pool.freed.notify();
         if let Some(closed) = &*self.pool.closed.borrow() {
             let _ = closed.try_send(());
--- a/crates/heathspurd/tests/unit/connection_pool.rs
+++ b/crates/heathspurd/tests/unit/connection_pool.rs
@@ -29,7 +29,10 @@
     assert!(polled(fresh.as_mut()).is_pending());
     busy.push(Permit::take(&pool).unwrap());
     pool.make_room();
-    assert_eq!(polled(fresh.as_mut()), Poll::Ready(Err(Asked::Begun)));
+    assert_eq!(
+        polled(fresh.as_mut()),
+        Poll::Ready(Err(Asked::ReadingRequest))
+    );
 }
 
 #[test]
