--- a/crates/heathspur-server-core/tests/unit/reload.rs
+++ b/crates/heathspur-server-core/tests/unit/reload.rs
@@ -1,34 +1,34 @@
-//! Tests of `src/reload.rs`, which names this file as its module of tests. `heathspurd`'s tests of its configuration
-//! hold it to the files' fields.
+//! Tests of `src/reload.rs`, which includes this file as its test module. `heathspurd`'s tests of its configuration
+//! check the fields against a configuration file.
 
 use super::*;
 use heathspur::{Class, Idempotency, Span};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// A configuration of few values, so that two are often alike in a field.
+/// A configuration with few possible values, so that two often agree in a field.
 #[derive(Clone, Debug)]
-struct Few {
+struct SmallConfig {
     name: &'static str,
     listen: SocketAddr,
     store: Option<SocketAddr>,
-    stop: Duration,
-    memory: usize,
-    sockets: usize,
+    stop_timeout: Duration,
+    memory_bytes: usize,
+    file_descriptors: usize,
     settings: Settings,
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
-impl Few {
-    fn view(&self) -> View<'_> {
-        View {
+impl SmallConfig {
+    fn view(&self) -> ConfigView<'_> {
+        ConfigView {
             name: self.name,
             listen: self.listen,
             store: self.store,
-            stop: self.stop,
-            memory: self.memory,
-            sockets: self.sockets,
+            stop_timeout: self.stop_timeout,
+            memory_bytes: self.memory_bytes,
+            file_descriptors: self.file_descriptors,
             settings: &self.settings,
             classes: &self.classes,
             tenants: &self.tenants,
@@ -40,42 +40,42 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn class_of(effect: Idempotency, window: u64, worth: u8) -> Class {
+fn class_with(idempotency: Idempotency, dedup_window_us: u64, priority_weight: u8) -> Class {
     Class {
         latency_objective: Span(1),
         latency_objective_per_work: 0.0,
         client_timeout: Span(2),
-        priority_weight: f64::from(worth),
+        priority_weight: f64::from(priority_weight),
         late_weight: 0.0,
-        idempotency: effect,
-        dedup_window: Span(window),
+        idempotency,
+        dedup_window: Span(dedup_window_us),
         may_call: false,
         degraded_weight: 0.0,
     }
 }
 
-/// Each field is nearly always what most have, so that one that differs alone is often seen.
-fn rarely<T: Clone + std::fmt::Debug + 'static>(often: T, else_: T) -> impl Strategy<Value = T> {
-    prop_oneof![14 => Just(often), 1 => Just(else_)]
+/// Mostly the usual value, so that configurations often differ in one field only.
+fn mostly<T: Clone + std::fmt::Debug + 'static>(usual: T, unusual: T) -> impl Strategy<Value = T> {
+    prop_oneof![14 => Just(usual), 1 => Just(unusual)]
 }
 
-fn few() -> impl Strategy<Value = Few> {
+fn any_config() -> impl Strategy<Value = SmallConfig> {
     let class = || {
         (
-            rarely("a", "b"),
-            rarely(Idempotency::Keyed, Idempotency::NonIdempotent),
-            rarely(1_000, 2_000),
-            rarely(1, 2),
+            mostly("a", "b"),
+            mostly(Idempotency::Keyed, Idempotency::NonIdempotent),
+            mostly(1_000, 2_000),
+            mostly(1, 2),
         )
     };
-    let classes = rarely(2usize, 1).prop_flat_map(move |n| prop::collection::vec(class(), n));
-    let tenants = rarely(2usize, 0).prop_flat_map(|n| prop::collection::vec(rarely("t", "u"), n));
+    let classes = mostly(2usize, 1).prop_flat_map(move |n| prop::collection::vec(class(), n));
+    let tenants = mostly(2usize, 0).prop_flat_map(|n| prop::collection::vec(mostly("t", "u"), n));
     let store = prop_oneof![7 => Just(Some(1)), 7 => Just(Some(2)), 1 => Just(None)];
-    let own = (rarely("n1", "n2"), rarely(1u16, 2), store, classes, tenants);
+    let own = (mostly("n1", "n2"), mostly(1u16, 2), store, classes, tenants);
     let start = (
-        rarely(1u64, 2),
-        rarely(1usize, 2),
-        rarely(1usize, 2),
+        mostly(1u64, 2),
+        mostly(1usize, 2),
+        mostly(1usize, 2),
         0..3u64,
         0..3u64,
         any::<bool>(),
@@ -83,18 +83,20 @@
     (own, start).prop_map(
         |(
             (name, listen, store, classes, tenants),
-            (stop, memory, sockets, servers, callers, cold),
-        )| Few {
+            (stop, memory_bytes, file_descriptors, servers, callers, cold),
+        )| SmallConfig {
             name,
             listen: address(listen),
             store: store.map(address),
-            stop: Duration::from_secs(stop),
-            memory,
-            sockets,
+            stop_timeout: Duration::from_secs(stop),
+            memory_bytes,
+            file_descriptors,
             settings: Settings {
                 classes: classes
                     .iter()
-                    .map(|(_, e, window, worth)| class_of(*e, *window, *worth))
+                    .map(|(_, idempotency, window, weight)| {
+                        class_with(*idempotency, *window, *weight)
+                    })
                     .collect(),
                 servers,
                 callers,
@@ -107,18 +109,23 @@
     )
 }
 
-/// All that is a server's own, by field, as a table.
-fn identity(few: &Few) -> Vec<(String, String)> {
+/// The fields that identify a server, with their values.
+fn identity(config: &SmallConfig) -> Vec<(String, String)> {
     let mut fields = vec![
-        ("name".to_string(), few.name.to_string()),
-        ("listen".to_string(), few.listen.to_string()),
-        ("store".to_string(), few.store.is_some().to_string()),
+        ("name".to_string(), config.name.to_string()),
+        ("listen".to_string(), config.listen.to_string()),
+        ("store".to_string(), config.store.is_some().to_string()),
         (
             "settings.services".to_string(),
-            few.classes.len().to_string(),
+            config.classes.len().to_string(),
         ),
     ];
-    for (i, (name, class)) in few.classes.iter().zip(&few.settings.classes).enumerate() {
+    for (i, (name, class)) in config
+        .classes
+        .iter()
+        .zip(&config.settings.classes)
+        .enumerate()
+    {
         fields.push((format!("settings.services[{i}].name"), name.clone()));
         fields.push((
             format!("settings.services[{i}].effect"),
@@ -129,8 +136,11 @@
             class.dedup_window.0.to_string(),
         ));
     }
-    fields.push(("settings.realms".to_string(), few.tenants.len().to_string()));
-    let realms = few.tenants.iter().enumerate();
+    fields.push((
+        "settings.realms".to_string(),
+        config.tenants.len().to_string(),
+    ));
+    let realms = config.tenants.iter().enumerate();
     fields.extend(realms.map(|(i, name)| (format!("settings.realms[{i}].name"), name.clone())));
     fields
 }
@@ -144,21 +154,21 @@
     })]
 
     #[test]
-    fn a_configuration_is_foreign_by_the_first_field_of_its_identity_that_differs(own in few(), other in few()) {
+    fn a_foreign_configuration_is_reported_by_its_first_differing_identity_field(own in any_config(), other in any_config()) {
         let fields = identity(&own).into_iter().zip(identity(&other));
         let first = fields.filter(|(own, other)| own != other).map(|(own, _)| own.0).next();
-        let found = check_own(&own.view(), &other.view()).err().map(|foreign| foreign.field);
+        let found = check_identity(&own.view(), &other.view()).err().map(|error| error.field);
         prop_assert_eq!(found, first);
-        prop_assert_eq!(check_own(&own.view(), &own.view()), Ok(()));
+        prop_assert_eq!(check_identity(&own.view(), &own.view()), Ok(()));
     }
 
     #[test]
-    fn all_else_that_holds_from_the_start_is_told_and_what_a_start_changes_is_not(own in few(), other in few()) {
+    fn fields_that_need_a_restart_are_listed_and_start_state_is_ignored(own in any_config(), other in any_config()) {
         let mut expected = Vec::new();
-        expected.extend((own.stop != other.stop).then_some("stop_ms"));
-        expected.extend((own.memory != other.memory).then_some("limits.memory_mb"));
-        expected.extend((own.sockets != other.sockets).then_some("limits.sockets"));
+        expected.extend((own.stop_timeout != other.stop_timeout).then_some("stop_ms"));
+        expected.extend((own.memory_bytes != other.memory_bytes).then_some("limits.memory_mb"));
+        expected.extend((own.file_descriptors != other.file_descriptors).then_some("limits.sockets"));
         expected.extend((own.settings.classes != other.settings.classes).then_some("settings"));
-        prop_assert_eq!(differs(&own.view(), &other.view()), expected);
+        prop_assert_eq!(restart_required_fields(&own.view(), &other.view()), expected);
     }
 }
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file: where the server listens, whom it talks to, its limits and its settings.
 
 use heathspur::Settings;
-use heathspur_server_core::reload::{self, Foreign, View};
+use heathspur_server_core::reload::{self, ConfigView, ForeignConfigError};
 use heathspur_settings::{Facts, Names};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
@@ -107,9 +107,12 @@
     /// customer whose classes and tenants have the same names and whose keys hold in the same way. All else
     /// may change while the server stays the same one.
     pub fn check_own(&self, other: Config) -> Result<Config, Fault> {
-        match reload::check_own(&self.view(), &other.view()) {
+        match reload::check_identity(&self.view(), &other.view()) {
             Ok(()) => Ok(other),
-            Err(Foreign { field, what }) => Err(Fault::Wrong {
+            Err(ForeignConfigError {
+                field,
+                reason: what,
+            }) => Err(Fault::Wrong {
                 file: other.file.unwrap_or_default(),
                 field,
                 what,
@@ -117,14 +120,14 @@
         }
     }
 
-    fn view(&self) -> View<'_> {
-        View {
+    fn view(&self) -> ConfigView<'_> {
+        ConfigView {
             name: &self.name,
             listen: self.listen,
             store: self.store,
-            stop: self.stop,
-            memory: self.memory,
-            sockets: self.sockets,
+            stop_timeout: self.stop,
+            memory_bytes: self.memory,
+            file_descriptors: self.sockets,
             settings: &self.settings,
             classes: &self.names.classes,
             tenants: &self.names.tenants,
@@ -134,7 +137,7 @@
     /// The fields that hold from the start on and in which a later one of this server's differs. The seed is new
     /// with each start, and so is what the settings say of that moment.
     pub fn differs(&self, other: &Config) -> Vec<&'static str> {
-        reload::differs(&self.view(), &other.view())
+        reload::restart_required_fields(&self.view(), &other.view())
     }
 
     /// Reads a file.
