--- a/crates/heathspur-settings/tests/read.rs
+++ b/crates/heathspur-settings/tests/read.rs
@@ -1,10 +1,10 @@
-//! The settings object, as the wire's page shows it, in the module's terms.
+//! Reading the settings object of the wire's page into the admission controller's settings.
 
 use heathspur::*;
-use heathspur_settings::{read, Facts};
+use heathspur_settings::{ServerSettings, WireNames, WireSettings};
 use serde_json::{json, Value};
 
-fn facts() -> Value {
+fn wire_settings() -> Value {
     json!({
         "services": [
             {"name": "card-check", "effect": "read_like", "gain": 1.0, "give-up-s": 5.9, "slo-s": 2.3,
@@ -27,13 +27,15 @@
     })
 }
 
-fn parsed(value: Value) -> (Settings, heathspur_settings::Names) {
-    read(serde_json::from_value::<Facts>(value).unwrap())
+fn read(value: Value) -> (Settings, WireNames) {
+    let wire: WireSettings = serde_json::from_value(value).unwrap();
+    let settings = ServerSettings::from(wire);
+    (settings.admission, settings.names)
 }
 
 #[test]
-fn each_part_reaches_its_place() {
-    let (s, names) = parsed(facts());
+fn every_field_is_read() {
+    let (s, names) = read(wire_settings());
     let effects: Vec<_> = s.classes.iter().map(|c| c.idempotency).collect();
     assert_eq!(
         effects,
@@ -94,22 +96,27 @@
         (names.classes[2].as_str(), names.tenants[0].as_str()),
         ("wire-out", "baltic-fleet")
     );
-    assert!(names.cancel_seen);
+    assert!(names.reports_cancellation);
 }
 
 #[test]
-fn gauges_are_known_by_their_place_in_the_settings() {
-    let (_, names) = parsed(facts());
-    let read = names.meters.read(&[40.0, 0.5]);
+fn gauges_are_read_by_their_position_in_the_settings() {
+    let (_, names) = read(wire_settings());
+    let gauges = names.gauges.read(&[40.0, 0.5]);
     assert_eq!(
-        (read.connections, read.cpu, read.runnable, read.memory),
+        (
+            gauges.connections,
+            gauges.cpu,
+            gauges.runnable,
+            gauges.memory
+        ),
         (Some(40.0), Some(0.5), None, None)
     );
 }
 
 #[test]
-fn what_is_absent_is_off() {
-    let mut bare = facts();
+fn absent_fields_are_off() {
+    let mut bare = wire_settings();
     for field in [
         "realms",
         "caps",
@@ -121,8 +128,8 @@
         bare.as_object_mut().unwrap().remove(field);
     }
     bare["family-info"] = json!({"n-cores": 1, "mem-limit-kb": 10.0});
-    let (s, names) = parsed(bare);
-    assert!(s.tenants.is_empty() && !names.cancel_seen);
+    let (s, names) = read(bare);
+    assert!(s.tenants.is_empty() && !names.reports_cancellation);
     assert_eq!(
         (s.preemption, s.dependency, s.load_signal),
         (Preemption::None, Dependency::None, LoadSignal::None)
--- a/crates/heathspur-simulator-adapter/src/lib.rs
+++ b/crates/heathspur-simulator-adapter/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod wire;
 
 use heathspur::{Action, AdmissionController, Event, RequestId, Span, Time, Token};
-use heathspur_settings::Names;
+use heathspur_settings::{ServerSettings, WireNames};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::{self, BufRead, Write};
@@ -52,7 +52,7 @@
 
 struct Instance {
     server: AdmissionController,
-    names: Names,
+    names: WireNames,
     events: Vec<Event>,
     touched: bool,
 }
@@ -96,8 +96,8 @@
                 now = None;
             }
             (In::Enlist(start), Some(_)) => {
-                let (settings, names) = heathspur_settings::read(start.facts);
-                let server = AdmissionController::new(settings, start.init_seed);
+                let ServerSettings { admission, names } = start.facts.into();
+                let server = AdmissionController::new(admission, start.init_seed);
                 let fresh = Instance {
                     server,
                     names,
@@ -181,7 +181,7 @@
                 m.server_id,
                 known.map(|i| Event::Timer {
                     token,
-                    gauges: i.names.meters.read(&m.gauge),
+                    gauges: i.names.gauges.read(&m.gauge),
                 }),
             )
         }
--- a/crates/heathspur-simulator-adapter/src/wire.rs
+++ b/crates/heathspur-simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's words: lines of JSON in, lines of JSON out. Translates and decides nothing.
 
 use heathspur::*;
-use heathspur_settings::{Facts, Names};
+use heathspur_settings::{WireNames, WireSettings};
 use serde::{Deserialize, Serialize};
 
 /// One line from the simulator.
@@ -110,11 +110,11 @@
 pub struct Enlist {
     pub server_id: u64,
     pub init_seed: u64,
-    pub facts: Facts,
+    pub facts: WireSettings,
 }
 
 /// A request in the decisions' terms; the error says what the settings do not name.
-pub fn request(d: Demand, names: &Names) -> Result<Request, String> {
+pub fn request(d: Demand, names: &WireNames) -> Result<Request, String> {
     let class = names
         .classes
         .iter()
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -2,7 +2,7 @@
 
 use heathspur::Settings;
 use heathspur_server_core::reload::{self, ConfigView, ForeignConfigError};
-use heathspur_settings::{Facts, Names};
+use heathspur_settings::{ServerSettings, WireNames, WireSettings};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     /// The settings in the module's terms.
     pub settings: Settings,
     /// The words of the wire that the settings give.
-    pub names: Names,
+    pub names: WireNames,
 }
 
 /// Why the configuration can't be used.
@@ -83,7 +83,7 @@
     seed: u64,
     stop_ms: u64,
     limits: Limits,
-    settings: Facts,
+    settings: WireSettings,
 }
 
 #[derive(Deserialize)]
@@ -162,7 +162,10 @@
         let file: File = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| (e.path().to_string(), e.inner().to_string()))?;
         json.end().map_err(|e| (".".to_string(), e.to_string()))?;
-        let (settings, names) = heathspur_settings::read(file.settings);
+        let ServerSettings {
+            admission: settings,
+            names,
+        } = file.settings.into();
         Ok(Config {
             file: None,
             name: file.name,
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -55,7 +55,7 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        if entry.reply.take().is_none() || !self.desk.names.cancel_seen {
+        if entry.reply.take().is_none() || !self.desk.names.reports_cancellation {
             return;
         }
         self.events.push(Event::ClientCancelled(id));
--- a/crates/heathspurd/src/event_loop/peer_events.rs
+++ b/crates/heathspurd/src/event_loop/peer_events.rs
@@ -53,7 +53,7 @@
                     _ => {}
                 }
                 if let Some(at) = self.due.iter().position(|due| due.nonce == nonce) {
-                    let gauges = self.desk.names.meters.read(&readings);
+                    let gauges = self.desk.names.gauges.read(&readings);
                     if let Some(due) = self.due.remove(at) {
                         self.events.push(Event::Timer {
                             token: due.token,
--- a/crates/heathspurd/src/frontend/mod.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -23,7 +23,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use heathspur::{ClassId, RequestId, Span, TenantId};
-use heathspur_settings::Names;
+use heathspur_settings::WireNames;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Instant;
@@ -88,7 +88,7 @@
 
 /// What all fronts share with the owner.
 pub(crate) struct Desk {
-    pub names: Names,
+    pub names: WireNames,
     /// Per class: whether its requests carry an idempotency key, and whether reads have a subject.
     pub keyed: Vec<bool>,
     next_id: Cell<u64>,
@@ -114,7 +114,7 @@
 
 impl Desk {
     pub fn new(
-        names: Names,
+        names: WireNames,
         keyed: Vec<bool>,
         idle: Span,
         shutting: Receiver<()>,
