--- a/crates/heathspur-simulator-adapter/src/main.rs
+++ b/crates/heathspur-simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays heathspur's decisions to the simulator on standard input and output.
+//! Runs the simulator adapter on standard input and output.
 #![forbid(unsafe_code)]
 
 use std::io::{stdin, stdout};
@@ -7,8 +7,8 @@
 fn main() -> ExitCode {
     match heathspur_simulator_adapter::serve(stdin().lock(), stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("heathspur-drill: {fault}");
+        Err(error) => {
+            eprintln!("heathspur-drill: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/heathspur-simulator-adapter/src/messages/incoming.rs
@@ -0,0 +1,134 @@
+//! Messages from the simulator, one JSON object a line. Unknown fields are ignored.
+
+use heathspur_settings::WireSettings;
+use serde::Deserialize;
+
+/// One line from the simulator.
+#[derive(Deserialize)]
+pub(crate) enum Incoming {
+    #[serde(rename = "BEGIN_BATCH")]
+    BeginBatch(BeginBatch),
+    #[serde(rename = "YOUR_TURN")]
+    EndBatch(EndBatch),
+    #[serde(rename = "ENLIST")]
+    StartServer(Box<StartServer>),
+    #[serde(rename = "HALT")]
+    StopServer(StopServer),
+    #[serde(rename = "DEMAND")]
+    Request(IncomingRequest),
+    #[serde(rename = "ENDED")]
+    RunCompleted(Completion),
+    #[serde(rename = "WANTS_CALL")]
+    CallNeeded(RequestReference),
+    #[serde(rename = "CAME_BACK")]
+    CallCompleted(Completion),
+    #[serde(rename = "ABANDONED")]
+    ClientCancelled(RequestReference),
+    #[serde(rename = "DRAIN")]
+    Drain(Drain),
+    #[serde(rename = "TICK_DUE")]
+    Timer(Timer),
+}
+
+/// Starts a batch: all events up to its end happen at this time.
+#[derive(Deserialize)]
+pub(crate) struct BeginBatch {
+    #[serde(rename = "t-s")]
+    pub time_s: f64,
+}
+
+/// Ends a batch: the servers decide and reply.
+#[derive(Deserialize)]
+pub(crate) struct EndBatch {}
+
+/// Starts a server, in place of one with the same identifier.
+#[derive(Deserialize)]
+pub(crate) struct StartServer {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+    #[serde(rename = "init-seed")]
+    pub seed: u64,
+    #[serde(rename = "facts")]
+    pub settings: WireSettings,
+}
+
+/// Stops a server.
+#[derive(Deserialize)]
+pub(crate) struct StopServer {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+}
+
+/// An event of one request.
+#[derive(Deserialize)]
+pub(crate) struct RequestReference {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+    #[serde(rename = "ticket")]
+    pub request_id: u64,
+}
+
+/// The end of a run or a call.
+#[derive(Deserialize)]
+pub(crate) struct Completion {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+    #[serde(rename = "ticket")]
+    pub request_id: u64,
+    #[serde(rename = "rc", default)]
+    pub outcome_code: u64,
+    #[serde(rename = "rtt-s", default)]
+    pub latency_s: f64,
+}
+
+/// The server is to drain, and stops after that time.
+#[derive(Deserialize)]
+pub(crate) struct Drain {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+    #[serde(rename = "patience-left-s", default)]
+    pub remaining_s: f64,
+}
+
+/// A timer has expired.
+#[derive(Deserialize)]
+pub(crate) struct Timer {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+    #[serde(rename = "token")]
+    pub token: String,
+    /// The values of the gauges, in the order of the settings.
+    #[serde(rename = "gauge", default)]
+    pub gauges: Vec<f64>,
+}
+
+/// A request has arrived.
+#[derive(Deserialize)]
+pub(crate) struct IncomingRequest {
+    #[serde(rename = "server-id")]
+    pub server_id: u64,
+    #[serde(rename = "ticket")]
+    pub request_id: u64,
+    #[serde(rename = "kind")]
+    pub class: String,
+    /// The tenant's name; a value that is no string means no tenant.
+    #[serde(rename = "client-group", default)]
+    pub tenant: Option<serde_json::Value>,
+    #[serde(rename = "route-key", default)]
+    pub subject: Option<u64>,
+    /// 0 if the request has no deadline.
+    #[serde(rename = "patience-left-s", default)]
+    pub remaining_deadline_s: f64,
+    /// 0 if the request has no hint.
+    #[serde(rename = "cost-s", default)]
+    pub cost_hint_s: f64,
+    #[serde(rename = "size-kb", default)]
+    pub queued_memory_kb: f64,
+    #[serde(rename = "is-retry", default)]
+    pub is_retry: bool,
+    #[serde(rename = "waited-s", default)]
+    pub queueing_delay_s: f64,
+    /// 0 if the request is a first attempt.
+    #[serde(rename = "dup-of", default)]
+    pub previous_attempt: u64,
+}
--- a/crates/heathspur-simulator-adapter/tests/wire.rs
+++ b/crates/heathspur-simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
-//! The adapter: message shapes in and out, odd but legal input, and plain words on bad input.
+//! The adapter: the form of messages in and out, unusual but valid input, and the errors on invalid input.
 
-use heathspur_simulator_adapter::{serve, Fault};
+use heathspur_simulator_adapter::{serve, Error};
 use serde_json::{json, Value};
 
 fn facts() -> Value {
@@ -45,7 +45,7 @@
     text + "{\"YOUR_TURN\":{}}\n"
 }
 
-fn play(input: &str) -> Result<Vec<Vec<Value>>, Fault> {
+fn play(input: &str) -> Result<Vec<Vec<Value>>, Error> {
     let mut out = Vec::new();
     serve(input.as_bytes(), &mut out)?;
     let mut replies = vec![Vec::new()];
@@ -61,7 +61,7 @@
     Ok(replies)
 }
 
-fn has(reply: &[Value], name: &str, ticket: u64) -> bool {
+fn has_message(reply: &[Value], name: &str, ticket: u64) -> bool {
     reply.iter().any(|v| v[name]["ticket"] == json!(ticket))
 }
 
@@ -97,8 +97,8 @@
         .iter()
         .any(|v| v["HEALTH"] == json!({"server-id": 5, "enable": true, "cached": true})));
     assert!(replies[0].iter().any(|v| v["SLEEP"]["token"] == json!("0")));
-    assert!(has(&replies[1], "PIN", 11) && has(&replies[1], "EXECUTE", 11));
-    assert!(has(&replies[2], "CALL", 11));
+    assert!(has_message(&replies[1], "PIN", 11) && has_message(&replies[1], "EXECUTE", 11));
+    assert!(has_message(&replies[2], "CALL", 11));
     let call = replies[2].iter().find(|v| !v["CALL"].is_null()).unwrap();
     assert!(call["CALL"]["limit-s"].as_f64().unwrap() > 0.1);
     assert!(replies[3].is_empty() && replies[4].is_empty());
@@ -106,16 +106,16 @@
 }
 
 #[test]
-fn a_repeat_is_attached() {
+fn a_duplicate_is_attached() {
     let mut again = demand(5, 12, "pay");
     again["DEMAND"]["dup-of"] = json!(11);
     let input = batch(1.0, &[enlist(5), demand(5, 11, "pay"), again]);
     let replies = play(&input).unwrap();
-    assert!(has(&replies[0], "EXECUTE", 11) && has(&replies[0], "ATTACH", 12));
+    assert!(has_message(&replies[0], "EXECUTE", 11) && has_message(&replies[0], "ATTACH", 12));
 }
 
 #[test]
-fn a_refusal_carries_advice_and_the_wish_only_when_set() {
+fn a_rejection_carries_retry_after_and_no_retry_only_when_set() {
     let drain = json!({"DRAIN": {"server-id": 5, "patience-left-s": 4.0}});
     let input = batch(1.0, &[enlist(5), drain]) + &batch(3.0, &[demand(5, 11, "look")]);
     let replies = play(&input).unwrap();
@@ -128,14 +128,14 @@
 }
 
 #[test]
-fn a_stopped_server_starts_afresh_in_one_batch() {
+fn a_stopped_server_restarts_in_one_batch() {
     let halt = json!({"HALT": {"server-id": 5}});
     let input = batch(1.0, &[enlist(5), demand(5, 11, "pay")])
         + &batch(2.0, &[halt, enlist(5)])
         + &batch(2.1, &[demand(5, 12, "pay")]);
     let replies = play(&input).unwrap();
     assert!(replies[1].iter().any(|v| !v["HEALTH"].is_null()));
-    assert!(has(&replies[2], "EXECUTE", 12));
+    assert!(has_message(&replies[2], "EXECUTE", 12));
 }
 
 #[test]
@@ -153,12 +153,12 @@
     let replies = play(&input).unwrap();
     assert!(replies[0]
         .iter()
-        .all(|v| !has(std::slice::from_ref(v), "EXECUTE", 1)));
+        .all(|v| !has_message(std::slice::from_ref(v), "EXECUTE", 1)));
     assert!(replies[1].is_empty());
 }
 
 #[test]
-fn only_servers_with_an_event_act() {
+fn only_servers_with_events_decide() {
     let input = batch(1.0, &[enlist(5), enlist(6)]) + &batch(9.0, &[demand(6, 1, "look")]);
     let replies = play(&input).unwrap();
     assert!(replies[1].iter().all(|v| v
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn replies_do_not_depend_on_what_else_a_process_hosts() {
+fn replies_do_not_depend_on_other_servers_of_the_process() {
     let own = |id: u64| {
         batch(
             1.0,
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_the_line_and_what_is_wrong() {
+fn invalid_input_ends_with_its_line_and_reason() {
     let begin = "{\"BEGIN_BATCH\":{\"t-s\":1.0}}\n";
     let cases = [
         ("not json\n".to_string(), "line 1: "),
@@ -237,7 +237,7 @@
         ),
         (
             batch(1.0, &[enlist(1), demand(1, 2, "sing")]),
-            "line 3: no class \"sing\"",
+            "line 3: class \"sing\" is not in the settings",
         ),
         (
             batch(
@@ -247,12 +247,12 @@
                     json!({"ENDED": {"server-id": 1, "ticket": 2, "rc": 99}}),
                 ],
             ),
-            "line 3: no outcome 99",
+            "line 3: outcome code 99 is not in the protocol",
         ),
     ];
-    for (input, wanted) in cases {
-        let fault = play(&input).expect_err(wanted).to_string();
-        assert!(fault.starts_with(wanted), "{fault:?}, not {wanted:?}");
-        assert!(!fault.contains('\n'));
+    for (input, expected) in cases {
+        let error = play(&input).expect_err(expected).to_string();
+        assert!(error.starts_with(expected), "{error:?}, not {expected:?}");
+        assert!(!error.contains('\n'));
     }
 }
