--- a/crates/heathspur-capture/src/exchange.rs
+++ b/crates/heathspur-capture/src/exchange.rs
@@ -8,7 +8,7 @@
 use crate::{ConnId, Side, Stamp};
 use bytes::{Bytes, BytesMut};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
-use heathspur_wire::http::{request_line, status_line, Fault, Fields};
+use heathspur_wire::http::{self, request_line, status_line, Fields};
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
@@ -414,10 +414,10 @@
                 let kind = |line: &[u8]| match side {
                     Side::Client => request_line(line).map(|_| Kind::Request),
                     Side::Server => {
-                        status_line(line).map(|status| Kind::Answer { status, to_head })
+                        status_line(line).map(|status| Kind::Response { status, to_head })
                     }
                 };
-                match framing::head(&stream.buffer, limits.head, kind) {
+                match framing::parse_head(&stream.buffer, limits.head, kind) {
                     Ok(None) => false,
                     Ok(Some(head)) => {
                         stream.known = true;
@@ -425,7 +425,7 @@
                         stream.mode = Mode::Body(head, Chunks::new(end));
                         true
                     }
-                    Err(Fault::HeadTooLarge) => {
+                    Err(http::Error::HeadTooLarge) => {
                         self.lose(Cause::TooLarge);
                         true
                     }
@@ -482,7 +482,7 @@
         let bytes = stream.use_up(end);
         let message = Message {
             bytes,
-            line: head.first,
+            line: head.start_line,
             fields: head.fields,
             body: head.end..end,
             first,
--- a/crates/heathspur-record/src/veil.rs
+++ b/crates/heathspur-record/src/veil.rs
@@ -98,13 +98,13 @@
                 Place::Head => {
                     // An answer whose body lasts to the end, or in chunks, is never written here.
                     let kind = |line: &[u8]| match line.starts_with(b"HTTP/1.") {
-                        true => status_line(line).map(|status| Kind::Answer {
+                        true => status_line(line).map(|status| Kind::Response {
                             status,
                             to_head: false,
                         }),
                         false => request_line(line).map(|_| Kind::Request),
                     };
-                    match framing::head(&self.held, HEAD, kind) {
+                    match framing::parse_head(&self.held, HEAD, kind) {
                         Ok(None) => return,
                         Ok(Some(head)) => {
                             self.mask(terms, head.fields.clone());
--- a/crates/heathspur-replay/src/renew.rs
+++ b/crates/heathspur-replay/src/renew.rs
@@ -5,7 +5,7 @@
 //! repeats; no key is shared between copies.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use heathspur_wire::http::{number, Fields};
+use heathspur_wire::http::{parse_decimal, Fields};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// The fields whose values are renewed.
@@ -84,7 +84,7 @@
                 digits(value.len(), |block| {
                     hash((self.seed, "key", copy, value, block))
                 })
-            } else if let (true, Some(stamp)) = (is(&self.names.stamp), number(value)) {
+            } else if let (true, Some(stamp)) = (is(&self.names.stamp), parse_decimal(value)) {
                 changed.stamps += 1;
                 let waited = (times.recorded / 1_000_000).saturating_sub(stamp);
                 times.now_ms.saturating_sub(waited).to_string()
--- a/crates/heathspur-testkit/src/sink.rs
+++ b/crates/heathspur-testkit/src/sink.rs
@@ -1,6 +1,6 @@
 //! A server that keeps the requests that it is sent, in the order of their last bytes, and answers each.
 
-use heathspur_wire::framing::{head, Chunks, Kind, Length};
+use heathspur_wire::framing::{parse_head, Chunks, Kind, Length};
 use heathspur_wire::http::request_line;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -109,7 +109,7 @@
 
 /// Where the request at the front ends, once it is whole.
 fn whole(bytes: &[u8]) -> Option<usize> {
-    let found = head(bytes, 64 * 1024, |line| {
+    let found = parse_head(bytes, 64 * 1024, |line| {
         request_line(line).map(|_| Kind::Request)
     })
     .ok()??;
--- a/crates/heathspur-wire/src/framing.rs
+++ b/crates/heathspur-wire/src/framing.rs
@@ -1,22 +1,26 @@
-//! Where HTTP/1.1 messages end, for those who read what others exchanged: told lengths, chunked bodies and
-//! bodies that last to the end of the connection (RFC 9112, section 6).
+//! The extent of HTTP/1.1 messages, for readers of recorded traffic and for clients: `Content-Length`, chunked bodies
+//! and bodies that extend to the end of the connection (RFC 9112, section 6).
 //!
-//! The server itself takes told lengths only; see [`crate::http`].
+//! The server itself accepts `Content-Length` only; see [`crate::http`].
 
-use crate::http::{number, says_close, Fault, Fields};
+use crate::http::{has_close_option, parse_decimal, Error, Fields};
 use std::ops::Range;
 
-/// The longest line of a chunk's size with its extensions, and of all trailers, in bytes.
-const CHUNK_LINE: usize = 4096;
+/// The longest line of a chunk's size with its extensions, and the longest trailer section, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 4096;
+/// The longest chunk size: each one of so many hexadecimal digits fits into a `u64`, with its line.
+const MAX_CHUNK_SIZE_DIGITS: usize = 15;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// What the length of a message's body goes by.
+/// How the length of a message's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     /// So many bytes.
     Bytes(u64),
-    /// Chunks.
+    /// By its chunks.
     Chunked,
-    /// All up to the end of the connection.
+    /// By the end of the connection.
     UntilClose,
 }
 
@@ -24,90 +28,58 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The first line, without its end.
-    pub first: Range<usize>,
-    /// The fields, line ends included.
+    pub start_line: Range<usize>,
+    /// The fields, including line ends.
     pub fields: Range<usize>,
-    /// Where the body begins.
+    /// The end of the head, where the body begins.
     pub end: usize,
-    /// What its length goes by.
+    /// The length of the body.
     pub length: Length,
     /// Whether the message is the last on its connection.
     pub close: bool,
 }
 
-/// What a message is, as far as that tells the length of its body.
+/// The kind of a message, as far as it determines the length of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A request: no body unless it says so.
+    /// A request: without a length it has no body.
     Request,
-    /// An answer of this status, to a HEAD or not: a body to the end of the connection unless it says
-    /// otherwise or can have none.
-    Answer {
-        /// Its status.
+    /// A response: without a length its body extends to the end of the connection, if it may have one.
+    Response {
+        /// The status.
         status: u16,
         /// Whether the request was a HEAD.
         to_head: bool,
     },
 }
 
-/// The head at the front of `bytes` once it is whole. `limit` bounds it, in bytes; `kind` is asked for the
-/// first line.
+/// Parses the head at the front of `bytes` once it is complete. `limit` is its largest size in bytes; `kind` classifies
+/// the message by its first line.
 ///
 /// # Errors
-/// A head past its bound, a first line that `kind` can't take, fields that are none, lengths that contradict
-/// each other.
-pub fn head(
+/// A head past its limit, a first line that `kind` rejects, malformed fields, or contradicting lengths.
+pub fn parse_head(
     bytes: &[u8],
     limit: usize,
-    kind: impl FnOnce(&[u8]) -> Result<Kind, Fault>,
-) -> Result<Option<Head>, Fault> {
-    let within = &bytes[..bytes.len().min(limit)];
-    let Some(at) = memchr::memmem::find(within, b"\r\n\r\n") else {
+    kind: impl FnOnce(&[u8]) -> Result<Kind, Error>,
+) -> Result<Option<Head>, Error> {
+    let within_limit = &bytes[..bytes.len().min(limit)];
+    let Some(fields_end) = memchr::memmem::find(within_limit, HEAD_END) else {
         return if bytes.len() >= limit {
-            Err(Fault::HeadTooLarge)
+            Err(Error::HeadTooLarge)
         } else {
             Ok(None)
         };
     };
-    let end = at + 4;
-    let line = memchr::memmem::find(&bytes[..end], b"\r\n").ok_or(Fault::Malformed)?;
-    let kind = kind(&bytes[..line])?;
-    let fields = line + 2..end - 2;
-    let (mut told, mut chunked) = (None, false);
-    for field in Fields::over(&bytes[fields.clone()]) {
-        let (name, value) = field?;
-        if name.eq_ignore_ascii_case(b"content-length") {
-            let value = number(value).ok_or(Fault::BadLength)?;
-            // The same length twice is a copy; two lengths are a way to smuggle (RFC 9112, section 6.3).
-            if told.replace(value).is_some_and(|before| before != value) {
-                return Err(Fault::BadLength);
-            }
-        } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            let last = value
-                .rsplit(|&b| b == b',')
-                .next()
-                .unwrap_or(value)
-                .trim_ascii();
-            chunked = last.eq_ignore_ascii_case(b"chunked");
-            if !chunked && kind == Kind::Request {
-                return Err(Fault::Coded);
-            }
-        }
-    }
-    let length = match kind {
-        Kind::Answer { to_head: true, .. }
-        | Kind::Answer {
-            status: 100..=199 | 204 | 304,
-            ..
-        } => Length::Bytes(0),
-        _ if chunked && told.is_some() => return Err(Fault::BadLength),
-        _ if chunked => Length::Chunked,
-        Kind::Request => Length::Bytes(told.unwrap_or(0)),
-        Kind::Answer { .. } => told.map_or(Length::UntilClose, Length::Bytes),
-    };
-    let close = says_close(Fields::over(&bytes[fields.clone()]));
+    let end = fields_end + HEAD_END.len();
+    let line_end = memchr::memmem::find(&bytes[..end], LINE_END).ok_or(Error::Malformed)?;
+    let kind = kind(&bytes[..line_end])?;
+    let fields = line_end + LINE_END.len()..end - LINE_END.len();
+    let length_fields = LengthFields::parse(Fields::over(&bytes[fields.clone()]), kind)?;
+    let length = length_fields.body_length(kind)?;
+    let close = has_close_option(Fields::over(&bytes[fields.clone()]));
     Ok(Some(Head {
-        first: 0..line,
+        start_line: 0..line_end,
         fields,
         end,
         length,
@@ -115,70 +87,156 @@
     }))
 }
 
-/// Looks for the end of a chunked body that comes in pieces, without looking at any byte of a chunk.
+/// The fields that determine the length of a body.
+struct LengthFields {
+    content_length: Option<u64>,
+    chunked: bool,
+}
+
+impl LengthFields {
+    fn parse(fields: Fields<'_>, kind: Kind) -> Result<LengthFields, Error> {
+        let mut parsed = LengthFields {
+            content_length: None,
+            chunked: false,
+        };
+        for field in fields {
+            let (name, value) = field?;
+            if name.eq_ignore_ascii_case(b"content-length") {
+                parsed.add_content_length(value)?;
+            } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
+                parsed.chunked = is_chunked(value);
+                if !parsed.chunked && kind == Kind::Request {
+                    return Err(Error::UnsupportedTransferCoding);
+                }
+            }
+        }
+        Ok(parsed)
+    }
+
+    fn add_content_length(&mut self, value: &[u8]) -> Result<(), Error> {
+        let length = parse_decimal(value).ok_or(Error::InvalidLength)?;
+        let previous = self.content_length.replace(length);
+        // The same length twice is a copy; two lengths allow request smuggling (RFC 9112, section 6.3).
+        if previous.is_some_and(|previous| previous != length) {
+            return Err(Error::InvalidLength);
+        }
+        Ok(())
+    }
+
+    fn body_length(&self, kind: Kind) -> Result<Length, Error> {
+        match kind {
+            Kind::Response { to_head: true, .. }
+            | Kind::Response {
+                status: 100..=199 | 204 | 304,
+                ..
+            } => Ok(Length::Bytes(0)),
+            _ if self.chunked && self.content_length.is_some() => Err(Error::InvalidLength),
+            _ if self.chunked => Ok(Length::Chunked),
+            Kind::Request => Ok(Length::Bytes(self.content_length.unwrap_or(0))),
+            Kind::Response { .. } => Ok(self
+                .content_length
+                .map_or(Length::UntilClose, Length::Bytes)),
+        }
+    }
+}
+
+/// Whether the last transfer coding is `chunked`.
+fn is_chunked(value: &[u8]) -> bool {
+    let last = value
+        .rsplit(|&byte| byte == b',')
+        .next()
+        .unwrap_or(value)
+        .trim_ascii();
+    last.eq_ignore_ascii_case(b"chunked")
+}
+
+/// Finds the end of a chunked body that arrives in parts, without reading the chunks' data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunks {
-    at: usize,
+    next_chunk: usize,
+    /// The start of the trailer section, once all chunks are read.
     trailers: Option<usize>,
 }
 
 impl Chunks {
-    /// A body that begins at this place of the buffer.
-    pub fn new(at: usize) -> Chunks {
-        Chunks { at, trailers: None }
+    /// Creates a scanner of a body that begins at this position in the buffer.
+    pub fn new(start: usize) -> Chunks {
+        Chunks {
+            next_chunk: start,
+            trailers: None,
+        }
     }
 
-    /// Where the message ends, once that is there.
+    /// Returns the end of the message once it is complete.
     ///
     /// # Errors
-    /// A size that is none, or a line or trailers past their bound of 4 KiB.
-    pub fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, Fault> {
-        while self.trailers.is_none() {
-            let Some(rest) = bytes.get(self.at..) else {
+    /// An invalid chunk size, or a line or trailer section past its limit of 4 KiB.
+    pub fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, Error> {
+        loop {
+            if let Some(start) = self.trailers {
+                return trailers_end(bytes, start);
+            }
+            if !self.read_chunk(bytes)? {
                 return Ok(None);
-            };
-            let Some(line) = memchr::memmem::find(&rest[..rest.len().min(CHUNK_LINE)], b"\r\n")
-            else {
-                return if rest.len() >= CHUNK_LINE {
-                    Err(Fault::BadLength)
-                } else {
-                    Ok(None)
-                };
-            };
-            let size = size(&rest[..line]).ok_or(Fault::BadLength)?;
-            if size == 0 {
-                self.trailers = Some(self.at + line + 2);
-            } else {
-                let end = self.at as u64 + line as u64 + 2 + size;
-                let after = usize::try_from(end + 2).map_err(|_| Fault::BodyTooLarge)?;
-                if bytes
-                    .get(end as usize..after)
-                    .is_some_and(|end| end != b"\r\n")
-                {
-                    return Err(Fault::BadLength);
-                }
-                self.at = after;
             }
         }
-        let Some(from) = self.trailers else {
-            return Ok(None);
+    }
+
+    /// Skips one chunk, or the last chunk's line; false if its line is not complete.
+    fn read_chunk(&mut self, bytes: &[u8]) -> Result<bool, Error> {
+        let Some(rest) = bytes.get(self.next_chunk..) else {
+            return Ok(false);
         };
-        let rest = &bytes[from..];
-        if rest.starts_with(b"\r\n") {
-            return Ok(Some(from + 2));
-        }
-        match memchr::memmem::find(&rest[..rest.len().min(CHUNK_LINE)], b"\r\n\r\n") {
-            Some(at) => Ok(Some(from + at + 4)),
-            None if rest.len() >= CHUNK_LINE => Err(Fault::HeadTooLarge),
-            None => Ok(None),
+        let within_limit = &rest[..rest.len().min(MAX_CHUNK_LINE_BYTES)];
+        let Some(line_length) = memchr::memmem::find(within_limit, LINE_END) else {
+            return if rest.len() >= MAX_CHUNK_LINE_BYTES {
+                Err(Error::InvalidLength)
+            } else {
+                Ok(false)
+            };
+        };
+        let size = parse_chunk_size(&rest[..line_length]).ok_or(Error::InvalidLength)?;
+        let data_start = self.next_chunk + line_length + LINE_END.len();
+        if size == 0 {
+            self.trailers = Some(data_start);
+        } else {
+            self.next_chunk = chunk_end(bytes, data_start, size)?;
         }
+        Ok(true)
+    }
+}
+
+/// The end of a chunk, including the line end after its data.
+fn chunk_end(bytes: &[u8], data_start: usize, size: u64) -> Result<usize, Error> {
+    let data_end = data_start as u64 + size;
+    let end = usize::try_from(data_end + LINE_END.len() as u64).map_err(|_| Error::BodyTooLarge)?;
+    let terminator = bytes.get(data_end as usize..end);
+    if terminator.is_some_and(|terminator| terminator != LINE_END) {
+        return Err(Error::InvalidLength);
+    }
+    Ok(end)
+}
+
+fn trailers_end(bytes: &[u8], start: usize) -> Result<Option<usize>, Error> {
+    let rest = &bytes[start..];
+    if rest.starts_with(LINE_END) {
+        return Ok(Some(start + LINE_END.len()));
+    }
+    let within_limit = &rest[..rest.len().min(MAX_CHUNK_LINE_BYTES)];
+    match memchr::memmem::find(within_limit, HEAD_END) {
+        Some(offset) => Ok(Some(start + offset + HEAD_END.len())),
+        None if rest.len() >= MAX_CHUNK_LINE_BYTES => Err(Error::HeadTooLarge),
+        None => Ok(None),
     }
 }
 
-/// A chunk's size: hexadecimal digits before any extension.
-fn size(line: &[u8]) -> Option<u64> {
-    let digits = line.split(|&b| b == b';').next()?.trim_ascii();
-    if digits.is_empty() || digits.len() > 15 || !digits.iter().all(u8::is_ascii_hexdigit) {
+/// Parses a chunk's size: hexadecimal digits before any extension.
+fn parse_chunk_size(line: &[u8]) -> Option<u64> {
+    let digits = line.split(|&byte| byte == b';').next()?.trim_ascii();
+    let is_number = !digits.is_empty()
+        && digits.len() <= MAX_CHUNK_SIZE_DIGITS
+        && digits.iter().all(u8::is_ascii_hexdigit);
+    if !is_number {
         return None;
     }
     u64::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
--- a/crates/heathspur-wire/src/interpreter.rs
+++ b/crates/heathspur-wire/src/interpreter.rs
@@ -1,4 +1,4 @@
-//! The interpreter's link: JSON objects, one a line, bodies in base64.
+//! The interpreter's protocol: one JSON object a line, bodies in base64. The names of the wire are mapped here.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -6,258 +6,313 @@
 use std::borrow::Cow;
 use std::fmt;
 
-/// The longest line that is taken.
-pub const LINE: usize = 64 * 1024;
+/// The longest accepted line, in bytes.
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
+/// Characters of an unknown verb in an error.
+const MAX_VERB_IN_ERROR: usize = 40;
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// It succeeded.
-    Complete,
-    /// It failed.
-    Error,
-    /// It was stopped, or ended at a call as its request was over.
+pub enum RunOutcome {
+    /// The run succeeded.
+    Succeeded,
+    /// The run failed.
+    Failed,
+    /// The run was stopped, or ended at a call because its request was over.
     Cancelled,
-    /// Nothing was started, as the request was over.
-    Unknown,
+    /// The run was not started because its request was over.
+    NotStarted,
 }
 
-/// How warm the interpreter was when it started.
+/// Whether the interpreter was warm when it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Warmth {
     /// Slow at first.
     Cold,
-    /// At its full speed.
+    /// At full speed.
     Warm,
 }
 
-/// What the interpreter says. Words are slices of the line; bodies are decoded.
+/// A message from the interpreter. Strings are slices of the line; bodies are decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice<'a> {
-    /// The answer to `CONNECT`.
-    Banner {
-        /// How warm it started.
+    /// The answer to [`Command::Connect`].
+    Connected {
+        /// Whether the interpreter started warm.
         warmth: Warmth,
         /// Milliseconds since that start.
-        ago_ms: f64,
+        uptime_ms: f64,
     },
-    /// A run is over.
-    Value {
+    /// A run has ended.
+    RunCompleted {
         /// The notice's number.
         index: u64,
         /// The request.
-        task: Cow<'a, str>,
-        /// How it ended.
-        end: End,
-        /// The result, of a run that succeeded.
+        request_id: Cow<'a, str>,
+        /// How the run ended.
+        outcome: RunOutcome,
+        /// The result of a run that succeeded.
         body: Vec<u8>,
     },
     /// A run waits for a call.
-    Await {
+    CallNeeded {
         /// The notice's number.
         index: u64,
         /// The request.
-        task: Cow<'a, str>,
+        request_id: Cow<'a, str>,
         /// The body of the call.
         body: Vec<u8>,
     },
-    /// The gauges.
-    Tops {
-        /// The tag of the question.
+    /// The values of the gauges.
+    Gauges {
+        /// The nonce of the query.
         nonce: Cow<'a, str>,
-        /// In the order of the settings.
+        /// The values, in the order of the settings.
         readings: Vec<f64>,
     },
-    /// A command was not carried out.
-    Refused {
-        /// Which kind of command.
+    /// A command was rejected.
+    CommandRejected {
+        /// The verb of the command.
         command: Cow<'a, str>,
         /// The request.
-        task: Cow<'a, str>,
+        request_id: Cow<'a, str>,
     },
-    /// A remark.
-    Trace {
+    /// A log message.
+    Log {
         /// The notice's number.
         index: u64,
     },
 }
 
-/// Why a line makes no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Nonsense(String);
-
-impl fmt::Display for Nonsense {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+/// Why a line is not a notice.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The line is not a JSON object of the expected types.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The verb is unknown.
+    #[error("unknown verb {verb:?}")]
+    UnknownVerb {
+        /// The start of the verb.
+        verb: String,
+    },
+    /// A field of the notice is missing or has an unknown value.
+    #[error("{verb} has no valid field {field:?}")]
+    InvalidField {
+        /// The verb of the notice.
+        verb: &'static str,
+        /// The field.
+        field: &'static str,
+    },
+    /// The body is not base64.
+    #[error("field \"bytes\" is not base64: {0}")]
+    Body(#[from] base64::DecodeError),
 }
 
-impl std::error::Error for Nonsense {}
-
+/// A notice with the names of the wire.
 #[derive(Deserialize)]
-struct Line<'a> {
+struct WireNotice<'a> {
     #[serde(borrow)]
     verb: Cow<'a, str>,
     #[serde(default)]
     index: Option<u64>,
-    #[serde(borrow, default)]
-    task: Option<Cow<'a, str>>,
+    #[serde(rename = "task", borrow, default)]
+    request_id: Option<Cow<'a, str>>,
     #[serde(borrow, default)]
     outcome: Option<Cow<'a, str>>,
-    #[serde(default)]
-    spent: f64,
-    #[serde(borrow, default)]
-    bytes: Option<Cow<'a, str>>,
+    #[serde(rename = "spent", default)]
+    elapsed_ms: f64,
+    #[serde(rename = "bytes", borrow, default)]
+    body: Option<Cow<'a, str>>,
     #[serde(borrow, default)]
     nonce: Option<Cow<'a, str>>,
     #[serde(default)]
     readings: Vec<f64>,
 }
 
-/// Where the first line of `bytes` ends, once it is whole.
+/// Returns the end of the first line of `bytes` once it is complete.
 pub fn line_end(bytes: &[u8]) -> Option<usize> {
     memchr::memchr(b'\n', bytes)
 }
 
-/// Reads one line, without its end.
-pub fn read(line: &[u8]) -> Result<Notice<'_>, Nonsense> {
-    let line: Line<'_> = serde_json::from_slice(line).map_err(|e| Nonsense(e.to_string()))?;
-    let need = |what: &str| Nonsense(format!("{} without {what}", line.verb.escape_debug()));
-    let index = line.index.ok_or_else(|| need("index"));
-    let task = line.task.clone().ok_or_else(|| need("task"));
-    let body = || {
-        let text = line.bytes.as_deref().unwrap_or("");
-        STANDARD
-            .decode(text)
-            .map_err(|e| Nonsense(format!("bytes are no base64: {e}")))
-    };
-    let outcome = line.outcome.as_deref();
-    Ok(match &*line.verb {
-        "BANNER" => Notice::Banner {
-            warmth: match outcome {
-                Some("chilly") => Warmth::Cold,
-                Some("hot") => Warmth::Warm,
-                _ => return Err(need("outcome")),
-            },
-            ago_ms: line.spent.max(0.0),
-        },
-        "VALUE" => Notice::Value {
-            index: index?,
-            task: task?,
-            end: match outcome {
-                Some("complete") => End::Complete,
-                Some("error") => End::Error,
-                Some("cancelled") => End::Cancelled,
-                Some("unknown") => End::Unknown,
-                _ => return Err(need("outcome")),
-            },
-            body: body()?,
-        },
-        "AWAIT" => Notice::Await {
-            index: index?,
-            task: task?,
-            body: body()?,
-        },
-        "TOPS" => Notice::Tops {
-            nonce: line.nonce.clone().ok_or_else(|| need("nonce"))?,
-            readings: line.readings,
-        },
-        "ERROR" => Notice::Refused {
-            command: line.outcome.clone().unwrap_or_default(),
-            task: line.task.clone().unwrap_or_default(),
-        },
-        "TRACE" => Notice::Trace { index: index? },
-        other => {
-            return Err(Nonsense(format!(
-                "no notice {:?}",
-                other.chars().take(40).collect::<String>()
-            )))
+/// Parses one line, without its end.
+pub fn parse_notice(line: &[u8]) -> Result<Notice<'_>, Error> {
+    let notice: WireNotice<'_> = serde_json::from_slice(line)?;
+    match &*notice.verb {
+        "BANNER" => notice.into_connected(),
+        "VALUE" => notice.into_run_completed(),
+        "AWAIT" => notice.into_call_needed(),
+        "TOPS" => notice.into_gauges(),
+        "ERROR" => Ok(notice.into_command_rejected()),
+        "TRACE" => notice.into_log(),
+        unknown => Err(Error::UnknownVerb {
+            verb: unknown.chars().take(MAX_VERB_IN_ERROR).collect(),
+        }),
+    }
+}
+
+impl<'a> WireNotice<'a> {
+    fn into_connected(self) -> Result<Notice<'a>, Error> {
+        let warmth = match self.outcome.as_deref() {
+            Some("chilly") => Warmth::Cold,
+            Some("hot") => Warmth::Warm,
+            _ => return Err(invalid_field("BANNER", "outcome")),
+        };
+        Ok(Notice::Connected {
+            warmth,
+            uptime_ms: self.elapsed_ms.max(0.0),
+        })
+    }
+
+    fn into_run_completed(self) -> Result<Notice<'a>, Error> {
+        const VERB: &str = "VALUE";
+        let outcome = match self.outcome.as_deref() {
+            Some("complete") => RunOutcome::Succeeded,
+            Some("error") => RunOutcome::Failed,
+            Some("cancelled") => RunOutcome::Cancelled,
+            Some("unknown") => RunOutcome::NotStarted,
+            _ => return Err(invalid_field(VERB, "outcome")),
+        };
+        Ok(Notice::RunCompleted {
+            index: required(self.index, VERB, "index")?,
+            request_id: required(self.request_id, VERB, "task")?,
+            outcome,
+            body: decode_body(self.body)?,
+        })
+    }
+
+    fn into_call_needed(self) -> Result<Notice<'a>, Error> {
+        const VERB: &str = "AWAIT";
+        Ok(Notice::CallNeeded {
+            index: required(self.index, VERB, "index")?,
+            request_id: required(self.request_id, VERB, "task")?,
+            body: decode_body(self.body)?,
+        })
+    }
+
+    fn into_gauges(self) -> Result<Notice<'a>, Error> {
+        Ok(Notice::Gauges {
+            nonce: required(self.nonce, "TOPS", "nonce")?,
+            readings: self.readings,
+        })
+    }
+
+    fn into_command_rejected(self) -> Notice<'a> {
+        Notice::CommandRejected {
+            command: self.outcome.unwrap_or_default(),
+            request_id: self.request_id.unwrap_or_default(),
         }
-    })
+    }
+
+    fn into_log(self) -> Result<Notice<'a>, Error> {
+        Ok(Notice::Log {
+            index: required(self.index, "TRACE", "index")?,
+        })
+    }
+}
+
+fn invalid_field(verb: &'static str, field: &'static str) -> Error {
+    Error::InvalidField { verb, field }
 }
 
-/// What the server says.
+fn required<T>(value: Option<T>, verb: &'static str, field: &'static str) -> Result<T, Error> {
+    value.ok_or(invalid_field(verb, field))
+}
+
+fn decode_body(body: Option<Cow<'_, str>>) -> Result<Vec<u8>, Error> {
+    Ok(STANDARD.decode(body.as_deref().unwrap_or(""))?)
+}
+
+/// A message to the interpreter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command<'a> {
-    /// Opens a link; the number is that of the last notice read.
+    /// Opens a link; the number is that of the last notice processed.
     Connect(u64),
-    /// Run a request.
-    Apply {
+    /// Runs a request.
+    Run {
         /// The request.
-        task: &'a str,
+        request_id: &'a str,
         /// Its class.
         class: &'a str,
         /// Its body.
         body: &'a [u8],
     },
-    /// Stop a run.
-    Break(&'a str),
-    /// Go on with a paused run.
-    Continue(&'a str),
-    /// The reply to the call that a run waits for.
-    Resolve {
+    /// Stops a run.
+    Stop(&'a str),
+    /// Resumes a paused run.
+    Resume(&'a str),
+    /// Passes the reply of the call that a run waits for.
+    CompleteCall {
         /// The request.
-        task: &'a str,
+        request_id: &'a str,
         /// The reply.
         body: &'a [u8],
     },
-    /// Go on without the call.
-    Stub {
+    /// Resumes a run without the call that it waits for.
+    SkipCall {
         /// The request.
-        task: &'a str,
-        /// The number of the notice that asked for the call.
+        request_id: &'a str,
+        /// The number of the [`Notice::CallNeeded`].
         index: u64,
     },
-    /// Ask for the gauges.
-    Top(u64),
+    /// Queries the gauges, with a nonce.
+    QueryGauges(u64),
 }
 
-/// Appends a command, line end included.
-pub fn write(out: &mut Vec<u8>, command: Command<'_>) {
+/// Appends a command, including its line end.
+pub fn write_command(out: &mut Vec<u8>, command: Command<'_>) {
     match command {
-        Command::Connect(n) => plain(out, format_args!(r#"{{"verb":"CONNECT","index":{n}}}"#)),
-        Command::Apply { task, class, body } => {
+        Command::Connect(index) => {
+            write_format(out, format_args!(r#"{{"verb":"CONNECT","index":{index}}}"#));
+        }
+        Command::Run {
+            request_id,
+            class,
+            body,
+        } => {
             out.extend_from_slice(br#"{"verb":"APPLY","task":"#);
-            text(out, task);
+            write_string(out, request_id);
             out.extend_from_slice(br#","handler":"#);
-            text(out, class);
-            bytes(out, body);
+            write_string(out, class);
+            write_body_and_end(out, body);
         }
-        Command::Break(task) => named(out, "BREAK", task),
-        Command::Continue(task) => named(out, "CONTINUE", task),
-        Command::Resolve { task, body } => {
+        Command::Stop(request_id) => write_request_command(out, "BREAK", request_id),
+        Command::Resume(request_id) => write_request_command(out, "CONTINUE", request_id),
+        Command::CompleteCall { request_id, body } => {
             out.extend_from_slice(br#"{"verb":"RESOLVE","task":"#);
-            text(out, task);
-            bytes(out, body);
+            write_string(out, request_id);
+            write_body_and_end(out, body);
         }
-        Command::Stub { task, index } => {
+        Command::SkipCall { request_id, index } => {
             out.extend_from_slice(br#"{"verb":"STUB","task":"#);
-            text(out, task);
-            plain(out, format_args!(r#","index":{index}}}"#));
+            write_string(out, request_id);
+            write_format(out, format_args!(r#","index":{index}}}"#));
+        }
+        Command::QueryGauges(nonce) => {
+            write_format(out, format_args!(r#"{{"verb":"TOP","nonce":"{nonce}"}}"#));
         }
-        Command::Top(nonce) => plain(out, format_args!(r#"{{"verb":"TOP","nonce":"{nonce}"}}"#)),
     }
     out.push(b'\n');
 }
 
-fn plain(out: &mut Vec<u8>, line: fmt::Arguments<'_>) {
-    out.extend_from_slice(line.to_string().as_bytes());
+fn write_format(out: &mut Vec<u8>, text: fmt::Arguments<'_>) {
+    out.extend_from_slice(text.to_string().as_bytes());
 }
 
-fn named(out: &mut Vec<u8>, verb: &str, task: &str) {
-    plain(out, format_args!(r#"{{"verb":"{verb}","task":"#));
-    text(out, task);
+/// Appends a command that has a request only.
+fn write_request_command(out: &mut Vec<u8>, verb: &str, request_id: &str) {
+    write_format(out, format_args!(r#"{{"verb":"{verb}","task":"#));
+    write_string(out, request_id);
     out.push(b'}');
 }
 
-/// A JSON string. Writing to a vector can't fail.
-fn text(out: &mut Vec<u8>, word: &str) {
-    if let Ok(json) = serde_json::to_vec(word) {
-        out.extend_from_slice(&json);
-    }
+/// Appends a JSON string.
+fn write_string(out: &mut Vec<u8>, text: &str) {
+    serde_json::to_writer(out, text).expect("a string always serializes into memory");
 }
 
-fn bytes(out: &mut Vec<u8>, body: &[u8]) {
+/// Appends the body as the last field, and the end of the object.
+fn write_body_and_end(out: &mut Vec<u8>, body: &[u8]) {
     out.extend_from_slice(br#","bytes":""#);
     out.extend_from_slice(STANDARD.encode(body).as_bytes());
     out.extend_from_slice(br#""}"#);
--- a/crates/heathspur-wire/src/lib.rs
+++ b/crates/heathspur-wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! The server's wires without any I/O: HTTP/1.1, the interpreter's messages and the store's lines.
+//! Parsers and writers without I/O for the server's protocols: HTTP/1.1, the interpreter's messages and the store's
+//! lines.
 //!
-//! Parsers are fed the bytes read so far and say whether a whole message stands at their front. They keep
-//! no copy: a message is a range of the caller's buffer. No bytes make them panic, and each has a bound on
-//! what it waits for. Writers append to a buffer of the caller's.
+//! A parser takes the bytes read so far and returns the message at their front once it is complete. Parsers keep no
+//! copy: a message is a set of ranges in the caller's buffer. No input makes a parser panic, and each has a bound on the
+//! bytes it waits for. Writers append to the caller's buffer.
 #![forbid(unsafe_code)]
 
 pub mod framing;
--- a/crates/heathspur-wire/src/store.rs
+++ b/crates/heathspur-wire/src/store.rs
@@ -1,110 +1,129 @@
-//! The store's link: lines that end in CR LF, with bodies of a told length.
+//! The store's protocol: lines that end in CR LF, followed by bodies whose length the line states.
 
-use std::fmt;
+use crate::http::parse_decimal;
 use std::ops::Range;
 
-/// The longest line, and the longest reply, that are taken.
-pub const LINE: usize = 256;
-/// The longest reply that is taken.
-pub const REPLY: usize = 64 * 1024;
+/// The longest accepted line of a reply, in bytes.
+pub const MAX_LINE_BYTES: usize = 256;
+/// The longest accepted body of a reply, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+const LINE_END: &[u8] = b"\r\n";
 
-/// What became of a call.
+/// The status of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// It went well.
+pub enum CallStatus {
+    /// The call succeeded.
     Ok,
-    /// Turned away: it never ran.
-    Busy,
-    /// It failed and may have had its effect.
+    /// The call was rejected and did not run.
+    Rejected,
+    /// The call failed, and may have had its effect.
     Failed,
-    /// It ran out of time, or its run has ended; it may have had its effect.
-    Late,
-    /// No run waits for it: it never ran.
-    Void,
+    /// The call timed out or its run has ended; it may have had its effect.
+    TimedOut,
+    /// No run waits for the call: it did not run.
+    NoRun,
 }
 
 /// A reply at the front of the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Where the request's id stands.
-    pub id: Range<usize>,
-    /// What became of the call.
-    pub word: Word,
-    /// Where the reply's body stands; empty for all but [`Word::Ok`].
+    /// The range of the request's identifier.
+    pub request_id: Range<usize>,
+    /// The status of the call.
+    pub status: CallStatus,
+    /// The range of the body; empty unless the status is [`CallStatus::Ok`].
     pub body: Range<usize>,
-    /// Where the next reply starts.
+    /// The start of the next reply.
     pub end: usize,
 }
 
-/// Why bytes are no reply; nothing after them can be trusted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Nonsense;
+/// The bytes are not a reply; the bytes after them can't be trusted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("not a reply line")]
+pub struct Error;
 
-impl fmt::Display for Nonsense {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("not a reply line")
-    }
+/// The first line of a reply.
+struct ReplyLine {
+    request_id: Range<usize>,
+    status: CallStatus,
+    /// The length of the body, if the status has one.
+    body_length: Option<usize>,
 }
 
-impl std::error::Error for Nonsense {}
-
-/// The reply at the front of `bytes`, once it is whole.
-pub fn read(bytes: &[u8]) -> Result<Option<Reply>, Nonsense> {
-    let window = &bytes[..bytes.len().min(LINE)];
-    let Some(end) = memchr::memmem::find(window, b"\r\n") else {
-        return if bytes.len() >= LINE {
-            Err(Nonsense)
+/// Parses the reply at the front of `bytes` once it is complete.
+pub fn parse_reply(bytes: &[u8]) -> Result<Option<Reply>, Error> {
+    let within_limit = &bytes[..bytes.len().min(MAX_LINE_BYTES)];
+    let Some(line_length) = memchr::memmem::find(within_limit, LINE_END) else {
+        return if bytes.len() >= MAX_LINE_BYTES {
+            Err(Error)
         } else {
             Ok(None)
         };
     };
-    let mut words = bytes[..end].split(|&b| b == b' ');
-    let (id, word) = (words.next().unwrap_or(b""), words.next().unwrap_or(b""));
-    let (length, more) = (words.next(), words.next());
-    if id.is_empty() || more.is_some() {
-        return Err(Nonsense);
-    }
-    let word = match (word, length) {
-        (b"OK", Some(_)) => Word::Ok,
-        (b"BUSY", None) => Word::Busy,
-        (b"ERR", None) => Word::Failed,
-        (b"LATE", None) => Word::Late,
-        (b"VOID", None) => Word::Void,
-        _ => return Err(Nonsense),
-    };
-    let from = end + 2;
-    let Some(length) = length else {
+    let line = parse_line(&bytes[..line_length])?;
+    let body_start = line_length + LINE_END.len();
+    let Some(body_length) = line.body_length else {
         return Ok(Some(Reply {
-            id: 0..id.len(),
-            word,
-            body: from..from,
-            end: from,
+            request_id: line.request_id,
+            status: line.status,
+            body: body_start..body_start,
+            end: body_start,
         }));
     };
-    let length = crate::http::number(length)
-        .filter(|&n| n <= REPLY as u64)
-        .ok_or(Nonsense)? as usize;
-    let body = from..from + length;
-    match bytes.get(body.end..body.end + 2) {
-        Some(b"\r\n") => Ok(Some(Reply {
-            id: 0..id.len(),
-            word,
-            end: body.end + 2,
+    let body = body_start..body_start + body_length;
+    let end = body.end + LINE_END.len();
+    match bytes.get(body.end..end) {
+        Some(LINE_END) => Ok(Some(Reply {
+            request_id: line.request_id,
+            status: line.status,
             body,
+            end,
         })),
-        Some(_) => Err(Nonsense),
+        Some(_) => Err(Error),
         None => Ok(None),
     }
 }
 
-/// Appends a call that may take so many milliseconds.
-pub fn write_call(out: &mut Vec<u8>, id: &str, limit_ms: u64, body: &[u8]) {
-    out.extend_from_slice(format!("CALL {id} {limit_ms} {}\r\n", body.len()).as_bytes());
+fn parse_line(line: &[u8]) -> Result<ReplyLine, Error> {
+    let mut parts = line.split(|&byte| byte == b' ');
+    let request_id = parts.next().unwrap_or(b"");
+    let status = parts.next().unwrap_or(b"");
+    let (length, excess) = (parts.next(), parts.next());
+    if request_id.is_empty() || excess.is_some() {
+        return Err(Error);
+    }
+    let status = match (status, length) {
+        (b"OK", Some(_)) => CallStatus::Ok,
+        (b"BUSY", None) => CallStatus::Rejected,
+        (b"ERR", None) => CallStatus::Failed,
+        (b"LATE", None) => CallStatus::TimedOut,
+        (b"VOID", None) => CallStatus::NoRun,
+        _ => return Err(Error),
+    };
+    Ok(ReplyLine {
+        request_id: 0..request_id.len(),
+        status,
+        body_length: length.map(parse_body_length).transpose()?,
+    })
+}
+
+fn parse_body_length(digits: &[u8]) -> Result<usize, Error> {
+    let length = parse_decimal(digits).ok_or(Error)?;
+    if length > MAX_BODY_BYTES as u64 {
+        return Err(Error);
+    }
+    Ok(length as usize)
+}
+
+/// Appends a call with a timeout in milliseconds.
+pub fn write_call(out: &mut Vec<u8>, request_id: &str, timeout_ms: u64, body: &[u8]) {
+    let length = body.len();
+    out.extend_from_slice(format!("CALL {request_id} {timeout_ms} {length}\r\n").as_bytes());
     out.extend_from_slice(body);
-    out.extend_from_slice(b"\r\n");
+    out.extend_from_slice(LINE_END);
 }
 
-/// Appends that a call is given up.
-pub fn write_drop(out: &mut Vec<u8>, id: &str) {
-    out.extend_from_slice(format!("DROP {id}\r\n").as_bytes());
+/// Appends the cancellation of a call.
+pub fn write_cancel(out: &mut Vec<u8>, request_id: &str) {
+    out.extend_from_slice(format!("DROP {request_id}\r\n").as_bytes());
 }
--- a/crates/heathspur-wire/tests/http.rs
+++ b/crates/heathspur-wire/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as it comes: in any split, at its limits, and when it is none.
+//! HTTP/1.1 messages: in every split, at their limits, and invalid ones.
 
 use heathspur_wire::http::*;
 
@@ -7,11 +7,11 @@
     body: 64,
 };
 
-fn read(bytes: &[u8]) -> Result<Option<Message>, Fault> {
+fn read(bytes: &[u8]) -> Result<Option<Message>, Error> {
     Reader::new(LIMITS).read(bytes)
 }
 
-fn fault(bytes: &[u8]) -> Fault {
+fn error(bytes: &[u8]) -> Error {
     read(bytes).unwrap_err()
 }
 
@@ -20,27 +20,27 @@
     GET /status/live HTTP/1.1\r\n\r\n";
 
 #[test]
-fn two_requests_come_out_alike_however_they_are_split() {
+fn two_requests_are_read_alike_in_every_split() {
     for split in 1..TWO.len() {
-        let (mut reader, mut held, mut found) = (Reader::new(LIMITS), Vec::new(), Vec::new());
+        let (mut reader, mut buffer, mut found) = (Reader::new(LIMITS), Vec::new(), Vec::new());
         for part in [&TWO[..split], &TWO[split..]] {
-            held.extend_from_slice(part);
-            while let Some(m) = reader.read(&held).unwrap() {
-                let fields: Vec<_> = Fields::over(&held[m.fields.clone()])
+            buffer.extend_from_slice(part);
+            while let Some(m) = reader.read(&buffer).unwrap() {
+                let fields: Vec<_> = Fields::over(&buffer[m.fields.clone()])
                     .map(|f| {
                         f.map(|(n, v)| (n.to_ascii_lowercase(), v.to_vec()))
                             .unwrap()
                     })
                     .collect();
                 found.push((
-                    held[m.first.clone()].to_vec(),
+                    buffer[m.start_line.clone()].to_vec(),
                     fields,
-                    held[m.body.clone()].to_vec(),
+                    buffer[m.body.clone()].to_vec(),
                 ));
-                held.drain(..m.body.end);
+                buffer.drain(..m.body.end);
             }
         }
-        assert!(held.is_empty(), "split at {split}");
+        assert!(buffer.is_empty(), "split at {split}");
         assert_eq!(found.len(), 2, "split at {split}");
         assert_eq!(
             request_line(&found[0].0),
@@ -58,33 +58,33 @@
 }
 
 #[test]
-fn byte_by_byte_is_the_same() {
-    let (mut reader, mut held, mut count) = (Reader::new(LIMITS), Vec::new(), 0);
+fn requests_are_read_alike_byte_by_byte() {
+    let (mut reader, mut buffer, mut count) = (Reader::new(LIMITS), Vec::new(), 0);
     for &byte in TWO {
-        held.push(byte);
-        if let Some(m) = reader.read(&held).unwrap() {
-            held.drain(..m.body.end);
+        buffer.push(byte);
+        if let Some(m) = reader.read(&buffer).unwrap() {
+            buffer.drain(..m.body.end);
             count += 1;
         }
     }
-    assert_eq!((count, held.len()), (2, 0));
+    assert_eq!((count, buffer.len()), (2, 0));
 }
 
 #[test]
-fn a_head_at_its_bound_is_taken_and_one_past_it_is_not() {
+fn a_head_at_its_limit_is_accepted_and_a_larger_one_is_not() {
     let head = |size: usize| {
         let start = "GET / HTTP/1.1\r\nA: ";
         format!("{start}{}\r\n\r\n", "x".repeat(size - start.len() - 4)).into_bytes()
     };
     assert!(read(&head(512)).unwrap().is_some());
-    assert_eq!(fault(&head(513)), Fault::HeadTooLarge);
-    assert_eq!(fault(&[b'a'; 512]), Fault::HeadTooLarge);
+    assert_eq!(error(&head(513)), Error::HeadTooLarge);
+    assert_eq!(error(&[b'a'; 512]), Error::HeadTooLarge);
     assert_eq!(read(&[b'a'; 511]), Ok(None));
-    assert_eq!(Fault::HeadTooLarge.status(), 431);
+    assert_eq!(Error::HeadTooLarge.status(), 431);
 }
 
 #[test]
-fn a_body_at_its_bound_is_taken_and_one_past_it_is_not() {
+fn a_body_at_its_limit_is_accepted_and_a_larger_one_is_not() {
     let with = |n: usize| {
         format!(
             "POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n{}",
@@ -93,8 +93,8 @@
         .into_bytes()
     };
     assert_eq!(read(&with(64)).unwrap().unwrap().body.len(), 64);
-    assert_eq!(fault(&with(65)), Fault::BodyTooLarge);
-    assert_eq!(Fault::BodyTooLarge.status(), 413);
+    assert_eq!(error(&with(65)), Error::BodyTooLarge);
+    assert_eq!(Error::BodyTooLarge.status(), 413);
 }
 
 #[test]
@@ -110,17 +110,17 @@
         "1,1",
     ] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: {bad}\r\n\r\n");
-        assert_eq!(fault(text.as_bytes()), Fault::BadLength, "{bad:?}");
+        assert_eq!(error(text.as_bytes()), Error::InvalidLength, "{bad:?}");
     }
     let twice = b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-length: 1\r\n\r\nx";
-    assert_eq!(fault(twice), Fault::BadLength);
+    assert_eq!(error(twice), Error::InvalidLength);
 }
 
 #[test]
-fn codings_and_lines_that_are_no_fields_are_refused() {
+fn transfer_codings_and_malformed_fields_are_rejected() {
     assert_eq!(
-        fault(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        Fault::Coded
+        error(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Error::UnsupportedTransferCoding
     );
     for bad in [
         "no colon",
@@ -131,12 +131,12 @@
         "a: bare\nb: x",
     ] {
         let text = format!("GET / HTTP/1.1\r\n{bad}\r\n\r\n");
-        assert_eq!(fault(text.as_bytes()), Fault::Malformed, "{bad:?}");
+        assert_eq!(error(text.as_bytes()), Error::Malformed, "{bad:?}");
     }
 }
 
 #[test]
-fn first_lines_are_taken_as_the_protocol_has_them_only() {
+fn malformed_start_lines_are_rejected() {
     for bad in [
         "GET / HTTP/1.0",
         "GET  / HTTP/1.1",
@@ -148,7 +148,7 @@
     ] {
         assert_eq!(
             request_line(bad.as_bytes()),
-            Err(Fault::Malformed),
+            Err(Error::Malformed),
             "{bad:?}"
         );
     }
@@ -163,35 +163,35 @@
     ] {
         assert_eq!(
             status_line(bad.as_bytes()),
-            Err(Fault::Malformed),
+            Err(Error::Malformed),
             "{bad:?}"
         );
     }
 }
 
 #[test]
-fn close_is_heard_among_other_words() {
-    assert!(says_close(Fields::over(
+fn the_close_option_is_found_among_others() {
+    assert!(has_close_option(Fields::over(
         b"connection: Keep-Alive , CLOSE\r\n"
     )));
-    assert!(!says_close(Fields::over(
+    assert!(!has_close_option(Fields::over(
         b"connection: keep-alive\r\nx-close: close\r\n"
     )));
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn written_messages_are_read_back() {
     let mut out = Vec::new();
-    write_answer(
+    write_response(
         &mut out,
         503,
         &[("X-Throttle-Ms", 250.0), ("X-Capacity", 0.125)],
-        Last::Yes,
+        ConnectionOption::Close,
         b"\0\xff",
     );
     let m = read(&out).unwrap().unwrap();
-    assert_eq!(status_line(&out[m.first.clone()]), Ok(503));
-    assert!(says_close(Fields::over(&out[m.fields.clone()])));
+    assert_eq!(status_line(&out[m.start_line.clone()]), Ok(503));
+    assert!(has_close_option(Fields::over(&out[m.fields.clone()])));
     assert!(Fields::over(&out[m.fields.clone()]).any(|f| f == Ok((b"X-Throttle-Ms", b"250"))));
     assert!(Fields::over(&out[m.fields.clone()]).any(|f| f == Ok((b"X-Capacity", b"0.125"))));
     assert_eq!(
@@ -199,7 +199,7 @@
         (&b"\0\xff"[..], out.len())
     );
     out.clear();
-    write_call(
+    write_request(
         &mut out,
         "PUT",
         "/announce/n3",
@@ -208,14 +208,14 @@
     );
     let m = read(&out).unwrap().unwrap();
     assert_eq!(
-        request_line(&out[m.first]),
+        request_line(&out[m.start_line]),
         Ok((&b"PUT"[..], &b"/announce/n3"[..]))
     );
     assert_eq!(m.body.len(), 20);
 }
 
 #[test]
-fn random_bytes_never_panic_and_never_wait_past_the_bounds() {
+fn random_bytes_never_panic_nor_wait_past_the_limits() {
     let pieces: [&[u8]; 12] = [
         b"POST ",
         b"/svc/x ",
@@ -238,17 +238,17 @@
         (state >> 33) as usize
     };
     for _ in 0..20_000 {
-        let (mut reader, mut held) = (Reader::new(LIMITS), Vec::new());
+        let (mut reader, mut buffer) = (Reader::new(LIMITS), Vec::new());
         for _ in 0..draw() % 40 {
-            held.extend_from_slice(pieces[draw() % pieces.len()]);
-            match reader.read(&held) {
+            buffer.extend_from_slice(pieces[draw() % pieces.len()]);
+            match reader.read(&buffer) {
                 Err(_) => break,
-                Ok(None) => assert!(held.len() < LIMITS.head + LIMITS.body),
+                Ok(None) => assert!(buffer.len() < LIMITS.head + LIMITS.body),
                 Ok(Some(m)) => {
-                    assert!(m.body.end <= held.len());
-                    let _ = request_line(&held[m.first.clone()]);
-                    assert!(Fields::over(&held[m.fields.clone()]).all(|f| f.is_ok()));
-                    held.drain(..m.body.end);
+                    assert!(m.body.end <= buffer.len());
+                    let _ = request_line(&buffer[m.start_line.clone()]);
+                    assert!(Fields::over(&buffer[m.fields.clone()]).all(|f| f.is_ok()));
+                    buffer.drain(..m.body.end);
                 }
             }
         }
--- a/crates/heathspurctl/src/connection.rs
+++ b/crates/heathspurctl/src/connection.rs
@@ -7,7 +7,7 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use heathspur_replay::runner::{Event, Failure};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
-use heathspur_wire::http::{status_line, Fault};
+use heathspur_wire::http::{self, status_line};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
@@ -131,11 +131,11 @@
             if body.is_none() {
                 let to_head = heads.borrow().front().copied().unwrap_or(false);
                 let mut status = 0;
-                let kind = |line: &[u8]| -> Result<Kind, Fault> {
+                let kind = |line: &[u8]| -> Result<Kind, http::Error> {
                     status = status_line(line)?;
-                    Ok(Kind::Answer { status, to_head })
+                    Ok(Kind::Response { status, to_head })
                 };
-                match framing::head(&buffer, 64 * 1024, kind) {
+                match framing::parse_head(&buffer, 64 * 1024, kind) {
                     Err(_) => return Over::ByPeer,
                     Ok(None) => break,
                     Ok(Some(head)) => {
--- a/crates/heathspurctl/src/load_target.rs
+++ b/crates/heathspurctl/src/load_target.rs
@@ -217,12 +217,12 @@
     loop {
         let kind = |line: &[u8]| {
             status = status_line(line)?;
-            Ok(Kind::Answer {
+            Ok(Kind::Response {
                 status,
                 to_head: false,
             })
         };
-        if let Some(head) = framing::head(&buffer, CHUNK, kind).map_err(|_| wrong())? {
+        if let Some(head) = framing::parse_head(&buffer, CHUNK, kind).map_err(|_| wrong())? {
             let Length::Bytes(length) = head.length else {
                 return Err(wrong());
             };
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -43,7 +43,7 @@
         if let Work::Running { halting, .. } = &mut entry.work {
             *halting = Halting::Asked;
             if self.link.is_up() {
-                self.interpreter.send(Command::Break(entry.txn.as_str()));
+                self.interpreter.send(Command::Stop(entry.txn.as_str()));
             }
         }
     }
@@ -133,15 +133,18 @@
         };
         let task = entry.txn.as_str();
         let command = match told {
-            Told::Apply => Command::Apply {
-                task,
+            Told::Apply => Command::Run {
+                request_id: task,
                 class: &self.desk.names.classes[entry.class.0],
                 body: &entry.body,
             },
-            Told::Continue => Command::Continue(task),
-            Told::Resolve(body) => Command::Resolve { task, body },
-            Told::Stub(index) => Command::Stub {
-                task,
+            Told::Continue => Command::Resume(task),
+            Told::Resolve(body) => Command::CompleteCall {
+                request_id: task,
+                body,
+            },
+            Told::Stub(index) => Command::SkipCall {
+                request_id: task,
                 index: *index,
             },
         };
@@ -149,7 +152,7 @@
             self.interpreter.send(command);
         }
         if *halting == Halting::Asked {
-            self.interpreter.send(Command::Break(task));
+            self.interpreter.send(Command::Stop(task));
         }
     }
 }
--- a/crates/heathspurd/src/event_loop/peer_events.rs
+++ b/crates/heathspurd/src/event_loop/peer_events.rs
@@ -7,7 +7,7 @@
 use crate::peers::store::Event as Called;
 use bytes::Bytes;
 use heathspur::{Event, Gauges, Idempotency, Outcome, Preemption, RequestId, Span};
-use heathspur_wire::interpreter::{Command, End, Warmth};
+use heathspur_wire::interpreter::{Command, RunOutcome, Warmth};
 use tracing::warn;
 
 /// The longest wait for notices that were missed, once a link is up again.
@@ -18,7 +18,7 @@
     pub(crate) fn ask(&mut self) -> u64 {
         let nonce = self.next_nonce;
         self.next_nonce += 1;
-        self.interpreter.send(Command::Top(nonce));
+        self.interpreter.send(Command::QueryGauges(nonce));
         nonce
     }
 
@@ -89,7 +89,7 @@
                     })
                 );
                 if let (Some(id), true, "APPLY") = (id, started, &*command) {
-                    self.run_ended(id, End::Error, Bytes::new());
+                    self.run_ended(id, RunOutcome::Failed, Bytes::new());
                 }
                 warn!(command, "the interpreter did not carry out {command:?}");
             }
@@ -192,7 +192,7 @@
             Work::Held | Work::Paused { .. } | Work::Waiting { .. } => false,
         });
         for id in lost {
-            self.run_ended(id, End::Error, Bytes::new());
+            self.run_ended(id, RunOutcome::Failed, Bytes::new());
         }
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// A run is over, or stopped and to go on later.
-    pub(crate) fn run_ended(&mut self, id: RequestId, end: End, body: Bytes) {
+    pub(crate) fn run_ended(&mut self, id: RequestId, end: RunOutcome, body: Bytes) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
@@ -229,24 +229,24 @@
             Work::Held | Work::Paused { .. } | Work::Waiting { .. } => return,
         };
         let outcome = match end {
-            End::Complete => Outcome::Ok,
-            End::Error => Outcome::Error,
-            End::Cancelled => Outcome::Cancelled,
-            End::Unknown => Outcome::NoLongerNeeded,
+            RunOutcome::Succeeded => Outcome::Ok,
+            RunOutcome::Failed => Outcome::Error,
+            RunOutcome::Cancelled => Outcome::Cancelled,
+            RunOutcome::NotStarted => Outcome::NoLongerNeeded,
         };
         self.events.push(Event::RunCompleted {
             id,
             outcome,
             latency: self.now - since,
         });
-        if end == End::Cancelled && halted && entry.reply.is_some() {
+        if end == RunOutcome::Cancelled && halted && entry.reply.is_some() {
             match self.settings.preemption {
                 Preemption::Pause => entry.work = Work::Paused { since },
                 _ => entry.work = Work::Held,
             }
             return;
         }
-        let result = (end == End::Complete).then_some(&body);
+        let result = (end == RunOutcome::Succeeded).then_some(&body);
         let waiting = entry
             .key
             .as_ref()
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -7,7 +7,7 @@
 use crate::frontend::Desk;
 use crate::recording::recorded_stream::Stream;
 use futures_lite::{future, AsyncWriteExt};
-use heathspur_wire::http::{self, Last};
+use heathspur_wire::http::{self, ConnectionOption};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,10 +20,10 @@
     stream: &Stream,
     desk: &Desk,
     response: &Response,
-    last: Last,
+    last: ConnectionOption,
 ) -> io::Result<()> {
     let mut out = Vec::with_capacity(256 + response.body.len());
-    http::write_answer(
+    http::write_response(
         &mut out,
         response.status,
         &response.fields,
@@ -39,7 +39,7 @@
 /// Answers what is no request that can be taken, and ends its connection.
 pub(crate) async fn reject(stream: &Stream, status: u16) {
     let mut out = Vec::new();
-    http::write_answer(&mut out, status, &[], Last::Yes, b"");
+    http::write_response(&mut out, status, &[], ConnectionOption::Close, b"");
     // The connection ends either way.
     let _ = write_all(stream, &out).await;
     lingering_close::close(stream).await;
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -13,7 +13,7 @@
 use async_io::Timer;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_lite::{future, AsyncRead};
-use heathspur_wire::http::{self, Fields, Last, Message, Reader};
+use heathspur_wire::http::{self, ConnectionOption, Fields, Message, Reader};
 use std::cell::RefCell;
 use std::io;
 use std::pin::Pin;
@@ -80,7 +80,7 @@
             .await
         {
             Ok(Ok(message)) => {
-                let close = http::says_close(Fields::over(&buffer[message.fields.clone()]));
+                let close = http::has_close_option(Fields::over(&buffer[message.fields.clone()]));
                 let whole = buffer.split_to(message.body.end).freeze();
                 match respond(
                     &stream,
@@ -93,8 +93,8 @@
                 )
                 .await
                 {
-                    Ok(Last::No) => continue,
-                    Ok(Last::Yes) => Ended::Idle,
+                    Ok(ConnectionOption::KeepAlive) => continue,
+                    Ok(ConnectionOption::Close) => Ended::Idle,
                     Err(ended) => ended,
                 }
             }
@@ -132,9 +132,13 @@
     whole: Bytes,
     message: &Message,
     close: bool,
-) -> Result<Last, Ended> {
+) -> Result<ConnectionOption, Ended> {
     let desk = &front.desk;
-    let mut last = if close { Last::Yes } else { Last::No };
+    let mut last = if close {
+        ConnectionOption::Close
+    } else {
+        ConnectionOption::KeepAlive
+    };
     let asked = understand(&whole, message, front);
     drop(whole);
     let response = match asked {
@@ -161,7 +165,7 @@
                 // What came behind it is owed an answer too, which is the last then.
                 last = match look(stream, buffer).await {
                     Some(Ok(1..)) => last,
-                    _ => Last::Yes,
+                    _ => ConnectionOption::Close,
                 };
             }
             Response::of(&given, desk)
@@ -281,7 +285,7 @@
 
 /// Makes a request of a message, or says why it is none. `whole` holds the message and nothing else.
 fn understand(whole: &Bytes, message: &Message, front: &Front) -> Read {
-    let Ok((method, target)) = http::request_line(&whole[message.first.clone()]) else {
+    let Ok((method, target)) = http::request_line(&whole[message.start_line.clone()]) else {
         return Read::Bad(400);
     };
     let class = match Asked::of(method, target, &front.desk) {
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -23,7 +23,7 @@
 use heathspur_streams::drain::{Drain, Step};
 use heathspur_streams::ledger::Holder;
 use heathspur_streams::share::{Bounds, Share};
-use heathspur_wire::http::{write_answer, Last};
+use heathspur_wire::http::{write_response, ConnectionOption};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io;
@@ -124,7 +124,7 @@
             // Whoever speaks another version is told so in words that it can read.
             let mut out = Vec::new();
             let words = b"This port speaks HTTP/2 by prior knowledge only.\n";
-            write_answer(&mut out, 505, &[], Last::Yes, words);
+            write_response(&mut out, 505, &[], ConnectionOption::Close, words);
             let _ = within(FAREWELL, (&stream).write_all(&out)).await;
             permit.linger(lingering_close::close(&stream)).await;
             return;
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -89,7 +89,7 @@
         let again = if is("X-Txn") {
             self.txn.replace(Txn::read(value)?).is_some()
         } else if is("X-Ingress-Time") {
-            let stamp = http::number(value)?
+            let stamp = http::parse_decimal(value)?
                 .checked_mul(1000)
                 .filter(|&stamp| stamp <= self.latest)?;
             self.ingress.replace(stamp).is_some()
@@ -102,7 +102,7 @@
                 .replace(decimal(value).filter(|rank| *rank < 1.0)?)
                 .is_some()
         } else if is("X-Router") {
-            self.router.replace(http::number(value)?).is_some()
+            self.router.replace(http::parse_decimal(value)?).is_some()
         } else if is("X-Merchant") {
             let tenants = &self.desk.names.tenants;
             self.tenant
--- a/crates/heathspurd/src/peers/interpreter.rs
+++ b/crates/heathspurd/src/peers/interpreter.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use futures_lite::{future, AsyncWriteExt};
 use heathspur_record::recorder::Leg;
-use heathspur_wire::interpreter::{self as wire, Command, End, Notice, Warmth};
+use heathspur_wire::interpreter::{self as wire, Command, Notice, RunOutcome, Warmth};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -34,7 +34,7 @@
     },
     Ended {
         txn: Txn,
-        end: End,
+        end: RunOutcome,
         body: Bytes,
     },
     Waits {
@@ -70,7 +70,7 @@
     }
 
     pub fn send(&self, command: Command<'_>) {
-        wire::write(&mut self.out.borrow_mut(), command);
+        wire::write_command(&mut self.out.borrow_mut(), command);
         self.queued.notify();
     }
 }
@@ -136,7 +136,7 @@
 ) -> String {
     let mut hello = Vec::new();
     count.begin_link();
-    wire::write(&mut hello, Command::Connect(count.last()));
+    wire::write_command(&mut hello, Command::Connect(count.last()));
     {
         let mut out = link.out.borrow_mut();
         out.clear();
@@ -174,15 +174,20 @@
             // It is taken once the owner has it: a link that ends before that is told it again.
             let mut read = *count;
             let mut sight = Sight::Next;
-            let heard = match wire::read(line) {
+            let heard = match wire::parse_notice(line) {
                 // Its number is not taken either, so it comes again, whole, on the next link.
-                Ok(Notice::Value { task, .. } | Notice::Await { task, .. })
-                    if Txn::read(task.as_bytes()).is_none() =>
-                {
+                Ok(
+                    Notice::RunCompleted {
+                        request_id: task, ..
+                    }
+                    | Notice::CallNeeded {
+                        request_id: task, ..
+                    },
+                ) if Txn::read(task.as_bytes()).is_none() => {
                     return "a notice names no request".to_string();
                 }
                 Ok(notice) => {
-                    if matches!(notice, Notice::Tops { .. }) {
+                    if matches!(notice, Notice::Gauges { .. }) {
                         read.caught_up();
                     }
                     if let Some(index) = number(&notice) {
@@ -206,7 +211,7 @@
             *count = read;
             inflow.use_up(end + 1);
         }
-        if inflow.bytes().len() > wire::LINE {
+        if inflow.bytes().len() > wire::MAX_LINE_BYTES {
             return "a line is too long".to_string();
         }
     }
@@ -215,10 +220,10 @@
 /// The number of a notice, where its kind has one.
 fn number(notice: &Notice<'_>) -> Option<u64> {
     match notice {
-        Notice::Value { index, .. } | Notice::Await { index, .. } | Notice::Trace { index } => {
-            Some(*index)
-        }
-        Notice::Banner { .. } | Notice::Tops { .. } | Notice::Refused { .. } => None,
+        Notice::RunCompleted { index, .. }
+        | Notice::CallNeeded { index, .. }
+        | Notice::Log { index } => Some(*index),
+        Notice::Connected { .. } | Notice::Gauges { .. } | Notice::CommandRejected { .. } => None,
     }
 }
 
@@ -228,28 +233,41 @@
         return None;
     }
     match notice {
-        Notice::Banner { warmth, ago_ms } => Some(Event::Banner { warmth, ago_ms }),
-        Notice::Value {
-            task, end, body, ..
+        Notice::Connected {
+            warmth,
+            uptime_ms: ago_ms,
+        } => Some(Event::Banner { warmth, ago_ms }),
+        Notice::RunCompleted {
+            request_id: task,
+            outcome: end,
+            body,
+            ..
         } => Some(Event::Ended {
             txn: Txn::read(task.as_bytes())?,
             end,
             body: body.into(),
         }),
-        Notice::Await { index, task, body } => Some(Event::Waits {
+        Notice::CallNeeded {
+            index,
+            request_id: task,
+            body,
+        } => Some(Event::Waits {
             txn: Txn::read(task.as_bytes())?,
             index,
             body: body.into(),
         }),
-        Notice::Tops { nonce, readings } => Some(Event::Gauges {
+        Notice::Gauges { nonce, readings } => Some(Event::Gauges {
             nonce: nonce.parse().ok()?,
             readings,
         }),
-        Notice::Refused { command, task } => Some(Event::Refused {
+        Notice::CommandRejected {
+            command,
+            request_id: task,
+        } => Some(Event::Refused {
             command: command.into_owned(),
             txn: Txn::read(task.as_bytes()),
         }),
-        Notice::Trace { .. } => None,
+        Notice::Log { .. } => None,
     }
 }
 
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -247,7 +247,7 @@
     fn report(&self, ready: bool) -> Vec<u8> {
         let (path, host) = (format!("/announce/{}", self.name), self.address.to_string());
         let mut out = Vec::new();
-        http::write_call(
+        http::write_request(
             &mut out,
             "PUT",
             &path,
@@ -266,8 +266,8 @@
         inflow.fill(&stream).await?;
         if let Some(message) = reader.read(inflow.bytes()).map_err(io::Error::other)? {
             let status =
-                http::status_line(&inflow.bytes()[message.first]).map_err(io::Error::other)?;
-            let close = http::says_close(Fields::over(&inflow.bytes()[message.fields]));
+                http::status_line(&inflow.bytes()[message.start_line]).map_err(io::Error::other)?;
+            let close = http::has_close_option(Fields::over(&inflow.bytes()[message.fields]));
             let more = inflow.bytes().len() > message.body.end;
             return Ok((status, (!close && !more).then_some(stream)));
         }
--- a/crates/heathspurd/src/peers/store.rs
+++ b/crates/heathspurd/src/peers/store.rs
@@ -12,7 +12,7 @@
 use futures_lite::AsyncWriteExt;
 use heathspur::{Outcome, RequestId};
 use heathspur_record::recorder::Leg;
-use heathspur_wire::store::{self as wire, Word};
+use heathspur_wire::store::{self as wire, CallStatus};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -302,22 +302,22 @@
     stream.write_all(&out).await.map_err(|e| e.to_string())?;
     let mut only = true;
     loop {
-        while let Some(reply) = wire::read(line.inflow.bytes()).map_err(|e| e.to_string())? {
+        while let Some(reply) = wire::parse_reply(line.inflow.bytes()).map_err(|e| e.to_string())? {
             let bytes = line.inflow.bytes();
             // A reply to anything else is no answer, but a sign that the connection is not to be trusted.
-            let ours = bytes[reply.id.clone()] == *call.txn.as_str().as_bytes();
+            let ours = bytes[reply.request_id.clone()] == *call.txn.as_str().as_bytes();
             let body = Bytes::copy_from_slice(&bytes[reply.body.clone()]);
             line.inflow.use_up(reply.end);
             if !ours {
                 only = false;
                 continue;
             }
-            let outcome = match reply.word {
-                Word::Ok => Outcome::Ok,
-                Word::Busy => Outcome::Rejected,
-                Word::Failed => Outcome::Error,
-                Word::Late => Outcome::Timeout,
-                Word::Void => Outcome::NoLongerNeeded,
+            let outcome = match reply.status {
+                CallStatus::Ok => Outcome::Ok,
+                CallStatus::Rejected => Outcome::Rejected,
+                CallStatus::Failed => Outcome::Error,
+                CallStatus::TimedOut => Outcome::Timeout,
+                CallStatus::NoRun => Outcome::NoLongerNeeded,
             };
             return Ok((outcome, body, only && line.inflow.bytes().is_empty()));
         }
--- a/crates/heathspurd/tests/unit/peer_events.rs
+++ b/crates/heathspurd/tests/unit/peer_events.rs
@@ -114,7 +114,7 @@
     let (mut owner, answers) = crossed();
     owner.hear(Heard::Ended {
         txn: txn(),
-        end: End::Cancelled,
+        end: RunOutcome::Cancelled,
         body: Bytes::new(),
     });
     // It is paused as asked for, and its answer still owed.
