--- a/crates/heathspur-config/src/lib.rs
+++ b/crates/heathspur-config/src/lib.rs
@@ -7,7 +7,7 @@
 
 mod failover;
 mod http2;
-mod locate;
+mod locations;
 mod members;
 pub mod units;
 
@@ -15,7 +15,7 @@
 pub use http2::{Http2, Memory, Patience, Request, Streams};
 pub use members::{Members, Seed};
 
-use locate::Places;
+use locations::Places;
 use serde::Deserialize;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -271,7 +271,7 @@
         let what = e.inner().to_string();
         wrong(
             places.find(&e.path().to_string(), &what),
-            locate::plain(&what),
+            locations::plain(&what),
         )
     })?;
     check(&read).map_err(|Mistake(path, what)| wrong(places.find(&path, ""), what))?;
