--- a/crates/heathspur-config/src/failover.rs
+++ b/crates/heathspur-config/src/failover.rs
@@ -1,29 +1,30 @@
-//! Failover between zones: where the dependency's replicas are, and how slowly a zone changes its mind.
+//! Failover between zones: the dependency's replicas, and the hysteresis of a zone's decisions.
 
+use crate::members::MAX_NAME_BYTES;
 use crate::units::Span;
-use crate::{Members, Mistake};
+use crate::{InvalidValue, Members};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Calls go to the own zone's replica while that is safe, and move in common with the zone. Off where the element is
-/// missing; needs `members`.
+/// Calls go to the own zone's replica while that is safe, and fail over together with the zone. Off if the element is
+/// missing; requires `members`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failover {
-    /// A decision stands for at least this long; 1 s to 10 min.
-    #[serde(rename = "@dwell", default = "dwell")]
-    pub dwell: Span,
-    /// A worse level is wanted once it was seen for this long; 100 ms to 1 min.
-    #[serde(rename = "@leave", default = "leave")]
-    pub leave: Span,
-    /// A better one, for this long; 100 ms to 10 min.
-    #[serde(rename = "@back", default = "back")]
-    pub back: Span,
-    /// A replica that gets no calls is checked so often, by a connection; 100 ms to 1 min.
-    #[serde(rename = "@check", default = "check")]
-    pub check: Span,
-    /// The dependency's replicas, one a zone; 2 to 32. They stand in the place of the platform's `store`.
+    /// The minimum time that a decision holds; 1 s to 10 min.
+    #[serde(rename = "@dwell", default = "default_minimum_hold")]
+    pub minimum_hold: Span,
+    /// How long a worse level must be observed before a failover; 100 ms to 1 min.
+    #[serde(rename = "@leave", default = "default_failover_delay")]
+    pub failover_delay: Span,
+    /// How long a better level must be observed before a recovery; 100 ms to 10 min.
+    #[serde(rename = "@back", default = "default_recovery_delay")]
+    pub recovery_delay: Span,
+    /// The interval of health checks, by a connection, of a replica without calls; 100 ms to 1 min.
+    #[serde(rename = "@check", default = "default_health_check_interval")]
+    pub health_check_interval: Span,
+    /// The dependency's replicas, one a zone; 2 to 32. They replace the platform's `store`.
     #[serde(default)]
     pub replica: Vec<Replica>,
 }
@@ -32,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
-    /// The zone that it is near to.
+    /// The zone of the replica.
     #[serde(rename = "@zone")]
     pub zone: String,
     /// Its address (IPv4).
@@ -40,98 +41,83 @@
     pub address: SocketAddr,
 }
 
-fn dwell() -> Span {
+fn default_minimum_hold() -> Span {
     Span(Duration::from_secs(30))
 }
 
-fn leave() -> Span {
+fn default_failover_delay() -> Span {
     Span(Duration::from_secs(1))
 }
 
-fn back() -> Span {
+fn default_recovery_delay() -> Span {
     Span(Duration::from_secs(10))
 }
 
-fn check() -> Span {
+fn default_health_check_interval() -> Span {
     Span(Duration::from_secs(1))
 }
 
 impl Failover {
-    /// The place of this zone's replica.
-    pub fn home(&self, zone: &str) -> Option<usize> {
+    /// The index of the zone's replica.
+    pub fn replica_of(&self, zone: &str) -> Option<usize> {
         self.replica.iter().position(|replica| replica.zone == zone)
     }
 
-    pub(crate) fn check(&self, members: Option<&Members>) -> Result<(), Mistake> {
-        let mistake =
-            |path: &str, what: &str| Err(Mistake(format!("failover{path}"), what.to_string()));
+    pub(crate) fn check(&self, members: Option<&Members>) -> Result<(), InvalidValue> {
         let Some(members) = members else {
-            return mistake(
+            return invalid(
                 "",
                 "an element `members` is expected beside it: zones decide by the fleet's view",
             );
         };
         if !(2..=32).contains(&self.replica.len()) {
-            return mistake("", "2 to 32 elements `replica` are expected");
+            return invalid("", "2 to 32 elements `replica` are expected");
         }
-        for (at, replica) in self.replica.iter().enumerate() {
-            if replica.zone.is_empty() || replica.zone.len() > 48 {
-                return mistake(
-                    &format!(".replica[{at}].@zone"),
-                    "1 to 48 bytes are expected",
-                );
-            }
-            if self.home(&replica.zone) != Some(at) {
-                return mistake(
-                    &format!(".replica[{at}].@zone"),
-                    "one replica a zone is expected",
-                );
-            }
-            if !replica.address.is_ipv4() {
-                return mistake(
-                    &format!(".replica[{at}].@address"),
-                    "an IPv4 address is expected",
-                );
-            }
+        for index in 0..self.replica.len() {
+            self.check_replica(index)?;
         }
-        if self.home(&members.zone).is_none() {
-            let what = format!("a replica of the own zone, `{}`, is expected", members.zone);
-            return mistake("", &what);
+        if self.replica_of(&members.zone).is_none() {
+            let zone = &members.zone;
+            return invalid(
+                "",
+                &format!("a replica of the own zone, `{zone}`, is expected"),
+            );
+        }
+        self.check_delays()
+    }
+
+    fn check_replica(&self, index: usize) -> Result<(), InvalidValue> {
+        let replica = &self.replica[index];
+        let path = |attribute| format!(".replica[{index}].@{attribute}");
+        if replica.zone.is_empty() || replica.zone.len() > MAX_NAME_BYTES {
+            return invalid(&path("zone"), "1 to 48 bytes are expected");
+        }
+        if self.replica_of(&replica.zone) != Some(index) {
+            return invalid(&path("zone"), "one replica a zone is expected");
         }
-        for (name, span, least, most, said) in [
-            (
-                "dwell",
-                self.dwell,
-                1_000,
-                600_000,
-                "1 s to 10 min is expected",
-            ),
-            (
-                "leave",
-                self.leave,
-                100,
-                60_000,
-                "100 ms to 1 min is expected",
-            ),
-            (
-                "back",
-                self.back,
-                100,
-                600_000,
-                "100 ms to 10 min is expected",
-            ),
-            (
-                "check",
-                self.check,
-                100,
-                60_000,
-                "100 ms to 1 min is expected",
-            ),
-        ] {
-            if !(least..=most).contains(&span.0.as_millis()) {
-                return mistake(&format!(".@{name}"), said);
-            }
+        if !replica.address.is_ipv4() {
+            return invalid(&path("address"), "an IPv4 address is expected");
         }
         Ok(())
     }
+
+    fn check_delays(&self) -> Result<(), InvalidValue> {
+        if !(1_000..=600_000).contains(&self.minimum_hold.0.as_millis()) {
+            return invalid(".@dwell", "1 s to 10 min is expected");
+        }
+        if !(100..=60_000).contains(&self.failover_delay.0.as_millis()) {
+            return invalid(".@leave", "100 ms to 1 min is expected");
+        }
+        if !(100..=600_000).contains(&self.recovery_delay.0.as_millis()) {
+            return invalid(".@back", "100 ms to 10 min is expected");
+        }
+        if !(100..=60_000).contains(&self.health_check_interval.0.as_millis()) {
+            return invalid(".@check", "100 ms to 1 min is expected");
+        }
+        Ok(())
+    }
+}
+
+fn invalid(path: &str, reason: &str) -> Result<(), InvalidValue> {
+    Err(InvalidValue::new(format!("failover{path}"), reason))
 }
--- a/crates/heathspur-config/src/http2.rs
+++ b/crates/heathspur-config/src/http2.rs
@@ -1,40 +1,49 @@
 //! The port for HTTP/2.
 
 use crate::units::{Size, Span};
-use crate::Mistake;
+use crate::InvalidValue;
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
+const KIB: u64 = 1 << 10;
+const MIB: u64 = 1 << 20;
+const GIB: u64 = 1 << 30;
+/// Memory of an open request besides its body: its place in the tables.
+const REQUEST_OVERHEAD_BYTES: u64 = 1024;
+/// HTTP/2 uses at most this part of the process's memory: a half.
+const PART_OF_PROCESS_MEMORY: u64 = 2;
+
 /// HTTP/2 without TLS on a port of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Http2 {
-    /// Where it listens.
+    /// The address for connections.
     #[serde(rename = "@listen")]
     pub listen: SocketAddr,
-    /// How many streams there may be.
+    /// Limits on concurrent streams.
     #[serde(default)]
     pub streams: Streams,
-    /// Bounds on a request.
+    /// Limits on a request.
     #[serde(default)]
     pub request: Request,
-    /// What may wait in memory.
+    /// Limits on buffers.
     #[serde(default)]
     pub memory: Memory,
-    /// How long is waited for callers.
-    #[serde(default)]
-    pub patience: Patience,
+    /// Timeouts of clients.
+    #[serde(rename = "patience", default)]
+    pub client_timeouts: ClientTimeouts,
 }
 
-/// How many streams there may be at once.
+/// Limits on concurrent streams.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Streams {
-    /// Of one connection; 1 to 10,000, and no more than of all.
+    /// Streams of one connection; 1 to 10,000, and no more than `all`.
     #[serde(rename = "@connection")]
     pub connection: u32,
-    /// Of all connections; 1 to 10,000.
+    /// Streams of all connections; 1 to 10,000.
     #[serde(rename = "@all")]
     pub all: u32,
 }
@@ -48,76 +57,75 @@
     }
 }
 
-/// Bounds on a request.
+/// Limits on a request.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Request {
-    /// Its fields, as HTTP/2 counts them (RFC 9113, section 6.5.2); 1 KiB to 64 KiB.
+    /// The size of the field section as HTTP/2 counts it (RFC 9113, section 6.5.2); 1 KiB to 64 KiB.
     #[serde(rename = "@header-list")]
     pub header_list: Size,
-    /// Its body; 1 KiB to 64 KiB.
+    /// The size of the body; 1 KiB to 64 KiB.
     #[serde(rename = "@body")]
     pub body: Size,
-    /// It must be whole within this, and a new connection must have said what it speaks; 100 ms to 60 s.
+    /// The timeout to receive a complete request, and the preface of a new connection; 100 ms to 60 s.
     #[serde(rename = "@whole")]
-    pub whole: Span,
+    pub receive_timeout: Span,
 }
 
 impl Default for Request {
     fn default() -> Request {
         Request {
-            header_list: Size(8 << 10),
-            body: Size(2 << 10),
-            whole: Span(Duration::from_secs(2)),
+            header_list: Size(8 * KIB),
+            body: Size(2 * KIB),
+            receive_timeout: Span(Duration::from_secs(2)),
         }
     }
 }
 
-/// What may wait in memory.
+/// Limits on buffers.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Memory {
-    /// Answers that nobody reads, over all connections and with those of HTTP/1.1; 64 KiB to 1 GiB.
+    /// Unread responses of all connections, including those of HTTP/1.1; 64 KiB to 1 GiB.
     #[serde(rename = "@answers")]
-    pub answers: Size,
-    /// Of one connection; 16 KiB or more, and no more than of all.
+    pub responses: Size,
+    /// Unread responses of one connection; 16 KiB or more, and no more than of all.
     #[serde(rename = "@connection")]
     pub connection: Size,
-    /// Of one stream, in the protocol's own buffers; 16 KiB to 1 MiB.
+    /// The protocol's send buffer of one stream; 16 KiB to 1 MiB.
     #[serde(rename = "@stream")]
     pub stream: Size,
-    /// What all connections together may send ahead of what is read; 64 KiB to 1 GiB.
+    /// The sum of all connections' receive windows; 64 KiB to 1 GiB.
     #[serde(rename = "@receive")]
     pub receive: Size,
 }
 
 impl Default for Memory {
     fn default() -> Memory {
-        let (answers, connection) = (Size(4 << 20), Size(512 << 10));
         Memory {
-            answers,
-            connection,
-            stream: Size(32 << 10),
-            receive: Size(4 << 20),
+            responses: Size(4 * MIB),
+            connection: Size(512 * KIB),
+            stream: Size(32 * KIB),
+            receive: Size(4 * MIB),
         }
     }
 }
 
-/// How long is waited for callers.
+/// Timeouts of clients.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Patience {
-    /// An answer must be read within this, and a connection take something; 100 ms to 60 s.
+pub struct ClientTimeouts {
+    /// How long a response may stay unread, and a connection make no progress; 100 ms to 60 s.
     #[serde(rename = "@stalled")]
     pub stalled: Span,
-    /// The round trip of a drain; 10 ms to 10 s.
+    /// The time allowed for a round trip when a connection drains; 10 ms to 10 s.
     #[serde(rename = "@round-trip")]
     pub round_trip: Span,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience {
+impl Default for ClientTimeouts {
+    fn default() -> ClientTimeouts {
+        ClientTimeouts {
             stalled: Span(Duration::from_secs(5)),
             round_trip: Span(Duration::from_millis(500)),
         }
@@ -125,126 +133,134 @@
 }
 
 impl Http2 {
-    /// The most that this front may hold in memory, in bytes: what waits to be read, what may be sent ahead, and
-    /// the requests that are open, each with a part for its place in the tables.
-    pub fn most(&self) -> u64 {
-        let request = self.request.body.0 + 1024;
-        let open = u64::from(self.streams.all).saturating_mul(request);
+    /// The most memory that HTTP/2 can use, in bytes: unread responses, receive windows and open requests.
+    pub fn max_memory(&self) -> u64 {
+        let request = self.request.body.0 + REQUEST_OVERHEAD_BYTES;
+        let open_requests = u64::from(self.streams.all).saturating_mul(request);
         self.memory
-            .answers
+            .responses
             .0
             .saturating_add(self.memory.receive.0)
-            .saturating_add(open)
+            .saturating_add(open_requests)
+    }
+
+    pub(crate) fn check(&self, process_memory: Option<u64>) -> Result<(), InvalidValue> {
+        self.streams.check()?;
+        self.request.check_sizes()?;
+        self.memory.check()?;
+        self.check_timeouts()?;
+        self.check_max_memory(process_memory)
     }
 
-    pub(crate) fn check(&self, memory: Option<u64>) -> Result<(), Mistake> {
-        let mistake = |path: &str, what: String| Err(Mistake(format!("http2.{path}"), what));
+    fn check_timeouts(&self) -> Result<(), InvalidValue> {
+        let timeouts = &self.client_timeouts;
+        if !(100..=60_000).contains(&self.request.receive_timeout.0.as_millis()) {
+            return invalid("request.@whole", "100 ms to 60 s is expected");
+        }
+        if !(100..=60_000).contains(&timeouts.stalled.0.as_millis()) {
+            return invalid("patience.@stalled", "100 ms to 60 s is expected");
+        }
+        if !(10..=10_000).contains(&timeouts.round_trip.0.as_millis()) {
+            return invalid("patience.@round-trip", "10 ms to 10 s is expected");
+        }
+        Ok(())
+    }
+
+    fn check_max_memory(&self, process_memory: Option<u64>) -> Result<(), InvalidValue> {
+        let Some(process_memory) = process_memory else {
+            return Ok(());
+        };
+        let used = Size(self.max_memory());
+        let limit = Size(process_memory / PART_OF_PROCESS_MEMORY);
+        if used <= limit {
+            return Ok(());
+        }
+        invalid(
+            "memory",
+            format!(
+                "{used} in all, with the streams, where {limit} at most is expected, half of the process's memory"
+            ),
+        )
+    }
+}
+
+impl Streams {
+    fn check(&self) -> Result<(), InvalidValue> {
         for (path, count) in [
-            ("streams.@connection", self.streams.connection),
-            ("streams.@all", self.streams.all),
+            ("streams.@connection", self.connection),
+            ("streams.@all", self.all),
         ] {
             if !(1..=10_000).contains(&count) {
-                return mistake(path, "1 to 10000 is expected".into());
+                return invalid(path, "1 to 10000 is expected");
             }
         }
-        if self.streams.connection > self.streams.all {
-            let what = format!(
-                "{} at most is expected, as many as of all",
-                self.streams.all
+        if self.connection > self.all {
+            let all = self.all;
+            return invalid(
+                "streams.@connection",
+                format!("{all} at most is expected, as many as of all"),
             );
-            return mistake("streams.@connection", what);
         }
-        let (kib, mib, gib) = (1 << 10, 1 << 20, 1 << 30);
-        let sizes = [
-            (
-                "request.@header-list",
-                self.request.header_list,
-                kib,
-                64 * kib,
-                "1 KiB to 64 KiB",
-            ),
-            (
-                "request.@body",
-                self.request.body,
-                kib,
-                64 * kib,
-                "1 KiB to 64 KiB",
-            ),
-            (
-                "memory.@answers",
-                self.memory.answers,
-                64 * kib,
-                gib,
-                "64 KiB to 1 GiB",
-            ),
-            (
+        Ok(())
+    }
+}
+
+impl Request {
+    fn check_sizes(&self) -> Result<(), InvalidValue> {
+        let range = SizeRange {
+            range: KIB..=64 * KIB,
+            text: "1 KiB to 64 KiB",
+        };
+        range.check("request.@header-list", self.header_list)?;
+        range.check("request.@body", self.body)
+    }
+}
+
+impl Memory {
+    fn check(&self) -> Result<(), InvalidValue> {
+        let all_connections = SizeRange {
+            range: 64 * KIB..=GIB,
+            text: "64 KiB to 1 GiB",
+        };
+        let one_connection = SizeRange {
+            range: 16 * KIB..=GIB,
+            text: "16 KiB to 1 GiB",
+        };
+        let one_stream = SizeRange {
+            range: 16 * KIB..=MIB,
+            text: "16 KiB to 1 MiB",
+        };
+        all_connections.check("memory.@answers", self.responses)?;
+        one_connection.check("memory.@connection", self.connection)?;
+        one_stream.check("memory.@stream", self.stream)?;
+        all_connections.check("memory.@receive", self.receive)?;
+        if self.connection > self.responses {
+            let (connection, all) = (self.connection, self.responses);
+            return invalid(
                 "memory.@connection",
-                self.memory.connection,
-                16 * kib,
-                gib,
-                "16 KiB to 1 GiB",
-            ),
-            (
-                "memory.@stream",
-                self.memory.stream,
-                16 * kib,
-                mib,
-                "16 KiB to 1 MiB",
-            ),
-            (
-                "memory.@receive",
-                self.memory.receive,
-                64 * kib,
-                gib,
-                "64 KiB to 1 GiB",
-            ),
-        ];
-        for (path, size, least, most, words) in sizes {
-            if !(least..=most).contains(&size.0) {
-                return mistake(path, format!("{size} where {words} is expected"));
-            }
-        }
-        if self.memory.connection > self.memory.answers {
-            let (connection, all) = (self.memory.connection, self.memory.answers);
-            let what =
-                format!("{connection} of one connection, where {all} at most is expected, as much as of all");
-            return mistake("memory.@connection", what);
-        }
-        let spans = [
-            (
-                "request.@whole",
-                self.request.whole,
-                100,
-                60_000,
-                "100 ms to 60 s",
-            ),
-            (
-                "patience.@stalled",
-                self.patience.stalled,
-                100,
-                60_000,
-                "100 ms to 60 s",
-            ),
-            (
-                "patience.@round-trip",
-                self.patience.round_trip,
-                10,
-                10_000,
-                "10 ms to 10 s",
-            ),
-        ];
-        for (path, span, least, most, words) in spans {
-            if !(least..=most).contains(&span.0.as_millis()) {
-                return mistake(path, format!("{words} is expected"));
-            }
+                format!("{connection} of one connection, where {all} at most is expected, as much as of all"),
+            );
         }
-        match memory {
-            Some(memory) if self.most() > memory / 2 => {
-                let (most, half) = (Size(self.most()), Size(memory / 2));
-                let what = format!("{most} in all, with the streams, where {half} at most is expected, half of the process's memory");
-                mistake("memory", what)
-            }
-            _ => Ok(()),
+        Ok(())
+    }
+}
+
+/// The accepted sizes of an attribute.
+struct SizeRange {
+    range: RangeInclusive<u64>,
+    /// The range as errors show it.
+    text: &'static str,
+}
+
+impl SizeRange {
+    fn check(&self, path: &str, size: Size) -> Result<(), InvalidValue> {
+        if self.range.contains(&size.0) {
+            return Ok(());
         }
+        invalid(path, format!("{size} where {} is expected", self.text))
     }
 }
+
+fn invalid(path: &str, reason: impl Into<String>) -> Result<(), InvalidValue> {
+    Err(InvalidValue::new(format!("http2.{path}"), reason))
+}
--- a/crates/heathspur-config/src/members.rs
+++ b/crates/heathspur-config/src/members.rs
@@ -1,44 +1,47 @@
-//! The fleet's view kept by the servers: where a server listens for its peers, and how it probes them.
+//! Membership of the fleet: where a server listens for its peers, and how it probes them.
 
 use crate::units::Span;
-use crate::Mistake;
+use crate::InvalidValue;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Membership by SWIM over UDP. Off where the element is missing.
+/// The longest name of a member, a zone or a region, in bytes.
+pub(crate) const MAX_NAME_BYTES: usize = 48;
+
+/// Membership by SWIM over UDP. Off if the element is missing.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Members {
-    /// This server's name in the fleet; 1 to 48 bytes.
+    /// The server's name in the fleet; 1 to 48 bytes.
     #[serde(rename = "@id")]
     pub id: String,
-    /// Where its datagrams are read (IPv4).
+    /// The local address of its datagrams (IPv4).
     #[serde(rename = "@listen")]
     pub listen: SocketAddr,
-    /// Where others send to it, where that differs (behind a relay); else `listen`.
+    /// The address that peers send to, if it differs from `listen` (behind a relay).
     #[serde(rename = "@advertise", default)]
     pub advertise: Option<SocketAddr>,
-    /// Its zone; up to 48 bytes.
+    /// The server's zone; up to 48 bytes.
     #[serde(rename = "@zone", default)]
     pub zone: String,
-    /// Its region; up to 48 bytes.
+    /// The server's region; up to 48 bytes.
     #[serde(rename = "@region", default)]
     pub region: String,
-    /// One probe each period; 50 ms to 60 s.
-    #[serde(rename = "@period", default = "period")]
+    /// The protocol period, with one probe each; 50 ms to 60 s.
+    #[serde(rename = "@period", default = "default_period")]
     pub period: Span,
-    /// A direct probe waits so long before asking others; 10 ms and under the period.
-    #[serde(rename = "@probe-timeout", default = "probe_timeout")]
+    /// The timeout of a direct probe, before indirect probes; 10 ms and under the period.
+    #[serde(rename = "@probe-timeout", default = "default_probe_timeout")]
     pub probe_timeout: Span,
-    /// Suspicion lasts at least this many periods times log10 of the members; 1 to 20.
-    #[serde(rename = "@suspicion", default = "suspicion")]
+    /// The minimum suspicion timeout, in periods times log10 of the members; 1 to 20.
+    #[serde(rename = "@suspicion", default = "default_suspicion")]
     pub suspicion: u64,
-    /// Members in the table at most; 2 to 65,536.
-    #[serde(rename = "@most", default = "most")]
-    pub most: usize,
-    /// Lifeguard's parts; off only to compare.
-    #[serde(rename = "@lifeguard", default = "lifeguard")]
+    /// The largest number of members in the table; 2 to 65,536.
+    #[serde(rename = "@most", default = "default_max_members")]
+    pub max_members: usize,
+    /// Whether the Lifeguard extensions are on; off only for comparison.
+    #[serde(rename = "@lifeguard", default = "default_lifeguard")]
     pub lifeguard: bool,
     /// Members to join through.
     #[serde(default)]
@@ -54,63 +57,77 @@
     pub address: SocketAddr,
 }
 
-fn period() -> Span {
+fn default_period() -> Span {
     Span(Duration::from_secs(1))
 }
 
-fn probe_timeout() -> Span {
+fn default_probe_timeout() -> Span {
     Span(Duration::from_millis(500))
 }
 
-fn suspicion() -> u64 {
+fn default_suspicion() -> u64 {
     4
 }
 
-fn most() -> usize {
+fn default_max_members() -> usize {
     4_096
 }
 
-fn lifeguard() -> bool {
+fn default_lifeguard() -> bool {
     true
 }
 
 impl Members {
-    pub(crate) fn check(&self) -> Result<(), Mistake> {
-        let mistake =
-            |path: &str, what: &str| Err(Mistake(format!("members.{path}"), what.to_string()));
-        if self.id.is_empty() || self.id.len() > 48 {
-            return mistake("@id", "1 to 48 bytes are expected");
+    pub(crate) fn check(&self) -> Result<(), InvalidValue> {
+        self.check_names()?;
+        self.check_addresses()?;
+        self.check_timing()?;
+        if !(1..=20).contains(&self.suspicion) {
+            return invalid("@suspicion", "1 to 20 is expected");
         }
-        if self.zone.len() > 48 || self.region.len() > 48 {
-            return mistake("@zone", "48 bytes at most are expected, in zone and region");
+        if !(2..=65_536).contains(&self.max_members) {
+            return invalid("@most", "2 to 65536 is expected");
         }
-        let v4 = |a: &SocketAddr| a.is_ipv4();
-        if !v4(&self.listen)
-            || !self.advertise.as_ref().is_none_or(v4)
-            || !self.seed.iter().all(|s| v4(&s.address))
-        {
-            return mistake(
-                "@listen",
-                "IPv4 addresses are expected, here, in advertise and in seeds",
-            );
+        Ok(())
+    }
+
+    fn check_names(&self) -> Result<(), InvalidValue> {
+        if self.id.is_empty() || self.id.len() > MAX_NAME_BYTES {
+            return invalid("@id", "1 to 48 bytes are expected");
+        }
+        if self.zone.len() > MAX_NAME_BYTES || self.region.len() > MAX_NAME_BYTES {
+            return invalid("@zone", "48 bytes at most are expected, in zone and region");
+        }
+        Ok(())
+    }
+
+    fn check_addresses(&self) -> Result<(), InvalidValue> {
+        let seeds = self.seed.iter().map(|seed| &seed.address);
+        let mut addresses = seeds.chain(&self.advertise).chain([&self.listen]);
+        if addresses.all(SocketAddr::is_ipv4) {
+            return Ok(());
         }
-        let period = self.period.0.as_millis();
-        if !(50..=60_000).contains(&period) {
-            return mistake("@period", "50 ms to 60 s is expected");
+        invalid(
+            "@listen",
+            "IPv4 addresses are expected, here, in advertise and in seeds",
+        )
+    }
+
+    fn check_timing(&self) -> Result<(), InvalidValue> {
+        let period_ms = self.period.0.as_millis();
+        if !(50..=60_000).contains(&period_ms) {
+            return invalid("@period", "50 ms to 60 s is expected");
         }
-        let timeout = self.probe_timeout.0.as_millis();
-        if timeout < 10 || timeout >= period {
-            return mistake(
+        if !(10..period_ms).contains(&self.probe_timeout.0.as_millis()) {
+            return invalid(
                 "@probe-timeout",
                 "10 ms or more, and under the period, is expected",
             );
         }
-        if !(1..=20).contains(&self.suspicion) {
-            return mistake("@suspicion", "1 to 20 is expected");
-        }
-        if !(2..=65_536).contains(&self.most) {
-            return mistake("@most", "2 to 65536 is expected");
-        }
         Ok(())
     }
 }
+
+fn invalid(path: &str, reason: &str) -> Result<(), InvalidValue> {
+    Err(InvalidValue::new(format!("members.{path}"), reason))
+}
--- /dev/null
+++ b/crates/heathspur-config/src/record.rs
@@ -0,0 +1,185 @@
+//! Recording of traffic to capture files.
+
+use crate::units::{Size, Span};
+use crate::InvalidValue;
+use serde::Deserialize;
+use std::path::PathBuf;
+use std::time::Duration;
+
+const KIB: u64 = 1 << 10;
+const MIB: u64 = 1 << 20;
+const GIB: u64 = 1 << 30;
+const MAX_FILE_AGE_S: u64 = 24 * 60 * 60;
+/// The budget is at most this part of the process's memory: a quarter.
+const BUDGET_PART_OF_MEMORY: u64 = 4;
+
+/// Recording to capture files.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Record {
+    /// The directory of the files. It must exist, and no other program should write to it.
+    #[serde(rename = "@directory")]
+    pub directory: PathBuf,
+    /// The part of a message that is recorded.
+    #[serde(rename = "@contents", default)]
+    pub contents: Contents,
+    /// Whether the traffic with the interpreter and the store is recorded as well.
+    #[serde(rename = "@links", default)]
+    pub links: bool,
+    /// The files.
+    #[serde(default)]
+    pub files: Files,
+    /// The resources that recording may use.
+    #[serde(default)]
+    pub budget: Budget,
+    /// Fields of messages whose values are redacted.
+    #[serde(default)]
+    pub mask: Vec<Mask>,
+}
+
+/// The part of a message that is recorded.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Contents {
+    /// Heads, and the lengths of bodies.
+    #[default]
+    Headers,
+    /// Everything. Bodies may contain card data.
+    Full,
+}
+
+/// The files of a recording.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Files {
+    /// The size at which a file is rotated; 64 KiB to 16 GiB.
+    #[serde(rename = "@size")]
+    pub size: Size,
+    /// The age at which a file is rotated; 1 s to 24 h.
+    #[serde(rename = "@age")]
+    pub age: Span,
+    /// The number of files kept, the newest; 1 to 10,000.
+    #[serde(rename = "@keep")]
+    pub keep: u32,
+}
+
+impl Default for Files {
+    fn default() -> Files {
+        Files {
+            size: Size(64 * MIB),
+            age: Span(Duration::from_secs(600)),
+            keep: 16,
+        }
+    }
+}
+
+/// The resources that recording may use.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct Budget {
+    /// Bytes that wait to be written; 64 KiB to 1 GiB, and a quarter of the process's memory at most.
+    #[serde(rename = "@memory")]
+    pub memory: Size,
+}
+
+impl Default for Budget {
+    fn default() -> Budget {
+        Budget {
+            memory: Size(2 * MIB),
+        }
+    }
+}
+
+/// A field whose value is redacted in recordings.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Mask {
+    /// The name of the field, case-insensitive.
+    #[serde(rename = "@header")]
+    pub header: String,
+}
+
+impl Record {
+    pub(crate) fn check(&self, memory: Option<u64>) -> Result<(), InvalidValue> {
+        if self.directory.as_os_str().is_empty() {
+            return Err(InvalidValue::new(
+                "record.@directory",
+                "a folder is expected",
+            ));
+        }
+        if self.links && self.contents != Contents::Full {
+            // Lines of the interpreter contain bodies in base64, which can't be redacted in place.
+            return Err(InvalidValue::new(
+                "record.@links",
+                "contents=\"full\" is expected beside it: links carry bodies",
+            ));
+        }
+        self.files.check()?;
+        self.budget.check(memory)?;
+        for (index, mask) in self.mask.iter().enumerate() {
+            mask.check(index)?;
+        }
+        Ok(())
+    }
+}
+
+impl Files {
+    fn check(&self) -> Result<(), InvalidValue> {
+        let size = self.size;
+        if !(64 * KIB..=16 * GIB).contains(&size.0) {
+            return Err(InvalidValue::new(
+                "record.files.@size",
+                format!("{size} where 64 KiB to 16 GiB is expected"),
+            ));
+        }
+        if !(1..=MAX_FILE_AGE_S).contains(&self.age.0.as_secs()) {
+            return Err(InvalidValue::new(
+                "record.files.@age",
+                "1 s to 24 h is expected",
+            ));
+        }
+        if !(1..=10_000).contains(&self.keep) {
+            return Err(InvalidValue::new(
+                "record.files.@keep",
+                "1 to 10000 is expected",
+            ));
+        }
+        Ok(())
+    }
+}
+
+impl Budget {
+    fn check(&self, process_memory: Option<u64>) -> Result<(), InvalidValue> {
+        const PATH: &str = "record.budget.@memory";
+        let budget = self.memory;
+        if !(64 * KIB..=GIB).contains(&budget.0) {
+            let reason = format!("{budget} where 64 KiB to 1 GiB is expected");
+            return Err(InvalidValue::new(PATH, reason));
+        }
+        let Some(process_memory) = process_memory else {
+            return Ok(());
+        };
+        let max_budget = Size(process_memory / BUDGET_PART_OF_MEMORY);
+        if budget > max_budget {
+            let reason = format!(
+                "{budget} where {max_budget} at most is expected, a quarter of the process's memory"
+            );
+            return Err(InvalidValue::new(PATH, reason));
+        }
+        Ok(())
+    }
+}
+
+impl Mask {
+    fn check(&self, index: usize) -> Result<(), InvalidValue> {
+        let is_token_byte =
+            |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
+        if !self.header.is_empty() && self.header.bytes().all(is_token_byte) {
+            return Ok(());
+        }
+        Err(InvalidValue::new(
+            format!("record.mask[{index}].@header"),
+            "the name of a field is expected",
+        ))
+    }
+}
--- a/crates/heathspur-config/src/units.rs
+++ b/crates/heathspur-config/src/units.rs
@@ -1,82 +1,85 @@
-//! Values with units, as the operator's file writes them. The schema has the same forms as patterns.
+//! Values with units. The schema has the same forms as patterns.
 
 use serde::{de, Deserialize, Deserializer};
 use std::fmt;
 use std::time::Duration;
 
+/// The most digits of a number, as in the schema.
+const MAX_DIGITS: usize = 12;
+
+const SIZE_UNITS: [(&str, u64); 4] = [
+    ("B", 1),
+    ("KiB", 1 << 10),
+    ("MiB", 1 << 20),
+    ("GiB", 1 << 30),
+];
+
+/// In milliseconds.
+const TIME_UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("min", 60_000), ("h", 3_600_000)];
+
 /// A number of bytes: `64 MiB`; units `B`, `KiB`, `MiB`, `GiB`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A time: `500 ms`; units `ms`, `s`, `min`, `h`.
+/// A duration: `500 ms`; units `ms`, `s`, `min`, `h`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
+/// Writes the size in the largest unit that divides it.
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let units = [("GiB", 30), ("MiB", 20), ("KiB", 10)];
-        let unit = units
-            .iter()
-            .find(|(_, shift)| self.0 > 0 && self.0 % (1 << shift) == 0);
-        let (name, shift) = unit.copied().unwrap_or(("B", 0));
-        write!(f, "{} {name}", self.0 >> shift)
+        let (unit, bytes) = SIZE_UNITS
+            .into_iter()
+            .rev()
+            .find(|(_, bytes)| self.0 > 0 && self.0 % bytes == 0)
+            .unwrap_or(SIZE_UNITS[0]);
+        write!(f, "{} {unit}", self.0 / bytes)
     }
 }
 
-/// Digits, at most one space, a unit of the list; the value is the number times the unit's.
-fn with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
-    let digits = text.find(|c: char| !c.is_ascii_digit())?;
-    let (number, unit) = text.split_at(digits);
+/// Parses digits, at most one space and a unit into the number times the unit's factor.
+fn parse_with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+    let digits_end = text.find(|c: char| !c.is_ascii_digit())?;
+    let (digits, unit) = text.split_at(digits_end);
     let unit = unit.strip_prefix(' ').unwrap_or(unit);
-    let (_, times) = units.iter().find(|(name, _)| *name == unit)?;
-    // Twelve digits at most, as in the schema.
-    (1..=12)
-        .contains(&number.len())
-        .then(|| number.parse::<u64>().ok()?.checked_mul(*times))?
+    let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
+    if !(1..=MAX_DIGITS).contains(&digits.len()) {
+        return None;
+    }
+    digits.parse::<u64>().ok()?.checked_mul(*factor)
 }
 
 impl Size {
-    /// Reads `64 MiB` and the like.
+    /// Parses a size such as `64 MiB`.
     pub fn parse(text: &str) -> Option<Size> {
-        with_unit(
-            text,
-            &[
-                ("B", 1),
-                ("KiB", 1 << 10),
-                ("MiB", 1 << 20),
-                ("GiB", 1 << 30),
-            ],
-        )
-        .map(Size)
+        parse_with_unit(text, &SIZE_UNITS).map(Size)
     }
 }
 
 impl Span {
-    /// Reads `500 ms` and the like.
+    /// Parses a duration such as `500 ms`.
     pub fn parse(text: &str) -> Option<Span> {
-        let ms = with_unit(
-            text,
-            &[("ms", 1), ("s", 1_000), ("min", 60_000), ("h", 3_600_000)],
-        )?;
-        Some(Span(Duration::from_millis(ms)))
+        let milliseconds = parse_with_unit(text, &TIME_UNITS)?;
+        Some(Span(Duration::from_millis(milliseconds)))
     }
 }
 
 impl<'de> Deserialize<'de> for Size {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Size, D::Error> {
-        let text = String::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Size, D::Error> {
+        let text = String::deserialize(deserializer)?;
         Size::parse(&text)
-            .ok_or_else(|| expected(&text, "a size such as `64 MiB` (B, KiB, MiB, GiB)"))
+            .ok_or_else(|| unexpected(&text, "a size such as `64 MiB` (B, KiB, MiB, GiB)"))
     }
 }
 
 impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
-        let text = String::deserialize(from)?;
-        Span::parse(&text).ok_or_else(|| expected(&text, "a time such as `500 ms` (ms, s, min, h)"))
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Span, D::Error> {
+        let text = String::deserialize(deserializer)?;
+        Span::parse(&text)
+            .ok_or_else(|| unexpected(&text, "a time such as `500 ms` (ms, s, min, h)"))
     }
 }
 
-fn expected<E: de::Error>(text: &str, what: &str) -> E {
-    E::custom(format_args!("`{text}` where {what} is expected"))
+fn unexpected<E: de::Error>(text: &str, expected: &str) -> E {
+    E::custom(format_args!("`{text}` where {expected} is expected"))
 }
--- a/crates/heathspur-config/tests/read.rs
+++ b/crates/heathspur-config/tests/read.rs
@@ -1,4 +1,4 @@
-//! The reader and the schema against the same examples, and what errors name.
+//! The reader and the schema against the same examples, and the text of errors.
 
 use heathspur_config::units::{Size, Span};
 use heathspur_config::{Contents, Format, Operator, SCHEMA};
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 fn read(text: &str) -> Result<Operator, String> {
-    Operator::parse(text, Path::new("o.xml"), None).map_err(|fault| fault.to_string())
+    Operator::parse(text, Path::new("o.xml"), None).map_err(|error| error.to_string())
 }
 
-fn schema_takes(text: &str) -> bool {
+fn schema_accepts(text: &str) -> bool {
     let schema = uppsala::parse(SCHEMA).expect("the schema is XML");
-    let schema = uppsala::XsdValidator::from_schema(&schema).expect("the schema is one");
+    let schema = uppsala::XsdValidator::from_schema(&schema).expect("the schema is valid");
     uppsala::parse(text).is_ok_and(|document| schema.validate(&document).is_empty())
 }
 
@@ -37,7 +37,7 @@
     "<log></log>\n<record directory=\"&lt;\"><files/><budget/></record>",
 ];
 
-/// What, and the line and words that the error must have.
+/// Elements, and the location and words that their error must contain.
 const INVALID: [(&str, &str); 32] = [
     ("<members id=\"n1\" listen=\"127.0.0.1:7947\" zone=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/></failover>", "o.xml:3: failover: 2 to 32 elements `replica`"),
     ("<members listen=\"127.0.0.1:7947\"/>", "o.xml:3: members: missing field `id`"),
@@ -85,7 +85,7 @@
     ("<record directory=\"/x\">\n<files><more/></files></record>", "o.xml:4: more: unknown element"),
 ];
 
-/// Wrong in a way that a schema can't tell, or that is a matter of bounds on values with units.
+/// Invalid by conditions that a schema can't express, or by the ranges of values with units.
 const OUT_OF_BOUNDS: [(&str, &str); 17] = [
     ("<failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"b\" address=\"10.0.0.2:1\"/></failover>", "o.xml:3: failover: an element `members` is expected"),
     ("<members id=\"n1\" listen=\"127.0.0.1:7947\" zone=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"a\" address=\"10.0.0.1:1\"/></failover>", "o.xml:3: replica@zone: one replica a zone"),
@@ -122,32 +122,32 @@
 ];
 
 #[test]
-fn reader_and_schema_take_the_same() {
+fn reader_and_schema_accept_the_same() {
     for inner in VALID {
         let text = file(inner);
         assert!(read(&text).is_ok(), "{inner}: {:?}", read(&text));
-        assert!(schema_takes(&text), "{inner}");
+        assert!(schema_accepts(&text), "{inner}");
     }
     for (inner, _) in INVALID {
         let text = file(inner);
         assert!(read(&text).is_err(), "{inner}");
-        assert!(!schema_takes(&text), "{inner}");
+        assert!(!schema_accepts(&text), "{inner}");
     }
 }
 
 #[test]
-fn every_mistake_names_file_line_element_and_what_was_expected() {
+fn every_error_names_file_line_element_and_expected_value() {
     for (inner, words) in INVALID.iter().chain(&OUT_OF_BOUNDS) {
-        let said = read(&file(inner)).expect_err(inner);
+        let error = read(&file(inner)).expect_err(inner);
         assert!(
-            said.contains(words),
-            "{inner}\n  says   {said}\n  wanted {words}"
+            error.contains(words),
+            "{inner}\n  error    {error}\n  expected {words}"
         );
     }
 }
 
 #[test]
-fn what_is_no_such_document_is_refused_with_its_line() {
+fn other_documents_are_rejected_with_their_line() {
     for (text, words) in [
         ("", "o.xml:1: operator: one element"),
         ("<config/>", "o.xml:1: config: one element `operator`"),
@@ -173,10 +173,10 @@
             "o.xml:1: operator: no document type",
         ),
     ] {
-        let said = read(text).expect_err(text);
+        let error = read(text).expect_err(text);
         assert!(
-            said.contains(words),
-            "{text}\n  says   {said}\n  wanted {words}"
+            error.contains(words),
+            "{text}\n  error    {error}\n  expected {words}"
         );
     }
     let deep = file(&["<a>"; 100].concat());
@@ -184,28 +184,28 @@
 }
 
 #[test]
-fn the_commented_example_is_valid_and_switches_nothing_on() {
+fn the_commented_example_is_valid_and_enables_nothing() {
     let text = include_str!("../../../deploy/operator.xml");
     let operator = read(text).unwrap();
     assert_eq!((operator.record, operator.http2), (None, None));
     assert_eq!(operator.log, Default::default());
-    assert!(schema_takes(text));
-    // What stands in its comments is valid as well, and has the defaults that the schema tells.
+    assert!(schema_accepts(text));
+    // The elements in its comments are valid as well, and have the defaults of the schema.
     let shown = text
         .split("<!--")
         .find(|part| part.contains("<record"))
         .unwrap();
     let record = &shown[shown.find("<record").unwrap()..shown.find("</record>").unwrap() + 9];
     let text = file(record);
-    assert!(schema_takes(&text));
+    assert!(schema_accepts(&text));
     let record = read(&text).unwrap().record.unwrap();
     assert_eq!((record.files, record.budget), Default::default());
     assert_eq!(
         (record.contents, record.links, record.mask.len()),
         (Contents::Headers, false, 1)
     );
-    let shown = &shown_in(include_str!("../../../deploy/operator.xml"), "http2");
-    assert!(schema_takes(&file(shown)));
+    let shown = &commented_element(include_str!("../../../deploy/operator.xml"), "http2");
+    assert!(schema_accepts(&file(shown)));
     let http2 = read(&file(shown)).unwrap().http2.unwrap();
     let bare = read(&file("<http2 listen=\"127.0.0.1:8443\"/>"))
         .unwrap()
@@ -214,28 +214,28 @@
     assert_eq!(http2, bare);
 }
 
-/// An element as it stands in a comment.
-fn shown_in(text: &str, name: &str) -> String {
+/// An element in a comment.
+fn commented_element(text: &str, name: &str) -> String {
     let (start, end) = (format!("<{name} "), format!("</{name}>"));
     text[text.find(&start).unwrap()..text.find(&end).unwrap() + end.len()].to_string()
 }
 
 #[test]
-fn what_the_port_for_http2_may_hold_is_held_against_the_memory_of_the_process() {
+fn the_memory_of_http2_is_checked_against_the_memory_of_the_process() {
     let text = file("<http2 listen=\"127.0.0.1:1\">\n<memory answers=\"20 MiB\"/></http2>");
     let parse = |memory| {
         Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
     };
     assert!(parse(64 << 20).is_ok());
-    let said = parse(32 << 20).unwrap_err();
+    let error = parse(32 << 20).unwrap_err();
     assert!(
-        said.contains("o.xml:4: memory: 27 MiB in all") && said.contains("16 MiB at most"),
-        "{said}"
+        error.contains("o.xml:4: memory: 27 MiB in all") && error.contains("16 MiB at most"),
+        "{error}"
     );
 }
 
 #[test]
-fn values_come_with_their_units() {
+fn values_are_parsed_with_their_units() {
     let text = file(
         "<log format=\"json\"/><record directory=\"/x\"><files size=\"3 MiB\" age=\"2min\"/><budget memory=\"70000 B\"/></record>",
     );
@@ -248,15 +248,15 @@
 }
 
 #[test]
-fn the_budget_is_held_against_the_memory_of_the_process() {
+fn the_budget_is_checked_against_the_memory_of_the_process() {
     let text = file("<record directory=\"/x\">\n<budget memory=\"9 MiB\"/></record>");
     let parse = |memory| {
         Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
     };
     assert!(parse(36 << 20).is_ok());
-    let said = parse(32 << 20).unwrap_err();
+    let error = parse(32 << 20).unwrap_err();
     assert!(
-        said.contains("o.xml:4: budget@memory: 9 MiB where 8 MiB at most"),
-        "{said}"
+        error.contains("o.xml:4: budget@memory: 9 MiB where 8 MiB at most"),
+        "{error}"
     );
 }
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of an experiment: a fleet, its settings, faults at their times, seeds; an XML file with a schema.
 
 use heathspur_config::units::Span;
-use heathspur_config::{Fault as Wrong, Mistake};
+use heathspur_config::{Error as Wrong, InvalidValue};
 use heathspur_members::Settings;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -227,8 +227,8 @@
         }
     }
 
-    fn check(&self) -> Result<(), Mistake> {
-        let mistake = |path: &str, what: &str| Err(Mistake(path.to_string(), what.to_string()));
+    fn check(&self) -> Result<(), InvalidValue> {
+        let mistake = |path: &str, what: &str| Err(InvalidValue::new(path, what));
         if self.xmlns != NAMESPACE {
             let what = format!(
                 "the namespace `{}` where `{NAMESPACE}` is expected",
--- a/crates/heathspur-load/src/plan.rs
+++ b/crates/heathspur-load/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a load test: targets, stages and classes, as an XML file with a schema.
 
 use heathspur_config::units::{Size, Span};
-use heathspur_config::{Fault, Mistake};
+use heathspur_config::{Error, InvalidValue};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// The first mistake found, with its place.
-    pub fn read(file: &Path) -> Result<Plan, Fault> {
+    pub fn read(file: &Path) -> Result<Plan, Error> {
         Plan::parse(&heathspur_config::read_text(file, "load")?, file)
     }
 
@@ -162,12 +162,12 @@
     ///
     /// # Errors
     /// The first mistake found, with its place.
-    pub fn parse(text: &str, file: &Path) -> Result<Plan, Fault> {
+    pub fn parse(text: &str, file: &Path) -> Result<Plan, Error> {
         heathspur_config::parse(text, file, "load", Plan::check)
     }
 
-    fn check(&self) -> Result<(), Mistake> {
-        let mistake = |path: String, what: &str| Err(Mistake(path, what.to_string()));
+    fn check(&self) -> Result<(), InvalidValue> {
+        let mistake = |path: String, what: &str| Err(InvalidValue::new(path, what));
         if self.xmlns != NAMESPACE {
             let what = format!(
                 "the namespace `{}` where `{NAMESPACE}` is expected",
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -117,7 +117,7 @@
 async fn connection(stream: Stream, shared: Rc<Shared>, permit: Permit) {
     // It fails on a connection that is gone, which the first read tells.
     let _ = stream.get_ref().set_nodelay(true);
-    let whole = shared.bounds.request.whole.0;
+    let whole = shared.bounds.request.receive_timeout.0;
     let head = match permit.idle(within(whole, preface(&stream))).await {
         Ok(Ok(head)) => head,
         Ok(Err(e)) if e.kind() == io::ErrorKind::InvalidData => {
@@ -201,7 +201,7 @@
 /// Takes a connection's streams until it ends.
 async fn drive(h2: &mut Connection<Wire, Bytes>, conn: &Rc<Conn>, permit: &Permit) {
     let (shared, desk) = (&conn.shared, &conn.shared.front.desk);
-    let patience = &shared.bounds.patience;
+    let patience = &shared.bounds.client_timeouts;
     let mut drain = Drain::new(patience.round_trip.0.as_micros() as u64);
     let (mut shut, mut pongs) = (false, 0);
     loop {
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -60,7 +60,7 @@
     let bounds = &conn.shared.bounds;
     let (most, until) = (
         bounds.request.body.0 as u32,
-        Instant::now() + bounds.request.whole.0,
+        Instant::now() + bounds.request.receive_timeout.0,
     );
     let mut stream = Stream {
         life: Life::new(most),
@@ -263,7 +263,7 @@
             }
             Action::Head => {
                 let reply = self.reply.take()?;
-                self.until = Instant::now() + self.conn.shared.bounds.patience.stalled.0;
+                self.until = Instant::now() + self.conn.shared.bounds.client_timeouts.stalled.0;
                 let failed = self.head(&reply, reply.body.is_empty()).err();
                 self.conn.shared.share.borrow_mut().answered();
                 self.conn
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -42,7 +42,7 @@
     /// Its configuration can't be used.
     Config(config::Fault),
     /// The operator's file can't be used.
-    Operator(heathspur_config::Fault),
+    Operator(heathspur_config::Error),
     /// Its address could not be bound.
     Bind(std::net::SocketAddr, io::Error),
     /// A thread could not be started.
@@ -118,7 +118,7 @@
             let home = operator
                 .failover
                 .as_ref()
-                .and_then(|f| Some((f, f.home(&members.zone)?)));
+                .and_then(|f| Some((f, f.replica_of(&members.zone)?)));
             let decider = home.map(|(failover, home)| {
                 let (decider, ways) = membership::failover::start(failover, home, &members.region);
                 peers.ways = Some(ways);
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -66,9 +66,9 @@
 pub(crate) fn start(operated: &Operated, home: usize, region: &str) -> (Decider, Ways) {
     let ms = |span: heathspur_config::units::Span| span.0.as_millis() as u32;
     let pace = Pace {
-        dwell: ms(operated.dwell),
-        leave: ms(operated.leave),
-        back: ms(operated.back),
+        dwell: ms(operated.minimum_hold),
+        leave: ms(operated.failover_delay),
+        back: ms(operated.recovery_delay),
         ..Pace::default()
     };
     let zones: Vec<String> = operated.replica.iter().map(|r| r.zone.clone()).collect();
@@ -81,7 +81,7 @@
         plan: Plan::default(),
         alone: false,
         home: addresses[home],
-        every: operated.check.0,
+        every: operated.health_check_interval.0,
     };
     (
         decider,
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -91,7 +91,7 @@
         gossip_ms: (operated.period.0.as_millis() as u64 / 5).max(10),
         probe_timeout_ms: operated.probe_timeout.0.as_millis() as u64,
         suspicion_mult: operated.suspicion,
-        max_members: operated.most,
+        max_members: operated.max_members,
         lifeguard: operated.lifeguard,
         ..Settings::default()
     }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -87,7 +87,7 @@
         let memory = &http2.memory;
         Room::new(Bounds {
             connection: memory.connection.0,
-            all: memory.answers.0,
+            all: memory.responses.0,
         })
     });
     let desk = Rc::new(Desk::new(
