--- a/crates/heathspur-config/src/http2.rs
+++ b/crates/heathspur-config/src/http2.rs
@@ -1,15 +1,12 @@
 //! The port for HTTP/2.
 
-use crate::units::{Size, Span};
+use crate::units::{Size, Span, GIB, KIB, MIB};
 use crate::InvalidValue;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-const KIB: u64 = 1 << 10;
-const MIB: u64 = 1 << 20;
-const GIB: u64 = 1 << 30;
 /// Memory of an open request besides its body: its place in the tables.
 const REQUEST_OVERHEAD_BYTES: u64 = 1024;
 /// HTTP/2 uses at most this part of the process's memory: a half.
--- a/crates/heathspur-config/src/record.rs
+++ b/crates/heathspur-config/src/record.rs
@@ -1,14 +1,11 @@
 //! Recording of traffic to capture files.
 
-use crate::units::{Size, Span};
+use crate::units::{Size, Span, GIB, KIB, MIB};
 use crate::InvalidValue;
 use serde::Deserialize;
 use std::path::PathBuf;
 use std::time::Duration;
 
-const KIB: u64 = 1 << 10;
-const MIB: u64 = 1 << 20;
-const GIB: u64 = 1 << 30;
 const MAX_FILE_AGE_S: u64 = 24 * 60 * 60;
 /// The budget is at most this part of the process's memory: a quarter.
 const BUDGET_PART_OF_MEMORY: u64 = 4;
--- a/crates/heathspur-config/src/units.rs
+++ b/crates/heathspur-config/src/units.rs
@@ -4,15 +4,15 @@
 use std::fmt;
 use std::time::Duration;
 
+/// Bytes of the units of sizes.
+pub(crate) const KIB: u64 = 1 << 10;
+pub(crate) const MIB: u64 = 1 << 20;
+pub(crate) const GIB: u64 = 1 << 30;
+
 /// The most digits of a number, as in the schema.
 const MAX_DIGITS: usize = 12;
 
-const SIZE_UNITS: [(&str, u64); 4] = [
-    ("B", 1),
-    ("KiB", 1 << 10),
-    ("MiB", 1 << 20),
-    ("GiB", 1 << 30),
-];
+const SIZE_UNITS: [(&str, u64); 4] = [("B", 1), ("KiB", KIB), ("MiB", MIB), ("GiB", GIB)];
 
 /// In milliseconds.
 const TIME_UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("min", 60_000), ("h", 3_600_000)];
--- a/crates/heathspur-server-core/src/connection_permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -8,7 +8,7 @@
 const MAX_RESERVED_PERMITS: usize = 16;
 /// At most this part of all permits is reserved: a quarter.
 const RESERVED_PART: usize = 4;
-/// A new connection without a whole request after this time loses its protection from eviction: a first request
+/// A new connection without a complete request after this time loses its protection from eviction: a first request
 /// immediately follows its connection, in one segment or two.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -48,7 +48,7 @@
 
 #[derive(Debug)]
 struct IdleConnection<T> {
-    /// A whole request arrived earlier.
+    /// A complete request arrived earlier.
     served_request: bool,
     /// A part of a request has arrived.
     reading_request: bool,
@@ -123,7 +123,7 @@
         self.acquired = self.acquired.saturating_sub(1);
     }
 
-    /// Registers a connection as idle, after a whole request or as a new one. Returns its token while it is idle.
+    /// Registers a connection as idle, after a complete request or as a new one. Returns its token while it is idle.
     pub fn mark_idle(&mut self, now: Duration, served_request: bool, handle: T) -> u64 {
         let token = self.allocate_token();
         self.idle.insert(
--- a/crates/heathspur-server-core/tests/unit/connection_permits.rs
+++ b/crates/heathspur-server-core/tests/unit/connection_permits.rs
@@ -134,7 +134,7 @@
                     }
                 }
                 (4 | 5, Some(at)) => match conns[at].state {
-                    // A request arrives in part, and then whole.
+                    // A request arrives in part, and is then complete.
                     State::Idle { reading: false, since, token } if !conns[at].evicted => {
                         permits.mark_reading(token);
                         conns[at].state = State::Idle { reading: true, since, token };
--- a/crates/heathspur-server-core/tests/unit/registration.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -96,7 +96,7 @@
     epoch: u32,
     upcoming: Vec<(u64, Occurrence)>,
     open: Vec<ConnectionId>,
-    /// Lines that carried a report.
+    /// Connections that carried a report.
     reused: Vec<ConnectionId>,
     connects: usize,
     reports_started: usize,
