--- a/crates/heathspur-config/src/lib.rs
+++ b/crates/heathspur-config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operator's file: the features that an installation enables in addition to the platform's settings.
 //!
-//! The file is XML, described by the schema in [`SCHEMA`]. A feature that is not in the file is off. Unknown elements and
-//! attributes are rejected, and every error names the file, the line, the element and the expected value. The platform's
-//! own settings are JSON and are not read here.
+//! The file is XML, described by the schema in [`SCHEMA`]. A feature that is not in the file is off. Unknown elements
+//! and attributes are rejected, and every error names the file, the line, the element and the expected value. The
+//! platform's own settings are JSON and are not read here.
 //!
 //! [`parse`] and [`read_text`] also serve other files of the same form.
 #![forbid(unsafe_code)]
--- a/crates/heathspur-server-core/src/connection_permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -167,8 +167,8 @@
         self.free() < self.reserve()
     }
 
-    /// Selects the connections to evict, in order, if permits are scarce or about to be: a lingering one if no permit is
-    /// free, and an idle one. A connection is selected once only.
+    /// Selects the connections to evict, in order, if permits are scarce or about to be: a lingering one if no permit
+    /// is free, and an idle one. A connection is selected once only.
     pub fn evict(&mut self, now: Duration) -> [Option<Eviction<T>>; 2] {
         let lingering = if self.free() == 0 {
             self.evict_lingering()
--- a/crates/heathspur-server-core/src/reload.rs
+++ b/crates/heathspur-server-core/src/reload.rs
@@ -1,4 +1,5 @@
-//! Checks of a reloaded configuration: whether it belongs to this server at all, and which of its fields need a restart. The caller has read both configurations; nothing is read here.
+//! Checks of a reloaded configuration: whether it belongs to this server at all, and which of its fields need a
+//! restart. The caller has read both configurations; nothing is read here.
 
 use heathspur::Settings;
 use std::fmt::Debug;
--- /dev/null
+++ b/crates/heathspur-wire/src/interpreter/mod.rs
@@ -0,0 +1,15 @@
+//! The interpreter's protocol: one JSON object a line, bodies in base64. The names of the wire are mapped here.
+
+mod command;
+mod notice;
+
+pub use command::{write_command, Command};
+pub use notice::{parse_notice, Error, Notice, RunOutcome, Warmth};
+
+/// The longest accepted line, in bytes.
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
+
+/// Returns the end of the first line of `bytes` once it is complete.
+pub fn line_end(bytes: &[u8]) -> Option<usize> {
+    memchr::memchr(b'\n', bytes)
+}
--- a/crates/heathspur-wire/src/interpreter.rs
+++ b/crates/heathspur-wire/src/interpreter/notice.rs
@@ -1,13 +1,10 @@
-//! The interpreter's protocol: one JSON object a line, bodies in base64. The names of the wire are mapped here.
+//! Messages from the interpreter.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde::Deserialize;
 use std::borrow::Cow;
-use std::fmt;
 
-/// The longest accepted line, in bytes.
-pub const MAX_LINE_BYTES: usize = 64 * 1024;
 /// Characters of an unknown verb in an error.
 const MAX_VERB_IN_ERROR: usize = 40;
 
@@ -36,7 +33,7 @@
 /// A message from the interpreter. Strings are slices of the line; bodies are decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice<'a> {
-    /// The answer to [`Command::Connect`].
+    /// The answer to [`Command::Connect`](super::Command::Connect).
     Connected {
         /// Whether the interpreter started warm.
         warmth: Warmth,
@@ -130,11 +127,6 @@
     readings: Vec<f64>,
 }
 
-/// Returns the end of the first line of `bytes` once it is complete.
-pub fn line_end(bytes: &[u8]) -> Option<usize> {
-    memchr::memchr(b'\n', bytes)
-}
-
 /// Parses one line, without its end.
 pub fn parse_notice(line: &[u8]) -> Result<Notice<'_>, Error> {
     let notice: WireNotice<'_> = serde_json::from_slice(line)?;
@@ -222,98 +214,3 @@
 fn decode_body(body: Option<Cow<'_, str>>) -> Result<Vec<u8>, Error> {
     Ok(STANDARD.decode(body.as_deref().unwrap_or(""))?)
 }
-
-/// A message to the interpreter.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Command<'a> {
-    /// Opens a link; the number is that of the last notice processed.
-    Connect(u64),
-    /// Runs a request.
-    Run {
-        /// The request.
-        request_id: &'a str,
-        /// Its class.
-        class: &'a str,
-        /// Its body.
-        body: &'a [u8],
-    },
-    /// Stops a run.
-    Stop(&'a str),
-    /// Resumes a paused run.
-    Resume(&'a str),
-    /// Passes the reply of the call that a run waits for.
-    CompleteCall {
-        /// The request.
-        request_id: &'a str,
-        /// The reply.
-        body: &'a [u8],
-    },
-    /// Resumes a run without the call that it waits for.
-    SkipCall {
-        /// The request.
-        request_id: &'a str,
-        /// The number of the [`Notice::CallNeeded`].
-        index: u64,
-    },
-    /// Queries the gauges, with a nonce.
-    QueryGauges(u64),
-}
-
-/// Appends a command, including its line end.
-pub fn write_command(out: &mut Vec<u8>, command: Command<'_>) {
-    match command {
-        Command::Connect(index) => {
-            write_format(out, format_args!(r#"{{"verb":"CONNECT","index":{index}}}"#));
-        }
-        Command::Run {
-            request_id,
-            class,
-            body,
-        } => {
-            out.extend_from_slice(br#"{"verb":"APPLY","task":"#);
-            write_string(out, request_id);
-            out.extend_from_slice(br#","handler":"#);
-            write_string(out, class);
-            write_body_and_end(out, body);
-        }
-        Command::Stop(request_id) => write_request_command(out, "BREAK", request_id),
-        Command::Resume(request_id) => write_request_command(out, "CONTINUE", request_id),
-        Command::CompleteCall { request_id, body } => {
-            out.extend_from_slice(br#"{"verb":"RESOLVE","task":"#);
-            write_string(out, request_id);
-            write_body_and_end(out, body);
-        }
-        Command::SkipCall { request_id, index } => {
-            out.extend_from_slice(br#"{"verb":"STUB","task":"#);
-            write_string(out, request_id);
-            write_format(out, format_args!(r#","index":{index}}}"#));
-        }
-        Command::QueryGauges(nonce) => {
-            write_format(out, format_args!(r#"{{"verb":"TOP","nonce":"{nonce}"}}"#));
-        }
-    }
-    out.push(b'\n');
-}
-
-fn write_format(out: &mut Vec<u8>, text: fmt::Arguments<'_>) {
-    out.extend_from_slice(text.to_string().as_bytes());
-}
-
-/// Appends a command that has a request only.
-fn write_request_command(out: &mut Vec<u8>, verb: &str, request_id: &str) {
-    write_format(out, format_args!(r#"{{"verb":"{verb}","task":"#));
-    write_string(out, request_id);
-    out.push(b'}');
-}
-
-/// Appends a JSON string.
-fn write_string(out: &mut Vec<u8>, text: &str) {
-    serde_json::to_writer(out, text).expect("a string always serializes into memory");
-}
-
-/// Appends the body as the last field, and the end of the object.
-fn write_body_and_end(out: &mut Vec<u8>, body: &[u8]) {
-    out.extend_from_slice(br#","bytes":""#);
-    out.extend_from_slice(STANDARD.encode(body).as_bytes());
-    out.extend_from_slice(br#""}"#);
-}
--- a/crates/heathspur-wire/src/lib.rs
+++ b/crates/heathspur-wire/src/lib.rs
@@ -2,8 +2,8 @@
 //! lines.
 //!
 //! A parser takes the bytes read so far and returns the message at their front once it is complete. Parsers keep no
-//! copy: a message is a set of ranges in the caller's buffer. No input makes a parser panic, and each has a bound on the
-//! bytes it waits for. Writers append to the caller's buffer.
+//! copy: a message is a set of ranges in the caller's buffer. No input makes a parser panic, and each has a bound on
+//! the bytes it waits for. Writers append to the caller's buffer.
 #![forbid(unsafe_code)]
 
 pub mod framing;
