--- /dev/null
+++ b/crates/heathspur-wire/src/interpreter/notice.rs
@@ -0,0 +1,216 @@
+//! Messages from the interpreter.
+
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine;
+use serde::Deserialize;
+use std::borrow::Cow;
+
+/// Characters of an unknown verb in an error.
+const MAX_VERB_IN_ERROR: usize = 40;
+
+/// How a run ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RunOutcome {
+    /// The run succeeded.
+    Succeeded,
+    /// The run failed.
+    Failed,
+    /// The run was stopped, or ended at a call because its request was over.
+    Cancelled,
+    /// The run was not started because its request was over.
+    NotStarted,
+}
+
+/// Whether the interpreter was warm when it started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Warmth {
+    /// Slow at first.
+    Cold,
+    /// At full speed.
+    Warm,
+}
+
+/// A message from the interpreter. Strings are slices of the line; bodies are decoded.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Notice<'a> {
+    /// The answer to [`Command::Connect`](super::Command::Connect).
+    Connected {
+        /// Whether the interpreter started warm.
+        warmth: Warmth,
+        /// Milliseconds since that start.
+        uptime_ms: f64,
+    },
+    /// A run has ended.
+    RunCompleted {
+        /// The notice's number.
+        index: u64,
+        /// The request.
+        request_id: Cow<'a, str>,
+        /// How the run ended.
+        outcome: RunOutcome,
+        /// The result of a run that succeeded.
+        body: Vec<u8>,
+    },
+    /// A run waits for a call.
+    CallNeeded {
+        /// The notice's number.
+        index: u64,
+        /// The request.
+        request_id: Cow<'a, str>,
+        /// The body of the call.
+        body: Vec<u8>,
+    },
+    /// The values of the gauges.
+    Gauges {
+        /// The nonce of the query.
+        nonce: Cow<'a, str>,
+        /// The values, in the order of the settings.
+        readings: Vec<f64>,
+    },
+    /// A command was rejected.
+    CommandRejected {
+        /// The verb of the command.
+        command: Cow<'a, str>,
+        /// The request.
+        request_id: Cow<'a, str>,
+    },
+    /// A log message.
+    Log {
+        /// The notice's number.
+        index: u64,
+    },
+}
+
+/// Why a line is not a notice.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The line is not a JSON object of the expected types.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The verb is unknown.
+    #[error("unknown verb {verb:?}")]
+    UnknownVerb {
+        /// The start of the verb.
+        verb: String,
+    },
+    /// A field of the notice is missing or has an unknown value.
+    #[error("{verb} has no valid field {field:?}")]
+    InvalidField {
+        /// The verb of the notice.
+        verb: &'static str,
+        /// The field.
+        field: &'static str,
+    },
+    /// The body is not base64.
+    #[error("field \"bytes\" is not base64: {0}")]
+    Body(#[from] base64::DecodeError),
+}
+
+/// A notice with the names of the wire.
+#[derive(Deserialize)]
+struct WireNotice<'a> {
+    #[serde(borrow)]
+    verb: Cow<'a, str>,
+    #[serde(default)]
+    index: Option<u64>,
+    #[serde(rename = "task", borrow, default)]
+    request_id: Option<Cow<'a, str>>,
+    #[serde(borrow, default)]
+    outcome: Option<Cow<'a, str>>,
+    #[serde(rename = "spent", default)]
+    elapsed_ms: f64,
+    #[serde(rename = "bytes", borrow, default)]
+    body: Option<Cow<'a, str>>,
+    #[serde(borrow, default)]
+    nonce: Option<Cow<'a, str>>,
+    #[serde(default)]
+    readings: Vec<f64>,
+}
+
+/// Parses one line, without its end.
+pub fn parse_notice(line: &[u8]) -> Result<Notice<'_>, Error> {
+    let notice: WireNotice<'_> = serde_json::from_slice(line)?;
+    match &*notice.verb {
+        "BANNER" => notice.into_connected(),
+        "VALUE" => notice.into_run_completed(),
+        "AWAIT" => notice.into_call_needed(),
+        "TOPS" => notice.into_gauges(),
+        "ERROR" => Ok(notice.into_command_rejected()),
+        "TRACE" => notice.into_log(),
+        unknown => Err(Error::UnknownVerb {
+            verb: unknown.chars().take(MAX_VERB_IN_ERROR).collect(),
+        }),
+    }
+}
+
+impl<'a> WireNotice<'a> {
+    fn into_connected(self) -> Result<Notice<'a>, Error> {
+        let warmth = match self.outcome.as_deref() {
+            Some("chilly") => Warmth::Cold,
+            Some("hot") => Warmth::Warm,
+            _ => return Err(invalid_field("BANNER", "outcome")),
+        };
+        Ok(Notice::Connected {
+            warmth,
+            uptime_ms: self.elapsed_ms.max(0.0),
+        })
+    }
+
+    fn into_run_completed(self) -> Result<Notice<'a>, Error> {
+        const VERB: &str = "VALUE";
+        let outcome = match self.outcome.as_deref() {
+            Some("complete") => RunOutcome::Succeeded,
+            Some("error") => RunOutcome::Failed,
+            Some("cancelled") => RunOutcome::Cancelled,
+            Some("unknown") => RunOutcome::NotStarted,
+            _ => return Err(invalid_field(VERB, "outcome")),
+        };
+        Ok(Notice::RunCompleted {
+            index: required(self.index, VERB, "index")?,
+            request_id: required(self.request_id, VERB, "task")?,
+            outcome,
+            body: decode_body(self.body)?,
+        })
+    }
+
+    fn into_call_needed(self) -> Result<Notice<'a>, Error> {
+        const VERB: &str = "AWAIT";
+        Ok(Notice::CallNeeded {
+            index: required(self.index, VERB, "index")?,
+            request_id: required(self.request_id, VERB, "task")?,
+            body: decode_body(self.body)?,
+        })
+    }
+
+    fn into_gauges(self) -> Result<Notice<'a>, Error> {
+        Ok(Notice::Gauges {
+            nonce: required(self.nonce, "TOPS", "nonce")?,
+            readings: self.readings,
+        })
+    }
+
+    fn into_command_rejected(self) -> Notice<'a> {
+        Notice::CommandRejected {
+            command: self.outcome.unwrap_or_default(),
+            request_id: self.request_id.unwrap_or_default(),
+        }
+    }
+
+    fn into_log(self) -> Result<Notice<'a>, Error> {
+        Ok(Notice::Log {
+            index: required(self.index, "TRACE", "index")?,
+        })
+    }
+}
+
+fn invalid_field(verb: &'static str, field: &'static str) -> Error {
+    Error::InvalidField { verb, field }
+}
+
+fn required<T>(value: Option<T>, verb: &'static str, field: &'static str) -> Result<T, Error> {
+    value.ok_or(invalid_field(verb, field))
+}
+
+fn decode_body(body: Option<Cow<'_, str>>) -> Result<Vec<u8>, Error> {
+    Ok(STANDARD.decode(body.as_deref().unwrap_or(""))?)
+}
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -1,8 +1,8 @@
 //! The platform's configuration file: where the server listens, its peers, its limits and its settings.
 
 use heathspur::Settings;
-use heathspur_server_core::reload::{self, Foreign, View};
-use heathspur_settings::{Facts, Names};
+use heathspur_server_core::reload::{self, ConfigView, ForeignConfigError};
+use heathspur_settings::{ServerSettings, WireNames, WireSettings};
 use serde::{Deserialize, Deserializer};
 use std::ffi::OsString;
 use std::io;
@@ -42,7 +42,7 @@
     /// The settings of the admission controller.
     pub settings: Settings,
     /// The names on the wire that the settings give.
-    pub names: Names,
+    pub names: WireNames,
 }
 
 /// The configuration can't be used.
@@ -95,7 +95,7 @@
     seed: u64,
     stop_ms: u64,
     limits: Limits,
-    settings: Facts,
+    settings: WireSettings,
 }
 
 #[derive(Deserialize)]
@@ -145,7 +145,10 @@
             field: ".".to_string(),
             reason: error.to_string(),
         })?;
-        let (settings, names) = heathspur_settings::read(file.settings);
+        let ServerSettings {
+            admission: settings,
+            names,
+        } = file.settings.into();
         Ok(Config {
             file: None,
             name: file.name,
@@ -165,9 +168,12 @@
     /// Checks that a later configuration is this server's, and returns it. The server's name, address and tier have to
     /// be the same, and the customer's classes and tenants with their names and idempotency; all else may change.
     pub fn check_own(&self, other: Config) -> Result<Config, ConfigError> {
-        match reload::check_own(&self.view(), &other.view()) {
+        match reload::check_identity(&self.view(), &other.view()) {
             Ok(()) => Ok(other),
-            Err(Foreign { field, what }) => Err(ConfigError::Invalid {
+            Err(ForeignConfigError {
+                field,
+                reason: what,
+            }) => Err(ConfigError::Invalid {
                 file: other.file.unwrap_or_default(),
                 invalid: InvalidField {
                     field,
@@ -180,17 +186,17 @@
     /// The fields in which a later configuration of this server differs and that apply only from the next start. The
     /// seed and what the settings say of the moment of a start are not among them.
     pub fn differs(&self, other: &Config) -> Vec<&'static str> {
-        reload::differs(&self.view(), &other.view())
+        reload::restart_required_fields(&self.view(), &other.view())
     }
 
-    fn view(&self) -> View<'_> {
-        View {
+    fn view(&self) -> ConfigView<'_> {
+        ConfigView {
             name: &self.name,
             listen: self.listen,
             store: self.store,
-            stop: self.stop_timeout,
-            memory: self.memory_bytes,
-            sockets: self.max_descriptors,
+            stop_timeout: self.stop_timeout,
+            memory_bytes: self.memory_bytes,
+            file_descriptors: self.max_descriptors,
             settings: &self.settings,
             classes: &self.names.classes,
             tenants: &self.names.tenants,
--- a/crates/heathspurd/src/error.rs
+++ b/crates/heathspurd/src/error.rs
@@ -13,7 +13,7 @@
     Config(#[from] ConfigError),
     /// The operator's file can't be used.
     #[error(transparent)]
-    Operator(#[from] heathspur_config::Fault),
+    Operator(#[from] heathspur_config::Error),
     /// An address could not be bound.
     #[error("cannot listen on {address}: {source}")]
     Bind {
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -28,8 +28,7 @@
             return;
         };
         if entry.execution.request_stop() && self.interpreter.is_up() {
-            self.interpreter
-                .send(Command::Break(entry.attempt.as_str()));
+            self.interpreter.send(Command::Stop(entry.attempt.as_str()));
         }
     }
 
@@ -84,24 +83,24 @@
         else {
             return;
         };
-        let task = entry.attempt.as_str();
+        let request_id = entry.attempt.as_str();
         if *delivery != CommandDelivery::Confirmed {
             self.interpreter.send(match last_command {
-                LastCommand::Apply => Command::Apply {
-                    task,
+                LastCommand::Apply => Command::Run {
+                    request_id,
                     class: &self.frontend.names.classes[entry.class.0],
                     body: &entry.body,
                 },
-                LastCommand::Continue => Command::Continue(task),
-                LastCommand::Resolve(body) => Command::Resolve { task, body },
-                LastCommand::Stub(index) => Command::Stub {
-                    task,
+                LastCommand::Continue => Command::Resume(request_id),
+                LastCommand::Resolve(body) => Command::CompleteCall { request_id, body },
+                LastCommand::Stub(index) => Command::SkipCall {
+                    request_id,
                     index: *index,
                 },
             });
         }
         if run.stop_requested {
-            self.interpreter.send(Command::Break(task));
+            self.interpreter.send(Command::Stop(request_id));
         }
     }
 }
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -57,7 +57,7 @@
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
-        if entry.take_reply().is_none() || !self.frontend.names.cancel_seen {
+        if entry.take_reply().is_none() || !self.frontend.names.reports_cancellation {
             return;
         }
         self.controller.push(Event::ClientCancelled(id));
--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -8,7 +8,7 @@
 use crate::peers::interpreter::InterpreterEvent;
 use bytes::Bytes;
 use heathspur::{Event, Idempotency, Outcome, RequestId, Span};
-use heathspur_wire::interpreter::{End, Warmth};
+use heathspur_wire::interpreter::{RunOutcome, Warmth};
 use tracing::warn;
 
 /// The names of commands in refusals.
@@ -79,7 +79,7 @@
             self.finish_resume();
         }
         if let Some(token) = self.timers.take_answered(query) {
-            let gauges = self.frontend.names.meters.read(readings);
+            let gauges = self.frontend.names.gauges.read(readings);
             self.controller.push(Event::Timer { token, gauges });
         }
     }
@@ -137,7 +137,7 @@
                 .may_have_ended_unnoticed(is_idempotent, entry.owes_reply())
         });
         for id in lost {
-            self.on_run_ended(id, End::Error, Bytes::new());
+            self.on_run_ended(id, RunOutcome::Failed, Bytes::new());
         }
     }
 
@@ -152,7 +152,7 @@
                 .and_then(|attempt| self.table.find_attempt(&attempt))
                 .filter(|id| self.is_starting(*id));
             if let Some(id) = refused {
-                self.on_run_ended(id, End::Error, Bytes::new());
+                self.on_run_ended(id, RunOutcome::Failed, Bytes::new());
             }
         }
         warn!(
@@ -168,7 +168,7 @@
     }
 
     /// A run has ended, or was stopped to be continued or started again later.
-    fn on_run_ended(&mut self, id: RequestId, end: End, body: Bytes) {
+    fn on_run_ended(&mut self, id: RequestId, end: RunOutcome, body: Bytes) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
@@ -180,12 +180,12 @@
             outcome: outcome(end),
             latency: self.now - run.started,
         });
-        if end == End::Cancelled && run.stop_requested && entry.owes_reply() {
+        if end == RunOutcome::Cancelled && run.stop_requested && entry.owes_reply() {
             let preemption = self.controller.settings().preemption;
             entry.execution.preempt(preemption);
             return;
         }
-        let result = (end == End::Complete).then_some(&body);
+        let result = (end == RunOutcome::Succeeded).then_some(&body);
         let waiting = entry
             .key
             .as_ref()
@@ -200,12 +200,12 @@
 }
 
 /// The outcome of a run for the controller.
-fn outcome(end: End) -> Outcome {
+fn outcome(end: RunOutcome) -> Outcome {
     match end {
-        End::Complete => Outcome::Ok,
-        End::Error => Outcome::Error,
-        End::Cancelled => Outcome::Cancelled,
-        End::Unknown => Outcome::NoLongerNeeded,
+        RunOutcome::Succeeded => Outcome::Ok,
+        RunOutcome::Failed => Outcome::Error,
+        RunOutcome::Cancelled => Outcome::Cancelled,
+        RunOutcome::NotStarted => Outcome::NoLongerNeeded,
     }
 }
 
--- a/crates/heathspurd/src/event_loop/interpreter_session.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_session.rs
@@ -81,7 +81,7 @@
     pub fn query_gauges(&mut self) -> u64 {
         let query = self.next_query;
         self.next_query += 1;
-        self.link.send(Command::Top(query));
+        self.link.send(Command::QueryGauges(query));
         query
     }
 
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -6,13 +6,13 @@
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use heathspur_server_core::permits::Permits;
+use heathspur_server_core::connection_permits::Permits;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Instant;
 
-pub(crate) use heathspur_server_core::permits::Asked as LeaveRequest;
+pub(crate) use heathspur_server_core::connection_permits::ConnectionPhase as LeaveRequest;
 
 type SharedPermits = RefCell<Permits<Sender<LeaveRequest>>>;
 
@@ -43,7 +43,7 @@
 
     /// The number of open connections.
     pub fn open(&self) -> usize {
-        self.permits.borrow().open()
+        self.permits.borrow().acquired()
     }
 
     /// Whether few permits are free.
@@ -54,10 +54,10 @@
     /// Requests connections to leave where few permits are free or about to be freed.
     pub fn reclaim_permits(&self) {
         let now = self.start.elapsed();
-        let leaving = self.permits.borrow_mut().make_room(now);
-        for (leave, request) in leaving.into_iter().flatten() {
+        let leaving = self.permits.borrow_mut().evict(now);
+        for eviction in leaving.into_iter().flatten() {
             // A full channel already holds a request.
-            let _ = leave.try_send(request);
+            let _ = eviction.handle.try_send(eviction.phase);
         }
     }
 
@@ -80,7 +80,7 @@
 impl Permit {
     /// `None` where all permits are in use.
     pub fn acquire(pool: &Rc<ConnectionPool>) -> Option<Permit> {
-        pool.permits.borrow_mut().take().then(|| {
+        pool.permits.borrow_mut().try_acquire().then(|| {
             let (leave, leave_requests) = async_channel::bounded(1);
             Permit {
                 pool: pool.clone(),
@@ -104,7 +104,10 @@
 
     /// Notes that a part of a request has arrived while the connection was idle.
     pub fn request_begun(&self) {
-        self.pool.permits.borrow_mut().begun(self.idle_entry.get());
+        self.pool
+            .permits
+            .borrow_mut()
+            .mark_reading(self.idle_entry.get());
     }
 
     /// Runs `work` while the connection counts as idle; fails where the connection is requested to leave meanwhile.
@@ -115,11 +118,11 @@
             self.pool
                 .permits
                 .borrow_mut()
-                .idle(now, self.has_received_request.get(), leave);
+                .mark_idle(now, self.has_received_request.get(), leave);
         self.idle_entry.set(entry);
         let _entry = PermitEntry {
             permits: &self.pool.permits,
-            remove: Permits::busy,
+            remove: Permits::remove_idle,
             entry,
         };
         self.until_leave_requested(work).await
@@ -127,12 +130,16 @@
 
     /// Runs the connection's last `work` while it counts as about to end; cut short where no other permit is left.
     pub async fn linger(&self, work: impl Future<Output = ()>) {
-        let entry = self.pool.permits.borrow_mut().linger(self.leave.clone());
+        let entry = self
+            .pool
+            .permits
+            .borrow_mut()
+            .mark_lingering(self.leave.clone());
         // A connection that waits for a permit may get this one.
         self.pool.freed.notify();
         let _entry = PermitEntry {
             permits: &self.pool.permits,
-            remove: Permits::lingered,
+            remove: Permits::remove_lingering,
             entry,
         };
         // The connection ends either way.
@@ -159,7 +166,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.pool.permits.borrow_mut().give_back();
+        self.pool.permits.borrow_mut().release();
         self.pool.freed.notify();
         if let Some(closed) = &*self.pool.closed.borrow() {
             let _ = closed.try_send(());
--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -7,14 +7,14 @@
 use async_io::Timer;
 use futures_lite::future;
 use heathspur::{RequestId, Span};
-use heathspur_settings::Names;
+use heathspur_settings::WireNames;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Instant;
 
 /// Shared between the frontends and the event loop. The event loop sets the cells; the frontends only read them.
 pub(crate) struct FrontendContext {
-    pub names: Names,
+    pub names: WireNames,
     /// Per class: whether its requests carry an idempotency key (and reads no subject).
     pub keyed_classes: Vec<bool>,
     next_id: Cell<u64>,
@@ -40,7 +40,7 @@
 
 impl FrontendContext {
     pub fn new(
-        names: Names,
+        names: WireNames,
         keyed_classes: Vec<bool>,
         idle_timeout: Span,
         stop_accepting: Receiver<()>,
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -7,7 +7,7 @@
 use crate::frontend::FrontendContext;
 use crate::recording::recorded_stream::Stream;
 use futures_lite::{future, AsyncWriteExt};
-use heathspur_wire::http::{self, Last};
+use heathspur_wire::http::{self, ConnectionOption};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,10 +22,10 @@
     stream: &Stream,
     context: &FrontendContext,
     response: &Response,
-    last: Last,
+    last: ConnectionOption,
 ) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + response.body.len());
-    http::write_answer(
+    http::write_response(
         &mut bytes,
         response.status,
         &response.fields,
@@ -41,7 +41,7 @@
 /// Answers an invalid request and ends its connection.
 pub(crate) async fn reject(stream: &Stream, status: u16) {
     let mut bytes = Vec::new();
-    http::write_answer(&mut bytes, status, &[], Last::Yes, b"");
+    http::write_response(&mut bytes, status, &[], ConnectionOption::Close, b"");
     // The connection ends either way.
     let _ = write_all(stream, &bytes).await;
     lingering_close::close(stream).await;
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -17,7 +17,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use heathspur::ClassId;
-use heathspur_wire::http::{self, Fields, Last, Message};
+use heathspur_wire::http::{self, ConnectionOption, Fields, Message};
 use input::Input;
 use std::rc::Rc;
 
@@ -42,7 +42,7 @@
 /// A complete message, and whether the client expects its answer to be the last one on the connection.
 struct ReceivedMessage {
     content: ParsedMessage,
-    last: Last,
+    last: ConnectionOption,
 }
 
 /// Returns the function that serves a connection of this frontend.
@@ -131,9 +131,9 @@
     /// Takes a complete message from the input.
     fn take_message(&mut self, message: &Message) -> ReceivedMessage {
         let fields = Fields::over(&self.input.bytes()[message.fields.clone()]);
-        let last = match http::says_close(fields) {
-            true => Last::Yes,
-            false => Last::No,
+        let last = match http::has_close_option(fields) {
+            true => ConnectionOption::Close,
+            false => ConnectionOption::KeepAlive,
         };
         let bytes = self.input.take_message(message);
         let content = parse(&bytes, message, &self.frontend.context);
@@ -153,7 +153,7 @@
                 self.permit.request_received();
                 let answer = self.obtain_answer(request, answers).await?;
                 if self.frontend.context.draining.get() && !self.has_next_request().await {
-                    last = Last::Yes;
+                    last = ConnectionOption::Close;
                 }
                 Response::of(&answer, &self.frontend.context)
             }
@@ -163,8 +163,8 @@
             .await
             .map_err(|_| CloseReason::ClosedByClient)?;
         match last {
-            Last::No => Ok(()),
-            Last::Yes => Err(CloseReason::NoMoreRequests),
+            ConnectionOption::KeepAlive => Ok(()),
+            ConnectionOption::Close => Err(CloseReason::NoMoreRequests),
         }
     }
 
@@ -201,7 +201,7 @@
 
 /// Parses a message; `bytes` holds the message and nothing else.
 fn parse(bytes: &Bytes, message: &Message, context: &FrontendContext) -> ParsedMessage {
-    let Ok((method, target)) = http::request_line(&bytes[message.first.clone()]) else {
+    let Ok((method, target)) = http::request_line(&bytes[message.start_line.clone()]) else {
         return ParsedMessage::Invalid(400);
     };
     match RequestTarget::of(method, target, context) {
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -97,7 +97,7 @@
     state: &Rc<ConnectionState>,
     permit: &Permit,
 ) {
-    let round_trip = state.frontend.settings.patience.round_trip.0;
+    let round_trip = state.frontend.settings.client_timeouts.round_trip.0;
     let mut driver = Driver {
         h2,
         state,
@@ -267,7 +267,7 @@
     /// Whether the client has read nothing for too long.
     fn is_unread(&self) -> bool {
         let monitor = &self.state.monitor;
-        let timeout = self.state.frontend.settings.patience.stalled.0;
+        let timeout = self.state.frontend.settings.client_timeouts.stalled.0;
         monitor.blocked_for() >= timeout
             || monitor.is_blocked() && self.state.context().are_responses_abandoned()
     }
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -23,7 +23,7 @@
 use h2::server::Builder;
 use heathspur_config::Http2;
 use heathspur_streams::stream_limits::{LimitSettings, StreamLimits};
-use heathspur_wire::http::{write_answer, Last};
+use heathspur_wire::http::{write_response, ConnectionOption};
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
@@ -110,7 +110,7 @@
     let transport = Transport::new(stream.clone(), received, PREFACE.len(), monitor.clone());
     let _registration = QuotaRegistration::new(&frontend);
     let handshake = builder(&frontend).handshake::<_, Bytes>(transport);
-    let timeout = frontend.settings.request.whole.0;
+    let timeout = frontend.settings.request.receive_timeout.0;
     let handshake = within(timeout, async { handshake.await.map_err(io::Error::other) });
     let Ok(Ok(mut h2)) = permit.idle(handshake).await else {
         return;
@@ -142,7 +142,7 @@
     frontend: &Http2Frontend,
     permit: &Permit,
 ) -> Option<Bytes> {
-    let timeout = frontend.settings.request.whole.0;
+    let timeout = frontend.settings.request.receive_timeout.0;
     match permit.idle(within(timeout, read_preface(stream))).await {
         Ok(Ok(received)) => Some(received),
         Ok(Err(e)) if e.kind() == io::ErrorKind::InvalidData => {
@@ -175,7 +175,13 @@
 /// Responds in HTTP/1.1, which a client of another version can read, and closes the connection.
 async fn reject_version(mut stream: &Stream, permit: &Permit) {
     let mut response = Vec::new();
-    write_answer(&mut response, 505, &[], Last::Yes, WRONG_VERSION_BODY);
+    write_response(
+        &mut response,
+        505,
+        &[],
+        ConnectionOption::Close,
+        WRONG_VERSION_BODY,
+    );
     // The connection ends either way.
     let _ = within(FINAL_SEND_TIMEOUT, stream.write_all(&response)).await;
     permit.linger(lingering_close::close(stream)).await;
--- a/crates/heathspurd/src/frontend/http2/send.rs
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -67,7 +67,7 @@
     pub fn send_response_head(&mut self) -> Option<StreamEvent> {
         let response = self.response.take()?;
         let frontend = self.connection.frontend.clone();
-        self.deadline = Some(Instant::now() + frontend.settings.patience.stalled.0);
+        self.deadline = Some(Instant::now() + frontend.settings.client_timeouts.stalled.0);
         let failed = self.send_head(&response, response.body.is_empty()).err();
         frontend.stream_quota.borrow_mut().on_response();
         let mut meter = self.connection.monitor.meter.borrow_mut();
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -44,7 +44,7 @@
     let max_body_bytes = limits.body.0 as u32;
     let mut task = StreamTask {
         life: StreamLifecycle::new(max_body_bytes),
-        receiver: RequestReceiver::new(request, limits.whole.0, connection.context()),
+        receiver: RequestReceiver::new(request, limits.receive_timeout.0, connection.context()),
         sender: ResponseSender::new(connection.clone(), responder),
         submitted: None,
         connection,
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -110,7 +110,7 @@
                 self.values.shed_rank.replace(rank).is_some()
             }
             RequestHeader::Router => {
-                let router = http::number(value)?;
+                let router = http::parse_decimal(value)?;
                 self.values.router.replace(router).is_some()
             }
             RequestHeader::Tenant => {
@@ -143,7 +143,7 @@
 
     /// Unix microseconds from a timestamp in milliseconds.
     fn timestamp(&self, value: &[u8]) -> Option<u64> {
-        http::number(value)?
+        http::parse_decimal(value)?
             .checked_mul(1000)
             .filter(|&micros| micros <= self.latest_unix_micros)
     }
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -138,7 +138,7 @@
         plan: RoutingPlan::default(),
         without_quorum: false,
         local_replica: addresses[home],
-        check_interval: config.check.0,
+        check_interval: config.health_check_interval.0,
     };
     let routes = ReplicaRoutes {
         shared,
@@ -153,9 +153,9 @@
 fn hysteresis(config: &FailoverConfig) -> Hysteresis {
     let milliseconds = |span: Span| span.0.as_millis() as u32;
     Hysteresis {
-        minimum_hold_ms: milliseconds(config.dwell),
-        failover_delay_ms: milliseconds(config.leave),
-        recovery_delay_ms: milliseconds(config.back),
+        minimum_hold_ms: milliseconds(config.minimum_hold),
+        failover_delay_ms: milliseconds(config.failover_delay),
+        recovery_delay_ms: milliseconds(config.recovery_delay),
         ..Hysteresis::default()
     }
 }
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -189,7 +189,7 @@
         gossip_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_INTERVAL_MS),
         probe_timeout_ms: config.probe_timeout.0.as_millis() as u64,
         suspicion_mult: config.suspicion,
-        max_members: config.most,
+        max_members: config.max_members,
         lifeguard: config.lifeguard,
         ..Settings::default()
     }
--- a/crates/heathspurd/src/peers/interpreter/mod.rs
+++ b/crates/heathspurd/src/peers/interpreter/mod.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use futures_lite::{future, AsyncWriteExt};
 use heathspur_record::recorder::Leg;
-use heathspur_wire::interpreter::{self as wire, Command, End, Notice, Warmth};
+use heathspur_wire::interpreter::{self as wire, Command, Notice, RunOutcome, Warmth};
 use notice_sequence::{NoticeSequence, SequencePosition};
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -43,7 +43,7 @@
     /// A run has ended; `body` is its result where it succeeded.
     RunEnded {
         attempt: AttemptId,
-        end: End,
+        end: RunOutcome,
         body: Bytes,
     },
     /// A run waits for the reply to its call number `index`.
@@ -79,8 +79,8 @@
     #[error("notice number {0} is out of sequence")]
     OutOfSequence(u64),
     #[error("a line is not a valid notice: {0}")]
-    InvalidNotice(#[source] wire::Nonsense),
-    #[error("a line is longer than {} bytes", wire::LINE)]
+    InvalidNotice(#[source] wire::Error),
+    #[error("a line is longer than {} bytes", wire::MAX_LINE_BYTES)]
     LineTooLong,
     #[error("the event loop has ended")]
     EventLoopEnded,
@@ -101,7 +101,7 @@
     }
 
     pub fn send(&self, command: Command<'_>) {
-        wire::write(&mut self.queued_commands.borrow_mut(), command);
+        wire::write_command(&mut self.queued_commands.borrow_mut(), command);
         self.command_queued.notify();
     }
 
@@ -109,7 +109,7 @@
     fn restart_queue(&self, last_notice: u64) {
         let mut queued = self.queued_commands.borrow_mut();
         queued.clear();
-        wire::write(&mut queued, Command::Connect(last_notice));
+        wire::write_command(&mut queued, Command::Connect(last_notice));
     }
 }
 
@@ -245,7 +245,7 @@
             pass_on_line(&buffer.bytes()[..end], events, sequence).await?;
             buffer.consume(end + 1);
         }
-        if buffer.bytes().len() > wire::LINE {
+        if buffer.bytes().len() > wire::MAX_LINE_BYTES {
             return Err(LinkError::LineTooLong);
         }
     }
@@ -282,14 +282,14 @@
     line: &[u8],
     sequence: &mut NoticeSequence,
 ) -> Result<[Option<InterpreterEvent>; 2], LinkError> {
-    let notice = match wire::read(line) {
+    let notice = match wire::parse_notice(line) {
         Ok(notice) => notice,
         Err(_) if line.trim_ascii().is_empty() => return Ok([None, None]),
         Err(error) => return Err(LinkError::InvalidNotice(error)),
     };
     // Checked before the number is accepted, so that the notice is sent again on the next connection.
     require_request_id(&notice)?;
-    if matches!(notice, Notice::Tops { .. }) {
+    if matches!(notice, Notice::Gauges { .. }) {
         sequence.caught_up();
     }
     let position = match notice_number(&notice) {
@@ -306,11 +306,12 @@
 
 fn require_request_id(notice: &Notice<'_>) -> Result<(), LinkError> {
     match notice {
-        Notice::Value { task, .. } | Notice::Await { task, .. }
-            if AttemptId::read(task.as_bytes()).is_none() =>
-        {
-            Err(LinkError::InvalidRequestId)
+        Notice::RunCompleted {
+            request_id: task, ..
         }
+        | Notice::CallNeeded {
+            request_id: task, ..
+        } if AttemptId::read(task.as_bytes()).is_none() => Err(LinkError::InvalidRequestId),
         _ => Ok(()),
     }
 }
@@ -328,41 +329,54 @@
 /// The number of a notice, where its kind has one.
 fn notice_number(notice: &Notice<'_>) -> Option<u64> {
     match notice {
-        Notice::Value { index, .. } | Notice::Await { index, .. } | Notice::Trace { index } => {
-            Some(*index)
-        }
-        Notice::Banner { .. } | Notice::Tops { .. } | Notice::Refused { .. } => None,
+        Notice::RunCompleted { index, .. }
+        | Notice::CallNeeded { index, .. }
+        | Notice::Log { index } => Some(*index),
+        Notice::Connected { .. } | Notice::Gauges { .. } | Notice::CommandRejected { .. } => None,
     }
 }
 
 /// The event that a notice stands for, where it concerns the event loop.
 fn notice_event(notice: Notice<'_>) -> Option<InterpreterEvent> {
     match notice {
-        Notice::Banner { warmth, ago_ms } => Some(InterpreterEvent::Connected {
+        Notice::Connected {
+            warmth,
+            uptime_ms: ago_ms,
+        } => Some(InterpreterEvent::Connected {
             warmth,
             started_ms_ago: ago_ms,
         }),
-        Notice::Value {
-            task, end, body, ..
+        Notice::RunCompleted {
+            request_id: task,
+            outcome: end,
+            body,
+            ..
         } => Some(InterpreterEvent::RunEnded {
             attempt: AttemptId::read(task.as_bytes())?,
             end,
             body: body.into(),
         }),
-        Notice::Await { index, task, body } => Some(InterpreterEvent::CallRequested {
+        Notice::CallNeeded {
+            index,
+            request_id: task,
+            body,
+        } => Some(InterpreterEvent::CallRequested {
             attempt: AttemptId::read(task.as_bytes())?,
             index,
             body: body.into(),
         }),
-        Notice::Tops { nonce, readings } => Some(InterpreterEvent::Gauges {
+        Notice::Gauges { nonce, readings } => Some(InterpreterEvent::Gauges {
             nonce: nonce.parse().ok()?,
             readings,
         }),
-        Notice::Refused { command, task } => Some(InterpreterEvent::CommandRejected {
+        Notice::CommandRejected {
+            command,
+            request_id,
+        } => Some(InterpreterEvent::CommandRejected {
             command: command.into_owned(),
-            attempt: AttemptId::read(task.as_bytes()),
+            attempt: AttemptId::read(request_id.as_bytes()),
         }),
-        Notice::Trace { .. } => None,
+        Notice::Log { .. } => None,
     }
 }
 
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -8,7 +8,9 @@
 use crate::recording::recorded_stream::Stream;
 use async_io::Timer;
 use futures_lite::{future, AsyncWriteExt};
-use heathspur_server_core::announce::{Action, Event, Failure, Line, Schedule, DIAL};
+use heathspur_server_core::registration::{
+    Action, ConnectionId, Event, Failure, Schedule, CONNECT_TIMEOUT,
+};
 use heathspur_wire::http::{self, Fields, Limits, Reader};
 use std::cell::Cell;
 use std::future::Future;
@@ -144,7 +146,7 @@
     /// The origin of the schedule's time.
     start: Instant,
     /// In the order in which they began their step.
-    connections: Vec<(Line, ConnectionStep)>,
+    connections: Vec<(ConnectionId, ConnectionStep)>,
     /// The error behind the last [`Event::Lost`], kept for the log.
     last_error: Option<io::Error>,
 }
@@ -166,7 +168,7 @@
     fn move_to(&mut self, address: SocketAddr) {
         if self.address != address {
             self.address = address;
-            self.handle(Event::Moved);
+            self.handle(Event::AddressChanged);
         }
     }
 
@@ -179,24 +181,24 @@
         let now = self.start.elapsed();
         while let Some(action) = self.schedule.poll(now) {
             match action {
-                Action::Dial(id) => self.connect(id),
-                Action::Report { line, ready } => {
-                    let event = self.send_report(line, ready);
+                Action::Connect(id) => self.connect(id),
+                Action::SendReport { connection, ready } => {
+                    let event = self.send_report(connection, ready);
                     self.schedule.handle(now, event);
                 }
                 Action::Close(id) => drop(self.remove(id)),
-                Action::Failed(failure) => self.log_failure(failure),
+                Action::LogFailure(failure) => self.log_failure(failure),
             }
         }
     }
 
-    fn connect(&mut self, id: Line) {
-        let connecting = Box::pin(connection::connect(self.address, DIAL, None));
+    fn connect(&mut self, id: ConnectionId) {
+        let connecting = Box::pin(connection::connect(self.address, CONNECT_TIMEOUT, None));
         self.connections
             .push((id, ConnectionStep::Connecting(connecting)));
     }
 
-    fn remove(&mut self, id: Line) -> Option<ConnectionStep> {
+    fn remove(&mut self, id: ConnectionId) -> Option<ConnectionStep> {
         let index = self
             .connections
             .iter()
@@ -204,35 +206,35 @@
         Some(self.connections.remove(index).1)
     }
 
-    fn send_report(&mut self, id: Line, ready: bool) -> Event {
+    fn send_report(&mut self, id: ConnectionId, ready: bool) -> Event {
         match self.remove(id) {
             // Bytes that arrived before the report cannot be the answer to it.
             Some(ConnectionStep::Idle(stream)) if connection::is_idle(&stream) => {
                 let answer = Box::pin(exchange(stream, self.report(ready)));
                 self.connections
                     .push((id, ConnectionStep::Reporting(answer)));
-                Event::Sent(id)
+                Event::ReportSent(id)
             }
-            _ => Event::Spent(id),
+            _ => Event::Closed(id),
         }
     }
 
     fn log_failure(&mut self, failure: Failure) {
         let error = match failure {
-            Failure::Late => io::ErrorKind::TimedOut.into(),
-            Failure::Lost => self
+            Failure::TimedOut => io::ErrorKind::TimedOut.into(),
+            Failure::ConnectionFailed => self
                 .last_error
                 .take()
                 .unwrap_or_else(|| io::ErrorKind::Other.into()),
-            Failure::Spent => io::ErrorKind::UnexpectedEof.into(),
-            Failure::Status(status) => io::Error::other(format!("status {status}")),
+            Failure::ConnectionClosed => io::ErrorKind::UnexpectedEof.into(),
+            Failure::UnexpectedStatus(status) => io::Error::other(format!("status {status}")),
         };
         warn!(error = %error, "the announce service did not take a report: {error}");
     }
 
     /// When an action becomes due without an event.
     fn wake_at(&self) -> Option<Instant> {
-        self.schedule.wake().map(|at| self.start + at)
+        self.schedule.next_wakeup().map(|at| self.start + at)
     }
 
     /// Waits until a step completes; returns the connection's index with the outcome.
@@ -254,10 +256,10 @@
         let event = match outcome {
             StepOutcome::Connected(Ok(stream)) => {
                 self.push_idle(id, stream);
-                Event::Up(id)
+                Event::Connected(id)
             }
             StepOutcome::Answered(Ok(answer)) => self.answered(id, answer),
-            StepOutcome::IdleClosed => Event::Spent(id),
+            StepOutcome::IdleClosed => Event::Closed(id),
             StepOutcome::Connected(Err(error)) | StepOutcome::Answered(Err(error)) => {
                 self.connection_failed(id, error)
             }
@@ -265,26 +267,29 @@
         self.handle(event);
     }
 
-    fn push_idle(&mut self, id: Line, stream: Stream) {
+    fn push_idle(&mut self, id: ConnectionId, stream: Stream) {
         self.connections.push((id, ConnectionStep::Idle(stream)));
     }
 
-    fn answered(&mut self, id: Line, answer: ReportAnswer) -> Event {
+    fn answered(&mut self, id: ConnectionId, answer: ReportAnswer) -> Event {
         let open = answer.reusable.is_some();
         if let Some(stream) = answer.reusable {
             self.push_idle(id, stream);
         }
-        Event::Answered {
-            line: id,
+        Event::ReportAnswered {
+            connection: id,
             status: answer.status,
-            open,
+            reusable: open,
         }
     }
 
-    fn connection_failed(&mut self, id: Line, error: io::Error) -> Event {
+    fn connection_failed(&mut self, id: ConnectionId, error: io::Error) -> Event {
         let late = error.kind() == io::ErrorKind::TimedOut;
         self.last_error = Some(error);
-        Event::Lost { line: id, late }
+        Event::Failed {
+            connection: id,
+            timed_out: late,
+        }
     }
 
     /// The HTTP request that reports the readiness.
@@ -293,7 +298,7 @@
         let host = self.address.to_string();
         let body = format!(r#"{{"accepting":"{ready}"}}"#);
         let mut request = Vec::new();
-        http::write_call(&mut request, "PUT", &path, &host, body.as_bytes());
+        http::write_request(&mut request, "PUT", &path, &host, body.as_bytes());
         request
     }
 }
@@ -309,8 +314,8 @@
         })
         .await?;
     let bytes = buffer.bytes();
-    let status = http::status_line(&bytes[message.first]).map_err(io::Error::other)?;
-    let closing = http::says_close(Fields::over(&bytes[message.fields]));
+    let status = http::status_line(&bytes[message.start_line]).map_err(io::Error::other)?;
+    let closing = http::has_close_option(Fields::over(&bytes[message.fields]));
     let excess_bytes = bytes.len() > message.body.end;
     Ok(ReportAnswer {
         status,
--- a/crates/heathspurd/src/peers/store/connection.rs
+++ b/crates/heathspurd/src/peers/store/connection.rs
@@ -9,7 +9,7 @@
 use futures_lite::AsyncWriteExt;
 use heathspur::Outcome;
 use heathspur_record::recorder::Leg;
-use heathspur_wire::store::{self as wire, Word};
+use heathspur_wire::store::{self as wire, CallStatus};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
-    InvalidReply(#[from] wire::Nonsense),
+    InvalidReply(#[from] wire::Error),
 }
 
 /// The reply to a call.
@@ -107,15 +107,17 @@
         loop {
             let reply = self
                 .buffer
-                .read_message::<_, ExchangeError>(&self.stream, |bytes| Ok(wire::read(bytes)?))
+                .read_message::<_, ExchangeError>(&self.stream, |bytes| {
+                    Ok(wire::parse_reply(bytes)?)
+                })
                 .await?;
             let bytes = self.buffer.bytes();
-            let is_ours = bytes[reply.id] == *attempt.as_bytes();
+            let is_ours = bytes[reply.request_id] == *attempt.as_bytes();
             let body = Bytes::copy_from_slice(&bytes[reply.body]);
             self.buffer.consume(reply.end);
             if is_ours {
                 return Ok(Reply {
-                    outcome: outcome(reply.word),
+                    outcome: outcome(reply.status),
                     body,
                     connection_reusable: !foreign_reply && self.buffer.bytes().is_empty(),
                 });
@@ -127,12 +129,12 @@
 }
 
 /// The outcome that a reply's word stands for.
-fn outcome(word: Word) -> Outcome {
+fn outcome(word: CallStatus) -> Outcome {
     match word {
-        Word::Ok => Outcome::Ok,
-        Word::Busy => Outcome::Rejected,
-        Word::Failed => Outcome::Error,
-        Word::Late => Outcome::Timeout,
-        Word::Void => Outcome::NoLongerNeeded,
+        CallStatus::Ok => Outcome::Ok,
+        CallStatus::Rejected => Outcome::Rejected,
+        CallStatus::Failed => Outcome::Error,
+        CallStatus::TimedOut => Outcome::Timeout,
+        CallStatus::NoRun => Outcome::NoLongerNeeded,
     }
 }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -187,7 +187,7 @@
 fn response_budget(http2: &Http2) -> Rc<ResponseBudget> {
     ResponseBudget::new(MemoryLimits {
         per_connection: http2.memory.connection.0,
-        total: http2.memory.answers.0,
+        total: http2.memory.responses.0,
     })
 }
 
--- a/crates/heathspurd/src/startup.rs
+++ b/crates/heathspurd/src/startup.rs
@@ -80,7 +80,7 @@
     let home_zone = operator
         .failover
         .as_ref()
-        .and_then(|failover| Some((failover, failover.home(&members.zone)?)));
+        .and_then(|failover| Some((failover, failover.replica_of(&members.zone)?)));
     let (decider, routes) = home_zone
         .map(|(failover, home)| failover::start(failover, home, &members.region))
         .unzip();
--- a/crates/heathspurd/tests/unit/connection_pool.rs
+++ b/crates/heathspurd/tests/unit/connection_pool.rs
@@ -34,7 +34,7 @@
     pool.reclaim_permits();
     assert_eq!(
         polled(fresh.as_mut()),
-        Poll::Ready(Err(LeaveRequest::Begun))
+        Poll::Ready(Err(LeaveRequest::ReadingRequest))
     );
 }
 
