--- a/crates/heathspurd/tests/unit/interpreter.rs
+++ b/crates/heathspurd/tests/unit/interpreter.rs
@@ -1,6 +1,7 @@
-//! Unit tests of `src/peers/interpreter/mod.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/interpreter/notices.rs`, which names this file as its module of tests.
 
 use super::*;
+use futures_lite::future;
 
 /// Both ends of a connection.
 fn pair() -> (Stream, std::net::TcpStream) {
