--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -26,7 +26,7 @@
             InterpreterEvent::Gauges { nonce, readings } => self.on_gauges(nonce, &readings),
             InterpreterEvent::RunEnded {
                 attempt: txn,
-                end,
+                outcome: end,
                 body,
             } => {
                 if let Some(id) = self.table.find_attempt(&txn) {
--- a/crates/heathspurd/tests/unit/interpreter_events.rs
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -102,7 +102,7 @@
     let (mut event_loop, answers) = stop_crossing_a_call();
     event_loop.on_interpreter_event(InterpreterEvent::RunEnded {
         attempt: attempt(),
-        end: RunOutcome::Cancelled,
+        outcome: RunOutcome::Cancelled,
         body: Bytes::new(),
     });
     // It is paused as requested, and its answer still due.
