--- a/crates/heathspur-failover/tests/model.rs
+++ b/crates/heathspur-failover/tests/model.rs
@@ -1,8 +1,8 @@
-//! Two zones of two instances, a replica in each: replicas that fail and heal, an instance cut off alone, word passed
-//! on in any order between steps of the clock, calls handed to the other zone. The crate's own register and budget
-//! are in it.
+//! A model of two zones with two instances and a replica each: replicas fail and recover, an instance is partitioned,
+//! ballots are delivered in any order between steps of the clock, and calls go to the other zone. The decision
+//! register and the call budget are the crate's own.
 //!
-//! The mutants take out one part each; every one has to be found.
+//! Each mutant leaves out one part of the protocol, and the model has to find every mutant.
 
 use heathspur_failover::call_budget::{CallBudget, ZoneCapacity};
 use heathspur_failover::decision_register::{Ballot, Decision, DecisionRegister, Hysteresis};
@@ -18,19 +18,19 @@
     recovery_delay_ms: 2,
     dead_band_tenths: 2,
 };
-/// Replicas that change and instances that are cut off, in one history.
+/// Changes of replicas and partitions in one history.
 const FAULTS: u8 = 3;
-/// Steps without a fault after which all instances of a zone hold what is right.
-const CALM: u32 = HYSTERESIS.minimum_hold_ms + HYSTERESIS.recovery_delay_ms + 3;
-/// What each zone has spare for others.
+/// Steps without a fault after which all instances of a zone have accepted the right decision.
+const FAULT_FREE_STEPS: u32 = HYSTERESIS.minimum_hold_ms + HYSTERESIS.recovery_delay_ms + 3;
+/// The spare capacity of each zone.
 const SPARE: u32 = 2;
 const HIGHEST: u64 = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Instance {
     register: DecisionRegister,
-    /// What its partner said last.
-    heard: Ballot,
+    /// The last ballot of the other instance of its zone.
+    received: Ballot,
     budget: CallBudget,
 }
 
@@ -39,36 +39,36 @@
     instances: [Instance; ALL],
     up: [bool; ZONES],
     was_down: [bool; ZONES],
-    /// The instance that is cut off from all.
-    apart: Option<usize>,
+    /// The instance that is partitioned from all others.
+    partitioned: Option<usize>,
     faults: u8,
-    /// Steps since a zone's newest decision was made, up to the dwell.
-    since: [u32; ZONES],
-    /// A decision was made before the one before it had stood for its dwell.
-    hasty: bool,
+    /// Steps since a zone's newest decision, up to the minimum hold.
+    steps_since_decision: [u32; ZONES],
+    /// A decision was made before the previous one had held for its minimum.
+    decided_early: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Move {
     Step,
-    Tell(usize),
-    Replica(usize),
-    Cut(usize),
+    DeliverBallot(usize),
+    ToggleReplica(usize),
+    Partition(usize),
     Heal,
-    Hand(usize),
-    Done(usize),
+    SendCall(usize),
+    CompleteCall(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// One instance is quorum enough.
+    /// One instance is a quorum.
     NoQuorum,
-    /// Decisions stand for no time, and a healed replica is believed at once.
+    /// Decisions have no minimum hold, and a recovered replica counts at once.
     NoHysteresis,
-    /// What another instance holds is not taken over.
-    NotTakenOver,
-    /// Each sender takes all that the far side has spare.
+    /// The accepted decision of another instance is ignored.
+    IgnoresDecisions,
+    /// Each sender uses all of the spare capacity.
     SpareNotShared,
 }
 
@@ -94,44 +94,45 @@
         };
         let before: Vec<_> = (0..ZONES).map(|z| newest(self, z)).collect();
         for i in 0..ALL {
-            let apart = self.apart == Some(i);
-            let sight = if apart || !self.up[zone(i)] {
+            let partitioned = self.partitioned == Some(i);
+            let observed = if partitioned || !self.up[zone(i)] {
                 0
             } else {
                 ALL_TRAFFIC_TENTHS
             };
-            let hears = !apart && self.apart != Some(partner(i));
-            let mut ballot = self.instances[i].heard;
-            if mutant == Mutant::NotTakenOver {
+            let connected = !partitioned && self.partitioned != Some(partner(i));
+            let mut ballot = self.instances[i].received;
+            if mutant == Mutant::IgnoresDecisions {
                 ballot.accepted = self.instances[i].register.accepted();
             }
-            let others: &[Ballot] = if hears { &[ballot] } else { &[] };
+            let others: &[Ballot] = if connected { &[ballot] } else { &[] };
             let known = if mutant == Mutant::NoQuorum { 1 } else { EACH };
             self.instances[i]
                 .register
-                .step(1, Some(sight), others, known);
+                .step(1, Some(observed), others, known);
         }
         for (z, before) in before.into_iter().enumerate() {
-            self.since[z] = (self.since[z] + 1).min(HYSTERESIS.minimum_hold_ms);
+            self.steps_since_decision[z] =
+                (self.steps_since_decision[z] + 1).min(HYSTERESIS.minimum_hold_ms);
             if newest(self, z) > before {
-                self.hasty |= self.since[z] < HYSTERESIS.minimum_hold_ms;
-                self.since[z] = 0;
+                self.decided_early |= self.steps_since_decision[z] < HYSTERESIS.minimum_hold_ms;
+                self.steps_since_decision[z] = 0;
             }
         }
     }
 
-    fn tell(&mut self, from: usize) {
-        self.instances[partner(from)].heard = self.instances[from].register.ballot();
+    fn deliver_ballot(&mut self, from: usize) {
+        self.instances[partner(from)].received = self.instances[from].register.ballot();
     }
 
-    fn calm(&self, mutant: Mutant) -> Fleet {
-        let mut calm = self.clone();
-        calm.apart = None;
-        for _ in 0..CALM {
-            (0..ALL).for_each(|i| calm.tell(i));
-            calm.step(mutant);
+    fn after_fault_free_steps(&self, mutant: Mutant) -> Fleet {
+        let mut later = self.clone();
+        later.partitioned = None;
+        for _ in 0..FAULT_FREE_STEPS {
+            (0..ALL).for_each(|i| later.deliver_ballot(i));
+            later.step(mutant);
         }
-        calm
+        later
     }
 }
 
@@ -163,7 +164,7 @@
             };
             budget.set_capacities([other_zone].into_iter());
             Instance {
-                heard: register.ballot(),
+                received: register.ballot(),
                 register: register.clone(),
                 budget,
             }
@@ -172,43 +173,44 @@
             instances: std::array::from_fn(instance),
             up: [true; ZONES],
             was_down: [false; ZONES],
-            apart: None,
+            partitioned: None,
             faults: 0,
-            since: [HYSTERESIS.minimum_hold_ms; ZONES],
-            hasty: false,
+            steps_since_decision: [HYSTERESIS.minimum_hold_ms; ZONES],
+            decided_early: false,
         }]
     }
 
     fn actions(&self, state: &Fleet, moves: &mut Vec<Move>) {
         moves.push(Move::Step);
-        let fails = state.faults < FAULTS;
-        for z in (0..ZONES).filter(|_| fails) {
-            moves.push(Move::Replica(z));
+        let may_fail = state.faults < FAULTS;
+        for z in (0..ZONES).filter(|_| may_fail) {
+            moves.push(Move::ToggleReplica(z));
         }
-        match state.apart {
+        match state.partitioned {
             Some(_) => moves.push(Move::Heal),
-            // By symmetry one instance is as good as another.
-            None if fails => moves.push(Move::Cut(0)),
+            // By symmetry it is enough to partition one instance.
+            None if may_fail => moves.push(Move::Partition(0)),
             None => {}
         }
         for i in 0..ALL {
-            let parted = [Some(i), Some(partner(i))].contains(&state.apart);
-            if !parted && state.instances[partner(i)].heard != state.instances[i].register.ballot()
+            let unreachable = [Some(i), Some(partner(i))].contains(&state.partitioned);
+            if !unreachable
+                && state.instances[partner(i)].received != state.instances[i].register.ballot()
             {
-                moves.push(Move::Tell(i));
+                moves.push(Move::DeliverBallot(i));
             }
-            // What the first zone hands on shows all that the budget does.
+            // By symmetry it is enough that the first zone sends calls.
             if zone(i) == 0
                 && state.instances[i].register.local_traffic_tenths() < ALL_TRAFFIC_TENTHS
             {
-                moves.push(Move::Hand(i));
+                moves.push(Move::SendCall(i));
             }
             if state.instances[i]
                 .budget
                 .in_flight(&(1 - zone(i)).to_string())
                 > 0
             {
-                moves.push(Move::Done(i));
+                moves.push(Move::CompleteCall(i));
             }
         }
     }
@@ -217,18 +219,18 @@
         let mut state = before.clone();
         match step {
             Move::Step => state.step(self.mutant),
-            Move::Tell(i) => state.tell(i),
-            Move::Replica(z) => {
+            Move::DeliverBallot(i) => state.deliver_ballot(i),
+            Move::ToggleReplica(z) => {
                 state.up[z] = !state.up[z];
                 state.was_down[z] |= !state.up[z];
                 state.faults += 1;
             }
-            Move::Cut(i) => {
-                state.apart = Some(i);
+            Move::Partition(i) => {
+                state.partitioned = Some(i);
                 state.faults += 1;
             }
-            Move::Heal => state.apart = None,
-            Move::Hand(i) => {
+            Move::Heal => state.partitioned = None,
+            Move::SendCall(i) => {
                 if !state.instances[i]
                     .budget
                     .try_acquire(&(1 - zone(i)).to_string())
@@ -236,7 +238,7 @@
                     return None;
                 }
             }
-            Move::Done(i) => state.instances[i]
+            Move::CompleteCall(i) => state.instances[i]
                 .budget
                 .release(&(1 - zone(i)).to_string()),
         }
@@ -253,33 +255,33 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "rule: without faults the instances of a zone soon hold one decision, and it is right",
+                "rule: without faults the instances of a zone soon accept one decision, and the right one",
                 |model, s: &Fleet| {
-                    let calm = s.calm(model.mutant);
+                    let later = s.after_fault_free_steps(model.mutant);
                     (0..ALL).all(|i| {
                         let (mine, other) =
-                            (&calm.instances[i].register, &calm.instances[partner(i)].register);
-                        let right = if calm.up[zone(i)] { ALL_TRAFFIC_TENTHS } else { 0 };
+                            (&later.instances[i].register, &later.instances[partner(i)].register);
+                        let right = if later.up[zone(i)] { ALL_TRAFFIC_TENTHS } else { 0 };
                         mine.accepted() == other.accepted() && mine.local_traffic_tenths() == right
                     })
                 },
             ),
-            Property::always("rule: a zone whose replica never failed holds what it held", |_, s: &Fleet| {
+            Property::always("rule: a zone whose replica never failed makes no decision", |_, s: &Fleet| {
                 (0..ALL).all(|i| s.was_down[zone(i)] || s.instances[i].register.accepted() == Decision::FIRST)
             }),
-            Property::always("rule: a decision stands for its dwell", |_, s: &Fleet| !s.hasty),
-            Property::always("rule: no zone is handed more than it has spare", |_, s: &Fleet| {
-                let handed = |z: usize| -> u32 {
+            Property::always("rule: a decision holds for its minimum", |_, s: &Fleet| !s.decided_early),
+            Property::always("rule: no zone gets more calls than its spare capacity", |_, s: &Fleet| {
+                let calls_to = |z: usize| -> u32 {
                     s.instances.iter().map(|i| i.budget.in_flight(&z.to_string())).sum()
                 };
-                (0..ZONES).all(|z| handed(z) <= SPARE)
+                (0..ZONES).all(|z| calls_to(z) <= SPARE)
             }),
-            Property::sometimes("one that is cut off moves itself alone", |_, s: &Fleet| {
+            Property::sometimes("a partitioned instance moves only its own calls", |_, s: &Fleet| {
                 s.instances[0].register.local_traffic_tenths() == 0
                     && s.instances[1].register.local_traffic_tenths() == ALL_TRAFFIC_TENTHS
-                    && s.apart == Some(0)
+                    && s.partitioned == Some(0)
             }),
-            Property::sometimes("a zone moves away and comes back", |_, s: &Fleet| {
+            Property::sometimes("a zone may_fail over and recovers", |_, s: &Fleet| {
                 (0..EACH).all(|i| s.instances[i].register.accepted() == Decision { epoch: 2, local_traffic_tenths: ALL_TRAFFIC_TENTHS })
             }),
         ]
@@ -287,7 +289,7 @@
 }
 
 #[test]
-fn zones_decide_in_common_in_every_order_of_events() {
+fn zones_agree_on_decisions_in_every_order_of_events() {
     let checker = Failover {
         mutant: Mutant::None,
     }
@@ -305,7 +307,7 @@
     for mutant in [
         Mutant::NoQuorum,
         Mutant::NoHysteresis,
-        Mutant::NotTakenOver,
+        Mutant::IgnoresDecisions,
         Mutant::SpareNotShared,
     ] {
         let checker = Failover { mutant }
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -1,4 +1,4 @@
-//! Bad input is counted and dropped; bounds hold; nothing a peer sends makes a member panic.
+//! Invalid input is counted and dropped, bounds hold, and no datagram makes a member panic.
 
 use heathspur_members::wire::{self, Body, Envelope, Update, MAX_DATAGRAM_BYTES};
 use heathspur_members::{
@@ -22,13 +22,13 @@
     }
 }
 
-fn core() -> Membership {
+fn new_membership() -> Membership {
     Membership::new(Settings::default(), member(0), 10, vec![], 1)
 }
 
-fn deliver(core: &mut Membership, from: SocketAddrV4, envelope: &Envelope) -> Vec<Action> {
+fn deliver(membership: &mut Membership, from: SocketAddrV4, envelope: &Envelope) -> Vec<Action> {
     let mut out = Vec::new();
-    core.handle(
+    membership.handle(
         1,
         Event::Datagram {
             from,
@@ -49,11 +49,11 @@
 }
 
 #[test]
-fn garbage_oversized_and_other_versions_are_told_apart() {
-    let mut core = core();
+fn malformed_oversized_and_unsupported_datagrams_are_counted_apart() {
+    let mut membership = new_membership();
     let from = member(9).address;
     let mut out = Vec::new();
-    core.handle(
+    membership.handle(
         1,
         Event::Datagram {
             from,
@@ -61,7 +61,7 @@
         },
         &mut out,
     );
-    core.handle(
+    membership.handle(
         1,
         Event::Datagram {
             from,
@@ -76,11 +76,11 @@
     })
     .unwrap();
     good[2] = 99;
-    core.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
+    membership.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
     good[2] = wire::VERSION;
     good.pop();
-    core.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
-    let counts = core.rejected_input();
+    membership.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
+    let counts = membership.rejected_input();
     assert_eq!(
         (
             counts.malformed,
@@ -89,50 +89,50 @@
         ),
         (2, 1, 1)
     );
-    assert_eq!(core.view().members.len(), 1);
-    core.handle(2_000, Event::Tick, &mut out);
+    assert_eq!(membership.view().members.len(), 1);
+    membership.handle(2_000, Event::Tick, &mut out);
     assert!(out.iter().any(
         |a| matches!(a, Action::InputRejected(report) if report.new_rejections == 4 && report.last_sender == Some(from))
     ));
 }
 
 #[test]
-fn another_address_under_a_known_id_is_refused() {
-    let mut core = core();
+fn another_address_under_a_known_id_is_rejected() {
+    let mut membership = new_membership();
     let envelope = Envelope {
         from: MemberId("m1".into()),
         body: Body::Gossip,
         updates: vec![alive(1, 5)],
     };
-    deliver(&mut core, member(1).address, &envelope);
-    let mut thief = alive(1, 50);
-    thief.member.address = member(66).address;
+    deliver(&mut membership, member(1).address, &envelope);
+    let mut impostor = alive(1, 50);
+    impostor.member.address = member(66).address;
     deliver(
-        &mut core,
+        &mut membership,
         member(2).address,
         &Envelope {
             from: MemberId("m2".into()),
             body: Body::Gossip,
-            updates: vec![thief],
+            updates: vec![impostor],
         },
     );
-    let entry = core.entry(&MemberId("m1".into())).unwrap();
+    let entry = membership.entry(&MemberId("m1".into())).unwrap();
     assert_eq!(
         (entry.member.address, entry.incarnation),
         (member(1).address, 5)
     );
-    assert_eq!(core.rejected_input().id_conflict, 1);
+    assert_eq!(membership.rejected_input().id_conflict, 1);
 }
 
 #[test]
 fn updates_from_the_far_future_are_dropped() {
-    let mut core = core();
+    let mut membership = new_membership();
     let envelope = Envelope {
         from: MemberId("m1".into()),
         body: Body::Gossip,
         updates: vec![alive(1, 5)],
     };
-    deliver(&mut core, member(1).address, &envelope);
+    deliver(&mut membership, member(1).address, &envelope);
     let far = Update {
         state: MemberState::Dead,
         incarnation: 1 << 50,
@@ -142,7 +142,7 @@
     let mut about_me = far.clone();
     about_me.member = member(0);
     deliver(
-        &mut core,
+        &mut membership,
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
@@ -151,16 +151,16 @@
         },
     );
     assert_eq!(
-        core.entry(&MemberId("m1".into())).unwrap().state,
+        membership.entry(&MemberId("m1".into())).unwrap().state,
         MemberState::Alive
     );
-    assert_eq!(core.incarnation(), 10);
-    assert_eq!(core.rejected_input().future_incarnation, 2);
+    assert_eq!(membership.incarnation(), 10);
+    assert_eq!(membership.rejected_input().future_incarnation, 2);
 }
 
 #[test]
 fn a_suspicion_of_itself_is_refuted_with_a_higher_incarnation() {
-    let mut core = core();
+    let mut membership = new_membership();
     let suspect = Update {
         state: MemberState::Suspect,
         incarnation: 12,
@@ -168,7 +168,7 @@
         member: member(0),
     };
     let out = deliver(
-        &mut core,
+        &mut membership,
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
@@ -176,7 +176,7 @@
             updates: vec![suspect],
         },
     );
-    assert_eq!(core.incarnation(), 13);
+    assert_eq!(membership.incarnation(), 13);
     assert!(out.contains(&Action::IncarnationRaised(13)));
     assert!(out
         .iter()
@@ -189,10 +189,10 @@
         max_members: 5,
         ..Settings::default()
     };
-    let mut core = Membership::new(settings, member(0), 1, vec![], 1);
+    let mut membership = Membership::new(settings, member(0), 1, vec![], 1);
     let updates = (1..20).map(|i| alive(i, 1)).collect();
     deliver(
-        &mut core,
+        &mut membership,
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
@@ -200,20 +200,20 @@
             updates,
         },
     );
-    assert_eq!(core.view().members.len(), 5);
-    assert_eq!(core.rejected_input().table_full, 15);
+    assert_eq!(membership.view().members.len(), 5);
+    assert_eq!(membership.rejected_input().table_full, 15);
 }
 
 #[test]
-fn one_address_gets_its_share_of_a_second_and_no_more() {
+fn datagrams_of_one_address_are_limited_in_each_second() {
     let settings = Settings {
         per_peer_per_second: 10,
         ..Settings::default()
     };
-    let mut core = Membership::new(settings, member(0), 1, vec![], 1);
+    let mut membership = Membership::new(settings, member(0), 1, vec![], 1);
     let mut out = Vec::new();
     for _ in 0..50 {
-        core.handle(
+        membership.handle(
             1,
             Event::Datagram {
                 from: member(3).address,
@@ -224,8 +224,8 @@
     }
     assert_eq!(
         (
-            core.rejected_input().malformed,
-            core.rejected_input().rate_limited
+            membership.rejected_input().malformed,
+            membership.rejected_input().rate_limited
         ),
         (10, 40)
     );
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_whole_view_goes_out_in_parts_under_the_largest_datagram() {
-    let mut core = core();
+    let mut membership = new_membership();
     let updates: Vec<Update> = (1..200).map(|i| alive(i, 1)).collect();
     for chunk in updates.chunks(10) {
         let envelope = Envelope {
@@ -241,14 +241,14 @@
             body: Body::Gossip,
             updates: chunk.to_vec(),
         };
-        deliver(&mut core, member(1).address, &envelope);
+        deliver(&mut membership, member(1).address, &envelope);
     }
     let push = Envelope {
         from: MemberId("m7".into()),
         body: Body::PushPull { reply: true },
         updates: vec![alive(7, 1)],
     };
-    let out = deliver(&mut core, member(7).address, &push);
+    let out = deliver(&mut membership, member(7).address, &push);
     let parts: Vec<&Vec<u8>> = out
         .iter()
         .filter_map(|a| {
@@ -269,50 +269,50 @@
 }
 
 #[test]
-fn datagrams_from_ever_new_addresses_do_not_grow_the_count_of_peers() {
+fn datagrams_from_ever_new_addresses_do_not_grow_the_rate_limiter() {
     let settings = Settings {
         max_members: 8,
         ..Settings::default()
     };
-    let mut core = Membership::new(settings, member(0), 1, vec![], 1);
+    let mut membership = Membership::new(settings, member(0), 1, vec![], 1);
     let mut out = Vec::new();
     for port in 0..5_000u16 {
         let from = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 2), port);
-        core.handle(1, Event::Datagram { from, bytes: b"x" }, &mut out);
+        membership.handle(1, Event::Datagram { from, bytes: b"x" }, &mut out);
     }
-    assert_eq!(core.counted_addresses(), 16);
-    assert_eq!(core.rejected_input().rate_limited, 5_000 - 16);
+    assert_eq!(membership.counted_addresses(), 16);
+    assert_eq!(membership.rejected_input().rate_limited, 5_000 - 16);
 }
 
 #[test]
-fn who_accuses_it_at_an_incarnation_it_has_left_behind_is_told_the_new_one() {
-    let mut core = core();
+fn an_outdated_accusation_is_answered_with_the_current_incarnation() {
+    let mut membership = new_membership();
     let mut suspect = Update {
         state: MemberState::Suspect,
         incarnation: 12,
         accuser: None,
         member: member(0),
     };
-    let accuse = |core: &mut Membership, accuser: u8, suspect: &Update| {
+    let accuse = |membership: &mut Membership, accuser: u8, suspect: &Update| {
         let updates = vec![suspect.clone()];
         let envelope = Envelope {
             from: MemberId(format!("m{accuser}")),
             body: Body::Gossip,
             updates,
         };
-        deliver(core, member(accuser).address, &envelope)
+        deliver(membership, member(accuser).address, &envelope)
     };
-    accuse(&mut core, 1, &suspect);
-    // Another one hears of it late.
+    accuse(&mut membership, 1, &suspect);
+    // Another member receives the accusation late.
     suspect.state = MemberState::Dead;
-    let out = accuse(&mut core, 2, &suspect);
-    assert_eq!(core.incarnation(), 13);
+    let out = accuse(&mut membership, 2, &suspect);
+    assert_eq!(membership.incarnation(), 13);
     let [Action::Send { to, bytes }] = &out[..] else {
         panic!("{out:?}")
     };
-    let told = &wire::decode(bytes).unwrap().updates[0];
+    let refutation = &wire::decode(bytes).unwrap().updates[0];
     assert_eq!(
-        (*to, told.state, told.incarnation),
+        (*to, refutation.state, refutation.incarnation),
         (member(2).address, MemberState::Alive, 13)
     );
 }
@@ -320,8 +320,8 @@
 #[test]
 fn many_accusations_in_one_datagram_are_answered_as_one() {
     let accused = |incarnations: std::ops::Range<u64>| {
-        let mut core = core();
-        core.add_known_members((1..9).map(|i| (member(i), 5)));
+        let mut membership = new_membership();
+        membership.add_known_members((1..9).map(|i| (member(i), 5)));
         let accuse = |incarnation| Update {
             state: MemberState::Suspect,
             incarnation,
@@ -334,9 +334,9 @@
             body: Body::Gossip,
             updates,
         };
-        deliver(&mut core, member(1).address, &envelope).len()
+        deliver(&mut membership, member(1).address, &envelope).len()
     };
-    // Stale ones, and such as each have to be refuted.
+    // Outdated accusations, and such as each need a refutation.
     assert_eq!(
         (accused(3..15), accused(12..24)),
         (accused(3..4), accused(12..13))
@@ -344,12 +344,12 @@
 }
 
 #[test]
-fn what_a_member_holds_and_wants_is_spread_beyond_those_it_speaks_to() {
-    let (mut core, mut other) = (
-        core(),
+fn a_zone_vote_is_gossiped_beyond_its_first_receivers() {
+    let (mut membership, mut other) = (
+        new_membership(),
         Membership::new(Settings::default(), member(1), 10, vec![], 2),
     );
-    core.add_known_members((1..4).map(|i| (member(i), 5)));
+    membership.add_known_members((1..4).map(|i| (member(i), 5)));
     other.add_known_members([(member(0), 10), (member(2), 5)]);
     let mut out = Vec::new();
     let vote = ZoneVote {
@@ -357,79 +357,79 @@
         local_traffic_tenths: 4,
         preferred_tenths: 2,
     };
-    core.set_zone_vote(vote, &mut out);
+    membership.set_zone_vote(vote, &mut out);
     assert!(out.contains(&Action::IncarnationRaised(11)));
     let sent = out.iter().find_map(|a| match a {
         Action::Send { to, bytes } if *to == member(1).address => Some(bytes.clone()),
         _ => None,
     });
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
     other.handle(
         1,
         Event::Datagram {
             from: member(0).address,
             bytes: &sent.unwrap(),
         },
-        &mut passed,
+        &mut forwarded,
     );
-    let held = &other.entry(&MemberId("m0".into())).unwrap().member;
+    let received = &other.entry(&MemberId("m0".into())).unwrap().member;
     assert_eq!(
         (
-            held.decision_epoch,
-            held.local_traffic_tenths,
-            held.preferred_tenths
+            received.decision_epoch,
+            received.local_traffic_tenths,
+            received.preferred_tenths
         ),
         (3, 4, 2)
     );
-    // It passes that on.
-    (1..1_000).for_each(|now| other.handle(now, Event::Tick, &mut passed));
-    let tells = |bytes: &[u8]| {
+    // The receiver gossips it further.
+    (1..1_000).for_each(|now| other.handle(now, Event::Tick, &mut forwarded));
+    let has_vote = |bytes: &[u8]| {
         let updates = wire::decode(bytes).unwrap().updates;
         updates
             .iter()
             .any(|u| u.member.id.0 == "m0" && u.member.decision_epoch == 3 && u.incarnation == 11)
     };
-    assert!(passed.iter().any(
-        |a| matches!(a, Action::Send { to, bytes } if *to == member(2).address && tells(bytes))
+    assert!(forwarded.iter().any(
+        |a| matches!(a, Action::Send { to, bytes } if *to == member(2).address && has_vote(bytes))
     ));
-    // The same again is no news.
+    // An unchanged vote is not gossiped.
     out.clear();
-    core.set_zone_vote(vote, &mut out);
+    membership.set_zone_vote(vote, &mut out);
     assert!(out.is_empty());
 }
 
-/// Asks for the whole view, part by part, as a tool does.
-fn ask_all(core: &mut Membership, padding: usize) -> Vec<wire::ViewRow> {
+/// Requests the whole view part by part, as a tool does.
+fn request_view(membership: &mut Membership, padding: usize) -> Vec<wire::ViewRow> {
     let (mut rows, mut after) = (Vec::<wire::ViewRow>::new(), None);
     for sequence in 0..100 {
-        let ask = wire::ViewRequest {
+        let request = wire::ViewRequest {
             sequence,
             after: after.clone(),
             padding: vec![0; padding],
         };
-        let ask = Envelope {
+        let request = Envelope {
             from: MemberId("?".into()),
-            body: Body::ViewRequest(ask),
+            body: Body::ViewRequest(request),
             updates: vec![],
         };
-        let asked = wire::encode(&ask).unwrap().len();
-        let out = deliver(core, member(99).address, &ask);
+        let requested = wire::encode(&request).unwrap().len();
+        let out = deliver(membership, member(99).address, &request);
         let [Action::Send { to, bytes }] = &out[..] else {
             panic!("{} actions", out.len())
         };
         assert_eq!(*to, member(99).address);
         assert!(
-            bytes.len() <= asked,
-            "{} bytes to a question of {asked}",
+            bytes.len() <= requested,
+            "a response of {} bytes to a request of {requested}",
             bytes.len()
         );
-        let Body::ViewResponse(seen) = wire::decode(bytes).unwrap().body else {
-            panic!("no part of a view")
+        let Body::ViewResponse(response) = wire::decode(bytes).unwrap().body else {
+            panic!("no view response")
         };
-        assert_eq!((seen.sequence, seen.members), (sequence, 60));
-        rows.extend(seen.rows);
+        assert_eq!((response.sequence, response.members), (sequence, 60));
+        rows.extend(response.rows);
         after = rows.last().map(|row| row.member.id.clone());
-        if !seen.more {
+        if !response.more {
             return rows;
         }
     }
@@ -437,26 +437,26 @@
 }
 
 #[test]
-fn a_tool_reads_the_whole_view_in_parts_no_longer_than_its_questions_and_is_no_member() {
-    let mut core = core();
-    core.add_known_members((1..60).map(|i| (member(i), 7)));
+fn a_tool_reads_the_view_in_responses_no_longer_than_its_requests_and_is_no_member() {
+    let mut membership = new_membership();
+    membership.add_known_members((1..60).map(|i| (member(i), 7)));
     for padding in [1_100, 400] {
-        let rows = ask_all(&mut core, padding);
+        let rows = request_view(&mut membership, padding);
         let ids: Vec<&MemberId> = rows.iter().map(|row| &row.member.id).collect();
         assert!(ids.is_sorted() && ids.len() == 60, "{}", ids.len());
     }
-    assert_eq!(core.view().members.len(), 60);
-    let short = wire::ViewRequest {
+    assert_eq!(membership.view().members.len(), 60);
+    let short_request = wire::ViewRequest {
         sequence: 1,
         after: None,
         padding: vec![],
     };
-    let short = Envelope {
+    let short_request = Envelope {
         from: MemberId("?".into()),
-        body: Body::ViewRequest(short),
+        body: Body::ViewRequest(short_request),
         updates: vec![],
     };
-    assert!(deliver(&mut core, member(99).address, &short).is_empty());
+    assert!(deliver(&mut membership, member(99).address, &short_request).is_empty());
 }
 
 fn suspicion(of: u8, accuser: u8) -> Update {
@@ -469,10 +469,10 @@
     }
 }
 
-/// When a suspect is taken for dead, if the accusations come at 1 ms, each passed on by another member.
+/// When a suspect is declared dead after accusations at 1 ms, each given as its sender and its accuser.
 fn death_after(accusations: &[(u8, u8)]) -> u64 {
-    let mut core = core();
-    core.add_known_members((1..10).map(|i| (member(i), 5)));
+    let mut membership = new_membership();
+    membership.add_known_members((1..10).map(|i| (member(i), 5)));
     for (sender, accuser) in accusations {
         let updates = vec![suspicion(1, *accuser)];
         let envelope = Envelope {
@@ -480,21 +480,22 @@
             body: Body::Gossip,
             updates,
         };
-        deliver(&mut core, member(*sender).address, &envelope);
+        deliver(&mut membership, member(*sender).address, &envelope);
     }
     let mut out = Vec::new();
     (1..60_000)
         .step_by(50)
         .find(|now| {
-            core.handle(*now, Event::Tick, &mut out);
-            core.entry(&MemberId("m1".into()))
+            membership.handle(*now, Event::Tick, &mut out);
+            membership
+                .entry(&MemberId("m1".into()))
                 .is_some_and(|e| e.state == MemberState::Dead)
         })
-        .expect("taken for dead")
+        .expect("the suspect is declared dead")
 }
 
 #[test]
-fn one_accusation_passed_on_by_many_is_one_and_different_ones_shorten_the_time() {
+fn only_accusations_by_different_members_shorten_a_suspicion() {
     let once = death_after(&[(2, 2)]);
     assert_eq!(death_after(&[(2, 2), (3, 2), (4, 2), (5, 2)]), once);
     let thrice = death_after(&[(2, 2), (3, 3), (4, 4), (5, 5)]);
@@ -503,33 +504,36 @@
 
 #[test]
 fn a_member_that_ran_for_a_year_comes_back_with_its_clock_as_incarnation() {
-    let mut core = core();
-    core.add_known_members([(member(1), 1_700_000_000_000)]);
+    let mut membership = new_membership();
+    membership.add_known_members([(member(1), 1_700_000_000_000)]);
     let back = alive(1, 1_700_000_000_000 + 366 * 86_400_000);
     let envelope = Envelope {
         from: MemberId("m1".into()),
         body: Body::Gossip,
         updates: vec![back.clone()],
     };
-    deliver(&mut core, member(1).address, &envelope);
+    deliver(&mut membership, member(1).address, &envelope);
     assert_eq!(
-        core.entry(&MemberId("m1".into())).unwrap().incarnation,
+        membership
+            .entry(&MemberId("m1".into()))
+            .unwrap()
+            .incarnation,
         back.incarnation
     );
-    assert_eq!(core.rejected_input().future_incarnation, 0);
+    assert_eq!(membership.rejected_input().future_incarnation, 0);
 }
 
 #[test]
-fn the_word_of_leaving_is_said_again_while_the_process_ends() {
-    let mut core = core();
-    core.add_known_members((1..30).map(|i| (member(i), 5)));
+fn a_leaving_member_repeats_its_departure_and_probes_nobody() {
+    let mut membership = new_membership();
+    membership.add_known_members((1..30).map(|i| (member(i), 5)));
     let mut out = Vec::new();
-    core.handle(1, Event::Leave, &mut out);
+    membership.handle(1, Event::Leave, &mut out);
     let first = out.len();
     for now in 2..600 {
-        core.handle(now, Event::Tick, &mut out);
+        membership.handle(now, Event::Tick, &mut out);
     }
-    let said = |a: &Action| {
+    let announces_departure = |a: &Action| {
         let Action::Send { bytes, .. } = a else {
             return false;
         };
@@ -539,24 +543,30 @@
             .iter()
             .any(|u| u.state == MemberState::Left && u.member.id.0 == "m0")
     };
-    assert!(out.iter().skip(first).filter(|a| said(a)).count() >= 6);
-    // It probes nobody any more.
+    assert!(
+        out.iter()
+            .skip(first)
+            .filter(|a| announces_departure(a))
+            .count()
+            >= 6
+    );
+    // It no longer probes.
     assert!(!out.iter().any(|a| matches!(a, Action::Send { bytes, .. }
         if matches!(wire::decode(bytes).unwrap().body, Body::Ping { .. }))));
 }
 
 proptest! {
     #[test]
-    fn nothing_a_peer_sends_makes_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
-        let mut core = core();
+    fn no_datagram_makes_a_member_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
+        let mut membership = new_membership();
         let mut out = Vec::new();
         let mut framed = b"hm".to_vec();
         framed.push(wire::VERSION);
         framed.extend_from_slice(&bytes);
-        core.handle(1, Event::Datagram { from: member(5).address, bytes: &bytes }, &mut out);
-        core.handle(2, Event::Datagram { from: member(5).address, bytes: &framed }, &mut out);
-        core.handle(3_000, Event::Tick, &mut out);
-        prop_assert!(core.view().members.len() <= Settings::default().max_members);
+        membership.handle(1, Event::Datagram { from: member(5).address, bytes: &bytes }, &mut out);
+        membership.handle(2, Event::Datagram { from: member(5).address, bytes: &framed }, &mut out);
+        membership.handle(3_000, Event::Tick, &mut out);
+        prop_assert!(membership.view().members.len() <= Settings::default().max_members);
     }
 
     #[test]
--- a/crates/heathspur-members/tests/model.rs
+++ b/crates/heathspur-members/tests/model.rs
@@ -1,38 +1,38 @@
-//! Three members under crashes, restarts, partitions and heals, explored to completion with the crate's own
-//! records in them. Who hears whom, and when, comes in any order; a suspicion may run out at any moment.
+//! A model of three members under crashes, restarts and partitions, explored exhaustively with the crate's own state
+//! records. Messages are delivered in any order, and a suspicion may time out at any moment.
 //!
-//! The mutants take out one part each; every one has to be found.
+//! Each mutant leaves out one part of the protocol, and the model has to find every mutant.
 
 use heathspur_members::state_record::{refuting_incarnation, StateRecord, UpdateEffect};
 use heathspur_members::MemberState;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 3;
-/// Rounds, each a probe, an exchange with everyone and a suspicion's time, that bring one view.
+/// Rounds of probes, push-pulls and suspicion timeouts after which all views agree.
 const ROUNDS: usize = 4;
 /// Crashes and partitions in one history.
 const FAULTS: u8 = 2;
-/// No incarnation passes this in a history; what would is not explored.
+/// Histories with a higher incarnation are not explored.
 const HIGHEST: u64 = 5;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     up: bool,
     incarnation: u64,
-    /// What it holds of each; its own place stays empty.
+    /// Its record of each member; its own is always `None`.
     view: [Option<StateRecord>; MEMBERS],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
     nodes: [Node; MEMBERS],
-    /// The member that is alone on its side.
-    apart: Option<usize>,
+    /// The member that is partitioned from the others.
+    partitioned: Option<usize>,
     faults: u8,
-    /// Somebody went from alive to dead without having been suspect.
-    skipped: bool,
-    /// An incarnation went back.
-    back: bool,
+    /// A member was declared dead without having been suspect.
+    died_unsuspected: bool,
+    /// A known incarnation was lowered.
+    incarnation_lowered: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -41,26 +41,26 @@
     Restart(usize),
     Partition(usize),
     Heal,
-    /// A probe, where it fails; a live reachable one may be missed too, by loss.
-    Miss(usize, usize),
-    /// A suspicion runs out.
+    /// A probe fails; by loss, that of a reachable member may fail too.
+    FailProbe(usize, usize),
+    /// A suspicion times out.
     Expire(usize, usize),
-    /// One tells another its whole view.
-    Tell(usize, usize),
+    /// A member sends another its whole view.
+    SendView(usize, usize),
 }
 
-/// What is wrong on purpose.
+/// The part of the protocol that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// Who hears that it is suspected says nothing.
+    /// A suspected member does not refute.
     NoRefutation,
-    /// A word of death is taken as it comes.
+    /// A reported death is accepted without suspicion.
     DeathOverrides,
-    /// A missed probe kills at once.
+    /// A failed probe declares death at once.
     NoSuspicion,
-    /// The dead are not told anything, so that halves never meet.
-    DeadNotTold,
+    /// The dead get no view, so that the halves of a partition never merge.
+    DeadGetNoView,
 }
 
 struct Swim {
@@ -69,19 +69,19 @@
 
 impl Fleet {
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let side = |i| self.apart == Some(i);
+        let side = |i| self.partitioned == Some(i);
         self.nodes[from].up && self.nodes[to].up && side(from) == side(to)
     }
 
     fn set(&mut self, by: usize, of: usize, to: StateRecord) {
         let before = self.nodes[by].view[of];
-        self.skipped |= to.state == MemberState::Dead
+        self.died_unsuspected |= to.state == MemberState::Dead
             && before.is_some_and(|b| b.state != MemberState::Suspect);
-        self.back |= before.is_some_and(|b| to.incarnation < b.incarnation);
+        self.incarnation_lowered |= before.is_some_and(|b| to.incarnation < b.incarnation);
         self.nodes[by].view[of] = Some(to);
     }
 
-    fn accuse(&mut self, by: usize, of: usize, incarnation: u64, mutant: Mutant) {
+    fn suspect(&mut self, by: usize, of: usize, incarnation: u64, mutant: Mutant) {
         let Some(known) = self.nodes[by].view[of] else {
             return;
         };
@@ -94,10 +94,10 @@
         self.set(by, of, suspected);
     }
 
-    fn hear(&mut self, by: usize, of: usize, said: StateRecord, mutant: Mutant) {
+    fn apply(&mut self, by: usize, of: usize, reported: StateRecord, mutant: Mutant) {
         if by == of {
             let node = &mut self.nodes[by];
-            match refuting_incarnation(node.incarnation, said) {
+            match refuting_incarnation(node.incarnation, reported) {
                 Some(_) if mutant == Mutant::NoRefutation => {}
                 Some(higher) => node.incarnation = higher,
                 None => {}
@@ -105,38 +105,38 @@
             return;
         }
         let Some(known) = self.nodes[by].view[of] else {
-            // A newcomer; the dead are none.
-            if said.state.live() {
+            // A newcomer is added unless it is dead.
+            if reported.state.live() {
                 self.nodes[by].view[of] = Some(StateRecord {
                     state: MemberState::Alive,
-                    ..said
+                    ..reported
                 });
             }
             return;
         };
-        match known.effect_of(said) {
-            UpdateEffect::Alive => self.set(by, of, said),
+        match known.effect_of(reported) {
+            UpdateEffect::Alive => self.set(by, of, reported),
             UpdateEffect::Accused {
                 declared_dead: true,
-            } if mutant == Mutant::DeathOverrides => self.set(by, of, said),
-            UpdateEffect::Accused { .. } => self.accuse(by, of, said.incarnation, mutant),
-            UpdateEffect::Left => self.set(by, of, said),
+            } if mutant == Mutant::DeathOverrides => self.set(by, of, reported),
+            UpdateEffect::Accused { .. } => self.suspect(by, of, reported.incarnation, mutant),
+            UpdateEffect::Left => self.set(by, of, reported),
             UpdateEffect::Unchanged | UpdateEffect::Stale => {}
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, mutant: Mutant) {
+    fn send_view(&mut self, from: usize, to: usize, mutant: Mutant) {
         let view = self.nodes[from].view;
-        for (of, said) in view
+        for (of, reported) in view
             .iter()
             .enumerate()
-            .filter_map(|(of, said)| Some((of, (*said)?)))
+            .filter_map(|(of, reported)| Some((of, (*reported)?)))
         {
-            self.hear(to, of, said, mutant);
+            self.apply(to, of, reported, mutant);
         }
-        // Its own record last: what it refutes by has the last word.
+        // Its own record comes last, so that its refutation prevails.
         let incarnation = self.nodes[from].incarnation;
-        self.hear(
+        self.apply(
             to,
             from,
             StateRecord {
@@ -147,17 +147,17 @@
         );
     }
 
-    /// Whom one would tell: everyone, the dead too, since that is how halves meet.
-    fn told(&self, from: usize, mutant: Mutant) -> Vec<usize> {
+    /// The members that it sends its view to: the dead too, since that is how the halves of a partition merge.
+    fn receivers(&self, from: usize, mutant: Mutant) -> Vec<usize> {
         let dead = |to: usize| self.nodes[from].view[to].is_some_and(|r| !r.state.live());
-        let skip = |to: usize| mutant == Mutant::DeadNotTold && dead(to);
+        let skip = |to: usize| mutant == Mutant::DeadGetNoView && dead(to);
         (0..MEMBERS)
             .filter(|&to| to != from && self.reaches(from, to) && !skip(to))
             .collect()
     }
 
-    /// From here on no fault: probes fail only where nobody answers, and a suspect has its time to refute.
-    fn calm_round(&mut self, mutant: Mutant) {
+    /// One round without faults: only probes of unreachable members fail, and a suspect has time to refute.
+    fn fault_free_round(&mut self, mutant: Mutant) {
         let suspects: Vec<(usize, usize)> = pairs()
             .filter(|&(by, of)| {
                 self.nodes[by].up
@@ -167,14 +167,14 @@
         for (by, of) in pairs() {
             let live = self.nodes[by].view[of].filter(|r| r.state.live());
             if let Some(known) = live.filter(|_| self.nodes[by].up && !self.reaches(by, of)) {
-                self.accuse(by, of, known.incarnation, mutant);
+                self.suspect(by, of, known.incarnation, mutant);
             }
         }
-        // Word goes out, the accused refute, word of that goes out.
+        // Views are sent, the accused refute, and the refutations are sent.
         for _ in 0..2 {
             for from in 0..MEMBERS {
-                for to in self.told(from, mutant) {
-                    self.tell(from, to, mutant);
+                for to in self.receivers(from, mutant) {
+                    self.send_view(from, to, mutant);
                 }
             }
         }
@@ -185,20 +185,21 @@
         }
     }
 
-    /// All that live hold all that live alive, at their incarnation, and none of the others.
+    /// Whether all running members know exactly the running members as alive, at their current incarnation.
     fn agrees(&self) -> bool {
         pairs()
             .filter(|(by, _)| self.nodes[*by].up)
             .all(|(by, of)| {
-                let held = self.nodes[by].view[of].filter(|r| r.state.live());
+                let known = self.nodes[by].view[of].filter(|r| r.state.live());
                 match self.nodes[of].up {
                     true => {
-                        held == Some(StateRecord {
-                            state: MemberState::Alive,
-                            incarnation: self.nodes[of].incarnation,
-                        })
+                        known
+                            == Some(StateRecord {
+                                state: MemberState::Alive,
+                                incarnation: self.nodes[of].incarnation,
+                            })
                     }
-                    false => held.is_none(),
+                    false => known.is_none(),
                 }
             })
     }
@@ -228,10 +229,10 @@
         });
         vec![Fleet {
             nodes,
-            apart: None,
+            partitioned: None,
             faults: 0,
-            skipped: false,
-            back: false,
+            died_unsuspected: false,
+            incarnation_lowered: false,
         }]
     }
 
@@ -243,24 +244,24 @@
                 false => moves.push(Move::Restart(i)),
                 true => {}
             }
-            if may_fail && state.apart.is_none() {
+            if may_fail && state.partitioned.is_none() {
                 moves.push(Move::Partition(i));
             }
         }
-        if state.apart.is_some() {
+        if state.partitioned.is_some() {
             moves.push(Move::Heal);
         }
         for (by, of) in pairs().filter(|(by, _)| state.nodes[*by].up) {
             match state.nodes[by].view[of].map(|r| r.state) {
-                // Loss makes anyone miss a probe, but counts as a fault where the member would have answered.
+                // Loss may fail any probe, but counts as a fault if the member would have answered.
                 Some(MemberState::Alive) if !state.reaches(by, of) || may_fail => {
-                    moves.push(Move::Miss(by, of))
+                    moves.push(Move::FailProbe(by, of))
                 }
                 Some(MemberState::Suspect) => moves.push(Move::Expire(by, of)),
                 _ => {}
             }
-            if state.told(by, self.mutant).contains(&of) {
-                moves.push(Move::Tell(by, of));
+            if state.receivers(by, self.mutant).contains(&of) {
+                moves.push(Move::SendView(by, of));
             }
         }
     }
@@ -273,27 +274,27 @@
                 state.faults += 1;
             }
             Move::Restart(i) => {
-                // It knows nobody but its seeds, and comes back higher.
+                // It restarts with a higher incarnation and an empty view.
                 let node = &mut state.nodes[i];
                 node.up = true;
                 node.incarnation += 1;
                 node.view = [None; MEMBERS];
             }
             Move::Partition(i) => {
-                state.apart = Some(i);
+                state.partitioned = Some(i);
                 state.faults += 1;
             }
-            Move::Heal => state.apart = None,
-            Move::Miss(by, of) => {
+            Move::Heal => state.partitioned = None,
+            Move::FailProbe(by, of) => {
                 state.faults += state.reaches(by, of) as u8;
                 let incarnation = state.nodes[by].view[of]?.incarnation;
-                state.accuse(by, of, incarnation, self.mutant);
+                state.suspect(by, of, incarnation, self.mutant);
             }
             Move::Expire(by, of) => {
                 let dead = state.nodes[by].view[of]?.expire()?;
                 state.set(by, of, dead);
             }
-            Move::Tell(from, to) => state.tell(from, to, self.mutant),
+            Move::SendView(from, to) => state.send_view(from, to, self.mutant),
         }
         Some(state)
     }
@@ -305,32 +306,36 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "rule: once healed, all that live agree within so many rounds",
+                "rule: once healed, all running members agree within the given rounds",
                 |model, s: &Fleet| {
                     let mut calm = s.clone();
-                    calm.apart = None;
-                    (0..ROUNDS).for_each(|_| calm.calm_round(model.mutant));
+                    calm.partitioned = None;
+                    (0..ROUNDS).for_each(|_| calm.fault_free_round(model.mutant));
                     calm.agrees()
                 },
             ),
             Property::always(
-                "rule: nobody is taken for dead who was not suspect before",
-                |_, s: &Fleet| !s.skipped,
+                "rule: no member is declared dead without having been suspect",
+                |_, s: &Fleet| !s.died_unsuspected,
             ),
-            Property::always("rule: no incarnation held goes back", |_, s: &Fleet| {
-                !s.back
+            Property::always("rule: no known incarnation is lowered", |_, s: &Fleet| {
+                !s.incarnation_lowered
             }),
             Property::sometimes(
-                "one that lives is taken for dead, and comes back",
+                "a running member is declared dead and refutes",
                 |_, s: &Fleet| {
                     s.nodes[0].up && s.nodes[0].incarnation > 1 && s.faults == 1 && s.agrees()
                 },
             ),
-            Property::sometimes("the others hold a crashed one dead", |_, s: &Fleet| {
-                !s.nodes[2].up
-                    && (0..2)
-                        .all(|by| s.nodes[by].view[2].is_some_and(|r| r.state == MemberState::Dead))
-            }),
+            Property::sometimes(
+                "the others know a crashed member as dead",
+                |_, s: &Fleet| {
+                    !s.nodes[2].up
+                        && (0..2).all(|by| {
+                            s.nodes[by].view[2].is_some_and(|r| r.state == MemberState::Dead)
+                        })
+                },
+            ),
         ]
     }
 }
@@ -369,7 +374,7 @@
         Mutant::NoRefutation,
         Mutant::DeathOverrides,
         Mutant::NoSuspicion,
-        Mutant::DeadNotTold,
+        Mutant::DeadGetNoView,
     ] {
         let found = broken_by(mutant);
         assert!(!found.is_empty(), "{mutant:?} breaks no rule");
--- a/crates/heathspurd/src/membership/worker.rs
+++ b/crates/heathspurd/src/membership/worker.rs
@@ -58,7 +58,7 @@
         self.failover.as_ref()
     }
 
-    /// Runs until the member was told to stop and has announced its departure.
+    /// Runs until a stop command, once the departure has been announced for long enough.
     pub(super) async fn run(mut self, socket: UdpSocket) -> io::Result<()> {
         let socket = Async::new(socket)?;
         let mut buffer = vec![0u8; wire::MAX_DATAGRAM_BYTES + 1];
