--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -156,7 +156,7 @@
         // It is held while the server is not ready, and is again.
         rig.logs("work has stalled");
         vm.value(&task, "complete", b"one");
-        rig.logs("work moves again");
+        rig.logs("work has resumed");
         // However the request fared.
         client.answer();
         // The reports hear of the change in a turn of their own: before this answer at the latest.
