--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -170,15 +170,9 @@
     pub fn check_own(&self, other: Config) -> Result<Config, ConfigError> {
         match reload::check_identity(&self.view(), &other.view()) {
             Ok(()) => Ok(other),
-            Err(ForeignConfigError {
-                field,
-                reason: what,
-            }) => Err(ConfigError::Invalid {
+            Err(ForeignConfigError { field, reason }) => Err(ConfigError::Invalid {
                 file: other.file.unwrap_or_default(),
-                invalid: InvalidField {
-                    field,
-                    reason: what,
-                },
+                invalid: InvalidField { field, reason },
             }),
         }
     }
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -86,14 +86,14 @@
         let request_id = entry.attempt.as_str();
         if *delivery != CommandDelivery::Confirmed {
             self.interpreter.send(match last_command {
-                LastCommand::Apply => Command::Run {
+                LastCommand::Run => Command::Run {
                     request_id,
                     class: &self.frontend.names.classes[entry.class.0],
                     body: &entry.body,
                 },
-                LastCommand::Continue => Command::Resume(request_id),
-                LastCommand::Resolve(body) => Command::CompleteCall { request_id, body },
-                LastCommand::Stub(index) => Command::SkipCall {
+                LastCommand::Resume => Command::Resume(request_id),
+                LastCommand::CompleteCall(body) => Command::CompleteCall { request_id, body },
+                LastCommand::SkipCall(index) => Command::SkipCall {
                     request_id,
                     index: *index,
                 },
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -23,7 +23,7 @@
                 self.discard(id);
             }
             Action::Call { id, timeout } => self.start_call(id, timeout),
-            Action::SkipCall(id) => self.resume_run(id, |call| LastCommand::Stub(call.index)),
+            Action::SkipCall(id) => self.resume_run(id, |call| LastCommand::SkipCall(call.index)),
             Action::RetainResult { id, ttl } => self.retain_result(id, ttl),
             Action::EvictResult(id) => self.idempotency.evict(id),
             Action::ReplayResult(id) => self.replay_result(id),
--- a/crates/heathspurd/src/event_loop/execution.rs
+++ b/crates/heathspurd/src/event_loop/execution.rs
@@ -10,10 +10,14 @@
 /// The last command of a run, kept so that it can be sent again on a new link.
 #[derive(Clone, Debug)]
 pub(crate) enum LastCommand {
-    Apply,
-    Continue,
-    Resolve(Bytes),
-    Stub(u64),
+    /// Start the run.
+    Run,
+    /// Resume the paused run.
+    Resume,
+    /// Continue the run with the reply of its call.
+    CompleteCall(Bytes),
+    /// Continue the run without the call that the notice of this number asked for.
+    SkipCall(u64),
 }
 
 /// The delivery of a run's last command, as far as it is known.
@@ -95,8 +99,8 @@
     /// Starts a queued request or continues a paused one; false in any other state.
     pub fn start_run(&mut self, now: Time, delivery: CommandDelivery) -> bool {
         let (started, last_command) = match self {
-            ExecutionState::Queued => (now, LastCommand::Apply),
-            ExecutionState::Paused { started } => (*started, LastCommand::Continue),
+            ExecutionState::Queued => (now, LastCommand::Run),
+            ExecutionState::Paused { started } => (*started, LastCommand::Resume),
             _ => return false,
         };
         *self = ExecutionState::Running {
@@ -217,7 +221,7 @@
         };
         *delivery = match (*delivery, last_command) {
             (CommandDelivery::Confirmed, _) => CommandDelivery::Confirmed,
-            (CommandDelivery::CurrentLink { before_query }, LastCommand::Resolve(_))
+            (CommandDelivery::CurrentLink { before_query }, LastCommand::CompleteCall(_))
                 if before_query <= last_answered =>
             {
                 CommandDelivery::Confirmed
@@ -260,7 +264,7 @@
         matches!(
             self,
             ExecutionState::Running {
-                last_command: LastCommand::Apply,
+                last_command: LastCommand::Run,
                 ..
             }
         )
--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -20,39 +20,38 @@
         match event {
             InterpreterEvent::Connected {
                 warmth,
-                started_ms_ago: ago_ms,
-            } => self.on_connected(warmth, ago_ms),
+                started_ms_ago,
+            } => self.on_connected(warmth, started_ms_ago),
             InterpreterEvent::Disconnected => self.on_disconnected(),
             InterpreterEvent::Gauges { nonce, readings } => self.on_gauges(nonce, &readings),
             InterpreterEvent::RunEnded {
-                attempt: txn,
-                outcome: end,
+                attempt,
+                outcome,
                 body,
             } => {
-                if let Some(id) = self.table.find_attempt(&txn) {
-                    self.on_run_ended(id, end, body);
+                if let Some(id) = self.table.find_attempt(&attempt) {
+                    self.on_run_ended(id, outcome, body);
                 }
             }
             InterpreterEvent::CallRequested {
-                attempt: txn,
+                attempt,
                 index,
                 body,
             } => {
-                if let Some(id) = self.table.find_attempt(&txn) {
+                if let Some(id) = self.table.find_attempt(&attempt) {
                     self.on_call_needed(id, PendingCall { index, body });
                 }
             }
             InterpreterEvent::NoticesLost => self.on_notices_lost(),
-            InterpreterEvent::CommandRejected {
-                command,
-                attempt: txn,
-            } => self.on_refused(&command, txn),
+            InterpreterEvent::CommandRejected { command, attempt } => {
+                self.on_command_rejected(&command, attempt)
+            }
         }
     }
 
-    /// The link is connected, to an interpreter that started `ago_ms` ago.
-    fn on_connected(&mut self, warmth: Warmth, ago_ms: f64) {
-        let age = Span::from_secs(ago_ms / 1000.0);
+    /// The link is connected, to an interpreter that started `started_ms_ago` ago.
+    fn on_connected(&mut self, warmth: Warmth, started_ms_ago: f64) {
+        let age = Span::from_secs(started_ms_ago / 1000.0);
         self.start_controller(warmth == Warmth::Cold, self.now - age);
         self.interpreter.begin_resume(self.now);
     }
@@ -143,7 +142,7 @@
 
     /// The interpreter refused a command. Without gauges there is no answer to wait for; a run that it refused to
     /// start has failed.
-    fn on_refused(&mut self, command: &str, attempt: Option<AttemptId>) {
+    fn on_command_rejected(&mut self, command: &str, attempt: Option<AttemptId>) {
         if command == GAUGES_COMMAND && self.interpreter.is_resuming() {
             self.finish_resume();
         }
--- a/crates/heathspurd/src/event_loop/store_events.rs
+++ b/crates/heathspurd/src/event_loop/store_events.rs
@@ -18,7 +18,7 @@
         self.calls.complete(id, in_flight);
         self.end_call(id, completed.outcome);
         if completed.outcome == Outcome::Ok {
-            self.resume_run(id, |_| LastCommand::Resolve(completed.body));
+            self.resume_run(id, |_| LastCommand::CompleteCall(completed.body));
         }
     }
 
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -1,6 +1,6 @@
 //! Reports readiness to the announce service.
 //!
-//! When to connect and to report is decided by [`heathspur_server_core::announce`]; this module connects, sends and
+//! When to connect and to report is decided by [`heathspur_server_core::registration`]; this module connects, sends and
 //! receives as that schedule says, and reports the outcomes back to it.
 
 use crate::notify::Notify;
@@ -147,7 +147,7 @@
     start: Instant,
     /// In the order in which they began their step.
     connections: Vec<(ConnectionId, ConnectionStep)>,
-    /// The error behind the last [`Event::Lost`], kept for the log.
+    /// The error behind the last [`Event::Failed`], kept for the log.
     last_error: Option<io::Error>,
 }
 
--- a/crates/heathspurd/tests/unit/execution.rs
+++ b/crates/heathspurd/tests/unit/execution.rs
@@ -68,7 +68,7 @@
                 started: Time(10),
                 stop_requested: false
             },
-            last_command: LastCommand::Continue,
+            last_command: LastCommand::Resume,
             ..
         }
     ));
@@ -108,7 +108,7 @@
 #[test]
 fn only_the_reply_to_a_call_is_confirmed_by_a_later_answer() {
     let mut resolved = awaiting_call();
-    assert!(resolved.resume_run(|_| LastCommand::Resolve(Bytes::new()), UNSENT));
+    assert!(resolved.resume_run(|_| LastCommand::CompleteCall(Bytes::new()), UNSENT));
     let (mut early, mut late, mut started) = (resolved.clone(), resolved, running());
     early.mark_uncertain(4);
     late.mark_uncertain(5);
--- a/crates/heathspurd/tests/unit/interpreter_events.rs
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -117,7 +117,7 @@
 #[test]
 fn a_stop_that_crosses_a_call_stays_requested_after_the_reply() {
     let (mut event_loop, _answers) = stop_crossing_a_call();
-    event_loop.resume_run(ID, |call| LastCommand::Stub(call.index));
+    event_loop.resume_run(ID, |call| LastCommand::SkipCall(call.index));
     let execution = execution(&event_loop);
     assert!(
         matches!(
