--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -3,8 +3,9 @@
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
 use heathspur_testkit::proxy::{self, Faults};
-use heathspur_testkit::sink::{Manner, Sink};
+use heathspur_testkit::sink::{Manner, Received, Sink};
 use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -34,6 +35,10 @@
     .into_bytes()
 }
 
+/// Slows a replay of [`capture`] so that requests of different connections are 140 ms apart, and those of one
+/// connection 460 ms: far more than a busy machine delays a thread.
+const SLOW_REPLAY: [&str; 2] = ["--speed", "0.05"];
+
 /// Three connections, each with four requests; every second one of class `pay`. All that was sent, in order.
 fn capture(name: &str) -> (PathBuf, Vec<(u64, Vec<u8>)>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
@@ -184,19 +189,38 @@
     }
 }
 
+/// The requests of each connection in the order of their arrival; the connections in no order.
+fn by_connection(received: &[Received]) -> BTreeSet<Vec<Vec<u8>>> {
+    let mut connections: BTreeMap<usize, Vec<Vec<u8>>> = BTreeMap::new();
+    for request in received {
+        let requests = connections.entry(request.connection).or_default();
+        requests.push(request.bytes.clone());
+    }
+    connections.into_values().collect()
+}
+
+/// The requests of each connection of [`capture`], which takes the three connections in turn.
+fn recorded_by_connection(sent: &[(u64, Vec<u8>)]) -> BTreeSet<Vec<Vec<u8>>> {
+    let requests = |connection| sent.iter().skip(connection).step_by(3);
+    (0..3)
+        .map(|connection| {
+            requests(connection)
+                .map(|(_, bytes)| bytes.clone())
+                .collect()
+        })
+        .collect()
+}
+
 #[test]
-fn a_replay_sends_the_same_bytes_in_the_recorded_order_and_reports() {
+fn a_replay_sends_the_same_bytes_at_the_recorded_times_and_reports() {
     let (file, sent) = capture("replay.pcap");
     let sink = Sink::start(Manner::default());
     let report = temporary("report");
     let output = replay(&file, &sink, &["--report", report.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let received: Vec<_> = sink.received().into_iter().map(|r| r.bytes).collect();
     assert_eq!(
-        received,
-        sent.iter()
-            .map(|(_, bytes)| bytes.clone())
-            .collect::<Vec<_>>()
+        by_connection(&sink.received()),
+        recorded_by_connection(&sent)
     );
     let told: Value =
         serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
@@ -204,6 +228,13 @@
     assert_eq!(told["changed"]["ids"], 0);
     let lines = std::fs::read_to_string(report.join("requests.jsonl")).unwrap();
     assert_eq!(lines.lines().count(), 12);
+    for (line, (at, _)) in lines.lines().zip(&sent) {
+        let row: Value = serde_json::from_str(line).unwrap();
+        let millis = |name: &str| row[name].as_f64().unwrap();
+        let recorded_ms = (at - sent[0].0) as f64 / MS as f64;
+        assert_eq!(millis("intended_ms"), recorded_ms, "{row}");
+        assert!(millis("sent_ms") >= recorded_ms, "{row}");
+    }
     for chart in ["rates.svg", "latency.svg"] {
         assert!(
             std::fs::read_to_string(report.join(chart))
@@ -215,6 +246,21 @@
     std::fs::remove_dir_all(report).unwrap();
 }
 
+#[test]
+fn a_replay_keeps_the_recorded_order_over_all_connections() {
+    let (file, sent) = capture("order.pcap");
+    let sink = Sink::start(Manner::default());
+    let output = replay(&file, &sink, &SLOW_REPLAY);
+    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    let received: Vec<_> = sink.received().into_iter().map(|r| r.bytes).collect();
+    assert_eq!(
+        received,
+        sent.iter()
+            .map(|(_, bytes)| bytes.clone())
+            .collect::<Vec<_>>()
+    );
+}
+
 #[test]
 fn a_burst_of_connections_loses_no_report_of_any() {
     let mut packets = Vec::new();
@@ -296,7 +342,7 @@
         break_after: 3,
         ..Manner::default()
     });
-    let output = replay(&file, &sink, &[]);
+    let output = replay(&file, &sink, &SLOW_REPLAY);
     let text = said(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(
@@ -331,7 +377,8 @@
         close: true,
         ..Manner::default()
     });
-    assert_eq!(replay(&file, &closes, &[]).status.code(), Some(0));
+    let output = replay(&file, &closes, &SLOW_REPLAY);
+    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
 }
 
 #[test]
