--- a/crates/heathspur-replay/src/audit.rs
+++ b/crates/heathspur-replay/src/audit.rs
@@ -1,7 +1,7 @@
 //! What came of a replay, against the recording and against the rules.
 
+use crate::outcome::{Counts, End, Outcome, Unsent};
 use crate::plan::{Plan, Recorded};
-use crate::runner::{Counts, End, Outcome, Unsent};
 use crate::Nanos;
 use hdrhistogram::Histogram;
 use serde::Serialize;
--- a/crates/heathspur-replay/src/lib.rs
+++ b/crates/heathspur-replay/src/lib.rs
@@ -6,6 +6,10 @@
 #![forbid(unsafe_code)]
 
 pub mod audit;
+mod connection;
+pub mod event;
+pub mod limits;
+pub mod outcome;
 pub mod plan;
 pub mod renew;
 pub mod runner;
--- a/crates/heathspur-replay/src/runner.rs
+++ b/crates/heathspur-replay/src/runner.rs
@@ -4,6 +4,10 @@
 //! actions go out; [`Runner::next_time`] says when to call again without an event. A request that was written
 //! is never written again: whether it ran is not known here.
 
+use crate::connection::{Lane, State};
+use crate::event::{Action, Event, Failure};
+use crate::limits::Limits;
+use crate::outcome::{Counts, End, Outcome, Unsent};
 use crate::plan::Plan;
 use crate::Nanos;
 use rand::rngs::StdRng;
@@ -16,154 +20,6 @@
 /// While all connections are in use, one that needs another looks again after this.
 const LOOK: Nanos = 5_000_000;
 
-/// What a replay may use, and how long it waits.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    /// Connections at once.
-    pub connections: usize,
-    /// Requests at once that are sent and not answered.
-    pub open: usize,
-    /// A request that could not leave so long after its time does not leave at all.
-    pub late: Nanos,
-    /// A request that is not answered for so long is given up, with its connection.
-    pub answer: Nanos,
-    /// The first wait before a connection is tried again, doubled with each failure, half of it by lot.
-    pub backoff: Nanos,
-    /// The longest such wait.
-    pub longest_backoff: Nanos,
-}
-
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            connections: 4096,
-            open: 8192,
-            late: 1_000_000_000,
-            answer: 30_000_000_000,
-            backoff: 10_000_000,
-            longest_backoff: 1_000_000_000,
-        }
-    }
-}
-
-/// Why a connection could not be made.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// The target refused, or did not answer.
-    Refused,
-    /// This process or machine has no descriptors or ports left.
-    Exhausted,
-}
-
-/// What happened.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// A connection is made.
-    Connected(usize),
-    /// It can't be.
-    Failed(usize, Failure),
-    /// A final answer came on a connection.
-    Answer {
-        /// The connection.
-        lane: usize,
-        /// The answer's status.
-        status: u16,
-        /// A digest of its body.
-        digest: u64,
-        /// When its first byte came.
-        first: Nanos,
-        /// Whether it is the last there.
-        close: bool,
-    },
-    /// The other side closed a connection, or it broke.
-    Closed(usize),
-}
-
-/// What is to be done.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Make this connection.
-    Connect(usize),
-    /// Write this request, by its place in [`Plan::sends`], to its connection.
-    Send(usize),
-    /// Close this connection.
-    Close(usize),
-}
-
-/// Why a request never left.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Unsent {
-    /// Its connection could not be made in time.
-    Refused,
-    /// Nothing to connect with was left.
-    Exhausted,
-    /// Too many requests were open.
-    Budget,
-    /// An answer that it had to wait for came too late.
-    Waited,
-}
-
-/// How a request ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Not yet.
-    Open,
-    /// Answered.
-    Answered {
-        /// The status.
-        status: u16,
-        /// A digest of the body.
-        digest: u64,
-        /// When the first byte of the answer came.
-        first: Nanos,
-        /// When its last did.
-        last: Nanos,
-    },
-    /// Its connection ended under it.
-    Broken,
-    /// No answer came for too long.
-    TimedOut,
-    /// It never left.
-    Unsent(Unsent),
-}
-
-/// What came of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outcome {
-    /// When it was to leave: by the schedule, or by the answer that it waited for.
-    pub intended: Nanos,
-    /// When it left.
-    pub sent: Option<Nanos>,
-    /// How it ended.
-    pub end: End,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
-    Away,
-    Connecting,
-    Up,
-    Waiting,
-}
-
-#[derive(Clone, Debug)]
-struct Lane {
-    state: State,
-    failures: u32,
-    failure: Failure,
-    /// Its next request, by its place among its own.
-    next: usize,
-    /// Requests sent and not answered, oldest first.
-    open: VecDeque<usize>,
-    /// When the latest answer came.
-    answered: Option<Nanos>,
-    /// When it is looked at next; older timers of it are void.
-    wake: Option<Nanos>,
-    /// Its place among those that may be closed to make room.
-    idle: Option<(Reverse<Nanos>, usize)>,
-}
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// Something may be due on a connection.
@@ -174,25 +30,6 @@
     Answer(usize),
 }
 
-/// Counts over the whole replay.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Counts {
-    /// Connections made.
-    pub connected: u64,
-    /// Connections that could not be made.
-    pub failed: u64,
-    /// Connections that ended with requests open.
-    pub broken: u64,
-    /// Idle connections closed to make room.
-    pub made_room: u64,
-    /// Answers to nothing.
-    pub extra_answers: u64,
-    /// The most requests open at once.
-    pub most_open: usize,
-    /// The most connections at once.
-    pub most_connections: usize,
-}
-
 /// A replay.
 #[derive(Debug)]
 pub struct Runner<'a> {
--- a/crates/heathspur-replay/tests/runner.rs
+++ b/crates/heathspur-replay/tests/runner.rs
@@ -3,8 +3,11 @@
 mod common;
 use common::*;
 use heathspur_replay::audit::{audit, Terms};
+use heathspur_replay::event::{Action, Event, Failure};
+use heathspur_replay::limits::Limits;
+use heathspur_replay::outcome::{End, Outcome, Unsent};
 use heathspur_replay::plan::{plan, Options, Plan, Recorded};
-use heathspur_replay::runner::{Action, End, Event, Failure, Limits, Outcome, Runner, Unsent};
+use heathspur_replay::runner::Runner;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +40,7 @@
     outcomes: Vec<Outcome>,
     /// Place in the plan and time, in the order of sending.
     sent: Vec<(usize, u64)>,
-    counts: heathspur_replay::runner::Counts,
+    counts: heathspur_replay::outcome::Counts,
     ended: u64,
 }
 
--- a/crates/heathspurctl/src/charts.rs
+++ b/crates/heathspurctl/src/charts.rs
@@ -1,8 +1,8 @@
 //! Charts, as SVG.
 
 use crate::load::Loaded;
+use heathspur_replay::outcome::{End, Outcome};
 use heathspur_replay::plan::Plan;
-use heathspur_replay::runner::{End, Outcome};
 use plotters::prelude::*;
 use std::io;
 use std::path::Path;
--- a/crates/heathspurctl/src/connection.rs
+++ b/crates/heathspurctl/src/connection.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use bytes::Bytes;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use heathspur_replay::runner::{Event, Failure};
+use heathspur_replay::event::{Event, Failure};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
 use heathspur_wire::http::{self, status_line};
 use std::cell::RefCell;
