--- a/crates/heathspur-replay/src/audit.rs
+++ b/crates/heathspur-replay/src/audit.rs
@@ -1,7 +1,8 @@
 //! What came of a replay, against the recording and against the rules.
 
 use crate::outcome::{Counts, End, Outcome, Unsent};
-use crate::plan::{Plan, Recorded};
+use crate::plan::Plan;
+use crate::recording::RecordedRequest;
 use crate::Nanos;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -139,21 +140,21 @@
 
 /// Makes the audit.
 pub fn audit(
-    recorded: &[Recorded],
+    recorded: &[RecordedRequest],
     plan: &Plan,
     outcomes: &[Outcome],
     counts: Counts,
     terms: Terms<'_>,
 ) -> Audit {
     let mut audit = Audit {
-        requests: plan.sends.len() as u64,
+        requests: plan.requests.len() as u64,
         counts,
         ..Audit::default()
     };
     let (mut late, mut latency, mut before) = (Collect::new(), Collect::new(), Collect::new());
     let mut seconds: BTreeMap<u64, Vec<Nanos>> = BTreeMap::new();
     let mut keys: HashMap<(u64, &[u8]), Vec<u64>> = HashMap::new();
-    for (send, outcome) in plan.sends.iter().zip(outcomes) {
+    for (send, outcome) in plan.requests.iter().zip(outcomes) {
         let request = &recorded[send.recorded];
         if let Some(sent) = outcome.sent {
             audit.sent += 1;
@@ -164,10 +165,10 @@
                 .or_default()
                 .push(lateness);
         }
-        if let Some(answer) = &request.answer {
-            before.add(answer.last.saturating_sub(request.last));
+        if let Some(answer) = &request.response {
+            before.add(answer.last_byte_at.saturating_sub(request.last_byte_at));
         }
-        let was = request.answer.as_ref();
+        let was = request.response.as_ref();
         match outcome.end {
             End::Answered {
                 status,
@@ -183,7 +184,7 @@
                 match was {
                     None => audit.compared.only_now += 1,
                     Some(was) if was.status != status => audit.compared.status_differs += 1,
-                    Some(was) if was.digest != digest => audit.compared.body_differs += 1,
+                    Some(was) if was.body_digest != digest => audit.compared.body_differs += 1,
                     Some(_) => audit.compared.same += 1,
                 }
                 if let Some(key) = key(request, terms.key).filter(|_| status == 200) {
@@ -212,7 +213,7 @@
     audit
 }
 
-fn key<'a>(request: &'a Recorded, name: &str) -> Option<&'a [u8]> {
+fn key<'a>(request: &'a RecordedRequest, name: &str) -> Option<&'a [u8]> {
     if name.is_empty() {
         return None;
     }
--- a/crates/heathspur-replay/src/lib.rs
+++ b/crates/heathspur-replay/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod limits;
 pub mod outcome;
 pub mod plan;
+pub mod recording;
 pub mod renew;
 pub mod runner;
 
--- a/crates/heathspur-replay/src/plan.rs
+++ b/crates/heathspur-replay/src/plan.rs
@@ -1,64 +1,41 @@
-//! From recorded requests to a schedule: which connections, in which order, when each request is to leave.
+//! Builds the schedule of a replay from recorded requests: its connections, and when each request is sent.
 
+use crate::recording::RecordedRequest;
 use crate::Nanos;
-use bytes::Bytes;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
-use std::fmt;
+use std::ops::RangeInclusive;
 
-/// A connection is made so long before its first request, where its own start is not recorded.
-const AHEAD: Nanos = 20_000_000;
-/// Copies of a connection leave at most so long after it, not to leave all at once.
-const SPREAD: Nanos = 50_000_000;
+/// A connection whose start was not recorded is opened this long before its first request.
+const CONNECT_LEAD_TIME: Nanos = 20_000_000;
+/// Copies of a connection start up to this long after it, so that they do not all send at once.
+const MAX_COPY_OFFSET: Nanos = 50_000_000;
+/// Accepted values of [`Options::speed`] and [`Options::load`].
+const FACTOR_RANGE: RangeInclusive<f64> = 0.001..=1000.0;
+/// Accepted values of [`Options::repeat`].
+const REPEAT_RANGE: RangeInclusive<u32> = 1..=10_000;
 
-/// The answer that a recorded request got.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RecordedAnswer {
-    /// Its status.
-    pub status: u16,
-    /// When its first byte was captured, in nanoseconds of capture time.
-    pub first: u64,
-    /// When its last byte was.
-    pub last: u64,
-    /// A digest of its body.
-    pub digest: u64,
-}
-
-/// A request of a recording.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recorded {
-    /// The number of its connection in the recording.
-    pub conn: u64,
-    /// When its first byte was captured, in nanoseconds of capture time.
-    pub first: u64,
-    /// When its last byte was.
-    pub last: u64,
-    /// All its bytes.
-    pub bytes: Bytes,
-    /// What it got.
-    pub answer: Option<RecordedAnswer>,
-}
-
-/// How a recording is to be replayed. By default as it was.
+/// How a recording is replayed. The default replays it as it was recorded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Times as fast: 0.001 to 1,000.
+    /// Speed as a multiple of the recorded one: 0.001 to 1,000.
     pub speed: f64,
-    /// Requests from this time on, in nanoseconds from the first one.
+    /// Start of the replayed interval, in nanoseconds from the first recorded request.
     pub from: u64,
-    /// Requests before this time.
+    /// End (exclusive) of the replayed interval, in nanoseconds from the first recorded request.
     pub to: Option<u64>,
-    /// So many times in a row, from 1 to 10,000. From the second on ids and keys must be fresh.
+    /// Number of consecutive rounds: 1 to 10,000. More than one requires fresh IDs and keys.
     pub repeat: u32,
-    /// Times as many connections: 0.001 to 1,000. More than one needs fresh ids and keys.
+    /// Number of connections as a multiple of the recorded one: 0.001 to 1,000. More than 1.0 requires fresh IDs
+    /// and keys.
     pub load: f64,
-    /// A request waits for the answer before it, and as long after it as the recording did.
+    /// Whether a request waits for the preceding response wherever the recorded client did.
     pub causal: bool,
-    /// For what is drawn by lot.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Requests of the schedule at most.
-    pub most: usize,
+    /// Largest number of planned requests.
+    pub max_requests: usize,
 }
 
 impl Default for Options {
@@ -71,224 +48,298 @@
             load: 1.0,
             causal: false,
             seed: 1,
-            most: 5_000_000,
+            max_requests: 5_000_000,
         }
     }
 }
 
-/// Why there is no schedule.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
-    /// An option lies outside its bounds.
-    Bounds(&'static str, f64),
-    /// No request lies in the time asked for.
-    Empty,
-    /// More requests than are taken.
-    TooMany(usize),
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Bounds(name, value) => write!(f, "{name}: {value} lies outside its bounds"),
-            Fault::Empty => write!(f, "no request lies in that time"),
-            Fault::TooMany(most) => write!(f, "more than {most} requests"),
+impl Options {
+    fn validate(&self) -> Result<(), Error> {
+        for (option, value) in [("speed", self.speed), ("load", self.load)] {
+            if !FACTOR_RANGE.contains(&value) {
+                return Err(Error::OutOfBounds { option, value });
+            }
+        }
+        if !REPEAT_RANGE.contains(&self.repeat) {
+            return Err(Error::OutOfBounds {
+                option: "repeat",
+                value: self.repeat.into(),
+            });
         }
+        Ok(())
+    }
+
+    /// Converts a duration of the recording to one of the replay.
+    fn scale(&self, recorded: u64) -> Nanos {
+        (recorded as f64 / self.speed).round() as Nanos
     }
 }
 
-impl std::error::Error for Fault {}
+/// Why no plan can be built.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum Error {
+    /// An option is outside its bounds.
+    #[error("{option}: {value} lies outside its bounds")]
+    OutOfBounds {
+        /// Name of the option.
+        option: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// The replayed interval contains no request.
+    #[error("no request lies in that time")]
+    NoRequests,
+    /// The plan would exceed [`Options::max_requests`].
+    #[error("more than {limit} requests")]
+    TooManyRequests {
+        /// The largest number of requests.
+        limit: usize,
+    },
+}
 
-/// One request to be sent.
+/// A request to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Send {
-    /// Which recorded request, by its place in what was planned from.
+pub struct PlannedRequest {
+    /// Index of the recorded request.
     pub recorded: usize,
-    /// The connection, by its place in [`Plan::lanes`].
-    pub lane: usize,
-    /// When it is to leave.
-    pub at: Nanos,
-    /// Its first and last byte lay so far apart.
-    pub spread: Nanos,
-    /// Where the order of cause is kept: so long after the answer before it.
-    pub after_answer: Option<Nanos>,
-    /// Which copy of the recording it belongs to; 0 is the recording itself.
+    /// Index of the connection in [`Plan::connections`].
+    pub connection: usize,
+    /// When it is sent.
+    pub send_at: Nanos,
+    /// Time between its first and its last byte.
+    pub duration: Nanos,
+    /// In a causal replay, the delay after the preceding response on its connection.
+    pub delay_after_response: Option<Nanos>,
+    /// Number of the copy of the recording that it belongs to; 0 is the recording itself.
     pub copy: u64,
 }
 
-/// One connection and what goes out on it.
+/// A connection and its requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lane {
-    /// When it is to be made.
-    pub open: Nanos,
-    /// Its requests, in order, by their places in [`Plan::sends`].
-    pub sends: Vec<usize>,
+pub struct PlannedConnection {
+    /// When it is opened.
+    pub open_at: Nanos,
+    /// Indices of its requests in [`Plan::requests`], in sending order.
+    pub requests: Vec<usize>,
 }
 
-/// The schedule.
+/// The schedule of a replay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// All requests, by time and then as recorded.
-    pub sends: Vec<Send>,
+    /// All requests, by sending time and then in recorded order.
+    pub requests: Vec<PlannedRequest>,
     /// All connections.
-    pub lanes: Vec<Lane>,
-    /// When the last request is to leave.
-    pub end: Nanos,
-    /// Whether some requests stand in it more than once, so that ids and keys must be fresh.
-    pub copies: bool,
+    pub connections: Vec<PlannedConnection>,
+    /// When the last request is sent.
+    pub last_send_at: Nanos,
+    /// Whether some requests are sent more than once, so that IDs and keys must be fresh.
+    pub has_copies: bool,
 }
 
-/// Makes the schedule. `opened` has the capture times at which connections began, where these are known.
-///
-/// # Errors
-/// Options outside their bounds, no request, too many.
-pub fn plan(
-    recorded: &[Recorded],
-    opened: &BTreeMap<u64, u64>,
-    options: &Options,
-) -> Result<Plan, Fault> {
-    let bounded = |name, value: f64| {
-        if (0.001..=1000.0).contains(&value) {
-            Ok(value)
-        } else {
-            Err(Fault::Bounds(name, value))
+impl Plan {
+    /// Builds the schedule. `opened` holds the capture times at which connections were opened, where known.
+    ///
+    /// # Errors
+    /// An option is outside its bounds, the interval contains no request, or there are too many requests.
+    pub fn build(
+        recorded: &[RecordedRequest],
+        opened: &BTreeMap<u64, u64>,
+        options: &Options,
+    ) -> Result<Plan, Error> {
+        options.validate()?;
+        let selection = Selection::new(recorded, options)?;
+        let mut builder = PlanBuilder {
+            recorded,
+            opened,
+            options,
+            selection: &selection,
+            rng: StdRng::seed_from_u64(options.seed),
+            plan: Plan {
+                has_copies: options.repeat > 1 || options.load > 1.0,
+                ..Plan::default()
+            },
+        };
+        for round in 0..u64::from(options.repeat) {
+            builder.add_round(round)?;
         }
-    };
-    let (speed, load) = (
-        bounded("speed", options.speed)?,
-        bounded("load", options.load)?,
-    );
-    if !(1..=10_000).contains(&options.repeat) {
-        return Err(Fault::Bounds("repeat", options.repeat.into()));
+        let mut plan = builder.plan;
+        plan.sort_requests(recorded);
+        let send_times = plan.requests.iter().map(|request| request.send_at);
+        plan.last_send_at = send_times.max().ok_or(Error::NoRequests)?;
+        Ok(plan)
     }
-    let start = recorded.iter().map(|r| r.first).min().ok_or(Fault::Empty)?;
-    let within = |r: &Recorded| {
-        let at = r.first - start;
-        at >= options.from && options.to.is_none_or(|to| at < to)
-    };
-    let chosen: Vec<usize> = (0..recorded.len())
-        .filter(|&n| within(&recorded[n]))
-        .collect();
-    let begin = chosen
-        .iter()
-        .map(|&n| recorded[n].first)
-        .min()
-        .ok_or(Fault::Empty)?;
-    let end = chosen
-        .iter()
-        .map(|&n| recorded[n].last)
-        .max()
-        .unwrap_or(begin);
-    let scaled = |time: u64| (time as f64 / speed).round() as Nanos;
-    // One turn lasts to its last answer or request, and a little, so that turns do not overlap.
-    let answered = chosen
-        .iter()
-        .filter_map(|&n| recorded[n].answer.as_ref())
-        .map(|a| a.last)
-        .max();
-    let turn = scaled(answered.unwrap_or(end).max(end) - begin) + AHEAD;
 
-    let mut by_conn: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-    for &n in &chosen {
-        by_conn.entry(recorded[n].conn).or_default().push(n);
+    /// Sorts the requests by time, and those of the same time in recorded order.
+    fn sort_requests(&mut self, recorded: &[RecordedRequest]) {
+        let mut order: Vec<usize> = (0..self.requests.len()).collect();
+        order.sort_by_key(|&index| {
+            let request = &self.requests[index];
+            let first_byte_at = recorded[request.recorded].first_byte_at;
+            (request.send_at, first_byte_at, request.recorded, index)
+        });
+        let mut new_index = vec![0; order.len()];
+        for (new, &old) in order.iter().enumerate() {
+            new_index[old] = new;
+        }
+        self.requests = order
+            .iter()
+            .map(|&old| self.requests[old].clone())
+            .collect();
+        for connection in &mut self.connections {
+            for index in &mut connection.requests {
+                *index = new_index[*index];
+            }
+        }
     }
-    let mut lots = StdRng::seed_from_u64(options.seed);
-    let mut plan = Plan {
-        copies: options.repeat > 1 || load > 1.0,
-        ..Plan::default()
-    };
-    for round in 0..u64::from(options.repeat) {
-        for (conn, requests) in &by_conn {
-            // A whole connection is in or out: a part of one would be another conversation.
-            let whole = load.floor();
-            let copies = whole as u64 + u64::from(lots.random::<f64>() < load - whole);
-            for copy in 0..copies {
-                if plan.sends.len() + requests.len() > options.most {
-                    return Err(Fault::TooMany(options.most));
-                }
-                let shift = if copy == 0 {
-                    0
-                } else {
-                    lots.random_range(0..SPREAD)
-                };
-                let shift = round * turn + shift;
-                let number = round * (load.ceil() as u64) + copy;
-                lane(
-                    &mut plan,
-                    recorded,
-                    requests,
-                    number,
-                    |time| shift + scaled(time - begin),
-                    options,
-                );
-                let opened = opened
-                    .get(conn)
-                    .filter(|at| **at >= begin)
-                    .map(|at| shift + scaled(at - begin));
-                if let Some(lane) = plan.lanes.last_mut() {
-                    let first = plan.sends[lane.sends[0]].at;
-                    lane.open = opened.unwrap_or(first.saturating_sub(AHEAD)).min(first);
-                }
+}
+
+/// The recorded requests inside the replayed interval.
+struct Selection {
+    /// Indices of the requests of each recorded connection.
+    by_connection: BTreeMap<u64, Vec<usize>>,
+    /// Capture time of the first selected byte.
+    start: u64,
+    /// Time from the start of one round to the start of the next.
+    round_duration: Nanos,
+}
+
+impl Selection {
+    fn new(recorded: &[RecordedRequest], options: &Options) -> Result<Selection, Error> {
+        let first_byte_times = recorded.iter().map(|request| request.first_byte_at);
+        let recording_start = first_byte_times.min().ok_or(Error::NoRequests)?;
+        let is_selected = |request: &RecordedRequest| {
+            let offset = request.first_byte_at - recording_start;
+            offset >= options.from && options.to.is_none_or(|to| offset < to)
+        };
+        let mut by_connection: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
+        let mut start = None;
+        let mut end = 0;
+        for (index, request) in recorded.iter().enumerate() {
+            if !is_selected(request) {
+                continue;
+            }
+            let requests = by_connection.entry(request.connection).or_default();
+            requests.push(index);
+            start = Some(start.map_or(request.first_byte_at, |earliest: u64| {
+                earliest.min(request.first_byte_at)
+            }));
+            end = end.max(request.last_byte_at);
+            if let Some(response) = &request.response {
+                end = end.max(response.last_byte_at);
             }
         }
+        let start = start.ok_or(Error::NoRequests)?;
+        Ok(Selection {
+            by_connection,
+            start,
+            // The lead time keeps rounds from overlapping.
+            round_duration: options.scale(end - start) + CONNECT_LEAD_TIME,
+        })
     }
-    order(&mut plan, recorded);
-    plan.end = plan
-        .sends
-        .iter()
-        .map(|send| send.at)
-        .max()
-        .ok_or(Fault::Empty)?;
-    Ok(plan)
 }
 
-fn lane(
-    plan: &mut Plan,
-    recorded: &[Recorded],
-    requests: &[usize],
-    copy: u64,
-    at: impl Fn(u64) -> Nanos,
-    options: &Options,
-) {
-    let mut lane = Lane::default();
-    let mut before: Option<&Recorded> = None;
-    let mut earliest = 0;
-    for &n in requests {
-        let this = &recorded[n];
-        let answer = before.and_then(|before| before.answer.as_ref());
-        // Only a client that had the answer before it spoke again can have waited for it.
-        let after_answer = answer
-            .filter(|answer| options.causal && answer.last <= this.first)
-            .map(|answer| ((this.first - answer.last) as f64 / options.speed).round() as Nanos);
-        // Bytes may have been captured out of order; the order on the connection holds.
-        earliest = at(this.first).max(earliest);
-        lane.sends.push(plan.sends.len());
-        plan.sends.push(Send {
-            recorded: n,
-            lane: plan.lanes.len(),
-            at: earliest,
-            spread: at(this.last.max(this.first)) - at(this.first),
-            after_answer,
-            copy,
+/// Adds the selected connections, round by round, to a plan.
+struct PlanBuilder<'a> {
+    recorded: &'a [RecordedRequest],
+    opened: &'a BTreeMap<u64, u64>,
+    options: &'a Options,
+    selection: &'a Selection,
+    rng: StdRng,
+    plan: Plan,
+}
+
+impl PlanBuilder<'_> {
+    fn add_round(&mut self, round: u64) -> Result<(), Error> {
+        let selection = self.selection;
+        let copies_per_round = self.options.load.ceil() as u64;
+        for (&connection, requests) in &selection.by_connection {
+            for copy in 0..self.choose_copies() {
+                self.check_limit(requests.len())?;
+                let offset = round * selection.round_duration + self.choose_offset(copy);
+                let copy = round * copies_per_round + copy;
+                self.add_connection(connection, requests, offset, copy);
+            }
+        }
+        Ok(())
+    }
+
+    /// Chooses how often a connection is replayed in a round. Connections are taken whole: a part of one would be
+    /// another conversation.
+    fn choose_copies(&mut self) -> u64 {
+        let load = self.options.load;
+        let whole = load.floor();
+        whole as u64 + u64::from(self.rng.random::<f64>() < load - whole)
+    }
+
+    fn choose_offset(&mut self, copy: u64) -> Nanos {
+        if copy == 0 {
+            0
+        } else {
+            self.rng.random_range(0..MAX_COPY_OFFSET)
+        }
+    }
+
+    fn check_limit(&self, additional: usize) -> Result<(), Error> {
+        let limit = self.options.max_requests;
+        if self.plan.requests.len() + additional > limit {
+            return Err(Error::TooManyRequests { limit });
+        }
+        Ok(())
+    }
+
+    /// Converts a capture time to a time of the replay.
+    fn replay_time(&self, captured_at: u64, offset: Nanos) -> Nanos {
+        offset + self.options.scale(captured_at - self.selection.start)
+    }
+
+    fn add_connection(&mut self, connection: u64, requests: &[usize], offset: Nanos, copy: u64) {
+        let first_index = self.plan.requests.len();
+        let mut previous: Option<&RecordedRequest> = None;
+        let mut earliest = 0;
+        for &index in requests {
+            let request = &self.recorded[index];
+            let first_byte_at = self.replay_time(request.first_byte_at, offset);
+            let last_byte_at = request.last_byte_at.max(request.first_byte_at);
+            // Bytes may have been captured out of order; the order on the connection is kept.
+            earliest = first_byte_at.max(earliest);
+            self.plan.requests.push(PlannedRequest {
+                recorded: index,
+                connection: self.plan.connections.len(),
+                send_at: earliest,
+                duration: self.replay_time(last_byte_at, offset) - first_byte_at,
+                delay_after_response: self.delay_after_response(previous, request),
+                copy,
+            });
+            previous = Some(request);
+        }
+        let first_send_at = self.plan.requests[first_index].send_at;
+        self.plan.connections.push(PlannedConnection {
+            open_at: self.open_time(connection, offset, first_send_at),
+            requests: (first_index..self.plan.requests.len()).collect(),
         });
-        before = Some(this);
     }
-    plan.lanes.push(lane);
-}
 
-/// Sorts the sends by time; those at one time stay as they were recorded.
-fn order(plan: &mut Plan, recorded: &[Recorded]) {
-    let mut places: Vec<usize> = (0..plan.sends.len()).collect();
-    places.sort_by_key(|&n| {
-        let send = &plan.sends[n];
-        (send.at, recorded[send.recorded].first, send.recorded, n)
-    });
-    let mut new = vec![0; places.len()];
-    for (to, &from) in places.iter().enumerate() {
-        new[from] = to;
+    /// Returns the delay that a causal replay keeps. A client that sent before the response was complete cannot
+    /// have waited for it.
+    fn delay_after_response(
+        &self,
+        previous: Option<&RecordedRequest>,
+        request: &RecordedRequest,
+    ) -> Option<Nanos> {
+        let response = previous?.response.as_ref()?;
+        let waited = self.options.causal && response.last_byte_at <= request.first_byte_at;
+        waited.then(|| {
+            self.options
+                .scale(request.first_byte_at - response.last_byte_at)
+        })
     }
-    plan.sends = places.iter().map(|&n| plan.sends[n].clone()).collect();
-    for lane in &mut plan.lanes {
-        lane.sends.iter_mut().for_each(|n| *n = new[*n]);
+
+    fn open_time(&self, connection: u64, offset: Nanos, first_send_at: Nanos) -> Nanos {
+        let recorded = self.opened.get(&connection);
+        recorded
+            .filter(|opened_at| **opened_at >= self.selection.start)
+            .map(|opened_at| self.replay_time(*opened_at, offset))
+            .unwrap_or(first_send_at.saturating_sub(CONNECT_LEAD_TIME))
+            .min(first_send_at)
     }
 }
--- a/crates/heathspur-replay/src/renew.rs
+++ b/crates/heathspur-replay/src/renew.rs
@@ -62,7 +62,7 @@
     }
 
     /// The request with its fresh values. `place` tells sends of the whole replay apart; `copy` is that of
-    /// [`crate::plan::Send`]. `fields` is where its fields stand.
+    /// [`crate::plan::PlannedRequest`]. `fields` is where its fields stand.
     pub fn renew(
         &self,
         bytes: &Bytes,
--- a/crates/heathspur-replay/src/runner.rs
+++ b/crates/heathspur-replay/src/runner.rs
@@ -61,16 +61,16 @@
             wake: None,
             idle: None,
         };
-        let outcome = |send: &crate::plan::Send| Outcome {
-            intended: send.at,
+        let outcome = |send: &crate::plan::PlannedRequest| Outcome {
+            intended: send.send_at,
             sent: None,
             end: End::Open,
         };
         let timers = plan
-            .lanes
+            .connections
             .iter()
             .enumerate()
-            .map(|(n, lane)| Reverse((lane.open, Timer::Look(n))));
+            .map(|(n, lane)| Reverse((lane.open_at, Timer::Look(n))));
         Runner {
             plan,
             limits: Limits {
@@ -78,19 +78,19 @@
                 ..limits
             },
             lanes: plan
-                .lanes
+                .connections
                 .iter()
                 .map(|l| Lane {
-                    wake: Some(l.open),
+                    wake: Some(l.open_at),
                     ..lane.clone()
                 })
                 .collect(),
-            outcomes: plan.sends.iter().map(outcome).collect(),
+            outcomes: plan.requests.iter().map(outcome).collect(),
             timers: timers.collect(),
             idle: BTreeSet::new(),
             in_use: 0,
             open: 0,
-            left: plan.sends.len(),
+            left: plan.requests.len(),
             lots: StdRng::seed_from_u64(seed),
             counts: Counts::default(),
             actions: Vec::new(),
@@ -181,11 +181,11 @@
     /// When a connection's next request is to leave; none while it waits for an answer.
     fn due(&self, lane: usize) -> Option<Nanos> {
         let state = &self.lanes[lane];
-        let send = &self.plan.sends[*self.plan.lanes[lane].sends.get(state.next)?];
-        match send.after_answer {
+        let send = &self.plan.requests[*self.plan.connections[lane].requests.get(state.next)?];
+        match send.delay_after_response {
             Some(_) if !state.open.is_empty() => None,
-            Some(wait) => Some(send.at.max(state.answered.map_or(0, |at| at + wait))),
-            None => Some(send.at),
+            Some(wait) => Some(send.send_at.max(state.answered.map_or(0, |at| at + wait))),
+            None => Some(send.send_at),
         }
     }
 
@@ -193,8 +193,8 @@
     fn look(&mut self, now: Nanos, lane: usize) {
         self.rests(lane, None);
         while let Some(due) = self.due(lane) {
-            let send = self.plan.lanes[lane].sends[self.lanes[lane].next];
-            let due = due.max(self.plan.lanes[lane].open);
+            let send = self.plan.connections[lane].requests[self.lanes[lane].next];
+            let due = due.max(self.plan.connections[lane].open_at);
             self.outcomes[send].intended = due;
             let state = self.lanes[lane].state;
             if due <= now {
@@ -218,7 +218,7 @@
                 self.wake(lane, due + self.limits.late + 1);
             }
             match state {
-                State::Away if due <= now + AHEAD || self.plan.lanes[lane].open >= now => {
+                State::Away if due <= now + AHEAD || self.plan.connections[lane].open_at >= now => {
                     self.connect(now, lane);
                 }
                 State::Away => self.wake(lane, due - AHEAD),
@@ -232,7 +232,7 @@
             }
             return;
         }
-        let finished = self.lanes[lane].next == self.plan.lanes[lane].sends.len();
+        let finished = self.lanes[lane].next == self.plan.connections[lane].requests.len();
         if finished && self.lanes[lane].open.is_empty() && self.lanes[lane].state == State::Up {
             self.close(lane);
         }
@@ -371,7 +371,7 @@
     }
 
     fn overdue(&mut self, now: Nanos, send: usize) {
-        let lane = self.plan.sends[send].lane;
+        let lane = self.plan.requests[send].connection;
         if self.outcomes[send].end != End::Open || self.lanes[lane].state != State::Up {
             return;
         }
--- a/crates/heathspur-replay/tests/plan.rs
+++ b/crates/heathspur-replay/tests/plan.rs
@@ -3,11 +3,12 @@
 mod common;
 use bytes::Bytes;
 use common::*;
-use heathspur_replay::plan::{plan, Fault, Options, Plan, Recorded};
+use heathspur_replay::plan::{Error, Options, Plan};
+use heathspur_replay::recording::RecordedRequest;
 use heathspur_replay::renew::{Changed, Names, Renewer, Times};
 use std::collections::BTreeMap;
 
-fn recording() -> Vec<Recorded> {
+fn recording() -> Vec<RecordedRequest> {
     vec![
         request(1, 0, "a", Some(30)),
         request(1, 100, "b", Some(20)),
@@ -18,13 +19,13 @@
 }
 
 fn made(options: &Options) -> Plan {
-    plan(&recording(), &BTreeMap::new(), options).unwrap()
+    Plan::build(&recording(), &BTreeMap::new(), options).unwrap()
 }
 
 fn times(plan: &Plan) -> Vec<(usize, u64)> {
-    plan.sends
+    plan.requests
         .iter()
-        .map(|send| (send.recorded, send.at / MS))
+        .map(|send| (send.recorded, send.send_at / MS))
         .collect()
 }
 
@@ -35,11 +36,14 @@
         times(&plan),
         [(0, 0), (2, 50), (1, 100), (3, 110), (4, 1000)]
     );
-    assert_eq!(plan.lanes.len(), 2);
-    assert_eq!(plan.lanes[0].sends, [0, 2, 3]);
-    assert_eq!(plan.lanes[1].sends, [1, 4]);
-    assert!(!plan.copies && plan.end == 1000 * MS);
-    assert!(plan.sends.iter().all(|send| send.after_answer.is_none()));
+    assert_eq!(plan.connections.len(), 2);
+    assert_eq!(plan.connections[0].requests, [0, 2, 3]);
+    assert_eq!(plan.connections[1].requests, [1, 4]);
+    assert!(!plan.has_copies && plan.last_send_at == 1000 * MS);
+    assert!(plan
+        .requests
+        .iter()
+        .all(|send| send.delay_after_response.is_none()));
 }
 
 #[test]
@@ -56,7 +60,7 @@
             speed: 0.5,
             ..Options::default()
         })
-        .end,
+        .last_send_at,
         2000 * MS
     );
 }
@@ -74,8 +78,8 @@
         ..Options::default()
     };
     assert_eq!(
-        plan(&recording(), &BTreeMap::new(), &nothing),
-        Err(Fault::Empty)
+        Plan::build(&recording(), &BTreeMap::new(), &nothing),
+        Err(Error::NoRequests)
     );
 }
 
@@ -87,9 +91,9 @@
         ..Options::default()
     });
     let waits: Vec<_> = plan
-        .sends
+        .requests
         .iter()
-        .map(|send| send.after_answer.map(|wait| wait / MS))
+        .map(|send| send.delay_after_response.map(|wait| wait / MS))
         .collect();
     // The second request of connection 1 came 70 ms after the answer to the first; the third came before the
     // answer to the second, so its client did not wait.
@@ -102,13 +106,13 @@
         repeat: 3,
         ..Options::default()
     });
-    assert!(plan.copies);
-    assert_eq!((plan.sends.len(), plan.lanes.len()), (15, 6));
+    assert!(plan.has_copies);
+    assert_eq!((plan.requests.len(), plan.connections.len()), (15, 6));
     let turn = |copy: u64| {
-        plan.sends
+        plan.requests
             .iter()
             .filter(move |send| send.copy == copy)
-            .map(|send| send.at)
+            .map(|send| send.send_at)
     };
     for copy in 1..3 {
         assert!(turn(copy).min() > turn(copy - 1).max());
@@ -121,7 +125,7 @@
 
 #[test]
 fn load_takes_or_copies_whole_connections() {
-    let many: Vec<Recorded> = (0..400)
+    let many: Vec<RecordedRequest> = (0..400)
         .flat_map(|c| [request(c, c, "k", None), request(c, c + 9, "k", None)])
         .collect();
     for (load, least, most) in [
@@ -134,17 +138,17 @@
             load,
             ..Options::default()
         };
-        let plan = plan(&many, &BTreeMap::new(), &options).unwrap();
+        let plan = Plan::build(&many, &BTreeMap::new(), &options).unwrap();
         assert!(
-            (least..=most).contains(&plan.lanes.len()),
+            (least..=most).contains(&plan.connections.len()),
             "{load}: {}",
-            plan.lanes.len()
+            plan.connections.len()
         );
-        assert!(plan.lanes.iter().all(|lane| lane.sends.len() == 2));
-        assert_eq!(plan.copies, load > 1.0);
+        assert!(plan.connections.iter().all(|lane| lane.requests.len() == 2));
+        assert_eq!(plan.has_copies, load > 1.0);
         assert_eq!(
             plan,
-            heathspur_replay::plan::plan(&many, &BTreeMap::new(), &options).unwrap()
+            Plan::build(&many, &BTreeMap::new(), &options).unwrap()
         );
     }
 }
@@ -152,7 +156,7 @@
 #[test]
 fn connections_open_when_they_did_and_never_after_their_first_request() {
     let opened = BTreeMap::from([(1, START), (2, START + 20 * MS)]);
-    let plan = plan(
+    let plan = Plan::build(
         &recording(),
         &opened,
         &Options {
@@ -162,51 +166,58 @@
     )
     .unwrap();
     assert_eq!(
-        plan.lanes
+        plan.connections
             .iter()
-            .map(|lane| lane.open / MS)
+            .map(|lane| lane.open_at / MS)
             .collect::<Vec<_>>(),
         [0, 10]
     );
     let late = BTreeMap::from([(2, START + 70 * MS)]);
-    let plan = heathspur_replay::plan::plan(&recording(), &late, &Options::default()).unwrap();
-    assert_eq!(plan.lanes[1].open / MS, 50);
+    let plan = Plan::build(&recording(), &late, &Options::default()).unwrap();
+    assert_eq!(plan.connections[1].open_at / MS, 50);
 }
 
 #[test]
 fn what_lies_outside_its_bounds_is_refused() {
-    let fault = |options: Options| plan(&recording(), &BTreeMap::new(), &options).unwrap_err();
+    let fault =
+        |options: Options| Plan::build(&recording(), &BTreeMap::new(), &options).unwrap_err();
     assert_eq!(
         fault(Options {
             speed: 0.0,
             ..Options::default()
         }),
-        Fault::Bounds("speed", 0.0)
+        Error::OutOfBounds {
+            option: "speed",
+            value: 0.0
+        }
     );
     assert!(matches!(
         fault(Options {
             load: f64::NAN,
             ..Options::default()
         }),
-        Fault::Bounds("load", _)
+        Error::OutOfBounds { option: "load", .. }
     ));
     assert_eq!(
         fault(Options {
             repeat: 0,
             ..Options::default()
         }),
-        Fault::Bounds("repeat", 0.0)
+        Error::OutOfBounds {
+            option: "repeat",
+            value: 0.0
+        }
     );
     assert_eq!(
         fault(Options {
-            most: 4,
+            max_requests: 4,
             ..Options::default()
         }),
-        Fault::TooMany(4)
+        Error::TooManyRequests { limit: 4 }
     );
     assert_eq!(
-        plan(&[], &BTreeMap::new(), &Options::default()),
-        Err(Fault::Empty)
+        Plan::build(&[], &BTreeMap::new(), &Options::default()),
+        Err(Error::NoRequests)
     );
 }
 
@@ -225,7 +236,7 @@
         + 2;
     let fields = request.bytes.iter().position(|b| *b == b'\n').unwrap() + 1..end;
     let times = Times {
-        recorded: request.first,
+        recorded: request.first_byte_at,
         now_ms: 1_800_000_000_000,
     };
     Renewer::new(names, 5).renew(&request.bytes, fields, (place, copy), times)
--- a/crates/heathspur-replay/tests/runner.rs
+++ b/crates/heathspur-replay/tests/runner.rs
@@ -6,7 +6,8 @@
 use heathspur_replay::event::{Action, Event, Failure};
 use heathspur_replay::limits::Limits;
 use heathspur_replay::outcome::{End, Outcome, Unsent};
-use heathspur_replay::plan::{plan, Options, Plan, Recorded};
+use heathspur_replay::plan::{Options, Plan};
+use heathspur_replay::recording::RecordedRequest;
 use heathspur_replay::runner::Runner;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -71,7 +72,7 @@
                     events.insert((now + MS, number), (entry.0, event));
                 }
                 Action::Send(send) => {
-                    let lane = plan.sends[send].lane;
+                    let lane = plan.requests[send].connection;
                     assert!(up.contains(&lane), "sent on a connection that is not there");
                     sent.push((send, now));
                     let (life, busy) = life.get_mut(&lane).unwrap();
@@ -140,17 +141,17 @@
     }
 }
 
-fn recording(conns: u64, each: u64, gap_ms: u64) -> Vec<Recorded> {
+fn recording(conns: u64, each: u64, gap_ms: u64) -> Vec<RecordedRequest> {
     let one = |conn: u64, n: u64| request(conn, conn + n * gap_ms, &format!("{conn}-{n}"), Some(3));
     let mut all: Vec<_> = (0..conns)
         .flat_map(|conn| (0..each).map(move |n| one(conn, n)))
         .collect();
-    all.sort_by_key(|request| request.first);
+    all.sort_by_key(|request| request.first_byte_at);
     all
 }
 
-fn schedule(recorded: &[Recorded], options: &Options) -> Plan {
-    plan(recorded, &BTreeMap::new(), options).unwrap()
+fn schedule(recorded: &[RecordedRequest], options: &Options) -> Plan {
+    Plan::build(recorded, &BTreeMap::new(), options).unwrap()
 }
 
 fn unsent(played: &Played) -> BTreeMap<Unsent, usize> {
@@ -187,7 +188,7 @@
         assert!(played
             .sent
             .iter()
-            .all(|(send, at)| at - plan.sends[*send].at <= MS));
+            .all(|(send, at)| at - plan.requests[*send].send_at <= MS));
         let audit = audit(
             &recorded,
             &plan,
@@ -216,7 +217,7 @@
     assert!(played
         .sent
         .iter()
-        .all(|(send, at)| at - clock.sends[*send].at <= MS));
+        .all(|(send, at)| at - clock.requests[*send].send_at <= MS));
     assert!(played.counts.most_open > 5);
     let causal = schedule(
         &recorded,
@@ -321,7 +322,7 @@
     assert!(played
         .sent
         .iter()
-        .all(|(send, at)| at - plan.sends[*send].at <= MS));
+        .all(|(send, at)| at - plan.requests[*send].send_at <= MS));
 }
 
 #[test]
@@ -344,7 +345,7 @@
     assert_eq!(played.counts.most_open, 64);
     assert!(unsent(&played)[&Unsent::Budget] > 800);
     assert!(played.outcomes.iter().any(|o| o.end == End::TimedOut));
-    assert!(played.ended < plan.end + 3_000 * MS);
+    assert!(played.ended < plan.last_send_at + 3_000 * MS);
 }
 
 #[test]
@@ -353,7 +354,7 @@
     let mut recorded: Vec<_> = (0..200)
         .flat_map(|c| (0..3).map(move |n| request(c, c * 50 + n * 10_000, "k", Some(3))))
         .collect();
-    recorded.sort_by_key(|request| request.first);
+    recorded.sort_by_key(|request| request.first_byte_at);
     let plan = schedule(&recorded, &Options::default());
     let limits = Limits {
         connections: 10,
@@ -507,15 +508,15 @@
                     );
                     prop_assert!(outcome.sent.is_none_or(|sent| sent >= outcome.intended));
                 }
-                for lane in &plan.lanes {
+                for lane in &plan.connections {
                     let order: Vec<_> = played
                         .sent
                         .iter()
-                        .filter(|(s, _)| lane.sends.contains(s))
+                        .filter(|(s, _)| lane.requests.contains(s))
                         .map(|(s, _)| *s)
                         .collect();
                     let mut sorted = order.clone();
-                    sorted.sort_by_key(|send| lane.sends.iter().position(|one| one == send));
+                    sorted.sort_by_key(|send| lane.requests.iter().position(|one| one == send));
                     prop_assert_eq!(order, sorted);
                 }
                 Ok(())
--- a/crates/heathspurctl/src/charts.rs
+++ b/crates/heathspurctl/src/charts.rs
@@ -16,7 +16,7 @@
 
 /// Requests intended, sent and answered in each second.
 pub fn rates(file: &Path, plan: &Plan, outcomes: &[Outcome]) -> io::Result<()> {
-    let seconds = (plan.end / 1_000_000_000) as usize + 2;
+    let seconds = (plan.last_send_at / 1_000_000_000) as usize + 2;
     let count = |time: &dyn Fn(&Outcome) -> Option<u64>| {
         let mut counts = vec![0_u32; seconds];
         for at in outcomes.iter().filter_map(time) {
@@ -44,12 +44,12 @@
 
 /// Latency by quantile, recorded and replayed.
 pub fn latency(file: &Path, loaded: &Loaded, plan: &Plan, outcomes: &[Outcome]) -> io::Result<()> {
-    let then = plan.sends.iter().filter_map(|send| {
+    let then = plan.requests.iter().filter_map(|send| {
         let request = &loaded.requests[send.recorded];
         request
-            .answer
+            .response
             .as_ref()
-            .map(|answer| answer.last.saturating_sub(request.last))
+            .map(|answer| answer.last_byte_at.saturating_sub(request.last_byte_at))
     });
     let now = outcomes.iter().filter_map(|outcome| match outcome.end {
         End::Answered { last, .. } => Some(last.saturating_sub(outcome.intended)),
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -5,7 +5,7 @@
 use heathspur_capture::exchange::{Cause, Found};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{ConnId, Item, Side, Tally};
-use heathspur_replay::plan::{Recorded, RecordedAnswer};
+use heathspur_replay::recording::{RecordedRequest, RecordedResponse};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub struct Loaded {
     /// The requests, by the capture time of their first byte.
-    pub requests: Vec<Recorded>,
+    pub requests: Vec<RecordedRequest>,
     /// Where the fields of each stand.
     pub fields: Vec<Range<usize>>,
     /// When connections began.
@@ -44,13 +44,13 @@
             }
             places.insert((conn, index), loaded.requests.len());
             loaded.fields.push(message.fields.clone());
-            loaded.requests.push(Recorded {
-                conn: conn.0,
-                first: message.first.0,
-                last: message.last.0,
+            loaded.requests.push(RecordedRequest {
+                connection: conn.0,
+                first_byte_at: message.first.0,
+                last_byte_at: message.last.0,
                 // A copy of its own: a slice would keep all that was read with it.
                 bytes: bytes::Bytes::copy_from_slice(&message.bytes),
-                answer: None,
+                response: None,
             });
         }
         Item::Message(Found::Answer {
@@ -59,11 +59,11 @@
             message,
         }) => {
             if let Some(place) = places.remove(&(conn, to)) {
-                loaded.requests[place].answer = Some(RecordedAnswer {
+                loaded.requests[place].response = Some(RecordedResponse {
                     status: message.status().unwrap_or(0),
-                    first: message.first.0,
-                    last: message.last.0,
-                    digest: source::digest(message.body()),
+                    first_byte_at: message.first.0,
+                    last_byte_at: message.last.0,
+                    body_digest: source::digest(message.body()),
                 });
             }
         }
@@ -86,7 +86,7 @@
     }
     // Requests are whole in another order than they begin.
     let mut order: Vec<usize> = (0..loaded.requests.len()).collect();
-    order.sort_by_key(|&n| loaded.requests[n].first);
+    order.sort_by_key(|&n| loaded.requests[n].first_byte_at);
     loaded.fields = order.iter().map(|&n| loaded.fields[n].clone()).collect();
     loaded.requests = order.iter().map(|&n| loaded.requests[n].clone()).collect();
     Ok(loaded)
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -13,7 +13,7 @@
 use heathspur_replay::audit::{audit, Terms};
 use heathspur_replay::event::{Action, Event};
 use heathspur_replay::limits::Limits;
-use heathspur_replay::plan::{self, plan, Plan};
+use heathspur_replay::plan::{self, Plan};
 use heathspur_replay::renew::{Changed, Names, Renewer, Times};
 use heathspur_replay::runner::Runner;
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
         seed: options.seed,
         ..plan::Options::default()
     };
-    let plan = plan(&loaded.requests, &loaded.opened, &terms)
+    let plan = Plan::build(&loaded.requests, &loaded.opened, &terms)
         .map_err(|fault| Fault::Other(2, format!("{}: {fault}", options.source.file.display())))?;
     let replayed = play(&loaded, &plan, options);
     let terms = Terms {
@@ -165,7 +165,7 @@
 ) -> Replayed {
     let mut runner = Runner::new(plan, limits, options.seed);
     let (reports, inbox): (Sender<Report>, Receiver<Report>) = async_channel::bounded(REPORTS);
-    let mut lines: Vec<Option<Line>> = plan.lanes.iter().map(|_| None).collect();
+    let mut lines: Vec<Option<Line>> = plan.connections.iter().map(|_| None).collect();
     let names = Names {
         id: options.id_field.clone(),
         key: options.key_field.clone(),
@@ -195,7 +195,7 @@
                 }
                 Action::Close(lane) => lines[lane] = None,
                 Action::Send(send) => {
-                    let planned = &plan.sends[send];
+                    let planned = &plan.requests[send];
                     let request = &loaded.requests[planned.recorded];
                     let mut bytes = request.bytes.clone();
                     if options.renew {
@@ -203,7 +203,7 @@
                             .duration_since(UNIX_EPOCH)
                             .unwrap_or_default();
                         let times = Times {
-                            recorded: request.first,
+                            recorded: request.first_byte_at,
                             now_ms: now_ms.as_millis() as u64,
                         };
                         let fields = loaded.fields[planned.recorded].clone();
@@ -212,7 +212,7 @@
                         bytes = fresh;
                         changed.add(what);
                     }
-                    if let Some(line) = &lines[planned.lane] {
+                    if let Some(line) = &lines[planned.connection] {
                         let head = bytes.starts_with(b"HEAD ");
                         // A closed one has told, or will, that its connection is over.
                         let _ = line.outbox.try_send(Outgoing { bytes, head });
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -93,7 +93,7 @@
     let whole = json!({"audit": audit, "changed": replayed.changed});
     std::fs::write(folder.join("report.json"), format!("{whole:#}\n"))?;
     let mut lines = BufWriter::new(File::create(folder.join("requests.jsonl"))?);
-    for (send, outcome) in plan.sends.iter().zip(&replayed.outcomes) {
+    for (send, outcome) in plan.requests.iter().zip(&replayed.outcomes) {
         let request = &loaded.requests[send.recorded];
         let ms = |nanos: u64| nanos as f64 / 1e6;
         let (end, status, answered) = match outcome.end {
@@ -103,9 +103,9 @@
             other => (format!("{other:?}").to_lowercase(), None, None),
         };
         let line = json!({
-            "connection": request.conn, "copy": send.copy, "intended_ms": ms(outcome.intended),
+            "connection": request.connection, "copy": send.copy, "intended_ms": ms(outcome.intended),
             "sent_ms": outcome.sent.map(ms), "answered_ms": answered, "end": end, "status": status,
-            "recorded_status": request.answer.as_ref().map(|answer| answer.status),
+            "recorded_status": request.response.as_ref().map(|answer| answer.status),
         });
         writeln!(lines, "{line}")?;
     }
