--- a/crates/heathspur-replay/src/audit.rs
+++ b/crates/heathspur-replay/src/audit.rs
@@ -1,247 +1,260 @@
-//! What came of a replay, against the recording and against the rules.
+//! Compares the outcomes of a replay with the recording and with the rules of the service.
 
-use crate::outcome::{Counts, End, Outcome, Unsent};
-use crate::plan::Plan;
-use crate::recording::RecordedRequest;
+use crate::histogram::{DurationHistogram, Quantiles};
+use crate::outcome::{Counts, NotSentReason, Outcome, RequestState};
+use crate::plan::{Plan, PlannedRequest};
+use crate::recording::{RecordedRequest, RecordedResponse};
 use crate::Nanos;
-use hdrhistogram::Histogram;
+use heathspur_wire::http::Fields;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// A second, the window in which drift is told.
-const SECOND: Nanos = 1_000_000_000;
-
-/// Quantiles of a set of times, in milliseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Times {
-    /// How many there are.
-    pub count: u64,
-    /// Half are not above this.
-    pub p50_ms: f64,
-    /// 99 of 100 are not.
-    pub p99_ms: f64,
-    /// 999 of 1,000 are not.
-    pub p999_ms: f64,
-    /// None is.
-    pub max_ms: f64,
-}
-
-/// Collects times, in nanoseconds, with three digits kept.
-pub struct Collect(Option<Histogram<u64>>);
-
-impl Default for Collect {
-    fn default() -> Collect {
-        Collect::new()
-    }
-}
+/// Drift is measured between windows of this length.
+const DRIFT_WINDOW: Nanos = 1_000_000_000;
+const OK: u16 = 200;
 
-impl Collect {
-    /// An empty one.
-    pub fn new() -> Collect {
-        // An hour at the most; it saturates there.
-        Collect(Histogram::new_with_bounds(1, 3600 * SECOND, 3).ok())
-    }
-
-    /// Adds a time.
-    pub fn add(&mut self, time: Nanos) {
-        if let Some(times) = &mut self.0 {
-            times.saturating_record(time.max(1));
-        }
-    }
-
-    /// Its quantiles.
-    pub fn times(&self) -> Times {
-        let Some(times) = self.0.as_ref().filter(|times| !times.is_empty()) else {
-            return Times::default();
-        };
-        let ms = |value: u64| value as f64 / 1e6;
-        Times {
-            count: times.len(),
-            p50_ms: ms(times.value_at_quantile(0.5)),
-            p99_ms: ms(times.value_at_quantile(0.99)),
-            p999_ms: ms(times.value_at_quantile(0.999)),
-            max_ms: ms(times.max()),
-        }
-    }
-}
-
-/// How results compare with the recorded ones.
+/// How responses compare with the recorded ones. The report keeps the names of its format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Compared {
-    /// Same status, same body.
+pub struct Comparison {
+    /// Same status and same body.
     pub same: u64,
-    /// Another status.
+    /// Different status.
     pub status_differs: u64,
-    /// Same status, another body.
+    /// Same status and different body.
     pub body_differs: u64,
-    /// Answered now and not in the recording.
-    pub only_now: u64,
-    /// Answered in the recording and not now.
+    /// Answered in the replay only.
+    #[serde(rename = "only_now")]
+    pub only_replayed: u64,
+    /// Answered in the recording only.
     pub only_recorded: u64,
     /// Answered in neither.
     pub neither: u64,
 }
 
-/// The audit of a replay.
+impl Comparison {
+    fn add_answered(&mut self, recorded: Option<&RecordedResponse>, status: u16, body_digest: u64) {
+        let counter = match recorded {
+            None => &mut self.only_replayed,
+            Some(recorded) if recorded.status != status => &mut self.status_differs,
+            Some(recorded) if recorded.body_digest != body_digest => &mut self.body_differs,
+            Some(_) => &mut self.same,
+        };
+        *counter += 1;
+    }
+
+    fn add_unanswered(&mut self, recorded: Option<&RecordedResponse>) {
+        match recorded {
+            Some(_) => self.only_recorded += 1,
+            None => self.neither += 1,
+        }
+    }
+}
+
+/// The audit of a replay. The report keeps the names of its format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Audit {
-    /// Requests of the schedule.
+    /// Requests of the plan.
     pub requests: u64,
-    /// Requests that left.
+    /// Requests sent.
     pub sent: u64,
-    /// Requests with one answer.
+    /// Requests answered once.
     pub answered: u64,
-    /// Requests that left and whose connection ended without an answer.
-    pub broken: u64,
-    /// Requests that left and were not answered for too long.
+    /// Requests sent whose connection ended before they were answered.
+    #[serde(rename = "broken")]
+    pub connection_lost: u64,
+    /// Requests sent that were not answered in time.
     pub timed_out: u64,
-    /// Requests that never left, by cause.
-    pub unsent: BTreeMap<Unsent, u64>,
-    /// Answers by status.
+    /// Requests not sent, by reason.
+    #[serde(rename = "unsent")]
+    pub not_sent: BTreeMap<NotSentReason, u64>,
+    /// Responses by status.
     pub statuses: BTreeMap<u16, u64>,
-    /// Connections and the like.
+    /// Counts of the runner.
     pub counts: Counts,
-    /// Against the recording.
-    pub compared: Compared,
-    /// Requests answered later than they might be, where a limit was given.
+    /// Comparison with the recording.
+    pub compared: Comparison,
+    /// Requests answered later than [`AuditOptions::late_after`].
     pub late: u64,
-    /// Keys whose requests were answered 200 with different bodies: an effect twice, or a result not kept.
-    pub keys_differ: u64,
-    /// How long after its intended time each request left.
-    pub lateness: Times,
-    /// The largest change of the median lateness from a second to the next, in milliseconds.
+    /// Idempotency keys whose requests were answered 200 with different bodies: an effect that happened twice, or a
+    /// result that was not kept.
+    #[serde(rename = "keys_differ")]
+    pub conflicting_keys: u64,
+    /// Delay from the intended to the actual sending time.
+    pub lateness: Quantiles,
+    /// Largest change of the median lateness between consecutive seconds, in milliseconds per second.
     pub drift_ms_per_s: f64,
-    /// From the last byte of each recorded request to the last of its answer, as it was recorded.
-    pub recorded_latency: Times,
-    /// From the intended time to the answer's last byte.
-    pub latency: Times,
+    /// Recorded time from the last byte of a request to the last byte of its response.
+    pub recorded_latency: Quantiles,
+    /// Time from the intended sending time to the last byte of the response.
+    pub latency: Quantiles,
 }
 
 impl Audit {
-    /// Whether each request of the schedule was sent and answered once.
-    pub fn whole(&self) -> bool {
-        self.answered == self.requests && self.counts.extra_answers == 0
+    /// Audits the outcomes of a replay.
+    pub fn new(
+        recorded: &[RecordedRequest],
+        plan: &Plan,
+        outcomes: &[Outcome],
+        counts: Counts,
+        options: AuditOptions<'_>,
+    ) -> Audit {
+        let mut auditor = Auditor::new(options);
+        for (planned, outcome) in plan.requests.iter().zip(outcomes) {
+            auditor.add(&recorded[planned.recorded], planned, outcome);
+        }
+        Audit {
+            requests: plan.requests.len() as u64,
+            counts,
+            ..auditor.finish()
+        }
     }
 
-    /// Whether what came back breaks a rule: two answers, or one key with two results.
-    pub fn breaks_a_rule(&self) -> bool {
-        self.counts.extra_answers > 0 || self.keys_differ > 0 || self.late > 0
+    /// Whether every request of the plan was sent and answered exactly once.
+    pub fn is_complete(&self) -> bool {
+        self.answered == self.requests && self.counts.unexpected_responses == 0
+    }
+
+    /// Whether the responses violate a rule of the service: surplus or late ones, or different ones for one key.
+    pub fn violates_rules(&self) -> bool {
+        self.counts.unexpected_responses > 0 || self.conflicting_keys > 0 || self.late > 0
     }
 }
 
-/// What an audit goes by.
+/// Parameters of an audit.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Terms<'a> {
-    /// The field that carries an idempotency key.
-    pub key: &'a str,
-    /// An answer later than this after the intended time is late.
+pub struct AuditOptions<'a> {
+    /// Name of the header field that carries the idempotency key; empty for none.
+    pub key_field: &'a str,
+    /// A response later than this after the intended sending time is late.
     pub late_after: Option<Nanos>,
 }
 
-/// Makes the audit.
-pub fn audit(
-    recorded: &[RecordedRequest],
-    plan: &Plan,
-    outcomes: &[Outcome],
-    counts: Counts,
-    terms: Terms<'_>,
-) -> Audit {
-    let mut audit = Audit {
-        requests: plan.requests.len() as u64,
-        counts,
-        ..Audit::default()
-    };
-    let (mut late, mut latency, mut before) = (Collect::new(), Collect::new(), Collect::new());
-    let mut seconds: BTreeMap<u64, Vec<Nanos>> = BTreeMap::new();
-    let mut keys: HashMap<(u64, &[u8]), Vec<u64>> = HashMap::new();
-    for (send, outcome) in plan.requests.iter().zip(outcomes) {
-        let request = &recorded[send.recorded];
-        if let Some(sent) = outcome.sent {
-            audit.sent += 1;
-            let lateness = sent.saturating_sub(outcome.intended);
-            late.add(lateness);
-            seconds
-                .entry(outcome.intended / SECOND)
-                .or_default()
-                .push(lateness);
+/// Accumulates an audit, one request at a time.
+struct Auditor<'a> {
+    options: AuditOptions<'a>,
+    audit: Audit,
+    lateness: DurationHistogram,
+    latency: DurationHistogram,
+    recorded_latency: DurationHistogram,
+    /// Lateness of the requests that were due in each window.
+    lateness_by_window: BTreeMap<u64, Vec<Nanos>>,
+    /// Body digests of the successful responses, by copy and idempotency key.
+    bodies_by_key: HashMap<(u64, &'a [u8]), Vec<u64>>,
+}
+
+impl<'a> Auditor<'a> {
+    fn new(options: AuditOptions<'a>) -> Auditor<'a> {
+        Auditor {
+            options,
+            audit: Audit::default(),
+            lateness: DurationHistogram::new(),
+            latency: DurationHistogram::new(),
+            recorded_latency: DurationHistogram::new(),
+            lateness_by_window: BTreeMap::new(),
+            bodies_by_key: HashMap::new(),
         }
-        if let Some(answer) = &request.response {
-            before.add(answer.last_byte_at.saturating_sub(request.last_byte_at));
+    }
+
+    fn add(&mut self, request: &'a RecordedRequest, planned: &PlannedRequest, outcome: &Outcome) {
+        self.add_lateness(outcome);
+        let recorded = request.response.as_ref();
+        if let Some(response) = recorded {
+            let latency = response.last_byte_at.saturating_sub(request.last_byte_at);
+            self.recorded_latency.record(latency);
         }
-        let was = request.response.as_ref();
-        match outcome.end {
-            End::Answered {
+        match outcome.state {
+            RequestState::Answered {
                 status,
-                digest,
-                last,
+                body_digest,
+                last_byte_at,
                 ..
             } => {
-                audit.answered += 1;
-                *audit.statuses.entry(status).or_default() += 1;
-                let took = last.saturating_sub(outcome.intended);
-                latency.add(took);
-                audit.late += u64::from(terms.late_after.is_some_and(|most| took > most));
-                match was {
-                    None => audit.compared.only_now += 1,
-                    Some(was) if was.status != status => audit.compared.status_differs += 1,
-                    Some(was) if was.body_digest != digest => audit.compared.body_differs += 1,
-                    Some(_) => audit.compared.same += 1,
+                self.add_response_time(last_byte_at.saturating_sub(outcome.intended_at));
+                *self.audit.statuses.entry(status).or_default() += 1;
+                self.audit
+                    .compared
+                    .add_answered(recorded, status, body_digest);
+                if status == OK {
+                    self.add_result(request, planned.copy, body_digest);
                 }
-                if let Some(key) = key(request, terms.key).filter(|_| status == 200) {
-                    keys.entry((send.copy, key)).or_default().push(digest);
-                }
-                continue;
+                return;
+            }
+            RequestState::ConnectionLost => self.audit.connection_lost += 1,
+            RequestState::TimedOut => self.audit.timed_out += 1,
+            RequestState::NotSent(reason) => {
+                *self.audit.not_sent.entry(reason).or_default() += 1;
             }
-            End::Broken => audit.broken += 1,
-            End::TimedOut => audit.timed_out += 1,
-            End::Unsent(why) => *audit.unsent.entry(why).or_default() += 1,
-            End::Open => {}
+            RequestState::Pending => {}
         }
-        match was {
-            Some(_) => audit.compared.only_recorded += 1,
-            None => audit.compared.neither += 1,
+        self.audit.compared.add_unanswered(recorded);
+    }
+
+    fn add_lateness(&mut self, outcome: &Outcome) {
+        let Some(sent_at) = outcome.sent_at else {
+            return;
+        };
+        self.audit.sent += 1;
+        let lateness = sent_at.saturating_sub(outcome.intended_at);
+        self.lateness.record(lateness);
+        let window = outcome.intended_at / DRIFT_WINDOW;
+        let in_window = self.lateness_by_window.entry(window).or_default();
+        in_window.push(lateness);
+    }
+
+    fn add_response_time(&mut self, latency: Nanos) {
+        self.audit.answered += 1;
+        self.latency.record(latency);
+        let is_late = self.options.late_after.is_some_and(|limit| latency > limit);
+        self.audit.late += u64::from(is_late);
+    }
+
+    fn add_result(&mut self, request: &'a RecordedRequest, copy: u64, body_digest: u64) {
+        if let Some(key) = idempotency_key(request, self.options.key_field) {
+            let bodies = self.bodies_by_key.entry((copy, key)).or_default();
+            bodies.push(body_digest);
+        }
+    }
+
+    fn finish(self) -> Audit {
+        let has_conflict = |bodies: &&Vec<u64>| bodies.iter().any(|body| *body != bodies[0]);
+        let conflicting_keys = self.bodies_by_key.values().filter(has_conflict).count();
+        Audit {
+            conflicting_keys: conflicting_keys as u64,
+            lateness: self.lateness.quantiles(),
+            latency: self.latency.quantiles(),
+            recorded_latency: self.recorded_latency.quantiles(),
+            drift_ms_per_s: largest_drift(self.lateness_by_window),
+            ..self.audit
         }
     }
-    audit.keys_differ = keys
-        .values()
-        .filter(|results| results.iter().any(|r| *r != results[0]))
-        .count() as u64;
-    audit.lateness = late.times();
-    audit.latency = latency.times();
-    audit.recorded_latency = before.times();
-    audit.drift_ms_per_s = drift(seconds);
-    audit
 }
 
-fn key<'a>(request: &'a RecordedRequest, name: &str) -> Option<&'a [u8]> {
-    if name.is_empty() {
+fn idempotency_key<'a>(request: &'a RecordedRequest, field_name: &str) -> Option<&'a [u8]> {
+    if field_name.is_empty() {
         return None;
     }
-    // The head ends at the first empty line; a request that was found has one.
-    let end = request
-        .bytes
-        .windows(4)
-        .position(|four| four == b"\r\n\r\n")?
-        + 2;
-    let line = request.bytes.iter().position(|b| *b == b'\n')? + 1;
-    let mut fields =
-        heathspur_wire::http::Fields::over(request.bytes.get(line..end)?).filter_map(Result::ok);
+    let bytes = &request.bytes;
+    // The head ends at the first empty line. Every complete request has one.
+    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 2;
+    let start = bytes.iter().position(|byte| *byte == b'\n')? + 1;
+    let mut fields = Fields::over(bytes.get(start..end)?).filter_map(Result::ok);
     fields
-        .find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()))
+        .find(|(name, _)| name.eq_ignore_ascii_case(field_name.as_bytes()))
         .map(|(_, value)| value)
 }
 
-/// The largest change of the median from a second to the next that has requests.
-fn drift(seconds: BTreeMap<u64, Vec<Nanos>>) -> f64 {
-    let mut before: Option<(u64, f64)> = None;
-    let mut most = 0.0_f64;
-    for (second, mut times) in seconds {
-        times.sort_unstable();
-        let median = times[times.len() / 2] as f64 / 1e6;
-        if let Some((last, was)) = before {
-            most = most.max((median - was).abs() / (second - last) as f64);
+/// Returns the largest change of the median, in milliseconds per window, between consecutive windows with requests.
+fn largest_drift(lateness_by_window: BTreeMap<u64, Vec<Nanos>>) -> f64 {
+    let mut previous: Option<(u64, f64)> = None;
+    let mut largest = 0.0_f64;
+    for (window, mut lateness) in lateness_by_window {
+        lateness.sort_unstable();
+        let median = lateness[lateness.len() / 2] as f64 / 1e6;
+        if let Some((previous_window, previous_median)) = previous {
+            let change = (median - previous_median).abs();
+            largest = largest.max(change / (window - previous_window) as f64);
         }
-        before = Some((second, median));
+        previous = Some((window, median));
     }
-    most
+    largest
 }
--- a/crates/heathspur-replay/src/connection.rs
+++ b/crates/heathspur-replay/src/connection.rs
@@ -1,31 +1,59 @@
 //! State of one connection of a replay.
 
-use crate::event::Failure;
+use crate::event::ConnectFailure;
+use crate::outcome::NotSentReason;
 use crate::Nanos;
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
+/// Sorts idle connections: the one that is needed last comes first.
+pub(crate) type IdleKey = (Reverse<Nanos>, usize);
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum State {
-    Away,
+pub(crate) enum ConnectionState {
+    Disconnected,
     Connecting,
-    Up,
-    Waiting,
+    Connected,
+    BackingOff,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Lane {
-    pub(crate) state: State,
+pub(crate) struct Connection {
+    pub(crate) state: ConnectionState,
+    /// Failures to connect since the last success.
     pub(crate) failures: u32,
-    pub(crate) failure: Failure,
-    /// Its next request, by its place among its own.
-    pub(crate) next: usize,
+    pub(crate) last_failure: ConnectFailure,
+    /// Position of the next request among those of this connection.
+    pub(crate) next_request: usize,
     /// Requests sent and not answered, oldest first.
-    pub(crate) open: VecDeque<usize>,
-    /// When the latest answer came.
-    pub(crate) answered: Option<Nanos>,
-    /// When it is looked at next; older timers of it are void.
-    pub(crate) wake: Option<Nanos>,
-    /// Its place among those that may be closed to make room.
-    pub(crate) idle: Option<(Reverse<Nanos>, usize)>,
+    pub(crate) in_flight: VecDeque<usize>,
+    pub(crate) last_response_at: Option<Nanos>,
+    /// When the connection is checked next. Timers set for other times are void.
+    pub(crate) next_check_at: Option<Nanos>,
+    /// Its key in the runner's set of idle connections, while it is there.
+    pub(crate) idle_key: Option<IdleKey>,
+}
+
+impl Connection {
+    /// A connection that has not been opened and is first checked at `open_at`.
+    pub(crate) fn new(open_at: Nanos) -> Connection {
+        Connection {
+            state: ConnectionState::Disconnected,
+            failures: 0,
+            last_failure: ConnectFailure::Refused,
+            next_request: 0,
+            in_flight: VecDeque::new(),
+            last_response_at: None,
+            next_check_at: Some(open_at),
+            idle_key: None,
+        }
+    }
+
+    /// Why a request that is overdue could not be sent.
+    pub(crate) fn not_sent_reason(&self) -> NotSentReason {
+        match self.last_failure {
+            ConnectFailure::Exhausted => NotSentReason::Exhausted,
+            ConnectFailure::Refused => NotSentReason::Refused,
+        }
+    }
 }
--- a/crates/heathspur-replay/src/event.rs
+++ b/crates/heathspur-replay/src/event.rs
@@ -1,46 +1,63 @@
 //! Events that the runner receives and actions that it returns.
+//!
+//! Connections and requests are identified by their indices in [`Plan::connections`] and [`Plan::requests`].
+//!
+//! [`Plan::connections`]: crate::plan::Plan::connections
+//! [`Plan::requests`]: crate::plan::Plan::requests
 
 use crate::Nanos;
 
-/// Why a connection could not be made.
+/// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// The target refused, or did not answer.
+pub enum ConnectFailure {
+    /// The target refused the connection or did not answer.
     Refused,
-    /// This process or machine has no descriptors or ports left.
+    /// This process or machine has no file descriptors or ports left.
     Exhausted,
 }
 
-/// What happened.
+/// Something that happened to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A connection is made.
+    /// The connection was opened.
     Connected(usize),
-    /// It can't be.
-    Failed(usize, Failure),
-    /// A final answer came on a connection.
-    Answer {
+    /// The connection could not be opened.
+    ConnectFailed(usize, ConnectFailure),
+    /// A final response was received.
+    Response {
         /// The connection.
-        lane: usize,
-        /// The answer's status.
+        connection: usize,
+        /// HTTP status code.
         status: u16,
-        /// A digest of its body.
-        digest: u64,
-        /// When its first byte came.
-        first: Nanos,
-        /// Whether it is the last there.
+        /// Digest of the body.
+        body_digest: u64,
+        /// When the first byte was received.
+        first_byte_at: Nanos,
+        /// Whether this response is the last one on its connection.
         close: bool,
     },
-    /// The other side closed a connection, or it broke.
+    /// The peer closed the connection, or it broke.
     Closed(usize),
 }
 
-/// What is to be done.
+impl Event {
+    /// The connection to which it happened.
+    pub fn connection(&self) -> usize {
+        match *self {
+            Event::Connected(connection)
+            | Event::ConnectFailed(connection, _)
+            | Event::Response { connection, .. }
+            | Event::Closed(connection) => connection,
+        }
+    }
+}
+
+/// Something that the caller must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Make this connection.
+    /// Open this connection.
     Connect(usize),
-    /// Write this request, by its place in [`Plan::sends`], to its connection.
+    /// Write this request to its connection.
     Send(usize),
     /// Close this connection.
     Close(usize),
--- a/crates/heathspur-replay/src/lib.rs
+++ b/crates/heathspur-replay/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod audit;
 mod connection;
 pub mod event;
+pub mod histogram;
 pub mod limits;
 pub mod outcome;
 pub mod plan;
--- a/crates/heathspur-replay/src/outcome.rs
+++ b/crates/heathspur-replay/src/outcome.rs
@@ -1,71 +1,78 @@
 //! Outcome of each request, and counts over a whole replay.
 
 use crate::Nanos;
+use serde::Serialize;
 
-/// Why a request never left.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize)]
+/// Why a request was not sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unsent {
-    /// Its connection could not be made in time.
+pub enum NotSentReason {
+    /// Its connection could not be opened in time.
     Refused,
-    /// Nothing to connect with was left.
+    /// No connection, file descriptor or port was available.
     Exhausted,
-    /// Too many requests were open.
+    /// Too many requests were in flight.
     Budget,
-    /// An answer that it had to wait for came too late.
+    /// A response that it had to wait for was received too late.
     Waited,
 }
 
-/// How a request ended.
+/// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Not yet.
-    Open,
-    /// Answered.
+pub enum RequestState {
+    /// It has not ended.
+    Pending,
+    /// It was answered.
     Answered {
-        /// The status.
+        /// HTTP status code.
         status: u16,
-        /// A digest of the body.
-        digest: u64,
-        /// When the first byte of the answer came.
-        first: Nanos,
-        /// When its last did.
-        last: Nanos,
+        /// Digest of the body.
+        body_digest: u64,
+        /// When the first byte of the response was received.
+        first_byte_at: Nanos,
+        /// When the last byte of the response was received.
+        last_byte_at: Nanos,
     },
-    /// Its connection ended under it.
-    Broken,
-    /// No answer came for too long.
+    /// Its connection ended before it was answered.
+    ConnectionLost,
+    /// No response was received in time.
     TimedOut,
-    /// It never left.
-    Unsent(Unsent),
+    /// It was not sent.
+    NotSent(NotSentReason),
 }
 
-/// What came of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// When it was to leave: by the schedule, or by the answer that it waited for.
-    pub intended: Nanos,
-    /// When it left.
-    pub sent: Option<Nanos>,
-    /// How it ended.
-    pub end: End,
+    /// When it was due: by the schedule, or by the response that it waited for.
+    pub intended_at: Nanos,
+    /// When it was sent.
+    pub sent_at: Option<Nanos>,
+    /// Its state.
+    pub state: RequestState,
 }
 
-/// Counts over the whole replay.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
+/// Counts over a whole replay. The report keeps the names of its format.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Connections made.
+    /// Connections opened.
     pub connected: u64,
-    /// Connections that could not be made.
-    pub failed: u64,
-    /// Connections that ended with requests open.
-    pub broken: u64,
-    /// Idle connections closed to make room.
-    pub made_room: u64,
-    /// Answers to nothing.
-    pub extra_answers: u64,
-    /// The most requests open at once.
-    pub most_open: usize,
-    /// The most connections at once.
-    pub most_connections: usize,
+    /// Connections that could not be opened.
+    #[serde(rename = "failed")]
+    pub connect_failures: u64,
+    /// Connections that ended with requests in flight.
+    #[serde(rename = "broken")]
+    pub connections_lost: u64,
+    /// Idle connections closed in favour of others.
+    #[serde(rename = "made_room")]
+    pub idle_evictions: u64,
+    /// Responses without a request.
+    #[serde(rename = "extra_answers")]
+    pub unexpected_responses: u64,
+    /// Largest number of requests in flight.
+    #[serde(rename = "most_open")]
+    pub peak_in_flight: usize,
+    /// Largest number of simultaneous connections.
+    #[serde(rename = "most_connections")]
+    pub peak_connections: usize,
 }
--- a/crates/heathspur-replay/src/runner.rs
+++ b/crates/heathspur-replay/src/runner.rs
@@ -1,113 +1,98 @@
-//! What goes out when, on which connection, and what is given up: the replay as a state machine.
+//! State machine of a replay: when connections are opened and closed, and when requests are sent or given up.
 //!
-//! A connection is `Away`, `Connecting`, `Up` or `Waiting` to try again. Events come in with their time,
-//! actions go out; [`Runner::next_time`] says when to call again without an event. A request that was written
-//! is never written again: whether it ran is not known here.
+//! A connection is `Disconnected`, `Connecting`, `Connected` or `BackingOff` before it reconnects. The caller passes
+//! in events with their times, takes out actions, and calls [`Runner::poll`] no later than [`Runner::next_timer_at`].
+//! A request that was written is never written again, because it may have run.
 
-use crate::connection::{Lane, State};
-use crate::event::{Action, Event, Failure};
+use crate::connection::{Connection, ConnectionState, IdleKey};
+use crate::event::{Action, ConnectFailure, Event};
 use crate::limits::Limits;
-use crate::outcome::{Counts, End, Outcome, Unsent};
-use crate::plan::Plan;
+use crate::outcome::{Counts, NotSentReason, Outcome, RequestState};
+use crate::plan::{Plan, PlannedRequest};
 use crate::Nanos;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap, VecDeque};
+use std::collections::{BTreeSet, BinaryHeap};
 
-/// A connection that is needed later is made so long before.
-const AHEAD: Nanos = 20_000_000;
-/// While all connections are in use, one that needs another looks again after this.
-const LOOK: Nanos = 5_000_000;
+/// A connection is opened this long before its next request is due.
+const CONNECT_LEAD_TIME: Nanos = 20_000_000;
+/// While all connections are in use, one that needs to be opened checks again after this time.
+const CAPACITY_CHECK_INTERVAL: Nanos = 5_000_000;
+/// Keeps the doubling of the backoff from overflowing.
+const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// Something may be due on a connection.
-    Look(usize),
-    /// A connection may be tried again.
-    Again(usize),
-    /// A request should be answered by now.
-    Answer(usize),
+    Check(usize),
+    /// A connection may be opened again.
+    Reconnect(usize),
+    /// A request should have been answered.
+    ResponseTimeout(usize),
 }
 
-/// A replay.
+/// A replay in progress.
 #[derive(Debug)]
 pub struct Runner<'a> {
     plan: &'a Plan,
     limits: Limits,
-    lanes: Vec<Lane>,
+    connections: Vec<Connection>,
     outcomes: Vec<Outcome>,
     timers: BinaryHeap<Reverse<(Nanos, Timer)>>,
-    /// Connections that are up and rest, the one needed last first.
-    idle: BTreeSet<(Reverse<Nanos>, usize)>,
-    in_use: usize,
-    open: usize,
-    left: usize,
-    lots: StdRng,
+    idle: BTreeSet<IdleKey>,
+    /// Connections that are being opened or are open.
+    open_connections: usize,
+    in_flight: usize,
+    /// Requests that have not ended.
+    remaining: usize,
+    rng: StdRng,
     counts: Counts,
     actions: Vec<Action>,
 }
 
 impl<'a> Runner<'a> {
-    /// A replay that has not begun.
+    /// Creates a replay that has not begun.
     pub fn new(plan: &'a Plan, limits: Limits, seed: u64) -> Runner<'a> {
-        let lane = Lane {
-            state: State::Away,
-            failures: 0,
-            failure: Failure::Refused,
-            next: 0,
-            open: VecDeque::new(),
-            answered: None,
-            wake: None,
-            idle: None,
+        let pending = |request: &PlannedRequest| Outcome {
+            intended_at: request.send_at,
+            sent_at: None,
+            state: RequestState::Pending,
         };
-        let outcome = |send: &crate::plan::PlannedRequest| Outcome {
-            intended: send.send_at,
-            sent: None,
-            end: End::Open,
-        };
-        let timers = plan
-            .connections
-            .iter()
+        let open_times = || plan.connections.iter().map(|planned| planned.open_at);
+        let timers = open_times()
             .enumerate()
-            .map(|(n, lane)| Reverse((lane.open_at, Timer::Look(n))));
+            .map(|(connection, open_at)| Reverse((open_at, Timer::Check(connection))));
         Runner {
             plan,
             limits: Limits {
-                connections: limits.connections.max(1),
+                max_connections: limits.max_connections.max(1),
                 ..limits
             },
-            lanes: plan
-                .connections
-                .iter()
-                .map(|l| Lane {
-                    wake: Some(l.open_at),
-                    ..lane.clone()
-                })
-                .collect(),
-            outcomes: plan.requests.iter().map(outcome).collect(),
+            connections: open_times().map(Connection::new).collect(),
+            outcomes: plan.requests.iter().map(pending).collect(),
             timers: timers.collect(),
             idle: BTreeSet::new(),
-            in_use: 0,
-            open: 0,
-            left: plan.requests.len(),
-            lots: StdRng::seed_from_u64(seed),
+            open_connections: 0,
+            in_flight: 0,
+            remaining: plan.requests.len(),
+            rng: StdRng::seed_from_u64(seed),
             counts: Counts::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Whether each request has ended.
-    pub fn done(&self) -> bool {
-        self.left == 0
+    /// Whether every request has ended.
+    pub fn is_done(&self) -> bool {
+        self.remaining == 0
     }
 
-    /// When [`Runner::step`] is to be called at the latest.
-    pub fn next_time(&self) -> Option<Nanos> {
+    /// When [`Runner::poll`] must be called at the latest.
+    pub fn next_timer_at(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// What came of each request, by its place in the plan.
+    /// Outcome of each request, by its index in the plan.
     pub fn outcomes(&self) -> &[Outcome] {
         &self.outcomes
     }
@@ -117,277 +102,318 @@
         self.counts
     }
 
-    /// Takes an event.
-    pub fn event(&mut self, now: Nanos, event: Event) {
+    /// Handles an event.
+    pub fn on_event(&mut self, now: Nanos, event: Event) {
         match event {
-            Event::Connected(lane) => {
-                if self.lanes[lane].state == State::Connecting {
-                    self.counts.connected += 1;
-                    self.lanes[lane].state = State::Up;
-                    self.lanes[lane].failures = 0;
-                    self.look(now, lane);
-                }
+            Event::Connected(connection) => self.on_connected(now, connection),
+            Event::ConnectFailed(connection, failure) => {
+                self.on_connect_failed(now, connection, failure);
             }
-            Event::Failed(lane, failure) => self.failed(now, lane, failure),
-            Event::Answer {
-                lane,
+            Event::Response {
+                connection,
                 status,
-                digest,
-                first,
+                body_digest,
+                first_byte_at,
                 close,
             } => {
-                self.answered(
-                    now,
-                    lane,
-                    End::Answered {
-                        status,
-                        digest,
-                        first,
-                        last: now,
-                    },
-                    close,
-                );
+                let answered = RequestState::Answered {
+                    status,
+                    body_digest,
+                    first_byte_at,
+                    last_byte_at: now,
+                };
+                self.on_response(now, connection, answered, close);
             }
-            Event::Closed(lane) => self.closed(now, lane),
+            Event::Closed(connection) => self.on_closed(now, connection),
         }
     }
 
-    /// Does what is due, and gives the actions since the last call.
-    pub fn step(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+    /// Runs the timers that have expired, and appends the actions since the last call.
+    pub fn poll(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(Reverse((at, timer))) = self.timers.peek().copied() {
             if at > now {
                 break;
             }
             self.timers.pop();
-            match timer {
-                Timer::Look(lane) => {
-                    if self.lanes[lane].wake == Some(at) {
-                        self.lanes[lane].wake = None;
-                        self.look(now, lane);
-                    }
+            self.on_timer(now, at, timer);
+        }
+        actions.append(&mut self.actions);
+    }
+
+    fn on_timer(&mut self, now: Nanos, expired_at: Nanos, timer: Timer) {
+        match timer {
+            Timer::Check(connection) => {
+                if self.connections[connection].next_check_at == Some(expired_at) {
+                    self.connections[connection].next_check_at = None;
+                    self.check(now, connection);
                 }
-                Timer::Again(lane) => {
-                    if self.lanes[lane].state == State::Waiting {
-                        self.lanes[lane].state = State::Away;
-                        self.look(now, lane);
-                    }
+            }
+            Timer::Reconnect(connection) => {
+                if self.connections[connection].state == ConnectionState::BackingOff {
+                    self.connections[connection].state = ConnectionState::Disconnected;
+                    self.check(now, connection);
                 }
-                Timer::Answer(send) => self.overdue(now, send),
             }
+            Timer::ResponseTimeout(request) => self.on_response_timeout(now, request),
         }
-        actions.append(&mut self.actions);
     }
 
-    /// When a connection's next request is to leave; none while it waits for an answer.
-    fn due(&self, lane: usize) -> Option<Nanos> {
-        let state = &self.lanes[lane];
-        let send = &self.plan.requests[*self.plan.connections[lane].requests.get(state.next)?];
-        match send.delay_after_response {
-            Some(_) if !state.open.is_empty() => None,
-            Some(wait) => Some(send.send_at.max(state.answered.map_or(0, |at| at + wait))),
-            None => Some(send.send_at),
+    /// The next request of a connection, and when it is due. `None` at the end, and while the request waits for a
+    /// response.
+    fn next_due(&self, connection: usize) -> Option<(usize, Nanos)> {
+        let planned = &self.plan.connections[connection];
+        let state = &self.connections[connection];
+        let index = *planned.requests.get(state.next_request)?;
+        let request = &self.plan.requests[index];
+        let due_at = match request.delay_after_response {
+            Some(_) if !state.in_flight.is_empty() => return None,
+            Some(delay) => {
+                let earliest = state.last_response_at.map_or(0, |at| at + delay);
+                request.send_at.max(earliest)
+            }
+            None => request.send_at,
+        };
+        Some((index, due_at.max(planned.open_at)))
+    }
+
+    /// Sends what is due on a connection, opens it if it is needed soon, and closes it if it is not needed any more.
+    fn check(&mut self, now: Nanos, connection: usize) {
+        self.set_idle(connection, None);
+        while let Some((request, due_at)) = self.next_due(connection) {
+            self.outcomes[request].intended_at = due_at;
+            if due_at > now {
+                self.prepare_connection(now, connection, due_at);
+                return;
+            }
+            if now - due_at > self.limits.send_timeout {
+                let reason = self.connections[connection].not_sent_reason();
+                self.skip(connection, request, reason);
+            } else if self.connections[connection].state != ConnectionState::Connected {
+                // Skips the request if the connection is not opened in time.
+                self.schedule_check(connection, due_at + self.limits.send_timeout + 1);
+                self.prepare_connection(now, connection, due_at);
+                return;
+            } else if self.in_flight >= self.limits.max_in_flight {
+                self.skip(connection, request, NotSentReason::Budget);
+            } else {
+                self.send(now, connection, request);
+            }
         }
+        self.close_if_finished(connection);
     }
 
-    /// Sends what is due on a connection, makes it where it is needed soon, closes it where it is not needed.
-    fn look(&mut self, now: Nanos, lane: usize) {
-        self.rests(lane, None);
-        while let Some(due) = self.due(lane) {
-            let send = self.plan.connections[lane].requests[self.lanes[lane].next];
-            let due = due.max(self.plan.connections[lane].open_at);
-            self.outcomes[send].intended = due;
-            let state = self.lanes[lane].state;
-            if due <= now {
-                if now - due > self.limits.late {
-                    let unsent = match self.lanes[lane].failure {
-                        Failure::Exhausted => Unsent::Exhausted,
-                        Failure::Refused => Unsent::Refused,
-                    };
-                    self.skip(lane, send, unsent);
-                    continue;
+    /// Gets a connection ready for a request that cannot be sent yet.
+    fn prepare_connection(&mut self, now: Nanos, connection: usize, due_at: Nanos) {
+        let connect_at = due_at.saturating_sub(CONNECT_LEAD_TIME);
+        match self.connections[connection].state {
+            ConnectionState::Disconnected => {
+                if connect_at <= now || self.plan.connections[connection].open_at >= now {
+                    self.connect(now, connection);
+                } else {
+                    self.schedule_check(connection, connect_at);
                 }
-                if state == State::Up {
-                    if self.open >= self.limits.open {
-                        self.skip(lane, send, Unsent::Budget);
-                    } else {
-                        self.send(now, lane, send);
-                    }
-                    continue;
-                }
-                // It is being made; if that takes too long, its time is over.
-                self.wake(lane, due + self.limits.late + 1);
             }
-            match state {
-                State::Away if due <= now + AHEAD || self.plan.connections[lane].open_at >= now => {
-                    self.connect(now, lane);
-                }
-                State::Away => self.wake(lane, due - AHEAD),
-                State::Up => {
-                    self.wake(lane, due);
-                    if self.lanes[lane].open.is_empty() {
-                        self.rests(lane, Some(due));
-                    }
+            ConnectionState::Connected => {
+                self.schedule_check(connection, due_at);
+                if self.connections[connection].in_flight.is_empty() {
+                    self.set_idle(connection, Some(due_at));
                 }
-                State::Connecting | State::Waiting => {}
             }
-            return;
+            ConnectionState::Connecting | ConnectionState::BackingOff => {}
         }
-        let finished = self.lanes[lane].next == self.plan.connections[lane].requests.len();
-        if finished && self.lanes[lane].open.is_empty() && self.lanes[lane].state == State::Up {
-            self.close(lane);
+    }
+
+    fn close_if_finished(&mut self, connection: usize) {
+        let state = &self.connections[connection];
+        let all_sent = state.next_request == self.plan.connections[connection].requests.len();
+        let is_connected = state.state == ConnectionState::Connected;
+        if all_sent && state.in_flight.is_empty() && is_connected {
+            self.close(connection);
         }
     }
 
-    /// Looks at a connection at that time, or earlier if that is asked for already.
-    fn wake(&mut self, lane: usize, at: Nanos) {
-        if self.lanes[lane].wake.is_none_or(|wake| at < wake) {
-            self.lanes[lane].wake = Some(at);
-            self.timers.push(Reverse((at, Timer::Look(lane))));
+    /// Schedules a check of a connection, unless an earlier one is scheduled.
+    fn schedule_check(&mut self, connection: usize, at: Nanos) {
+        let next_check_at = &mut self.connections[connection].next_check_at;
+        if next_check_at.is_none_or(|scheduled| at < scheduled) {
+            *next_check_at = Some(at);
+            self.timers.push(Reverse((at, Timer::Check(connection))));
         }
     }
 
-    fn rests(&mut self, lane: usize, until: Option<Nanos>) {
-        let place = until.map(|until| (Reverse(until), lane));
-        if let Some(before) = std::mem::replace(&mut self.lanes[lane].idle, place) {
-            self.idle.remove(&before);
+    /// Marks a connection as idle until a time, or as in use.
+    fn set_idle(&mut self, connection: usize, until: Option<Nanos>) {
+        let key = until.map(|until| (Reverse(until), connection));
+        let previous = std::mem::replace(&mut self.connections[connection].idle_key, key);
+        if let Some(previous) = previous {
+            self.idle.remove(&previous);
         }
-        if let Some(place) = place {
-            self.idle.insert(place);
+        if let Some(key) = key {
+            self.idle.insert(key);
         }
     }
 
-    fn skip(&mut self, lane: usize, send: usize, why: Unsent) {
-        self.lanes[lane].next += 1;
-        self.end(send, End::Unsent(why));
+    fn skip(&mut self, connection: usize, request: usize, reason: NotSentReason) {
+        self.connections[connection].next_request += 1;
+        self.finish(request, RequestState::NotSent(reason));
     }
 
-    fn send(&mut self, now: Nanos, lane: usize, send: usize) {
-        self.lanes[lane].next += 1;
-        self.lanes[lane].open.push_back(send);
-        self.open += 1;
-        self.counts.most_open = self.counts.most_open.max(self.open);
-        self.outcomes[send].sent = Some(now);
+    fn send(&mut self, now: Nanos, connection: usize, request: usize) {
+        let state = &mut self.connections[connection];
+        state.next_request += 1;
+        state.in_flight.push_back(request);
+        self.in_flight += 1;
+        self.counts.peak_in_flight = self.counts.peak_in_flight.max(self.in_flight);
+        self.outcomes[request].sent_at = Some(now);
+        let timeout_at = now + self.limits.response_timeout;
         self.timers
-            .push(Reverse((now + self.limits.answer, Timer::Answer(send))));
-        self.actions.push(Action::Send(send));
+            .push(Reverse((timeout_at, Timer::ResponseTimeout(request))));
+        self.actions.push(Action::Send(request));
     }
 
-    fn connect(&mut self, now: Nanos, lane: usize) {
-        if self.in_use >= self.limits.connections && !self.make_room(now) {
-            self.lanes[lane].failure = Failure::Exhausted;
-            self.wake(lane, now + LOOK);
+    fn connect(&mut self, now: Nanos, connection: usize) {
+        let is_full = self.open_connections >= self.limits.max_connections;
+        if is_full && !self.evict_idle(now) {
+            self.connections[connection].last_failure = ConnectFailure::Exhausted;
+            self.schedule_check(connection, now + CAPACITY_CHECK_INTERVAL);
             return;
         }
-        self.in_use += 1;
-        self.counts.most_connections = self.counts.most_connections.max(self.in_use);
-        self.lanes[lane].state = State::Connecting;
-        self.actions.push(Action::Connect(lane));
+        self.open_connections += 1;
+        self.counts.peak_connections = self.counts.peak_connections.max(self.open_connections);
+        self.connections[connection].state = ConnectionState::Connecting;
+        self.actions.push(Action::Connect(connection));
     }
 
-    /// Closes the resting connection that is needed last; it is made again in time. One that is needed soon
-    /// stays: it would only take the room back.
-    fn make_room(&mut self, now: Nanos) -> bool {
-        let last = self
-            .idle
-            .first()
-            .filter(|(Reverse(until), _)| *until > now + 2 * AHEAD);
-        let Some((Reverse(until), lane)) = last.copied() else {
+    /// Closes the idle connection that is needed last; it is opened again in time. One that is needed soon stays,
+    /// since reopening it would only move the shortage.
+    fn evict_idle(&mut self, now: Nanos) -> bool {
+        let needed_last = self.idle.first().copied();
+        let Some((Reverse(until), connection)) =
+            needed_last.filter(|(Reverse(until), _)| *until > now + 2 * CONNECT_LEAD_TIME)
+        else {
             return false;
         };
-        self.counts.made_room += 1;
-        self.close(lane);
-        self.wake(lane, until.saturating_sub(AHEAD));
+        self.counts.idle_evictions += 1;
+        self.close(connection);
+        self.schedule_check(connection, until.saturating_sub(CONNECT_LEAD_TIME));
         true
     }
 
-    fn close(&mut self, lane: usize) {
-        self.rests(lane, None);
-        self.lanes[lane].state = State::Away;
-        self.in_use -= 1;
-        self.actions.push(Action::Close(lane));
+    fn close(&mut self, connection: usize) {
+        self.set_disconnected(connection);
+        self.actions.push(Action::Close(connection));
+    }
+
+    fn set_disconnected(&mut self, connection: usize) {
+        self.set_idle(connection, None);
+        self.connections[connection].state = ConnectionState::Disconnected;
+        self.open_connections -= 1;
     }
 
-    fn failed(&mut self, now: Nanos, lane: usize, failure: Failure) {
-        if self.lanes[lane].state != State::Connecting {
+    fn on_connected(&mut self, now: Nanos, connection: usize) {
+        let state = &mut self.connections[connection];
+        if state.state != ConnectionState::Connecting {
             return;
         }
-        self.counts.failed += 1;
-        self.in_use -= 1;
-        if failure == Failure::Exhausted {
-            // What the limit allows is more than there is.
-            self.make_room(now);
+        state.state = ConnectionState::Connected;
+        state.failures = 0;
+        self.counts.connected += 1;
+        self.check(now, connection);
+    }
+
+    fn on_connect_failed(&mut self, now: Nanos, connection: usize, failure: ConnectFailure) {
+        if self.connections[connection].state != ConnectionState::Connecting {
+            return;
         }
-        let state = &mut self.lanes[lane];
-        state.state = State::Waiting;
-        state.failure = failure;
-        let longest = self.limits.longest_backoff;
-        let wait = self
+        self.counts.connect_failures += 1;
+        self.open_connections -= 1;
+        if failure == ConnectFailure::Exhausted {
+            // The limit on connections is above what the machine has.
+            self.evict_idle(now);
+        }
+        let delay = self.next_backoff(connection);
+        let state = &mut self.connections[connection];
+        state.state = ConnectionState::BackingOff;
+        state.last_failure = failure;
+        state.failures += 1;
+        self.timers
+            .push(Reverse((now + delay, Timer::Reconnect(connection))));
+    }
+
+    fn next_backoff(&mut self, connection: usize) -> Nanos {
+        let doublings = self.connections[connection]
+            .failures
+            .min(MAX_BACKOFF_DOUBLINGS);
+        let delay = self
             .limits
-            .backoff
-            .saturating_mul(1 << state.failures.min(20))
-            .min(longest)
+            .initial_backoff
+            .saturating_mul(1 << doublings)
+            .min(self.limits.max_backoff)
             .max(1);
-        state.failures += 1;
-        let wait = wait / 2 + self.lots.random_range(0..=wait / 2);
-        self.timers.push(Reverse((now + wait, Timer::Again(lane))));
+        delay / 2 + self.rng.random_range(0..=delay / 2)
     }
 
-    fn answered(&mut self, now: Nanos, lane: usize, end: End, close: bool) {
-        let Some(send) = self.lanes[lane].open.pop_front() else {
-            self.counts.extra_answers += 1;
+    fn on_response(&mut self, now: Nanos, connection: usize, answered: RequestState, close: bool) {
+        let Some(request) = self.connections[connection].in_flight.pop_front() else {
+            self.counts.unexpected_responses += 1;
             return;
         };
-        self.open -= 1;
-        self.lanes[lane].answered = Some(now);
-        self.end(send, end);
-        if close && self.lanes[lane].state == State::Up {
-            // What was written behind it is not answered any more.
-            self.break_open(lane);
-            self.close(lane);
+        self.in_flight -= 1;
+        self.connections[connection].last_response_at = Some(now);
+        self.finish(request, answered);
+        if close && self.connections[connection].state == ConnectionState::Connected {
+            // Requests written behind it will not be answered.
+            self.lose_in_flight(connection);
+            self.close(connection);
         }
-        self.look(now, lane);
+        self.check(now, connection);
     }
 
-    fn closed(&mut self, now: Nanos, lane: usize) {
-        match self.lanes[lane].state {
-            State::Up => {
-                self.counts.broken += u64::from(!self.lanes[lane].open.is_empty());
-                self.break_open(lane);
-                self.rests(lane, None);
-                self.lanes[lane].state = State::Away;
-                self.in_use -= 1;
-                self.look(now, lane);
+    fn on_closed(&mut self, now: Nanos, connection: usize) {
+        match self.connections[connection].state {
+            ConnectionState::Connected => {
+                let had_requests = !self.connections[connection].in_flight.is_empty();
+                self.counts.connections_lost += u64::from(had_requests);
+                self.lose_in_flight(connection);
+                self.set_disconnected(connection);
+                self.check(now, connection);
+            }
+            ConnectionState::Connecting => {
+                self.on_connect_failed(now, connection, ConnectFailure::Refused);
             }
-            State::Connecting => self.failed(now, lane, Failure::Refused),
-            State::Away | State::Waiting => {}
+            ConnectionState::Disconnected | ConnectionState::BackingOff => {}
         }
     }
 
-    fn break_open(&mut self, lane: usize) {
-        for send in std::mem::take(&mut self.lanes[lane].open) {
-            self.open -= 1;
-            self.end(send, End::Broken);
+    /// Ends the requests in flight on a connection without an answer.
+    fn lose_in_flight(&mut self, connection: usize) {
+        for request in std::mem::take(&mut self.connections[connection].in_flight) {
+            self.in_flight -= 1;
+            self.finish(request, RequestState::ConnectionLost);
         }
     }
 
-    fn overdue(&mut self, now: Nanos, send: usize) {
-        let lane = self.plan.requests[send].connection;
-        if self.outcomes[send].end != End::Open || self.lanes[lane].state != State::Up {
+    fn on_response_timeout(&mut self, now: Nanos, request: usize) {
+        let connection = self.plan.requests[request].connection;
+        let is_pending = self.outcomes[request].state == RequestState::Pending;
+        let state = &mut self.connections[connection];
+        if !is_pending || state.state != ConnectionState::Connected {
             return;
         }
-        self.lanes[lane].open.retain(|open| *open != send);
-        self.open -= 1;
-        self.end(send, End::TimedOut);
-        // An answer that comes yet could not be told from the next one's.
-        self.break_open(lane);
-        self.close(lane);
-        self.look(now, lane);
+        state.in_flight.retain(|in_flight| *in_flight != request);
+        self.in_flight -= 1;
+        self.finish(request, RequestState::TimedOut);
+        // A late response could not be distinguished from the next request's.
+        self.lose_in_flight(connection);
+        self.close(connection);
+        self.check(now, connection);
     }
 
-    fn end(&mut self, send: usize, end: End) {
-        if self.outcomes[send].end == End::Open {
-            self.outcomes[send].end = end;
-            self.left -= 1;
+    fn finish(&mut self, request: usize, state: RequestState) {
+        let outcome = &mut self.outcomes[request];
+        if outcome.state == RequestState::Pending {
+            outcome.state = state;
+            self.remaining -= 1;
         }
     }
 }
--- a/crates/heathspur-replay/tests/plan.rs
+++ b/crates/heathspur-replay/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Schedules, and fresh ids.
+//! Plans, and fresh IDs, keys and time stamps.
 
 mod common;
 use bytes::Bytes;
@@ -18,7 +18,7 @@
     ]
 }
 
-fn made(options: &Options) -> Plan {
+fn build(options: &Options) -> Plan {
     Plan::build(&recording(), &BTreeMap::new(), options).unwrap()
 }
 
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn by_default_all_is_as_it_was() {
-    let plan = made(&Options::default());
+fn the_default_plan_keeps_the_recorded_schedule() {
+    let plan = build(&Options::default());
     assert_eq!(
         times(&plan),
         [(0, 0), (2, 50), (1, 100), (3, 110), (4, 1000)]
@@ -47,16 +47,16 @@
 }
 
 #[test]
-fn speed_keeps_the_proportions() {
+fn speed_scales_all_times() {
     assert_eq!(
-        times(&made(&Options {
+        times(&build(&Options {
             speed: 10.0,
             ..Options::default()
         })),
         [(0, 0), (2, 5), (1, 10), (3, 11), (4, 100)]
     );
     assert_eq!(
-        made(&Options {
+        build(&Options {
             speed: 0.5,
             ..Options::default()
         })
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn a_part_of_the_time_is_cut_out_and_begins_at_once() {
+fn a_selected_interval_starts_at_once() {
     let options = Options {
         from: 60 * MS,
         to: Some(1000 * MS),
         ..Options::default()
     };
-    assert_eq!(times(&made(&options)), [(1, 0), (3, 10)]);
+    assert_eq!(times(&build(&options)), [(1, 0), (3, 10)]);
     let nothing = Options {
         from: 5000 * MS,
         ..Options::default()
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn the_order_of_cause_is_kept_only_where_an_answer_came_before() {
-    let plan = made(&Options {
+fn a_causal_plan_waits_only_for_responses_received_before_the_request() {
+    let plan = build(&Options {
         causal: true,
         speed: 2.0,
         ..Options::default()
@@ -101,30 +101,30 @@
 }
 
 #[test]
-fn turns_follow_each_other_and_copies_are_told_apart() {
-    let plan = made(&Options {
+fn rounds_do_not_overlap_and_copies_are_numbered() {
+    let plan = build(&Options {
         repeat: 3,
         ..Options::default()
     });
     assert!(plan.has_copies);
     assert_eq!((plan.requests.len(), plan.connections.len()), (15, 6));
-    let turn = |copy: u64| {
+    let round = |copy: u64| {
         plan.requests
             .iter()
             .filter(move |send| send.copy == copy)
             .map(|send| send.send_at)
     };
     for copy in 1..3 {
-        assert!(turn(copy).min() > turn(copy - 1).max());
-        let shift = turn(copy).min().unwrap();
-        assert!(turn(copy)
-            .zip(turn(0))
+        assert!(round(copy).min() > round(copy - 1).max());
+        let shift = round(copy).min().unwrap();
+        assert!(round(copy)
+            .zip(round(0))
             .all(|(late, first)| late - shift == first));
     }
 }
 
 #[test]
-fn load_takes_or_copies_whole_connections() {
+fn load_drops_or_copies_whole_connections() {
     let many: Vec<RecordedRequest> = (0..400)
         .flat_map(|c| [request(c, c, "k", None), request(c, c + 9, "k", None)])
         .collect();
@@ -144,7 +144,10 @@
             "{load}: {}",
             plan.connections.len()
         );
-        assert!(plan.connections.iter().all(|lane| lane.requests.len() == 2));
+        assert!(plan
+            .connections
+            .iter()
+            .all(|connection| connection.requests.len() == 2));
         assert_eq!(plan.has_copies, load > 1.0);
         assert_eq!(
             plan,
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn connections_open_when_they_did_and_never_after_their_first_request() {
+fn connections_open_as_recorded_and_never_after_their_first_request() {
     let opened = BTreeMap::from([(1, START), (2, START + 20 * MS)]);
     let plan = Plan::build(
         &recording(),
@@ -168,7 +171,7 @@
     assert_eq!(
         plan.connections
             .iter()
-            .map(|lane| lane.open_at / MS)
+            .map(|connection| connection.open_at / MS)
             .collect::<Vec<_>>(),
         [0, 10]
     );
@@ -178,7 +181,7 @@
 }
 
 #[test]
-fn what_lies_outside_its_bounds_is_refused() {
+fn options_outside_their_bounds_are_rejected() {
     let fault =
         |options: Options| Plan::build(&recording(), &BTreeMap::new(), &options).unwrap_err();
     assert_eq!(
--- a/crates/heathspurctl/src/charts.rs
+++ b/crates/heathspurctl/src/charts.rs
@@ -1,7 +1,7 @@
 //! Charts, as SVG.
 
 use crate::load::Loaded;
-use heathspur_replay::outcome::{End, Outcome};
+use heathspur_replay::outcome::{Outcome, RequestState};
 use heathspur_replay::plan::Plan;
 use plotters::prelude::*;
 use std::io;
@@ -30,13 +30,15 @@
             .map(|(s, n)| (s as f64, f64::from(n)))
             .collect::<Vec<_>>()
     };
-    let answered = |outcome: &Outcome| match outcome.end {
-        End::Answered { last, .. } => Some(last),
+    let answered = |outcome: &Outcome| match outcome.state {
+        RequestState::Answered {
+            last_byte_at: last, ..
+        } => Some(last),
         _ => None,
     };
     let curves: [Curve<'_>; 3] = [
-        ("intended", count(&|outcome| Some(outcome.intended))),
-        ("sent", count(&|outcome| outcome.sent)),
+        ("intended", count(&|outcome| Some(outcome.intended_at))),
+        ("sent", count(&|outcome| outcome.sent_at)),
         ("answered", count(&answered)),
     ];
     lines(file, "Requests a second", ("second", "requests"), &curves)
@@ -51,8 +53,10 @@
             .as_ref()
             .map(|answer| answer.last_byte_at.saturating_sub(request.last_byte_at))
     });
-    let now = outcomes.iter().filter_map(|outcome| match outcome.end {
-        End::Answered { last, .. } => Some(last.saturating_sub(outcome.intended)),
+    let now = outcomes.iter().filter_map(|outcome| match outcome.state {
+        RequestState::Answered {
+            last_byte_at: last, ..
+        } => Some(last.saturating_sub(outcome.intended_at)),
         _ => None,
     });
     let curves: [Curve<'_>; 2] = [
--- a/crates/heathspurctl/src/connection.rs
+++ b/crates/heathspurctl/src/connection.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use bytes::Bytes;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
-use heathspur_replay::event::{Event, Failure};
+use heathspur_replay::event::{ConnectFailure, Event};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
 use heathspur_wire::http::{self, status_line};
 use std::cell::RefCell;
@@ -69,11 +69,13 @@
         Err(e) => {
             let exhausted = matches!(e.raw_os_error(), Some(EMFILE | ENFILE | EADDRNOTAVAIL));
             let failure = if exhausted {
-                Failure::Exhausted
+                ConnectFailure::Exhausted
             } else {
-                Failure::Refused
+                ConnectFailure::Refused
             };
-            let _ = reports.send(report(Event::Failed(lane, failure))).await;
+            let _ = reports
+                .send(report(Event::ConnectFailed(lane, failure)))
+                .await;
             return;
         }
     };
@@ -171,11 +173,11 @@
             }
             heads.borrow_mut().pop_front();
             let first = begun.saturating_duration_since(start).as_nanos() as u64;
-            let event = Event::Answer {
-                lane,
+            let event = Event::Response {
+                connection: lane,
                 status,
-                digest,
-                first,
+                body_digest: digest,
+                first_byte_at: first,
                 close,
             };
             if reports
@@ -210,11 +212,11 @@
                         at.saturating_duration_since(start).as_nanos() as u64
                     });
                     let digest = digest(&buffer[end..]);
-                    let event = Event::Answer {
-                        lane,
+                    let event = Event::Response {
+                        connection: lane,
                         status,
-                        digest,
-                        first,
+                        body_digest: digest,
+                        first_byte_at: first,
                         close: true,
                     };
                     let _ = reports
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -6,7 +6,7 @@
 use heathspur_capture::exchange::{Cause, Found};
 use heathspur_capture::reassembly::{End, Event};
 use heathspur_capture::{ConnId, Item, Tally};
-use heathspur_replay::audit::Collect;
+use heathspur_replay::histogram::DurationHistogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Requests of one connection that are remembered while they are open.
@@ -16,7 +16,7 @@
 struct Class {
     requests: u64,
     answers: BTreeMap<u16, u64>,
-    latency: Collect,
+    latency: DurationHistogram,
 }
 
 #[derive(Default)]
@@ -57,7 +57,7 @@
                     .answers
                     .entry(message.status().unwrap_or(0))
                     .or_default() += 1;
-                class.latency.add(message.last.0.saturating_sub(asked));
+                class.latency.record(message.last.0.saturating_sub(asked));
             }
             Item::Message(Found::Passed { cause, bytes, .. }) => {
                 let passed = self.passed.entry(cause).or_default();
@@ -93,7 +93,10 @@
         "max ms",
     ]);
     for (name, class) in &summary.classes {
-        let (answered, times) = (class.answers.values().sum::<u64>(), class.latency.times());
+        let (answered, times) = (
+            class.answers.values().sum::<u64>(),
+            class.latency.quantiles(),
+        );
         let by_status: Vec<_> = class
             .answers
             .iter()
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use clap::Args;
 use futures_lite::future;
-use heathspur_replay::audit::{audit, Terms};
+use heathspur_replay::audit::{Audit, AuditOptions};
 use heathspur_replay::event::{Action, Event};
 use heathspur_replay::limits::Limits;
 use heathspur_replay::plan::{self, Plan};
@@ -109,11 +109,11 @@
     let plan = Plan::build(&loaded.requests, &loaded.opened, &terms)
         .map_err(|fault| Fault::Other(2, format!("{}: {fault}", options.source.file.display())))?;
     let replayed = play(&loaded, &plan, options);
-    let terms = Terms {
-        key: &options.key_field,
+    let terms = AuditOptions {
+        key_field: &options.key_field,
         late_after: options.late_after.map(nanos),
     };
-    let audit = audit(
+    let audit = Audit::new(
         &loaded.requests,
         &plan,
         &replayed.outcomes,
@@ -125,7 +125,7 @@
         report::write(folder, &loaded, &plan, &replayed, &audit)
             .map_err(|e| Fault::File(folder.clone(), e))?;
     }
-    match (audit.breaks_a_rule(), audit.whole()) {
+    match (audit.violates_rules(), audit.is_complete()) {
         (true, _) => Err(Fault::Other(
             1,
             "a rule is broken: see late, extra answers and keys above".into(),
@@ -146,9 +146,9 @@
 
 fn play(loaded: &Loaded, plan: &Plan, options: &Options) -> Replayed {
     let limits = Limits {
-        connections: options.connections,
-        open: options.open,
-        answer: (options.patience.max(0.0) * 1e9) as u64,
+        max_connections: options.connections,
+        max_in_flight: options.open,
+        response_timeout: (options.patience.max(0.0) * 1e9) as u64,
         ..Limits::default()
     };
     let executor = Rc::new(LocalExecutor::new());
@@ -177,8 +177,8 @@
     let mut actions = Vec::new();
     let start = Instant::now();
     let now = || start.elapsed().as_nanos() as u64;
-    while !runner.done() {
-        runner.step(now(), &mut actions);
+    while !runner.is_done() {
+        runner.poll(now(), &mut actions);
         for action in actions.drain(..) {
             match action {
                 Action::Connect(lane) => {
@@ -220,11 +220,11 @@
                 }
             }
         }
-        if runner.done() {
+        if runner.is_done() {
             break;
         }
         let timer = async {
-            match runner.next_time() {
+            match runner.next_timer_at() {
                 Some(at) => {
                     Timer::at(start + Duration::from_nanos(at)).await;
                 }
@@ -236,16 +236,16 @@
         let mut next = future::or(timer, report).await;
         let mut taken = 0;
         while let Some(report) = next {
-            let lane = lane_of(&report.event);
+            let lane = report.event.connection();
             if lines[lane]
                 .as_ref()
                 .is_some_and(|line| line.life == report.life)
             {
-                if matches!(report.event, Event::Failed(..) | Event::Closed(_)) {
+                if matches!(report.event, Event::ConnectFailed(..) | Event::Closed(_)) {
                     lines[lane] = None;
                 }
                 let at = report.at.saturating_duration_since(start).as_nanos() as u64;
-                runner.event(at, report.event);
+                runner.on_event(at, report.event);
             }
             taken += 1;
             // What is taken off the queue is taken in: a report that was dropped here left its connection
@@ -263,10 +263,3 @@
         changed,
     }
 }
-
-fn lane_of(event: &Event) -> usize {
-    match event {
-        Event::Connected(lane) | Event::Failed(lane, _) | Event::Closed(lane) => *lane,
-        Event::Answer { lane, .. } => *lane,
-    }
-}
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -3,8 +3,9 @@
 use crate::charts;
 use crate::load::Loaded;
 use crate::table::plain;
-use heathspur_replay::audit::{Audit, Times};
-use heathspur_replay::outcome::{Counts, End, Outcome};
+use heathspur_replay::audit::Audit;
+use heathspur_replay::histogram::Quantiles;
+use heathspur_replay::outcome::{Counts, Outcome, RequestState};
 use heathspur_replay::plan::Plan;
 use heathspur_replay::renew::Changed;
 use serde_json::json;
@@ -33,15 +34,18 @@
     row("answered once", audit.answered.to_string());
     row(
         "connection ended without an answer",
-        audit.broken.to_string(),
+        audit.connection_lost.to_string(),
     );
     row("not answered in time", audit.timed_out.to_string());
-    for (why, count) in &audit.unsent {
+    for (why, count) in &audit.not_sent {
         row(&format!("not sent: {why:?}"), count.to_string());
     }
-    row("answers to nothing", audit.counts.extra_answers.to_string());
+    row(
+        "answers to nothing",
+        audit.counts.unexpected_responses.to_string(),
+    );
     row("late", audit.late.to_string());
-    row("keys with two results", audit.keys_differ.to_string());
+    row("keys with two results", audit.conflicting_keys.to_string());
     for (status, count) in &audit.statuses {
         row(&format!("status {status}"), count.to_string());
     }
@@ -52,10 +56,10 @@
     row("answered only now, only then, never", {
         format!(
             "{}, {}, {}",
-            compared.only_now, compared.only_recorded, compared.neither
+            compared.only_replayed, compared.only_recorded, compared.neither
         )
     });
-    let times = |t: &Times| {
+    let times = |t: &Quantiles| {
         format!(
             "p50 {:.3}  p99 {:.3}  p99.9 {:.3}  max {:.3} ms",
             t.p50_ms, t.p99_ms, t.p999_ms, t.max_ms
@@ -96,15 +100,17 @@
     for (send, outcome) in plan.requests.iter().zip(&replayed.outcomes) {
         let request = &loaded.requests[send.recorded];
         let ms = |nanos: u64| nanos as f64 / 1e6;
-        let (end, status, answered) = match outcome.end {
-            End::Answered { status, last, .. } => {
-                ("answered".to_string(), Some(status), Some(ms(last)))
-            }
-            other => (format!("{other:?}").to_lowercase(), None, None),
+        let (end, status, answered) = match outcome.state {
+            RequestState::Answered {
+                status,
+                last_byte_at: last,
+                ..
+            } => ("answered".to_string(), Some(status), Some(ms(last))),
+            unanswered => (unanswered_label(unanswered), None, None),
         };
         let line = json!({
-            "connection": request.connection, "copy": send.copy, "intended_ms": ms(outcome.intended),
-            "sent_ms": outcome.sent.map(ms), "answered_ms": answered, "end": end, "status": status,
+            "connection": request.connection, "copy": send.copy, "intended_ms": ms(outcome.intended_at),
+            "sent_ms": outcome.sent_at.map(ms), "answered_ms": answered, "end": end, "status": status,
             "recorded_status": request.response.as_ref().map(|answer| answer.status),
         });
         writeln!(lines, "{line}")?;
@@ -118,3 +124,14 @@
         &replayed.outcomes,
     )
 }
+
+/// Names the state of an unanswered request, as `requests.jsonl` has it.
+fn unanswered_label(state: RequestState) -> String {
+    match state {
+        RequestState::Pending => "open".to_string(),
+        RequestState::Answered { .. } => "answered".to_string(),
+        RequestState::ConnectionLost => "broken".to_string(),
+        RequestState::TimedOut => "timedout".to_string(),
+        RequestState::NotSent(reason) => format!("unsent({reason:?})").to_lowercase(),
+    }
+}
