--- a/crates/heathspurctl/src/main.rs
+++ b/crates/heathspurctl/src/main.rs
@@ -16,6 +16,7 @@
 mod replay;
 mod report;
 mod requests;
+mod response_parser;
 mod source;
 mod table;
 
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -1,13 +1,14 @@
-//! `pcap replay`: the recorded requests sent again. The decisions are those of `heathspur-replay`; here are
-//! the clock, the sockets and the files.
+//! `pcap replay`: sends the recorded requests again. `heathspur-replay` decides; this module provides the clock,
+//! the connections and the files.
 
-use crate::connection::{self, Outgoing, Report};
+use crate::connection::{ConnectionTask, OutgoingRequest, Report};
 use crate::given::{Fault, Source};
 use crate::load::{load, Loaded};
 use crate::report::{self, Replayed};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use bytes::Bytes;
 use clap::Args;
 use futures_lite::future;
 use heathspur_replay::audit::{Audit, AuditOptions};
@@ -21,10 +22,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Reports of connections that may wait.
-const REPORTS: usize = 4096;
-/// Events taken in before it is looked what is due.
-const AT_ONCE: usize = 64;
+/// Capacity of the queue of reports from connections.
+const MAX_QUEUED_REPORTS: usize = 4096;
+/// Largest number of reports handled before the runner's timers are run.
+const MAX_REPORTS_PER_POLL: usize = 64;
+const BYTES_PER_MIB: u64 = 1 << 20;
 
 #[derive(Debug, Args)]
 pub struct Options {
@@ -86,180 +88,274 @@
     report: Option<PathBuf>,
 }
 
-/// Replays, prints the audit, writes the report.
-pub fn run(options: &Options) -> Result<(), Fault> {
-    let copies = options.repeat > 1 || options.scale_load > 1.0;
-    if copies && !options.renew {
-        let what =
-            "--loop and --scale-load above 1 send requests more than once, which needs --renew";
-        return Err(Fault::Other(2, what.to_string()));
+impl Options {
+    fn plan_options(&self) -> plan::Options {
+        plan::Options {
+            speed: self.speed,
+            from: self.from.map_or(0, nanos),
+            to: self.to.map(nanos),
+            repeat: self.repeat,
+            load: self.scale_load,
+            causal: self.causal,
+            seed: self.seed,
+            ..plan::Options::default()
+        }
+    }
+
+    fn limits(&self) -> Limits {
+        Limits {
+            max_connections: self.connections,
+            max_in_flight: self.open,
+            response_timeout: nanos(self.patience),
+            ..Limits::default()
+        }
+    }
+
+    fn audit_options(&self) -> AuditOptions<'_> {
+        AuditOptions {
+            key_field: &self.key_field,
+            late_after: self.late_after.map(nanos),
+        }
+    }
+
+    fn renewer(&self) -> Renewer {
+        let names = Names {
+            id: self.id_field.clone(),
+            key: self.key_field.clone(),
+            stamp: self.stamp_field.clone(),
+        };
+        Renewer::new(names, self.seed)
+    }
+
+    /// Requests that are sent more than once need fresh IDs and keys.
+    fn check_renew(&self) -> Result<(), Fault> {
+        let has_copies = self.repeat > 1 || self.scale_load > 1.0;
+        if has_copies && !self.renew {
+            let reason =
+                "--loop and --scale-load above 1 send requests more than once, which needs --renew";
+            return Err(Fault::Other(2, reason.to_string()));
+        }
+        Ok(())
     }
-    let loaded = load(&options.source, options.most_bytes.saturating_mul(1 << 20))?;
-    let nanos = |seconds: f64| (seconds.max(0.0) * 1e9) as u64;
-    let terms = plan::Options {
-        speed: options.speed,
-        from: options.from.map_or(0, nanos),
-        to: options.to.map(nanos),
-        repeat: options.repeat,
-        load: options.scale_load,
-        causal: options.causal,
-        seed: options.seed,
-        ..plan::Options::default()
-    };
-    let plan = Plan::build(&loaded.requests, &loaded.opened, &terms)
-        .map_err(|fault| Fault::Other(2, format!("{}: {fault}", options.source.file.display())))?;
+}
+
+/// Runs a replay, prints its audit and writes the report.
+pub fn run(options: &Options) -> Result<(), Fault> {
+    options.check_renew()?;
+    let loaded = load(
+        &options.source,
+        options.most_bytes.saturating_mul(BYTES_PER_MIB),
+    )?;
+    let plan = Plan::build(&loaded.requests, &loaded.opened, &options.plan_options())
+        .map_err(|error| Fault::Other(2, format!("{}: {error}", options.source.file.display())))?;
     let replayed = play(&loaded, &plan, options);
-    let terms = AuditOptions {
-        key_field: &options.key_field,
-        late_after: options.late_after.map(nanos),
-    };
     let audit = Audit::new(
         &loaded.requests,
         &plan,
         &replayed.outcomes,
         replayed.counts,
-        terms,
+        options.audit_options(),
     );
     report::print(&loaded, &audit, replayed.changed);
     if let Some(folder) = &options.report {
         report::write(folder, &loaded, &plan, &replayed, &audit)
-            .map_err(|e| Fault::File(folder.clone(), e))?;
+            .map_err(|error| Fault::File(folder.clone(), error))?;
     }
-    match (audit.violates_rules(), audit.is_complete()) {
-        (true, _) => Err(Fault::Other(
-            1,
-            "a rule is broken: see late, extra answers and keys above".into(),
-        )),
-        (_, false) => Err(Fault::Other(
-            1,
-            "not every request was sent and answered".into(),
-        )),
-        _ => Ok(()),
+    check_audit(&audit)
+}
+
+fn check_audit(audit: &Audit) -> Result<(), Fault> {
+    if audit.violates_rules() {
+        let reason = "a rule is broken: see late, extra answers and keys above";
+        return Err(Fault::Other(1, reason.to_string()));
+    }
+    if !audit.is_complete() {
+        let reason = "not every request was sent and answered";
+        return Err(Fault::Other(1, reason.to_string()));
     }
+    Ok(())
 }
 
-/// A connection that the runner asked for.
-struct Line {
-    life: u64,
-    outbox: Sender<Outgoing>,
+fn nanos(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1e9) as u64
 }
 
+/// Runs the plan against the target.
 fn play(loaded: &Loaded, plan: &Plan, options: &Options) -> Replayed {
-    let limits = Limits {
-        max_connections: options.connections,
-        max_in_flight: options.open,
-        response_timeout: (options.patience.max(0.0) * 1e9) as u64,
-        ..Limits::default()
-    };
     let executor = Rc::new(LocalExecutor::new());
-    let work = owner(executor.clone(), loaded, plan, limits, options);
-    async_io::block_on(executor.run(work))
+    let driver = Driver::new(executor.clone(), loaded, plan, options);
+    async_io::block_on(executor.run(driver.run()))
 }
 
-async fn owner(
-    executor: Rc<LocalExecutor<'_>>,
-    loaded: &Loaded,
-    plan: &Plan,
-    limits: Limits,
-    options: &Options,
-) -> Replayed {
-    let mut runner = Runner::new(plan, limits, options.seed);
-    let (reports, inbox): (Sender<Report>, Receiver<Report>) = async_channel::bounded(REPORTS);
-    let mut lines: Vec<Option<Line>> = plan.connections.iter().map(|_| None).collect();
-    let names = Names {
-        id: options.id_field.clone(),
-        key: options.key_field.clone(),
-        stamp: options.stamp_field.clone(),
-    };
-    let renewer = Renewer::new(names, options.seed);
-    let mut changed = Changed::default();
-    let mut lives = 0;
-    let mut actions = Vec::new();
-    let start = Instant::now();
-    let now = || start.elapsed().as_nanos() as u64;
-    while !runner.is_done() {
-        runner.poll(now(), &mut actions);
-        for action in actions.drain(..) {
-            match action {
-                Action::Connect(lane) => {
-                    lives += 1;
-                    let (outbox, sends) = async_channel::unbounded();
-                    lines[lane] = Some(Line {
-                        life: lives,
-                        outbox,
-                    });
-                    let target = options.to_server;
-                    let work =
-                        connection::run(target, (lane, lives), sends, start, reports.clone());
-                    executor.spawn(work).detach();
-                }
-                Action::Close(lane) => lines[lane] = None,
-                Action::Send(send) => {
-                    let planned = &plan.requests[send];
-                    let request = &loaded.requests[planned.recorded];
-                    let mut bytes = request.bytes.clone();
-                    if options.renew {
-                        let now_ms = SystemTime::now()
-                            .duration_since(UNIX_EPOCH)
-                            .unwrap_or_default();
-                        let times = Times {
-                            recorded: request.first_byte_at,
-                            now_ms: now_ms.as_millis() as u64,
-                        };
-                        let fields = loaded.fields[planned.recorded].clone();
-                        let (fresh, what) =
-                            renewer.renew(&bytes, fields, (send as u64, planned.copy), times);
-                        bytes = fresh;
-                        changed.add(what);
-                    }
-                    if let Some(line) = &lines[planned.connection] {
-                        let head = bytes.starts_with(b"HEAD ");
-                        // A closed one has told, or will, that its connection is over.
-                        let _ = line.outbox.try_send(Outgoing { bytes, head });
-                    }
-                }
+/// A connection that the runner asked for.
+struct OpenConnection {
+    incarnation: u64,
+    requests: Sender<OutgoingRequest>,
+}
+
+/// Executes the runner's actions and passes it the events of its connections.
+struct Driver<'a> {
+    executor: Rc<LocalExecutor<'a>>,
+    loaded: &'a Loaded,
+    plan: &'a Plan,
+    options: &'a Options,
+    runner: Runner<'a>,
+    renewer: Renewer,
+    changed: Changed,
+    connections: Vec<Option<OpenConnection>>,
+    last_incarnation: u64,
+    reports_sender: Sender<Report>,
+    reports: Receiver<Report>,
+    start: Instant,
+}
+
+impl<'a> Driver<'a> {
+    fn new(
+        executor: Rc<LocalExecutor<'a>>,
+        loaded: &'a Loaded,
+        plan: &'a Plan,
+        options: &'a Options,
+    ) -> Driver<'a> {
+        let (reports_sender, reports) = async_channel::bounded(MAX_QUEUED_REPORTS);
+        Driver {
+            executor,
+            loaded,
+            plan,
+            options,
+            runner: Runner::new(plan, options.limits(), options.seed),
+            renewer: options.renewer(),
+            changed: Changed::default(),
+            connections: plan.connections.iter().map(|_| None).collect(),
+            last_incarnation: 0,
+            reports_sender,
+            reports,
+            start: Instant::now(),
+        }
+    }
+
+    async fn run(mut self) -> Replayed {
+        let mut actions = Vec::new();
+        while !self.runner.is_done() {
+            let now = self.start.elapsed().as_nanos() as u64;
+            self.runner.poll(now, &mut actions);
+            for action in actions.drain(..) {
+                self.execute(action);
             }
+            if self.runner.is_done() {
+                break;
+            }
+            let first = self.next_report().await;
+            self.handle_reports(first);
+        }
+        Replayed {
+            outcomes: self.runner.outcomes().to_vec(),
+            counts: self.runner.counts(),
+            changed: self.changed,
+        }
+    }
+
+    fn execute(&mut self, action: Action) {
+        match action {
+            Action::Connect(connection) => self.connect(connection),
+            Action::Close(connection) => self.connections[connection] = None,
+            Action::Send(request) => self.send(request),
         }
-        if runner.is_done() {
-            break;
+    }
+
+    fn connect(&mut self, connection: usize) {
+        self.last_incarnation += 1;
+        let (sender, requests) = async_channel::unbounded();
+        self.connections[connection] = Some(OpenConnection {
+            incarnation: self.last_incarnation,
+            requests: sender,
+        });
+        let task = ConnectionTask {
+            target: self.options.to_server,
+            connection,
+            incarnation: self.last_incarnation,
+            requests,
+            start: self.start,
+            reports: self.reports_sender.clone(),
+        };
+        self.executor.spawn(task.run()).detach();
+    }
+
+    fn send(&mut self, request: usize) {
+        let bytes = self.request_bytes(request);
+        let connection = self.plan.requests[request].connection;
+        if let Some(connection) = &self.connections[connection] {
+            let is_head = bytes.starts_with(b"HEAD ");
+            // Fails only if the connection has ended, which it reports itself.
+            let _ = connection
+                .requests
+                .try_send(OutgoingRequest { bytes, is_head });
         }
+    }
+
+    /// The bytes of a request, with fresh values if the options ask for them.
+    fn request_bytes(&mut self, request: usize) -> Bytes {
+        let planned = &self.plan.requests[request];
+        let recorded = &self.loaded.requests[planned.recorded];
+        if !self.options.renew {
+            return recorded.bytes.clone();
+        }
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let times = Times {
+            recorded: recorded.first_byte_at,
+            now_ms: now.as_millis() as u64,
+        };
+        let fields = self.loaded.fields[planned.recorded].clone();
+        let place = (request as u64, planned.copy);
+        let (bytes, changed) = self.renewer.renew(&recorded.bytes, fields, place, times);
+        self.changed.add(changed);
+        bytes
+    }
+
+    /// Waits for a report; `None` when the runner's next timer expires first.
+    async fn next_report(&self) -> Option<Report> {
         let timer = async {
-            match runner.next_timer_at() {
+            match self.runner.next_timer_at() {
                 Some(at) => {
-                    Timer::at(start + Duration::from_nanos(at)).await;
+                    Timer::at(self.start + Duration::from_nanos(at)).await;
                 }
                 None => future::pending().await,
             }
             None
         };
-        let report = async { inbox.recv().await.ok() };
-        let mut next = future::or(timer, report).await;
-        let mut taken = 0;
+        let report = async { self.reports.recv().await.ok() };
+        future::or(timer, report).await
+    }
+
+    /// Handles a report and those queued behind it, up to a limit. Every report taken off the queue is handled: a
+    /// lost one would leave its connection waiting forever.
+    fn handle_reports(&mut self, first: Option<Report>) {
+        let mut next = first;
+        let mut handled = 0;
         while let Some(report) = next {
-            let lane = report.event.connection();
-            if lines[lane]
-                .as_ref()
-                .is_some_and(|line| line.life == report.life)
-            {
-                if matches!(report.event, Event::ConnectFailed(..) | Event::Closed(_)) {
-                    lines[lane] = None;
-                }
-                let at = report.at.saturating_duration_since(start).as_nanos() as u64;
-                runner.on_event(at, report.event);
-            }
-            taken += 1;
-            // What is taken off the queue is taken in: a report that was dropped here left its connection
-            // waiting for ever.
-            next = if taken < AT_ONCE {
-                inbox.try_recv().ok()
+            self.handle_report(&report);
+            handled += 1;
+            next = if handled < MAX_REPORTS_PER_POLL {
+                self.reports.try_recv().ok()
             } else {
                 None
             };
         }
     }
-    Replayed {
-        outcomes: runner.outcomes().to_vec(),
-        counts: runner.counts(),
-        changed,
+
+    fn handle_report(&mut self, report: &Report) {
+        let connection = &mut self.connections[report.event.connection()];
+        let is_current = connection
+            .as_ref()
+            .is_some_and(|open| open.incarnation == report.incarnation);
+        if !is_current {
+            return;
+        }
+        if matches!(report.event, Event::ConnectFailed(..) | Event::Closed(_)) {
+            *connection = None;
+        }
+        let at = report.at.saturating_duration_since(self.start).as_nanos() as u64;
+        self.runner.on_event(at, report.event);
     }
 }
