--- a/crates/heathspurctl/src/cli.rs
+++ b/crates/heathspurctl/src/cli.rs
@@ -1,6 +1,7 @@
 //! The command line.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use crate::{config, cut, experiment, info, load_run, members, replay, requests};
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::PathBuf;
@@ -44,7 +45,7 @@
 #[derive(Debug, Subcommand)]
 enum Pcap {
     /// A summary: packets, connections, requests by class and status, latency, what was left out.
-    Info(Source),
+    Info(CaptureOptions),
     /// Each request, as a table or as lines of JSON.
     Requests(requests::Options),
     /// A capture of a part of another.
@@ -89,13 +90,13 @@
         }
         Command::Man => clap_mangen::Man::new(Cli::command())
             .render(&mut std::io::stdout())
-            .map_err(|e| Fault::File("standard output".into(), e)),
+            .map_err(Error::stdout),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("heathspurctl: {fault}");
-            ExitCode::from(fault.code())
+        Err(error) => {
+            eprintln!("heathspurctl: {error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -1,6 +1,7 @@
 //! `pcap cut`: a capture of a part of another. Packets are copied as they stand.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use crate::source;
 use clap::Args;
 use heathspur_capture::exchange::{Found, Message};
@@ -18,7 +19,7 @@
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(flatten)]
-    source: Source,
+    source: CaptureOptions,
     /// The capture to write. One that is there is not overwritten.
     #[arg(long, short, value_name = "FILE")]
     output: PathBuf,
@@ -96,7 +97,7 @@
 }
 
 /// Writes the part.
-pub fn run(options: &Options) -> Result<(), Fault> {
+pub fn run(options: &Options) -> Result<(), Error> {
     let mut search = Search::default();
     let tally = source::read(&options.source, |item| search.take(item, options))?;
     let start = tally.first.unwrap_or_default();
@@ -104,8 +105,11 @@
         seconds.map(|s| Stamp(start.0.saturating_add((s.max(0.0) * 1e9) as u64)))
     };
     let (from, to) = (point(options.from), point(options.to));
-    let fault = |e| Fault::File(options.output.clone(), e);
-    let mut output = BufWriter::new(File::create_new(&options.output).map_err(fault)?);
+    let file_error = |source| Error::File {
+        path: options.output.clone(),
+        source,
+    };
+    let mut output = BufWriter::new(File::create_new(&options.output).map_err(file_error)?);
     // Packets of one link type are written as they come; a file of several types needs an interface for each.
     let (mut reader, mut frames) = (Reader::new(), Frames::new(options.source.checksums));
     let (mut links, mut packets): (Vec<Link>, u64) = (Vec::new(), 0);
@@ -157,7 +161,7 @@
         }
         written.is_ok()
     })?;
-    written.and_then(|()| output.flush()).map_err(fault)?;
+    written.and_then(|()| output.flush()).map_err(file_error)?;
     println!("{}: {packets} packets", options.output.display());
     source::damaged(&options.source, &tally)
 }
--- /dev/null
+++ b/crates/heathspurctl/src/error.rs
@@ -0,0 +1,122 @@
+//! Errors of the commands, and the exit codes that report them.
+
+use heathspur_capture::file::Damage;
+use std::io;
+use std::net::SocketAddrV4;
+use std::path::PathBuf;
+
+/// A replay or a load lost a request or violated a rule, or a file is invalid.
+const EXIT_FAILED: u8 = 1;
+/// A file or an argument cannot be used.
+const EXIT_UNUSABLE: u8 = 2;
+/// A capture is damaged.
+const EXIT_DAMAGED: u8 = 3;
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// A file cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// The cause.
+        #[source]
+        source: io::Error,
+    },
+    /// A capture is damaged; everything before the damage was used.
+    #[error("{}: {damage}", path.display())]
+    DamagedCapture {
+        /// The capture.
+        path: PathBuf,
+        /// Where and why reading ended.
+        damage: Damage,
+    },
+    /// The requests of a capture exceed the limit on loaded bytes.
+    #[error("{}: {bytes} bytes of requests, {limit} at most; see --most-bytes", path.display())]
+    CaptureTooLarge {
+        /// The capture.
+        path: PathBuf,
+        /// Bytes of its requests.
+        bytes: u64,
+        /// Largest number of bytes.
+        limit: u64,
+    },
+    /// A replay with copies was requested without fresh IDs and keys.
+    #[error("--loop and --scale-load above 1 send requests more than once, which needs --renew")]
+    RenewRequired,
+    /// A capture cannot be replayed with the given options.
+    #[error("{}: {source}", path.display())]
+    ReplayPlan {
+        /// The capture.
+        path: PathBuf,
+        /// The cause.
+        #[source]
+        source: heathspur_replay::plan::Error,
+    },
+    /// The responses to a replay violate a rule of the service.
+    #[error("a rule is broken: see late, extra answers and keys above")]
+    ReplayViolatesRules,
+    /// A replay lost requests.
+    #[error("not every request was sent and answered")]
+    ReplayIncomplete,
+    /// A load lost requests, or repeated requests got different results.
+    #[error("{unanswered} requests without an answer, {differing} repeats with another result")]
+    LoadFailed {
+        /// Requests without an answer.
+        unanswered: u64,
+        /// Repeated requests whose result differs from the first one.
+        differing: u64,
+    },
+    /// The plan of a load or an experiment cannot be used.
+    #[error(transparent)]
+    Plan(heathspur_config::Error),
+    /// An operator's file is invalid.
+    #[error(transparent)]
+    Config(heathspur_config::Error),
+    /// An operator's file does not match the schema.
+    #[error("{}: {reason}", path.display())]
+    SchemaViolation {
+        /// The file.
+        path: PathBuf,
+        /// Place and reason.
+        reason: String,
+    },
+    /// A daemon did not report its membership view.
+    #[error("{address}: the daemon does not tell its view: {source}")]
+    MembershipView {
+        /// Address of the daemon.
+        address: SocketAddrV4,
+        /// The cause.
+        #[source]
+        source: io::Error,
+    },
+}
+
+impl Error {
+    /// Wraps an I/O error of standard output.
+    pub fn stdout(source: io::Error) -> Error {
+        Error::File {
+            path: "standard output".into(),
+            source,
+        }
+    }
+
+    /// The exit code of the program.
+    pub fn exit_code(&self) -> u8 {
+        match self {
+            Error::ReplayViolatesRules
+            | Error::ReplayIncomplete
+            | Error::LoadFailed { .. }
+            | Error::Config(_)
+            | Error::SchemaViolation { .. } => EXIT_FAILED,
+            Error::File { .. }
+            | Error::CaptureTooLarge { .. }
+            | Error::RenewRequired
+            | Error::ReplayPlan { .. }
+            | Error::Plan(_)
+            | Error::MembershipView { .. } => EXIT_UNUSABLE,
+            Error::DamagedCapture { .. } => EXIT_DAMAGED,
+        }
+    }
+}
--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -1,7 +1,7 @@
 //! An experiment in the emulator, by a plan: a table, a report, charts.
 
 use crate::charts;
-use crate::given::Fault;
+use crate::error::Error;
 use crate::table::plain;
 use clap::Args;
 use heathspur_emulator::experiment::{play, quantile, Course, Play};
@@ -25,16 +25,19 @@
 }
 
 /// Plays the plan and tells what came of it.
-pub fn run(options: &Options) -> Result<(), Fault> {
+pub fn run(options: &Options) -> Result<(), Error> {
     let Some(file) = options.plan.as_ref().filter(|_| !options.schema) else {
         print!("{SCHEMA}");
         return Ok(());
     };
-    let plan = Plan::read(file).map_err(|fault| Fault::Other(2, fault.to_string()))?;
+    let plan = Plan::read(file).map_err(Error::Plan)?;
     let plays = play(&plan);
     print(&plan, &plays);
     if let Some(folder) = &options.report {
-        write(folder, &plan, &plays).map_err(|e| Fault::File(folder.clone(), e))?;
+        write(folder, &plan, &plays).map_err(|source| Error::File {
+            path: folder.clone(),
+            source,
+        })?;
     }
     Ok(())
 }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -1,6 +1,7 @@
 //! `pcap info`: a summary of a capture.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use crate::source;
 use crate::table::plain;
 use heathspur_capture::exchange::{Cause, Found};
@@ -74,7 +75,7 @@
 }
 
 /// Prints the summary.
-pub fn run(from: &Source) -> Result<(), Fault> {
+pub fn run(from: &CaptureOptions) -> Result<(), Error> {
     let mut summary = Summary::default();
     let tally = source::read(from, |item| summary.take(item))?;
     let mut table = plain();
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -1,6 +1,7 @@
 //! The requests of a capture, ready to be planned.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use crate::source;
 use heathspur_capture::exchange::{Cause, Found};
 use heathspur_capture::reassembly::Event;
@@ -25,7 +26,7 @@
 }
 
 /// Loads a capture. `most` bounds the bytes of all its requests.
-pub fn load(from: &Source, most: u64) -> Result<Loaded, Fault> {
+pub fn load(from: &CaptureOptions, most: u64) -> Result<Loaded, Error> {
     let mut loaded = Loaded::default();
     let mut places: HashMap<(ConnId, u64), usize> = HashMap::new();
     let mut bytes = 0;
@@ -78,11 +79,11 @@
         Item::Connection(_) | Item::Message(_) => {}
     })?;
     if bytes > most {
-        let what = format!(
-            "{}: {bytes} bytes of requests, {most} at most; see --most-bytes",
-            from.file.display()
-        );
-        return Err(Fault::Other(2, what));
+        return Err(Error::CaptureTooLarge {
+            path: from.file.clone(),
+            bytes,
+            limit: most,
+        });
     }
     // Requests are whole in another order than they begin.
     let mut order: Vec<usize> = (0..loaded.requests.len()).collect();
--- a/crates/heathspurctl/src/load_run.rs
+++ b/crates/heathspurctl/src/load_run.rs
@@ -2,7 +2,7 @@
 //! came of it is `heathspur-load`'s to say; here are the clock, the sockets and the files.
 
 use crate::charts;
-use crate::given::Fault;
+use crate::error::Error;
 use crate::load_target::Target;
 use crate::table::plain;
 use async_executor::LocalExecutor;
@@ -76,8 +76,8 @@
 }
 
 /// Runs a plan, prints what came of it, writes the report.
-pub fn run(options: &Options) -> Result<(), Fault> {
-    let plan = Plan::read(&options.plan).map_err(|fault| Fault::Other(2, fault.to_string()))?;
+pub fn run(options: &Options) -> Result<(), Error> {
+    let plan = Plan::read(&options.plan).map_err(Error::Plan)?;
     let seconds = Schedule::length(&plan) as f64 / 1e9;
     if options.check {
         println!("{}: valid; {seconds} s", options.plan.display());
@@ -86,15 +86,17 @@
     let audit = play(plan.clone());
     print(&plan, &audit);
     if let Some(folder) = &options.report {
-        write(folder, &plan, &audit).map_err(|e| Fault::File(folder.clone(), e))?;
+        write(folder, &plan, &audit).map_err(|source| Error::File {
+            path: folder.clone(),
+            source,
+        })?;
     }
     match (audit.unanswered(), audit.differ) {
         (0, 0) => Ok(()),
-        (lost, differ) => {
-            let what =
-                format!("{lost} requests without an answer, {differ} repeats with another result");
-            Err(Fault::Other(1, what))
-        }
+        (unanswered, differing) => Err(Error::LoadFailed {
+            unanswered,
+            differing,
+        }),
     }
 }
 
--- a/crates/heathspurctl/src/main.rs
+++ b/crates/heathspurctl/src/main.rs
@@ -1,13 +1,14 @@
 //! `heathspurctl`: tools beside the daemon.
 #![forbid(unsafe_code)]
 
+mod capture_options;
 mod charts;
 mod cli;
 mod config;
 mod connection;
 mod cut;
+mod error;
 mod experiment;
-mod given;
 mod info;
 mod load;
 mod load_run;
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -1,6 +1,6 @@
 //! The view that a running daemon has of its fleet.
 
-use crate::given::Fault;
+use crate::error::Error;
 use crate::table::plain;
 use clap::Args;
 use heathspur_members::wire::{
@@ -36,14 +36,11 @@
 }
 
 /// Asks for the view and prints it.
-pub fn run(options: &Options) -> Result<(), Fault> {
+pub fn run(options: &Options) -> Result<(), Error> {
     let wait = Duration::from_millis(options.wait);
-    let whole = ask(options.address, wait).map_err(|e| {
-        let what = format!(
-            "{}: the daemon does not tell its view: {e}",
-            options.address
-        );
-        Fault::Other(2, what)
+    let whole = ask(options.address, wait).map_err(|source| Error::MembershipView {
+        address: options.address,
+        source,
     })?;
     if options.json {
         print_json(&whole);
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -1,8 +1,9 @@
 //! `pcap replay`: sends the recorded requests again. `heathspur-replay` decides; this module provides the clock,
 //! the connections and the files.
 
+use crate::capture_options::CaptureOptions;
 use crate::connection::{ConnectionTask, OutgoingRequest, Report};
-use crate::given::{Fault, Source};
+use crate::error::Error;
 use crate::load::{load, Loaded};
 use crate::report::{self, Replayed};
 use async_channel::{Receiver, Sender};
@@ -31,7 +32,7 @@
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(flatten)]
-    source: Source,
+    source: CaptureOptions,
     /// The server to send to.
     #[arg(long, value_name = "ADDRESS:PORT")]
     to_server: SocketAddr,
@@ -128,26 +129,28 @@
     }
 
     /// Requests that are sent more than once need fresh IDs and keys.
-    fn check_renew(&self) -> Result<(), Fault> {
+    fn check_renew(&self) -> Result<(), Error> {
         let has_copies = self.repeat > 1 || self.scale_load > 1.0;
         if has_copies && !self.renew {
-            let reason =
-                "--loop and --scale-load above 1 send requests more than once, which needs --renew";
-            return Err(Fault::Other(2, reason.to_string()));
+            return Err(Error::RenewRequired);
         }
         Ok(())
     }
 }
 
 /// Runs a replay, prints its audit and writes the report.
-pub fn run(options: &Options) -> Result<(), Fault> {
+pub fn run(options: &Options) -> Result<(), Error> {
     options.check_renew()?;
     let loaded = load(
         &options.source,
         options.most_bytes.saturating_mul(BYTES_PER_MIB),
     )?;
-    let plan = Plan::build(&loaded.requests, &loaded.opened, &options.plan_options())
-        .map_err(|error| Fault::Other(2, format!("{}: {error}", options.source.file.display())))?;
+    let plan = Plan::build(&loaded.requests, &loaded.opened, &options.plan_options()).map_err(
+        |source| Error::ReplayPlan {
+            path: options.source.file.clone(),
+            source,
+        },
+    )?;
     let replayed = play(&loaded, &plan, options);
     let audit = Audit::new(
         &loaded.requests,
@@ -158,20 +161,20 @@
     );
     report::print(&loaded, &audit, replayed.changed);
     if let Some(folder) = &options.report {
-        report::write(folder, &loaded, &plan, &replayed, &audit)
-            .map_err(|error| Fault::File(folder.clone(), error))?;
+        report::write(folder, &loaded, &plan, &replayed, &audit).map_err(|source| Error::File {
+            path: folder.clone(),
+            source,
+        })?;
     }
     check_audit(&audit)
 }
 
-fn check_audit(audit: &Audit) -> Result<(), Fault> {
+fn check_audit(audit: &Audit) -> Result<(), Error> {
     if audit.violates_rules() {
-        let reason = "a rule is broken: see late, extra answers and keys above";
-        return Err(Fault::Other(1, reason.to_string()));
+        return Err(Error::ReplayViolatesRules);
     }
     if !audit.is_complete() {
-        let reason = "not every request was sent and answered";
-        return Err(Fault::Other(1, reason.to_string()));
+        return Err(Error::ReplayIncomplete);
     }
     Ok(())
 }
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -1,6 +1,7 @@
 //! `pcap requests`: each request with its answer.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use crate::source;
 use clap::{Args, ValueEnum};
 use heathspur_capture::exchange::{Found, Message};
@@ -26,7 +27,7 @@
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(flatten)]
-    source: Source,
+    source: CaptureOptions,
     /// How they are printed.
     #[arg(long, value_enum, default_value = "table")]
     format: Format,
@@ -146,7 +147,7 @@
 }
 
 /// Prints the requests, each once its answer is known or can't come any more.
-pub fn run(options: &Options) -> Result<(), Fault> {
+pub fn run(options: &Options) -> Result<(), Error> {
     if let Format::Table = options.format {
         println!(
             "{:>20} {:>8} {:>5} {:<20} {:<16} {:>7} {:>6} {:>10}",
@@ -163,7 +164,7 @@
     match rows.ended {
         // A reader that has seen enough is no fault.
         Some(e) if e.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
-        Some(e) => Err(Fault::File("standard output".into(), e)),
+        Some(e) => Err(Error::stdout(e)),
         None => source::damaged(&options.source, &tally),
     }
 }
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -1,6 +1,7 @@
 //! A capture's file read in a stream.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use heathspur_capture::exchange::Message;
 use heathspur_capture::{reassembly, Item, Options, Pipeline, Tally};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -13,10 +14,13 @@
 const CHUNK: usize = 256 * 1024;
 
 /// The bytes of a file in pieces, with progress on a terminal. The callback ends reading by `false`.
-pub fn pieces(file: &Path, mut piece: impl FnMut(&[u8]) -> bool) -> Result<(), Fault> {
-    let fault = |e| Fault::File(file.to_path_buf(), e);
-    let mut input = File::open(file).map_err(fault)?;
-    let length = input.metadata().map_err(fault)?.len();
+pub fn pieces(file: &Path, mut piece: impl FnMut(&[u8]) -> bool) -> Result<(), Error> {
+    let file_error = |source| Error::File {
+        path: file.to_path_buf(),
+        source,
+    };
+    let mut input = File::open(file).map_err(file_error)?;
+    let length = input.metadata().map_err(file_error)?.len();
     let progress = if std::io::stderr().is_terminal() {
         ProgressBar::new(length)
     } else {
@@ -29,7 +33,7 @@
     }
     let mut buffer = vec![0; CHUNK];
     loop {
-        let read = input.read(&mut buffer).map_err(fault)?;
+        let read = input.read(&mut buffer).map_err(file_error)?;
         if read == 0 || !piece(&buffer[..read]) {
             break;
         }
@@ -40,7 +44,7 @@
 }
 
 /// How this source's capture is read.
-pub fn options(source: &Source) -> Options {
+pub fn options(source: &CaptureOptions) -> Options {
     let reassembly = reassembly::Limits {
         servers: source.server_ports.clone(),
         ..Default::default()
@@ -53,7 +57,7 @@
 }
 
 /// Reads a capture and hands on what is found in it.
-pub fn read(source: &Source, mut found: impl FnMut(Item)) -> Result<Tally, Fault> {
+pub fn read(source: &CaptureOptions, mut found: impl FnMut(Item)) -> Result<Tally, Error> {
     let mut pipeline = Pipeline::new(options(source));
     pieces(&source.file, |bytes| pipeline.feed(bytes, &mut found))?;
     pipeline.finish(&mut found);
@@ -61,12 +65,12 @@
 }
 
 /// Damage is told last, with an exit code of its own.
-pub fn damaged(source: &Source, tally: &Tally) -> Result<(), Fault> {
+pub fn damaged(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
     match tally.damage {
-        Some(damage) => Err(Fault::Other(
-            3,
-            format!("{}: {damage}", source.file.display()),
-        )),
+        Some(damage) => Err(Error::DamagedCapture {
+            path: source.file.clone(),
+            damage,
+        }),
         None => Ok(()),
     }
 }
