--- a/crates/heathspur-replay/tests/plan.rs
+++ b/crates/heathspur-replay/tests/plan.rs
@@ -5,7 +5,7 @@
 use common::*;
 use heathspur_replay::plan::{Error, Options, Plan};
 use heathspur_replay::recording::RecordedRequest;
-use heathspur_replay::renew::{Changed, Names, Renewer, Times};
+use heathspur_replay::renew::{FieldNames, RenewedValues, Renewer, RequestIdentity, RequestTimes};
 use std::collections::BTreeMap;
 
 fn recording() -> Vec<RecordedRequest> {
@@ -224,11 +224,11 @@
     );
 }
 
-fn renewed(n: usize, place: u64, copy: u64) -> (Bytes, Changed) {
-    let names = Names {
-        id: "x-txn".into(),
-        key: "X-Txn-Key".into(),
-        stamp: "X-Ingress-Time".into(),
+fn renewed(n: usize, index: u64, copy: u64) -> (Bytes, RenewedValues) {
+    let names = FieldNames {
+        attempt_id: "x-txn".into(),
+        idempotency_key: "X-Txn-Key".into(),
+        ingress_time: "X-Ingress-Time".into(),
     };
     let request = &recording()[n];
     let end = request
@@ -238,11 +238,16 @@
         .unwrap()
         + 2;
     let fields = request.bytes.iter().position(|b| *b == b'\n').unwrap() + 1..end;
-    let times = Times {
-        recorded: request.first_byte_at,
-        now_ms: 1_800_000_000_000,
+    let times = RequestTimes {
+        recorded_at: request.first_byte_at,
+        sent_at_ms: 1_800_000_000_000,
     };
-    Renewer::new(names, 5).renew(&request.bytes, fields, (place, copy), times)
+    Renewer::new(names, 5).renew(
+        &request.bytes,
+        fields,
+        RequestIdentity { index, copy },
+        times,
+    )
 }
 
 fn field(bytes: &Bytes, name: &str) -> String {
@@ -253,10 +258,10 @@
 
 #[test]
 fn renewed_requests_have_fresh_ids_and_share_keys_within_a_copy_only() {
-    let (one, changed) = renewed(0, 0, 0);
+    let (one, values) = renewed(0, 0, 0);
     assert_eq!(
-        changed,
-        Changed {
+        values,
+        RenewedValues {
             ids: 1,
             keys: 1,
             stamps: 1
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -16,7 +16,7 @@
 use heathspur_replay::event::{Action, Event};
 use heathspur_replay::limits::Limits;
 use heathspur_replay::plan::{self, Plan};
-use heathspur_replay::renew::{Changed, Names, Renewer, Times};
+use heathspur_replay::renew::{FieldNames, RenewedValues, Renewer, RequestIdentity, RequestTimes};
 use heathspur_replay::runner::Runner;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -120,10 +120,10 @@
     }
 
     fn renewer(&self) -> Renewer {
-        let names = Names {
-            id: self.id_field.clone(),
-            key: self.key_field.clone(),
-            stamp: self.stamp_field.clone(),
+        let names = FieldNames {
+            attempt_id: self.id_field.clone(),
+            idempotency_key: self.key_field.clone(),
+            ingress_time: self.stamp_field.clone(),
         };
         Renewer::new(names, self.seed)
     }
@@ -159,7 +159,7 @@
         replayed.counts,
         options.audit_options(),
     );
-    report::print(&loaded, &audit, replayed.changed);
+    report::print(&loaded, &audit, replayed.renewed);
     if let Some(folder) = &options.report {
         report::write(folder, &loaded, &plan, &replayed, &audit).map_err(|source| Error::File {
             path: folder.clone(),
@@ -204,7 +204,7 @@
     options: &'a Options,
     runner: Runner<'a>,
     renewer: Renewer,
-    changed: Changed,
+    renewed: RenewedValues,
     connections: Vec<Option<OpenConnection>>,
     last_incarnation: u64,
     reports_sender: Sender<Report>,
@@ -227,7 +227,7 @@
             options,
             runner: Runner::new(plan, options.limits(), options.seed),
             renewer: options.renewer(),
-            changed: Changed::default(),
+            renewed: RenewedValues::default(),
             connections: plan.connections.iter().map(|_| None).collect(),
             last_incarnation: 0,
             reports_sender,
@@ -253,7 +253,7 @@
         Replayed {
             outcomes: self.runner.outcomes().to_vec(),
             counts: self.runner.counts(),
-            changed: self.changed,
+            renewed: self.renewed,
         }
     }
 
@@ -305,14 +305,17 @@
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let times = Times {
-            recorded: recorded.first_byte_at,
-            now_ms: now.as_millis() as u64,
+        let times = RequestTimes {
+            recorded_at: recorded.first_byte_at,
+            sent_at_ms: now.as_millis() as u64,
         };
         let fields = self.loaded.fields[planned.recorded].clone();
-        let place = (request as u64, planned.copy);
-        let (bytes, changed) = self.renewer.renew(&recorded.bytes, fields, place, times);
-        self.changed.add(changed);
+        let identity = RequestIdentity {
+            index: request as u64,
+            copy: planned.copy,
+        };
+        let (bytes, renewed) = self.renewer.renew(&recorded.bytes, fields, identity, times);
+        self.renewed.add(renewed);
         bytes
     }
 
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -7,7 +7,7 @@
 use heathspur_replay::histogram::Quantiles;
 use heathspur_replay::outcome::{Counts, Outcome, RequestState};
 use heathspur_replay::plan::Plan;
-use heathspur_replay::renew::Changed;
+use heathspur_replay::renew::RenewedValues;
 use serde_json::json;
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -19,12 +19,12 @@
     pub outcomes: Vec<Outcome>,
     /// Counts.
     pub counts: Counts,
-    /// What was changed in the requests.
-    pub changed: Changed,
+    /// Number of values replaced in the requests.
+    pub renewed: RenewedValues,
 }
 
 /// Prints the audit.
-pub fn print(loaded: &Loaded, audit: &Audit, changed: Changed) {
+pub fn print(loaded: &Loaded, audit: &Audit, renewed: RenewedValues) {
     let mut table = plain();
     let mut row = |name: &str, value: String| {
         table.add_row([name.to_string(), value]);
@@ -71,7 +71,7 @@
     row("latency from the intended time", times(&audit.latency));
     row(
         "changed: ids, keys, stamps",
-        format!("{}, {}, {}", changed.ids, changed.keys, changed.stamps),
+        format!("{}, {}, {}", renewed.ids, renewed.keys, renewed.stamps),
     );
     for (cause, bytes) in &loaded.passed {
         row(
@@ -94,7 +94,7 @@
     audit: &Audit,
 ) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let whole = json!({"audit": audit, "changed": replayed.changed});
+    let whole = json!({"audit": audit, "changed": replayed.renewed});
     std::fs::write(folder.join("report.json"), format!("{whole:#}\n"))?;
     let mut lines = BufWriter::new(File::create(folder.join("requests.jsonl"))?);
     for (send, outcome) in plan.requests.iter().zip(&replayed.outcomes) {
