--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -1,94 +1,126 @@
-//! The requests of a capture, ready to be planned.
+//! Loads the requests of a capture for a replay.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
 use crate::source;
-use heathspur_capture::exchange::{Cause, Found};
+use heathspur_capture::exchange::{Cause, Found, Message};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{ConnId, Item, Side, Tally};
 use heathspur_replay::recording::{RecordedRequest, RecordedResponse};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// What was loaded.
+/// The requests of a capture.
 #[derive(Default)]
 pub struct Loaded {
     /// The requests, by the capture time of their first byte.
     pub requests: Vec<RecordedRequest>,
-    /// Where the fields of each stand.
+    /// The range of each request's header fields.
     pub fields: Vec<Range<usize>>,
-    /// When connections began.
+    /// Capture times at which connections were opened.
     pub opened: BTreeMap<u64, u64>,
-    /// Bytes that clients sent and that make no whole request, by cause.
+    /// Bytes sent by clients that belong to no complete request, by cause.
     pub passed: BTreeMap<Cause, u64>,
-    /// What was read.
+    /// Counts of the capture's reader.
     pub tally: Tally,
 }
 
-/// Loads a capture. `most` bounds the bytes of all its requests.
-pub fn load(from: &CaptureOptions, most: u64) -> Result<Loaded, Error> {
-    let mut loaded = Loaded::default();
-    let mut places: HashMap<(ConnId, u64), usize> = HashMap::new();
-    let mut bytes = 0;
-    loaded.tally = source::read(from, |item| match item {
-        Item::Connection(Event::Opened { conn, time, .. }) => {
-            loaded.opened.insert(conn.0, time.0);
-        }
-        Item::Message(Found::Request {
-            conn,
-            index,
-            message,
-        }) => {
-            bytes += message.bytes.len() as u64;
-            if bytes > most {
-                return;
+/// Loads a capture whose requests have at most `limit` bytes.
+pub fn load(options: &CaptureOptions, limit: u64) -> Result<Loaded, Error> {
+    let mut loader = Loader {
+        loaded: Loaded::default(),
+        unanswered: HashMap::new(),
+        bytes: 0,
+        limit,
+    };
+    loader.loaded.tally = source::read(options, |item| loader.add(item))?;
+    if loader.bytes > limit {
+        return Err(Error::CaptureTooLarge {
+            path: options.file.clone(),
+            bytes: loader.bytes,
+            limit,
+        });
+    }
+    let mut loaded = loader.loaded;
+    loaded.sort();
+    Ok(loaded)
+}
+
+impl Loaded {
+    /// Sorts by the first byte; the reader returns requests in the order of their last bytes.
+    fn sort(&mut self) {
+        let mut order: Vec<usize> = (0..self.requests.len()).collect();
+        order.sort_by_key(|&index| self.requests[index].first_byte_at);
+        self.fields = order.iter().map(|&n| self.fields[n].clone()).collect();
+        self.requests = order.iter().map(|&n| self.requests[n].clone()).collect();
+    }
+}
+
+/// Collects the requests of a capture while it is read.
+struct Loader {
+    loaded: Loaded,
+    /// Indices of the requests without a response, by connection and number.
+    unanswered: HashMap<(ConnId, u64), usize>,
+    /// Bytes of all requests, including those beyond the limit.
+    bytes: u64,
+    limit: u64,
+}
+
+impl Loader {
+    fn add(&mut self, item: Item) {
+        match item {
+            Item::Connection(Event::Opened { conn, time, .. }) => {
+                self.loaded.opened.insert(conn.0, time.0);
             }
-            places.insert((conn, index), loaded.requests.len());
-            loaded.fields.push(message.fields.clone());
-            loaded.requests.push(RecordedRequest {
-                connection: conn.0,
-                first_byte_at: message.first.0,
-                last_byte_at: message.last.0,
-                // A copy of its own: a slice would keep all that was read with it.
-                bytes: bytes::Bytes::copy_from_slice(&message.bytes),
-                response: None,
-            });
-        }
-        Item::Message(Found::Answer {
-            conn,
-            to: Some(to),
-            message,
-        }) => {
-            if let Some(place) = places.remove(&(conn, to)) {
-                loaded.requests[place].response = Some(RecordedResponse {
-                    status: message.status().unwrap_or(0),
-                    first_byte_at: message.first.0,
-                    last_byte_at: message.last.0,
-                    body_digest: source::digest(message.body()),
-                });
+            Item::Message(Found::Request {
+                conn,
+                index,
+                message,
+            }) => self.add_request(conn, index, &message),
+            Item::Message(Found::Answer {
+                conn,
+                to: Some(request),
+                message,
+            }) => self.add_response(conn, request, &message),
+            Item::Message(Found::Passed {
+                side: Side::Client,
+                cause,
+                bytes,
+                ..
+            }) => {
+                *self.loaded.passed.entry(cause).or_default() += bytes;
             }
+            Item::Connection(_) | Item::Message(_) => {}
         }
-        Item::Message(Found::Passed {
-            side: Side::Client,
-            cause,
-            bytes,
-            ..
-        }) => {
-            *loaded.passed.entry(cause).or_default() += bytes;
+    }
+
+    fn add_request(&mut self, connection: ConnId, number: u64, message: &Message) {
+        self.bytes += message.bytes.len() as u64;
+        if self.bytes > self.limit {
+            return;
         }
-        Item::Connection(_) | Item::Message(_) => {}
-    })?;
-    if bytes > most {
-        return Err(Error::CaptureTooLarge {
-            path: from.file.clone(),
-            bytes,
-            limit: most,
+        let index = self.loaded.requests.len();
+        self.unanswered.insert((connection, number), index);
+        self.loaded.fields.push(message.fields.clone());
+        self.loaded.requests.push(RecordedRequest {
+            connection: connection.0,
+            first_byte_at: message.first.0,
+            last_byte_at: message.last.0,
+            // A slice would keep everything alive that was read with it.
+            bytes: bytes::Bytes::copy_from_slice(&message.bytes),
+            response: None,
+        });
+    }
+
+    fn add_response(&mut self, connection: ConnId, request: u64, message: &Message) {
+        let Some(index) = self.unanswered.remove(&(connection, request)) else {
+            return;
+        };
+        self.loaded.requests[index].response = Some(RecordedResponse {
+            status: message.status().unwrap_or(0),
+            first_byte_at: message.first.0,
+            last_byte_at: message.last.0,
+            body_digest: source::digest(message.body()),
         });
     }
-    // Requests are whole in another order than they begin.
-    let mut order: Vec<usize> = (0..loaded.requests.len()).collect();
-    order.sort_by_key(|&n| loaded.requests[n].first_byte_at);
-    loaded.fields = order.iter().map(|&n| loaded.fields[n].clone()).collect();
-    loaded.requests = order.iter().map(|&n| loaded.requests[n].clone()).collect();
-    Ok(loaded)
 }
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -1,4 +1,4 @@
-//! The view that a running daemon has of its fleet.
+//! `members`: prints the membership view of a running daemon.
 
 use crate::error::Error;
 use crate::table::plain;
@@ -12,8 +12,8 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// One question is asked so often before the daemon counts as silent.
-const TRIES: u32 = 5;
+/// Attempts at each request before the daemon counts as silent.
+const MAX_ATTEMPTS: u32 = 5;
 
 /// Whom to ask.
 #[derive(Debug, Args)]
@@ -28,29 +28,29 @@
     wait: u64,
 }
 
-/// A whole view, put together from its parts.
-struct Whole {
+/// A complete view, assembled from its parts.
+struct View {
     from: MemberId,
     head: ViewResponse,
     rows: Vec<ViewRow>,
 }
 
-/// Asks for the view and prints it.
+/// Requests the view and prints it.
 pub fn run(options: &Options) -> Result<(), Error> {
     let wait = Duration::from_millis(options.wait);
-    let whole = ask(options.address, wait).map_err(|source| Error::MembershipView {
+    let view = request_view(options.address, wait).map_err(|source| Error::MembershipView {
         address: options.address,
         source,
     })?;
     if options.json {
-        print_json(&whole);
+        print_json(&view);
     } else {
-        print_table(&whole);
+        print_table(&view);
     }
     Ok(())
 }
 
-fn ask(address: SocketAddrV4, wait: Duration) -> io::Result<Whole> {
+fn request_view(address: SocketAddrV4, wait: Duration) -> io::Result<View> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.connect(address)?;
     let mut rows: Vec<ViewRow> = Vec::new();
@@ -58,26 +58,41 @@
     loop {
         sequence += 1;
         let after = rows.last().map(|row| row.member.id.clone());
-        let (from, seen) = part(&socket, sequence, after, wait)?;
+        let (from, part) = request_part(&socket, sequence, after, wait)?;
         // A view that shrinks or grows meanwhile still ends: ids only rise.
-        let more = seen.more && !seen.rows.is_empty();
-        let mut head = seen.clone();
+        let more = part.more && !part.rows.is_empty();
+        let mut head = part.clone();
         head.rows.clear();
-        rows.extend(seen.rows);
+        rows.extend(part.rows);
         if !more {
-            return Ok(Whole { from, head, rows });
+            return Ok(View { from, head, rows });
         }
     }
 }
 
-/// One part of the view, as long as a datagram may be.
-fn part(
+/// Requests one part of the view, as long as a datagram may be. Repeats the request until it is answered.
+fn request_part(
     socket: &UdpSocket,
     sequence: u32,
     after: Option<MemberId>,
     wait: Duration,
 ) -> io::Result<(MemberId, ViewResponse)> {
-    let mut ask = Envelope {
+    let request = encode_request(sequence, after)?;
+    let mut last_error = io::Error::new(io::ErrorKind::TimedOut, "no answer");
+    for _ in 0..MAX_ATTEMPTS {
+        socket.send(&request)?;
+        match receive_part(socket, sequence, Instant::now() + wait)? {
+            Attempt::Answered(from, part) => return Ok((from, part)),
+            Attempt::Unanswered(Some(error)) => last_error = error,
+            Attempt::Unanswered(None) => {}
+        }
+    }
+    Err(last_error)
+}
+
+/// Encodes a request padded to the largest datagram, so that the response is not larger than the request.
+fn encode_request(sequence: u32, after: Option<MemberId>) -> io::Result<Vec<u8>> {
+    let mut envelope = Envelope {
         from: MemberId("heathspurctl".into()),
         body: Body::ViewRequest(ViewRequest {
             sequence,
@@ -87,58 +102,75 @@
         updates: Vec::new(),
     };
     // The padding's own length takes two bytes instead of one.
-    let padding = vec![0; MAX_DATAGRAM_BYTES - wire::encoded_len(&ask) - 1];
-    ask.body = Body::ViewRequest(ViewRequest {
+    let padding = vec![0; MAX_DATAGRAM_BYTES - wire::encoded_len(&envelope) - 1];
+    envelope.body = Body::ViewRequest(ViewRequest {
         sequence,
         after,
         padding,
     });
-    let question =
-        wire::encode(&ask).ok_or_else(|| io::Error::other("the question is too long"))?;
+    wire::encode(&envelope).ok_or_else(|| io::Error::other("the question is too long"))
+}
+
+/// How an attempt to request a part ended.
+enum Attempt {
+    /// The daemon answered.
+    Answered(MemberId, ViewResponse),
+    /// It did not in time; the latest error of the socket, if there was one.
+    Unanswered(Option<io::Error>),
+}
+
+/// Waits for the response to a request.
+fn receive_part(socket: &UdpSocket, sequence: u32, deadline: Instant) -> io::Result<Attempt> {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
-    let mut last = io::Error::new(io::ErrorKind::TimedOut, "no answer");
-    for _ in 0..TRIES {
-        socket.send(&question)?;
-        let until = Instant::now() + wait;
-        while let Some(left) = until
-            .checked_duration_since(Instant::now())
-            .filter(|left| !left.is_zero())
-        {
-            socket.set_read_timeout(Some(left))?;
-            match socket.recv(&mut buffer) {
-                Ok(len) => match wire::decode(&buffer[..len]) {
-                    Ok(Envelope {
-                        from,
-                        body: Body::ViewResponse(seen),
-                        ..
-                    }) if seen.sequence == sequence => {
-                        return Ok((from, seen));
-                    }
-                    Err(wire::DecodeError::UnsupportedVersion { .. }) => {
-                        return Err(io::Error::other(
-                            "it speaks another version of the protocol",
-                        ));
-                    }
-                    _ => {}
-                },
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-                    ) => {}
-                Err(e) => {
-                    // Nobody listens there, as far as is told; it may be starting.
-                    last = e;
-                    std::thread::sleep(left.min(wait));
+    let mut last_error = None;
+    while let Some(remaining) = remaining_until(deadline) {
+        socket.set_read_timeout(Some(remaining))?;
+        match socket.recv(&mut buffer) {
+            Ok(length) => {
+                if let Some((from, part)) = decode_part(&buffer[..length], sequence)? {
+                    return Ok(Attempt::Answered(from, part));
                 }
             }
+            Err(error) if is_timeout(&error) => {}
+            Err(error) => {
+                // Nobody listens there, as far as the machine knows; the daemon may be starting.
+                last_error = Some(error);
+                std::thread::sleep(remaining);
+            }
         }
     }
-    Err(last)
+    Ok(Attempt::Unanswered(last_error))
+}
+
+/// Decodes a datagram; `None` if it is not the response to this request.
+fn decode_part(datagram: &[u8], sequence: u32) -> io::Result<Option<(MemberId, ViewResponse)>> {
+    match wire::decode(datagram) {
+        Ok(Envelope {
+            from,
+            body: Body::ViewResponse(part),
+            ..
+        }) if part.sequence == sequence => Ok(Some((from, part))),
+        Err(wire::DecodeError::UnsupportedVersion { .. }) => Err(io::Error::other(
+            "it speaks another version of the protocol",
+        )),
+        _ => Ok(None),
+    }
+}
+
+fn remaining_until(deadline: Instant) -> Option<Duration> {
+    let remaining = deadline.checked_duration_since(Instant::now());
+    remaining.filter(|remaining| !remaining.is_zero())
+}
+
+fn is_timeout(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+    )
 }
 
-fn print_json(whole: &Whole) {
-    let rows: Vec<_> = whole
+fn print_json(view: &View) {
+    let rows: Vec<_> = view
         .rows
         .iter()
         .map(|row| {
@@ -150,19 +182,19 @@
             })
         })
         .collect();
-    let head = &whole.head;
+    let head = &view.head;
     let all = json!({
-        "member": whole.from.0, "view": head.version, "awareness": head.local_health, "refused": head.rejected,
+        "member": view.from.0, "view": head.version, "awareness": head.local_health, "refused": head.rejected,
         "members": rows,
     });
     println!("{all:#}");
 }
 
-fn print_table(whole: &Whole) {
-    let head = &whole.head;
+fn print_table(view: &View) {
+    let head = &view.head;
     println!(
         "view {} of {}: {} members, local health {} (0 is healthy), {} datagrams or updates refused",
-        head.version, whole.from, head.members, head.local_health, head.rejected
+        head.version, view.from, head.members, head.local_health, head.rejected
     );
     let mut table = plain();
     let names = [
@@ -182,7 +214,7 @@
         "near",
     ];
     table.set_header(names);
-    for row in &whole.rows {
+    for row in &view.rows {
         let (m, load) = (&row.member, row.member.load);
         let since = match row.in_state_ms {
             0 => "-".to_string(),
