--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -1,18 +1,18 @@
-//! `pcap cut`: a capture of a part of another. Packets are copied as they stand.
+//! `pcap cut`: writes a part of a capture as another one. Packets are copied unchanged.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
 use crate::source;
 use clap::Args;
 use heathspur_capture::exchange::{Found, Message};
-use heathspur_capture::file::{Link, Reader};
+use heathspur_capture::file::{Link, Packet, Reader};
 use heathspur_capture::frame::{Frames, Passed};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::write;
 use heathspur_capture::{ConnId, Item, Stamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs::File;
-use std::io::{BufWriter, Write};
+use std::io::{self, BufWriter, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -40,19 +40,25 @@
     connection: Vec<u64>,
 }
 
-/// When connections of one pair of addresses began that are to be kept, and when they ended.
-type Kept = HashMap<(SocketAddr, SocketAddr), Vec<(Stamp, Stamp)>>;
+/// First and last time of the selected connections between two addresses, in each direction.
+type Spans = HashMap<(SocketAddr, SocketAddr), Vec<(Stamp, Stamp)>>;
 
-/// Finds the connections that are kept.
+/// Copies of a connection's last packets are captured up to this long after its end, in nanoseconds.
+const LATE_PACKET_NANOS: u64 = 1_000_000_000;
+/// Name of the interfaces in the written capture.
+const INTERFACE_NAME: &str = "cut";
+
+/// Finds the selected connections in a first pass over the capture.
 #[derive(Default)]
-struct Search {
+struct ConnectionSearch {
+    /// Client, server and start of each open connection.
     open: BTreeMap<ConnId, (SocketAddr, SocketAddr, Stamp)>,
-    wanted: BTreeSet<ConnId>,
-    kept: Kept,
+    selected: BTreeSet<ConnId>,
+    spans: Spans,
 }
 
-impl Search {
-    fn take(&mut self, item: Item, options: &Options) {
+impl ConnectionSearch {
+    fn add(&mut self, item: Item, options: &Options) {
         match item {
             Item::Connection(Event::Opened {
                 conn,
@@ -63,29 +69,34 @@
             }) => {
                 self.open.insert(conn, (client, server, time));
                 if options.connection.contains(&conn.0) {
-                    self.wanted.insert(conn);
-                }
-            }
-            Item::Connection(Event::Closed { conn, time, .. }) => {
-                let ends = self.open.remove(&conn);
-                if let (Some((client, server, from)), true) = (ends, self.wanted.remove(&conn)) {
-                    // Copies of its last packets come a little later.
-                    let until = Stamp(time.0.saturating_add(1_000_000_000));
-                    for pair in [(client, server), (server, client)] {
-                        self.kept.entry(pair).or_default().push((from, until));
-                    }
+                    self.selected.insert(conn);
                 }
             }
-            Item::Message(Found::Request { conn, message, .. }) if options.wants(&message) => {
-                self.wanted.insert(conn);
+            Item::Connection(Event::Closed { conn, time, .. }) => self.close(conn, time),
+            Item::Message(Found::Request { conn, message, .. }) if options.selects(&message) => {
+                self.selected.insert(conn);
             }
             Item::Connection(_) | Item::Message(_) => {}
         }
     }
+
+    fn close(&mut self, connection: ConnId, closed_at: Stamp) {
+        let opened = self.open.remove(&connection);
+        let is_selected = self.selected.remove(&connection);
+        let Some((client, server, from)) = opened.filter(|_| is_selected) else {
+            return;
+        };
+        let until = Stamp(closed_at.0.saturating_add(LATE_PACKET_NANOS));
+        for direction in [(client, server), (server, client)] {
+            let spans = self.spans.entry(direction).or_default();
+            spans.push((from, until));
+        }
+    }
 }
 
 impl Options {
-    fn wants(&self, message: &Message) -> bool {
+    /// Whether a request selects its connection.
+    fn selects(&self, message: &Message) -> bool {
         let tenant = source::field(message, &self.source.tenant_field);
         self.class.contains(&source::class(message))
             || tenant.is_some_and(|name| self.tenant.contains(&name))
@@ -96,72 +107,121 @@
     }
 }
 
-/// Writes the part.
+/// Decides which packets are written.
+struct PacketFilter {
+    from: Option<Stamp>,
+    to: Option<Stamp>,
+    /// The selected connections; `None` if packets are selected by time only.
+    spans: Option<Spans>,
+    frames: Frames,
+}
+
+impl PacketFilter {
+    fn new(options: &Options, capture_start: Stamp, spans: Spans) -> PacketFilter {
+        let time = |seconds: Option<f64>| {
+            seconds.map(|seconds| {
+                let offset = (seconds.max(0.0) * 1e9) as u64;
+                Stamp(capture_start.0.saturating_add(offset))
+            })
+        };
+        PacketFilter {
+            from: time(options.from),
+            to: time(options.to),
+            spans: options.by_connection().then_some(spans),
+            frames: Frames::new(options.source.checksums),
+        }
+    }
+
+    fn accepts(&mut self, packet: &Packet<'_>) -> bool {
+        let is_before = self.from.is_some_and(|from| packet.time < from);
+        let is_after = self.to.is_some_and(|to| packet.time >= to);
+        if is_before || is_after {
+            return false;
+        }
+        let Some(spans) = &self.spans else {
+            return true;
+        };
+        match self.frames.segment(packet) {
+            Ok(segment) => spans
+                .get(&(segment.from, segment.to))
+                .is_some_and(|spans| contains(spans, segment.time)),
+            // The connection of a fragment is known only once all are there; a surplus packet is better than a hole.
+            Err(Passed::Piece) => true,
+            Err(_) => false,
+        }
+    }
+}
+
+fn contains(spans: &[(Stamp, Stamp)], time: Stamp) -> bool {
+    spans
+        .iter()
+        .any(|(from, until)| (*from..=*until).contains(&time))
+}
+
+/// Writes a pcapng file with an interface for each link type.
+struct CaptureWriter {
+    output: BufWriter<File>,
+    links: Vec<Link>,
+    packets: u64,
+}
+
+impl CaptureWriter {
+    fn new(file: File) -> io::Result<CaptureWriter> {
+        let mut output = BufWriter::new(file);
+        output.write_all(&write::ng_section())?;
+        Ok(CaptureWriter {
+            output,
+            links: Vec::new(),
+            packets: 0,
+        })
+    }
+
+    fn write(&mut self, packet: &Packet<'_>) -> io::Result<()> {
+        let interface = self.interface(packet.link)?;
+        let block = write::ng_packet(interface, packet.time, packet.data, packet.wire_len, "");
+        self.output.write_all(&block)?;
+        self.packets += 1;
+        Ok(())
+    }
+
+    /// Returns the interface of a link type, and writes it first if it is new.
+    fn interface(&mut self, link: Link) -> io::Result<u32> {
+        if let Some(interface) = self.links.iter().position(|known| *known == link) {
+            return Ok(interface as u32);
+        }
+        let block = write::ng_interface(link.number(), INTERFACE_NAME);
+        self.output.write_all(&block)?;
+        self.links.push(link);
+        Ok(self.links.len() as u32 - 1)
+    }
+}
+
+/// Writes the selected part of a capture.
 pub fn run(options: &Options) -> Result<(), Error> {
-    let mut search = Search::default();
-    let tally = source::read(&options.source, |item| search.take(item, options))?;
-    let start = tally.first.unwrap_or_default();
-    let point = |seconds: Option<f64>| {
-        seconds.map(|s| Stamp(start.0.saturating_add((s.max(0.0) * 1e9) as u64)))
-    };
-    let (from, to) = (point(options.from), point(options.to));
+    let mut search = ConnectionSearch::default();
+    let tally = source::read(&options.source, |item| search.add(item, options))?;
+    let capture_start = tally.first.unwrap_or_default();
+    let mut filter = PacketFilter::new(options, capture_start, search.spans);
     let file_error = |source| Error::File {
         path: options.output.clone(),
         source,
     };
-    let mut output = BufWriter::new(File::create_new(&options.output).map_err(file_error)?);
-    // Packets of one link type are written as they come; a file of several types needs an interface for each.
-    let (mut reader, mut frames) = (Reader::new(), Frames::new(options.source.checksums));
-    let (mut links, mut packets): (Vec<Link>, u64) = (Vec::new(), 0);
-    let mut written = output.write_all(&write::ng_section());
+    let file = File::create_new(&options.output).map_err(file_error)?;
+    let mut writer = CaptureWriter::new(file).map_err(file_error)?;
+    let mut reader = Reader::new();
+    let mut written = Ok(());
     source::pieces(&options.source.file, |bytes| {
         reader.feed(bytes);
         while let Ok(Some(packet)) = reader.next_packet() {
-            if from.is_some_and(|from| packet.time < from) || to.is_some_and(|to| packet.time >= to)
-            {
-                continue;
-            }
-            let keep = !options.by_connection()
-                || match frames.segment(&packet) {
-                    Ok(segment) => {
-                        search
-                            .kept
-                            .get(&(segment.from, segment.to))
-                            .is_some_and(|spans| {
-                                spans
-                                    .iter()
-                                    .any(|(from, until)| (*from..=*until).contains(&segment.time))
-                            })
-                    }
-                    // Pieces are told apart only once they are whole; better too many than a hole.
-                    Err(Passed::Piece) => true,
-                    Err(_) => false,
-                };
-            if !keep || written.is_err() {
-                continue;
+            if written.is_ok() && filter.accepts(&packet) {
+                written = writer.write(&packet);
             }
-            packets += 1;
-            let interface = links
-                .iter()
-                .position(|link| *link == packet.link)
-                .unwrap_or_else(|| {
-                    links.push(packet.link);
-                    written = output.write_all(&write::ng_interface(packet.link.number(), "cut"));
-                    links.len() - 1
-                });
-            let block = write::ng_packet(
-                interface as u32,
-                packet.time,
-                packet.data,
-                packet.wire_len,
-                "",
-            );
-            written =
-                std::mem::replace(&mut written, Ok(())).and_then(|()| output.write_all(&block));
         }
         written.is_ok()
     })?;
-    written.and_then(|()| output.flush()).map_err(file_error)?;
-    println!("{}: {packets} packets", options.output.display());
+    written
+        .and_then(|()| writer.output.flush())
+        .map_err(file_error)?;
+    println!("{}: {} packets", options.output.display(), writer.packets);
     source::damaged(&options.source, &tally)
 }
