--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -1,88 +1,120 @@
-//! `pcap info`: a summary of a capture.
+//! `pcap info`: prints a summary of a capture.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
 use crate::source;
 use crate::table::plain;
-use heathspur_capture::exchange::{Cause, Found};
+use heathspur_capture::exchange::{Cause, Found, Message};
 use heathspur_capture::reassembly::{End, Event};
 use heathspur_capture::{ConnId, Item, Tally};
 use heathspur_replay::histogram::DurationHistogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Requests of one connection that are remembered while they are open.
-const OPEN: usize = 2048;
+/// Largest number of unanswered requests kept of one connection.
+const MAX_UNANSWERED: usize = 2048;
 
+/// Requests and responses of a class.
 #[derive(Default)]
-struct Class {
+struct ClassSummary {
     requests: u64,
-    answers: BTreeMap<u16, u64>,
+    responses: BTreeMap<u16, u64>,
     latency: DurationHistogram,
 }
 
+/// A request without a response.
+struct UnansweredRequest {
+    /// Number of the request on its connection.
+    number: u64,
+    class: String,
+    last_byte_at: u64,
+}
+
+/// Messages passed over for one cause.
+#[derive(Default)]
+struct PassedMessages {
+    count: u64,
+    bytes: u64,
+}
+
 #[derive(Default)]
 struct Summary {
-    classes: BTreeMap<String, Class>,
-    /// Of each connection, requests that are not answered: number, class, time of the last byte.
-    open: HashMap<ConnId, VecDeque<(u64, String, u64)>>,
+    classes: BTreeMap<String, ClassSummary>,
+    /// Unanswered requests of each connection, oldest first.
+    unanswered: HashMap<ConnId, VecDeque<UnansweredRequest>>,
     ends: BTreeMap<End, u64>,
-    passed: BTreeMap<Cause, (u64, u64)>,
+    passed: BTreeMap<Cause, PassedMessages>,
+    /// Responses to no captured request.
     unmatched: u64,
 }
 
 impl Summary {
-    fn take(&mut self, item: Item) {
+    fn add(&mut self, item: Item) {
         match item {
             Item::Message(Found::Request {
                 conn,
                 index,
                 message,
-            }) => {
-                let class = source::class(&message);
-                self.classes.entry(class.clone()).or_default().requests += 1;
-                let open = self.open.entry(conn).or_default();
-                if open.len() >= OPEN {
-                    open.pop_front();
-                }
-                open.push_back((index, class, message.last.0));
-            }
+            }) => self.add_request(conn, index, &message),
             Item::Message(Found::Answer { conn, to, message }) => {
-                let open = self.open.entry(conn).or_default();
-                let place = to.and_then(|to| open.iter().position(|(index, ..)| *index == to));
-                let Some((_, class, asked)) = place.and_then(|place| open.remove(place)) else {
-                    self.unmatched += 1;
-                    return;
-                };
-                let class = self.classes.entry(class).or_default();
-                *class
-                    .answers
-                    .entry(message.status().unwrap_or(0))
-                    .or_default() += 1;
-                class.latency.record(message.last.0.saturating_sub(asked));
+                self.add_response(conn, to, &message);
             }
             Item::Message(Found::Passed { cause, bytes, .. }) => {
                 let passed = self.passed.entry(cause).or_default();
-                passed.0 += 1;
-                passed.1 += bytes;
+                passed.count += 1;
+                passed.bytes += bytes;
             }
             Item::Connection(Event::Closed { conn, end, .. }) => {
-                self.open.remove(&conn);
+                self.unanswered.remove(&conn);
                 *self.ends.entry(end).or_default() += 1;
             }
             Item::Connection(_) => {}
         }
     }
+
+    fn add_request(&mut self, connection: ConnId, number: u64, message: &Message) {
+        let class = source::class(message);
+        self.classes.entry(class.clone()).or_default().requests += 1;
+        let unanswered = self.unanswered.entry(connection).or_default();
+        if unanswered.len() >= MAX_UNANSWERED {
+            unanswered.pop_front();
+        }
+        unanswered.push_back(UnansweredRequest {
+            number,
+            class,
+            last_byte_at: message.last.0,
+        });
+    }
+
+    fn add_response(&mut self, connection: ConnId, request: Option<u64>, message: &Message) {
+        let unanswered = self.unanswered.entry(connection).or_default();
+        let position =
+            request.and_then(|number| unanswered.iter().position(|known| known.number == number));
+        let Some(request) = position.and_then(|position| unanswered.remove(position)) else {
+            self.unmatched += 1;
+            return;
+        };
+        let class = self.classes.entry(request.class).or_default();
+        let status = message.status().unwrap_or(0);
+        *class.responses.entry(status).or_default() += 1;
+        let latency = message.last.0.saturating_sub(request.last_byte_at);
+        class.latency.record(latency);
+    }
 }
 
-/// Prints the summary.
-pub fn run(from: &CaptureOptions) -> Result<(), Error> {
+/// Prints a summary of a capture.
+pub fn run(options: &CaptureOptions) -> Result<(), Error> {
     let mut summary = Summary::default();
-    let tally = source::read(from, |item| summary.take(item))?;
+    let tally = source::read(options, |item| summary.add(item))?;
     let mut table = plain();
     for (name, value) in lines(&summary, &tally) {
         table.add_row([name, value]);
     }
     println!("{table}\n");
+    print_classes(&summary.classes);
+    source::damaged(options, &tally)
+}
+
+fn print_classes(classes: &BTreeMap<String, ClassSummary>) {
     let mut table = plain();
     table.set_header([
         "class",
@@ -93,30 +125,28 @@
         "p99 ms",
         "max ms",
     ]);
-    for (name, class) in &summary.classes {
-        let (answered, times) = (
-            class.answers.values().sum::<u64>(),
-            class.latency.quantiles(),
-        );
+    for (name, class) in classes {
+        let answered = class.responses.values().sum::<u64>();
         let by_status: Vec<_> = class
-            .answers
+            .responses
             .iter()
-            .map(|(status, n)| format!("{status}: {n}"))
+            .map(|(status, count)| format!("{status}: {count}"))
             .collect();
+        let latency = class.latency.quantiles();
         table.add_row([
             name.clone(),
             class.requests.to_string(),
             (class.requests - answered).to_string(),
             by_status.join(", "),
-            format!("{:.2}", times.p50_ms),
-            format!("{:.2}", times.p99_ms),
-            format!("{:.2}", times.max_ms),
+            format!("{:.2}", latency.p50_ms),
+            format!("{:.2}", latency.p99_ms),
+            format!("{:.2}", latency.max_ms),
         ]);
     }
     println!("{table}");
-    source::damaged(from, &tally)
 }
 
+/// The rows of the summary: names and values.
 fn lines(summary: &Summary, tally: &Tally) -> Vec<(String, String)> {
     let seconds = tally
         .first
@@ -174,10 +204,10 @@
             count.to_string(),
         );
     }
-    for (cause, (times, bytes)) in &summary.passed {
+    for (cause, passed) in &summary.passed {
         line(
             &format!("messages passed over: {cause:?}"),
-            format!("{times} ({bytes} bytes)"),
+            format!("{} ({} bytes)", passed.count, passed.bytes),
         );
     }
     lines
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a replay: on the terminal, as JSON, as charts.
+//! The report of a replay: a table on the terminal, JSON files and charts.
 
 use crate::charts;
 use crate::load::Loaded;
@@ -13,11 +13,11 @@
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// What a replay gave.
+/// The result of a replay.
 pub struct Replayed {
-    /// What came of each request.
+    /// Outcome of each request, by its index in the plan.
     pub outcomes: Vec<Outcome>,
-    /// Counts.
+    /// Counts of the runner.
     pub counts: Counts,
     /// Number of values replaced in the requests.
     pub renewed: RenewedValues,
@@ -59,16 +59,16 @@
             compared.only_replayed, compared.only_recorded, compared.neither
         )
     });
-    let times = |t: &Quantiles| {
+    let quantiles = |quantiles: &Quantiles| {
         format!(
             "p50 {:.3}  p99 {:.3}  p99.9 {:.3}  max {:.3} ms",
-            t.p50_ms, t.p99_ms, t.p999_ms, t.max_ms
+            quantiles.p50_ms, quantiles.p99_ms, quantiles.p999_ms, quantiles.max_ms
         )
     };
-    row("lateness of the sender", times(&audit.lateness));
+    row("lateness of the sender", quantiles(&audit.lateness));
     row("drift", format!("{:.3} ms a second", audit.drift_ms_per_s));
-    row("latency recorded", times(&audit.recorded_latency));
-    row("latency from the intended time", times(&audit.latency));
+    row("latency recorded", quantiles(&audit.recorded_latency));
+    row("latency from the intended time", quantiles(&audit.latency));
     row(
         "changed: ids, keys, stamps",
         format!("{}, {}, {}", renewed.ids, renewed.keys, renewed.stamps),
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -1,4 +1,4 @@
-//! `pcap requests`: each request with its answer.
+//! `pcap requests`: prints each request with its response.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
@@ -12,8 +12,9 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Requests that wait for their answers at most; the oldest of a connection is printed without one then.
-const WAITING: usize = 65_536;
+/// Largest number of requests that wait for their responses. Beyond it, the oldest request of the lowest connection
+/// number is printed without one.
+const MAX_WAITING: usize = 65_536;
 
 /// How requests are printed.
 #[derive(Clone, Copy, Debug, ValueEnum)]
@@ -48,19 +49,19 @@
     status: Option<u16>,
     latency_ms: Option<f64>,
     #[serde(skip)]
-    last: u64,
+    last_byte_at: u64,
 }
 
-struct Rows<'a> {
+struct RowPrinter<'a> {
     options: &'a Options,
     clients: HashMap<ConnId, SocketAddr>,
     waiting: BTreeMap<(ConnId, u64), Row>,
-    /// The first fault of writing; nothing is written after it.
-    ended: Option<std::io::Error>,
+    /// The first write error; nothing is written after it.
+    write_error: Option<std::io::Error>,
 }
 
-impl Rows<'_> {
-    fn take(&mut self, item: Item) {
+impl RowPrinter<'_> {
+    fn add(&mut self, item: Item) {
         match item {
             Item::Connection(Event::Opened { conn, client, .. }) => {
                 self.clients.insert(conn, client);
@@ -82,7 +83,7 @@
             }) => {
                 let row = self.row(conn, index, &message);
                 self.waiting.insert((conn, index), row);
-                if self.waiting.len() > WAITING {
+                if self.waiting.len() > MAX_WAITING {
                     if let Some(&oldest) = self.waiting.keys().next() {
                         self.print(oldest);
                     }
@@ -95,7 +96,8 @@
             }) => {
                 if let Some(row) = self.waiting.get_mut(&(conn, to)) {
                     row.status = message.status();
-                    row.latency_ms = Some(message.last.0.saturating_sub(row.last) as f64 / 1e6);
+                    row.latency_ms =
+                        Some(message.last.0.saturating_sub(row.last_byte_at) as f64 / 1e6);
                     self.print((conn, to));
                 }
             }
@@ -115,7 +117,7 @@
             bytes: message.bytes.len(),
             status: None,
             latency_ms: None,
-            last: message.last.0,
+            last_byte_at: message.last.0,
         }
     }
 
@@ -140,13 +142,13 @@
                 )
             }
         };
-        if self.ended.is_none() {
-            self.ended = writeln!(std::io::stdout().lock(), "{text}").err();
+        if self.write_error.is_none() {
+            self.write_error = writeln!(std::io::stdout().lock(), "{text}").err();
         }
     }
 }
 
-/// Prints the requests, each once its answer is known or can't come any more.
+/// Prints the requests, each as soon as its response is known or cannot follow any more.
 pub fn run(options: &Options) -> Result<(), Error> {
     if let Format::Table = options.format {
         println!(
@@ -154,15 +156,15 @@
             "at", "conn", "index", "class", "tenant", "bytes", "status", "ms"
         );
     }
-    let mut rows = Rows {
+    let mut rows = RowPrinter {
         options,
         clients: HashMap::new(),
         waiting: BTreeMap::new(),
-        ended: None,
+        write_error: None,
     };
-    let tally = source::read(&options.source, |item| rows.take(item))?;
-    match rows.ended {
-        // A reader that has seen enough is no fault.
+    let tally = source::read(&options.source, |item| rows.add(item))?;
+    match rows.write_error {
+        // The reader of a pipe may stop early.
         Some(e) if e.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
         Some(e) => Err(Error::stdout(e)),
         None => source::damaged(&options.source, &tally),
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -1,4 +1,4 @@
-//! A capture's file read in a stream.
+//! Reads captures as streams, and extracts what the commands show of a message.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
@@ -10,10 +10,10 @@
 use std::io::{IsTerminal, Read};
 use std::path::Path;
 
-/// Bytes read at once.
-const CHUNK: usize = 256 * 1024;
+/// Bytes read per call.
+const READ_BUFFER_BYTES: usize = 256 * 1024;
 
-/// The bytes of a file in pieces, with progress on a terminal. The callback ends reading by `false`.
+/// Reads a file in pieces and shows the progress on a terminal. The callback returns `false` to stop.
 pub fn pieces(file: &Path, mut piece: impl FnMut(&[u8]) -> bool) -> Result<(), Error> {
     let file_error = |source| Error::File {
         path: file.to_path_buf(),
@@ -31,7 +31,7 @@
     {
         progress.set_style(style);
     }
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let read = input.read(&mut buffer).map_err(file_error)?;
         if read == 0 || !piece(&buffer[..read]) {
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// How this source's capture is read.
+/// Converts command-line options to those of the reader.
 pub fn options(source: &CaptureOptions) -> Options {
     let reassembly = reassembly::Limits {
         servers: source.server_ports.clone(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Reads a capture and hands on what is found in it.
+/// Reads a capture and passes each item in it to the callback.
 pub fn read(source: &CaptureOptions, mut found: impl FnMut(Item)) -> Result<Tally, Error> {
     let mut pipeline = Pipeline::new(options(source));
     pieces(&source.file, |bytes| pipeline.feed(bytes, &mut found))?;
@@ -64,7 +64,7 @@
     Ok(pipeline.tally())
 }
 
-/// Damage is told last, with an exit code of its own.
+/// Returns the damage of a capture, if there is any. Commands report it after everything else.
 pub fn damaged(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
     match tally.damage {
         Some(damage) => Err(Error::DamagedCapture {
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a request asks for: the path, and of paths with a service's name that name.
+/// Returns the class of a request: the name in `/svc/NAME`, or else the whole path.
 pub fn class(message: &Message) -> String {
     let Some((_, target)) = message.request_line() else {
         return "?".into();
@@ -85,14 +85,14 @@
     String::from_utf8_lossy(class).into_owned()
 }
 
-/// The value of a field.
+/// Returns the value of a header field.
 pub fn field(message: &Message, name: &str) -> Option<String> {
     message
         .field(name)
         .map(|value| String::from_utf8_lossy(value).into_owned())
 }
 
-/// A digest of bytes; the same for the same bytes in every run.
+/// Returns a digest that is the same for the same bytes in every run.
 pub fn digest(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     bytes.hash(&mut hasher);
