--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -1,4 +1,4 @@
-//! The tools as processes: captures read, cut, and replayed to a stand-in on loopback.
+//! Runs the program: reads and cuts captures, and replays them to a stand-in server on loopback.
 
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
@@ -22,7 +22,7 @@
         .unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let all = [&output.stdout[..], &output.stderr].concat();
     String::from_utf8_lossy(&all).into_owned()
 }
@@ -75,10 +75,10 @@
 }
 
 #[test]
-fn info_and_requests_tell_what_is_in_a_capture() {
+fn info_and_requests_describe_a_capture() {
     let (file, sent) = capture("info.pcap");
     let output = run(&["pcap", "info", file.to_str().unwrap()]);
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
     let line = |name: &str| {
         text.lines()
@@ -118,18 +118,22 @@
         // The answer came a millisecond after the request's last segment.
         assert!((row["latency_ms"].as_f64().unwrap() - 1.0).abs() < 1e-9);
     }
-    let table = said(&run(&["pcap", "requests", file.to_str().unwrap()]));
+    let table = output_text(&run(&["pcap", "requests", file.to_str().unwrap()]));
     assert_eq!(table.lines().count(), 13);
 }
 
 #[test]
-fn a_damaged_capture_is_used_up_to_the_damage_and_says_where_that_is() {
+fn a_damaged_capture_is_used_up_to_the_damage_and_reports_its_offset() {
     let (file, _) = capture("damaged.pcap");
     let whole = std::fs::read(&file).unwrap();
     std::fs::write(&file, &whole[..whole.len() * 2 / 3]).unwrap();
     let output = run(&["pcap", "info", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(3));
-    assert!(said(&output).contains("at byte "), "{}", said(&output));
+    assert!(
+        output_text(&output).contains("at byte "),
+        "{}",
+        output_text(&output)
+    );
     std::fs::write(&file, b"no capture").unwrap();
     assert_eq!(
         run(&["pcap", "requests", file.to_str().unwrap()])
@@ -144,7 +148,7 @@
 }
 
 #[test]
-fn a_part_that_was_cut_out_holds_whole_connections_and_nothing_else() {
+fn cut_writes_only_the_selected_connections_and_all_their_packets() {
     let (file, _) = capture("whole.pcap");
     let file = file.to_str().unwrap();
     let part = temporary("part.pcapng");
@@ -175,7 +179,12 @@
             more,
         ]
         .concat());
-        assert_eq!(output.status.code(), Some(0), "{more:?} {}", said(&output));
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{more:?} {}",
+            output_text(&output)
+        );
         if requests > 0 {
             assert_eq!(count(&part), requests, "{more:?}");
         }
@@ -217,15 +226,15 @@
     let sink = Sink::start(Manner::default());
     let report = temporary("report");
     let output = replay(&file, &sink, &["--report", report.to_str().unwrap()]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert_eq!(
         by_connection(&sink.received()),
         recorded_by_connection(&sent)
     );
-    let told: Value =
+    let report_json: Value =
         serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
-    assert_eq!(told["audit"]["compared"]["same"], 12);
-    assert_eq!(told["changed"]["ids"], 0);
+    assert_eq!(report_json["audit"]["compared"]["same"], 12);
+    assert_eq!(report_json["changed"]["ids"], 0);
     let lines = std::fs::read_to_string(report.join("requests.jsonl")).unwrap();
     assert_eq!(lines.lines().count(), 12);
     for (line, (at, _)) in lines.lines().zip(&sent) {
@@ -251,7 +260,7 @@
     let (file, sent) = capture("order.pcap");
     let sink = Sink::start(Manner::default());
     let output = replay(&file, &sink, &SLOW_REPLAY);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     let received: Vec<_> = sink.received().into_iter().map(|r| r.bytes).collect();
     assert_eq!(
         received,
@@ -262,7 +271,7 @@
 }
 
 #[test]
-fn a_burst_of_connections_loses_no_report_of_any() {
+fn a_burst_of_connections_loses_no_report() {
     let mut packets = Vec::new();
     // Fewer than a listener of the standard library lets wait.
     for conn in 0..120 {
@@ -283,12 +292,12 @@
     std::fs::write(&file, pcap(&packets)).unwrap();
     let sink = Sink::start(Manner::default());
     let output = replay(&file, &sink, &["--speed", "100"]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert_eq!(sink.received().len(), 360);
 }
 
 #[test]
-fn fresh_ids_are_asked_for_where_requests_are_sent_more_than_once() {
+fn sending_requests_more_than_once_requires_fresh_ids() {
     let (file, sent) = capture("renew.pcap");
     let sink = Sink::start(Manner::default());
     for more in [&["--loop", "2"][..], &["--scale-load", "2"]] {
@@ -308,7 +317,7 @@
             "4",
         ],
     );
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     let received = sink.received();
     assert_eq!(received.len(), 48);
     let field = |bytes: &[u8], name: &str| {
@@ -336,14 +345,14 @@
 }
 
 #[test]
-fn what_a_breaking_or_absent_target_costs_is_counted_and_shows_in_the_exit_code() {
+fn lost_requests_are_counted_and_set_the_exit_code() {
     let (file, _) = capture("broken.pcap");
     let sink = Sink::start(Manner {
         break_after: 3,
         ..Manner::default()
     });
     let output = replay(&file, &sink, &SLOW_REPLAY);
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(
         text.lines().any(
@@ -369,16 +378,16 @@
     ]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said(&output).contains("not sent: Refused"),
+        output_text(&output).contains("not sent: Refused"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
     let closes = Sink::start(Manner {
         close: true,
         ..Manner::default()
     });
     let output = replay(&file, &closes, &SLOW_REPLAY);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
 }
 
 #[test]
@@ -419,14 +428,14 @@
         "--connection",
         "0",
     ]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let text = said(&run(&["pcap", "info", part.to_str().unwrap()]));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    let text = output_text(&run(&["pcap", "info", part.to_str().unwrap()]));
     assert!(text.contains("200: 1"), "{text}");
 }
 
 #[test]
-fn operators_files_are_checked_and_the_schema_printed() {
-    let schema = said(&run(&["config", "schema"]));
+fn config_checks_operator_files_and_prints_the_schema() {
+    let schema = output_text(&run(&["config", "schema"]));
     assert!(schema.contains("<xs:schema"));
     let file = temporary("operator.xml");
     let write = |inner: &str| {
@@ -447,9 +456,9 @@
     let output = run(&["config", "check", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said(&output).contains(":2: log@colour: unknown element or attribute"),
+        output_text(&output).contains(":2: log@colour: unknown element or attribute"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
     write("<record directory=\"/x\"><budget memory=\"9 MiB\"/></record>");
     assert_eq!(
@@ -458,12 +467,12 @@
             .code(),
         Some(1)
     );
-    assert!(said(&run(&["completions", "bash"])).contains("heathspurctl"));
-    assert!(said(&run(&["man"])).contains(".TH heathspurctl"));
+    assert!(output_text(&run(&["completions", "bash"])).contains("heathspurctl"));
+    assert!(output_text(&run(&["man"])).contains(".TH heathspurctl"));
 }
 
-/// The audit of a replay through a proxy, and how often each request was received.
-fn through(name: &str, faults: Faults, more: &[&str]) -> (Output, Value, Vec<usize>) {
+/// Replays through a faulty proxy. Returns the output, the audit, and how often each request was received.
+fn replay_through_proxy(name: &str, faults: Faults, more: &[&str]) -> (Output, Value, Vec<usize>) {
     let (file, sent) = capture(&format!("{name}.pcap"));
     let sink = Sink::start(Manner::default());
     let (proxy, _) = proxy::start(sink.address, faults, 11);
@@ -479,7 +488,7 @@
         report.to_str().unwrap(),
     ];
     let output = run(&[&fixed[..], more].concat());
-    let told: Value =
+    let report_json: Value =
         serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
     let received = sink.received();
     let times = sent
@@ -487,17 +496,17 @@
         .map(|(_, bytes)| received.iter().filter(|r| r.bytes == *bytes).count())
         .collect();
     std::fs::remove_dir_all(report).unwrap();
-    (output, told["audit"].clone(), times)
+    (output, report_json["audit"].clone(), times)
 }
 
 #[test]
-fn bytes_that_pass_in_small_pieces_are_the_same_bytes() {
+fn fragmented_writes_do_not_change_a_replay() {
     let faults = Faults {
         split: 3,
         ..Faults::default()
     };
-    let (output, audit, times) = through("split", faults, &[]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    let (output, audit, times) = replay_through_proxy("split", faults, &[]);
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert_eq!(
         (
             audit["answered"].as_u64(),
@@ -509,15 +518,15 @@
 }
 
 #[test]
-fn connections_that_break_anywhere_cost_requests_and_never_double_one() {
+fn broken_connections_lose_requests_and_never_repeat_one() {
     let faults = Faults {
         split: 40,
         cut_per_mille: 500,
         within: 500,
         ..Faults::default()
     };
-    let (output, audit, times) = through("cut", faults, &[]);
-    assert_eq!(output.status.code(), Some(1), "{}", said(&output));
+    let (output, audit, times) = replay_through_proxy("cut", faults, &[]);
+    assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
     let count = |name: &str| audit[name].as_u64().unwrap();
     assert!(count("broken") > 0 && count("answered") > 0, "{audit}");
     assert_eq!(
@@ -529,20 +538,20 @@
 }
 
 #[test]
-fn connections_that_go_silent_are_given_up() {
+fn silent_connections_time_out() {
     let faults = Faults {
         silent_per_mille: 1000,
         within: 500,
         ..Faults::default()
     };
-    let (output, audit, times) = through("silent", faults, &["--patience", "0.3"]);
-    assert_eq!(output.status.code(), Some(1), "{}", said(&output));
+    let (output, audit, times) = replay_through_proxy("silent", faults, &["--patience", "0.3"]);
+    assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
     assert!(audit["timed_out"].as_u64().unwrap() > 0, "{audit}");
     assert!(times.iter().all(|times| *times <= 1), "{times:?}");
 }
 
 #[test]
-fn a_client_that_waited_waits_again_where_that_is_asked_for() {
+fn a_causal_replay_waits_for_responses() {
     let mut script = Script::open(4000);
     for n in 0..6 {
         script.say(Side::Client, &keyed(n, "look", "k", START / MS), 1000);
@@ -563,10 +572,12 @@
             &sink,
             &[more, &["--report", report.to_str().unwrap()]].concat(),
         );
-        assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-        let told: Value =
+        assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+        let report_json: Value =
             serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
-        let most = told["audit"]["counts"]["most_open"].as_u64().unwrap();
+        let most = report_json["audit"]["counts"]["most_open"]
+            .as_u64()
+            .unwrap();
         assert_eq!(most == 1, one_by_one, "{most}");
         std::fs::remove_dir_all(report).unwrap();
     }
