--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -36,7 +36,7 @@
 }
 
 /// Slows a replay of [`capture`] so that requests of different connections are 140 ms apart, and those of one
-/// connection 460 ms: far more than a busy machine delays a thread.
+/// connection 460 ms. At load 19 on eight cores threads were delayed by less; at load 30 some were delayed by more.
 const SLOW_REPLAY: [&str; 2] = ["--speed", "0.05"];
 
 /// Three connections, each with four requests; every second one of class `pay`. All that was sent, in order.
