--- a/crates/heathspur-replay/src/lib.rs
+++ b/crates/heathspur-replay/src/lib.rs
@@ -6,7 +6,13 @@
 #![forbid(unsafe_code)]
 
 pub mod audit;
+mod connection;
+pub mod event;
+pub mod histogram;
+pub mod limits;
+pub mod outcome;
 pub mod plan;
+pub mod recording;
 pub mod renew;
 pub mod runner;
 
--- a/crates/heathspur-replay/tests/plan.rs
+++ b/crates/heathspur-replay/tests/plan.rs
@@ -1,13 +1,14 @@
-//! Schedules, and fresh ids.
+//! Plans, and fresh IDs, keys and time stamps.
 
 mod common;
 use bytes::Bytes;
 use common::*;
-use heathspur_replay::plan::{plan, Fault, Options, Plan, Recorded};
-use heathspur_replay::renew::{Changed, Names, Renewer, Times};
+use heathspur_replay::plan::{Error, Options, Plan};
+use heathspur_replay::recording::RecordedRequest;
+use heathspur_replay::renew::{FieldNames, RenewedValues, Renewer, RequestIdentity, RequestTimes};
 use std::collections::BTreeMap;
 
-fn recording() -> Vec<Recorded> {
+fn recording() -> Vec<RecordedRequest> {
     vec![
         request(1, 0, "a", Some(30)),
         request(1, 100, "b", Some(20)),
@@ -17,79 +18,82 @@
     ]
 }
 
-fn made(options: &Options) -> Plan {
-    plan(&recording(), &BTreeMap::new(), options).unwrap()
+fn build(options: &Options) -> Plan {
+    Plan::build(&recording(), &BTreeMap::new(), options).unwrap()
 }
 
 fn times(plan: &Plan) -> Vec<(usize, u64)> {
-    plan.sends
+    plan.requests
         .iter()
-        .map(|send| (send.recorded, send.at / MS))
+        .map(|send| (send.recorded, send.send_at / MS))
         .collect()
 }
 
 #[test]
-fn by_default_all_is_as_it_was() {
-    let plan = made(&Options::default());
+fn the_default_plan_keeps_the_recorded_schedule() {
+    let plan = build(&Options::default());
     assert_eq!(
         times(&plan),
         [(0, 0), (2, 50), (1, 100), (3, 110), (4, 1000)]
     );
-    assert_eq!(plan.lanes.len(), 2);
-    assert_eq!(plan.lanes[0].sends, [0, 2, 3]);
-    assert_eq!(plan.lanes[1].sends, [1, 4]);
-    assert!(!plan.copies && plan.end == 1000 * MS);
-    assert!(plan.sends.iter().all(|send| send.after_answer.is_none()));
+    assert_eq!(plan.connections.len(), 2);
+    assert_eq!(plan.connections[0].requests, [0, 2, 3]);
+    assert_eq!(plan.connections[1].requests, [1, 4]);
+    assert!(!plan.has_copies && plan.last_send_at == 1000 * MS);
+    assert!(plan
+        .requests
+        .iter()
+        .all(|send| send.delay_after_response.is_none()));
 }
 
 #[test]
-fn speed_keeps_the_proportions() {
+fn speed_scales_all_times() {
     assert_eq!(
-        times(&made(&Options {
+        times(&build(&Options {
             speed: 10.0,
             ..Options::default()
         })),
         [(0, 0), (2, 5), (1, 10), (3, 11), (4, 100)]
     );
     assert_eq!(
-        made(&Options {
+        build(&Options {
             speed: 0.5,
             ..Options::default()
         })
-        .end,
+        .last_send_at,
         2000 * MS
     );
 }
 
 #[test]
-fn a_part_of_the_time_is_cut_out_and_begins_at_once() {
+fn a_selected_interval_starts_at_once() {
     let options = Options {
         from: 60 * MS,
         to: Some(1000 * MS),
         ..Options::default()
     };
-    assert_eq!(times(&made(&options)), [(1, 0), (3, 10)]);
+    assert_eq!(times(&build(&options)), [(1, 0), (3, 10)]);
     let nothing = Options {
         from: 5000 * MS,
         ..Options::default()
     };
     assert_eq!(
-        plan(&recording(), &BTreeMap::new(), &nothing),
-        Err(Fault::Empty)
+        Plan::build(&recording(), &BTreeMap::new(), &nothing),
+        Err(Error::NoRequests)
     );
 }
 
 #[test]
-fn the_order_of_cause_is_kept_only_where_an_answer_came_before() {
-    let plan = made(&Options {
+fn a_causal_plan_waits_only_for_responses_received_before_the_request() {
+    let plan = build(&Options {
         causal: true,
         speed: 2.0,
         ..Options::default()
     });
     let waits: Vec<_> = plan
-        .sends
+        .requests
         .iter()
-        .map(|send| send.after_answer.map(|wait| wait / MS))
+        .map(|send| send.delay_after_response.map(|wait| wait / MS))
         .collect();
     // The second request of connection 1 came 70 ms after the answer to the first; the third came before the
     // answer to the second, so its client did not wait.
@@ -97,31 +101,31 @@
 }
 
 #[test]
-fn turns_follow_each_other_and_copies_are_told_apart() {
-    let plan = made(&Options {
+fn rounds_do_not_overlap_and_copies_are_numbered() {
+    let plan = build(&Options {
         repeat: 3,
         ..Options::default()
     });
-    assert!(plan.copies);
-    assert_eq!((plan.sends.len(), plan.lanes.len()), (15, 6));
-    let turn = |copy: u64| {
-        plan.sends
+    assert!(plan.has_copies);
+    assert_eq!((plan.requests.len(), plan.connections.len()), (15, 6));
+    let round = |copy: u64| {
+        plan.requests
             .iter()
             .filter(move |send| send.copy == copy)
-            .map(|send| send.at)
+            .map(|send| send.send_at)
     };
     for copy in 1..3 {
-        assert!(turn(copy).min() > turn(copy - 1).max());
-        let shift = turn(copy).min().unwrap();
-        assert!(turn(copy)
-            .zip(turn(0))
+        assert!(round(copy).min() > round(copy - 1).max());
+        let shift = round(copy).min().unwrap();
+        assert!(round(copy)
+            .zip(round(0))
             .all(|(late, first)| late - shift == first));
     }
 }
 
 #[test]
-fn load_takes_or_copies_whole_connections() {
-    let many: Vec<Recorded> = (0..400)
+fn load_drops_or_copies_whole_connections() {
+    let many: Vec<RecordedRequest> = (0..400)
         .flat_map(|c| [request(c, c, "k", None), request(c, c + 9, "k", None)])
         .collect();
     for (load, least, most) in [
@@ -134,25 +138,28 @@
             load,
             ..Options::default()
         };
-        let plan = plan(&many, &BTreeMap::new(), &options).unwrap();
+        let plan = Plan::build(&many, &BTreeMap::new(), &options).unwrap();
         assert!(
-            (least..=most).contains(&plan.lanes.len()),
+            (least..=most).contains(&plan.connections.len()),
             "{load}: {}",
-            plan.lanes.len()
+            plan.connections.len()
         );
-        assert!(plan.lanes.iter().all(|lane| lane.sends.len() == 2));
-        assert_eq!(plan.copies, load > 1.0);
+        assert!(plan
+            .connections
+            .iter()
+            .all(|connection| connection.requests.len() == 2));
+        assert_eq!(plan.has_copies, load > 1.0);
         assert_eq!(
             plan,
-            heathspur_replay::plan::plan(&many, &BTreeMap::new(), &options).unwrap()
+            Plan::build(&many, &BTreeMap::new(), &options).unwrap()
         );
     }
 }
 
 #[test]
-fn connections_open_when_they_did_and_never_after_their_first_request() {
+fn connections_open_as_recorded_and_never_after_their_first_request() {
     let opened = BTreeMap::from([(1, START), (2, START + 20 * MS)]);
-    let plan = plan(
+    let plan = Plan::build(
         &recording(),
         &opened,
         &Options {
@@ -162,59 +169,66 @@
     )
     .unwrap();
     assert_eq!(
-        plan.lanes
+        plan.connections
             .iter()
-            .map(|lane| lane.open / MS)
+            .map(|connection| connection.open_at / MS)
             .collect::<Vec<_>>(),
         [0, 10]
     );
     let late = BTreeMap::from([(2, START + 70 * MS)]);
-    let plan = heathspur_replay::plan::plan(&recording(), &late, &Options::default()).unwrap();
-    assert_eq!(plan.lanes[1].open / MS, 50);
+    let plan = Plan::build(&recording(), &late, &Options::default()).unwrap();
+    assert_eq!(plan.connections[1].open_at / MS, 50);
 }
 
 #[test]
-fn what_lies_outside_its_bounds_is_refused() {
-    let fault = |options: Options| plan(&recording(), &BTreeMap::new(), &options).unwrap_err();
+fn options_outside_their_bounds_are_rejected() {
+    let fault =
+        |options: Options| Plan::build(&recording(), &BTreeMap::new(), &options).unwrap_err();
     assert_eq!(
         fault(Options {
             speed: 0.0,
             ..Options::default()
         }),
-        Fault::Bounds("speed", 0.0)
+        Error::OutOfBounds {
+            option: "speed",
+            value: 0.0
+        }
     );
     assert!(matches!(
         fault(Options {
             load: f64::NAN,
             ..Options::default()
         }),
-        Fault::Bounds("load", _)
+        Error::OutOfBounds { option: "load", .. }
     ));
     assert_eq!(
         fault(Options {
             repeat: 0,
             ..Options::default()
         }),
-        Fault::Bounds("repeat", 0.0)
+        Error::OutOfBounds {
+            option: "repeat",
+            value: 0.0
+        }
     );
     assert_eq!(
         fault(Options {
-            most: 4,
+            max_requests: 4,
             ..Options::default()
         }),
-        Fault::TooMany(4)
+        Error::TooManyRequests { limit: 4 }
     );
     assert_eq!(
-        plan(&[], &BTreeMap::new(), &Options::default()),
-        Err(Fault::Empty)
+        Plan::build(&[], &BTreeMap::new(), &Options::default()),
+        Err(Error::NoRequests)
     );
 }
 
-fn renewed(n: usize, place: u64, copy: u64) -> (Bytes, Changed) {
-    let names = Names {
-        id: "x-txn".into(),
-        key: "X-Txn-Key".into(),
-        stamp: "X-Ingress-Time".into(),
+fn renewed(n: usize, index: u64, copy: u64) -> (Bytes, RenewedValues) {
+    let names = FieldNames {
+        attempt_id: "x-txn".into(),
+        idempotency_key: "X-Txn-Key".into(),
+        ingress_time: "X-Ingress-Time".into(),
     };
     let request = &recording()[n];
     let end = request
@@ -224,11 +238,16 @@
         .unwrap()
         + 2;
     let fields = request.bytes.iter().position(|b| *b == b'\n').unwrap() + 1..end;
-    let times = Times {
-        recorded: request.first,
-        now_ms: 1_800_000_000_000,
+    let times = RequestTimes {
+        recorded_at: request.first_byte_at,
+        sent_at_ms: 1_800_000_000_000,
     };
-    Renewer::new(names, 5).renew(&request.bytes, fields, (place, copy), times)
+    Renewer::new(names, 5).renew(
+        &request.bytes,
+        fields,
+        RequestIdentity { index, copy },
+        times,
+    )
 }
 
 fn field(bytes: &Bytes, name: &str) -> String {
@@ -239,10 +258,10 @@
 
 #[test]
 fn renewed_requests_have_fresh_ids_and_share_keys_within_a_copy_only() {
-    let (one, changed) = renewed(0, 0, 0);
+    let (one, values) = renewed(0, 0, 0);
     assert_eq!(
-        changed,
-        Changed {
+        values,
+        RenewedValues {
             ids: 1,
             keys: 1,
             stamps: 1
--- a/crates/heathspurctl/src/charts.rs
+++ b/crates/heathspurctl/src/charts.rs
@@ -1,8 +1,8 @@
 //! Charts, as SVG.
 
 use crate::load::Loaded;
+use heathspur_replay::outcome::{Outcome, RequestState};
 use heathspur_replay::plan::Plan;
-use heathspur_replay::runner::{End, Outcome};
 use plotters::prelude::*;
 use std::io;
 use std::path::Path;
@@ -16,7 +16,7 @@
 
 /// Requests intended, sent and answered in each second.
 pub fn rates(file: &Path, plan: &Plan, outcomes: &[Outcome]) -> io::Result<()> {
-    let seconds = (plan.end / 1_000_000_000) as usize + 2;
+    let seconds = (plan.last_send_at / 1_000_000_000) as usize + 2;
     let count = |time: &dyn Fn(&Outcome) -> Option<u64>| {
         let mut counts = vec![0_u32; seconds];
         for at in outcomes.iter().filter_map(time) {
@@ -30,13 +30,15 @@
             .map(|(s, n)| (s as f64, f64::from(n)))
             .collect::<Vec<_>>()
     };
-    let answered = |outcome: &Outcome| match outcome.end {
-        End::Answered { last, .. } => Some(last),
+    let answered = |outcome: &Outcome| match outcome.state {
+        RequestState::Answered {
+            last_byte_at: last, ..
+        } => Some(last),
         _ => None,
     };
     let curves: [Curve<'_>; 3] = [
-        ("intended", count(&|outcome| Some(outcome.intended))),
-        ("sent", count(&|outcome| outcome.sent)),
+        ("intended", count(&|outcome| Some(outcome.intended_at))),
+        ("sent", count(&|outcome| outcome.sent_at)),
         ("answered", count(&answered)),
     ];
     lines(file, "Requests a second", ("second", "requests"), &curves)
@@ -44,15 +46,17 @@
 
 /// Latency by quantile, recorded and replayed.
 pub fn latency(file: &Path, loaded: &Loaded, plan: &Plan, outcomes: &[Outcome]) -> io::Result<()> {
-    let then = plan.sends.iter().filter_map(|send| {
+    let then = plan.requests.iter().filter_map(|send| {
         let request = &loaded.requests[send.recorded];
         request
-            .answer
+            .response
             .as_ref()
-            .map(|answer| answer.last.saturating_sub(request.last))
+            .map(|answer| answer.last_byte_at.saturating_sub(request.last_byte_at))
     });
-    let now = outcomes.iter().filter_map(|outcome| match outcome.end {
-        End::Answered { last, .. } => Some(last.saturating_sub(outcome.intended)),
+    let now = outcomes.iter().filter_map(|outcome| match outcome.state {
+        RequestState::Answered {
+            last_byte_at: last, ..
+        } => Some(last.saturating_sub(outcome.intended_at)),
         _ => None,
     });
     let curves: [Curve<'_>; 2] = [
--- a/crates/heathspurctl/src/main.rs
+++ b/crates/heathspurctl/src/main.rs
@@ -1,13 +1,14 @@
 //! `heathspurctl`: tools beside the daemon.
 #![forbid(unsafe_code)]
 
+mod capture_options;
 mod charts;
 mod cli;
 mod config;
 mod connection;
 mod cut;
+mod error;
 mod experiment;
-mod given;
 mod info;
 mod load;
 mod load_run;
@@ -16,6 +17,7 @@
 mod replay;
 mod report;
 mod requests;
+mod response_parser;
 mod source;
 mod table;
 
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -1,29 +1,30 @@
-//! The report of a replay: on the terminal, as JSON, as charts.
+//! The report of a replay: a table on the terminal, JSON files and charts.
 
 use crate::charts;
 use crate::load::Loaded;
 use crate::table::plain;
-use heathspur_replay::audit::{Audit, Times};
+use heathspur_replay::audit::Audit;
+use heathspur_replay::histogram::Quantiles;
+use heathspur_replay::outcome::{Counts, Outcome, RequestState};
 use heathspur_replay::plan::Plan;
-use heathspur_replay::renew::Changed;
-use heathspur_replay::runner::{Counts, End, Outcome};
+use heathspur_replay::renew::RenewedValues;
 use serde_json::json;
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
-/// What a replay gave.
+/// The result of a replay.
 pub struct Replayed {
-    /// What came of each request.
+    /// Outcome of each request, by its index in the plan.
     pub outcomes: Vec<Outcome>,
-    /// Counts.
+    /// Counts of the runner.
     pub counts: Counts,
-    /// What was changed in the requests.
-    pub changed: Changed,
+    /// Number of values replaced in the requests.
+    pub renewed: RenewedValues,
 }
 
 /// Prints the audit.
-pub fn print(loaded: &Loaded, audit: &Audit, changed: Changed) {
+pub fn print(loaded: &Loaded, audit: &Audit, renewed: RenewedValues) {
     let mut table = plain();
     let mut row = |name: &str, value: String| {
         table.add_row([name.to_string(), value]);
@@ -33,15 +34,18 @@
     row("answered once", audit.answered.to_string());
     row(
         "connection ended without an answer",
-        audit.broken.to_string(),
+        audit.connection_lost.to_string(),
     );
     row("not answered in time", audit.timed_out.to_string());
-    for (why, count) in &audit.unsent {
+    for (why, count) in &audit.not_sent {
         row(&format!("not sent: {why:?}"), count.to_string());
     }
-    row("answers to nothing", audit.counts.extra_answers.to_string());
+    row(
+        "answers to nothing",
+        audit.counts.unexpected_responses.to_string(),
+    );
     row("late", audit.late.to_string());
-    row("keys with two results", audit.keys_differ.to_string());
+    row("keys with two results", audit.conflicting_keys.to_string());
     for (status, count) in &audit.statuses {
         row(&format!("status {status}"), count.to_string());
     }
@@ -52,22 +56,22 @@
     row("answered only now, only then, never", {
         format!(
             "{}, {}, {}",
-            compared.only_now, compared.only_recorded, compared.neither
+            compared.only_replayed, compared.only_recorded, compared.neither
         )
     });
-    let times = |t: &Times| {
+    let quantiles = |quantiles: &Quantiles| {
         format!(
             "p50 {:.3}  p99 {:.3}  p99.9 {:.3}  max {:.3} ms",
-            t.p50_ms, t.p99_ms, t.p999_ms, t.max_ms
+            quantiles.p50_ms, quantiles.p99_ms, quantiles.p999_ms, quantiles.max_ms
         )
     };
-    row("lateness of the sender", times(&audit.lateness));
+    row("lateness of the sender", quantiles(&audit.lateness));
     row("drift", format!("{:.3} ms a second", audit.drift_ms_per_s));
-    row("latency recorded", times(&audit.recorded_latency));
-    row("latency from the intended time", times(&audit.latency));
+    row("latency recorded", quantiles(&audit.recorded_latency));
+    row("latency from the intended time", quantiles(&audit.latency));
     row(
         "changed: ids, keys, stamps",
-        format!("{}, {}, {}", changed.ids, changed.keys, changed.stamps),
+        format!("{}, {}, {}", renewed.ids, renewed.keys, renewed.stamps),
     );
     for (cause, bytes) in &loaded.passed {
         row(
@@ -90,22 +94,24 @@
     audit: &Audit,
 ) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let whole = json!({"audit": audit, "changed": replayed.changed});
+    let whole = json!({"audit": audit, "changed": replayed.renewed});
     std::fs::write(folder.join("report.json"), format!("{whole:#}\n"))?;
     let mut lines = BufWriter::new(File::create(folder.join("requests.jsonl"))?);
-    for (send, outcome) in plan.sends.iter().zip(&replayed.outcomes) {
+    for (send, outcome) in plan.requests.iter().zip(&replayed.outcomes) {
         let request = &loaded.requests[send.recorded];
         let ms = |nanos: u64| nanos as f64 / 1e6;
-        let (end, status, answered) = match outcome.end {
-            End::Answered { status, last, .. } => {
-                ("answered".to_string(), Some(status), Some(ms(last)))
-            }
-            other => (format!("{other:?}").to_lowercase(), None, None),
+        let (end, status, answered) = match outcome.state {
+            RequestState::Answered {
+                status,
+                last_byte_at: last,
+                ..
+            } => ("answered".to_string(), Some(status), Some(ms(last))),
+            unanswered => (unanswered_label(unanswered), None, None),
         };
         let line = json!({
-            "connection": request.conn, "copy": send.copy, "intended_ms": ms(outcome.intended),
-            "sent_ms": outcome.sent.map(ms), "answered_ms": answered, "end": end, "status": status,
-            "recorded_status": request.answer.as_ref().map(|answer| answer.status),
+            "connection": request.connection, "copy": send.copy, "intended_ms": ms(outcome.intended_at),
+            "sent_ms": outcome.sent_at.map(ms), "answered_ms": answered, "end": end, "status": status,
+            "recorded_status": request.response.as_ref().map(|answer| answer.status),
         });
         writeln!(lines, "{line}")?;
     }
@@ -118,3 +124,14 @@
         &replayed.outcomes,
     )
 }
+
+/// Names the state of an unanswered request, as `requests.jsonl` has it.
+fn unanswered_label(state: RequestState) -> String {
+    match state {
+        RequestState::Pending => "open".to_string(),
+        RequestState::Answered { .. } => "answered".to_string(),
+        RequestState::ConnectionLost => "broken".to_string(),
+        RequestState::TimedOut => "timedout".to_string(),
+        RequestState::NotSent(reason) => format!("unsent({reason:?})").to_lowercase(),
+    }
+}
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -1,6 +1,7 @@
-//! A capture's file read in a stream.
+//! Reads captures as streams, and extracts what the commands show of a message.
 
-use crate::given::{Fault, Source};
+use crate::capture_options::CaptureOptions;
+use crate::error::Error;
 use heathspur_capture::exchange::Message;
 use heathspur_capture::{reassembly, Item, Options, Pipeline, Tally};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -9,14 +10,17 @@
 use std::io::{IsTerminal, Read};
 use std::path::Path;
 
-/// Bytes read at once.
-const CHUNK: usize = 256 * 1024;
+/// Bytes read per call.
+const READ_BUFFER_BYTES: usize = 256 * 1024;
 
-/// The bytes of a file in pieces, with progress on a terminal. The callback ends reading by `false`.
-pub fn pieces(file: &Path, mut piece: impl FnMut(&[u8]) -> bool) -> Result<(), Fault> {
-    let fault = |e| Fault::File(file.to_path_buf(), e);
-    let mut input = File::open(file).map_err(fault)?;
-    let length = input.metadata().map_err(fault)?.len();
+/// Reads a file in pieces and shows the progress on a terminal. The callback returns `false` to stop.
+pub fn pieces(file: &Path, mut piece: impl FnMut(&[u8]) -> bool) -> Result<(), Error> {
+    let file_error = |source| Error::File {
+        path: file.to_path_buf(),
+        source,
+    };
+    let mut input = File::open(file).map_err(file_error)?;
+    let length = input.metadata().map_err(file_error)?.len();
     let progress = if std::io::stderr().is_terminal() {
         ProgressBar::new(length)
     } else {
@@ -27,9 +31,9 @@
     {
         progress.set_style(style);
     }
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
-        let read = input.read(&mut buffer).map_err(fault)?;
+        let read = input.read(&mut buffer).map_err(file_error)?;
         if read == 0 || !piece(&buffer[..read]) {
             break;
         }
@@ -39,8 +43,8 @@
     Ok(())
 }
 
-/// How this source's capture is read.
-pub fn options(source: &Source) -> Options {
+/// Converts command-line options to those of the reader.
+pub fn options(source: &CaptureOptions) -> Options {
     let reassembly = reassembly::Limits {
         servers: source.server_ports.clone(),
         ..Default::default()
@@ -52,26 +56,26 @@
     }
 }
 
-/// Reads a capture and hands on what is found in it.
-pub fn read(source: &Source, mut found: impl FnMut(Item)) -> Result<Tally, Fault> {
+/// Reads a capture and passes each item in it to the callback.
+pub fn read(source: &CaptureOptions, mut found: impl FnMut(Item)) -> Result<Tally, Error> {
     let mut pipeline = Pipeline::new(options(source));
     pieces(&source.file, |bytes| pipeline.feed(bytes, &mut found))?;
     pipeline.finish(&mut found);
     Ok(pipeline.tally())
 }
 
-/// Damage is told last, with an exit code of its own.
-pub fn damaged(source: &Source, tally: &Tally) -> Result<(), Fault> {
+/// Returns the damage of a capture, if there is any. Commands report it after everything else.
+pub fn damaged(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
     match tally.damage {
-        Some(damage) => Err(Fault::Other(
-            3,
-            format!("{}: {damage}", source.file.display()),
-        )),
+        Some(damage) => Err(Error::DamagedCapture {
+            path: source.file.clone(),
+            damage,
+        }),
         None => Ok(()),
     }
 }
 
-/// What a request asks for: the path, and of paths with a service's name that name.
+/// Returns the class of a request: the name in `/svc/NAME`, or else the whole path.
 pub fn class(message: &Message) -> String {
     let Some((_, target)) = message.request_line() else {
         return "?".into();
@@ -81,14 +85,14 @@
     String::from_utf8_lossy(class).into_owned()
 }
 
-/// The value of a field.
+/// Returns the value of a header field.
 pub fn field(message: &Message, name: &str) -> Option<String> {
     message
         .field(name)
         .map(|value| String::from_utf8_lossy(value).into_owned())
 }
 
-/// A digest of bytes; the same for the same bytes in every run.
+/// Returns a digest that is the same for the same bytes in every run.
 pub fn digest(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     bytes.hash(&mut hasher);
