--- a/crates/heathspur-emulator/src/experiment.rs
+++ b/crates/heathspur-emulator/src/experiment.rs
@@ -1,7 +1,7 @@
 //! An experiment played: the plan's faults carried out on a fleet, and what came of each, by seed.
 
-use crate::fleet::Fleet;
-use crate::net::Faults;
+use crate::fleet::{Fleet, ObservedChange};
+use crate::network::Traffic;
 use crate::plan::{Fault, Kind, Plan};
 use heathspur_members::MemberState;
 use serde::Serialize;
@@ -89,7 +89,7 @@
 pub fn play_seed(plan: &Plan, seed: u64) -> Play {
     let settings = plan.settings();
     let fleet = match plan.standing {
-        true => Fleet::standing(plan.members, plan.zones, settings, seed),
+        true => Fleet::established(plan.members, plan.zones, settings, seed),
         false => Fleet::new(plan.members, plan.zones, settings, seed),
     };
     let mut player = Player {
@@ -145,20 +145,21 @@
             Kind::Leave => fleet.leave(member),
             Kind::Pause => fleet.nodes[member].paused_until = fleet.now + span,
             Kind::Slow => fleet.nodes[member].slow_ms = span,
-            Kind::Clock => fleet.nodes[member].rate = fault.rate.unwrap_or(1.0),
-            Kind::Partition => fleet.faults.sides = Faults::split(fleet.nodes.len(), member),
-            Kind::Heal => {
-                fleet.faults.sides.clear();
-                fleet.faults.cut.clear();
-            }
+            Kind::Clock => fleet.nodes[member].clock_rate = fault.rate.unwrap_or(1.0),
+            Kind::Partition => fleet.network.faults.partition(fleet.nodes.len(), member),
+            Kind::Heal => fleet.network.faults.heal(),
             Kind::Cut => {
-                fleet.faults.cut.insert((member, fault.other.unwrap_or(0)));
+                fleet
+                    .network
+                    .faults
+                    .cut
+                    .insert((member, fault.other.unwrap_or(0)));
             }
-            Kind::Loss => fleet.faults.loss = fault.share.unwrap_or(0.0),
-            Kind::Duplicate => fleet.faults.duplicate = fault.share.unwrap_or(0.0),
+            Kind::Loss => fleet.network.faults.loss = fault.share.unwrap_or(0.0),
+            Kind::Duplicate => fleet.network.faults.duplicate = fault.share.unwrap_or(0.0),
             Kind::Delay => {
-                fleet.faults.delay_ms = span;
-                fleet.faults.jitter_ms = fault.jitter.map_or(0, |s| s.0.as_millis() as u64);
+                fleet.network.faults.delay_ms = span;
+                fleet.network.faults.jitter_ms = fault.jitter.map_or(0, |s| s.0.as_millis() as u64);
             }
         }
         match fault.kind {
@@ -173,13 +174,19 @@
             let before = self.fleet.now;
             self.fleet.step();
             let up = (0..self.fleet.nodes.len())
-                .filter(|&i| self.fleet.beliefs.is_up(i))
+                .filter(|&i| self.fleet.views.is_up(i))
                 .count() as u64;
             self.up_ms += up * (self.fleet.now - before);
             self.look();
             if self.fleet.now / SAMPLE_MS > before / SAMPLE_MS {
-                let sent: u64 = self.fleet.sent.iter().map(|(_, bytes)| bytes).sum();
-                let wrong = self.fleet.beliefs.wrong_share();
+                let sent: u64 = self
+                    .fleet
+                    .network
+                    .traffic()
+                    .iter()
+                    .map(|traffic| traffic.bytes)
+                    .sum();
+                let wrong = self.fleet.views.wrong_share();
                 self.samples.push((wrong, sent as f64 / up.max(1) as f64));
             }
         }
@@ -191,13 +198,14 @@
         self.watched.retain(|&(at, began, gone)| {
             let (course, passed) = (&mut courses[at], fleet.now - began);
             if let Some(of) = gone {
-                let (know, others) = fleet.beliefs.know_gone(of);
+                let detection = fleet.views.failure_detection(of);
+                let (know, others) = (detection.aware, detection.observers);
                 let came = |slot: &mut Option<u64>, has: bool| {
                     if slot.is_none() && has {
                         *slot = Some(passed);
                     }
                 };
-                came(&mut course.noticed_ms, fleet.beliefs.noticed(of));
+                came(&mut course.noticed_ms, fleet.views.is_suspected(of));
                 came(&mut course.first_ms, know > 0);
                 came(&mut course.most_ms, know * 100 >= others * 99);
                 came(&mut course.all_ms, know == others);
@@ -205,7 +213,7 @@
                     return true;
                 }
             }
-            if fleet.settled() {
+            if fleet.has_converged() {
                 course.settled_ms = Some(passed);
             }
             course.settled_ms.is_none()
@@ -215,14 +223,15 @@
     fn finish(self, seed: u64, plan: &Plan) -> Play {
         let false_deaths = false_deaths(&self.fleet, plan);
         let seconds = (self.up_ms as f64 / 1e3).max(1e-3);
-        let sum = |part: &dyn Fn(&(u64, u64)) -> u64| {
-            self.fleet.sent.iter().map(part).sum::<u64>() as f64
+        let sum = |part: &dyn Fn(&Traffic) -> u64| {
+            self.fleet.network.traffic().iter().map(part).sum::<u64>() as f64
         };
         let most = self
             .fleet
-            .sent
+            .network
+            .traffic()
             .iter()
-            .map(|(_, bytes)| *bytes)
+            .map(|traffic| traffic.bytes)
             .max()
             .unwrap_or(0);
         let mut samples = self.samples;
@@ -234,8 +243,8 @@
             courses: self.courses,
             false_deaths,
             member_hours: seconds / 3_600.0,
-            datagrams: sum(&|(datagrams, _)| *datagrams) / seconds,
-            bytes: sum(&|(_, bytes)| *bytes) / seconds,
+            datagrams: sum(&|traffic| traffic.datagrams) / seconds,
+            bytes: sum(&|traffic| traffic.bytes) / seconds,
             most_bytes: most as f64 / plan.duration.0.as_secs_f64(),
             samples,
         }
@@ -248,13 +257,8 @@
 /// Deaths that members saw of others which ran then, could be reached, and had not said that they leave.
 fn false_deaths(fleet: &Fleet, plan: &Plan) -> u64 {
     let at = |fault: &Fault| fault.at.0.as_millis() as u64;
-    let is_false = |seen: &&crate::Seen| {
-        let Some(of) = seen
-            .of
-            .0
-            .strip_prefix('m')
-            .and_then(|n| n.parse::<usize>().ok())
-        else {
+    let is_false = |seen: &&ObservedChange| {
+        let Some(of) = seen.subject_index() else {
             return false;
         };
         let before = plan.faults.iter().filter(|fault| at(fault) <= seen.at);
@@ -273,12 +277,12 @@
         }
         up && split
             .or(cut)
-            .is_none_or(|split| (of < split) == (seen.by < split))
+            .is_none_or(|split| (of < split) == (seen.observer < split))
     };
     fleet
-        .seen
+        .changes
         .iter()
-        .filter(|seen| seen.to == Some(MemberState::Dead))
+        .filter(|seen| seen.state == Some(MemberState::Dead))
         .filter(is_false)
         .count() as u64
 }
--- a/crates/heathspur-emulator/src/fleet.rs
+++ b/crates/heathspur-emulator/src/fleet.rs
@@ -1,197 +1,133 @@
-//! The emulated fleet: members, their datagrams in flight, and what each saw when.
+//! The emulated fleet: starts and stops members, delivers their datagrams and records what they observe.
 
-use crate::beliefs::Beliefs;
-use crate::net::Faults;
-use heathspur_members::{Action, Event, Load, Member, MemberId, MemberState, Membership, Settings};
+use crate::network::{Datagram, Network};
+use crate::node::{address_of, index_of_address, index_of_id, Node, FIRST_INCARNATION};
+use crate::views::MembershipViews;
+use heathspur_members::{Action, Event, Member, MemberId, MemberState, Membership, Settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
-use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// The step of emulated time, in milliseconds.
 pub const TICK_MS: u64 = 10;
-/// A member that leaves stops so long after, in milliseconds.
+/// How long the process of a member runs on after it left, in milliseconds.
 pub const DRAIN_MS: u64 = 1_000;
 
-/// One member of the emulated fleet.
-pub struct Node {
-    /// Its core, `None` while it is down.
-    pub core: Option<Membership>,
-    /// Its member record.
-    pub member: Member,
-    /// It takes nothing in and sends nothing until this time.
-    pub paused_until: u64,
-    /// What it takes in waits so many milliseconds more.
-    pub slow_ms: u64,
-    /// Its clock's rate against the true one (1.0: right).
-    pub rate: f64,
-    /// It left, and its process ends then.
-    stops_at: Option<u64>,
-    /// Its clock's reading at the last step.
-    clock: f64,
-    /// Incarnation of its next start.
-    next_incarnation: u64,
-}
+/// Distance between the incarnations of two starts; leaves room for the refutations in between.
+const INCARNATION_STEP: u64 = 1_000;
 
-/// A change that a member saw.
+/// A change of state that a member observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedChange {
     /// True time, in milliseconds.
     pub at: u64,
-    /// Who saw it.
-    pub by: usize,
-    /// Of whom.
-    pub of: MemberId,
-    /// Into what (`None`: out of the table).
-    pub to: Option<MemberState>,
+    /// The member that observed it.
+    pub observer: usize,
+    /// The member whose state changed.
+    pub subject: MemberId,
+    /// The new state; `None` if the observer dropped the entry.
+    pub state: Option<MemberState>,
 }
 
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct InFlight {
-    at: u64,
-    order: u64,
-    to: usize,
-    from: usize,
-    bytes: Vec<u8>,
+impl ObservedChange {
+    /// The index of the member whose state changed; `None` for an id that is not of this fleet.
+    pub(crate) fn subject_index(&self) -> Option<usize> {
+        index_of_id(&self.subject)
+    }
 }
 
 /// The fleet and its network.
 pub struct Fleet {
     /// Its members, by index.
     pub nodes: Vec<Node>,
-    /// The network's faults now.
-    pub faults: Faults,
+    /// The simulated network between them.
+    pub network: Network,
     /// True time, in milliseconds.
     pub now: u64,
-    /// Every change seen, in order.
-    pub seen: Vec<Seen>,
-    /// What each holds of each, against what is so.
-    pub beliefs: Beliefs,
-    /// Datagrams and bytes sent, by member; 28 bytes of IP and UDP counted with each.
-    pub sent: Vec<(u64, u64)>,
+    /// Every observed change, in order.
+    pub changes: Vec<ObservedChange>,
+    /// The membership view of every member, compared with the true state.
+    pub views: MembershipViews,
     settings: Settings,
-    queue: BinaryHeap<Reverse<InFlight>>,
-    order: u64,
     rng: StdRng,
 }
 
-/// The address of member `i`.
-pub fn address(i: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(
-        Ipv4Addr::new(10, (i >> 16) as u8, (i >> 8) as u8, i as u8),
-        7946,
-    )
-}
-
-fn index(address: SocketAddrV4) -> usize {
-    let [_, a, b, c] = address.ip().octets();
-    ((a as usize) << 16) | ((b as usize) << 8) | c as usize
-}
-
 impl Fleet {
-    /// `members` members, each with `settings`, zones `zones` in turn; all join through member 0.
+    /// A fleet whose members all start now and join through member 0; zones are assigned in turn.
     pub fn new(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
-        let mut fleet = Fleet::down(members, zones, settings, seed);
-        (0..members).for_each(|i| fleet.start(i));
+        let mut fleet = Fleet::stopped(members, zones, settings, seed);
+        for member in 0..members {
+            fleet.start(member);
+        }
         fleet
     }
 
-    /// The same members, who know each other already: a fleet that has stood for long.
-    pub fn standing(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
-        let mut fleet = Fleet::down(members, zones, settings, seed);
-        let all: Vec<(Member, u64)> = fleet.nodes.iter().map(|n| (n.member.clone(), 1)).collect();
-        for i in 0..members {
-            fleet.begin(i, &all);
+    /// A fleet that has run for long: its members know each other from the start.
+    pub fn established(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
+        let mut fleet = Fleet::stopped(members, zones, settings, seed);
+        let known: Vec<(Member, u64)> = fleet
+            .nodes
+            .iter()
+            .map(|node| (node.member.clone(), FIRST_INCARNATION))
+            .collect();
+        for member in 0..members {
+            fleet.start_knowing(member, &known);
         }
-        for (by, of) in (0..members).flat_map(|by| (0..members).map(move |of| (by, of))) {
-            fleet.beliefs.set(by, of, Some(MemberState::Alive));
+        for observer in 0..members {
+            for subject in 0..members {
+                let alive = Some(MemberState::Alive);
+                fleet.views.record(observer, subject, alive);
+            }
         }
         fleet
     }
 
-    fn down(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
-        let nodes = (0..members)
-            .map(|i| Node {
-                core: None,
-                member: Member {
-                    id: MemberId(format!("m{i}")),
-                    address: address(i),
-                    zone: format!("z{}", i % zones.max(1)),
-                    region: format!("r{}", (i % zones.max(1)) % 2),
-                    version: 1,
-                    load: Load::default(),
-                    usual_round_trip_ms: 0,
-                    decision_epoch: 0,
-                    local_traffic_tenths: 10,
-                    preferred_tenths: 10,
-                },
-                paused_until: 0,
-                slow_ms: 0,
-                rate: 1.0,
-                stops_at: None,
-                clock: 0.0,
-                next_incarnation: 1,
-            })
-            .collect();
+    fn stopped(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
         Fleet {
-            nodes,
-            faults: Faults::default(),
+            nodes: (0..members).map(|index| Node::new(index, zones)).collect(),
+            network: Network::new(members),
             now: 0,
-            seen: Vec::new(),
-            beliefs: Beliefs::new(members),
-            sent: vec![(0, 0); members],
+            changes: Vec::new(),
+            views: MembershipViews::new(members),
             settings,
-            queue: BinaryHeap::new(),
-            order: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Starts (or restarts) member `i` with an incarnation above all it had.
-    pub fn start(&mut self, i: usize) {
-        self.begin(i, &[]);
+    /// Starts or restarts a member, with an incarnation above all its earlier ones.
+    pub fn start(&mut self, member: usize) {
+        self.start_knowing(member, &[]);
     }
 
-    fn begin(&mut self, i: usize, known: &[(Member, u64)]) {
-        self.beliefs.set_up(i, true);
-        let node = &mut self.nodes[i];
+    fn start_knowing(&mut self, index: usize, known: &[(Member, u64)]) {
+        self.views.set_up(index, true);
+        let node = &mut self.nodes[index];
         node.stops_at = None;
         let incarnation = node.next_incarnation;
-        node.next_incarnation += 1_000;
-        let seeds = vec![address(0)];
-        let seed = self.rng.random::<u64>();
-        let mut core = Membership::new(
+        node.next_incarnation += INCARNATION_STEP;
+        let mut membership = Membership::new(
             self.settings.clone(),
             node.member.clone(),
             incarnation,
-            seeds,
-            seed,
+            vec![address_of(0)],
+            self.rng.random::<u64>(),
         );
-        core.add_known_members(known.iter().cloned());
-        let mut out = Vec::new();
-        core.handle(node.clock as u64, Event::Join, &mut out);
-        node.core = Some(core);
-        self.act(i, out);
+        membership.add_known_members(known.iter().cloned());
+        node.membership = Some(membership);
+        self.handle(index, Event::Join);
     }
 
-    /// Member `i` stops at once, as by SIGKILL.
-    pub fn crash(&mut self, i: usize) {
-        self.nodes[i].core = None;
-        self.beliefs.set_up(i, false);
+    /// Stops a member at once, as SIGKILL does.
+    pub fn crash(&mut self, member: usize) {
+        self.nodes[member].membership = None;
+        self.views.set_up(member, false);
     }
 
-    /// Member `i` leaves as in a drain, and stops [`DRAIN_MS`] later.
-    pub fn leave(&mut self, i: usize) {
-        let mut out = Vec::new();
-        let clock = self.nodes[i].clock as u64;
-        if let Some(core) = self.nodes[i].core.as_mut() {
-            core.handle(clock, Event::Leave, &mut out);
-        }
-        self.act(i, out);
-        self.nodes[i].stops_at = Some(self.now + DRAIN_MS);
-        // What it holds of others from now on matters to nobody.
-        self.beliefs.set_up(i, false);
+    /// Makes a member leave gracefully; its process ends [`DRAIN_MS`] later.
+    pub fn leave(&mut self, member: usize) {
+        self.handle(member, Event::Leave);
+        self.nodes[member].stops_at = Some(self.now + DRAIN_MS);
+        // From now on its own view does not count.
+        self.views.set_up(member, false);
     }
 
     /// Runs until true time `until`.
@@ -201,145 +137,112 @@
         }
     }
 
-    /// Runs until `done` holds or `until` passes; says whether it held.
-    pub fn run_while(&mut self, until: u64, mut done: impl FnMut(&Fleet) -> bool) -> bool {
+    /// Runs until `condition` is true or time `until` is reached; returns whether the condition is true.
+    pub fn run_until_condition(
+        &mut self,
+        until: u64,
+        mut condition: impl FnMut(&Fleet) -> bool,
+    ) -> bool {
         while self.now < until {
-            if done(self) {
+            if condition(self) {
                 return true;
             }
             self.step();
         }
-        done(self)
+        condition(self)
     }
 
-    /// One tick: datagrams due are delivered, then every member's clock moves on.
+    /// Runs one tick: delivers the datagrams due, then ticks every member.
     pub fn step(&mut self) {
         self.now += TICK_MS;
-        while self.queue.peek().is_some_and(|Reverse(f)| f.at <= self.now) {
-            let Reverse(flight) = self.queue.pop().expect("peeked");
-            let node = &self.nodes[flight.to];
-            if node.core.is_none() {
-                continue;
-            }
-            // A paused member's socket holds what comes; it is read once it goes on.
-            if node.paused_until > self.now {
-                let at = node.paused_until;
-                self.queue.push(Reverse(InFlight { at, ..flight }));
-                continue;
-            }
-            let mut out = Vec::new();
-            let clock = node.clock as u64;
-            let from = address(flight.from);
-            if let Some(core) = self.nodes[flight.to].core.as_mut() {
-                core.handle(
-                    clock,
-                    Event::Datagram {
-                        from,
-                        bytes: &flight.bytes,
-                    },
-                    &mut out,
-                );
-            }
-            self.act(flight.to, out);
-        }
-        for i in 0..self.nodes.len() {
-            let node = &mut self.nodes[i];
-            node.clock += TICK_MS as f64 * node.rate;
-            if node.stops_at.is_some_and(|at| at <= self.now) {
-                (node.core, node.stops_at) = (None, None);
-            }
-            if node.core.is_none() || node.paused_until > self.now {
-                continue;
-            }
-            let clock = node.clock as u64;
-            let mut out = Vec::new();
-            if let Some(core) = node.core.as_mut() {
-                core.handle(clock, Event::Tick, &mut out);
-            }
-            self.act(i, out);
+        while let Some(datagram) = self.network.next_due(self.now) {
+            self.deliver(datagram);
         }
-    }
-
-    fn act(&mut self, i: usize, out: Vec<Action>) {
-        for action in out {
-            match action {
-                Action::Send { to, bytes } => self.send(i, index(to), bytes),
-                Action::StateChanged { id, to, .. } => {
-                    if let Some(of) = id.0.strip_prefix('m').and_then(|n| n.parse().ok()) {
-                        self.beliefs.set(i, of, to);
-                    }
-                    self.seen.push(Seen {
-                        at: self.now,
-                        by: i,
-                        of: id,
-                        to,
-                    });
-                }
-                Action::IncarnationRaised(_) | Action::InputRejected(_) => {}
-            }
+        for index in 0..self.nodes.len() {
+            self.tick(index);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.sent[from].0 += 1;
-        self.sent[from].1 += bytes.len() as u64 + 28;
-        if to >= self.nodes.len() || !self.faults.passes(from, to) {
+    fn deliver(&mut self, datagram: Datagram) {
+        let receiver = &self.nodes[datagram.to];
+        if receiver.membership.is_none() {
             return;
         }
-        if self.faults.loss > 0.0 && self.rng.random::<f64>() < self.faults.loss {
+        // The socket of a paused member buffers datagrams until the member runs again.
+        if receiver.paused_until > self.now {
+            self.network.postpone(datagram, receiver.paused_until);
             return;
         }
-        let copies =
-            if self.faults.duplicate > 0.0 && self.rng.random::<f64>() < self.faults.duplicate {
-                2
-            } else {
-                1
-            };
-        for _ in 0..copies {
-            let jitter = if self.faults.jitter_ms > 0 {
-                self.rng.random_range(0..=self.faults.jitter_ms)
-            } else {
-                0
-            };
-            let at = self.now
-                + self.faults.delay_ms.max(1)
-                + jitter
-                + self.nodes[to].slow_ms
-                + self.nodes[from].slow_ms;
-            self.order += 1;
-            self.queue.push(Reverse(InFlight {
-                at,
-                order: self.order,
-                to,
-                from,
-                bytes: bytes.clone(),
-            }));
+        let event = Event::Datagram {
+            from: address_of(datagram.from),
+            bytes: &datagram.bytes,
+        };
+        self.handle(datagram.to, event);
+    }
+
+    fn tick(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        node.advance_clock(TICK_MS);
+        if node.stops_at.is_some_and(|stops_at| stops_at <= self.now) {
+            node.membership = None;
+            node.stops_at = None;
+        }
+        if node.paused_until <= self.now {
+            self.handle(index, Event::Tick);
         }
     }
 
-    /// Whether every running member holds every running member alive and every stopped one not live.
-    pub fn settled(&self) -> bool {
-        self.beliefs.wrong() == 0
+    /// Passes an event to a member that is up and carries out the resulting actions.
+    fn handle(&mut self, index: usize, event: Event<'_>) {
+        let node = &mut self.nodes[index];
+        let clock = node.clock();
+        let Some(membership) = node.membership.as_mut() else {
+            return;
+        };
+        let mut actions = Vec::new();
+        membership.handle(clock, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send { to, bytes } => self.send(index, index_of_address(to), bytes),
+                Action::StateChanged { id, to, .. } => self.record_change(index, id, to),
+                Action::IncarnationRaised(_) | Action::InputRejected(_) => {}
+            }
+        }
     }
 
-    /// How many running members hold member `j` not live.
-    pub fn know_gone(&self, j: usize) -> usize {
-        self.beliefs.know_gone(j).0
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let receiver_delay_ms = self.nodes.get(to).map_or(0, |node| node.slow_ms);
+        let member_delay_ms = self.nodes[from].slow_ms + receiver_delay_ms;
+        self.network
+            .send(self.now, (from, to), bytes, member_delay_ms, &mut self.rng);
+    }
+
+    fn record_change(&mut self, observer: usize, subject: MemberId, state: Option<MemberState>) {
+        let change = ObservedChange {
+            at: self.now,
+            observer,
+            subject,
+            state,
+        };
+        if let Some(subject) = change.subject_index() {
+            self.views.record(observer, subject, state);
+        }
+        self.changes.push(change);
     }
 
-    /// Running members other than `j`.
-    pub fn running_but(&self, j: usize) -> usize {
-        self.beliefs.know_gone(j).1
+    /// Whether every running member considers exactly the running members alive.
+    pub fn has_converged(&self) -> bool {
+        self.views.wrong() == 0
     }
 
-    /// Times that a running member was held dead by another, while it ran.
-    pub fn false_deaths(&self, running: impl Fn(usize, u64) -> bool) -> usize {
-        self.seen
+    /// Number of observed deaths of members that `was_running` names as running at that time.
+    pub fn false_deaths(&self, was_running: impl Fn(usize, u64) -> bool) -> usize {
+        self.changes
             .iter()
-            .filter(|s| s.to == Some(MemberState::Dead))
-            .filter(|s| {
-                let j: usize = s.of.0[1..].parse().unwrap_or(usize::MAX);
-                running(j, s.at)
+            .filter(|change| change.state == Some(MemberState::Dead))
+            .filter(|change| {
+                let subject = change.subject_index().unwrap_or(usize::MAX);
+                was_running(subject, change.at)
             })
             .count()
     }
--- a/crates/heathspur-emulator/src/lib.rs
+++ b/crates/heathspur-emulator/src/lib.rs
@@ -1,17 +1,19 @@
-//! The project's emulator: many membership cores, the daemon's own, on a seeded network of our own.
+//! Emulator of a fleet: many instances of the daemon's membership state machine on a seeded, simulated network.
 //!
-//! Time is emulated in milliseconds and steps by a fixed tick; every draw comes from one seed, so that a run
-//! repeats exactly. Faults: loss, delay with jitter (and so reordering), duplication, partitions by sides,
-//! one-way cuts, members paused (they take nothing in nor send) or slow (what they take in waits), clocks
-//! that run fast or slow, crashes and restarts with a higher incarnation.
+//! Time is emulated in milliseconds and advances by a fixed tick. Every random draw comes from one seed, so a
+//! run repeats exactly. The faults are loss, delay with jitter (which reorders datagrams), duplication,
+//! partitions, one-way cuts, paused and slow members, clocks that run fast or slow, and crashes followed by
+//! restarts with a higher incarnation.
 #![forbid(unsafe_code)]
 
-mod beliefs;
 pub mod experiment;
 mod fleet;
-mod net;
+mod network;
+mod node;
 pub mod plan;
+mod views;
 
-pub use beliefs::Beliefs;
-pub use fleet::{Fleet, Node, Seen};
-pub use net::Faults;
+pub use fleet::{Fleet, ObservedChange};
+pub use network::{Network, NetworkFaults, Traffic};
+pub use node::Node;
+pub use views::{FailureDetection, MembershipViews};
--- a/crates/heathspur-emulator/tests/members.rs
+++ b/crates/heathspur-emulator/tests/members.rs
@@ -1,6 +1,6 @@
 //! The membership core in the emulator: joins, crashes, partitions, slow members and loss, on fixed seeds.
 
-use heathspur_emulator::{Faults, Fleet};
+use heathspur_emulator::Fleet;
 use heathspur_members::{MemberState, Settings};
 
 fn fleet(members: usize, seed: u64) -> Fleet {
@@ -11,7 +11,7 @@
 fn settled(members: usize, seed: u64, settings: Settings) -> Fleet {
     let mut fleet = Fleet::new(members, 3, settings, seed);
     assert!(
-        fleet.run_while(30_000, Fleet::settled),
+        fleet.run_until_condition(30_000, Fleet::has_converged),
         "not one view after 30 s"
     );
     fleet
@@ -30,7 +30,7 @@
     let play = |seed| {
         let mut fleet = settled(20, seed, settings.clone());
         deaths_under(&mut fleet, 120_000, |f| {
-            f.faults.loss = 0.20;
+            f.network.faults.loss = 0.20;
             f.nodes[5].slow_ms = 500;
         })
     };
@@ -41,7 +41,7 @@
 fn fifty_join_through_one_seed_and_all_see_all() {
     let mut fleet = fleet(50, 1);
     assert!(
-        fleet.run_while(30_000, Fleet::settled),
+        fleet.run_until_condition(30_000, Fleet::has_converged),
         "not one view after 30 s"
     );
     assert_eq!(fleet.false_deaths(|_, _| true), 0);
@@ -50,27 +50,27 @@
 #[test]
 fn a_crash_is_known_to_all_then_the_restart_rejoins_higher() {
     let mut fleet = fleet(30, 2);
-    assert!(fleet.run_while(30_000, Fleet::settled));
+    assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     let before = fleet.nodes[7]
-        .core
+        .membership
         .as_ref()
         .map(|c| c.incarnation())
         .unwrap();
     let at = fleet.now;
     fleet.crash(7);
-    let all = fleet.running_but(7);
+    let all = fleet.views.failure_detection(7).observers;
     assert!(
-        fleet.run_while(at + 15_000, |f| f.know_gone(7) == all),
+        fleet.run_until_condition(at + 15_000, |f| f.views.failure_detection(7).aware == all),
         "not all knew of the crash in 15 s"
     );
     fleet.start(7);
     let at = fleet.now;
     assert!(
-        fleet.run_while(at + 20_000, Fleet::settled),
+        fleet.run_until_condition(at + 20_000, Fleet::has_converged),
         "the restarted member did not rejoin"
     );
     let after = fleet.nodes[3]
-        .core
+        .membership
         .as_ref()
         .unwrap()
         .entry(&fleet.nodes[7].member.id)
@@ -82,16 +82,16 @@
 #[test]
 fn a_healed_partition_becomes_one_view_again() {
     let mut fleet = fleet(20, 3);
-    assert!(fleet.run_while(30_000, Fleet::settled));
-    fleet.faults.sides = Faults::split(20, 8);
+    assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
+    fleet.network.faults.partition(20, 8);
     let at = fleet.now;
     fleet.run_until(at + 25_000);
     // Each half has taken the other for dead by now.
-    assert!(fleet.know_gone(0) >= 11);
-    fleet.faults.sides.clear();
+    assert!(fleet.views.failure_detection(0).aware >= 11);
+    fleet.network.faults.heal();
     let at = fleet.now;
     assert!(
-        fleet.run_while(at + 60_000, Fleet::settled),
+        fleet.run_until_condition(at + 60_000, Fleet::has_converged),
         "the halves did not merge within 60 s"
     );
 }
@@ -119,16 +119,16 @@
             f.now + 3_000),
         0
     );
-    assert!(fleet.settled());
+    assert!(fleet.has_converged());
 }
 
 #[test]
 fn twenty_percent_loss_on_every_link_kills_nobody() {
     let mut fleet = settled(15, 6, Settings::default());
     let faults = |f: &mut Fleet| {
-        f.faults.loss = 0.20;
-        f.faults.duplicate = 0.05;
-        f.faults.jitter_ms = 30;
+        f.network.faults.loss = 0.20;
+        f.network.faults.duplicate = 0.05;
+        f.network.faults.jitter_ms = 30;
     };
     assert_eq!(deaths_under(&mut fleet, 60_000, faults), 0);
 }
@@ -136,18 +136,18 @@
 #[test]
 fn a_member_that_leaves_is_seen_to_leave_not_to_die() {
     let mut fleet = fleet(10, 7);
-    assert!(fleet.run_while(30_000, Fleet::settled));
+    assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     fleet.leave(2);
     let at = fleet.now;
     fleet.run_until(at + 2_000);
     fleet.crash(2);
-    let all = fleet.running_but(2);
-    assert!(fleet.run_while(at + 10_000, |f| f.know_gone(2) == all));
+    let all = fleet.views.failure_detection(2).observers;
+    assert!(fleet.run_until_condition(at + 10_000, |f| f.views.failure_detection(2).aware == all));
     assert!(fleet
-        .seen
+        .changes
         .iter()
-        .filter(|s| s.of.0 == "m2")
-        .all(|s| s.to != Some(MemberState::Dead)));
+        .filter(|change| change.subject.0 == "m2")
+        .all(|change| change.state != Some(MemberState::Dead)));
 }
 
 #[test]
@@ -157,25 +157,25 @@
         ..Settings::default()
     };
     let mut fleet = settled(12, 8, settings);
-    fleet.faults.sides = Faults::split(12, 5);
+    fleet.network.faults.partition(12, 5);
     let at = fleet.now;
     fleet.run_until(at + 120_000);
     // Each half has forgotten the other.
     assert!(fleet.nodes[0]
-        .core
+        .membership
         .as_ref()
         .unwrap()
         .entry(&fleet.nodes[9].member.id)
         .is_none());
     assert!(fleet.nodes[9]
-        .core
+        .membership
         .as_ref()
         .unwrap()
         .entry(&fleet.nodes[0].member.id)
         .is_none());
-    fleet.faults.sides.clear();
+    fleet.network.faults.heal();
     assert!(
-        fleet.run_while(at + 240_000, Fleet::settled),
+        fleet.run_until_condition(at + 240_000, Fleet::has_converged),
         "the halves did not merge within 120 s"
     );
 }
