--- a/crates/heathspur-emulator/src/experiment.rs
+++ b/crates/heathspur-emulator/src/experiment.rs
@@ -1,297 +1,236 @@
-//! An experiment played: the plan's faults carried out on a fleet, and what came of each, by seed.
+//! Runs an experiment: injects the plan's faults into a fleet and measures how the members notice and recover.
 
-use crate::fleet::{Fleet, ObservedChange};
+use crate::false_deaths;
+use crate::fleet::Fleet;
 use crate::network::Traffic;
-use crate::plan::{Fault, Kind, Plan};
-use heathspur_members::MemberState;
-use serde::Serialize;
+use crate::outcome::{FaultOutcome, Run, ViewSample};
+use crate::plan::{Fault, FaultKind, Plan};
+use heathspur_config::units::Span;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Beliefs and traffic are sampled so often.
+/// Interval between two samples of views and traffic, in milliseconds.
 const SAMPLE_MS: u64 = 1_000;
-
-/// What came of one fault that others had to notice, or to get over.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Course {
-    /// Its place in the plan.
-    pub fault: usize,
-    /// Its kind.
-    pub kind: Kind,
-    /// A crash: until the first suspected it, in milliseconds; `None`: not before the next fault or the end.
-    pub noticed_ms: Option<u64>,
-    /// Until the first held it dead.
-    pub first_ms: Option<u64>,
-    /// Until 99 in 100 of the others did.
-    pub most_ms: Option<u64>,
-    /// Until all did.
-    pub all_ms: Option<u64>,
-    /// Until there was one view: no running member holds anything of another that is not so.
-    pub settled_ms: Option<u64>,
-}
-
-impl Course {
-    /// Whether others have to hold somebody gone for it.
-    pub fn kind_has_deaths(&self) -> bool {
-        matches!(self.kind, Kind::Crash | Kind::Leave)
-    }
-}
-
-/// One play.
-#[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Play {
-    /// Its seed.
-    pub seed: u64,
-    /// Faults that had to be noticed or got over: crashes, restarts, leaves, heals; and the start, where all join.
-    pub courses: Vec<Course>,
-    /// Times that a member held a running, reachable one dead.
-    pub false_deaths: u64,
-    /// Emulated hours times running members, in member-hours.
-    pub member_hours: f64,
-    /// Datagrams that a member sent a second, in the mean.
-    pub datagrams: f64,
-    /// Bytes that a member sent a second, IP and UDP counted in.
-    pub bytes: f64,
-    /// The busiest member's bytes a second.
-    pub most_bytes: f64,
-    /// Each second: the part of what members hold of each other that is not so, and bytes a member.
-    pub samples: Vec<(f64, f64)>,
-}
-
-/// Plays all seeds of a plan, side by side on the machine's cores.
-pub fn play(plan: &Plan) -> Vec<Play> {
+/// Most members are aware of a failure once this share of the others is, in percent.
+const MOST_PERCENT: usize = 99;
+/// Fault index of the outcome for the start of the fleet, which is no fault of the plan.
+const INITIAL_JOIN: usize = usize::MAX;
+/// Shortest total of running time that rates are divided by, in seconds.
+const MIN_MEMBER_SECONDS: f64 = 1e-3;
+
+/// Runs the plan once for each seed, in parallel on the available cores; the runs are sorted by seed.
+pub fn run(plan: &Plan) -> Vec<Run> {
     let next = AtomicU64::new(0);
-    let plays = Mutex::new(Vec::new());
+    let runs = Mutex::new(Vec::new());
     let workers = std::thread::available_parallelism()
         .map_or(1, usize::from)
         .min(plan.seeds as usize);
     std::thread::scope(|scope| {
         for _ in 0..workers {
             scope.spawn(|| loop {
-                let at = next.fetch_add(1, Ordering::Relaxed);
-                if at >= plan.seeds {
+                let offset = next.fetch_add(1, Ordering::Relaxed);
+                if offset >= plan.seeds {
                     return;
                 }
-                let play = play_seed(plan, plan.first_seed.wrapping_add(at));
-                plays
-                    .lock()
-                    .expect("no play panics while it holds the list")
-                    .push(play);
+                let run = run_seed(plan, plan.first_seed.wrapping_add(offset));
+                runs.lock()
+                    .expect("no worker panics while it holds the lock")
+                    .push(run);
             });
         }
     });
-    let mut plays = plays.into_inner().expect("all plays have ended");
-    plays.sort_by_key(|play| play.seed);
-    plays
+    let mut runs = runs.into_inner().expect("all workers have ended");
+    runs.sort_by_key(|run: &Run| run.seed);
+    runs
 }
 
-/// Plays one seed.
-pub fn play_seed(plan: &Plan, seed: u64) -> Play {
-    let settings = plan.settings();
-    let fleet = match plan.standing {
-        true => Fleet::established(plan.members, plan.zones, settings, seed),
-        false => Fleet::new(plan.members, plan.zones, settings, seed),
-    };
-    let mut player = Player {
-        fleet,
-        courses: Vec::new(),
-        watched: Vec::new(),
-        up_ms: 0,
-        samples: Vec::new(),
-    };
-    if !plan.standing {
-        player.watch(usize::MAX, Kind::Restart, None);
+/// Runs the plan with one seed.
+pub fn run_seed(plan: &Plan, seed: u64) -> Run {
+    let mut runner = Runner::new(plan, seed);
+    for (index, fault) in plan.faults.iter().enumerate() {
+        runner.run_until(millis(fault.at));
+        runner.inject(index, fault);
     }
-    for (at, fault) in plan.faults.iter().enumerate() {
-        player.until(fault.at.0.as_millis() as u64);
-        player.carry_out(at, fault);
-    }
-    player.until(plan.duration.0.as_millis() as u64);
-    player.finish(seed, plan)
+    runner.run_until(millis(plan.duration));
+    runner.finish(seed, plan)
+}
+
+/// An outcome that is still being measured.
+struct Measurement {
+    /// Its index among the outcomes.
+    outcome: usize,
+    started_at: u64,
+    /// The member whose end the others have to notice, if any.
+    stopped_member: Option<usize>,
 }
 
-struct Player {
+/// A fleet under experiment and what has been measured so far.
+struct Runner {
     fleet: Fleet,
-    courses: Vec<Course>,
-    /// Courses that go on: when they began, and whose crash it is.
-    watched: Vec<(usize, u64, Option<usize>)>,
-    up_ms: u64,
-    samples: Vec<(f64, f64)>,
+    outcomes: Vec<FaultOutcome>,
+    measurements: Vec<Measurement>,
+    /// Sum of the running time of all members, in milliseconds.
+    member_ms: u64,
+    /// Samples in order of time; their bytes count from the start.
+    samples: Vec<ViewSample>,
 }
 
-impl Player {
-    fn watch(&mut self, fault: usize, kind: Kind, gone: Option<usize>) {
-        self.watched
-            .push((self.courses.len(), self.fleet.now, gone));
-        let course = Course {
-            fault,
-            kind,
-            noticed_ms: None,
-            first_ms: None,
-            most_ms: None,
-            all_ms: None,
-            settled_ms: None,
+impl Runner {
+    fn new(plan: &Plan, seed: u64) -> Runner {
+        let settings = plan.settings();
+        let fleet = if plan.standing {
+            Fleet::established(plan.members, plan.zones, settings, seed)
+        } else {
+            Fleet::new(plan.members, plan.zones, settings, seed)
+        };
+        let mut runner = Runner {
+            fleet,
+            outcomes: Vec::new(),
+            measurements: Vec::new(),
+            member_ms: 0,
+            samples: Vec::new(),
         };
-        self.courses.push(course);
+        if !plan.standing {
+            runner.start_measurement(INITIAL_JOIN, FaultKind::Restart, None);
+        }
+        runner
+    }
+
+    fn start_measurement(&mut self, fault: usize, kind: FaultKind, stopped_member: Option<usize>) {
+        self.measurements.push(Measurement {
+            outcome: self.outcomes.len(),
+            started_at: self.fleet.now,
+            stopped_member,
+        });
+        self.outcomes.push(FaultOutcome::new(fault, kind));
     }
 
-    fn carry_out(&mut self, at: usize, fault: &Fault) {
-        let member = fault.member.unwrap_or(0);
-        let span = fault.span.map_or(0, |s| s.0.as_millis() as u64);
-        let fleet = &mut self.fleet;
+    fn inject(&mut self, index: usize, fault: &Fault) {
+        apply(&mut self.fleet, fault);
         match fault.kind {
-            Kind::Crash => fleet.crash(member),
-            Kind::Restart => fleet.start(member),
-            Kind::Leave => fleet.leave(member),
-            Kind::Pause => fleet.nodes[member].paused_until = fleet.now + span,
-            Kind::Slow => fleet.nodes[member].slow_ms = span,
-            Kind::Clock => fleet.nodes[member].clock_rate = fault.rate.unwrap_or(1.0),
-            Kind::Partition => fleet.network.faults.partition(fleet.nodes.len(), member),
-            Kind::Heal => fleet.network.faults.heal(),
-            Kind::Cut => {
-                fleet
-                    .network
-                    .faults
-                    .cut
-                    .insert((member, fault.other.unwrap_or(0)));
+            FaultKind::Crash | FaultKind::Leave => {
+                let stopped_member = fault.member.unwrap_or(0);
+                self.start_measurement(index, fault.kind, Some(stopped_member));
             }
-            Kind::Loss => fleet.network.faults.loss = fault.share.unwrap_or(0.0),
-            Kind::Duplicate => fleet.network.faults.duplicate = fault.share.unwrap_or(0.0),
-            Kind::Delay => {
-                fleet.network.faults.delay_ms = span;
-                fleet.network.faults.jitter_ms = fault.jitter.map_or(0, |s| s.0.as_millis() as u64);
+            FaultKind::Restart | FaultKind::Heal => {
+                self.start_measurement(index, fault.kind, None);
             }
-        }
-        match fault.kind {
-            Kind::Crash | Kind::Leave => self.watch(at, fault.kind, Some(member)),
-            Kind::Restart | Kind::Heal => self.watch(at, fault.kind, None),
             _ => {}
         }
     }
 
-    fn until(&mut self, end: u64) {
+    fn run_until(&mut self, end: u64) {
         while self.fleet.now < end {
             let before = self.fleet.now;
             self.fleet.step();
-            let up = (0..self.fleet.nodes.len())
-                .filter(|&i| self.fleet.views.is_up(i))
-                .count() as u64;
-            self.up_ms += up * (self.fleet.now - before);
-            self.look();
+            self.member_ms += self.fleet.views.up_count() as u64 * (self.fleet.now - before);
+            self.update_measurements();
             if self.fleet.now / SAMPLE_MS > before / SAMPLE_MS {
-                let sent: u64 = self
-                    .fleet
-                    .network
-                    .traffic()
-                    .iter()
-                    .map(|traffic| traffic.bytes)
-                    .sum();
-                let wrong = self.fleet.views.wrong_share();
-                self.samples.push((wrong, sent as f64 / up.max(1) as f64));
+                self.take_sample();
             }
         }
     }
 
-    /// What of the courses that go on has come by now.
-    fn look(&mut self) {
-        let (fleet, courses) = (&self.fleet, &mut self.courses);
-        self.watched.retain(|&(at, began, gone)| {
-            let (course, passed) = (&mut courses[at], fleet.now - began);
-            if let Some(of) = gone {
-                let detection = fleet.views.failure_detection(of);
-                let (know, others) = (detection.aware, detection.observers);
-                let came = |slot: &mut Option<u64>, has: bool| {
-                    if slot.is_none() && has {
-                        *slot = Some(passed);
-                    }
-                };
-                came(&mut course.noticed_ms, fleet.views.is_suspected(of));
-                came(&mut course.first_ms, know > 0);
-                came(&mut course.most_ms, know * 100 >= others * 99);
-                came(&mut course.all_ms, know == others);
-                if course.all_ms.is_none() {
-                    return true;
-                }
-            }
-            if fleet.has_converged() {
-                course.settled_ms = Some(passed);
-            }
-            course.settled_ms.is_none()
+    fn take_sample(&mut self) {
+        let sent_bytes = sum(self.fleet.network.traffic(), |traffic| traffic.bytes);
+        self.samples.push(ViewSample {
+            wrong_share: self.fleet.views.wrong_share(),
+            bytes_per_member: sent_bytes as f64 / self.fleet.views.up_count().max(1) as f64,
         });
     }
 
-    fn finish(self, seed: u64, plan: &Plan) -> Play {
-        let false_deaths = false_deaths(&self.fleet, plan);
-        let seconds = (self.up_ms as f64 / 1e3).max(1e-3);
-        let sum = |part: &dyn Fn(&Traffic) -> u64| {
-            self.fleet.network.traffic().iter().map(part).sum::<u64>() as f64
-        };
-        let most = self
-            .fleet
-            .network
-            .traffic()
-            .iter()
-            .map(|traffic| traffic.bytes)
-            .max()
-            .unwrap_or(0);
-        let mut samples = self.samples;
-        for at in (1..samples.len()).rev() {
-            samples[at].1 -= samples[at - 1].1;
+    fn update_measurements(&mut self) {
+        let (fleet, outcomes) = (&self.fleet, &mut self.outcomes);
+        self.measurements
+            .retain(|measurement| !update(measurement, &mut outcomes[measurement.outcome], fleet));
+    }
+
+    fn finish(mut self, seed: u64, plan: &Plan) -> Run {
+        let member_seconds = (self.member_ms as f64 / 1e3).max(MIN_MEMBER_SECONDS);
+        let traffic = self.fleet.network.traffic();
+        let datagrams = sum(traffic, |traffic| traffic.datagrams) as f64;
+        let bytes = sum(traffic, |traffic| traffic.bytes) as f64;
+        let busiest = traffic.iter().map(|traffic| traffic.bytes).max();
+        // From totals since the start to bytes in each interval.
+        for index in (1..self.samples.len()).rev() {
+            self.samples[index].bytes_per_member -= self.samples[index - 1].bytes_per_member;
         }
-        Play {
+        Run {
             seed,
-            courses: self.courses,
-            false_deaths,
-            member_hours: seconds / 3_600.0,
-            datagrams: sum(&|traffic| traffic.datagrams) / seconds,
-            bytes: sum(&|traffic| traffic.bytes) / seconds,
-            most_bytes: most as f64 / plan.duration.0.as_secs_f64(),
-            samples,
+            outcomes: self.outcomes,
+            false_deaths: false_deaths::count(&self.fleet.changes, plan),
+            member_hours: member_seconds / 3_600.0,
+            datagrams_per_second: datagrams / member_seconds,
+            bytes_per_second: bytes / member_seconds,
+            max_bytes_per_second: busiest.unwrap_or(0) as f64 / plan.duration.0.as_secs_f64(),
+            samples: self.samples,
         }
     }
 }
 
-/// After a heal, a suspicion from before it may still run out: a death over the cut counts as false only later.
-const HEALING_MS: u64 = 2_000;
+/// Applies a fault to the fleet or its network.
+fn apply(fleet: &mut Fleet, fault: &Fault) {
+    let member = fault.member.unwrap_or(0);
+    let span_ms = fault.span.map_or(0, millis);
+    let members = fleet.nodes.len();
+    let network = &mut fleet.network.faults;
+    match fault.kind {
+        FaultKind::Crash => fleet.crash(member),
+        FaultKind::Restart => fleet.start(member),
+        FaultKind::Leave => fleet.leave(member),
+        FaultKind::Pause => fleet.nodes[member].paused_until = fleet.now + span_ms,
+        FaultKind::Slow => fleet.nodes[member].slow_ms = span_ms,
+        FaultKind::Clock => fleet.nodes[member].clock_rate = fault.rate.unwrap_or(1.0),
+        FaultKind::Partition => network.partition(members, member),
+        FaultKind::Heal => network.heal(),
+        FaultKind::Cut => {
+            network.cut.insert((member, fault.other.unwrap_or(0)));
+        }
+        FaultKind::Loss => network.loss = fault.share.unwrap_or(0.0),
+        FaultKind::Duplicate => network.duplicate = fault.share.unwrap_or(0.0),
+        FaultKind::Delay => {
+            network.delay_ms = span_ms;
+            network.jitter_ms = fault.jitter.map_or(0, millis);
+        }
+    }
+}
 
-/// Deaths that members saw of others which ran then, could be reached, and had not said that they leave.
-fn false_deaths(fleet: &Fleet, plan: &Plan) -> u64 {
-    let at = |fault: &Fault| fault.at.0.as_millis() as u64;
-    let is_false = |seen: &&ObservedChange| {
-        let Some(of) = seen.subject_index() else {
+/// Brings an outcome up to date; returns whether its measurement is complete.
+fn update(measurement: &Measurement, outcome: &mut FaultOutcome, fleet: &Fleet) -> bool {
+    let elapsed_ms = fleet.now - measurement.started_at;
+    if let Some(member) = measurement.stopped_member {
+        update_detection(outcome, fleet, member, elapsed_ms);
+        if outcome.all_ms.is_none() {
             return false;
-        };
-        let before = plan.faults.iter().filter(|fault| at(fault) <= seen.at);
-        let (mut up, mut split, mut cut) = (true, None, None);
-        for fault in before {
-            match fault.kind {
-                Kind::Crash | Kind::Leave if fault.member == Some(of) => up = false,
-                Kind::Restart if fault.member == Some(of) => up = true,
-                Kind::Partition => split = fault.member,
-                Kind::Heal => {
-                    cut = split.filter(|_| at(fault) + HEALING_MS > seen.at);
-                    split = None;
-                }
-                _ => {}
-            }
         }
-        up && split
-            .or(cut)
-            .is_none_or(|split| (of < split) == (seen.observer < split))
-    };
-    fleet
-        .changes
-        .iter()
-        .filter(|seen| seen.state == Some(MemberState::Dead))
-        .filter(is_false)
-        .count() as u64
+    }
+    if fleet.has_converged() {
+        outcome.converged_ms = Some(elapsed_ms);
+    }
+    outcome.converged_ms.is_some()
+}
+
+/// Records how far the news that `member` stopped has spread.
+fn update_detection(outcome: &mut FaultOutcome, fleet: &Fleet, member: usize, elapsed_ms: u64) {
+    let detection = fleet.views.failure_detection(member);
+    let most_aware = detection.aware * 100 >= detection.observers * MOST_PERCENT;
+    let all_aware = detection.aware == detection.observers;
+    for (time, reached) in [
+        (&mut outcome.suspected_ms, fleet.views.is_suspected(member)),
+        (&mut outcome.first_ms, detection.aware > 0),
+        (&mut outcome.most_ms, most_aware),
+        (&mut outcome.all_ms, all_aware),
+    ] {
+        if reached {
+            time.get_or_insert(elapsed_ms);
+        }
+    }
+}
+
+fn sum(traffic: &[Traffic], count: impl Fn(&Traffic) -> u64) -> u64 {
+    traffic.iter().map(count).sum()
 }
 
-/// The value at a quantile, 0 to 1, of what came; `None` where any did not come, or there is nothing.
-pub fn quantile(times: impl Iterator<Item = Option<u64>>, q: f64) -> Option<u64> {
-    let mut all: Vec<u64> = times.map(|t| t.unwrap_or(u64::MAX)).collect();
-    all.sort_unstable();
-    let last = all.len().checked_sub(1)?;
-    let at = all[(last as f64 * q).ceil() as usize];
-    (at != u64::MAX).then_some(at)
+fn millis(span: Span) -> u64 {
+    span.0.as_millis() as u64
 }
--- a/crates/heathspur-emulator/src/lib.rs
+++ b/crates/heathspur-emulator/src/lib.rs
@@ -7,13 +7,16 @@
 #![forbid(unsafe_code)]
 
 pub mod experiment;
+mod false_deaths;
 mod fleet;
 mod network;
 mod node;
+mod outcome;
 pub mod plan;
 mod views;
 
 pub use fleet::{Fleet, ObservedChange};
 pub use network::{Network, NetworkFaults, Traffic};
 pub use node::Node;
+pub use outcome::{quantile, FaultOutcome, Run, ViewSample};
 pub use views::{FailureDetection, MembershipViews};
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -62,7 +62,7 @@
     pub at: Span,
     /// What.
     #[serde(rename = "@kind")]
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Whom it happens to; how many are on the first side of a partition.
     #[serde(rename = "@member", default)]
     pub member: Option<usize>,
@@ -86,7 +86,7 @@
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum FaultKind {
     /// `member` stops at once.
     Crash,
     /// `member` starts again, with a higher incarnation.
@@ -144,16 +144,16 @@
 impl Fault {
     fn check(&self, plan: &Plan) -> Result<(), (&'static str, String)> {
         let (needs_member, needs_span, needs_share) = match self.kind {
-            Kind::Crash
-            | Kind::Restart
-            | Kind::Leave
-            | Kind::Clock
-            | Kind::Partition
-            | Kind::Cut => (true, false, false),
-            Kind::Pause | Kind::Slow => (true, true, false),
-            Kind::Loss | Kind::Duplicate => (false, false, true),
-            Kind::Delay => (false, true, false),
-            Kind::Heal => (false, false, false),
+            FaultKind::Crash
+            | FaultKind::Restart
+            | FaultKind::Leave
+            | FaultKind::Clock
+            | FaultKind::Partition
+            | FaultKind::Cut => (true, false, false),
+            FaultKind::Pause | FaultKind::Slow => (true, true, false),
+            FaultKind::Loss | FaultKind::Duplicate => (false, false, true),
+            FaultKind::Delay => (false, true, false),
+            FaultKind::Heal => (false, false, false),
         };
         let said = |name: &'static str, is: bool, needed: bool| match (is, needed) {
             (true, false) => Err((
@@ -166,12 +166,12 @@
         said("@member", self.member.is_some(), needs_member)?;
         said("@span", self.span.is_some(), needs_span)?;
         said("@share", self.share.is_some(), needs_share)?;
-        said("@other", self.other.is_some(), self.kind == Kind::Cut)?;
-        said("@rate", self.rate.is_some(), self.kind == Kind::Clock)?;
+        said("@other", self.other.is_some(), self.kind == FaultKind::Cut)?;
+        said("@rate", self.rate.is_some(), self.kind == FaultKind::Clock)?;
         said(
             "@jitter",
             self.jitter.is_some(),
-            self.kind == Kind::Delay && self.jitter.is_some(),
+            self.kind == FaultKind::Delay && self.jitter.is_some(),
         )?;
         for (name, member) in [("@member", self.member), ("@other", self.other)] {
             if member.is_some_and(|m| m >= plan.members) {
--- a/crates/heathspur-emulator/tests/plan.rs
+++ b/crates/heathspur-emulator/tests/plan.rs
@@ -1,7 +1,8 @@
-//! Plans of experiments: the examples read and hold to the schema, what is wrong is named, plays repeat exactly.
+//! Plans of experiments: the examples match the schema, errors name their place, and runs repeat exactly.
 
-use heathspur_emulator::experiment::{play, play_seed, Play};
-use heathspur_emulator::plan::{Kind, Plan, SCHEMA};
+use heathspur_emulator::experiment::{run, run_seed};
+use heathspur_emulator::plan::{FaultKind, Plan, SCHEMA};
+use heathspur_emulator::Run;
 use std::path::{Path, PathBuf};
 
 fn examples() -> Vec<PathBuf> {
@@ -15,7 +16,7 @@
     files
 }
 
-fn holds_to_schema(text: &str) -> bool {
+fn matches_schema(text: &str) -> bool {
     let schema = uppsala::parse(SCHEMA).unwrap();
     let schema = uppsala::XsdValidator::from_schema(&schema).unwrap();
     uppsala::parse(text).is_ok_and(|document| schema.validate(&document).is_empty())
@@ -28,18 +29,18 @@
 }
 
 #[test]
-fn the_examples_read_and_hold_to_the_schema() {
+fn examples_parse_and_match_the_schema() {
     assert!(examples().len() >= 5);
     for file in examples() {
         let text = std::fs::read_to_string(&file).unwrap();
         let read = Plan::read(&file);
         assert!(read.is_ok(), "{}", read.unwrap_err());
-        assert!(holds_to_schema(&text), "{}", file.display());
+        assert!(matches_schema(&text), "{}", file.display());
     }
 }
 
 #[test]
-fn what_is_wrong_is_named_with_line_and_place() {
+fn errors_name_line_and_place() {
     let long = "duration=\"9 s\"";
     for (attributes, faults, line, place) in [
         ("duration=\"9 s\" seeds=\"0\"", "", 1, "@seeds"),
@@ -84,12 +85,12 @@
             "fault",
         ),
     ] {
-        let said = Plan::parse(&plan(attributes, faults), Path::new("x.xml"))
+        let message = Plan::parse(&plan(attributes, faults), Path::new("x.xml"))
             .unwrap_err()
             .to_string();
         assert!(
-            said.starts_with(&format!("x.xml:{line}:")) && said.contains(place),
-            "{faults}: {said}"
+            message.starts_with(&format!("x.xml:{line}:")) && message.contains(place),
+            "{faults}: {message}"
         );
     }
 }
@@ -103,48 +104,48 @@
 }
 
 #[test]
-fn a_play_repeats_exactly_and_seeds_differ() {
+fn runs_repeat_exactly_and_seeds_differ() {
     let plan = rough();
-    let first = play_seed(&plan, 3);
-    assert_eq!(first, play_seed(&plan, 3));
-    assert_ne!(first.samples, play_seed(&plan, 4).samples);
+    let first = run_seed(&plan, 3);
+    assert_eq!(first, run_seed(&plan, 3));
+    assert_ne!(first.samples, run_seed(&plan, 4).samples);
 }
 
 #[test]
-fn a_rough_day_kills_nobody_who_lives_and_ends_in_one_view() {
-    let plays = play(&rough());
-    assert_eq!(plays.len(), 8);
-    for Play {
+fn rough_network_causes_no_false_deaths_and_views_converge() {
+    let runs = run(&rough());
+    assert_eq!(runs.len(), 8);
+    for Run {
         seed,
-        courses,
+        outcomes,
         false_deaths,
         samples,
         ..
-    } in &plays
+    } in &runs
     {
         assert_eq!(*false_deaths, 0, "seed {seed}");
-        let kinds: Vec<Kind> = courses.iter().map(|c| c.kind).collect();
+        let kinds: Vec<FaultKind> = outcomes.iter().map(|outcome| outcome.kind).collect();
         assert_eq!(
             kinds,
             [
-                Kind::Restart,
-                Kind::Heal,
-                Kind::Leave,
-                Kind::Crash,
-                Kind::Restart
+                FaultKind::Restart,
+                FaultKind::Heal,
+                FaultKind::Leave,
+                FaultKind::Crash,
+                FaultKind::Restart
             ]
         );
-        let (join, crash, back) = (&courses[0], &courses[3], &courses[4]);
+        let (join, crash, restart) = (&outcomes[0], &outcomes[3], &outcomes[4]);
         assert!(
-            join.settled_ms < Some(20_000) && join.settled_ms.is_some(),
+            join.converged_ms < Some(20_000) && join.converged_ms.is_some(),
             "seed {seed}: {join:?}"
         );
         assert!(
             crash.all_ms.is_some_and(|ms| ms < 35_000),
             "seed {seed}: {crash:?}"
         );
-        assert!(crash.noticed_ms <= crash.first_ms && crash.first_ms <= crash.most_ms);
-        assert!(back.settled_ms.is_some(), "seed {seed}: {back:?}");
+        assert!(crash.suspected_ms <= crash.first_ms && crash.first_ms <= crash.most_ms);
+        assert!(restart.converged_ms.is_some(), "seed {seed}: {restart:?}");
         assert_eq!(samples.len(), 120);
     }
 }
--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -4,8 +4,8 @@
 use crate::given::Fault;
 use crate::table::plain;
 use clap::Args;
-use heathspur_emulator::experiment::{play, quantile, Course, Play};
 use heathspur_emulator::plan::{Plan, SCHEMA};
+use heathspur_emulator::{experiment, quantile, FaultOutcome, Run, ViewSample};
 use serde_json::{json, Value};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -31,10 +31,10 @@
         return Ok(());
     };
     let plan = Plan::read(file).map_err(|fault| Fault::Other(2, fault.to_string()))?;
-    let plays = play(&plan);
-    print(&plan, &plays);
+    let runs = experiment::run(&plan);
+    print(&plan, &runs);
     if let Some(folder) = &options.report {
-        write(folder, &plan, &plays).map_err(|e| Fault::File(folder.clone(), e))?;
+        write(folder, &plan, &runs).map_err(|e| Fault::File(folder.clone(), e))?;
     }
     Ok(())
 }
@@ -45,26 +45,26 @@
     })
 }
 
-/// The courses of one fault over all plays.
-fn of_fault(plays: &[Play], nth: usize) -> impl Iterator<Item = &Course> + Clone {
-    plays.iter().filter_map(move |play| play.courses.get(nth))
+/// The outcomes of one fault over all runs.
+fn of_fault(runs: &[Run], nth: usize) -> impl Iterator<Item = &FaultOutcome> + Clone {
+    runs.iter().filter_map(move |run| run.outcomes.get(nth))
 }
 
-type Part = fn(&Course) -> Option<u64>;
+type Part = fn(&FaultOutcome) -> Option<u64>;
 
 const PARTS: [(&str, Part); 5] = [
-    ("noticed", |c| c.noticed_ms),
-    ("first", |c| c.first_ms),
-    ("most", |c| c.most_ms),
-    ("all", |c| c.all_ms),
-    ("settled", |c| c.settled_ms),
+    ("noticed", |outcome| outcome.suspected_ms),
+    ("first", |outcome| outcome.first_ms),
+    ("most", |outcome| outcome.most_ms),
+    ("all", |outcome| outcome.all_ms),
+    ("settled", |outcome| outcome.converged_ms),
 ];
 
-fn print(plan: &Plan, plays: &[Play]) {
+fn print(plan: &Plan, runs: &[Run]) {
     println!(
         "{} members, {} plays of {:.0} s each, emulated",
         plan.members,
-        plays.len(),
+        runs.len(),
         plan.duration.0.as_secs_f64()
     );
     let mut table = plain();
@@ -81,31 +81,31 @@
         "one view p50",
         "p99",
     ]);
-    for (nth, course) in plays
+    for (nth, outcome) in runs
         .first()
-        .map_or(&[][..], |play| &play.courses)
+        .map_or(&[][..], |run| &run.outcomes)
         .iter()
         .enumerate()
     {
-        let name = match plan.faults.get(course.fault) {
+        let name = match plan.faults.get(outcome.fault) {
             Some(fault) => {
                 format!("{:?} at {:.1} s", fault.kind, fault.at.0.as_secs_f64()).to_lowercase()
             }
             None => "all join".to_string(),
         };
         let mut row = vec![name];
-        let gone = course.kind_has_deaths();
+        let stops_member = outcome.stops_member();
         for (at, (_, part)) in PARTS.iter().enumerate() {
             for q in [0.5, 0.99] {
-                let told = gone || at + 1 == PARTS.len();
-                let value = seconds(quantile(of_fault(plays, nth).map(part), q));
-                row.push(if told { value } else { "-".to_string() });
+                let applies = stops_member || at + 1 == PARTS.len();
+                let value = seconds(quantile(of_fault(runs, nth).map(part), q));
+                row.push(if applies { value } else { "-".to_string() });
             }
         }
         table.add_row(row);
     }
     println!("{table}");
-    let sum = summary(plays);
+    let sum = summary(runs);
     println!(
         "false deaths: {} in {:.1} member-hours",
         sum["false_deaths"],
@@ -119,38 +119,42 @@
     );
 }
 
-fn summary(plays: &[Play]) -> Value {
+fn summary(runs: &[Run]) -> Value {
     let mean =
-        |part: fn(&Play) -> f64| plays.iter().map(part).sum::<f64>() / plays.len().max(1) as f64;
+        |part: fn(&Run) -> f64| runs.iter().map(part).sum::<f64>() / runs.len().max(1) as f64;
     json!({
-        "false_deaths": plays.iter().map(|p| p.false_deaths).sum::<u64>(),
-        "member_hours": plays.iter().map(|p| p.member_hours).sum::<f64>(),
-        "datagrams": mean(|p| p.datagrams), "bytes": mean(|p| p.bytes), "most_bytes": mean(|p| p.most_bytes),
+        "false_deaths": runs.iter().map(|run| run.false_deaths).sum::<u64>(),
+        "member_hours": runs.iter().map(|run| run.member_hours).sum::<f64>(),
+        "datagrams": mean(|run| run.datagrams_per_second), "bytes": mean(|run| run.bytes_per_second), "most_bytes": mean(|run| run.max_bytes_per_second),
     })
 }
 
-fn write(folder: &Path, plan: &Plan, plays: &[Play]) -> io::Result<()> {
+fn write(folder: &Path, plan: &Plan, runs: &[Run]) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let courses: Vec<Value> = (0..plays.first().map_or(0, |play| play.courses.len()))
+    let outcomes: Vec<Value> = (0..runs.first().map_or(0, |run| run.outcomes.len()))
         .map(|nth| {
-            let mut told =
-                json!({"fault": plays[0].courses[nth].fault, "kind": plays[0].courses[nth].kind});
+            let mut times =
+                json!({"fault": runs[0].outcomes[nth].fault, "kind": runs[0].outcomes[nth].kind});
             for (name, part) in PARTS {
-                let at = |q| quantile(of_fault(plays, nth).map(part), q);
-                told[format!("{name}_ms")] = json!({"p50": at(0.5), "p99": at(0.99)});
+                let at = |q| quantile(of_fault(runs, nth).map(part), q);
+                times[format!("{name}_ms")] = json!({"p50": at(0.5), "p99": at(0.99)});
             }
-            told
+            times
         })
         .collect();
-    let all = json!({"members": plan.members, "summary": summary(plays), "courses": courses, "plays": plays});
+    let all = json!({"members": plan.members, "summary": summary(runs), "courses": outcomes, "plays": runs});
     std::fs::write(folder.join("report.json"), format!("{all:#}\n"))?;
-    let mean = |part: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        let seconds = plays.iter().map(|p| p.samples.len()).min().unwrap_or(0);
-        let at =
-            |s: usize| plays.iter().map(|p| part(&p.samples[s])).sum::<f64>() / plays.len() as f64;
+    let mean = |part: fn(&ViewSample) -> f64| -> Vec<(f64, f64)> {
+        let seconds = runs.iter().map(|run| run.samples.len()).min().unwrap_or(0);
+        let at = |s: usize| {
+            runs.iter().map(|run| part(&run.samples[s])).sum::<f64>() / runs.len() as f64
+        };
         (0..seconds).map(|s| (s as f64 + 1.0, at(s))).collect()
     };
-    let wrong = [("in the mean of all plays", mean(|(wrong, _)| wrong * 100.0))];
+    let wrong = [(
+        "in the mean of all plays",
+        mean(|sample| sample.wrong_share * 100.0),
+    )];
     let title = "What members hold of each other that is not so";
     charts::lines(
         &folder.join("views.svg"),
@@ -158,7 +162,7 @@
         ("second", "% of pairs"),
         &wrong,
     )?;
-    let traffic = [("sent by a member", mean(|(_, bytes)| *bytes))];
+    let traffic = [("sent by a member", mean(|sample| sample.bytes_per_member))];
     charts::lines(
         &folder.join("traffic.svg"),
         "Bytes a member a second",
