--- a/crates/heathspur-emulator/src/lib.rs
+++ b/crates/heathspur-emulator/src/lib.rs
@@ -13,6 +13,7 @@
 mod node;
 mod outcome;
 pub mod plan;
+mod validation;
 mod views;
 
 pub use fleet::{Fleet, ObservedChange};
--- a/crates/heathspur-emulator/tests/members.rs
+++ b/crates/heathspur-emulator/tests/members.rs
@@ -1,4 +1,4 @@
-//! The membership core in the emulator: joins, crashes, partitions, slow members and loss, on fixed seeds.
+//! The membership protocol in the emulator: joins, crashes, partitions, slow members and loss, on fixed seeds.
 
 use heathspur_emulator::Fleet;
 use heathspur_members::{MemberState, Settings};
@@ -7,61 +7,63 @@
     Fleet::new(members, 3, Settings::default(), seed)
 }
 
-/// A fleet that has come to one view.
-fn settled(members: usize, seed: u64, settings: Settings) -> Fleet {
+/// A fleet whose membership views have converged.
+fn converged_fleet(members: usize, seed: u64, settings: Settings) -> Fleet {
     let mut fleet = Fleet::new(members, 3, settings, seed);
     assert!(
         fleet.run_until_condition(30_000, Fleet::has_converged),
-        "not one view after 30 s"
+        "the views did not converge within 30 s"
     );
     fleet
 }
 
-/// Deaths seen while `fault` holds for `span` ms.
-fn deaths_under(fleet: &mut Fleet, span: u64, fault: impl FnOnce(&mut Fleet)) -> usize {
+/// Deaths observed up to `span_ms` after `fault` was injected.
+fn deaths_under(fleet: &mut Fleet, span_ms: u64, fault: impl FnOnce(&mut Fleet)) -> usize {
     fault(fleet);
     let at = fleet.now;
-    fleet.run_until(at + span);
+    fleet.run_until(at + span_ms);
     fleet.false_deaths(|_, _| true)
 }
 
-/// A member slow by 500 ms each way, with 20% loss: in plain SWIM it is the slow one that accuses healthy others.
-fn slow_member(settings: Settings) -> usize {
-    let play = |seed| {
-        let mut fleet = settled(20, seed, settings.clone());
+/// Deaths observed with a member slow by 500 ms each way and 20% loss. In plain SWIM the slow member accuses
+/// healthy ones.
+fn deaths_with_slow_member(settings: Settings) -> usize {
+    let deaths = |seed| {
+        let mut fleet = converged_fleet(20, seed, settings.clone());
         deaths_under(&mut fleet, 120_000, |f| {
             f.network.faults.loss = 0.20;
             f.nodes[5].slow_ms = 500;
         })
     };
-    (4..8).map(play).sum()
+    (4..8).map(deaths).sum()
 }
 
 #[test]
-fn fifty_join_through_one_seed_and_all_see_all() {
+fn fifty_members_join_through_one_seed() {
     let mut fleet = fleet(50, 1);
     assert!(
         fleet.run_until_condition(30_000, Fleet::has_converged),
-        "not one view after 30 s"
+        "the views did not converge within 30 s"
     );
     assert_eq!(fleet.false_deaths(|_, _| true), 0);
 }
 
 #[test]
-fn a_crash_is_known_to_all_then_the_restart_rejoins_higher() {
+fn crash_is_detected_by_all_and_restart_rejoins_with_higher_incarnation() {
     let mut fleet = fleet(30, 2);
     assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     let before = fleet.nodes[7]
         .membership
         .as_ref()
-        .map(|c| c.incarnation())
+        .map(|membership| membership.incarnation())
         .unwrap();
     let at = fleet.now;
     fleet.crash(7);
-    let all = fleet.views.failure_detection(7).observers;
+    let observers = fleet.views.failure_detection(7).observers;
     assert!(
-        fleet.run_until_condition(at + 15_000, |f| f.views.failure_detection(7).aware == all),
-        "not all knew of the crash in 15 s"
+        fleet.run_until_condition(at + 15_000, |f| f.views.failure_detection(7).aware
+            == observers),
+        "not all members detected the crash within 15 s"
     );
     fleet.start(7);
     let at = fleet.now;
@@ -80,13 +82,13 @@
 }
 
 #[test]
-fn a_healed_partition_becomes_one_view_again() {
+fn views_converge_after_a_partition_heals() {
     let mut fleet = fleet(20, 3);
     assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     fleet.network.faults.partition(20, 8);
     let at = fleet.now;
     fleet.run_until(at + 25_000);
-    // Each half has taken the other for dead by now.
+    // Each half considers the other dead by now.
     assert!(fleet.views.failure_detection(0).aware >= 11);
     fleet.network.faults.heal();
     let at = fleet.now;
@@ -97,14 +99,14 @@
 }
 
 #[test]
-fn with_lifeguard_a_slow_member_is_not_taken_for_dead_nor_are_others() {
-    assert_eq!(slow_member(Settings::default()), 0);
+fn lifeguard_prevents_false_deaths_with_a_slow_member() {
+    assert_eq!(deaths_with_slow_member(Settings::default()), 0);
 }
 
 #[test]
-fn without_lifeguard_the_same_slow_member_is_taken_for_dead() {
+fn plain_swim_has_false_deaths_with_a_slow_member() {
     assert!(
-        slow_member(Settings {
+        deaths_with_slow_member(Settings {
             lifeguard: false,
             ..Settings::default()
         }) > 0
@@ -112,8 +114,8 @@
 }
 
 #[test]
-fn a_pause_of_three_seconds_is_refuted_in_time() {
-    let mut fleet = settled(12, 5, Settings::default());
+fn pause_of_three_seconds_is_refuted_in_time() {
+    let mut fleet = converged_fleet(12, 5, Settings::default());
     assert_eq!(
         deaths_under(&mut fleet, 20_000, |f| f.nodes[4].paused_until =
             f.now + 3_000),
@@ -123,8 +125,8 @@
 }
 
 #[test]
-fn twenty_percent_loss_on_every_link_kills_nobody() {
-    let mut fleet = settled(15, 6, Settings::default());
+fn loss_of_twenty_percent_causes_no_false_deaths() {
+    let mut fleet = converged_fleet(15, 6, Settings::default());
     let faults = |f: &mut Fleet| {
         f.network.faults.loss = 0.20;
         f.network.faults.duplicate = 0.05;
@@ -134,15 +136,18 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_seen_to_leave_not_to_die() {
+fn graceful_leave_is_not_observed_as_death() {
     let mut fleet = fleet(10, 7);
     assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     fleet.leave(2);
     let at = fleet.now;
     fleet.run_until(at + 2_000);
     fleet.crash(2);
-    let all = fleet.views.failure_detection(2).observers;
-    assert!(fleet.run_until_condition(at + 10_000, |f| f.views.failure_detection(2).aware == all));
+    let observers = fleet.views.failure_detection(2).observers;
+    assert!(
+        fleet.run_until_condition(at + 10_000, |f| f.views.failure_detection(2).aware
+            == observers)
+    );
     assert!(fleet
         .changes
         .iter()
@@ -151,16 +156,16 @@
 }
 
 #[test]
-fn halves_apart_for_longer_than_the_dead_are_kept_meet_again_through_the_seeds() {
+fn partition_longer_than_dead_entries_are_kept_heals_through_the_seeds() {
     let settings = Settings {
         dead_keep_ms: 30_000,
         ..Settings::default()
     };
-    let mut fleet = settled(12, 8, settings);
+    let mut fleet = converged_fleet(12, 8, settings);
     fleet.network.faults.partition(12, 5);
     let at = fleet.now;
     fleet.run_until(at + 120_000);
-    // Each half has forgotten the other.
+    // Each half has dropped its entries of the other.
     assert!(fleet.nodes[0]
         .membership
         .as_ref()
