--- a/crates/heathspur-load/src/plan.rs
+++ b/crates/heathspur-load/src/plan.rs
@@ -17,22 +17,22 @@
 pub struct Plan {
     #[serde(rename = "@xmlns", default)]
     xmlns: String,
-    /// For what is drawn by lot.
+    /// Seed of all random draws.
     #[serde(rename = "@seed", default = "one")]
     pub seed: u64,
-    /// A request that is not answered for so long is given up; 10 ms to 10 min.
+    /// Time after which the client gives up on a request; 10 ms to 10 min.
     #[serde(rename = "@patience", default = "patience")]
-    pub patience: Span,
-    /// Requests open at once at most, over all targets; 1 to 100,000. What would be more is not sent, and counted.
+    pub client_timeout: Span,
+    /// Maximum number of requests open at once, over all targets; 1 to 100,000. Further ones are counted, not sent.
     #[serde(rename = "@open", default = "open")]
-    pub open: u32,
-    /// Where requests go, by turns.
+    pub max_open_requests: u32,
+    /// The servers under test; requests are spread over them by weight.
     #[serde(rename = "target", default)]
     pub targets: Vec<Target>,
-    /// What is sent, one after another.
+    /// The stages of the load, in order of time.
     #[serde(rename = "stage", default)]
     pub stages: Vec<Stage>,
-    /// Kinds of requests.
+    /// The classes of requests.
     #[serde(rename = "class", default)]
     pub classes: Vec<Class>,
 }
@@ -49,22 +49,22 @@
     10_000
 }
 
-/// A server, and how it is spoken to.
+/// A server under test.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
     /// The protocol.
     #[serde(rename = "@protocol")]
     pub protocol: Protocol,
-    /// Where it listens.
+    /// The address it listens on.
     #[serde(rename = "@address")]
     pub address: SocketAddr,
-    /// Connections at most; 1 to 10,000.
+    /// Maximum number of connections; 1 to 10,000.
     #[serde(rename = "@connections", default = "connections")]
     pub connections: u32,
-    /// Its part of all requests, beside the others' parts; 1 to 1,000.
+    /// Weight of its share of all requests; 1 to 1,000.
     #[serde(rename = "@part", default = "part")]
-    pub part: u32,
+    pub weight: u32,
 }
 
 fn connections() -> u32 {
@@ -75,68 +75,68 @@
     1
 }
 
-/// How a target is spoken to.
+/// The protocol of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub enum Protocol {
-    /// One request at a time a connection.
+    /// HTTP/1.1: one request at a time on each connection.
     #[serde(rename = "http1")]
     Http1,
-    /// Many at a time, by prior knowledge.
+    /// HTTP/2 with prior knowledge: many requests at a time on each connection.
     #[serde(rename = "http2")]
     Http2,
 }
 
-/// A time with one rate.
+/// A period with a constant mean rate.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// How long it lasts; up to 24 h.
+    /// Its duration; up to 24 h.
     #[serde(rename = "@duration")]
     pub duration: Span,
-    /// Requests a second in the mean; above 0, up to 100,000.
+    /// Mean number of first attempts per second; above 0, up to 100,000.
     #[serde(rename = "@rate")]
     pub rate: f64,
-    /// How they follow each other.
+    /// Distribution of the gaps between requests.
     #[serde(rename = "@arrivals", default)]
     pub arrivals: Arrivals,
 }
 
-/// How requests follow each other.
+/// Distribution of the gaps between requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Arrivals {
-    /// At equal distances.
+    /// Equal gaps.
     Regular,
-    /// As many independent callers would: distances are exponential.
+    /// Exponential gaps, as from many independent callers.
     #[default]
     Poisson,
-    /// In crowds with quiet between: distances are log-normal, with a deviation of 1.5 of their logarithm.
+    /// Log-normal gaps whose logarithm has a standard deviation of 1.5: bursts with pauses between them.
     Bursts,
 }
 
-/// A kind of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Its name in the path.
     #[serde(rename = "@name")]
     pub name: String,
-    /// Its part of all requests, beside the others' parts; 1 to 1,000.
+    /// Weight of its share of all requests; 1 to 1,000.
     #[serde(rename = "@part", default = "part")]
-    pub part: u32,
+    pub weight: u32,
     /// Whether its requests carry an idempotency key.
     #[serde(rename = "@keyed", default)]
     pub keyed: bool,
-    /// The part of its requests that is sent once more, with the same key and marked as a retry; 0 to 1.
+    /// Share of its requests that is retried once, with the same key and marked as a retry; 0 to 1.
     #[serde(rename = "@repeats", default)]
-    pub repeats: f64,
-    /// How long after the first try, in the mean; 1 ms to 10 min.
+    pub retry_share: f64,
+    /// Mean delay of a retry after the first attempt; 1 ms to 10 min.
     #[serde(rename = "@repeat-after", default = "repeat_after")]
-    pub repeat_after: Span,
-    /// Bytes of a body; up to 64 KiB.
+    pub retry_delay: Span,
+    /// Size of the body; up to 64 KiB.
     #[serde(rename = "@body", default = "body")]
-    pub body: Size,
-    /// The tenant that is named, where servers have tenants.
+    pub body_size: Size,
+    /// The tenant that requests name, for servers with tenants.
     #[serde(rename = "@tenant", default)]
     pub tenant: Option<String>,
 }
@@ -150,18 +150,18 @@
 }
 
 impl Plan {
-    /// Reads a file.
+    /// Reads and checks a plan file.
     ///
     /// # Errors
-    /// The first mistake found, with its place.
+    /// Returns the first mistake, with file, line and element.
     pub fn read(file: &Path) -> Result<Plan, Error> {
         Plan::parse(&heathspur_config::read_text(file, "load")?, file)
     }
 
-    /// Reads a file's text; `file` is for the errors.
+    /// Parses and checks the text of a plan file; errors name `file`.
     ///
     /// # Errors
-    /// The first mistake found, with its place.
+    /// Returns the first mistake, with file, line and element.
     pub fn parse(text: &str, file: &Path) -> Result<Plan, Error> {
         heathspur_config::parse(text, file, "load", Plan::check)
     }
@@ -187,10 +187,10 @@
                 );
             }
         }
-        if !(10..=600_000).contains(&self.patience.0.as_millis()) {
+        if !(10..=600_000).contains(&self.client_timeout.0.as_millis()) {
             return mistake("@patience".into(), "10 ms to 10 min is expected");
         }
-        if !(1..=100_000).contains(&self.open) {
+        if !(1..=100_000).contains(&self.max_open_requests) {
             return mistake("@open".into(), "1 to 100000 is expected");
         }
         for (at, target) in self.targets.iter().enumerate() {
@@ -200,7 +200,7 @@
                     "1 to 10000 is expected",
                 );
             }
-            if !(1..=1_000).contains(&target.part) {
+            if !(1..=1_000).contains(&target.weight) {
                 return mistake(format!("target[{at}].@part"), "1 to 1000 is expected");
             }
         }
@@ -224,16 +224,16 @@
                     "letters, digits, `-`, `_` and `.` are expected",
                 );
             }
-            if !(1..=1_000).contains(&class.part) {
+            if !(1..=1_000).contains(&class.weight) {
                 return mistake(path("part"), "1 to 1000 is expected");
             }
-            if !(0.0..=1.0).contains(&class.repeats) {
+            if !(0.0..=1.0).contains(&class.retry_share) {
                 return mistake(path("repeats"), "0 to 1 is expected");
             }
-            if !(1..=600_000).contains(&class.repeat_after.0.as_millis()) {
+            if !(1..=600_000).contains(&class.retry_delay.0.as_millis()) {
                 return mistake(path("repeat-after"), "1 ms to 10 min is expected");
             }
-            if class.body.0 > 64 << 10 {
+            if class.body_size.0 > 64 << 10 {
                 return mistake(path("body"), "64 KiB at most is expected");
             }
             if class
--- a/crates/heathspur-load/src/schedule.rs
+++ b/crates/heathspur-load/src/schedule.rs
@@ -1,173 +1,201 @@
-//! When each request leaves: drawn by the plan's seed alone, one at a time, so that a day's plan takes no more
-//! memory than a minute's.
+//! The schedule of a load test: when each request is sent, drawn from the plan's seed alone.
+//!
+//! Requests are drawn one at a time, so that memory does not grow with the length of the plan.
 
-use crate::plan::{Arrivals, Plan};
+use crate::plan::{Arrivals, Plan, Stage};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Deviation of the logarithm of distances in bursts.
-const BURSTS: f64 = 1.5;
-/// Repeats that may wait for their time at once; those past it are not sent, and counted.
-pub const WAITING: usize = 100_000;
+/// Standard deviation of the logarithm of the gaps between bursty arrivals.
+const BURST_DEVIATION: f64 = 1.5;
+/// Retries that may be pending at once; further ones are dropped and counted.
+pub const MAX_PENDING_RETRIES: usize = 100_000;
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// One request.
+/// One request of the schedule; ordered by its intended time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Send {
-    /// When it is to leave, in nanoseconds from the start.
+pub struct ScheduledRequest {
+    /// Intended time, in nanoseconds from the start.
     pub at: u64,
-    /// Its number; no two have the same.
+    /// Its number, unique in the schedule.
     pub number: u64,
-    /// The number of the first try of what it asks for: its own, or that of the one it repeats.
-    pub first: u64,
-    /// Its place among the plan's targets.
+    /// The number of the first attempt: its own, or that of the request it retries.
+    pub first_attempt: u64,
+    /// Index of its target in the plan.
     pub target: usize,
-    /// Its place among the plan's classes.
+    /// Index of its class in the plan.
     pub class: usize,
 }
 
-impl Send {
-    /// Whether it repeats another.
-    pub fn is_repeat(&self) -> bool {
-        self.first != self.number
+impl ScheduledRequest {
+    /// Whether it is a retry.
+    pub fn is_retry(&self) -> bool {
+        self.first_attempt != self.number
     }
 }
 
-/// The sends of a plan, in order of time.
+/// Iterator over the requests of a plan, in order of time.
 pub struct Schedule<'a> {
     plan: &'a Plan,
     rng: StdRng,
     stage: usize,
-    /// When the stage began, and where the last first try in it stands, in nanoseconds.
-    began: u64,
-    at: f64,
-    next: Option<Send>,
-    repeats: BinaryHeap<Reverse<Send>>,
-    number: u64,
-    left_out: u64,
+    /// Start of the stage, in nanoseconds from the start of the plan.
+    stage_start: u64,
+    /// Time of the last first attempt, in nanoseconds from the start of the stage.
+    stage_offset: f64,
+    next_first_attempt: Option<ScheduledRequest>,
+    pending_retries: BinaryHeap<Reverse<ScheduledRequest>>,
+    last_number: u64,
+    dropped_retries: u64,
 }
 
 impl<'a> Schedule<'a> {
-    /// The sends of a plan.
+    /// The schedule of a plan.
     pub fn new(plan: &'a Plan) -> Schedule<'a> {
         let mut schedule = Schedule {
             plan,
             rng: StdRng::seed_from_u64(plan.seed),
             stage: 0,
-            began: 0,
-            at: 0.0,
-            next: None,
-            repeats: BinaryHeap::new(),
-            number: 0,
-            left_out: 0,
+            stage_start: 0,
+            stage_offset: 0.0,
+            next_first_attempt: None,
+            pending_retries: BinaryHeap::new(),
+            last_number: 0,
+            dropped_retries: 0,
         };
-        schedule.next = schedule.first_try();
+        schedule.next_first_attempt = schedule.draw_first_attempt();
         schedule
     }
 
-    /// Repeats that were not planned since too many waited.
-    pub fn left_out(&self) -> u64 {
-        self.left_out
+    /// Number of retries dropped because [`MAX_PENDING_RETRIES`] were pending.
+    pub fn dropped_retries(&self) -> u64 {
+        self.dropped_retries
     }
 
-    /// How long all stages last, in nanoseconds.
-    pub fn length(plan: &Plan) -> u64 {
-        plan.stages
-            .iter()
-            .map(|stage| stage.duration.0.as_nanos() as u64)
-            .sum()
+    /// Total duration of the stages of a plan, in nanoseconds.
+    pub fn duration_nanos(plan: &Plan) -> u64 {
+        plan.stages.iter().map(stage_nanos).sum()
     }
 
-    /// The next first try of the stages.
-    fn first_try(&mut self) -> Option<Send> {
+    fn draw_first_attempt(&mut self) -> Option<ScheduledRequest> {
         loop {
             let stage = self.plan.stages.get(self.stage)?;
-            let length = stage.duration.0.as_nanos() as u64;
-            let mean = 1e9 / stage.rate;
-            self.at += match stage.arrivals {
-                Arrivals::Regular => mean,
-                Arrivals::Poisson => {
-                    Exp::new(1.0 / mean).map_or(mean, |gaps| gaps.sample(&mut self.rng))
-                }
-                // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
-                Arrivals::Bursts => LogNormal::new(mean.ln() - BURSTS * BURSTS / 2.0, BURSTS)
-                    .map_or(mean, |gaps| gaps.sample(&mut self.rng)),
-            };
-            if self.at < length as f64 {
-                let target =
-                    self.draw(|plan| plan.targets.iter().map(|target| target.part).collect());
-                let class = self.draw(|plan| plan.classes.iter().map(|class| class.part).collect());
-                let number = self.new_number();
-                return Some(Send {
-                    at: self.began + self.at as u64,
-                    number,
-                    first: number,
-                    target,
-                    class,
-                });
+            self.stage_offset += draw_gap(stage, &mut self.rng);
+            let stage_nanos = stage_nanos(stage);
+            if self.stage_offset < stage_nanos as f64 {
+                return Some(self.new_first_attempt());
             }
-            (self.began, self.at, self.stage) = (self.began + length, 0.0, self.stage + 1);
+            self.stage += 1;
+            self.stage_start += stage_nanos;
+            self.stage_offset = 0.0;
         }
     }
 
-    /// A place by lot, by parts.
-    fn draw(&mut self, parts: impl Fn(&Plan) -> Vec<u32>) -> usize {
-        let parts = parts(self.plan);
-        let mut lot = self.rng.random_range(0..parts.iter().sum::<u32>().max(1));
-        for (at, part) in parts.iter().enumerate() {
-            if lot < *part {
-                return at;
-            }
-            lot -= part;
+    fn new_first_attempt(&mut self) -> ScheduledRequest {
+        let target = self.draw_target();
+        let class = self.draw_class();
+        let number = self.next_number();
+        ScheduledRequest {
+            at: self.stage_start + self.stage_offset as u64,
+            number,
+            first_attempt: number,
+            target,
+            class,
         }
-        0
     }
 
-    fn new_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
-    }
-
-    /// Plans the repeat of a first try, if lot wants one: to any target, as balancers do it.
-    fn plan_repeat(&mut self, first: &Send) {
-        let class = &self.plan.classes[first.class];
-        if class.repeats <= 0.0 || !self.rng.random_bool(class.repeats) {
+    /// Draws whether a first attempt is retried, and when. The retry goes to any target, as a balancer sends it.
+    fn draw_retry(&mut self, first_attempt: &ScheduledRequest) {
+        let class = &self.plan.classes[first_attempt.class];
+        if class.retry_share <= 0.0 || !self.rng.random_bool(class.retry_share) {
             return;
         }
-        if self.repeats.len() >= WAITING {
-            self.left_out += 1;
+        if self.pending_retries.len() >= MAX_PENDING_RETRIES {
+            self.dropped_retries += 1;
             return;
         }
-        let mean = class.repeat_after.0.as_nanos() as f64;
-        let after = Exp::new(1.0 / mean).map_or(mean, |gaps| gaps.sample(&mut self.rng));
-        let target = self.draw(|plan| plan.targets.iter().map(|target| target.part).collect());
-        let number = self.new_number();
-        self.repeats.push(Reverse(Send {
-            at: first.at + after as u64,
+        let mean_nanos = class.retry_delay.0.as_nanos() as f64;
+        let delay_nanos = draw_exponential(mean_nanos, &mut self.rng);
+        let target = self.draw_target();
+        let number = self.next_number();
+        self.pending_retries.push(Reverse(ScheduledRequest {
+            at: first_attempt.at + delay_nanos as u64,
             number,
             target,
-            ..*first
+            ..*first_attempt
         }));
     }
+
+    fn draw_target(&mut self) -> usize {
+        let weights: Vec<u32> = self.plan.targets.iter().map(|t| t.weight).collect();
+        draw_index(&weights, &mut self.rng)
+    }
+
+    fn draw_class(&mut self) -> usize {
+        let weights: Vec<u32> = self.plan.classes.iter().map(|c| c.weight).collect();
+        draw_index(&weights, &mut self.rng)
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
 }
 
 impl Iterator for Schedule<'_> {
-    type Item = Send;
+    type Item = ScheduledRequest;
 
-    fn next(&mut self) -> Option<Send> {
-        let repeat_first = match (&self.next, self.repeats.peek()) {
-            (Some(first), Some(Reverse(repeat))) => repeat.at < first.at,
+    fn next(&mut self) -> Option<ScheduledRequest> {
+        let retry_is_next = match (&self.next_first_attempt, self.pending_retries.peek()) {
+            (Some(first_attempt), Some(Reverse(retry))) => retry.at < first_attempt.at,
             (None, Some(_)) => true,
             (_, None) => false,
         };
-        if repeat_first {
-            return self.repeats.pop().map(|Reverse(repeat)| repeat);
+        if retry_is_next {
+            return self.pending_retries.pop().map(|Reverse(retry)| retry);
+        }
+        let first_attempt = self.next_first_attempt.take()?;
+        self.draw_retry(&first_attempt);
+        self.next_first_attempt = self.draw_first_attempt();
+        Some(first_attempt)
+    }
+}
+
+fn stage_nanos(stage: &Stage) -> u64 {
+    stage.duration.0.as_nanos() as u64
+}
+
+/// Draws the gap between two first attempts, in nanoseconds.
+fn draw_gap(stage: &Stage, rng: &mut StdRng) -> f64 {
+    let mean = NANOS_PER_SECOND / stage.rate;
+    match stage.arrivals {
+        Arrivals::Regular => mean,
+        Arrivals::Poisson => draw_exponential(mean, rng),
+        Arrivals::Bursts => draw_log_normal(mean, rng),
+    }
+}
+
+fn draw_exponential(mean: f64, rng: &mut StdRng) -> f64 {
+    Exp::new(1.0 / mean).map_or(mean, |distribution| distribution.sample(rng))
+}
+
+fn draw_log_normal(mean: f64, rng: &mut StdRng) -> f64 {
+    // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
+    let mu = mean.ln() - BURST_DEVIATION * BURST_DEVIATION / 2.0;
+    LogNormal::new(mu, BURST_DEVIATION).map_or(mean, |distribution| distribution.sample(rng))
+}
+
+/// Draws an index with a probability proportional to its weight.
+fn draw_index(weights: &[u32], rng: &mut StdRng) -> usize {
+    let mut remaining = rng.random_range(0..weights.iter().sum::<u32>().max(1));
+    for (index, weight) in weights.iter().enumerate() {
+        if remaining < *weight {
+            return index;
         }
-        let first = self.next.take()?;
-        self.plan_repeat(&first);
-        self.next = self.first_try();
-        Some(first)
+        remaining -= weight;
     }
+    0
 }
--- a/crates/heathspur-load/tests/load.rs
+++ b/crates/heathspur-load/tests/load.rs
@@ -1,12 +1,12 @@
-//! Plans against reader and schema, schedules by their statistics, the audit by what it was told.
+//! Tests of the plan's parser and schema, of the schedule's statistics and of the audit.
 
-use heathspur_load::audit::{Audit, End};
+use heathspur_load::audit::{Audit, Outcome, TargetClass};
 use heathspur_load::plan::{Plan, SCHEMA};
-use heathspur_load::schedule::{Schedule, Send};
+use heathspur_load::schedule::{Schedule, ScheduledRequest};
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
 
-fn schema_takes(text: &str) -> bool {
+fn matches_schema(text: &str) -> bool {
     let schema = uppsala::parse(SCHEMA).expect("the schema is XML");
     let schema = uppsala::XsdValidator::from_schema(&schema).expect("the schema is one");
     uppsala::parse(text).is_ok_and(|document| schema.validate(&document).is_empty())
@@ -25,7 +25,7 @@
 const CLASS: &str = "<class name=\"look\"/>";
 
 #[test]
-fn reader_and_schema_take_the_same_plans_and_mistakes_name_their_place() {
+fn parser_and_schema_accept_the_same_plans_and_errors_name_their_place() {
     let all = [TARGET, STAGE, CLASS].concat();
     for (attributes, inner) in [
         ("", all.clone()),
@@ -36,7 +36,7 @@
     ] {
         let text = file(attributes, &inner);
         assert!(read(&text).is_ok(), "{text}: {:?}", read(&text));
-        assert!(schema_takes(&text), "{text}");
+        assert!(matches_schema(&text), "{text}");
     }
     for (attributes, inner, words) in [
         (
@@ -92,12 +92,12 @@
         ),
     ] {
         let text = file(attributes, &inner);
-        let said = read(&text).expect_err(&text);
+        let message = read(&text).expect_err(&text);
         assert!(
-            said.contains(words),
-            "{text}\n  says   {said}\n  wanted {words}"
+            message.contains(words),
+            "{text}\n  message  {message}\n  expected {words}"
         );
-        assert!(!schema_takes(&text), "{text}");
+        assert!(!matches_schema(&text), "{text}");
     }
     assert!(read("<operator xmlns=\"urn:heathspur:load:1\"/>")
         .unwrap_err()
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn sends_come_in_order_at_the_rate_and_by_the_parts_that_are_asked_for() {
+fn requests_are_ordered_with_the_planned_rates_and_weights() {
     for arrivals in ["regular", "poisson", "bursts"] {
         let stages = format!("<stage duration=\"100 s\" rate=\"200\" arrivals=\"{arrivals}\"/><stage duration=\"10 s\" rate=\"2000\" arrivals=\"{arrivals}\"/>");
         let plan = plan(
             &stages,
             "<class name=\"look\" part=\"9\"/><class name=\"pay\"/>",
         );
-        let sends: Vec<Send> = Schedule::new(&plan).collect();
+        let sends: Vec<ScheduledRequest> = Schedule::new(&plan).collect();
         assert!(sends.windows(2).all(|pair| pair[0].at <= pair[1].at));
         assert!(sends
             .iter()
-            .all(|send| !send.is_repeat() && send.at < Schedule::length(&plan)));
+            .all(|send| !send.is_retry() && send.at < Schedule::duration_nanos(&plan)));
         let numbers: HashSet<u64> = sends.iter().map(|send| send.number).collect();
         assert_eq!(numbers.len(), sends.len());
         let early = sends
@@ -137,20 +137,20 @@
                 "{arrivals}: {early}, {late}"
             );
         }
-        let part = |test: &dyn Fn(&Send) -> bool| {
+        let part = |test: &dyn Fn(&ScheduledRequest) -> bool| {
             sends.iter().filter(|s| test(s)).count() as f64 / sends.len() as f64
         };
         assert!(
             (part(&|s| s.target == 1) - 0.75).abs() < 0.02
                 && (part(&|s| s.class == 0) - 0.9).abs() < 0.02
         );
-        // A plan is played the same each time.
+        // The schedule of a plan is the same each time.
         assert!(Schedule::new(&plan).eq(sends));
     }
 }
 
 #[test]
-fn distances_are_as_their_distributions_say() {
+fn gaps_have_the_deviation_of_their_distribution() {
     let deviation = |arrivals: &str| {
         let plan = plan(
             &format!("<stage duration=\"100 s\" rate=\"200\" arrivals=\"{arrivals}\"/>"),
@@ -175,23 +175,23 @@
 }
 
 #[test]
-fn repeats_follow_their_first_try_with_its_class_and_as_often_as_asked() {
+fn retries_follow_their_first_attempt_with_the_planned_share_and_delay() {
     let plan = plan(
         "<stage duration=\"50 s\" rate=\"200\"/>",
         "<class name=\"pay\" keyed=\"true\" repeats=\"0.3\" repeat-after=\"400 ms\"/><class name=\"look\"/>",
     );
-    let sends: Vec<Send> = Schedule::new(&plan).collect();
-    let firsts: HashMap<u64, Send> = sends
+    let sends: Vec<ScheduledRequest> = Schedule::new(&plan).collect();
+    let firsts: HashMap<u64, ScheduledRequest> = sends
         .iter()
-        .filter(|s| !s.is_repeat())
+        .filter(|s| !s.is_retry())
         .map(|s| (s.number, *s))
         .collect();
-    let repeats: Vec<&Send> = sends.iter().filter(|s| s.is_repeat()).collect();
+    let repeats: Vec<&ScheduledRequest> = sends.iter().filter(|s| s.is_retry()).collect();
     let pays = firsts.values().filter(|s| s.class == 0).count() as f64;
     assert!((repeats.len() as f64 / pays - 0.3).abs() < 0.03);
     let mut waits = 0.0;
     for repeat in &repeats {
-        let first = firsts[&repeat.first];
+        let first = firsts[&repeat.first_attempt];
         assert!(first.class == 0 && repeat.class == 0 && first.at <= repeat.at);
         waits += (repeat.at - first.at) as f64 / 1e6;
     }
@@ -199,34 +199,44 @@
 }
 
 #[test]
-fn the_audit_counts_from_the_intended_time_and_holds_results_against_each_other() {
+fn audit_measures_from_the_intended_time_and_compares_results_of_retries() {
     let plan = plan(
         STAGE,
         "<class name=\"pay\" keyed=\"true\"/><class name=\"look\"/>",
     );
     let mut audit = Audit::new(&plan);
-    let send = |number, first, class| Send {
+    let send = |number, first_attempt, class| ScheduledRequest {
         at: 1_000_000_000,
         number,
-        first,
+        first_attempt,
         target: 0,
         class,
     };
+    let answered = |status, body_digest| Outcome::Answered {
+        status,
+        body_digest,
+    };
     let at = 1_250_000_000;
-    audit.sent(3_000_000);
-    audit.ended(&send(1, 1, 0), End::Answered(200, 7), at);
-    audit.ended(&send(2, 1, 0), End::Answered(200, 7), at);
-    audit.ended(&send(3, 1, 0), End::Answered(200, 8), at);
+    audit.record_sent(3_000_000);
+    audit.record_outcome(&send(1, 1, 0), answered(200, 7), at);
+    audit.record_outcome(&send(2, 1, 0), answered(200, 7), at);
+    audit.record_outcome(&send(3, 1, 0), answered(200, 8), at);
     // Reads may differ, refusals have no result.
-    audit.ended(&send(4, 4, 1), End::Answered(200, 1), at);
-    audit.ended(&send(5, 4, 1), End::Answered(200, 2), at);
-    audit.ended(&send(6, 1, 0), End::Answered(503, 9), 2_000_000_000);
-    audit.ended(&send(7, 7, 1), End::Refused, at);
-    audit.ended(&send(8, 8, 1), End::Broken, at);
-    audit.ended(&send(9, 9, 1), End::TimedOut, at);
-    audit.ended(&send(10, 10, 1), End::Skipped, at);
-    assert_eq!((audit.due(), audit.unanswered(), audit.differ), (10, 2, 1));
-    let pay = &audit.parts[&(0, 0)];
+    audit.record_outcome(&send(4, 4, 1), answered(200, 1), at);
+    audit.record_outcome(&send(5, 4, 1), answered(200, 2), at);
+    audit.record_outcome(&send(6, 1, 0), answered(503, 9), 2_000_000_000);
+    audit.record_outcome(&send(7, 7, 1), Outcome::Refused, at);
+    audit.record_outcome(&send(8, 8, 1), Outcome::Broken, at);
+    audit.record_outcome(&send(9, 9, 1), Outcome::TimedOut, at);
+    audit.record_outcome(&send(10, 10, 1), Outcome::Skipped, at);
+    assert_eq!(
+        (audit.due(), audit.unanswered(), audit.mismatched_retries),
+        (10, 2, 1)
+    );
+    let pay = &audit.stats[&TargetClass {
+        target: 0,
+        class: 0,
+    }];
     assert_eq!(
         (
             pay.due,
@@ -236,15 +246,15 @@
         ),
         (4, 3, 1, 3)
     );
-    assert!((pay.ms(0.5) - 250.0).abs() < 1.0);
+    assert!((pay.latency_ms(0.5) - 250.0).abs() < 1.0);
     assert_eq!(
         (
             audit.seconds[1].due,
             audit.seconds[1].served,
-            audit.seconds[1].refused
+            audit.seconds[1].rejected
         ),
         (10, 5, 1)
     );
-    assert_eq!((audit.seconds[2].refused, audit.latency().len()), (1, 5));
-    assert_eq!(audit.lateness.len(), 1);
+    assert_eq!((audit.seconds[2].rejected, audit.latency().len()), (1, 5));
+    assert_eq!(audit.send_delay.len(), 1);
 }
--- a/crates/heathspurctl/src/load_run.rs
+++ b/crates/heathspurctl/src/load_run.rs
@@ -9,9 +9,9 @@
 use async_io::Timer;
 use clap::Args;
 use futures_lite::future;
-use heathspur_load::audit::{Audit, End, Part};
+use heathspur_load::audit::{Audit, ClassStats, Outcome, SecondStats};
 use heathspur_load::plan::{Plan, Protocol};
-use heathspur_load::schedule::{Schedule, Send};
+use heathspur_load::schedule::{Schedule, ScheduledRequest};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::path::{Path, PathBuf};
@@ -47,13 +47,16 @@
     }
 
     /// The fields and the body of a request, in small letters.
-    fn request(&self, send: &Send) -> (String, Vec<(&'static str, String)>, Vec<u8>) {
-        let class = &self.plan.classes[send.class];
+    fn request(
+        &self,
+        request: &ScheduledRequest,
+    ) -> (String, Vec<(&'static str, String)>, Vec<u8>) {
+        let class = &self.plan.classes[request.class];
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut fields = vec![
-            ("x-txn", format!("{:016x}", self.id ^ send.number)),
+            ("x-txn", format!("{:016x}", self.id ^ request.number)),
             ("x-ingress-time", unix.as_millis().to_string()),
             ("x-router", "1".to_string()),
             ("x-working-set-kb", "24".to_string()),
@@ -63,14 +66,17 @@
             fields.push(("x-merchant", tenant.clone()));
         }
         if class.keyed {
-            fields.push(("x-txn-key", format!("{:016x}-{:x}", self.id, send.first)));
+            fields.push((
+                "x-txn-key",
+                format!("{:016x}-{:x}", self.id, request.first_attempt),
+            ));
         }
-        if send.is_repeat() {
+        if request.is_retry() {
             fields.push(("x-second-try", "1".to_string()));
         }
-        // All tries of one request carry the same body.
-        let mut body = format!("{:016x}", send.first).into_bytes();
-        body.resize(class.body.0 as usize, b'.');
+        // All attempts of one request carry the same body.
+        let mut body = format!("{:016x}", request.first_attempt).into_bytes();
+        body.resize(class.body_size.0 as usize, b'.');
         (format!("/svc/{}", class.name), fields, body)
     }
 }
@@ -78,7 +84,7 @@
 /// Runs a plan, prints what came of it, writes the report.
 pub fn run(options: &Options) -> Result<(), Fault> {
     let plan = Plan::read(&options.plan).map_err(|fault| Fault::Other(2, fault.to_string()))?;
-    let seconds = Schedule::length(&plan) as f64 / 1e9;
+    let seconds = Schedule::duration_nanos(&plan) as f64 / 1e9;
     if options.check {
         println!("{}: valid; {seconds} s", options.plan.display());
         return Ok(());
@@ -88,7 +94,7 @@
     if let Some(folder) = &options.report {
         write(folder, &plan, &audit).map_err(|e| Fault::File(folder.clone(), e))?;
     }
-    match (audit.unanswered(), audit.differ) {
+    match (audit.unanswered(), audit.mismatched_retries) {
         (0, 0) => Ok(()),
         (lost, differ) => {
             let what =
@@ -120,32 +126,32 @@
     let sender = run.clone();
     async_io::block_on(executor.run(async {
         let plan = sender.plan.clone();
-        for send in Schedule::new(&plan) {
-            let at = sender.start + Duration::from_nanos(send.at);
+        for request in Schedule::new(&plan) {
+            let at = sender.start + Duration::from_nanos(request.at);
             if Instant::now() < at {
                 Timer::at(at).await;
             } else {
                 // Others have their turn however late it is.
                 future::yield_now().await;
             }
-            if sender.open.get() >= plan.open {
+            if sender.open.get() >= plan.max_open_requests {
                 sender
                     .audit
                     .borrow_mut()
-                    .ended(&send, End::Skipped, sender.now());
+                    .record_outcome(&request, Outcome::Skipped, sender.now());
                 continue;
             }
             sender.open.set(sender.open.get() + 1);
             sender
                 .audit
                 .borrow_mut()
-                .sent(sender.now().saturating_sub(send.at));
+                .record_sent(sender.now().saturating_sub(request.at));
             let one = sender.clone();
             executor
-                .spawn(async move { ask(&one, send).await })
+                .spawn(async move { ask(&one, request).await })
                 .detach();
         }
-        // Each ends by its patience at the latest.
+        // Each ends by the client's timeout at the latest.
         while sender.open.get() > 0 {
             Timer::after(Duration::from_millis(5)).await;
         }
@@ -157,15 +163,17 @@
     }
 }
 
-async fn ask(run: &Run, send: Send) {
-    let (path, fields, body) = run.request(&send);
+async fn ask(run: &Run, request: ScheduledRequest) {
+    let (path, fields, body) = run.request(&request);
     let late = async {
-        Timer::after(run.plan.patience.0).await;
-        End::TimedOut
+        Timer::after(run.plan.client_timeout.0).await;
+        Outcome::TimedOut
     };
-    let end = future::or(run.targets[send.target].ask(&path, &fields, body), late).await;
+    let outcome = future::or(run.targets[request.target].ask(&path, &fields, body), late).await;
     run.open.set(run.open.get() - 1);
-    run.audit.borrow_mut().ended(&send, end, run.now());
+    run.audit
+        .borrow_mut()
+        .record_outcome(&request, outcome, run.now());
 }
 
 fn name(protocol: Protocol) -> &'static str {
@@ -175,11 +183,11 @@
     }
 }
 
-fn others(part: &Part) -> String {
-    let all: Vec<_> = part
-        .others
+fn others(stats: &ClassStats) -> String {
+    let all: Vec<_> = stats
+        .other_outcomes
         .iter()
-        .map(|(end, count)| format!("{end:?}: {count}"))
+        .map(|(outcome, count)| format!("{outcome:?}: {count}"))
         .collect();
     all.join(", ")
 }
@@ -197,27 +205,27 @@
         "p99.9 ms",
         "max ms",
     ]);
-    for ((target, class), part) in &audit.parts {
-        let target = &plan.targets[*target];
-        let by_status: Vec<_> = part
+    for (key, stats) in &audit.stats {
+        let target = &plan.targets[key.target];
+        let by_status: Vec<_> = stats
             .statuses
             .iter()
             .map(|(status, n)| format!("{status}: {n}"))
             .collect();
         table.add_row([
             format!("{} {}", name(target.protocol), target.address),
-            plan.classes[*class].name.clone(),
-            part.due.to_string(),
+            plan.classes[key.class].name.clone(),
+            stats.due.to_string(),
             by_status.join(", "),
-            others(part),
-            format!("{:.2}", part.ms(0.5)),
-            format!("{:.2}", part.ms(0.99)),
-            format!("{:.2}", part.ms(0.999)),
-            format!("{:.2}", part.ms(1.0)),
+            others(stats),
+            format!("{:.2}", stats.latency_ms(0.5)),
+            format!("{:.2}", stats.latency_ms(0.99)),
+            format!("{:.2}", stats.latency_ms(0.999)),
+            format!("{:.2}", stats.latency_ms(1.0)),
         ]);
     }
     println!("{table}");
-    let late = |quantile| audit.lateness.value_at_quantile(quantile) as f64 / 1000.0;
+    let late = |quantile| audit.send_delay.value_at_quantile(quantile) as f64 / 1000.0;
     println!(
         "lateness of the sender: p50 {:.3}  p99 {:.3}  max {:.3} ms",
         late(0.5),
@@ -227,27 +235,27 @@
     println!(
         "without an answer: {}; repeats with another result: {}",
         audit.unanswered(),
-        audit.differ
+        audit.mismatched_retries
     );
 }
 
 fn write(folder: &Path, plan: &Plan, audit: &Audit) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let parts: Vec<_> = audit
-        .parts
+        .stats
         .iter()
-        .map(|((target, class), part)| {
+        .map(|(key, stats)| {
             json!({
-                "target": plan.targets[*target].address, "protocol": name(plan.targets[*target].protocol),
-                "class": plan.classes[*class].name, "due": part.due, "statuses": part.statuses,
-                "others": others(part), "p50_ms": part.ms(0.5), "p99_ms": part.ms(0.99), "max_ms": part.ms(1.0),
+                "target": plan.targets[key.target].address, "protocol": name(plan.targets[key.target].protocol),
+                "class": plan.classes[key.class].name, "due": stats.due, "statuses": stats.statuses,
+                "others": others(stats), "p50_ms": stats.latency_ms(0.5), "p99_ms": stats.latency_ms(0.99), "max_ms": stats.latency_ms(1.0),
             })
         })
         .collect();
-    let report = json!({"parts": parts, "unanswered": audit.unanswered(), "differ": audit.differ,
-        "lateness_p99_ms": audit.lateness.value_at_quantile(0.99) as f64 / 1000.0});
+    let report = json!({"parts": parts, "unanswered": audit.unanswered(), "differ": audit.mismatched_retries,
+        "lateness_p99_ms": audit.send_delay.value_at_quantile(0.99) as f64 / 1000.0});
     std::fs::write(folder.join("report.json"), format!("{report:#}\n"))?;
-    let count = |of: fn(&heathspur_load::audit::Second) -> u32| {
+    let count = |of: fn(&SecondStats) -> u32| {
         audit
             .seconds
             .iter()
@@ -256,9 +264,9 @@
             .collect()
     };
     let curves = [
-        ("due", count(|s| s.due)),
-        ("served", count(|s| s.served)),
-        ("refused", count(|s| s.refused)),
+        ("due", count(|second| second.due)),
+        ("served", count(|second| second.served)),
+        ("refused", count(|second| second.rejected)),
     ];
     charts::lines(
         &folder.join("rates.svg"),
--- a/crates/heathspurctl/src/load_target.rs
+++ b/crates/heathspurctl/src/load_target.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use h2::client::SendRequest;
-use heathspur_load::audit::End;
+use heathspur_load::audit::Outcome;
 use heathspur_load::plan::{self, Protocol};
 use heathspur_wire::framing::{self, Kind, Length};
 use heathspur_wire::http::status_line;
@@ -69,7 +69,7 @@
     }
 
     /// Sends a request and waits for what comes of it.
-    pub async fn ask(&self, path: &str, fields: &Fields, body: Vec<u8>) -> End {
+    pub async fn ask(&self, path: &str, fields: &Fields, body: Vec<u8>) -> Outcome {
         match &self.speaks {
             Speaks::Http1 { idle, places } => {
                 let _place = places.acquire().await;
@@ -100,7 +100,7 @@
         path: &str,
         fields: &Fields,
         body: &[u8],
-    ) -> End {
+    ) -> Outcome {
         let mut out = format!("POST {path} HTTP/1.1\r\nHost: {}\r\n", self.address);
         for (name, value) in fields {
             out += &format!("{name}: {value}\r\n");
@@ -114,7 +114,7 @@
             Some(stream) => stream,
             None => match self.connect().await {
                 Ok(stream) => stream,
-                Err(_) => return End::NoConnection,
+                Err(_) => return Outcome::NoConnection,
             },
         };
         match exchange(&mut stream, &out).await {
@@ -122,9 +122,12 @@
                 if !last {
                     idle.borrow_mut().push(stream);
                 }
-                End::Answered(status, digest)
+                Outcome::Answered {
+                    status,
+                    body_digest: digest,
+                }
             }
-            Err(_) => End::Broken,
+            Err(_) => Outcome::Broken,
         }
     }
 
@@ -135,13 +138,13 @@
         path: &str,
         fields: &Fields,
         body: Bytes,
-    ) -> End {
+    ) -> Outcome {
         let mut request = http::Request::post(format!("http://{}{path}", self.address));
         for (name, value) in fields {
             request = request.header(*name, value);
         }
         let Ok(request) = request.body(()) else {
-            return End::NoConnection;
+            return Outcome::NoConnection;
         };
         let known = line.borrow().clone();
         let ready = match known {
@@ -156,24 +159,27 @@
                     line.replace(Some(send.clone()));
                     match send.ready().await {
                         Ok(send) => send,
-                        Err(_) => return End::NoConnection,
+                        Err(_) => return Outcome::NoConnection,
                     }
                 }
-                Err(_) => return End::NoConnection,
+                Err(_) => return Outcome::NoConnection,
             },
         };
         let Ok((answer, mut out)) = send.send_request(request, body.is_empty()) else {
-            return End::NoConnection;
+            return Outcome::NoConnection;
         };
         if !body.is_empty() && out.send_data(body, true).is_err() {
-            return End::Broken;
+            return Outcome::Broken;
         }
         match answered(answer).await {
-            Ok((status, digest)) => End::Answered(status, digest),
+            Ok((status, digest)) => Outcome::Answered {
+                status,
+                body_digest: digest,
+            },
             Err(e) if e.is_remote() && e.reason() == Some(h2::Reason::REFUSED_STREAM) => {
-                End::Refused
+                Outcome::Refused
             }
-            Err(_) => End::Broken,
+            Err(_) => Outcome::Broken,
         }
     }
 
