--- a/crates/heathspur-load/src/lib.rs
+++ b/crates/heathspur-load/src/lib.rs
@@ -8,3 +8,4 @@
 pub mod audit;
 pub mod plan;
 pub mod schedule;
+mod validation;
