--- /dev/null
+++ b/crates/heathspur-record/tests/stored_format.rs
@@ -0,0 +1,94 @@
+//! The bytes of a recording are a stored format: tools read files of earlier versions, so a fixed conversation
+//! must give exactly the same bytes as before.
+
+use bytes::Bytes;
+use heathspur_capture::{Side, Stamp};
+use heathspur_record::recorder::{Ends, Event, Leg, Recorder, Seen};
+use heathspur_record::veil::Terms;
+use heathspur_testkit::capture::{answer, request, MS, START};
+
+/// 64-bit FNV-1a, which is short and the same on all platforms.
+fn fnv1a(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
+    })
+}
+
+fn event(number: u64, leg: Leg, ms: u64, seen: Seen) -> Event {
+    let (client, server) = match leg {
+        Leg::Store => ("[::1]:40009", "[::1]:7001"),
+        _ => ("127.0.0.1:40001", "127.0.0.1:6565"),
+    };
+    Event {
+        ends: Ends {
+            number,
+            leg,
+            client: client.parse().unwrap(),
+            server: server.parse().unwrap(),
+        },
+        time: Stamp(START + ms * MS),
+        seen,
+    }
+}
+
+fn said(side: Side, bytes: &[u8], missed: u64) -> Seen {
+    Seen::Said {
+        side,
+        bytes: Bytes::copy_from_slice(bytes),
+        missed,
+    }
+}
+
+/// Opened, pieces of messages, a long body, lost bytes, both kinds of end, and a connection without a start.
+fn conversation() -> Vec<Event> {
+    let (first, long) = (request(1, b"4929001234567890"), request(2, &[b'7'; 40_000]));
+    let closed = |by, reset| Seen::Closed { by, reset };
+    vec![
+        event(1, Leg::Front, 0, Seen::Opened),
+        event(1, Leg::Front, 1, said(Side::Client, &first[..30], 0)),
+        event(1, Leg::Front, 2, said(Side::Client, &first[30..], 0)),
+        event(1, Leg::Front, 3, said(Side::Server, &answer(200, b"ok"), 0)),
+        event(2, Leg::Store, 4, Seen::Opened),
+        event(2, Leg::Store, 5, said(Side::Client, b"GET 4929\n", 0)),
+        event(1, Leg::Front, 6, said(Side::Client, &long, 0)),
+        event(1, Leg::Front, 7, said(Side::Client, &first[..20], 0)),
+        event(1, Leg::Front, 8, said(Side::Client, b"after a loss", 70)),
+        event(2, Leg::Store, 9, closed(Side::Server, true)),
+        event(3, Leg::Interpreter, 10, said(Side::Server, b"{}\n", 0)),
+        event(1, Leg::Front, 11, closed(Side::Client, false)),
+    ]
+}
+
+fn recording(terms: Terms) -> Vec<u8> {
+    let mut recorder = Recorder::new(terms);
+    let mut file = recorder.start();
+    for (position, event) in conversation().iter().enumerate() {
+        if position == 5 {
+            recorder.missed(Leg::Store, 3);
+        }
+        file.extend(recorder.event(event));
+    }
+    file.extend(recorder.end(Stamp(START + 12 * MS)));
+    file
+}
+
+#[test]
+fn recordings_without_redaction_keep_their_bytes() {
+    let file = recording(Terms::default());
+    assert_eq!(
+        (file.len(), fnv1a(&file)),
+        (42_184, 9_655_017_946_235_061_806)
+    );
+}
+
+#[test]
+fn redacted_recordings_keep_their_bytes() {
+    let file = recording(Terms {
+        bodies: true,
+        fields: vec!["x-TXN".into()],
+    });
+    assert_eq!(
+        (file.len(), fnv1a(&file)),
+        (42_404, 11_795_698_995_447_286_374)
+    );
+}
