--- a/crates/heathspur-record/src/lib.rs
+++ b/crates/heathspur-record/src/lib.rs
@@ -1,8 +1,12 @@
-//! Recording of traffic, without I/O and clocks: what connections said becomes blocks of pcapng ([`recorder`]),
-//! with bodies and named fields overwritten where that is asked for ([`veil`]); and which file they go to,
-//! which files are kept, what happens when the disk fails ([`files`]).
+//! Decisions of traffic recording, without I/O and clocks.
+//!
+//! [`recorder`] turns the bytes of connections into pcapng blocks, [`redaction`] overwrites bodies and named
+//! header fields before that, and [`rotation`] decides which file is written, which files are deleted and how
+//! recording resumes after a disk error.
 #![forbid(unsafe_code)]
 
-pub mod files;
 pub mod recorder;
-pub mod veil;
+pub mod redaction;
+pub mod rotation;
+
+mod conversation;
--- a/crates/heathspur-record/src/recorder.rs
+++ b/crates/heathspur-record/src/recorder.rs
@@ -1,264 +1,200 @@
-//! What connections said becomes blocks of pcapng: each connection a conversation of TCP made up around it.
+//! Turns the events of connections into pcapng blocks.
+//!
+//! Each connection is written as a synthesised TCP conversation around the bytes that its peers exchanged.
 
-use crate::veil::{Terms, Veil};
+use crate::conversation::{Conversation, Packet};
+use crate::redaction::RedactionPolicy;
 use bytes::Bytes;
-use heathspur_capture::write::{self, Talk};
+use heathspur_capture::write;
 pub use heathspur_capture::Leg;
 use heathspur_capture::{Side, Stamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Connections that are followed at once; those of which nothing was heard for longest make room.
-const CONNECTIONS: usize = 4096;
+/// Connections that are tracked at once; beyond this the one idle for longest is evicted.
+const MAX_CONNECTIONS: usize = 4096;
 
-/// A connection as it is recorded.
+/// Identity and addresses of a recorded connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ends {
-    /// Its number; no two have the same.
-    pub number: u64,
-    /// Where it is seen.
+pub struct ConnectionInfo {
+    /// A number that no other connection of the recording has.
+    pub id: u64,
+    /// The part of the server that the connection belongs to.
     pub leg: Leg,
-    /// Who connected.
+    /// Address of the peer that connected.
     pub client: SocketAddr,
-    /// Who was connected to.
+    /// Address that was connected to.
     pub server: SocketAddr,
 }
 
-/// What happened to a connection.
+/// What happened on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// It began.
+pub enum EventKind {
+    /// The connection was established.
     Opened,
-    /// One side said something.
-    Said {
-        /// Which.
+    /// One side sent bytes.
+    Data {
+        /// The sender.
         side: Side,
-        /// What.
+        /// What it sent.
         bytes: Bytes,
-        /// Bytes that this side said before, and that were left out.
-        missed: u64,
+        /// Number of bytes that the sender sent before these and that were not recorded.
+        skipped: u64,
     },
-    /// It ended.
+    /// The connection ended.
     Closed {
-        /// Who ended it.
+        /// The side that closed it.
         by: Side,
-        /// Whether by a reset.
+        /// Whether it was reset.
         reset: bool,
     },
 }
 
-/// What happened, and when.
+/// An event on a connection, with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// To which connection.
-    pub ends: Ends,
-    /// When.
+    /// The connection.
+    pub connection: ConnectionInfo,
+    /// When it happened.
     pub time: Stamp,
-    /// What.
-    pub seen: Seen,
+    /// What happened.
+    pub kind: EventKind,
 }
 
 impl Event {
-    /// Bytes that it takes while it waits, about.
+    /// Approximate memory that the event occupies while it is queued, in bytes.
     pub fn weight(&self) -> usize {
-        let said = match &self.seen {
-            Seen::Said { bytes, .. } => bytes.len(),
-            Seen::Opened | Seen::Closed { .. } => 0,
+        let payload = match &self.kind {
+            EventKind::Data { bytes, .. } => bytes.len(),
+            EventKind::Opened | EventKind::Closed { .. } => 0,
         };
-        said + std::mem::size_of::<Event>()
+        payload + std::mem::size_of::<Event>()
     }
 }
 
-#[derive(Debug)]
-struct Conversation {
-    talk: Talk,
-    veils: [Veil; 2],
-    heard: Stamp,
+/// Packet counts of one leg, as its interface statistics state them.
+#[derive(Clone, Copy, Debug, Default)]
+struct LegCounters {
+    recorded_packets: u64,
+    dropped_events: u64,
+    /// The `dropped_events` of the last statistics block written because of drops.
+    reported_drops: u64,
 }
 
-/// Makes blocks of events.
+/// Encodes events as pcapng blocks.
 #[derive(Debug)]
 pub struct Recorder {
-    terms: Terms,
-    table: BTreeMap<u64, Conversation>,
-    taken: [u64; 3],
-    left_out: [u64; 3],
-    told: [u64; 3],
-    /// Conversations that made room.
-    pub made_room: u64,
+    policy: RedactionPolicy,
+    conversations: BTreeMap<u64, Conversation>,
+    counters: [LegCounters; Leg::ALL.len()],
+    /// Number of connections evicted because too many were tracked.
+    pub evicted: u64,
 }
 
 impl Recorder {
-    /// One that has recorded nothing.
-    pub fn new(terms: Terms) -> Recorder {
+    /// Creates a recorder that has seen no connection.
+    pub fn new(policy: RedactionPolicy) -> Recorder {
         Recorder {
-            terms,
-            table: BTreeMap::new(),
-            taken: [0; 3],
-            left_out: [0; 3],
-            told: [0; 3],
-            made_room: 0,
+            policy,
+            conversations: BTreeMap::new(),
+            counters: [LegCounters::default(); Leg::ALL.len()],
+            evicted: 0,
         }
     }
 
-    /// What a file begins with.
-    pub fn start(&self) -> Vec<u8> {
+    /// The blocks at the start of each file.
+    pub fn file_header(&self) -> Vec<u8> {
         write::ng_start(&Leg::ALL.map(Leg::name))
     }
 
-    /// So many events of a leg were left out before they came here, since the last call.
-    pub fn missed(&mut self, leg: Leg, events: u64) {
-        self.left_out[leg as usize] += events;
+    /// Counts events of a leg that were dropped before they reached the recorder.
+    pub fn add_dropped(&mut self, leg: Leg, events: u64) {
+        self.counters[leg as usize].dropped_events += events;
     }
 
-    /// The blocks of an event, in order. Losses are marked: by an interface's statistics, and by a comment at
-    /// the first packet behind them.
-    pub fn event(&mut self, event: &Event) -> Vec<u8> {
-        let (ends, time) = (event.ends, event.time);
-        let mut out = Vec::new();
-        let leg = ends.leg as usize;
-        if self.left_out[leg] > self.told[leg] {
-            self.told[leg] = self.left_out[leg];
-            out.extend(self.statistics(ends.leg, time));
-        }
-        let opened = event.seen == Seen::Opened;
-        if opened || !self.table.contains_key(&ends.number) {
-            self.make_room();
-            // The first numbers tell connections apart that use the same ports one after another.
-            let first = (ends.number as u32).wrapping_mul(0x9e37_79b9);
-            let talk = Talk::new(ends.client, ends.server, [first, !first]);
-            let mut conversation = Conversation {
-                talk,
-                veils: [Veil::default(), Veil::default()],
-                heard: time,
-            };
-            if !opened {
-                // Its start was left out, and with it where in a message it stands.
-                for veil in &mut conversation.veils {
-                    veil.lose_track(&mut Vec::new());
-                }
-            }
-            self.table.insert(ends.number, conversation);
-        }
-        let Some(conversation) = self.table.get_mut(&ends.number) else {
-            return out;
-        };
-        conversation.heard = conversation.heard.max(time);
-        let mut packets: Vec<(Stamp, Vec<u8>, String)> = Vec::new();
-        match &event.seen {
-            Seen::Opened => {
-                packets.extend(
-                    conversation
-                        .talk
-                        .open()
-                        .map(|packet| (time, packet, String::new())),
-                );
-            }
-            Seen::Said {
-                side,
-                bytes,
-                missed,
-            } => {
-                conversation.said(&self.terms, *side, time, bytes, *missed, &mut packets);
-            }
-            Seen::Closed { by, reset } => {
-                for side in [Side::Client, Side::Server] {
-                    conversation.flush(side, &mut packets);
-                }
-                if *reset {
-                    packets.push((time, conversation.talk.reset(*by), String::new()));
-                } else {
-                    for side in [*by, by.other()] {
-                        let fin = conversation.talk.finish(side);
-                        packets.extend(fin.map(|packet| (time, packet, String::new())));
-                    }
-                }
-            }
-        }
-        if matches!(event.seen, Seen::Closed { .. }) {
-            self.table.remove(&ends.number);
+    /// Encodes an event as blocks, in order. Losses are marked by interface statistics, and by a comment on the
+    /// first packet after them.
+    pub fn encode(&mut self, event: &Event) -> Vec<u8> {
+        let leg = event.connection.leg;
+        let mut blocks = self.unreported_drops(leg, event.time);
+        for packet in self.packets(event) {
+            self.counters[leg as usize].recorded_packets += 1;
+            blocks.extend(packet_block(leg, &packet));
         }
-        for (time, packet, comment) in packets {
-            self.taken[leg] += 1;
-            out.extend(write::ng_packet(
-                ends.leg as u32,
-                time,
-                &packet,
-                packet.len() as u32,
-                &comment,
-            ));
-        }
-        out
+        blocks
     }
 
-    /// The statistics of all legs, as a file's last words.
-    pub fn end(&self, time: Stamp) -> Vec<u8> {
+    /// The statistics of all legs, which end a file.
+    pub fn final_statistics(&self, time: Stamp) -> Vec<u8> {
         Leg::ALL
             .into_iter()
             .flat_map(|leg| self.statistics(leg, time))
             .collect()
     }
 
+    /// The statistics of a leg if events were dropped since they were last written.
+    fn unreported_drops(&mut self, leg: Leg, time: Stamp) -> Vec<u8> {
+        let counters = &mut self.counters[leg as usize];
+        if counters.dropped_events <= counters.reported_drops {
+            return Vec::new();
+        }
+        counters.reported_drops = counters.dropped_events;
+        self.statistics(leg, time)
+    }
+
     fn statistics(&self, leg: Leg, time: Stamp) -> Vec<u8> {
-        let (taken, left_out) = (self.taken[leg as usize], self.left_out[leg as usize]);
-        write::ng_statistics(leg as u32, time, taken + left_out, left_out)
+        let counters = self.counters[leg as usize];
+        let received = counters.recorded_packets + counters.dropped_events;
+        write::ng_statistics(leg as u32, time, received, counters.dropped_events)
     }
 
-    fn make_room(&mut self) {
-        if self.table.len() < CONNECTIONS {
-            return;
+    fn packets(&mut self, event: &Event) -> Vec<Packet> {
+        let id = event.connection.id;
+        let is_opening = event.kind == EventKind::Opened;
+        if is_opening || !self.conversations.contains_key(&id) {
+            self.evict_if_full();
+            let conversation = if is_opening {
+                Conversation::new(&event.connection, event.time)
+            } else {
+                Conversation::without_start(&event.connection, event.time)
+            };
+            self.conversations.insert(id, conversation);
         }
-        // Seldom: the front has fewer connections than this where the platform bounds descriptors.
-        let oldest = self
-            .table
-            .iter()
-            .min_by_key(|(_, c)| c.heard)
-            .map(|(&number, _)| number);
-        if let Some(oldest) = oldest {
-            self.table.remove(&oldest);
-            self.made_room += 1;
+        let Some(conversation) = self.conversations.get_mut(&id) else {
+            return Vec::new();
+        };
+        let packets = conversation.packets(&self.policy, event);
+        if matches!(event.kind, EventKind::Closed { .. }) {
+            self.conversations.remove(&id);
         }
+        packets
     }
-}
 
-impl Conversation {
-    fn said(
-        &mut self,
-        terms: &Terms,
-        side: Side,
-        time: Stamp,
-        bytes: &Bytes,
-        missed: u64,
-        packets: &mut Vec<(Stamp, Vec<u8>, String)>,
-    ) {
-        let at = usize::from(side == Side::Server);
-        let mut comment = String::new();
-        if missed > 0 {
-            self.flush(side, packets);
-            self.talk.leave_out(side, missed);
-            comment = format!("{missed} bytes before this packet were left out");
+    /// Makes room for one more connection. The linear search is rare: the limit on descriptors usually keeps
+    /// the server below [`MAX_CONNECTIONS`].
+    fn evict_if_full(&mut self) {
+        if self.conversations.len() < MAX_CONNECTIONS {
+            return;
         }
-        let mut given = Vec::new();
-        self.veils[at].pass(terms, time, bytes, &mut given);
-        for (time, bytes) in given {
-            for packet in self.talk.say(side, &bytes) {
-                packets.push((time, packet, std::mem::take(&mut comment)));
-            }
+        let least_recent = self
+            .conversations
+            .iter()
+            .min_by_key(|(_, conversation)| conversation.last_event)
+            .map(|(&id, _)| id);
+        if let Some(id) = least_recent {
+            self.conversations.remove(&id);
+            self.evicted += 1;
         }
     }
+}
 
-    /// What is held back can't be completed.
-    fn flush(&mut self, side: Side, packets: &mut Vec<(Stamp, Vec<u8>, String)>) {
-        let at = usize::from(side == Side::Server);
-        let mut given = Vec::new();
-        self.veils[at].lose_track(&mut given);
-        for (time, bytes) in given {
-            packets.extend(
-                self.talk
-                    .say(side, &bytes)
-                    .into_iter()
-                    .map(|packet| (time, packet, String::new())),
-            );
-        }
-    }
+fn packet_block(leg: Leg, packet: &Packet) -> Vec<u8> {
+    let wire_len = packet.bytes.len() as u32;
+    write::ng_packet(
+        leg as u32,
+        packet.time,
+        &packet.bytes,
+        wire_len,
+        &packet.comment,
+    )
 }
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -3,46 +3,46 @@
 use bytes::Bytes;
 use heathspur_capture::reassembly::{End, Event as Read, Start};
 use heathspur_capture::{Item, Options, Side, Stamp};
-use heathspur_record::files::{Files, Limits, Notice, Step};
-use heathspur_record::recorder::{Ends, Event, Leg, Recorder, Seen};
-use heathspur_record::veil::Terms;
+use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
+use heathspur_record::redaction::RedactionPolicy;
+use heathspur_record::rotation::{FileAction, FileRotation, Limits, StatusChange};
 use heathspur_testkit::capture::{answer, read, request, MS, START};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn ends(number: u64) -> Ends {
+fn connection(number: u64) -> ConnectionInfo {
     let client = std::net::SocketAddr::from(([127, 0, 0, 1], 40_000 + number as u16));
-    Ends {
-        number,
+    ConnectionInfo {
+        id: number,
         leg: Leg::Front,
         client,
         server: "127.0.0.1:6565".parse().unwrap(),
     }
 }
 
-fn event(number: u64, ms: u64, seen: Seen) -> Event {
+fn event(number: u64, ms: u64, kind: EventKind) -> Event {
     Event {
-        ends: ends(number),
+        connection: connection(number),
         time: Stamp(START + ms * MS),
-        seen,
+        kind,
     }
 }
 
-fn said(side: Side, bytes: &[u8]) -> Seen {
-    Seen::Said {
+fn said(side: Side, bytes: &[u8]) -> EventKind {
+    EventKind::Data {
         side,
         bytes: Bytes::copy_from_slice(bytes),
-        missed: 0,
+        skipped: 0,
     }
 }
 
-fn recorded(terms: Terms, events: &[Event]) -> Vec<u8> {
-    let mut recorder = Recorder::new(terms);
-    let mut file = recorder.start();
+fn recorded(policy: RedactionPolicy, events: &[Event]) -> Vec<u8> {
+    let mut recorder = Recorder::new(policy);
+    let mut file = recorder.file_header();
     for event in events {
-        file.extend(recorder.event(event));
+        file.extend(recorder.encode(event));
     }
-    file.extend(recorder.end(Stamp(START)));
+    file.extend(recorder.final_statistics(Stamp(START)));
     file
 }
 
@@ -50,7 +50,7 @@
 fn conversation() -> Vec<Event> {
     let (first, second) = (request(1, b"4929001234567890"), request(2, b""));
     vec![
-        event(1, 0, Seen::Opened),
+        event(1, 0, EventKind::Opened),
         event(1, 5, said(Side::Client, &first[..30])),
         event(1, 9, said(Side::Client, &first[30..])),
         event(1, 20, said(Side::Server, &answer(200, b"approved"))),
@@ -59,7 +59,7 @@
         event(
             1,
             40,
-            Seen::Closed {
+            EventKind::Closed {
                 by: Side::Client,
                 reset: false,
             },
@@ -70,7 +70,7 @@
 #[test]
 fn what_was_said_comes_back_byte_for_byte_with_its_times_and_its_end() {
     let read = read(
-        &recorded(Terms::default(), &conversation()),
+        &recorded(RedactionPolicy::default(), &conversation()),
         Options {
             checksums: true,
             ..Options::default()
@@ -126,13 +126,13 @@
     *events.last_mut().unwrap() = event(
         1,
         40,
-        Seen::Closed {
+        EventKind::Closed {
             by: Side::Server,
             reset: true,
         },
     );
     let read = read(
-        &recorded(Terms::default(), &events),
+        &recorded(RedactionPolicy::default(), &events),
         Options::default(),
         1000,
     );
@@ -154,12 +154,12 @@
     let reply: Vec<u8> = (0..3)
         .flat_map(|_| answer(200, b"4929001234567890"))
         .collect();
-    let terms = Terms {
+    let policy = RedactionPolicy {
         bodies: true,
         fields: vec!["x-TXN".into()],
     };
     for piece in [1, 7, 60, 1000] {
-        let mut events = vec![event(1, 0, Seen::Opened)];
+        let mut events = vec![event(1, 0, EventKind::Opened)];
         for (n, part) in whole.chunks(piece).enumerate() {
             events.push(event(1, 1 + n as u64, said(Side::Client, part)));
         }
@@ -171,12 +171,12 @@
         events.push(event(
             1,
             901,
-            Seen::Closed {
+            EventKind::Closed {
                 by: Side::Client,
                 reset: false,
             },
         ));
-        let file = recorded(terms.clone(), &events);
+        let file = recorded(policy.clone(), &events);
         assert!(!file.windows(4).any(|four| four == b"4929"), "{piece}");
         let read = read(&file, Options::default(), 1000);
         assert_eq!((read.requests.len(), read.answers.len()), (3, 3), "{piece}");
@@ -192,33 +192,33 @@
 
 #[test]
 fn what_is_no_http_is_overwritten_whole_and_so_is_what_follows_a_loss() {
-    let terms = Terms {
+    let policy = RedactionPolicy {
         bodies: true,
         fields: Vec::new(),
     };
     let secret = b"PAN=4929001234567890 and more of the like\r\n\r\n";
     let mut after = event(2, 3, said(Side::Client, b"4929001234567890"));
-    if let Seen::Said { missed, .. } = &mut after.seen {
-        *missed = 70;
+    if let EventKind::Data { skipped, .. } = &mut after.kind {
+        *skipped = 70;
     }
     let events = [
-        event(1, 0, Seen::Opened),
+        event(1, 0, EventKind::Opened),
         event(1, 1, said(Side::Client, secret)),
         event(
             1,
             2,
-            Seen::Closed {
+            EventKind::Closed {
                 by: Side::Client,
                 reset: false,
             },
         ),
-        event(2, 0, Seen::Opened),
+        event(2, 0, EventKind::Opened),
         event(2, 1, said(Side::Client, &request(1, b"")[..40])),
         after,
         event(
             2,
             4,
-            Seen::Closed {
+            EventKind::Closed {
                 by: Side::Client,
                 reset: false,
             },
@@ -226,7 +226,7 @@
         // The start of this one was left out.
         event(3, 5, said(Side::Server, b"4929001234567890 HTTP/1.1")),
     ];
-    let file = recorded(terms, &events);
+    let file = recorded(policy, &events);
     assert!(!file.windows(4).any(|four| four == b"4929"));
     assert!(file
         .windows(24)
@@ -237,14 +237,17 @@
 
 #[test]
 fn losses_stand_in_the_statistics_of_their_interface() {
-    let mut recorder = Recorder::new(Terms::default());
-    let quiet = recorder.event(&event(1, 0, Seen::Opened)).len();
-    recorder.missed(Leg::Front, 7);
-    let marked = recorder.event(&event(2, 1, Seen::Opened));
+    let mut recorder = Recorder::new(RedactionPolicy::default());
+    let quiet = recorder.encode(&event(1, 0, EventKind::Opened)).len();
+    recorder.add_dropped(Leg::Front, 7);
+    let marked = recorder.encode(&event(2, 1, EventKind::Opened));
     let statistics = heathspur_capture::write::ng_statistics(0, Stamp(START + MS), 3 + 7, 7);
     assert!(marked.starts_with(&statistics));
     assert_eq!(marked.len(), quiet + statistics.len());
-    assert_eq!(recorder.event(&event(3, 2, Seen::Opened)).len(), quiet);
+    assert_eq!(
+        recorder.encode(&event(3, 2, EventKind::Opened)).len(),
+        quiet
+    );
 }
 
 #[test]
@@ -267,7 +270,7 @@
         .run(
             &(start, prop::collection::vec(piece, 0..30), any::<bool>()),
             |(start, pieces, bodies)| {
-                let mut events = vec![event(1, 0, Seen::Opened)];
+                let mut events = vec![event(1, 0, EventKind::Opened)];
                 if !start.is_empty() {
                     events.push(event(1, 0, said(Side::Client, &start)));
                 }
@@ -280,13 +283,13 @@
                 events.push(event(
                     1,
                     99,
-                    Seen::Closed {
+                    EventKind::Closed {
                         by: Side::Server,
                         reset: false,
                     },
                 ));
                 let file = recorded(
-                    Terms {
+                    RedactionPolicy {
                         bodies,
                         fields: Vec::new(),
                     },
@@ -328,9 +331,9 @@
     keep: 3,
 };
 
-fn make(step: Step) -> (String, Vec<String>) {
+fn make(step: FileAction) -> (String, Vec<String>) {
     match step {
-        Step::Change { make, delete } => (make, delete),
+        FileAction::Rotate { create, delete } => (create, delete),
         other => panic!("{other:?}"),
     }
 }
@@ -343,58 +346,61 @@
         "n1-notes.txt",
         "n2-0000000000001-000000.pcapng",
     ];
-    let mut files = Files::new("n1", LIMITS, there.map(String::from));
-    let (first, delete) = make(files.step(0, 100));
+    let mut files = FileRotation::new("n1", LIMITS, there.map(String::from));
+    let (first, delete) = make(files.next_action(0, 100));
     assert_eq!(
         (&first[..], delete.len()),
         ("n1-0000000000100-000000.pcapng", 0)
     );
-    assert_eq!(files.made(0, &first, 300), None);
-    assert_eq!(files.step(10, 110), Step::Write);
-    files.wrote(700);
+    assert_eq!(files.file_created(0, &first, 300), None);
+    assert_eq!(files.next_action(10, 110), FileAction::Write);
+    files.bytes_written(700);
     // Full by size: the oldest of three others goes.
-    let (second, delete) = make(files.step(20, 120));
+    let (second, delete) = make(files.next_action(20, 120));
     assert_eq!(delete, ["n1-0000000000004-000000.pcapng"]);
-    files.deleted(&delete[0]);
-    files.made(20, &second, 300);
-    assert_eq!(files.step(5019, 5119), Step::Write);
+    files.file_deleted(&delete[0]);
+    files.file_created(20, &second, 300);
+    assert_eq!(files.next_action(5019, 5119), FileAction::Write);
     // Old; and the wall clock went back an hour, which makes the new one no older.
-    let (third, delete) = make(files.step(5020, 50));
+    let (third, delete) = make(files.next_action(5020, 50));
     assert_eq!(delete, ["n1-0000000000005-000000.pcapng"]);
     assert!(third > second, "{third} {second}");
 }
 
 #[test]
 fn a_failing_disk_stops_recording_and_it_resumes_by_itself_with_one_line_each() {
-    let mut files = Files::new("n1", LIMITS, []);
-    make(files.step(0, 0));
-    assert_eq!(files.failed(0), Some(Notice::Stopped));
-    let (mut now, mut tries, mut left_out) = (0, 0, 0);
+    let mut files = FileRotation::new("n1", LIMITS, []);
+    make(files.next_action(0, 0));
+    assert_eq!(files.write_failed(0), Some(StatusChange::Stopped));
+    let (mut now, mut retries, mut left_out) = (0, 0, 0);
     while now < 100_000 {
         now += 100;
-        match files.step(now, now) {
-            Step::LeaveOut => left_out += 1,
-            Step::Change { .. } => {
-                tries += 1;
-                assert_eq!(files.failed(now), None, "only the first is told");
+        match files.next_action(now, now) {
+            FileAction::Drop => left_out += 1,
+            FileAction::Rotate { .. } => {
+                retries += 1;
+                assert_eq!(files.write_failed(now), None, "only the first is reported");
             }
-            Step::Write => panic!("nothing is open"),
+            FileAction::Write => panic!("nothing is open"),
         }
     }
     // 0.5, 1, 2, 4, 8, 16 and then every 30 s.
-    assert!((7..=9).contains(&tries), "{tries}");
+    assert!((7..=9).contains(&retries), "{retries}");
     let name = loop {
         now += 100;
-        match files.step(now, now) {
-            Step::LeaveOut => left_out += 1,
+        match files.next_action(now, now) {
+            FileAction::Drop => left_out += 1,
             step => break make(step).0,
         }
     };
     assert_eq!(
-        files.made(now, &name, 10),
-        Some(Notice::GoesOn(left_out + tries + 1))
+        files.file_created(now, &name, 10),
+        Some(StatusChange::Resumed(left_out + retries + 1))
     );
-    // A write that fails in the middle closes the file; the next try is soon again.
-    assert_eq!(files.failed(now), Some(Notice::Stopped));
-    assert!(matches!(files.step(now + 500, now), Step::Change { .. }));
+    // A write that fails in the middle closes the file; the next retry is soon again.
+    assert_eq!(files.write_failed(now), Some(StatusChange::Stopped));
+    assert!(matches!(
+        files.next_action(now + 500, now),
+        FileAction::Rotate { .. }
+    ));
 }
--- a/crates/heathspur-record/tests/stored_format.rs
+++ b/crates/heathspur-record/tests/stored_format.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use heathspur_capture::{Side, Stamp};
-use heathspur_record::recorder::{Ends, Event, Leg, Recorder, Seen};
-use heathspur_record::veil::Terms;
+use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
+use heathspur_record::redaction::RedactionPolicy;
 use heathspur_testkit::capture::{answer, request, MS, START};
 
 /// 64-bit FNV-1a, which is short and the same on all platforms.
@@ -14,67 +14,67 @@
     })
 }
 
-fn event(number: u64, leg: Leg, ms: u64, seen: Seen) -> Event {
+fn event(number: u64, leg: Leg, ms: u64, kind: EventKind) -> Event {
     let (client, server) = match leg {
         Leg::Store => ("[::1]:40009", "[::1]:7001"),
         _ => ("127.0.0.1:40001", "127.0.0.1:6565"),
     };
     Event {
-        ends: Ends {
-            number,
+        connection: ConnectionInfo {
+            id: number,
             leg,
             client: client.parse().unwrap(),
             server: server.parse().unwrap(),
         },
         time: Stamp(START + ms * MS),
-        seen,
+        kind,
     }
 }
 
-fn said(side: Side, bytes: &[u8], missed: u64) -> Seen {
-    Seen::Said {
+fn data(side: Side, bytes: &[u8], skipped: u64) -> EventKind {
+    EventKind::Data {
         side,
         bytes: Bytes::copy_from_slice(bytes),
-        missed,
+        skipped,
     }
 }
 
 /// Opened, pieces of messages, a long body, lost bytes, both kinds of end, and a connection without a start.
 fn conversation() -> Vec<Event> {
     let (first, long) = (request(1, b"4929001234567890"), request(2, &[b'7'; 40_000]));
-    let closed = |by, reset| Seen::Closed { by, reset };
+    let closed = |by, reset| EventKind::Closed { by, reset };
     vec![
-        event(1, Leg::Front, 0, Seen::Opened),
-        event(1, Leg::Front, 1, said(Side::Client, &first[..30], 0)),
-        event(1, Leg::Front, 2, said(Side::Client, &first[30..], 0)),
-        event(1, Leg::Front, 3, said(Side::Server, &answer(200, b"ok"), 0)),
-        event(2, Leg::Store, 4, Seen::Opened),
-        event(2, Leg::Store, 5, said(Side::Client, b"GET 4929\n", 0)),
-        event(1, Leg::Front, 6, said(Side::Client, &long, 0)),
-        event(1, Leg::Front, 7, said(Side::Client, &first[..20], 0)),
-        event(1, Leg::Front, 8, said(Side::Client, b"after a loss", 70)),
+        event(1, Leg::Front, 0, EventKind::Opened),
+        event(1, Leg::Front, 1, data(Side::Client, &first[..30], 0)),
+        event(1, Leg::Front, 2, data(Side::Client, &first[30..], 0)),
+        event(1, Leg::Front, 3, data(Side::Server, &answer(200, b"ok"), 0)),
+        event(2, Leg::Store, 4, EventKind::Opened),
+        event(2, Leg::Store, 5, data(Side::Client, b"GET 4929\n", 0)),
+        event(1, Leg::Front, 6, data(Side::Client, &long, 0)),
+        event(1, Leg::Front, 7, data(Side::Client, &first[..20], 0)),
+        event(1, Leg::Front, 8, data(Side::Client, b"after a loss", 70)),
         event(2, Leg::Store, 9, closed(Side::Server, true)),
-        event(3, Leg::Interpreter, 10, said(Side::Server, b"{}\n", 0)),
+        event(3, Leg::Interpreter, 10, data(Side::Server, b"{}\n", 0)),
         event(1, Leg::Front, 11, closed(Side::Client, false)),
     ]
 }
 
-fn recording(terms: Terms) -> Vec<u8> {
-    let mut recorder = Recorder::new(terms);
-    let mut file = recorder.start();
+fn recording(policy: RedactionPolicy) -> Vec<u8> {
+    let mut recorder = Recorder::new(policy);
+    let mut file = recorder.file_header();
     for (position, event) in conversation().iter().enumerate() {
         if position == 5 {
-            recorder.missed(Leg::Store, 3);
+            recorder.add_dropped(Leg::Store, 3);
         }
-        file.extend(recorder.event(event));
+        file.extend(recorder.encode(event));
     }
-    file.extend(recorder.end(Stamp(START + 12 * MS)));
+    file.extend(recorder.final_statistics(Stamp(START + 12 * MS)));
     file
 }
 
 #[test]
 fn recordings_without_redaction_keep_their_bytes() {
-    let file = recording(Terms::default());
+    let file = recording(RedactionPolicy::default());
     assert_eq!(
         (file.len(), fnv1a(&file)),
         (42_184, 9_655_017_946_235_061_806)
@@ -83,7 +83,7 @@
 
 #[test]
 fn redacted_recordings_keep_their_bytes() {
-    let file = recording(Terms {
+    let file = recording(RedactionPolicy {
         bodies: true,
         fields: vec!["x-TXN".into()],
     });
--- a/crates/heathspurd/src/recording/handle.rs
+++ b/crates/heathspurd/src/recording/handle.rs
@@ -2,7 +2,7 @@
 
 use super::unix_time;
 use heathspur_capture::Stamp;
-use heathspur_record::recorder::{Ends, Event, Leg, Seen};
+use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg};
 use std::cell::Cell;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::SyncSender;
@@ -62,15 +62,19 @@
     }
 
     /// Queues an event; false where it was dropped.
-    pub fn send(&self, ends: Ends, seen: Seen) -> bool {
+    pub fn send(&self, connection: ConnectionInfo, kind: EventKind) -> bool {
         let time = self.clock.now();
-        let event = Event { ends, time, seen };
+        let event = Event {
+            connection,
+            time,
+            kind,
+        };
         let is_queued = self.try_queue(event);
         if is_queued {
             self.dropped_events.set([0; LEGS]);
         } else {
             let mut dropped = self.dropped_events.get();
-            dropped[ends.leg as usize] += 1;
+            dropped[connection.leg as usize] += 1;
             self.dropped_events.set(dropped);
         }
         is_queued
--- a/crates/heathspurd/src/recording/recorded_stream.rs
+++ b/crates/heathspurd/src/recording/recorded_stream.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_lite::{AsyncRead, AsyncWrite};
 use heathspur_capture::Side;
-use heathspur_record::recorder::{Ends, Leg, Seen};
+use heathspur_record::recorder::{ConnectionInfo, EventKind, Leg};
 use std::cell::Cell;
 use std::io;
 use std::net::TcpStream;
@@ -41,7 +41,7 @@
 /// Records one stream; its end is recorded when it is dropped.
 struct StreamRecorder {
     handle: Rc<RecorderHandle>,
-    ends: Ends,
+    connection: ConnectionInfo,
     /// The side of the connection that this process is.
     local_side: Side,
     dropped_bytes: Cell<DroppedBytes>,
@@ -85,20 +85,24 @@
             Side::Client => (local, remote),
             Side::Server => (remote, local),
         };
-        let ends = Ends {
-            number: handle.next_connection(),
+        let connection = ConnectionInfo {
+            id: handle.next_connection(),
             leg,
             client,
             server,
         };
-        handle.send(ends, Seen::Opened);
-        Some(StreamRecorder::new(handle.clone(), ends, local_side))
+        handle.send(connection, EventKind::Opened);
+        Some(StreamRecorder::new(handle.clone(), connection, local_side))
     }
 
-    fn new(handle: Rc<RecorderHandle>, ends: Ends, local_side: Side) -> StreamRecorder {
+    fn new(
+        handle: Rc<RecorderHandle>,
+        connection: ConnectionInfo,
+        local_side: Side,
+    ) -> StreamRecorder {
         StreamRecorder {
             handle,
-            ends,
+            connection,
             local_side,
             dropped_bytes: Cell::default(),
             end: Cell::new(StreamEnd {
@@ -112,12 +116,12 @@
     fn record_bytes(&self, side: Side, bytes: &[u8]) {
         let mut dropped_bytes = self.dropped_bytes.get();
         let dropped = dropped_bytes.of(side);
-        let seen = Seen::Said {
+        let kind = EventKind::Data {
             side,
             bytes: Bytes::copy_from_slice(bytes),
-            missed: *dropped,
+            skipped: *dropped,
         };
-        *dropped = match self.handle.send(self.ends, seen) {
+        *dropped = match self.handle.send(self.connection, kind) {
             true => 0,
             false => *dropped + bytes.len() as u64,
         };
@@ -145,11 +149,11 @@
 impl Drop for StreamRecorder {
     fn drop(&mut self) {
         let StreamEnd { by, is_reset } = self.end.get();
-        let closed = Seen::Closed {
+        let closed = EventKind::Closed {
             by,
             reset: is_reset,
         };
-        self.handle.send(self.ends, closed);
+        self.handle.send(self.connection, closed);
     }
 }
 
--- a/crates/heathspurd/src/recording/writer.rs
+++ b/crates/heathspurd/src/recording/writer.rs
@@ -4,9 +4,9 @@
 use super::unix_time;
 use heathspur_capture::Stamp;
 use heathspur_config::{Contents, Record};
-use heathspur_record::files::{Files, Limits, Notice, Step};
 use heathspur_record::recorder::{Leg, Recorder};
-use heathspur_record::veil::Terms;
+use heathspur_record::redaction::RedactionPolicy;
+use heathspur_record::rotation::{FileAction, FileRotation, Limits, StatusChange};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
 pub(super) struct Writer {
     directory: PathBuf,
     recorder: Recorder,
-    files: Files,
+    files: FileRotation,
     file: Option<File>,
     /// The path of `file`.
     path: PathBuf,
@@ -37,7 +37,7 @@
 
 impl Writer {
     pub fn new(name: &str, settings: &Record) -> Writer {
-        let redaction = Terms {
+        let redaction = RedactionPolicy {
             bodies: settings.contents == Contents::Headers,
             fields: settings
                 .mask
@@ -54,7 +54,7 @@
         Writer {
             directory: settings.directory.clone(),
             recorder: Recorder::new(redaction),
-            files: Files::new(&file_prefix(name), limits, existing),
+            files: FileRotation::new(&file_prefix(name), limits, existing),
             file: None,
             path: PathBuf::new(),
             complete_bytes: 0,
@@ -98,9 +98,9 @@
 
     fn take(&mut self, queued: &QueuedEvent) {
         for (leg, count) in Leg::ALL.into_iter().zip(queued.dropped_events) {
-            self.recorder.missed(leg, count);
+            self.recorder.add_dropped(leg, count);
         }
-        let blocks = self.recorder.event(&queued.event);
+        let blocks = self.recorder.encode(&queued.event);
         self.pending_blocks.extend(blocks);
     }
 
@@ -108,7 +108,7 @@
     fn end_recording(&mut self) {
         if self.file.is_some() {
             let now = Stamp(unix_time().as_nanos() as u64);
-            let blocks = self.recorder.end(now);
+            let blocks = self.recorder.final_statistics(now);
             self.pending_blocks.extend(blocks);
         }
         self.write_pending();
@@ -121,15 +121,18 @@
         }
         let now_ms = self.start.elapsed().as_millis() as u64;
         let blocks = std::mem::take(&mut self.pending_blocks);
-        let written = match self.files.step(now_ms, unix_time().as_millis() as u64) {
-            Step::LeaveOut => return,
-            Step::Write => self.write(&blocks),
-            Step::Change { make, delete } => self
-                .change_file(now_ms, &make, &delete)
+        let written = match self
+            .files
+            .next_action(now_ms, unix_time().as_millis() as u64)
+        {
+            FileAction::Drop => return,
+            FileAction::Write => self.write(&blocks),
+            FileAction::Rotate { create, delete } => self
+                .change_file(now_ms, &create, &delete)
                 .and_then(|()| self.write(&blocks)),
         };
         match written {
-            Ok(()) => self.files.wrote(blocks.len() as u64),
+            Ok(()) => self.files.bytes_written(blocks.len() as u64),
             Err(e) => self.write_failed(now_ms, &e),
         }
     }
@@ -148,7 +151,7 @@
         if let Some(file) = self.file.take() {
             let _ = file.set_len(self.complete_bytes);
         }
-        if let Some(Notice::Stopped) = self.files.failed(now_ms) {
+        if let Some(StatusChange::Stopped) = self.files.write_failed(now_ms) {
             let directory = self.directory.display();
             warn!(error = %error, "recording has stopped: {directory}: {error}");
         }
@@ -163,12 +166,12 @@
             .write(true)
             .create_new(true)
             .open(&self.path)?;
-        let start = self.recorder.start();
+        let start = self.recorder.file_header();
         file.write_all(&start)?;
         self.complete_bytes = start.len() as u64;
         self.file = Some(file);
-        let resumed = self.files.made(now_ms, make, self.complete_bytes);
-        if let Some(Notice::GoesOn(left_out)) = resumed {
+        let resumed = self.files.file_created(now_ms, make, self.complete_bytes);
+        if let Some(StatusChange::Resumed(left_out)) = resumed {
             info!(
                 left_out,
                 "recording goes on in {make}; blocks were left out {left_out} times"
@@ -183,7 +186,7 @@
             // change of files.
             match std::fs::remove_file(self.directory.join(name)) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => {}
-                _ => self.files.deleted(name),
+                _ => self.files.file_deleted(name),
             }
         }
     }
--- a/crates/heathspurd/tests/unit/recorded_stream.rs
+++ b/crates/heathspurd/tests/unit/recorded_stream.rs
@@ -7,10 +7,10 @@
 use std::sync::mpsc::sync_channel;
 use std::sync::Arc;
 
-fn ends() -> Ends {
+fn connection() -> ConnectionInfo {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Ends {
-        number: 1,
+    ConnectionInfo {
+        id: 1,
         leg: Leg::Front,
         client: address,
         server: address,
@@ -27,7 +27,7 @@
         10_000,
         false,
     ));
-    let stream = StreamRecorder::new(handle.clone(), ends(), Side::Server);
+    let stream = StreamRecorder::new(handle.clone(), connection(), Side::Server);
     for _ in 0..100 {
         stream.record_bytes(Side::Client, &[b'a'; 500]);
     }
@@ -40,14 +40,14 @@
     let next = recorder.try_recv().unwrap();
     let dropped = 100 - taken.len() as u64;
     assert_eq!(next.dropped_events, [dropped, 0, 0]);
-    let Seen::Said { missed, .. } = next.event.seen else {
+    let EventKind::Data { skipped, .. } = next.event.kind else {
         panic!("{:?}", next.event)
     };
-    assert_eq!(missed, dropped * 500);
+    assert_eq!(skipped, dropped * 500);
     stream.record_bytes(Side::Server, b"answer");
     let answer = recorder.try_recv().unwrap();
     assert!(
-        matches!(answer.event.seen, Seen::Said { missed: 0, .. })
+        matches!(answer.event.kind, EventKind::Data { skipped: 0, .. })
             && answer.dropped_events == [0; 3]
     );
 }
--- a/crates/heathspurd/tests/unit/recorder_handle.rs
+++ b/crates/heathspurd/tests/unit/recorder_handle.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::sync_channel;
 
-fn ends() -> Ends {
+fn connection() -> ConnectionInfo {
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    Ends {
-        number: 1,
+    ConnectionInfo {
+        id: 1,
         leg: Leg::Front,
         client: address,
         server: address,
@@ -20,7 +20,7 @@
     let queued_bytes = Arc::new(AtomicUsize::new(0));
     let handle = RecorderHandle::new(events, queued_bytes.clone(), 1 << 20, false);
     let sent = (0..10)
-        .filter(|_| handle.send(ends(), Seen::Opened))
+        .filter(|_| handle.send(connection(), EventKind::Opened))
         .count();
     assert_eq!((sent, handle.dropped_events.get()), (2, [8, 0, 0]));
     assert_eq!(
--- a/crates/heathspurd/tests/unit/recording_writer.rs
+++ b/crates/heathspurd/tests/unit/recording_writer.rs
@@ -17,7 +17,7 @@
         .unwrap();
     let mut writer = Writer::new("n 1", &settings);
     // The file that is open lies on a device that is always full.
-    writer.files.made(0, "n_1-full", 0);
+    writer.files.file_created(0, "n_1-full", 0);
     writer.path = PathBuf::from("/dev/full");
     writer.file = Some(OpenOptions::new().write(true).open(&writer.path).unwrap());
     writer.pending_blocks = vec![0; 4096];
@@ -38,7 +38,7 @@
         panic!("{written:?}")
     };
     assert!(name.starts_with("n_1-"), "{name}");
-    let start = writer.recorder.start().len() as u64;
+    let start = writer.recorder.file_header().len() as u64;
     assert_eq!(
         std::fs::metadata(directory.join(name)).unwrap().len(),
         start + 64
