--- /dev/null
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -0,0 +1,166 @@
+//! Matches the responses of a connection to its requests.
+//!
+//! Responses come in the order of their requests. Once bytes are missing, order proves nothing, and responses
+//! are matched by capture time until no request is open.
+
+use super::message::{Found, Message};
+use crate::{ConnId, Stamp};
+use std::collections::VecDeque;
+
+/// A request without a response so far.
+#[derive(Debug)]
+struct OpenRequest {
+    index: u64,
+    is_head: bool,
+    /// When its last byte was captured.
+    last: Stamp,
+}
+
+/// The requests of one connection that wait for responses.
+#[derive(Debug)]
+pub(super) struct Matcher {
+    conn: ConnId,
+    /// Bound on open requests, and on responses that wait for their request.
+    max_open: usize,
+    next_index: u64,
+    open: VecDeque<OpenRequest>,
+    /// Responses captured before their request was complete.
+    early: VecDeque<Message>,
+    /// Whether responses are matched by capture time instead of order.
+    by_time: bool,
+}
+
+impl Matcher {
+    pub fn new(conn: ConnId, max_open: usize, by_time: bool) -> Matcher {
+        Matcher {
+            conn,
+            max_open,
+            next_index: 0,
+            open: VecDeque::new(),
+            early: VecDeque::new(),
+            by_time,
+        }
+    }
+
+    /// Whether the next response answers a HEAD request, and therefore has no body.
+    pub fn expects_head_response(&self) -> bool {
+        self.open.front().is_some_and(|request| request.is_head)
+    }
+
+    /// Bytes were lost: matches by time until no request is open.
+    pub fn lose_order(&mut self) {
+        self.by_time = true;
+    }
+
+    pub fn request(&mut self, message: Message, found: &mut VecDeque<Found>) {
+        let index = self.take_index();
+        let is_head = message
+            .request_line()
+            .is_some_and(|(method, _)| method == b"HEAD");
+        let last = message.last;
+        found.push_back(Found::Request {
+            conn: self.conn,
+            index,
+            message,
+        });
+        let request = OpenRequest {
+            index,
+            is_head,
+            last,
+        };
+        self.open_request(request, found);
+    }
+
+    /// A request that was skipped, and whose end is known, still gets a response.
+    pub fn skipped_request(&mut self, time: Stamp, found: &mut VecDeque<Found>) {
+        let request = OpenRequest {
+            index: self.take_index(),
+            is_head: false,
+            last: time,
+        };
+        self.open_request(request, found);
+    }
+
+    /// A response that was skipped, and whose end is known, still answers a request.
+    pub fn skipped_response(&mut self) {
+        self.open.pop_front();
+    }
+
+    pub fn response(&mut self, message: Message, found: &mut VecDeque<Found>) {
+        let is_interim = message
+            .status()
+            .is_some_and(|status| (100..200).contains(&status));
+        if is_interim {
+            return;
+        }
+        if self.open.is_empty() {
+            self.early_response(message, found);
+            return;
+        }
+        let request = if self.by_time {
+            self.take_latest_before(message.first)
+        } else {
+            self.open.pop_front()
+        };
+        self.by_time &= !self.open.is_empty();
+        let to = request.map(|request| request.index);
+        found.push_back(self.matched(to, message));
+    }
+
+    /// Reports the responses whose request never came.
+    pub fn finish(self, found: &mut VecDeque<Found>) {
+        let conn = self.conn;
+        found.extend(self.early.into_iter().map(|message| Found::Answer {
+            conn,
+            to: None,
+            message,
+        }));
+    }
+
+    fn take_index(&mut self) -> u64 {
+        let index = self.next_index;
+        self.next_index += 1;
+        index
+    }
+
+    fn open_request(&mut self, request: OpenRequest, found: &mut VecDeque<Found>) {
+        if self.open.len() >= self.max_open {
+            // Clients do not pipeline this many: the oldest request lost its response.
+            self.open.pop_front();
+        }
+        let (index, last) = (request.index, request.last);
+        self.open.push_back(request);
+        // Packets may be captured out of order, so a response can precede its request. Only where bytes are
+        // missing does the capture time say more than the order.
+        while let Some(early) = self.early.pop_front() {
+            if !self.by_time || early.first >= last {
+                self.open.pop_back();
+                found.push_back(self.matched(Some(index), early));
+                break;
+            }
+            found.push_back(self.matched(None, early));
+        }
+    }
+
+    fn early_response(&mut self, message: Message, found: &mut VecDeque<Found>) {
+        if self.early.len() < self.max_open {
+            self.early.push_back(message);
+        } else {
+            found.push_back(self.matched(None, message));
+        }
+    }
+
+    /// Takes the latest request that was complete at `time`; the requests before it lost their responses.
+    fn take_latest_before(&mut self, time: Stamp) -> Option<OpenRequest> {
+        let position = self.open.iter().rposition(|request| request.last <= time)?;
+        self.open.drain(..=position).next_back()
+    }
+
+    fn matched(&self, to: Option<u64>, message: Message) -> Found {
+        Found::Answer {
+            conn: self.conn,
+            to,
+            message,
+        }
+    }
+}
--- /dev/null
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -0,0 +1,148 @@
+//! HTTP/1.1 exchanges in the bytes of connections: complete messages with the capture times of their first and
+//! last byte, and responses matched to their requests.
+//!
+//! Where bytes are missing, parsing resumes at the next message that can be recognised, and the bytes skipped
+//! are reported with the cause. From then on responses are matched by time until no request is open.
+
+mod matching;
+mod message;
+mod parser;
+mod resync;
+mod stream;
+
+pub use message::{Cause, Found, Message};
+
+use crate::reassembly::{Event, Start};
+use crate::{ConnId, Side};
+use matching::Matcher;
+use parser::Parser;
+use std::collections::{BTreeMap, VecDeque};
+use stream::{Mode, Stream};
+
+/// Bounds on messages and on memory.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// The longest message head, in bytes.
+    pub head: usize,
+    /// The longest message, in bytes; longer ones are skipped and reported.
+    pub message: usize,
+    /// Bytes of incomplete messages over all connections.
+    pub memory: usize,
+    /// Open requests of one connection.
+    pub open: usize,
+}
+
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
+            head: 64 * 1024,
+            message: 1024 * 1024,
+            memory: 16 * 1024 * 1024,
+            open: 1024,
+        }
+    }
+}
+
+#[derive(Debug)]
+struct Connection {
+    /// The client's, then the server's.
+    streams: [Stream; 2],
+    matcher: Matcher,
+}
+
+impl Connection {
+    fn new(id: ConnId, start: Start, limits: &Limits) -> Connection {
+        let is_midstream = start == Start::Middle;
+        // The first bytes of a connection that began before the capture may be the middle of a message.
+        let mode = || match start {
+            Start::Handshake => Mode::Head,
+            Start::Middle => Mode::Resynchronise(Cause::Hole),
+        };
+        Connection {
+            streams: [Stream::new(mode()), Stream::new(mode())],
+            matcher: Matcher::new(id, limits.open, is_midstream),
+        }
+    }
+}
+
+/// Finds messages in the events of an [`crate::reassembly::Assembler`].
+#[derive(Debug)]
+pub struct Exchanges {
+    limits: Limits,
+    connections: BTreeMap<ConnId, Connection>,
+    buffered_bytes: usize,
+    found: VecDeque<Found>,
+}
+
+impl Exchanges {
+    /// Creates an instance that has seen no connection.
+    pub fn new(limits: Limits) -> Exchanges {
+        Exchanges {
+            limits,
+            connections: BTreeMap::new(),
+            buffered_bytes: 0,
+            found: VecDeque::new(),
+        }
+    }
+
+    /// Takes the next result. Results should be taken after each event, because their number is not bounded.
+    pub fn take(&mut self) -> Option<Found> {
+        self.found.pop_front()
+    }
+
+    /// Bytes of incomplete messages.
+    pub fn held(&self) -> usize {
+        self.buffered_bytes
+    }
+
+    /// Processes the next event.
+    pub fn event(&mut self, event: &Event) {
+        match event {
+            Event::Opened { conn, start, .. } => {
+                let connection = Connection::new(*conn, *start, &self.limits);
+                self.connections.insert(*conn, connection);
+            }
+            Event::Bytes {
+                conn,
+                side,
+                time,
+                bytes,
+            } => self.parse(*conn, *side, |parser| parser.data(*time, bytes)),
+            Event::Hole { conn, side, length } => {
+                self.parse(*conn, *side, |parser| parser.hole(*length));
+            }
+            Event::Ended { conn, side, .. } => self.parse(*conn, *side, |parser| parser.end()),
+            Event::Closed { conn, .. } => self.close(*conn),
+        }
+    }
+
+    fn close(&mut self, id: ConnId) {
+        for side in [Side::Client, Side::Server] {
+            self.parse(id, side, |parser| parser.end());
+        }
+        if let Some(connection) = self.connections.remove(&id) {
+            connection.matcher.finish(&mut self.found);
+        }
+    }
+
+    /// Applies an event to one side of a connection, and discards its buffer if the memory is exhausted.
+    fn parse(&mut self, id: ConnId, side: Side, apply: impl FnOnce(&mut Parser<'_>)) {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let mut parser = Parser {
+            conn: id,
+            side,
+            limits: &self.limits,
+            stream: &mut connection.streams[side.index()],
+            matcher: &mut connection.matcher,
+            found: &mut self.found,
+        };
+        let buffered_elsewhere = self.buffered_bytes - parser.stream.buffer.len();
+        apply(&mut parser);
+        if buffered_elsewhere + parser.stream.buffer.len() > self.limits.memory {
+            parser.lose_message(Cause::Memory);
+        }
+        self.buffered_bytes = buffered_elsewhere + parser.stream.buffer.len();
+    }
+}
--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -45,6 +45,14 @@
             Side::Server => Side::Client,
         }
     }
+
+    /// The position of the side in arrays that have an element for each side.
+    pub(crate) fn index(self) -> usize {
+        match self {
+            Side::Client => 0,
+            Side::Server => 1,
+        }
+    }
 }
 
 /// Where a recording of ours saw a packet: the names of its interfaces.
--- a/crates/heathspur-capture/src/write.rs
+++ b/crates/heathspur-capture/src/write.rs
@@ -232,7 +232,7 @@
     pub fn say(&mut self, side: Side, bytes: &[u8]) -> Vec<Vec<u8>> {
         let segments = bytes.chunks(SEGMENT).map(|part| {
             let packet = self.packet(side, Flags::default(), part);
-            self.seq[at(side)] = self.seq[at(side)].wrapping_add(part.len() as u32);
+            self.seq[side.index()] = self.seq[side.index()].wrapping_add(part.len() as u32);
             packet
         });
         segments.collect()
@@ -240,12 +240,12 @@
 
     /// So many bytes that a side said are not kept: its numbers go on behind them.
     pub fn leave_out(&mut self, side: Side, count: u64) {
-        self.seq[at(side)] = self.seq[at(side)].wrapping_add(count as u32);
+        self.seq[side.index()] = self.seq[side.index()].wrapping_add(count as u32);
     }
 
     /// A side says no more; none if it has said so already.
     pub fn finish(&mut self, side: Side) -> Option<Vec<u8>> {
-        if std::mem::replace(&mut self.finished[at(side)], true) {
+        if std::mem::replace(&mut self.finished[side.index()], true) {
             return None;
         }
         let packet = self.packet(
@@ -256,7 +256,7 @@
             },
             &[],
         );
-        self.seq[at(side)] = self.seq[at(side)].wrapping_add(1);
+        self.seq[side.index()] = self.seq[side.index()].wrapping_add(1);
         Some(packet)
     }
 
@@ -274,12 +274,8 @@
     }
 
     fn packet(&self, side: Side, flags: Flags, payload: &[u8]) -> Vec<u8> {
-        let (from, to) = (at(side), at(side.other()));
+        let (from, to) = (side.index(), side.other().index());
         let numbers = (self.seq[from], Some(self.seq[to]));
         segment(self.ends[from], self.ends[to], numbers, flags, payload)
     }
 }
-
-fn at(side: Side) -> usize {
-    usize::from(side == Side::Server)
-}
