--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -12,7 +12,6 @@
 pub mod reassembly;
 pub mod write;
 
-mod half;
 mod pipeline;
 
 pub use pipeline::{Item, Options, Pipeline, Tally};
--- /dev/null
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -0,0 +1,426 @@
+//! TCP reassembly: connections and the bytes of each side in order, with the time at which each byte was first
+//! captured, the bytes that are missing, and how the connection ended.
+//!
+//! This module and `direction` decide about damaged captures: how long to wait for a gap to be filled, what to
+//! evict when memory runs out, and when a port is used by a new connection. Time is capture time throughout.
+
+mod connection;
+mod direction;
+mod event;
+mod pieces;
+mod recent;
+
+pub use direction::Anomalies;
+pub use event::{Counts, End, Event, Start};
+
+use crate::frame::Segment;
+use crate::{ConnId, Side, Stamp};
+use connection::{is_probably_from_client, Connection};
+use direction::{Direction, Output};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::net::SocketAddr;
+
+/// Gaps are checked for their age this many times within [`Limits::gap_time`].
+const GAP_CHECKS: u64 = 8;
+/// This part of the table is evicted at once, so that a flood of connections needs no search for each.
+const EVICTED_PART: usize = 16;
+
+/// Bounds of the reassembly.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// Connections that are tracked at once; beyond this those idle for longest are evicted.
+    pub connections: usize,
+    /// Bytes buffered behind gaps, over all connections.
+    pub memory: usize,
+    /// Bytes buffered behind one gap before it is given up.
+    pub gap_bytes: usize,
+    /// Capture time before a gap is given up, in nanoseconds.
+    pub gap_time: u64,
+    /// How long a closed connection is remembered to recognise late segments, in nanoseconds.
+    pub linger: u64,
+    /// Ports of servers, for connections whose start was not captured and whose bytes do not tell.
+    pub servers: Vec<u16>,
+}
+
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
+            connections: 16 * 1024,
+            memory: 16 * 1024 * 1024,
+            gap_bytes: 256 * 1024,
+            gap_time: 3_000_000_000,
+            linger: 30_000_000_000,
+            servers: Vec::new(),
+        }
+    }
+}
+
+/// The addresses of a connection, the lower one first: the same for both directions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct FlowKey(SocketAddr, SocketAddr);
+
+impl FlowKey {
+    fn of(segment: &Segment<'_>) -> FlowKey {
+        let (from, to) = (segment.from, segment.to);
+        FlowKey(from.min(to), from.max(to))
+    }
+}
+
+/// Reassembles the segments of any number of connections.
+#[derive(Debug)]
+pub struct Assembler {
+    limits: Limits,
+    connections: HashMap<FlowKey, Connection>,
+    /// Connections with bytes behind a gap, so that these are found without a search.
+    waiting: BTreeMap<ConnId, FlowKey>,
+    next_id: u64,
+    buffered_bytes: usize,
+    /// The latest capture time.
+    now: Stamp,
+    /// When the age of gaps was last checked.
+    gaps_checked: Stamp,
+    events: VecDeque<Event>,
+    counts: Counts,
+}
+
+impl Assembler {
+    /// Creates an assembler that has seen no segment.
+    pub fn new(limits: Limits) -> Assembler {
+        Assembler {
+            limits: Limits {
+                connections: limits.connections.max(1),
+                ..limits
+            },
+            connections: HashMap::new(),
+            waiting: BTreeMap::new(),
+            next_id: 0,
+            buffered_bytes: 0,
+            now: Stamp::default(),
+            gaps_checked: Stamp::default(),
+            events: VecDeque::new(),
+            counts: Counts::default(),
+        }
+    }
+
+    /// The counters so far.
+    pub fn counts(&self) -> Counts {
+        self.counts
+    }
+
+    /// Bytes buffered behind gaps.
+    pub fn held(&self) -> usize {
+        self.buffered_bytes
+    }
+
+    /// Takes the next event. Events should be taken after each segment, because their number is not bounded.
+    pub fn take(&mut self) -> Option<Event> {
+        self.events.pop_front()
+    }
+
+    /// Processes a segment.
+    pub fn segment(&mut self, segment: &Segment<'_>) {
+        self.counts.segments += 1;
+        self.now = self.now.max(segment.time);
+        let flow = FlowKey::of(segment);
+        if segment.syn {
+            self.handshake(flow, segment);
+        }
+        self.forget_if_expired(flow);
+        if !self.connections.contains_key(&flow) {
+            if segment.payload.is_empty() && segment.lost == 0 {
+                self.counts.without_connection += u64::from(!segment.syn);
+                return;
+            }
+            self.open(flow, segment, Start::Middle);
+        }
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return;
+        };
+        connection.last_segment = connection.last_segment.max(segment.time);
+        if !connection.is_open() {
+            self.counts.odd.after_end += u64::from(!segment.payload.is_empty());
+            return;
+        }
+        connection.segment(segment, &mut self.counts.odd);
+        self.emit(flow, segment.time);
+        self.give_up_gaps(flow);
+    }
+
+    /// Ends the capture: delivers what is buffered and closes all connections.
+    pub fn finish(&mut self) {
+        let mut open: Vec<(ConnId, FlowKey)> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| connection.is_open())
+            .map(|(&flow, connection)| (connection.id, flow))
+            .collect();
+        open.sort_unstable();
+        for (_, flow) in open {
+            self.close(flow, End::CaptureEnd);
+        }
+        self.connections.clear();
+    }
+
+    /// Processes a SYN: it belongs to the known connection of its flow, or begins a new one.
+    fn handshake(&mut self, flow: FlowKey, segment: &Segment<'_>) {
+        if let Some(connection) = self.connections.get_mut(&flow) {
+            if connection.accepts_syn(segment) {
+                return;
+            }
+            self.close(flow, End::Replaced);
+            self.connections.remove(&flow);
+        }
+        self.open(flow, segment, Start::Handshake);
+    }
+
+    /// Forgets a connection closed too long ago for late segments: its ports are in use by a new connection,
+    /// whose SYN was not captured.
+    fn forget_if_expired(&mut self, flow: FlowKey) {
+        let closed_at = self.connections.get(&flow).and_then(|c| c.closed_at);
+        if closed_at.is_some_and(|time| self.now.since(time) > self.limits.linger) {
+            self.connections.remove(&flow);
+        }
+    }
+
+    fn open(&mut self, flow: FlowKey, segment: &Segment<'_>, start: Start) {
+        if self.connections.len() >= self.limits.connections {
+            self.evict();
+        }
+        let is_from_client = match start {
+            Start::Handshake => segment.ack.is_none(),
+            Start::Middle => is_probably_from_client(segment, &self.limits.servers),
+        };
+        let (client, server) = if is_from_client {
+            (segment.from, segment.to)
+        } else {
+            (segment.to, segment.from)
+        };
+        let id = ConnId(self.next_id);
+        self.next_id += 1;
+        self.counts.connections += 1;
+        self.counts.from_the_middle += u64::from(start == Start::Middle);
+        let connection = Connection::new(id, client, segment, start);
+        self.connections.insert(flow, connection);
+        self.events.push_back(Event::Opened {
+            conn: id,
+            client,
+            server,
+            time: segment.time,
+            start,
+        });
+    }
+
+    /// Turns the output of a connection into events, and closes the connection if it has ended.
+    fn emit(&mut self, flow: FlowKey, time: Stamp) {
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return;
+        };
+        let mut is_reset = false;
+        for side in [Side::Client, Side::Server] {
+            while let Some(output) = connection.directions[side.index()].take() {
+                is_reset |= output == Output::End { reset: true };
+                let event = output_event(connection.id, side, time, output);
+                self.events.push_back(event);
+            }
+        }
+        let has_ended = connection.directions.iter().all(Direction::has_ended);
+        let is_open = connection.is_open();
+        self.update_buffered(flow);
+        if is_open && is_reset {
+            self.close(flow, End::Reset);
+        } else if is_open && has_ended {
+            self.close(flow, End::Closed);
+        }
+    }
+
+    /// Updates the total of buffered bytes and the list of waiting connections.
+    fn update_buffered(&mut self, flow: FlowKey) {
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return;
+        };
+        let directions = &connection.directions;
+        let buffered_bytes = directions.iter().map(Direction::buffered_bytes).sum();
+        self.buffered_bytes = self.buffered_bytes + buffered_bytes - connection.buffered_bytes;
+        connection.buffered_bytes = buffered_bytes;
+        if connection.directions.iter().any(Direction::is_waiting) {
+            self.waiting.insert(connection.id, flow);
+        } else {
+            self.waiting.remove(&connection.id);
+        }
+    }
+
+    /// Closes a connection after delivering what is buffered. It is remembered for [`Limits::linger`].
+    fn close(&mut self, flow: FlowKey, end: End) {
+        let time = self.now;
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return;
+        };
+        if connection.closed_at.is_some() {
+            return;
+        }
+        connection.closed_at = Some(time);
+        connection.directions.iter_mut().for_each(Direction::flush);
+        self.emit(flow, time);
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return;
+        };
+        let conn = connection.id;
+        for side in [Side::Client, Side::Server] {
+            if !connection.directions[side.index()].has_ended() {
+                self.events.push_back(Event::Ended {
+                    conn,
+                    side,
+                    end,
+                    time,
+                });
+            }
+        }
+        connection.directions = Default::default();
+        self.update_buffered(flow);
+        self.events.push_back(Event::Closed { conn, end, time });
+    }
+
+    /// Gives up gaps with too many bytes or too much time behind them, and further ones while memory is short.
+    fn give_up_gaps(&mut self, flow: FlowKey) {
+        self.give_up_large_gaps(flow);
+        self.give_up_old_gaps();
+        while self.buffered_bytes > self.limits.memory {
+            if !self.give_up_largest_gap() {
+                return;
+            }
+        }
+    }
+
+    fn give_up_large_gaps(&mut self, flow: FlowKey) {
+        let max_bytes = self.limits.gap_bytes;
+        let connection = self.connections.get(&flow);
+        if connection.is_some_and(|connection| connection.buffered_bytes > max_bytes) {
+            self.give_up(flow, |direction| direction.buffered_bytes() > max_bytes);
+        }
+    }
+
+    /// Checks the age of all gaps, but not with each segment.
+    fn give_up_old_gaps(&mut self) {
+        let (now, max_age) = (self.now, self.limits.gap_time);
+        if now.since(self.gaps_checked) <= max_age / GAP_CHECKS {
+            return;
+        }
+        self.gaps_checked = now;
+        let is_old = |direction: &Direction| {
+            let since = direction.waiting_since();
+            since.is_some_and(|since| now.since(since) > max_age)
+        };
+        let waiting: Vec<FlowKey> = self.waiting.values().copied().collect();
+        for flow in waiting {
+            self.give_up(flow, is_old);
+        }
+    }
+
+    /// Gives up a gap of the connection with the most buffered bytes; false if there is none.
+    fn give_up_largest_gap(&mut self) -> bool {
+        let buffered = |flow: &&FlowKey| {
+            let connection = self.connections.get(flow);
+            connection.map_or(0, |connection| connection.buffered_bytes)
+        };
+        let Some(flow) = self.waiting.values().max_by_key(buffered).copied() else {
+            return false;
+        };
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return false;
+        };
+        let directions = connection.directions.iter_mut();
+        let Some(largest) = directions.max_by_key(|direction| direction.buffered_bytes()) else {
+            return false;
+        };
+        self.counts.gaps_for_memory += 1;
+        if !largest.give_up_gap() {
+            return false;
+        }
+        self.emit(flow, self.now);
+        true
+    }
+
+    /// Gives up the first gaps of each direction of a connection while the condition holds.
+    fn give_up(&mut self, flow: FlowKey, condition: impl Fn(&Direction) -> bool) {
+        let Some(connection) = self.connections.get_mut(&flow) else {
+            return;
+        };
+        let mut given_up = 0;
+        for direction in &mut connection.directions {
+            while condition(direction) && direction.give_up_gap() {
+                given_up += 1;
+            }
+        }
+        if given_up > 0 {
+            self.counts.gaps_given_up += given_up;
+            self.emit(flow, self.now);
+        }
+    }
+
+    /// Forgets connections closed for long enough. If too few are, removes further closed ones and then closes
+    /// those idle for longest.
+    fn evict(&mut self) {
+        let (now, linger) = (self.now, self.limits.linger);
+        self.connections.retain(|_, connection| {
+            let closed_at = connection.closed_at;
+            closed_at.is_none_or(|time| now.since(time) < linger)
+        });
+        let evicted = (self.limits.connections / EVICTED_PART).max(1);
+        let excess = self
+            .connections
+            .len()
+            .saturating_sub(self.limits.connections - evicted);
+        if excess == 0 {
+            return;
+        }
+        for candidate in self.eviction_order().into_iter().take(excess) {
+            if candidate.is_open {
+                self.counts.evicted += 1;
+                self.close(candidate.flow, End::Evicted);
+            }
+            self.connections.remove(&candidate.flow);
+        }
+    }
+
+    fn eviction_order(&self) -> Vec<EvictionCandidate> {
+        let mut candidates: Vec<EvictionCandidate> = self
+            .connections
+            .iter()
+            .map(|(&flow, connection)| EvictionCandidate {
+                is_open: connection.is_open(),
+                last_segment: connection.last_segment,
+                id: connection.id,
+                flow,
+            })
+            .collect();
+        candidates.sort_unstable();
+        candidates
+    }
+}
+
+/// A connection that may be evicted. Closed ones come first, then those idle for longest.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionCandidate {
+    is_open: bool,
+    last_segment: Stamp,
+    id: ConnId,
+    flow: FlowKey,
+}
+
+fn output_event(conn: ConnId, side: Side, time: Stamp, output: Output) -> Event {
+    match output {
+        Output::Bytes { time, bytes } => Event::Bytes {
+            conn,
+            side,
+            time,
+            bytes,
+        },
+        Output::Hole { length } => Event::Hole { conn, side, length },
+        Output::End { reset } => Event::Ended {
+            conn,
+            side,
+            end: if reset { End::Reset } else { End::Closed },
+            time,
+        },
+    }
+}
