--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -1,7 +1,7 @@
 //! The whole way from a file's bytes to requests and answers.
 
 use crate::exchange::{self, Exchanges, Found};
-use crate::file::{Damage, Reader};
+use crate::file::{FileError, Reader};
 use crate::frame::{Frames, Passed};
 use crate::reassembly::{self, Assembler, Counts, Event};
 use crate::{Leg, Stamp};
@@ -44,7 +44,7 @@
     /// The latest time.
     pub last: Stamp,
     /// Why reading ended before the file did.
-    pub damage: Option<Damage>,
+    pub damage: Option<FileError>,
 }
 
 /// Something found: what the connections did, and the messages in them.
@@ -101,8 +101,8 @@
             let packet = match self.reader.next_packet() {
                 Ok(Some(packet)) => packet,
                 Ok(None) => return true,
-                Err(damage) => {
-                    self.tally.damage = Some(damage);
+                Err(error) => {
+                    self.tally.damage = Some(error);
                     return false;
                 }
             };
@@ -135,8 +135,8 @@
 
     /// The file has ended.
     pub fn finish(&mut self, mut found: impl FnMut(Item)) {
-        if let Err(damage) = self.reader.finish() {
-            self.tally.damage = Some(damage);
+        if let Err(error) = self.reader.finish() {
+            self.tally.damage = Some(error);
         }
         self.assembler.finish();
         hand_on(
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -1,6 +1,6 @@
 //! Capture files of every kind, and damaged ones.
 
-use heathspur_capture::file::{Cause, Damage, Link, Reader};
+use heathspur_capture::file::{FileError, FileErrorKind, Link, Reader};
 use heathspur_capture::write;
 use heathspur_testkit::capture::*;
 
@@ -8,7 +8,7 @@
 type Seen = (u64, Vec<u8>, u32, Link);
 
 /// Each packet, and how reading ended.
-fn packets(file: &[u8], piece: usize) -> (Vec<Seen>, Result<(), Damage>) {
+fn packets(file: &[u8], piece: usize) -> (Vec<Seen>, Result<(), FileError>) {
     let mut reader = Reader::new();
     let mut out = Vec::new();
     for part in file.chunks(piece) {
@@ -189,9 +189,9 @@
     assert_eq!(found.len(), 1);
     assert_eq!(
         end,
-        Err(Damage {
+        Err(FileError {
             offset: place,
-            cause: Cause::Length(0x7fff_ffff)
+            kind: FileErrorKind::TooLong(0x7fff_ffff)
         })
     );
 
@@ -207,9 +207,9 @@
     assert_eq!(found.len(), 1);
     assert_eq!(
         end,
-        Err(Damage {
+        Err(FileError {
             offset: place,
-            cause: Cause::Length(0x4000_0000)
+            kind: FileErrorKind::TooLong(0x4000_0000)
         })
     );
 }
@@ -226,9 +226,9 @@
         (found.len(), end),
         (
             0,
-            Err(Damage {
+            Err(FileError {
                 offset: start.len() as u64,
-                cause: Cause::Cut(1000)
+                kind: FileErrorKind::Truncated(1000)
             })
         )
     );
@@ -284,8 +284,8 @@
                 at_an_end
                     || matches!(
                         end,
-                        Err(Damage {
-                            cause: Cause::Cut(_) | Cause::NoCapture,
+                        Err(FileError {
+                            kind: FileErrorKind::Truncated(_) | FileErrorKind::UnknownFormat,
                             ..
                         })
                     )
@@ -299,8 +299,8 @@
 fn what_is_no_capture_says_so() {
     for text in [&b""[..], b"a,b\n1,2\n", &[0; 100]] {
         assert_eq!(
-            packets(text, 10).1.map_err(|d| d.cause),
-            Err(Cause::NoCapture)
+            packets(text, 10).1.map_err(|d| d.kind),
+            Err(FileErrorKind::UnknownFormat)
         );
     }
 }
