--- a/crates/heathspur-bench/src/large.rs
+++ b/crates/heathspur-bench/src/large.rs
@@ -17,7 +17,7 @@
     let mut out = BufWriter::with_capacity(1 << 20, File::create(file)?);
     let mut written = out.write(&write::pcap_header(write::RAW_IP, 0))? as u64;
     let mut talks: Vec<_> = (0..CONNECTIONS)
-        .map(|n| write::Talk::new(client(10_000 + n), server(), [u32::from(n), 7]))
+        .map(|n| write::TcpConversation::new(client(10_000 + n), server(), [u32::from(n), 7]))
         .collect();
     let (mut now, mut requests) = (0, 0);
     let put = |out: &mut BufWriter<File>, packet: &[u8], now: u64| -> std::io::Result<u64> {
@@ -39,7 +39,7 @@
                 (Side::Client, &request(requests, &body)),
                 (Side::Server, &reply),
             ] {
-                for packet in talk.say(side, bytes) {
+                for packet in talk.send(side, bytes) {
                     written += put(&mut out, &packet, now)?;
                 }
             }
--- a/crates/heathspur-capture/src/exchange/mod.rs
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -91,7 +91,7 @@
     }
 
     /// Bytes of incomplete messages.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -1,9 +1,9 @@
-//! Capture files as a source of traffic, without I/O and clocks: bytes of a file in, requests and answers out.
+//! Capture files as a source of traffic, without I/O and clocks: bytes of a file in, requests and responses out.
 //!
-//! [`file`] finds packets in pcap and pcapng, [`frame`] finds TCP segments in packets, [`reassembly`] puts
-//! segments in order, and [`exchange`] finds HTTP/1.1 messages in what was put in order. [`Pipeline`] is the
-//! four of them in one. Whatever is left out on the way is counted by its cause. Every buffer and table has
-//! a bound, and any bytes are taken without a panic.
+//! [`file`](mod@file) reads packets from pcap and pcapng, [`frame`] finds TCP segments in packets, [`reassembly`] puts the
+//! segments of connections in order, and [`exchange`] finds HTTP/1.1 messages in their bytes. [`Pipeline`] combines
+//! the four. What is skipped on the way is counted by cause. All buffers and tables are bounded, and no input
+//! causes a panic. [`write`](mod@write) encodes capture files.
 #![forbid(unsafe_code)]
 
 pub mod exchange;
@@ -27,17 +27,17 @@
     }
 }
 
-/// Who sent bytes of a connection.
+/// A side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// The one that connected.
+    /// The side that connected.
     Client,
-    /// The one that was connected to.
+    /// The side that accepted the connection.
     Server,
 }
 
 impl Side {
-    /// The other one.
+    /// The opposite side.
     pub fn other(self) -> Side {
         match self {
             Side::Client => Side::Server,
@@ -54,22 +54,22 @@
     }
 }
 
-/// Where a recording of ours saw a packet: the names of its interfaces.
+/// The part of the server that a recorded connection belongs to. Recordings have an interface for each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Leg {
-    /// Callers.
+    /// Connections of clients.
     Front,
-    /// The interpreter's link, in lines of JSON.
+    /// Connections to the interpreter, with lines of JSON.
     Interpreter,
-    /// The store's connections, in lines.
+    /// Connections to the store, with lines of text.
     Store,
 }
 
 impl Leg {
-    /// All, by the places of their interfaces.
+    /// All legs, in the order of their interfaces.
     pub const ALL: [Leg; 3] = [Leg::Front, Leg::Interpreter, Leg::Store];
 
-    /// The name of its interface.
+    /// The name of the leg's interface.
     pub fn name(self) -> &'static str {
         match self {
             Leg::Front => "front",
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The one of that name.
+    /// The leg whose interface has this name.
     pub fn named(name: &[u8]) -> Option<Leg> {
         Leg::ALL
             .into_iter()
@@ -86,7 +86,7 @@
     }
 }
 
-/// A connection of a capture, numbered in the order in which they were first seen. A port that is used again
-/// has a new number.
+/// Identifies a connection of a capture. Connections are numbered in the order of their first packets; a port that
+/// is reused has a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -1,7 +1,7 @@
-//! The whole way from a file's bytes to requests and answers.
+//! The pipeline from the bytes of a capture file to requests and responses.
 
 use crate::exchange::{self, Exchanges, Found};
-use crate::file::{FileError, Reader};
+use crate::file::{FileError, Packet, Reader};
 use crate::frame::{Frames, Passed};
 use crate::reassembly::{self, Assembler, Counts, Event};
 use crate::{Leg, Stamp};
@@ -10,7 +10,7 @@
 /// How a capture is read.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Whether segments with wrong checksums are left out; see [`Frames::new`].
+    /// Whether segments with wrong checksums are rejected; see [`Frames::new`].
     pub checksums: bool,
     /// Bounds of the reassembly.
     pub reassembly: reassembly::Limits,
@@ -18,41 +18,60 @@
     pub exchange: exchange::Limits,
 }
 
-/// What was read, and what was left out by cause.
+/// Counts of what was read, and of what was skipped by cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Bytes of the file.
     pub bytes: u64,
     /// Packets.
     pub packets: u64,
-    /// Packets of which only a part was kept.
+    /// Packets truncated by the capture.
     pub cut_packets: u64,
-    /// Packets that gave no segment.
+    /// Packets without a segment, by cause.
     pub passed: BTreeMap<Passed, u64>,
-    /// Packets of a recording's links, and their bytes. What they say is no HTTP and is not read.
+    /// Packets and bytes of a recording's interpreter and store connections. They do not carry HTTP and are not
+    /// parsed.
     pub links: BTreeMap<Leg, (u64, u64)>,
-    /// Datagrams in pieces that were never whole.
+    /// Fragmented datagrams that were discarded incomplete.
     pub pieces_given_up: u64,
-    /// What the reassembly counted.
+    /// Counters of the reassembly.
     pub tcp: Counts,
-    /// Bytes missing in the directions of connections, as far as their number is known.
+    /// Bytes missing in connections, as far as their number is known.
     pub missing_bytes: u64,
-    /// Holes.
+    /// Holes in connections.
     pub holes: u64,
-    /// The time of the first packet that has one.
+    /// The capture time of the first packet that has one.
     pub first: Option<Stamp>,
-    /// The latest time.
+    /// The latest capture time.
     pub last: Stamp,
-    /// Why reading ended before the file did.
+    /// Why reading stopped before the end of the file.
     pub damage: Option<FileError>,
 }
 
-/// Something found: what the connections did, and the messages in them.
+impl Tally {
+    fn count_packet(&mut self, packet: &Packet<'_>) {
+        let is_truncated = (packet.data.len() as u64) < packet.wire_len.into();
+        self.packets += 1;
+        self.cut_packets += u64::from(is_truncated);
+        if packet.time > Stamp::default() {
+            self.first.get_or_insert(packet.time);
+            self.last = self.last.max(packet.time);
+        }
+    }
+
+    fn count_link_packet(&mut self, leg: Leg, packet: &Packet<'_>) {
+        let (packets, bytes) = self.links.entry(leg).or_default();
+        *packets += 1;
+        *bytes += packet.data.len() as u64;
+    }
+}
+
+/// Something that was found in a capture.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// A connection began, or ended. Bytes are not given, messages are.
+    /// A connection began or ended, or has a hole. Bytes are reported as messages only.
     Connection(Event),
-    /// A message, or bytes that are none.
+    /// A message, or bytes that belong to none.
     Message(Found),
 }
 
@@ -67,7 +86,7 @@
 }
 
 impl Pipeline {
-    /// One at the start of a file.
+    /// Creates a pipeline at the start of a file.
     pub fn new(options: Options) -> Pipeline {
         Pipeline {
             reader: Reader::new(),
@@ -78,7 +97,7 @@
         }
     }
 
-    /// What was read so far.
+    /// The counts so far.
     pub fn tally(&self) -> Tally {
         Tally {
             tcp: self.assembler.counts(),
@@ -87,13 +106,13 @@
         }
     }
 
-    /// Bytes that are held: of incomplete messages, and of what waits for a gap.
-    pub fn held(&self) -> usize {
-        self.assembler.held() + self.exchanges.held()
+    /// Buffered bytes of incomplete messages and behind gaps.
+    pub fn buffered_bytes(&self) -> usize {
+        self.assembler.buffered_bytes() + self.exchanges.buffered_bytes()
     }
 
-    /// Takes the next bytes of the file and hands on what is found. False once the file is damaged: what
-    /// follows is of no use.
+    /// Processes the next bytes of the file and passes on what is found. False once the file is damaged: its
+    /// rest cannot be read.
     pub fn feed(&mut self, bytes: &[u8], mut found: impl FnMut(Item)) -> bool {
         self.tally.bytes += bytes.len() as u64;
         self.reader.feed(bytes);
@@ -106,22 +125,15 @@
                     return false;
                 }
             };
-            self.tally.packets += 1;
-            self.tally.cut_packets +=
-                u64::from((packet.data.len() as u64) < packet.wire_len.into());
-            if packet.time > Stamp::default() {
-                self.tally.first.get_or_insert(packet.time);
-                self.tally.last = self.tally.last.max(packet.time);
-            }
+            self.tally.count_packet(&packet);
             if let Some(leg @ (Leg::Interpreter | Leg::Store)) = packet.leg {
-                let (packets, bytes) = self.tally.links.entry(leg).or_default();
-                (*packets, *bytes) = (*packets + 1, *bytes + packet.data.len() as u64);
+                self.tally.count_link_packet(leg, &packet);
                 continue;
             }
             match self.frames.segment(&packet) {
                 Ok(segment) => {
                     self.assembler.segment(&segment);
-                    hand_on(
+                    deliver(
                         &mut self.assembler,
                         &mut self.exchanges,
                         &mut self.tally,
@@ -133,13 +145,13 @@
         }
     }
 
-    /// The file has ended.
+    /// Ends the file.
     pub fn finish(&mut self, mut found: impl FnMut(Item)) {
         if let Err(error) = self.reader.finish() {
             self.tally.damage = Some(error);
         }
         self.assembler.finish();
-        hand_on(
+        deliver(
             &mut self.assembler,
             &mut self.exchanges,
             &mut self.tally,
@@ -148,7 +160,8 @@
     }
 }
 
-fn hand_on(
+/// Processes the assembler's events and passes on what is found in them.
+fn deliver(
     assembler: &mut Assembler,
     exchanges: &mut Exchanges,
     tally: &mut Tally,
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -108,7 +108,7 @@
     }
 
     /// Bytes buffered behind gaps.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
--- a/crates/heathspur-capture/src/write.rs
+++ b/crates/heathspur-capture/src/write.rs
@@ -1,5 +1,5 @@
-//! Capture files written: pcap records, pcapng blocks, and TCP conversations made up around bytes that were
-//! exchanged, with handshake, numbers, checksums and ends, so that any tool reads them.
+//! Encoding of capture files: pcap records, pcapng blocks, and synthesised TCP conversations around the bytes that
+//! two sides exchanged, with handshakes, sequence numbers, checksums and ends, so that any tool reads them.
 
 use crate::{Side, Stamp};
 use etherparse::PacketBuilder;
@@ -11,10 +11,13 @@
 use std::borrow::Cow;
 use std::net::{IpAddr, SocketAddr};
 
+/// Options of interface statistics: packets received and dropped.
+const INTERFACE_RECEIVED: OptionCode = OptionCode(4);
+const INTERFACE_DROPPED: OptionCode = OptionCode(5);
 /// The link type of packets that begin with IP.
 pub const RAW_IP: i32 = 101;
-/// Payload of a segment that is made up at most, in bytes.
-pub const SEGMENT: usize = 16 * 1024;
+/// The longest payload of a synthesised segment, in bytes.
+pub const MAX_SEGMENT_BYTES: usize = 16 * 1024;
 
 /// The header of a pcap file with time stamps in nanoseconds.
 pub fn pcap_header(link: i32, snap: u32) -> Vec<u8> {
@@ -30,7 +33,7 @@
     header.to_vec_raw().unwrap_or_default()
 }
 
-/// A record of such a file. `data` is what is kept of `wire_len` bytes.
+/// A record of a pcap file. `data` are the captured bytes of a packet of `wire_len` bytes.
 pub fn pcap_record(time: Stamp, data: &[u8], wire_len: u32) -> Vec<u8> {
     let record = LegacyPcapBlock {
         ts_sec: (time.0 / 1_000_000_000) as u32,
@@ -57,7 +60,7 @@
     section.to_vec().unwrap_or_default()
 }
 
-/// An interface of a pcapng file, with time stamps in nanoseconds. Packets name it by its place.
+/// An interface of a pcapng file, with time stamps in nanoseconds. Packets refer to it by its position.
 pub fn ng_interface(link: i32, name: &str) -> Vec<u8> {
     let mut interface = InterfaceDescriptionBlock {
         block_type: 0,
@@ -84,7 +87,7 @@
     ng_section().into_iter().chain(described).collect()
 }
 
-/// A packet of a pcapng file. A comment stands with it where there is one.
+/// An enhanced packet block of a pcapng file, with a comment unless that is empty.
 pub fn ng_packet(
     interface: u32,
     time: Stamp,
@@ -111,9 +114,9 @@
     block.to_vec().unwrap_or_default()
 }
 
-/// How many packets of an interface were taken in and left out up to then (`isb_ifrecv`, `isb_ifdrop`).
-pub fn ng_statistics(interface: u32, time: Stamp, taken: u64, left_out: u64) -> Vec<u8> {
-    let (taken, left_out) = (taken.to_le_bytes(), left_out.to_le_bytes());
+/// The number of packets that an interface received and dropped up to a time (`isb_ifrecv`, `isb_ifdrop`).
+pub fn ng_statistics(interface: u32, time: Stamp, received: u64, dropped: u64) -> Vec<u8> {
+    let (received, dropped) = (received.to_le_bytes(), dropped.to_le_bytes());
     let mut block = InterfaceStatisticsBlock {
         block_type: 0,
         block_len1: 0,
@@ -121,8 +124,8 @@
         ts_high: (time.0 >> 32) as u32,
         ts_low: time.0 as u32,
         options: vec![
-            option(OptionCode(4), &taken),
-            option(OptionCode(5), &left_out),
+            option(INTERFACE_RECEIVED, &received),
+            option(INTERFACE_DROPPED, &dropped),
         ],
         block_len2: 0,
     };
@@ -137,7 +140,7 @@
     }
 }
 
-/// What a made-up segment carries beside its payload.
+/// The flags of a synthesised segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
     /// SYN.
@@ -148,7 +151,7 @@
     pub rst: bool,
 }
 
-/// The packet of one segment, from its IP header on, with right checksums. `seq` and `ack` are the sender's.
+/// The packet of one segment, from its IP header on, with valid checksums. `seq` and `ack` are the sender's.
 pub fn segment(
     from: SocketAddr,
     to: SocketAddr,
@@ -177,7 +180,7 @@
         tcp = tcp.psh();
     }
     let mut out = Vec::with_capacity(tcp.size(payload.len()));
-    // Writing to memory fails for a payload past 64 KiB only, and callers cut theirs.
+    // Writing to memory only fails for payloads over 64 KiB, and callers send shorter ones.
     if tcp.write(&mut out, payload).is_err() {
         out.clear();
     }
@@ -191,20 +194,21 @@
     }
 }
 
-/// A TCP conversation that is made up around what two sides said. Each call gives the packets of one event,
-/// in order.
+/// A synthesised TCP conversation around the bytes of two sides. Each call returns the packets of one event, in
+/// order.
 #[derive(Clone, Debug)]
-pub struct Talk {
-    ends: [SocketAddr; 2],
+pub struct TcpConversation {
+    /// The client's, then the server's, as in the other fields.
+    addresses: [SocketAddr; 2],
     seq: [u32; 2],
     finished: [bool; 2],
 }
 
-impl Talk {
-    /// A conversation that has not begun. The first sequence numbers are the caller's to choose.
-    pub fn new(client: SocketAddr, server: SocketAddr, first: [u32; 2]) -> Talk {
-        Talk {
-            ends: [client, server],
+impl TcpConversation {
+    /// A conversation that has not begun, with the initial sequence numbers of client and server.
+    pub fn new(client: SocketAddr, server: SocketAddr, first: [u32; 2]) -> TcpConversation {
+        TcpConversation {
+            addresses: [client, server],
             seq: first,
             finished: [false; 2],
         }
@@ -216,7 +220,7 @@
             syn: true,
             ..Flags::default()
         };
-        let [client, server] = self.ends;
+        let [client, server] = self.addresses;
         let first = segment(client, server, (self.seq[0], None), syn, &[]);
         self.seq[0] = self.seq[0].wrapping_add(1);
         let second = segment(server, client, (self.seq[1], Some(self.seq[0])), syn, &[]);
@@ -228,9 +232,9 @@
         ]
     }
 
-    /// Segments with what a side said, each up to [`SEGMENT`] bytes of it.
-    pub fn say(&mut self, side: Side, bytes: &[u8]) -> Vec<Vec<u8>> {
-        let segments = bytes.chunks(SEGMENT).map(|part| {
+    /// Segments with the bytes that a side sends, each up to [`MAX_SEGMENT_BYTES`] long.
+    pub fn send(&mut self, side: Side, bytes: &[u8]) -> Vec<Vec<u8>> {
+        let segments = bytes.chunks(MAX_SEGMENT_BYTES).map(|part| {
             let packet = self.packet(side, Flags::default(), part);
             self.seq[side.index()] = self.seq[side.index()].wrapping_add(part.len() as u32);
             packet
@@ -238,12 +242,12 @@
         segments.collect()
     }
 
-    /// So many bytes that a side said are not kept: its numbers go on behind them.
-    pub fn leave_out(&mut self, side: Side, count: u64) {
+    /// Advances the sequence number of a side past bytes that are not recorded.
+    pub fn skip(&mut self, side: Side, count: u64) {
         self.seq[side.index()] = self.seq[side.index()].wrapping_add(count as u32);
     }
 
-    /// A side says no more; none if it has said so already.
+    /// The FIN of a side, unless it has sent one already.
     pub fn finish(&mut self, side: Side) -> Option<Vec<u8>> {
         if std::mem::replace(&mut self.finished[side.index()], true) {
             return None;
@@ -260,7 +264,7 @@
         Some(packet)
     }
 
-    /// A side breaks it off.
+    /// The RST of a side.
     pub fn reset(&mut self, side: Side) -> Vec<u8> {
         self.finished = [true; 2];
         self.packet(
@@ -276,6 +280,12 @@
     fn packet(&self, side: Side, flags: Flags, payload: &[u8]) -> Vec<u8> {
         let (from, to) = (side.index(), side.other().index());
         let numbers = (self.seq[from], Some(self.seq[to]));
-        segment(self.ends[from], self.ends[to], numbers, flags, payload)
+        segment(
+            self.addresses[from],
+            self.addresses[to],
+            numbers,
+            flags,
+            payload,
+        )
     }
 }
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -2,7 +2,7 @@
 
 use heathspur_capture::exchange::{Cause, Found};
 use heathspur_capture::reassembly::{End, Event, Limits, Start};
-use heathspur_capture::write::{segment, Flags, Talk};
+use heathspur_capture::write::{segment, Flags, TcpConversation};
 use heathspur_capture::{Item, Options, Side};
 use heathspur_testkit::capture::*;
 
@@ -124,7 +124,7 @@
 
 #[test]
 fn segments_that_overlap_in_part_give_each_byte_once() {
-    let mut talk = Talk::new(client(4000), server(), [10, 20]);
+    let mut talk = TcpConversation::new(client(4000), server(), [10, 20]);
     let mut packets: Vec<Timed> = talk.open().into_iter().map(|p| (MS, p)).collect();
     let bytes = request(1, b"0123456789");
     let part = |from: usize, to: usize| {
@@ -337,7 +337,7 @@
         if ended {
             script.close();
         }
-        script.talk = Talk::new(client(4000), server(), [5000, 6000]);
+        script.talk = TcpConversation::new(client(4000), server(), [5000, 6000]);
         let syn = script.talk.open();
         // The SYN is sent twice.
         script.put(syn[0].clone());
--- a/crates/heathspur-record/src/conversation.rs
+++ b/crates/heathspur-record/src/conversation.rs
@@ -3,7 +3,7 @@
 use crate::recorder::{ConnectionInfo, Event, EventKind};
 use crate::redaction::{RedactionPolicy, Redactor, TimedBytes};
 use bytes::Bytes;
-use heathspur_capture::write::Talk;
+use heathspur_capture::write::TcpConversation;
 use heathspur_capture::{Side, Stamp};
 
 /// Spreads connection ids over the sequence numbers: 2^32 divided by the golden ratio.
@@ -32,7 +32,7 @@
 /// The state of a connection between its events.
 #[derive(Debug)]
 pub(crate) struct Conversation {
-    tcp: Talk,
+    tcp: TcpConversation,
     /// The client's, then the server's.
     redactors: [Redactor; 2],
     /// The time of the latest event.
@@ -46,7 +46,7 @@
         let client_sequence = (connection.id as u32).wrapping_mul(SEQUENCE_MULTIPLIER);
         let sequences = [client_sequence, !client_sequence];
         Conversation {
-            tcp: Talk::new(connection.client, connection.server, sequences),
+            tcp: TcpConversation::new(connection.client, connection.server, sequences),
             redactors: [Redactor::default(), Redactor::default()],
             last_event: time,
         }
@@ -102,7 +102,7 @@
             return Vec::new();
         }
         let packets = self.flush(side);
-        self.tcp.leave_out(side, count);
+        self.tcp.skip(side, count);
         packets
     }
 
@@ -130,7 +130,7 @@
     fn segments(&mut self, side: Side, released: &[TimedBytes]) -> Vec<Packet> {
         let mut packets = Vec::new();
         for TimedBytes { time, bytes } in released {
-            let segments = self.tcp.say(side, bytes);
+            let segments = self.tcp.send(side, bytes);
             packets.extend(segments.into_iter().map(|bytes| Packet::new(*time, bytes)));
         }
         packets
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -1,7 +1,7 @@
 //! Captures made up: conversations of two sides, packet by packet; and what reading one gives.
 
 use heathspur_capture::exchange::{Found, Message};
-use heathspur_capture::write::{self, Talk};
+use heathspur_capture::write::{self, TcpConversation};
 use heathspur_capture::{ConnId, Item, Options, Pipeline, Side, Stamp, Tally};
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 
 /// A conversation, its packets in the order in which they were sent, a millisecond apart.
 pub struct Script {
-    pub talk: Talk,
+    pub talk: TcpConversation,
     pub packets: Vec<Timed>,
     pub now: u64,
 }
@@ -30,7 +30,7 @@
 impl Script {
     pub fn new(port: u16) -> Script {
         Script {
-            talk: Talk::new(client(port), server(), [u32::MAX - 700, 90]),
+            talk: TcpConversation::new(client(port), server(), [u32::MAX - 700, 90]),
             packets: Vec::new(),
             now: 0,
         }
@@ -52,7 +52,7 @@
     /// A side's bytes in segments of that length.
     pub fn say(&mut self, side: Side, bytes: &[u8], segment: usize) {
         for part in bytes.chunks(segment) {
-            for packet in self.talk.say(side, part) {
+            for packet in self.talk.send(side, part) {
                 self.put(packet);
             }
         }
@@ -118,7 +118,7 @@
         if !pipeline.feed(part, |item| take(&mut read, item)) {
             break;
         }
-        read.most_held = read.most_held.max(pipeline.held());
+        read.most_held = read.most_held.max(pipeline.buffered_bytes());
     }
     pipeline.finish(|item| take(&mut read, item));
     read.tally = pipeline.tally();
--- a/fuzz/fuzz_targets/capture.rs
+++ b/fuzz/fuzz_targets/capture.rs
@@ -29,7 +29,7 @@
         if !pipeline.feed(part, |_| {}) {
             break;
         }
-        assert!(pipeline.held() <= 300_000, "{} bytes held", pipeline.held());
+        assert!(pipeline.buffered_bytes() <= 300_000, "{} bytes buffered", pipeline.buffered_bytes());
     }
     pipeline.finish(|_| {});
 });
