--- a/crates/heathspurctl/src/error.rs
+++ b/crates/heathspurctl/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the commands, and the exit codes that report them.
 
-use heathspur_capture::file::Damage;
+use heathspur_capture::file::FileError;
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
         /// The capture.
         path: PathBuf,
         /// Where and why reading ended.
-        damage: Damage,
+        damage: FileError,
     },
     /// The requests of a capture exceed the limit on loaded bytes.
     #[error("{}: {bytes} bytes of requests, {limit} at most; see --most-bytes", path.display())]
