--- a/crates/heathspurd/src/cli.rs
+++ b/crates/heathspurd/src/cli.rs
@@ -7,14 +7,17 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The end of `--help`.
+/// The text after the options in the output of `--help`.
 const AFTER_HELP: &str = "\
-NODE_CONFIG names the platform's configuration, a JSON file. Without arguments the server serves.
+The environment variable NODE_CONFIG must be set to the path of the platform's configuration file (JSON). Without \
+arguments, heathspurd runs `serve`.
 
-Exit codes: 0 drained, all requests answered (or: the files can be used); 1 an address can't be listened on, or \
-signals can't be received; 2 a file or an argument can't be used.";
+Exit codes:
+  0  the server has drained and answered all requests, or `check` found no error
+  1  the server could not start, for example because an address is in use
+  2  a file or an argument is invalid";
 
-/// Admission control and scheduling for a server behind load balancers of others.
+/// Admission control and request scheduling for a server behind external load balancers.
 #[derive(Debug, Parser)]
 #[command(name = "heathspurd", version, after_help = AFTER_HELP)]
 pub struct Cli {
@@ -24,21 +27,22 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve until a signal to drain.
+    /// Serve requests until SIGTERM or SIGINT, then drain and exit.
     Serve(Files),
-    /// Check the files, report the first error, and exit.
+    /// Validate the configuration files, report the first error, and exit.
     Check(Files),
 }
 
-/// The files beside the platform's configuration.
+/// Options that name configuration files in addition to the one in `NODE_CONFIG`.
 #[derive(Debug, Default, Args)]
 struct Files {
-    /// The operator's file (XML; see deploy/operator.xml).
+    /// The operator's configuration file (XML; see deploy/operator.xml).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
 impl Files {
+    /// Reads the platform's configuration and the operator's file.
     fn read(&self) -> Result<(Config, Operator), Error> {
         let path = config::path()?;
         let config = Config::read(Path::new(&path))?;
@@ -50,9 +54,9 @@
     }
 }
 
-/// The whole program.
+/// Runs the command of the command line, and returns the exit code of the process.
 pub(crate) fn main() -> ExitCode {
-    match run(&command()) {
+    match run(&parse_command()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("heathspurd: {error}");
@@ -61,9 +65,9 @@
     }
 }
 
-/// The command of the command line. Without arguments nothing is parsed: the parser's pages stay out of a small
-/// machine's memory.
-fn command() -> Command {
+/// Parses the command line. Without arguments the parser is not called, which keeps its code pages out of the memory
+/// of a small machine.
+fn parse_command() -> Command {
     let parsed = match std::env::args_os().len() {
         0 | 1 => None,
         _ => Cli::parse().command,
@@ -74,7 +78,7 @@
 fn run(command: &Command) -> Result<(), Error> {
     match command {
         Command::Serve(files) => {
-            // Signals are caught before the files are read, so that none of them is missed.
+            // Subscribing before the files are read ensures that no signal is missed.
             let signals = signals::subscribe().map_err(Error::Signals)?;
             let (config, operator) = files.read()?;
             logging::install(&operator.log);
@@ -82,7 +86,7 @@
         }
         Command::Check(files) => {
             files.read()?;
-            println!("heathspurd: the files can be used");
+            println!("heathspurd: the configuration files are valid");
             Ok(())
         }
     }
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file: where the server listens, its peers, its limits and its settings.
+//! The platform's configuration file: listen address, peer addresses, resource limits and admission settings.
 
 use heathspur::Settings;
 use heathspur_server_core::reload::{self, ConfigView, ForeignConfigError};
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The environment variable that names the configuration file.
-pub const VARIABLE: &str = "NODE_CONFIG";
+/// The environment variable that contains the path of the configuration file.
+pub const PATH_VARIABLE: &str = "NODE_CONFIG";
 
 /// Bytes in a MiB.
 const MIB: usize = 1 << 20;
@@ -19,68 +19,70 @@
 /// The configuration of a server.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The file that it was read from, where there is one.
+    /// The file that the configuration was read from, if any.
     pub file: Option<PathBuf>,
     /// The server's name in the registration service.
     pub name: String,
-    /// Where load balancers connect.
+    /// The address on which the server accepts connections from load balancers.
     pub listen: SocketAddr,
     /// The address of the interpreter.
     pub interpreter: SocketAddr,
     /// The address of the registration service.
     pub registration: SocketAddr,
-    /// The address of the proxy to the next tier, for all tiers but the last.
+    /// The address of the proxy to the next tier; `None` for the last tier.
     pub store: Option<SocketAddr>,
-    /// Seeds random numbers.
+    /// The seed of the controller's random numbers.
     pub seed: u64,
-    /// From the signal to drain to the end of the process.
+    /// The time from the signal to drain until the platform kills the process.
     pub stop_timeout: Duration,
     /// The memory limit of the process, in bytes.
     pub memory_bytes: usize,
-    /// The limit of file descriptors of the process.
+    /// The limit on open file descriptors of the process.
     pub max_descriptors: usize,
     /// The settings of the admission controller.
     pub settings: Settings,
-    /// The names on the wire that the settings give.
+    /// The names used on the wire, as defined in the settings.
     pub names: WireNames,
 }
 
-/// The configuration can't be used.
+/// An error in the platform's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The environment variable is not set.
-    #[error("{variable} names no configuration file", variable = VARIABLE)]
+    #[error(
+        "environment variable {PATH_VARIABLE} is not set to the path of the configuration file"
+    )]
     Unset,
-    /// The file can't be read.
-    #[error("{}: {source}", file.display())]
+    /// The file cannot be read.
+    #[error("cannot read configuration file {}: {source}", file.display())]
     Read {
         /// The file.
         file: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// A field of the file is invalid.
-    #[error("{}: {invalid}", file.display())]
+    #[error("invalid configuration file {}: {invalid}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The field.
+        /// The invalid field.
         #[source]
         invalid: InvalidField,
     },
 }
 
-/// A field of the configuration is invalid.
+/// An invalid field of the configuration.
 #[derive(Debug, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidField {
-    /// The field, as a path.
+    /// The path of the field, such as `settings.services[1].name`.
     pub field: String,
-    /// Why it is invalid.
+    /// Why the field is invalid.
     pub reason: String,
 }
 
-/// The file as it is written.
+/// The JSON document in the configuration file.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -104,14 +106,15 @@
     sockets: usize,
 }
 
-fn hexadecimal<'de, D: Deserializer<'de>>(from: D) -> Result<u64, D::Error> {
-    let text = String::deserialize(from)?;
+/// Deserializes a string of hexadecimal digits.
+fn hexadecimal<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+    let text = String::deserialize(deserializer)?;
     u64::from_str_radix(&text, 16).map_err(serde::de::Error::custom)
 }
 
-/// The path of the configuration file, from the environment.
+/// Returns the path of the configuration file from the environment.
 pub fn path() -> Result<OsString, ConfigError> {
-    std::env::var_os(VARIABLE).ok_or(ConfigError::Unset)
+    std::env::var_os(PATH_VARIABLE).ok_or(ConfigError::Unset)
 }
 
 impl Config {
@@ -165,9 +168,10 @@
         })
     }
 
-    /// Checks that a later configuration is this server's, and returns it. The server's name, address and tier have to
-    /// be the same, and the customer's classes and tenants with their names and idempotency; all else may change.
-    pub fn check_own(&self, other: Config) -> Result<Config, ConfigError> {
+    /// Returns a reloaded configuration if it belongs to this server, and an error otherwise. The server's name,
+    /// address and tier must be unchanged, and so must the names of the classes and tenants, and the classes'
+    /// idempotency and deduplication windows. All other fields may change.
+    pub fn check_identity(&self, other: Config) -> Result<Config, ConfigError> {
         match reload::check_identity(&self.view(), &other.view()) {
             Ok(()) => Ok(other),
             Err(ForeignConfigError { field, reason }) => Err(ConfigError::Invalid {
@@ -177,12 +181,13 @@
         }
     }
 
-    /// The fields in which a later configuration of this server differs and that apply only from the next start. The
-    /// seed and what the settings say of the moment of a start are not among them.
-    pub fn differs(&self, other: &Config) -> Vec<&'static str> {
+    /// Returns the fields of a reloaded configuration that differ from this one and take effect only at the next start.
+    /// The seed and the settings that describe the state at a start are ignored: they differ with each start.
+    pub fn restart_required_fields(&self, other: &Config) -> Vec<&'static str> {
         reload::restart_required_fields(&self.view(), &other.view())
     }
 
+    /// Returns the fields that a reload compares.
     fn view(&self) -> ConfigView<'_> {
         ConfigView {
             name: &self.name,
--- a/crates/heathspurd/src/error.rs
+++ b/crates/heathspurd/src/error.rs
@@ -1,17 +1,17 @@
-//! The errors that end the server.
+//! The errors that prevent the server from starting or serving.
 
 use crate::config::ConfigError;
 use crate::membership::MembershipError;
 use std::io;
 use std::net::SocketAddr;
 
-/// The server could not start, or could not serve.
+/// An error that ends the server.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The platform's configuration can't be used.
+    /// The platform's configuration is invalid or cannot be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file can't be used.
+    /// The operator's file is invalid or cannot be read.
     #[error(transparent)]
     Operator(#[from] heathspur_config::Error),
     /// An address could not be bound.
@@ -19,22 +19,22 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// A thread could not be started.
-    #[error("cannot start a thread: {0}")]
+    /// The recording thread could not be started.
+    #[error("cannot start the recording thread: {0}")]
     Thread(#[source] io::Error),
-    /// The operators' signals can't be caught, or an event source can't be registered with the reactor.
-    #[error("cannot receive signals: {0}")]
+    /// The signal handlers could not be installed, or a listening socket could not be registered with the I/O reactor.
+    #[error("cannot set up signal handlers or listening sockets: {0}")]
     Signals(#[source] io::Error),
-    /// The fleet membership could not be started: its socket, its settings or its thread.
+    /// The fleet membership could not be started, because of its settings, its socket or its thread.
     #[error("cannot start the fleet membership: {0}")]
     Membership(#[source] MembershipError),
 }
 
 impl Error {
-    /// The exit code of the process.
+    /// Returns the exit code of the process: 2 for an invalid file, 1 for a failure at the start.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Config(_) | Error::Operator(_) => 2,
--- a/crates/heathspurd/src/lib.rs
+++ b/crates/heathspurd/src/lib.rs
@@ -1,8 +1,9 @@
-//! heathspur's decisions on sockets: one server of a fleet, as a library that others can embed.
+//! The heathspur server: applies the admission controller to requests on real sockets. It is also a library that other
+//! programs can embed.
 //!
-//! Front ends (`frontend`) read and check requests. One task (`event_loop`) owns the admission controller and all
-//! requests: it has the controller decide, and carries the actions out. The links to peers (`peers`) carry commands
-//! and results. Only front ends and links know a protocol.
+//! Frontends (`frontend`) read and validate requests. One task (`event_loop`) owns the admission controller and the
+//! state of all requests: it passes events to the controller and performs the resulting actions. The links to peers
+//! (`peers`) transport commands and results. Only frontends and links implement network protocols.
 #![forbid(unsafe_code)]
 
 pub mod cli;
@@ -28,16 +29,16 @@
 use heathspur_config::Operator;
 use std::process::ExitCode;
 
-/// The whole program, with its command line. Without arguments it reads the configuration that `NODE_CONFIG`
-/// names and serves until it has drained.
+/// Runs the program, including its command line. Without arguments it reads the configuration file whose path is in
+/// `NODE_CONFIG`, and serves until it has drained.
 pub fn main() -> ExitCode {
     cli::main()
 }
 
-/// Serves until a signal to drain has come and all requests are answered. SIGHUP has the configuration's file read
-/// again for the addresses of the peers.
+/// Serves until SIGTERM or SIGINT has started a drain and all requests are answered. SIGHUP reloads the peers'
+/// addresses from the configuration file.
 ///
-/// It logs events of `tracing`; an embedding program installs the subscriber.
+/// Log events are emitted through `tracing`; the embedding program must install a subscriber to see them.
 pub fn serve(config: Config, operator: Operator) -> Result<(), Error> {
     let signals = signals::subscribe().map_err(Error::Signals)?;
     startup::run(signals, config, operator)
--- a/crates/heathspurd/src/logging.rs
+++ b/crates/heathspurd/src/logging.rs
@@ -1,7 +1,7 @@
-//! The program's log: rate-limited lines on standard error. Lines beyond the limit are counted by call site.
+//! The program's log: rate-limited lines on standard error. Lines above the rate limit are counted per call site.
 //!
-//! Events go through `tracing`: a disabled level costs one comparison. Plain lines are the message alone; JSON lines
-//! have the fields as well.
+//! Events are emitted through `tracing`, so that a disabled level costs one comparison. In the plain format a line is
+//! the message alone; in the JSON format it contains the fields as well.
 
 use heathspur_config::{Format, Level, Log};
 use std::collections::BTreeMap;
@@ -17,19 +17,21 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::Layer;
 
-const SECOND: Duration = Duration::from_secs(1);
+/// The period to which the limit on lines applies.
+const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(1);
 
-/// A call site that logs: its file and line.
+/// The file and line of a call that logs.
 type CallSite = (&'static str, u32);
 
-/// Decides which lines are written. It has no clock of its own.
+/// Limits the lines written per second. The caller supplies the time.
 #[derive(Debug)]
 struct RateLimiter {
     lines_per_second: u32,
-    /// When the current second began, and the lines written in it.
+    /// The start of the current one-second window; `None` before the first line.
     window_start: Option<Instant>,
+    /// The number of lines written in the current window.
     window_lines: u32,
-    /// Counts of suppressed lines; bounded by the call sites of the program.
+    /// The number of suppressed lines per call site. Bounded by the number of call sites in the program.
     suppressed: BTreeMap<CallSite, u64>,
 }
 
@@ -43,11 +45,11 @@
         }
     }
 
-    /// Whether a line is written; else it is counted as suppressed.
+    /// Returns whether a line may be written. If not, counts it as suppressed.
     fn admits(&mut self, now: Instant, site: CallSite) -> bool {
         if self
             .window_start
-            .is_none_or(|start| now.saturating_duration_since(start) >= SECOND)
+            .is_none_or(|start| now.saturating_duration_since(start) >= RATE_LIMIT_WINDOW)
         {
             (self.window_start, self.window_lines) = (Some(now), 0);
         }
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Takes the counts of lines suppressed since the last time.
+    /// Returns and resets the counts of suppressed lines.
     fn take_suppressed(&mut self) -> BTreeMap<CallSite, u64> {
         std::mem::take(&mut self.suppressed)
     }
@@ -72,7 +74,7 @@
 
 impl SharedLimiter {
     fn lock(&self) -> MutexGuard<'_, RateLimiter> {
-        // A panic leaves it consistent: no change to it takes several steps.
+        // The limiter is consistent even after a panic, because no update of it takes several steps.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -83,15 +85,16 @@
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        self.lock().admits(Instant::now(), site(event.metadata()))
+        self.lock()
+            .admits(Instant::now(), call_site(event.metadata()))
     }
 }
 
-fn site(metadata: &'static Metadata<'static>) -> CallSite {
+fn call_site(metadata: &'static Metadata<'static>) -> CallSite {
     (metadata.file().unwrap_or(""), metadata.line().unwrap_or(0))
 }
 
-/// Formats lines. Before a line come the counts of the lines that were suppressed since the last one.
+/// Formats log lines. A line is preceded by the counts of the lines that were suppressed since the previous one.
 struct LineFormat {
     limiter: SharedLimiter,
     json: Option<tracing_subscriber::fmt::format::Format<Json>>,
@@ -111,7 +114,10 @@
         let suppressed = self.limiter.lock().take_suppressed();
         for ((file, line), count) in suppressed {
             match self.json {
-                None => writeln!(to, "heathspurd: {count} lines left out ({file}:{line})")?,
+                None => writeln!(
+                    to,
+                    "heathspurd: {count} log lines suppressed by the rate limit ({file}:{line})"
+                )?,
                 Some(_) => writeln!(
                     to,
                     "{{\"left_out\":{count},\"filename\":\"{file}\",\"line_number\":{line}}}"
@@ -138,7 +144,7 @@
     }
 }
 
-/// Logs the process's events to standard error from now on. A second call has no effect.
+/// Installs the global `tracing` subscriber, which writes to standard error. Has no effect if one is installed already.
 pub(crate) fn install(log: &Log) {
     let limiter = SharedLimiter(Arc::new(Mutex::new(RateLimiter::new(log.lines_per_second))));
     let json = (log.format == Format::Json).then(|| {
@@ -153,7 +159,7 @@
         Level::Info => LevelFilter::INFO,
         Level::Debug => LevelFilter::DEBUG,
     };
-    // A reader that closes standard error must not end the server, and errors of the log can't be logged.
+    // Write errors are ignored: they cannot be logged, and a reader that closes standard error must not end the server.
     let layer = tracing_subscriber::fmt::layer()
         .event_format(LineFormat {
             limiter: limiter.clone(),
--- a/crates/heathspurd/src/main.rs
+++ b/crates/heathspurd/src/main.rs
@@ -1,4 +1,4 @@
-//! One real server: `NODE_CONFIG` names its configuration.
+//! The server program; see `heathspurd::main`.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/heathspurd/src/notify.rs
+++ b/crates/heathspurd/src/notify.rs
@@ -1,34 +1,35 @@
-//! A notification from one task to another of the same thread.
+//! Notifications between tasks of one thread.
 
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
 use std::task::{Poll, Waker};
 
-/// One task notifies, another waits. Notifications count as one until a task waits for them.
+/// A notification between tasks of one thread. Notifications that no task has received yet are merged into one.
 ///
-/// A flag and wakers: a channel would allocate a listener for each wait, and the event loop waits at every turn.
+/// It consists of a flag and wakers rather than a channel: a channel would allocate a listener for each wait, and the
+/// event loop waits once per iteration.
 #[derive(Default)]
 pub(crate) struct Notify {
     notified: Cell<bool>,
-    /// One waker for each task that waits or has stopped waiting since the last notification.
+    /// One waker for each task that has waited since the last notification, including those that no longer wait.
     wakers: RefCell<Vec<Waker>>,
 }
 
 impl Notify {
-    /// A notification that has not been given.
+    /// Creates a `Notify` without a pending notification.
     pub fn new() -> Notify {
         Notify::default()
     }
 
-    /// Notifies one of the tasks that wait, or the next one to do so.
+    /// Notifies one of the waiting tasks, or the next task to wait.
     pub fn notify(&self) {
         self.notified.set(true);
-        // All are woken, since a task that no longer waits would keep the notification from the others. The first one
-        // takes it.
+        // Wakes all of them, because a waker may belong to a task that no longer waits. The first task to run receives
+        // the notification.
         self.wakers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
-    /// Waits for a notification and takes it.
+    /// Waits for a notification and consumes it.
     pub async fn notified(&self) {
         let notified = future::poll_fn(|cx| {
             if self.notified.take() {
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -31,33 +31,34 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Requests of each front end that may wait for the event loop.
+/// Capacity of a frontend's queue of requests to the event loop.
 const REQUEST_QUEUE_CAPACITY: usize = 256;
-/// Disconnected clients of each front end that may wait to be reported.
+/// Capacity of a frontend's queue of requests whose clients have disconnected.
 const DISCONNECTED_QUEUE_CAPACITY: usize = 256;
-/// File descriptors reserved for the links, the log and the standard library.
+/// File descriptors reserved for the peer links, the log and the standard library.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// One in so many file descriptors is for connections to the store.
+/// The store's share of the file descriptors, as a divisor: one in 8 is reserved for connections to the store.
 const STORE_DESCRIPTOR_DIVISOR: usize = 8;
-/// Entries in the idempotency store at most.
+/// Maximum number of entries in the idempotency store.
 const MAX_IDEMPOTENCY_ENTRIES: usize = 16 * 1024;
-/// One in so many bytes of the memory limit is for results in the idempotency store.
+/// The share of the memory limit for results in the idempotency store, as a divisor: a quarter.
 const RESULT_MEMORY_DIVISOR: usize = 4;
 
-/// The bound sockets of the front ends.
+/// The bound sockets of the frontends.
 pub(crate) struct Listeners {
     pub http1: TcpListener,
-    /// The socket for HTTP/2 with its settings, where it is on.
+    /// The socket for HTTP/2 and its settings, if HTTP/2 is enabled.
     pub http2: Option<(TcpListener, Http2)>,
 }
 
-/// The handles of fleet membership and failover, where they are on.
+/// The handles of fleet membership and of failover, if they are enabled.
 pub(crate) struct FleetHandles {
     pub membership: Option<MembershipHandle>,
     pub routes: Option<ReplicaRoutes>,
 }
 
-/// Starts all tasks and serves until the server has drained.
+/// Starts all tasks and serves until the server has drained. Fails if a listening socket cannot be registered with the
+/// I/O reactor.
 pub(crate) async fn serve(
     executor: Rc<LocalExecutor<'static>>,
     config: Config,
@@ -85,7 +86,7 @@
     );
     let peer_addresses = PeerAddresses::new(&config);
     let readiness = registration::Readiness::new();
-    let queues = start_front_ends(&tasks, &frontend, listeners)?;
+    let queues = start_frontends(&tasks, &frontend, listeners)?;
     tasks.spawn(interpreter::run(
         peer_addresses.interpreter.clone(),
         interpreter.clone(),
@@ -124,7 +125,7 @@
     Ok(())
 }
 
-/// Spawns tasks, and feeds the event loop's inbox.
+/// Spawns tasks, including those that forward queues to the event loop's inbox.
 struct Tasks {
     executor: Rc<LocalExecutor<'static>>,
     to_event_loop: Sender<LoopEvent>,
@@ -135,21 +136,21 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Forwards the items of a queue to the event loop, in order.
-    fn forward<T: Into<LoopEvent> + 'static>(&self, from: Receiver<T>) {
-        self.spawn(forward(from, self.to_event_loop.clone()));
+    /// Spawns a task that forwards the items of a queue to the event loop, in order.
+    fn forward<T: Into<LoopEvent> + 'static>(&self, queue: Receiver<T>) {
+        self.spawn(forward(queue, self.to_event_loop.clone()));
     }
 }
 
-async fn forward<T: Into<LoopEvent>>(from: Receiver<T>, to_event_loop: Sender<LoopEvent>) {
-    while let Ok(item) = from.recv().await {
+async fn forward<T: Into<LoopEvent>>(queue: Receiver<T>, to_event_loop: Sender<LoopEvent>) {
+    while let Ok(item) = queue.recv().await {
         if to_event_loop.send(item.into()).await.is_err() {
             return;
         }
     }
 }
 
-/// The state that the front ends share with the event loop.
+/// Creates the state that the frontends share with the event loop.
 fn frontend_context(
     config: &Config,
     listeners: &Listeners,
@@ -175,7 +176,7 @@
     ))
 }
 
-/// Per class, whether its requests carry an idempotency key.
+/// Returns, for each class, whether its requests carry an idempotency key.
 fn keyed_classes(settings: &Settings) -> Vec<bool> {
     settings
         .classes
@@ -191,8 +192,8 @@
     })
 }
 
-/// Starts the front ends; each has a request queue of its own.
-fn start_front_ends(
+/// Starts the frontends and returns their request queues, one per frontend.
+fn start_frontends(
     tasks: &Tasks,
     frontend: &Rc<FrontendContext>,
     listeners: Listeners,
@@ -200,7 +201,7 @@
     let mut queues = Vec::new();
     let address = listeners.http1.local_addr()?;
     info!(%address, "listening on {address}");
-    let (handle, queue) = front_end(tasks, frontend);
+    let (handle, queue) = new_frontend(tasks, frontend);
     queues.push(queue);
     let connections = http1::serve(tasks.executor.clone(), Rc::new(handle));
     let listener = Async::new(listeners.http1)?;
@@ -209,7 +210,7 @@
     if let (Some((listener, http2)), Some(budget)) = (listeners.http2, &frontend.response_budget) {
         let address = listener.local_addr()?;
         info!(%address, "listening for HTTP/2 on {address}");
-        let (handle, queue) = front_end(tasks, frontend);
+        let (handle, queue) = new_frontend(tasks, frontend);
         queues.push(queue);
         let connections = http2::serve(tasks.executor.clone(), handle, http2, budget.clone());
         tasks.spawn(accept(Async::new(listener)?, frontend.clone(), connections));
@@ -217,8 +218,8 @@
     Ok(queues)
 }
 
-/// The handle of a new front end, and the queue of its requests.
-fn front_end(
+/// Creates the handle of a new frontend and the queue of its requests.
+fn new_frontend(
     tasks: &Tasks,
     frontend: &Rc<FrontendContext>,
 ) -> (FrontendHandle, Receiver<IncomingRequest>) {
@@ -234,8 +235,8 @@
 }
 
 fn idempotency_store(config: &Config) -> IdempotencyStore {
-    // An attempt is read at most as late as its client waits for the answer.
-    let late = config
+    // An attempt is read at the latest when its client stops waiting for the answer.
+    let max_read_delay = config
         .settings
         .classes
         .iter()
@@ -245,6 +246,6 @@
     IdempotencyStore::new(
         MAX_IDEMPOTENCY_ENTRIES,
         config.memory_bytes / RESULT_MEMORY_DIVISOR,
-        late,
+        max_read_delay,
     )
 }
--- a/crates/heathspurd/src/signals.rs
+++ b/crates/heathspurd/src/signals.rs
@@ -1,4 +1,4 @@
-//! The operators' signals: SIGTERM and SIGINT begin the drain, SIGHUP has the configuration read again.
+//! The signals that operators send: SIGTERM and SIGINT start a drain, SIGHUP reloads the configuration.
 
 use crate::config::Config;
 use crate::notify::Notify;
@@ -12,26 +12,27 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How often a configuration that can't be used is read before it is ignored.
+/// The number of attempts to read an invalid configuration before the reload is abandoned.
 const READ_ATTEMPTS: u32 = 10;
-/// Between two of these attempts.
+/// The delay between two of these attempts.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Catches the operators' signals from now on.
+/// Subscribes to the signals. From then on they no longer end the process.
 pub(crate) fn subscribe() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// The requests of the signals since the last time.
+/// What signals have requested since the last [`SignalState::take`].
 #[derive(Debug, Default)]
 pub(crate) struct SignalRequests {
     pub drain: bool,
-    /// The configuration to use from now on.
+    /// The configuration that was reloaded.
     pub config: Option<Config>,
 }
 
-/// The requests of the signals, until the event loop takes them. They queue behind nothing that peers send: several signals
-/// to drain count as one, and of several configurations the last one counts.
+/// What signals have requested and the event loop has not taken yet. Requests are stored here rather than in the event
+/// loop's inbox, so that they do not queue behind messages from peers. Repeated drain requests are merged into one, and
+/// a reloaded configuration replaces an earlier one.
 pub(crate) struct SignalState {
     drain: Cell<bool>,
     config: RefCell<Option<Config>>,
@@ -39,7 +40,7 @@
 }
 
 impl SignalState {
-    /// A state without requests.
+    /// Creates a state without requests.
     pub fn new() -> Rc<SignalState> {
         Rc::new(SignalState {
             drain: Cell::new(false),
@@ -58,12 +59,12 @@
         self.notified.notify();
     }
 
-    /// Waits until there is a request to take.
+    /// Waits for the next request. Requests that arrived since the last wait complete it at once.
     pub async fn notified(&self) {
         self.notified.notified().await;
     }
 
-    /// Takes all requests.
+    /// Returns all requests and clears them.
     pub fn take(&self) -> SignalRequests {
         SignalRequests {
             drain: self.drain.take(),
@@ -72,8 +73,9 @@
     }
 }
 
-/// Handles signals for as long as the server runs. Signals are handled between attempts to read a configuration: a
-/// drain begins at once, and another SIGHUP has the attempts begin anew.
+/// Handles signals for as long as the server runs. Signals are also handled between attempts to read a configuration: a
+/// drain starts immediately, and another SIGHUP restarts the attempts. SIGHUP has no effect without a configuration
+/// file.
 pub(crate) async fn handle(mut signals: Signals, started: Config, state: Rc<SignalState>) {
     let mut attempts_left = 0;
     loop {
@@ -86,7 +88,7 @@
             (Some(Some(Ok(Signal::Hup))), Some(_)) => attempts_left = READ_ATTEMPTS,
             (Some(Some(Ok(Signal::Hup))), None) => {}
             (Some(Some(Ok(_))), _) => state.request_drain(),
-            (None, Some(file)) => match read_again(&started, file) {
+            (None, Some(file)) => match reload(&started, file) {
                 Some(config) => {
                     state.request_reload(config);
                     attempts_left = 0;
@@ -98,7 +100,8 @@
     }
 }
 
-/// Waits until the next attempt to read the configuration: the first is made at once, and none without attempts left.
+/// Waits until the next attempt to read the configuration is due: the first one immediately, later ones after a delay,
+/// and none if no attempts are left.
 async fn wait_for_attempt(attempts_left: u32) {
     match attempts_left {
         0 => future::pending().await,
@@ -107,20 +110,20 @@
     }
 }
 
-/// Reads the configuration's file again; nothing where it can't be used by this server.
-fn read_again(started: &Config, file: &Path) -> Option<Config> {
-    let config = match Config::read(file).and_then(|config| started.check_own(config)) {
+/// Reads the configuration file again. Returns `None` if it is invalid or belongs to another server.
+fn reload(started: &Config, file: &Path) -> Option<Config> {
+    let config = match Config::read(file).and_then(|config| started.check_identity(config)) {
         Ok(config) => config,
         Err(error) => {
-            warn!(%error, "the configuration stays as it was: {error}");
+            warn!(%error, "configuration reload failed, keeping the current configuration: {error}");
             return None;
         }
     };
-    let fields = started.differs(&config).join(", ");
+    let fields = started.restart_required_fields(&config).join(", ");
     if !fields.is_empty() {
         warn!(
             fields,
-            "only the peers' addresses are taken from the new configuration; it differs in more: {fields}"
+            "configuration reload applies only the peer addresses; other changed fields require a restart: {fields}"
         );
     }
     Some(config)
--- a/crates/heathspurd/src/startup.rs
+++ b/crates/heathspurd/src/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the listeners, recording and membership of a server, serves, and stops them again.
+//! Startup of the process: binds the listeners, starts recording and membership, serves, and stops them.
 
 use crate::config::Config;
 use crate::error::Error;
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the end of the process waits for the last blocks of a recording.
+/// The longest wait for the last blocks of a recording to be written before the process exits.
 const RECORDING_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// Serves until the server has drained. The signals are caught since before the files were read: none of them ends
-/// the process by itself, and a configuration that is replaced meanwhile is read again.
+/// Serves until the server has drained. The caller has subscribed to the signals before it read the files, so a signal
+/// that arrives in between does not end the process, and a SIGHUP in between reloads the configuration.
 pub(crate) fn run(signals: Signals, config: Config, operator: Operator) -> Result<(), Error> {
     let listeners = bind_listeners(&config, &operator)?;
     let recording = start_recording(&config, &operator)?;
@@ -37,7 +37,7 @@
         fleet,
     );
     let served = async_io::block_on(executor.run(serving));
-    // The streams that are left hold the recorder.
+    // Drops the remaining tasks, whose streams refer to the recorder: `Recording::finish` needs the last reference.
     drop(executor);
     if let Some(membership) = membership {
         membership.stop();
@@ -70,7 +70,7 @@
         .map_err(Error::Thread)
 }
 
-/// Starts the fleet membership, and the failover between zones where this server's zone takes part in it.
+/// Starts the fleet membership, and the failover between zones if this server's zone has a replica.
 fn start_membership(
     operator: &Operator,
 ) -> Result<(Option<MembershipThread>, Option<ReplicaRoutes>), Error> {
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -388,7 +388,7 @@
     let _old = rig.link();
     rig.config["limits"]["sockets"] = json!(512);
     let _reports = rig.move_peers();
-    rig.logs("it differs in more");
+    rig.logs("other changed fields require a restart");
     let mut vm = rig.link();
     let mut client = rig.client();
     client.send(&request(1, None, b"abc"));
@@ -401,7 +401,7 @@
     let mut vm = rig.link();
     rig.config["vm"] = json!("nowhere");
     rig.replace_config();
-    rig.logs("stays as it was");
+    rig.logs("configuration reload failed, keeping the current configuration");
     let mut client = rig.client();
     client.send(&request(1, None, b"abc"));
     assert_eq!(vm.apply().0, task(1));
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -15,7 +15,7 @@
 
 /// The server tries so often to read a configuration that can't be used.
 const TRIES: usize = 10;
-const STAYS: &str = "the configuration stays as it was";
+const STAYS: &str = "configuration reload failed, keeping the current configuration";
 const LEAVES: &str = "graceful shutdown started";
 
 fn task(txn: u64) -> String {
@@ -303,7 +303,7 @@
     assert!(rig
         .lines
         .try_iter()
-        .all(|line| !line.contains("differs") && !line.contains(STAYS)));
+        .all(|line| !line.contains("require a restart") && !line.contains(STAYS)));
 }
 
 #[test]
@@ -314,7 +314,7 @@
     rig.config["limits"]["memory_mb"] = json!(64);
     rig.config["settings"]["realms"][0]["quota-per-s"] = json!(7.0);
     let _reports = rig.move_peers();
-    let line = rig.logs("it differs in more");
+    let line = rig.logs("other changed fields require a restart");
     assert!(
         line.ends_with(": stop_ms, limits.memory_mb, settings"),
         "{line}"
