--- a/crates/heathspurd/src/idempotency/mod.rs
+++ b/crates/heathspurd/src/idempotency/mod.rs
@@ -1,7 +1,8 @@
-//! Recognizes repeats: the attempts of each keyed request and of reads of one subject, with retained results.
+//! The idempotency store: recognizes repeated attempts of keyed requests and of reads of one subject, and caches their
+//! results.
 //!
-//! An entry stays while an attempt of it is in the request table, and once it is retained until its time is over. Its
-//! result goes with it.
+//! An entry exists at least while one of its attempts is in the request table, and for as long as it is retained. Its
+//! cached result is dropped when neither is the case any more.
 
 mod entry;
 
@@ -18,13 +19,13 @@
 /// The key that a request shares with its repeats.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Key {
-    /// The index of the request's class.
+    /// The index of the request's class. Equal keys of different classes are distinct.
     class: usize,
     bytes: Box<[u8]>,
 }
 
 impl Key {
-    /// The key of a request of this class.
+    /// Creates the key of a request of this class.
     pub fn new(class: ClassId, bytes: &[u8]) -> Key {
         Key {
             class: class.0,
@@ -33,7 +34,7 @@
     }
 }
 
-/// An attempt of a keyed request.
+/// An attempt to register.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub id: RequestId,
@@ -41,86 +42,96 @@
     pub received_at: UnixMicros,
     /// The digest of its body.
     pub body_digest: u64,
-    /// For how long after `received_at` it may be repeated.
+    /// The time after `received_at` in which the attempt may be repeated.
     pub dedup_window: Span,
 }
 
 impl Attempt {
+    /// Returns the end of the attempt's deduplication window.
     fn window_ends_at(&self) -> UnixMicros {
         self.received_at.saturating_add(self.dedup_window.0)
     }
 }
 
-/// The relation of a new attempt to the earlier ones of its key.
+/// The relation of a new attempt to the earlier attempts of its key.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Registration {
-    /// It repeats no other attempt.
+    /// The attempt repeats no other.
     First,
-    /// It repeats this attempt.
+    /// The attempt repeats this earlier one.
     RepeatOf(RequestId),
 }
 
-/// An attempt can't be registered.
+/// The reason why an attempt cannot be registered.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RegisterError {
     #[error("the idempotency store is full ({max_entries} entries)")]
     StoreFull { max_entries: usize },
-    #[error("its idempotency key was used with another body before")]
+    #[error("the idempotency key was already used with a different body")]
     BodyMismatch,
 }
 
-/// How a repeat gets another attempt's result.
+/// How a repeat receives another attempt's result.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Attachment {
-    /// The result, or its failure, is yet to come.
+    /// The run has not ended; the repeat waits for it.
     Pending,
-    /// The result.
+    /// The result is cached.
     Result(Bytes),
-    /// There is no result.
+    /// There is no result and there will be none.
     Failed,
 }
 
-/// All entries. Bounded in entries and in bytes of results.
+/// The idempotency store. Bounded in the number of entries and in the bytes of cached results.
 #[derive(Debug)]
 pub(crate) struct IdempotencyStore {
     entries: HashMap<Key, Entry>,
-    /// The keys of retained entries, by the attempts that own them.
+    /// The keys of the retained entries, by the attempts that own them.
     owners: BTreeMap<RequestId, Key>,
     max_entries: usize,
+    /// The total size of the cached results.
     result_bytes: usize,
     max_result_bytes: usize,
-    /// For how long after an entry's end an attempt may be read that reached the machine before it.
-    late: Span,
+    /// The longest time between an attempt's arrival at the machine and its registration. Entries are stored for this
+    /// time after their retention ends, for attempts that arrived before that.
+    max_read_delay: Span,
     digest_keys: RandomState,
 }
 
 impl IdempotencyStore {
-    /// An empty store; `late` is for how long a request may be read after it reached the machine.
-    pub fn new(max_entries: usize, max_result_bytes: usize, late: Span) -> IdempotencyStore {
+    /// Creates an empty store. `max_read_delay` is the longest time between a request's arrival at the machine and its
+    /// registration.
+    pub fn new(
+        max_entries: usize,
+        max_result_bytes: usize,
+        max_read_delay: Span,
+    ) -> IdempotencyStore {
         IdempotencyStore {
             entries: HashMap::new(),
             owners: BTreeMap::new(),
             max_entries,
             result_bytes: 0,
             max_result_bytes,
-            late,
+            max_read_delay,
             digest_keys: RandomState::new(),
         }
     }
 
-    /// The digest of a body, under random keys: no client can predict it or construct a collision.
+    /// Returns the digest of a body. The hash keys are random, so that no client can predict it or construct a
+    /// collision.
     pub fn digest(&self, body: &[u8]) -> u64 {
         self.digest_keys.hash_one(body)
     }
 
-    /// Registers an attempt of a key.
+    /// Registers an attempt of a key. Fails if the body differs from that of the key's earlier attempts, or if the
+    /// store is full.
     pub fn register(&mut self, key: &Key, attempt: Attempt) -> Result<Registration, RegisterError> {
         if let Some(entry) = self.entries.get_mut(key) {
-            if entry.mismatches(&attempt) {
+            if entry.has_body_mismatch(&attempt) {
                 return Err(RegisterError::BodyMismatch);
             }
             entry.extend_fingerprint(&attempt);
-            if let Some(repeated) = entry.repeated_by(&attempt) {
+            if let Some(repeated) = entry.attempt_repeated_by(&attempt) {
                 entry.live.push(LiveAttempt::new(&attempt));
                 return Ok(Registration::RepeatOf(repeated));
             }
@@ -132,7 +143,8 @@
         Ok(Registration::First)
     }
 
-    /// Ensures that an entry can be added; those that serve only to refuse other bodies are removed for it.
+    /// Ensures that an entry can be added. If the store is full, removes the entries that serve only to reject other
+    /// bodies.
     fn ensure_free_entry(&mut self) -> Result<(), RegisterError> {
         if self.entries.len() >= self.max_entries {
             self.remove_matching(Entry::is_fingerprint_only);
@@ -145,7 +157,7 @@
         Ok(())
     }
 
-    /// Retains an entry, which this attempt owns from now on.
+    /// Retains an entry until the given time and makes this attempt its owner.
     pub fn retain(&mut self, key: &Key, id: RequestId, until: UnixMicros) {
         if let Some(entry) = self.entries.get_mut(key) {
             self.owners.remove(&entry.owner);
@@ -155,7 +167,7 @@
         }
     }
 
-    /// No longer retains the entry that this attempt owns; the attempt itself may have been released.
+    /// Ends the retention of the entry that this attempt owns. The attempt itself may have been released before.
     pub fn evict(&mut self, id: RequestId) {
         let Some(key) = self.owners.remove(&id) else {
             return;
@@ -165,7 +177,7 @@
         }
     }
 
-    /// An attempt starts to run.
+    /// Records that an attempt has started to run. Drops the result of an earlier run.
     pub fn run_started(&mut self, key: &Key, id: RequestId) {
         if let Some(entry) = self.entries.get_mut(key) {
             self.result_bytes -= entry.run.result_len();
@@ -173,14 +185,19 @@
         }
     }
 
-    /// An attempt's run has ended. Returns the attempts that waited for it.
+    /// Records that an attempt's run has ended. Caches the result if the limit on result bytes permits. Returns the
+    /// attempts that waited for the run.
     pub fn run_ended(
         &mut self,
         key: &Key,
         id: RequestId,
         result: Option<&Bytes>,
     ) -> Vec<RequestId> {
-        let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.runs(id)) else {
+        let Some(entry) = self
+            .entries
+            .get_mut(key)
+            .filter(|entry| entry.is_running(id))
+        else {
             return Vec::new();
         };
         let used_bytes = self.result_bytes;
@@ -190,7 +207,7 @@
         std::mem::take(&mut entry.waiting)
     }
 
-    /// Attaches a repeat to the result of the attempt that it repeats.
+    /// Attaches a repeat to the run of the attempt that it repeats.
     pub fn attach(&mut self, key: &Key, id: RequestId) -> Attachment {
         match self.entries.get_mut(key) {
             Some(entry) => entry.attach(id),
@@ -198,7 +215,8 @@
         }
     }
 
-    /// Removes an attempt that leaves the request table. Returns those that wait for a run that will never end now.
+    /// Removes an attempt that leaves the request table, and drops the cached result if no attempt can request it any
+    /// more. Returns the attempts that wait for a run that will never end now.
     pub fn remove_attempt(&mut self, key: &Key, id: RequestId) -> Vec<RequestId> {
         let Some(entry) = self.entries.get_mut(key) else {
             return Vec::new();
@@ -213,8 +231,8 @@
 
     /// Removes expired entries.
     pub fn prune(&mut self, now: UnixMicros) {
-        let late = self.late;
-        self.remove_matching(|entry| entry.is_expired(now, late));
+        let max_read_delay = self.max_read_delay;
+        self.remove_matching(|entry| entry.is_expired(now, max_read_delay));
     }
 
     fn remove_matching(&mut self, predicate: impl Fn(&Entry) -> bool) {
--- a/crates/heathspurd/tests/unit/idempotency.rs
+++ b/crates/heathspurd/tests/unit/idempotency.rs
@@ -1,8 +1,8 @@
-//! Unit tests of `src/idempotency/mod.rs`, which includes this file as its module of tests.
+//! Unit tests of `src/idempotency/mod.rs`, which includes this file as its test module.
 
 use super::*;
 
-/// A store of two entries and ten bytes of results.
+/// Returns a store with a capacity of two entries and ten bytes of results.
 fn small_store() -> IdempotencyStore {
     IdempotencyStore::new(2, 10, Span(1_000_000))
 }
@@ -11,7 +11,7 @@
     RequestId(n)
 }
 
-/// An attempt with the usual body, which may be repeated for 50 us.
+/// Returns an attempt with the default body digest and a deduplication window of 50 µs.
 fn attempt(n: u64, received_at: u64) -> Attempt {
     Attempt {
         id: id(n),
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn queued_attempts_are_linked_before_anything_is_retained() {
+fn attempts_are_linked_before_entry_is_retained() {
     let mut store = small_store();
     assert_eq!(
         store.register(&key("a"), attempt(1, 5)),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_repeat_is_linked_by_the_time_at_which_it_reached_the_machine() {
+fn repeat_is_linked_by_its_arrival_time() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.retain(&key("a"), id(1), 100);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn waiting_attempts_are_returned_when_the_run_ends() {
+fn waiting_attempts_are_returned_when_run_ends() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.register(&key("a"), attempt(2, 6)).unwrap();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn waiting_for_an_attempt_that_is_removed_before_it_runs_fails() {
+fn waiting_fails_when_attempt_is_removed_before_it_runs() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.register(&key("a"), attempt(2, 6)).unwrap();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_store_is_bounded_in_entries_and_in_bytes() {
+fn store_is_bounded_in_entries_and_result_bytes() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.register(&key("b"), attempt(2, 5)).unwrap();
@@ -117,9 +117,9 @@
 }
 
 #[test]
-fn an_entry_lasts_for_the_window_from_the_timestamp_of_the_attempt_that_ran() {
+fn entry_is_retained_for_window_from_timestamp_of_attempt_that_ran() {
     let mut store = small_store();
-    // Its timestamp is ahead of the clock by which it is retained; the window's end is included.
+    // The timestamp of attempt 1 is ahead of the clock that set the retention. The window includes its end, 1050.
     store.register(&key("a"), attempt(1, 1000)).unwrap();
     store.register(&key("a"), attempt(2, 20)).unwrap();
     store.retain(&key("a"), id(1), 60);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_second_run_releases_the_result_of_the_first() {
+fn second_run_releases_result_of_first() {
     let mut store = small_store();
     let result = Bytes::from_static(b"sevenby");
     for n in [1, 2, 3] {
@@ -159,12 +159,12 @@
     for n in [1, 2, 3] {
         store.remove_attempt(&key("a"), id(n));
     }
-    // It is not retained, so no attempt can ask for the result any more.
+    // The entry is not retained, so no attempt can request the result any more.
     assert_eq!(store.result_bytes, 0);
 }
 
 #[test]
-fn waiting_attempts_are_returned_when_a_stopped_run_is_abandoned() {
+fn waiting_attempts_are_returned_when_stopped_run_is_abandoned() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.retain(&key("a"), id(1), 100);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn waiting_fails_where_no_attempt_is_left_to_run() {
+fn waiting_fails_when_no_attempt_is_left_to_run() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.retain(&key("a"), id(1), 100);
@@ -194,14 +194,14 @@
 }
 
 #[test]
-fn an_attempt_of_a_replaced_entry_that_is_read_late_does_not_run() {
+fn late_read_attempt_of_replaced_entry_does_not_run() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.retain(&key("a"), id(1), 60);
     store.run_started(&key("a"), id(1));
     store.run_ended(&key("a"), id(1), None);
     store.remove_attempt(&key("a"), id(1));
-    // This one is new, since it is past the window. It is rejected and its entry goes with it.
+    // Attempt 2 arrived after the window, so it is new. It is then rejected, and its entry evicted.
     assert_eq!(
         store.register(&key("a"), attempt(2, 61)),
         Ok(Registration::First)
@@ -215,7 +215,7 @@
     store.evict(id(2));
     store.remove_attempt(&key("a"), id(3));
     store.prune(1_000_000);
-    // Making room leaves the entry.
+    // The entry remains when a full store removes entries that only reject other bodies.
     store.register(&key("b"), attempt(4, 62)).unwrap();
     assert_eq!(
         store.register(&key("c"), attempt(5, 62)),
@@ -236,14 +236,14 @@
     assert_eq!(store.entries.len(), 1);
 }
 
-/// One request's attempts as the admission controller knows them.
+/// The attempts of one request, as tracked by the admission controller.
 #[derive(Default)]
 struct Group {
     ran: bool,
     queued: Vec<RequestId>,
 }
 
-/// Draws from 0 to `end` exclusive.
+/// Returns a pseudorandom number in `0..end`.
 fn draw(state: &mut u64, end: u64) -> u64 {
     *state = state
         .wrapping_mul(6364136223846793005)
@@ -251,111 +251,123 @@
     (*state >> 33) % end
 }
 
-/// Attempts of a few keys arrive with timestamps around our clock, are queued, run, end, wait and are removed in any
-/// order, with the store pruned at any time.
+/// Attempts of three keys, with timestamps around our clock, are queued, run, end, wait and are removed in random order,
+/// while the store is pruned at random times. The store must link them such that no key runs twice within the window
+/// from the timestamp of the attempt that ran, and no attempt waits unless another one runs or may still run.
 #[test]
-fn no_key_runs_twice_within_the_window_from_the_timestamp_of_the_attempt_that_ran() {
-    let mut ran_twice_later = 0;
+fn key_never_runs_twice_within_window_of_attempt_that_ran() {
+    let mut reruns_after_window = 0;
     for seed in 0..300 {
         let state = &mut (seed + 1);
         let window = [0, 1, 40, 300][draw(state, 4) as usize];
-        let late = 200;
-        let mut store = IdempotencyStore::new(64, 100, Span(late));
+        let max_read_delay = 200;
+        let mut store = IdempotencyStore::new(64, 100, Span(max_read_delay));
         let keys = [key("a"), key("b"), key("c")];
         let mut now = 10_000;
-        let mut next = 1;
+        let mut next_id = 1;
+        // The groups by their first attempts.
         let mut groups: BTreeMap<RequestId, Group> = BTreeMap::new();
-        let mut roots: BTreeMap<RequestId, RequestId> = BTreeMap::new();
-        // Attempt, index of its key, timestamp.
+        // The first attempt of each attempt's group.
+        let mut first_attempts: BTreeMap<RequestId, RequestId> = BTreeMap::new();
+        // The attempt, the index of its key, and its timestamp.
         let mut queued: Vec<(RequestId, usize, u64)> = Vec::new();
         let mut running: Vec<(RequestId, usize)> = Vec::new();
         let mut waiting: Vec<(RequestId, usize)> = Vec::new();
+        // The timestamps of the attempts that ran, for each key.
         let mut runs: [Vec<u64>; 3] = Default::default();
         for _ in 0..400 {
             now += draw(state, 30);
             match draw(state, 8) {
                 0..=2 => {
-                    let (n, at) = (id(next), draw(state, 3) as usize);
-                    next += 1;
-                    let stamp = now + draw(state, 4) * draw(state, 150) - draw(state, late);
+                    let (attempt_id, key_index) = (id(next_id), draw(state, 3) as usize);
+                    next_id += 1;
+                    let received_at =
+                        now + draw(state, 4) * draw(state, 150) - draw(state, max_read_delay);
                     let attempt = Attempt {
-                        id: n,
-                        received_at: stamp,
+                        id: attempt_id,
+                        received_at,
                         body_digest: 7,
                         dedup_window: Span(window),
                     };
-                    let registration = store.register(&keys[at], attempt).unwrap();
-                    let root = match registration {
-                        Registration::First => n,
-                        Registration::RepeatOf(previous) => roots[&previous],
+                    let registration = store.register(&keys[key_index], attempt).unwrap();
+                    let first_attempt = match registration {
+                        Registration::First => attempt_id,
+                        Registration::RepeatOf(previous) => first_attempts[&previous],
                     };
-                    roots.insert(n, root);
-                    let group = groups.entry(root).or_default();
+                    first_attempts.insert(attempt_id, first_attempt);
+                    let group = groups.entry(first_attempt).or_default();
                     if !group.ran {
-                        group.queued.push(n);
-                        store.retain(&keys[at], n, now + window);
-                        queued.push((n, at, stamp));
-                    } else if store.attach(&keys[at], n) == Attachment::Pending {
-                        waiting.push((n, at));
+                        group.queued.push(attempt_id);
+                        store.retain(&keys[key_index], attempt_id, now + window);
+                        queued.push((attempt_id, key_index, received_at));
+                    } else if store.attach(&keys[key_index], attempt_id) == Attachment::Pending {
+                        waiting.push((attempt_id, key_index));
                     } else {
-                        store.remove_attempt(&keys[at], n);
+                        store.remove_attempt(&keys[key_index], attempt_id);
                     }
                 }
                 3 if !queued.is_empty() => {
-                    let (n, at, stamp) =
+                    let (attempt_id, key_index, received_at) =
                         queued.swap_remove(draw(state, queued.len() as u64) as usize);
-                    groups.get_mut(&roots[&n]).unwrap().ran = true;
-                    store.run_started(&keys[at], n);
-                    for &before in &runs[at] {
-                        let within = before <= stamp && stamp <= before + window;
+                    groups.get_mut(&first_attempts[&attempt_id]).unwrap().ran = true;
+                    store.run_started(&keys[key_index], attempt_id);
+                    for &earlier in &runs[key_index] {
+                        let is_within_window =
+                            earlier <= received_at && received_at <= earlier + window;
                         assert!(
-                            !within,
-                            "seed {seed}: run at {stamp}, which had run at {before} ({window})"
+                            !is_within_window,
+                            "seed {seed}: run at {received_at} is within {window} of an earlier run at {earlier}"
                         );
-                        ran_twice_later += 1;
+                        reruns_after_window += 1;
                     }
-                    runs[at].push(stamp);
-                    running.push((n, at));
-                    // Its queued repeats wait for it from now on.
-                    let (repeats, others) =
-                        queued.drain(..).partition(|(m, ..)| roots[m] == roots[&n]);
+                    runs[key_index].push(received_at);
+                    running.push((attempt_id, key_index));
+                    // Its queued repeats now wait for it.
+                    let (repeats, others) = queued.drain(..).partition(|(other, ..)| {
+                        first_attempts[other] == first_attempts[&attempt_id]
+                    });
                     queued = others;
-                    for (m, at, _) in repeats as Vec<_> {
-                        assert_eq!(store.attach(&keys[at], m), Attachment::Pending);
-                        waiting.push((m, at));
+                    for (repeat, key_index, _) in repeats as Vec<_> {
+                        assert_eq!(store.attach(&keys[key_index], repeat), Attachment::Pending);
+                        waiting.push((repeat, key_index));
                     }
                 }
                 4 | 5 if !running.is_empty() => {
-                    let (n, at) = running.swap_remove(draw(state, running.len() as u64) as usize);
+                    let (attempt_id, key_index) =
+                        running.swap_remove(draw(state, running.len() as u64) as usize);
                     let result = Bytes::from_static(b"result");
-                    // Some are abandoned while they are stopped.
+                    // Some runs are abandoned while they are stopped.
                     let mut released = match draw(state, 4) {
                         0 => Vec::new(),
-                        1 => store.run_ended(&keys[at], n, None),
-                        _ => store.run_ended(&keys[at], n, Some(&result)),
+                        1 => store.run_ended(&keys[key_index], attempt_id, None),
+                        _ => store.run_ended(&keys[key_index], attempt_id, Some(&result)),
                     };
-                    released.extend(store.remove_attempt(&keys[at], n));
-                    for m in released {
-                        let place = waiting.iter().position(|(other, _)| *other == m).unwrap();
-                        let (m, at) = waiting.swap_remove(place);
-                        store.remove_attempt(&keys[at], m);
+                    released.extend(store.remove_attempt(&keys[key_index], attempt_id));
+                    for repeat in released {
+                        let position = waiting
+                            .iter()
+                            .position(|(other, _)| *other == repeat)
+                            .unwrap();
+                        let (repeat, key_index) = waiting.swap_remove(position);
+                        store.remove_attempt(&keys[key_index], repeat);
                     }
                 }
                 6 if !queued.is_empty() => {
-                    let (n, at, _) = queued.swap_remove(draw(state, queued.len() as u64) as usize);
-                    for m in store.remove_attempt(&keys[at], n) {
-                        waiting.retain(|(other, _)| *other != m);
-                        store.remove_attempt(&keys[at], m);
+                    let (attempt_id, key_index, _) =
+                        queued.swap_remove(draw(state, queued.len() as u64) as usize);
+                    for repeat in store.remove_attempt(&keys[key_index], attempt_id) {
+                        waiting.retain(|(other, _)| *other != repeat);
+                        store.remove_attempt(&keys[key_index], repeat);
                     }
-                    let group = groups.get_mut(&roots[&n]).unwrap();
-                    group.queued.retain(|other| *other != n);
+                    let group = groups.get_mut(&first_attempts[&attempt_id]).unwrap();
+                    group.queued.retain(|other| *other != attempt_id);
                     if group.queued.is_empty() {
-                        // The controller evicts what it retained last.
+                        // The controller evicts the entry that it retained last.
                         let retained = store
                             .owners
                             .keys()
                             .copied()
-                            .find(|owner| roots[owner] == roots[&n]);
+                            .find(|owner| first_attempts[owner] == first_attempts[&attempt_id]);
                         retained.into_iter().for_each(|owner| store.evict(owner));
                     }
                 }
@@ -370,17 +382,22 @@
                 })
                 .sum();
             assert_eq!(store.result_bytes, cached, "seed {seed}");
-            // An attempt only waits for one that runs or may yet run.
-            let can_end =
-                |at: usize| running.iter().any(|r| r.1 == at) || queued.iter().any(|h| h.1 == at);
-            assert!(waiting.iter().all(|(_, at)| can_end(*at)), "seed {seed}");
+            // An attempt waits only while another attempt of its key runs or may still run.
+            let can_end = |key_index: usize| {
+                running.iter().any(|(_, other)| *other == key_index)
+                    || queued.iter().any(|(_, other, _)| *other == key_index)
+            };
+            assert!(
+                waiting.iter().all(|(_, key_index)| can_end(*key_index)),
+                "seed {seed}"
+            );
         }
     }
-    assert!(ran_twice_later > 0, "no key came again after its window");
+    assert!(reruns_after_window > 0, "no key ran again after its window");
 }
 
 #[test]
-fn an_evicted_key_is_new_again() {
+fn evicted_key_is_new_again() {
     let mut store = small_store();
     store.register(&key("a"), attempt(1, 5)).unwrap();
     store.retain(&key("a"), id(1), 100);
@@ -393,7 +410,7 @@
 }
 
 #[test]
-fn a_key_is_bound_to_one_body_for_its_window_whatever_became_of_the_attempts() {
+fn other_body_is_rejected_within_window_of_every_attempt() {
     let mut store = small_store();
     let other = |n, received_at| Attempt {
         body_digest: 8,
@@ -404,7 +421,7 @@
         store.register(&key("a"), other(2, 6)),
         Err(RegisterError::BodyMismatch)
     );
-    // It was rejected before it ran.
+    // Attempt 1 was rejected before it ran.
     store.remove_attempt(&key("a"), id(1));
     assert_eq!(
         store.register(&key("a"), other(3, 54)),
@@ -426,7 +443,7 @@
 }
 
 #[test]
-fn an_entry_that_only_keeps_a_fingerprint_gives_way_in_a_full_store() {
+fn full_store_removes_fingerprint_only_entry() {
     let mut store = small_store();
     for (name, n) in [("a", 1), ("b", 2)] {
         store.register(&key(name), attempt(n, 5)).unwrap();
