--- a/crates/heathspurd/src/event_loop/admission.rs
+++ b/crates/heathspurd/src/event_loop/admission.rs
@@ -1,4 +1,4 @@
-//! Passes incoming requests to the admission controller, linked to the attempts that they repeat.
+//! Submits incoming requests to the admission controller, with the earlier attempts that they repeat.
 
 use crate::clock;
 use crate::event_loop::EventLoop;
@@ -8,9 +8,9 @@
 use tracing::warn;
 
 impl EventLoop {
-    /// Enters a request into the table and reports it to the controller, or answers it at once where it can't be
-    /// run here. A request whose client has disconnected meanwhile is dropped.
-    pub(super) fn admit(&mut self, request: IncomingRequest) {
+    /// Adds a request to the table and reports it to the controller, or answers it immediately if it must not run on
+    /// this server. Drops a request whose client has already disconnected.
+    pub(super) fn submit_request(&mut self, request: IncomingRequest) {
         if request.reply.is_closed() {
             return;
         }
@@ -22,7 +22,7 @@
         let registration = match self.register_attempt(&request, key.as_ref()) {
             Ok(registration) => registration,
             Err(error) => {
-                warn!(id = request.id.0, %error, "request rejected: {error}");
+                warn!(id = request.id.0, %error, "request {} rejected: {error}", request.id.0);
                 let _ = request.reply.try_send(answer_to(&error));
                 return;
             }
@@ -32,7 +32,8 @@
         self.table.insert(request, key);
     }
 
-    /// The key that the request shares with its repeats: an idempotency key, or the subject of a read while reads are cached.
+    /// Returns the key that the request shares with its repeats: its idempotency key, or the subject of a read if
+    /// results of reads are cached.
     fn dedup_key(&self, request: &IncomingRequest) -> Option<Key> {
         let is_linked = !request.has_subject || self.controller.settings().cache_ttl.0 > 0;
         request
@@ -42,7 +43,7 @@
             .map(|bytes| Key::new(request.class, bytes))
     }
 
-    /// Registers the request among the attempts of its key. Without a key it repeats none.
+    /// Registers the request as an attempt of its key. A request without a key repeats no other.
     fn register_attempt(
         &mut self,
         request: &IncomingRequest,
@@ -52,7 +53,7 @@
             return Ok(Registration::First);
         };
         let class = &self.controller.settings().classes[request.class.0];
-        // Reads of one subject may be worded differently, so only bodies of keyed requests are compared.
+        // Reads of one subject may have different bodies, so only the bodies of keyed requests are compared.
         let body_digest = if class.idempotency == Idempotency::Keyed {
             self.idempotency.digest(&request.body)
         } else {
@@ -68,10 +69,10 @@
     }
 }
 
-/// The answer to a request that could not be registered.
+/// Returns the answer to a request that could not be registered.
 fn answer_to(error: &RegisterError) -> Answer {
     match error {
-        // Its repeats could not be recognized, so it must not run here.
+        // Without an entry its repeats would not be recognized and could run as well.
         RegisterError::StoreFull { .. } => Answer::Rejected {
             retry_after: None,
             no_retry: false,
@@ -80,7 +81,7 @@
     }
 }
 
-/// The request as the controller sees it.
+/// Converts a request to the form that the controller receives.
 fn controller_request(request: &IncomingRequest, registration: Registration) -> Request {
     let queueing_delay = clock::elapsed_since(request.received_unix_micros, clock::unix_micros());
     Request {
@@ -88,7 +89,8 @@
         class: request.class,
         tenant: request.tenant,
         has_subject: request.has_subject,
-        // Without a deadline the client waits for ever, so one that has passed leaves the smallest span instead.
+        // `None` would mean that the client waits without limit, so a deadline that has passed becomes the shortest
+        // span.
         remaining_deadline: request
             .client_timeout
             .map(|timeout| Span(timeout.0.saturating_sub(queueing_delay.0).max(1))),
--- a/crates/heathspurd/src/event_loop/commands.rs
+++ b/crates/heathspurd/src/event_loop/commands.rs
@@ -1,4 +1,4 @@
-//! Commands for a request: runs at the interpreter, dependency calls at the store.
+//! Commands to the peers for one request: runs to the interpreter, dependency calls to the store.
 
 use crate::event_loop::execution::{CommandDelivery, ExecutionState, LastCommand, PendingCall};
 use crate::event_loop::store_calls::CallRequest;
@@ -22,7 +22,7 @@
         self.send_last_command(id);
     }
 
-    /// Asks the interpreter to stop a run.
+    /// Sends the interpreter a command to stop a run.
     pub(super) fn stop_run(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Makes the call that a run needs.
+    /// Starts the dependency call that a run waits for.
     pub(super) fn start_call(&mut self, id: RequestId, timeout: Span) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -52,7 +52,7 @@
         entry.execution.begin_call(in_flight);
     }
 
-    /// Resumes a run that needs a call, with the call's reply or without it.
+    /// Resumes a run that waits for a call. `command` returns the command to send, with the call's reply or without it.
     pub(super) fn resume_run(
         &mut self,
         id: RequestId,
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Sends a running request's last command, unless the interpreter is known to have it, and the stop that was
-    /// requested since. Without a link nothing is sent: it is sent once the link is up.
+    /// Sends a running request's last command, unless the interpreter has confirmed it, and then a stop if one has been
+    /// requested. While the link is down nothing is sent; the commands follow once it is up again.
     pub(super) fn send_last_command(&self, id: RequestId) {
         let Some(entry) = self.table.get(id).filter(|_| self.interpreter.is_up()) else {
             return;
--- a/crates/heathspurd/src/event_loop/completion.rs
+++ b/crates/heathspurd/src/event_loop/completion.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its one final answer, and the one place where its resources are released.
+//! Completion of requests: sends the final answer and releases all resources of a request.
 
 use crate::event_loop::execution::ExecutionState;
 use crate::event_loop::request_table::Entry;
@@ -8,16 +8,16 @@
 use heathspur::{Event, Outcome, RequestId};
 
 impl EventLoop {
-    /// Sends the answer to the request's connection, once; any later answer is dropped.
+    /// Sends the answer to the request's connection. Only the first answer to a request is sent.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(reply) = self.table.get_mut(id).and_then(Entry::take_reply) {
-            // It fails where the connection is gone, which is reported by an event of its own.
+            // Fails if the connection has closed, which a `ClientDisconnected` event reports.
             let _ = reply.try_send(answer);
         }
     }
 
-    /// Removes a request and releases all its resources: its body, its call with the timeout, its entry among the
-    /// attempts of its key. The front end owns its connection.
+    /// Removes a request and releases all its resources: its body, its call in flight with the timeout, and its attempt
+    /// in the idempotency store. The frontend releases the connection.
     pub(super) fn release(&mut self, id: RequestId) {
         let Some(entry) = self.table.remove(id) else {
             return;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Completes a request that waits for another attempt's result, with that result or as failed.
+    /// Completes a request that waits for another attempt's result, with that result or, if there is none, as failed.
     pub(super) fn complete_waiting(&mut self, id: RequestId, result: Option<&Bytes>) {
         let Some(&ExecutionState::AwaitingResult { since }) =
             self.table.get(id).map(|entry| &entry.execution)
@@ -52,7 +52,8 @@
         self.release(id);
     }
 
-    /// The client of a request has disconnected: no answer is due, and a request without a run is released.
+    /// Handles the disconnection of a request's client. No answer is due any more. If the settings state that
+    /// cancellation is reported, the controller is notified and the request is discarded.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -64,8 +65,8 @@
         self.discard(id);
     }
 
-    /// Discards a request that is owed no answer. Without a run it is released; a call in flight is cancelled; a run
-    /// goes on until the interpreter ends it.
+    /// Discards a request to which no answer is due. A request without a run is released. Otherwise its call in flight
+    /// is cancelled, and the run continues until the interpreter reports its end.
     pub(super) fn discard(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
--- a/crates/heathspurd/src/event_loop/controller.rs
+++ b/crates/heathspurd/src/event_loop/controller.rs
@@ -1,8 +1,9 @@
-//! The admission controller with its settings and the events that it has not seen yet.
+//! The admission controller, its settings and its pending events.
 
 use heathspur::{Action, AdmissionController, Event, Settings, Time};
 
-/// The admission controller and its pending events. It starts with the interpreter, or with the first request: from then on the machine warms up.
+/// The admission controller and its pending events. The controller is created when the interpreter connects or the
+/// first request arrives, whichever is first, because the warm-up of the machine begins then.
 pub(crate) struct Controller {
     settings: Settings,
     seed: u64,
@@ -11,7 +12,7 @@
 }
 
 impl Controller {
-    /// A controller that has not started.
+    /// Creates a controller that has not started.
     pub fn new(settings: Settings, seed: u64) -> Controller {
         Controller {
             settings,
@@ -21,17 +22,18 @@
         }
     }
 
-    /// The settings in effect.
+    /// Returns the settings in effect.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Whether the controller has started.
+    /// Returns whether the controller has started.
     pub fn is_started(&self) -> bool {
         self.admission.is_some()
     }
 
-    /// Creates the controller as of the given time; its first actions are appended.
+    /// Starts the controller as of the time `started`, and appends its first actions. `cold` states whether the machine
+    /// still has to warm up.
     pub fn start(&mut self, cold: bool, started: Time, actions: &mut Vec<Action>) {
         self.settings.cold_start = cold;
         let mut admission = AdmissionController::new(self.settings.clone(), self.seed);
@@ -39,18 +41,18 @@
         self.admission = Some(admission);
     }
 
-    /// Records an event for the next decision.
+    /// Adds an event to the batch of the next decision.
     pub fn push(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// Whether events wait for a decision.
+    /// Returns whether events wait for a decision.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Decides on all events at once and appends the actions. Returns the concurrency limit, or nothing where there
-    /// was nothing to decide.
+    /// Passes all pending events to the controller as one batch and appends its actions. Returns the concurrency limit,
+    /// or `None` if there are no events or the controller has not started.
     pub fn decide(&mut self, now: Time, actions: &mut Vec<Action>) -> Option<f64> {
         if self.events.is_empty() {
             return None;
--- a/crates/heathspurd/src/event_loop/deadlines.rs
+++ b/crates/heathspurd/src/event_loop/deadlines.rs
@@ -1,19 +1,19 @@
-//! Deadlines of the event loop: the next one, and the handling of those that have passed.
+//! The deadlines of the event loop: timers, call timeouts, the drain, the link's resumption and pruning.
 
 use crate::clock;
 use crate::event_loop::EventLoop;
 use heathspur::{Event, Gauges, Span, Time, Token};
 
-/// A deadline missed by this much (10 ms) shows that the process was stalled.
+/// A deadline missed by at least this time (10 ms) indicates that the process was stalled.
 const STALL_THRESHOLD: Span = Span(10_000);
-/// Between two prunings of idempotency entries and idle connections (1 s).
+/// The interval between prunings of expired idempotency entries and idle store connections (1 s).
 pub(super) const PRUNE_INTERVAL: Span = Span(1_000_000);
 
 impl EventLoop {
-    /// The earliest of all deadlines.
+    /// Returns the earliest of all deadlines.
     pub(super) fn next_deadline(&self) -> Option<Time> {
         [
-            self.timers.next_due(),
+            self.timers.next_deadline(),
             self.calls.next_timeout(),
             self.drain.next_deadline(),
             self.interpreter.resume_deadline(),
@@ -24,7 +24,7 @@
         .min()
     }
 
-    /// Whether the process was stalled past a deadline.
+    /// Returns whether the process was stalled past a deadline.
     pub(super) fn has_stalled(&self) -> bool {
         self.next_deadline()
             .is_some_and(|at| self.now - at >= STALL_THRESHOLD)
@@ -41,7 +41,7 @@
             .resume_deadline()
             .is_some_and(|deadline| deadline <= self.now)
         {
-            self.resume_late();
+            self.on_resume_timed_out();
         }
         if self.next_prune <= self.now {
             self.next_prune = self.now + PRUNE_INTERVAL;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Delivers due timers: with gauges where the interpreter answers in time, else without.
+    /// Delivers due timers, with gauges if the interpreter answers the query in time.
     fn handle_timers(&mut self) {
         while let Some(token) = self.timers.pop_due(self.now) {
             if self.interpreter.is_up() {
@@ -60,13 +60,13 @@
                 self.controller.push(timer_without_gauges(token));
             }
         }
-        while let Some(token) = self.timers.pop_unanswered(self.now) {
+        while let Some(token) = self.timers.pop_timed_out(self.now) {
             self.controller.push(timer_without_gauges(token));
         }
     }
 }
 
-/// The event of a timer for which no gauges were read.
+/// Returns the event of a due timer without gauges.
 pub(super) fn timer_without_gauges(token: Token) -> Event {
     Event::Timer {
         token,
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carries out the admission controller's actions.
+//! Performs the admission controller's actions.
 
 use crate::clock;
 use crate::event_loop::execution::{ExecutionState, LastCommand};
@@ -9,6 +9,7 @@
 use tracing::info;
 
 impl EventLoop {
+    /// Performs one action.
     pub(super) fn dispatch(&mut self, action: Action) {
         match action {
             Action::Run(id) => self.start_run(id),
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Answers a request as rejected and discards it.
     fn reject(&mut self, id: RequestId, retry_after: Option<Span>, no_retry: bool) {
         if let Some(members) = &self.members {
             members.count_rejection();
@@ -50,6 +52,7 @@
         self.discard(id);
     }
 
+    /// Retains the idempotency entry of a request, and with it the result, for the time `ttl` from now on.
     fn retain_result(&mut self, id: RequestId, ttl: Span) {
         if let Some(key) = self.table.get(id).and_then(|entry| entry.key.as_ref()) {
             self.idempotency
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Answers a repeat with the result of the attempt that ran, or has it wait for that result.
+    /// Answers a repeat with the result of the attempt that ran, or lets it wait if that result is pending.
     fn replay_result(&mut self, id: RequestId) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Closes idle connections after this time from now on; zero stands for the timeout of the settings.
+    /// Sets the time after which idle connections are closed. Zero restores the timeout of the settings.
     fn set_idle_timeout(&mut self, after: Span) {
         let timeout = if after == Span(0) {
             self.controller.settings().client_idle_timeout
--- a/crates/heathspurd/src/event_loop/execution.rs
+++ b/crates/heathspurd/src/event_loop/execution.rs
@@ -1,102 +1,103 @@
 //! The state machine of one request's execution.
 //!
-//! Every transition is a method of [`ExecutionState`]. The event loop does the rest of a transition: commands to the
-//! interpreter, dependency calls and events for the admission controller.
+//! Every transition is a method of [`ExecutionState`]. The event loop performs the side effects of a transition: it
+//! sends commands to the interpreter, makes dependency calls and reports events to the admission controller.
 
 use crate::peers::store::CallId;
 use bytes::Bytes;
 use heathspur::{Preemption, Time};
 
-/// The last command of a run, kept so that it can be sent again on a new link.
+/// The last command of a run, stored so that it can be resent after a reconnection.
 #[derive(Clone, Debug)]
 pub(crate) enum LastCommand {
     /// Start the run.
     Run,
     /// Resume the paused run.
     Resume,
-    /// Continue the run with the reply of its call.
+    /// Continue the run with the reply to its call.
     CompleteCall(Bytes),
-    /// Continue the run without the call that the notice of this number asked for.
+    /// Continue the run without its call; the number is that of the notice that requested the call.
     SkipCall(u64),
 }
 
-/// The delivery of a run's last command, as far as it is known.
+/// What is known about the delivery of a run's last command to the interpreter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CommandDelivery {
-    /// No link that carried it has broken: it was sent on the current link before the gauge query of this number, or
-    /// it has not been sent yet.
-    CurrentLink { before_query: u64 },
-    /// Sent on a link that broke: the command may be lost, or the notice that the run has ended.
+    /// The command was sent on the current connection, before the gauge query of this number, or has not been sent yet.
+    CurrentConnection { before_query: u64 },
+    /// The command was sent on a connection that broke. Either the command or the notice that the run has ended may be
+    /// lost.
     Uncertain,
-    /// Sent on a link that broke after it had answered a later query: the interpreter has it.
+    /// The command was sent on a connection that broke, but a gauge query sent after it was answered before that, so
+    /// the interpreter has received it.
     Confirmed,
 }
 
 /// A dependency call that a run needs.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCall {
-    /// The number of the notice that asked for it.
+    /// The number of the notice that requested it.
     pub index: u64,
     pub body: Bytes,
 }
 
-/// A dependency call that the store link carries out.
+/// A dependency call that the store link is making.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InFlightCall {
     pub id: CallId,
     pub started: Time,
-    /// When the event loop gives it up.
+    /// When the event loop abandons the call.
     pub deadline: Time,
 }
 
-/// A run that the interpreter has been asked for.
+/// A run that has been requested from the interpreter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Run {
-    /// When it was started first; a pause does not change it.
+    /// When the run was first started. Pausing and resuming do not change it.
     pub started: Time,
-    /// Whether the controller has asked to stop it. It stays set until the run ends, also when the run needs a call
-    /// before the interpreter has seen the stop.
+    /// Whether the controller has requested that the run be stopped. Remains set until the run ends, even if the run
+    /// requests a call before the interpreter has processed the stop.
     pub stop_requested: bool,
 }
 
 /// The state of a request's execution.
 #[derive(Clone, Debug)]
 pub(crate) enum ExecutionState {
-    /// Waits for the controller's decision.
+    /// The request waits for the controller's decision.
     Queued,
-    /// The interpreter runs it, or is about to.
+    /// The interpreter runs the request, or the command to run it is on its way.
     Running {
         run: Run,
         last_command: LastCommand,
         delivery: CommandDelivery,
     },
-    /// Stopped by the controller; its run can be continued.
+    /// The controller has stopped the run, and can resume it.
     Paused { started: Time },
-    /// Its run needs a call that is not in flight.
+    /// The run needs a call that is not in flight.
     AwaitingCall { run: Run, call: PendingCall },
-    /// Its run needs a call that is in flight.
+    /// The run needs a call that is in flight.
     Calling {
         run: Run,
         call: PendingCall,
         in_flight: InFlightCall,
     },
-    /// Waits for the result of another attempt with the same key.
+    /// The request waits for the result of another attempt with the same key.
     AwaitingResult { since: Time },
 }
 
-/// How a run's need for a call changed the state.
+/// The effect of a notice that a run needs a call.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CallRequirement {
-    /// A running request waits for a call now.
+    /// The run waits for a call from now on.
     New,
-    /// It replaces the call that the run waited for, which may be in flight.
+    /// The call replaces the one that the run waited for, which is returned if it was in flight.
     Replaces(Option<InFlightCall>),
-    /// The request has no run.
+    /// The request has no run, so the notice is ignored.
     Ignored,
 }
 
 impl ExecutionState {
-    /// Starts a queued request or continues a paused one; false in any other state.
+    /// Starts a queued request or resumes a paused one. Returns `false` in any other state.
     pub fn start_run(&mut self, now: Time, delivery: CommandDelivery) -> bool {
         let (started, last_command) = match self {
             ExecutionState::Queued => (now, LastCommand::Run),
@@ -114,7 +115,7 @@
         true
     }
 
-    /// Marks a running request to be stopped; false in any other state.
+    /// Records that a running request is to be stopped. Returns `false` in any other state.
     pub fn request_stop(&mut self) -> bool {
         let ExecutionState::Running { run, .. } = self else {
             return false;
@@ -123,8 +124,9 @@
         true
     }
 
-    /// The run needs a call. A run that already waited for one has taken the repeated reply of an earlier call for
-    /// the reply of this one, so the new call replaces it; else all later replies would come one call late.
+    /// Records that the run needs a call. If the run already waited for one, the interpreter has received a repeated
+    /// reply to an earlier call and used it as the reply to this one. The new call therefore replaces the pending one;
+    /// otherwise each later call would receive the reply to the call before it.
     pub fn require_call(&mut self, call: PendingCall) -> CallRequirement {
         let (run, requirement) = match self {
             ExecutionState::Running { run, .. } => (*run, CallRequirement::New),
@@ -138,7 +140,7 @@
         requirement
     }
 
-    /// The call that the run waits for is in flight now.
+    /// Records that the call that the run waits for is in flight.
     pub fn begin_call(&mut self, in_flight: InFlightCall) {
         *self = match std::mem::replace(self, ExecutionState::Queued) {
             ExecutionState::AwaitingCall { run, call } => ExecutionState::Calling {
@@ -150,7 +152,8 @@
         };
     }
 
-    /// The call in flight has ended or was given up: the run waits for it to be made again or replaced.
+    /// Records that the call in flight has ended or was abandoned, and returns it. The run then waits until the call is
+    /// retried, skipped or replaced.
     pub fn end_call(&mut self) -> Option<InFlightCall> {
         match std::mem::replace(self, ExecutionState::Queued) {
             ExecutionState::Calling {
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Resumes a run that needs a call, with the command that follows from the call; false in any other state.
+    /// Resumes a run that waits for a call; `command` returns the command to send. Returns `false` in any other state.
     pub fn resume_run(
         &mut self,
         command: impl FnOnce(&PendingCall) -> LastCommand,
@@ -187,7 +190,7 @@
         true
     }
 
-    /// The run was stopped before its end: it is paused, or will start anew.
+    /// Records that the run was stopped before it completed. It is paused, or queued to restart from the beginning.
     pub fn preempt(&mut self, preemption: Preemption) {
         let Some(run) = self.run() else {
             return;
@@ -200,16 +203,16 @@
         };
     }
 
-    /// A queued request waits for another attempt's result from now on.
+    /// Lets a queued request wait for another attempt's result.
     pub fn await_result(&mut self, now: Time) {
         if matches!(self, ExecutionState::Queued) {
             *self = ExecutionState::AwaitingResult { since: now };
         }
     }
 
-    /// The link broke after it had answered the gauge query `last_answered`. A reply to a call names no call, so one
-    /// that the interpreter has must not be sent again: the run may wait for its next call by then. Any other command
-    /// may be sent twice.
+    /// Records that the connection broke after the gauge query `last_answered` was answered. The reply to a call does
+    /// not identify the call, so a reply that the interpreter has received must not be resent: the run may already wait
+    /// for its next call. Any other command may be sent twice.
     pub fn mark_uncertain(&mut self, last_answered: u64) {
         let ExecutionState::Running {
             last_command,
@@ -221,7 +224,7 @@
         };
         *delivery = match (*delivery, last_command) {
             (CommandDelivery::Confirmed, _) => CommandDelivery::Confirmed,
-            (CommandDelivery::CurrentLink { before_query }, LastCommand::CompleteCall(_))
+            (CommandDelivery::CurrentConnection { before_query }, LastCommand::CompleteCall(_))
                 if before_query <= last_answered =>
             {
                 CommandDelivery::Confirmed
@@ -230,7 +233,7 @@
         };
     }
 
-    /// The last command is about to be sent on a new link, unless the interpreter is known to have it.
+    /// Records that the last command is resent on a new connection, unless the interpreter has confirmed it.
     pub fn mark_resent(&mut self, sent: CommandDelivery) {
         if let ExecutionState::Running { delivery, .. } = self {
             if *delivery != CommandDelivery::Confirmed {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// The run, where there is one that has not ended or been paused.
+    /// Returns the run, if there is one that has neither ended nor been paused.
     pub fn run(&self) -> Option<Run> {
         match self {
             ExecutionState::Running { run, .. }
@@ -251,7 +254,7 @@
         }
     }
 
-    /// The delivery of a running request's last command.
+    /// Returns the delivery of a running request's last command.
     pub fn delivery(&self) -> Option<CommandDelivery> {
         match self {
             ExecutionState::Running { delivery, .. } => Some(*delivery),
@@ -259,7 +262,7 @@
         }
     }
 
-    /// Whether the run was started by the last command, not resumed or continued.
+    /// Returns whether the last command was to start the run, rather than to resume or continue it.
     pub fn is_starting(&self) -> bool {
         matches!(
             self,
@@ -270,12 +273,13 @@
         )
     }
 
-    /// Whether the notice of the run's end may be among those that were lost. A run that may simply be started again
-    /// does no harm, and one that waits for a call ends there only once its client is owed no reply.
+    /// Returns whether the notice of the run's end may be among the lost ones. It is `false` for an idempotent run
+    /// whose last command was to start, because starting it again does no harm. A run that waits for a call can have
+    /// ended only if no answer is due to its client.
     pub fn may_have_ended_unnoticed(&self, is_idempotent: bool, owes_reply: bool) -> bool {
         match self {
             ExecutionState::Running {
-                delivery: CommandDelivery::CurrentLink { .. },
+                delivery: CommandDelivery::CurrentConnection { .. },
                 ..
             } => false,
             ExecutionState::Running { run, .. } if self.is_starting() && !run.stop_requested => {
--- a/crates/heathspurd/src/event_loop/inbox.rs
+++ b/crates/heathspurd/src/event_loop/inbox.rs
@@ -1,10 +1,10 @@
-//! The events that reach the event loop beside requests.
+//! The events that the event loop receives in addition to requests.
 
 use crate::peers::interpreter;
 use crate::peers::store;
 use heathspur::RequestId;
 
-/// An event from a front end or a peer.
+/// An event from a frontend or a peer.
 #[derive(Debug)]
 pub(crate) enum LoopEvent {
     /// The client of a request has disconnected.
--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -1,4 +1,4 @@
-//! Events of the interpreter's link: ends of runs, calls that runs need, gauges, the link's state.
+//! Handling of events from the interpreter's link: ended runs, requested calls, gauges and the state of the link.
 
 use crate::event_loop::deadlines::timer_without_gauges;
 use crate::event_loop::execution::{CallRequirement, PendingCall};
@@ -11,7 +11,7 @@
 use heathspur_wire::interpreter::{RunOutcome, Warmth};
 use tracing::warn;
 
-/// The names of commands in refusals.
+/// The verbs by which the interpreter names a command that it has rejected.
 const GAUGES_COMMAND: &str = "TOP";
 const START_COMMAND: &str = "APPLY";
 
@@ -49,14 +49,14 @@
         }
     }
 
-    /// The link is connected, to an interpreter that started `started_ms_ago` ago.
+    /// Handles a new connection to an interpreter that started `started_ms_ago` milliseconds ago.
     fn on_connected(&mut self, warmth: Warmth, started_ms_ago: f64) {
         let age = Span::from_secs(started_ms_ago / 1000.0);
         self.start_controller(warmth == Warmth::Cold, self.now - age);
         self.interpreter.begin_resume(self.now);
     }
 
-    /// The link broke: commands may be lost, and gauge queries will not be answered.
+    /// Handles the loss of the connection: commands may be lost, and pending gauge queries will not be answered.
     fn on_disconnected(&mut self) {
         let last_answered = self.interpreter.last_answered();
         if self.interpreter.disconnect() {
@@ -68,13 +68,13 @@
         }
     }
 
-    /// A gauge query was answered, after all notices that were missed before it.
+    /// Handles the answer to a gauge query. All notices that were missed before the query have arrived by then.
     fn on_gauges(&mut self, query: u64, readings: &[f64]) {
         self.interpreter.record_answer(query);
         if self.interpreter.resumes_with(query) {
             return self.finish_resume();
         }
-        if self.interpreter.is_late() {
+        if self.interpreter.is_answer_overdue() {
             self.finish_resume();
         }
         if let Some(token) = self.timers.take_answered(query) {
@@ -83,18 +83,19 @@
         }
     }
 
+    /// Resumes the link after all missed notices have arrived.
     fn finish_resume(&mut self) {
         let resend = self.interpreter.finish_resume();
         self.resend_matching(resend);
     }
 
-    /// The wait for missed notices is over.
-    pub(super) fn resume_late(&mut self) {
-        let resend = self.interpreter.resume_late();
+    /// Handles the timeout of the wait for missed notices.
+    pub(super) fn on_resume_timed_out(&mut self) {
+        let resend = self.interpreter.time_out_resume();
         self.resend_matching(resend);
     }
 
-    /// Sends the last commands of running requests that `resend` covers on the current link.
+    /// Sends the last commands of the running requests that `resend` covers on the current connection.
     fn resend_matching(&mut self, resend: Resend) {
         let matching = self.table.find(|entry| {
             let delivery = entry.execution.delivery();
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A run needs a call.
+    /// Handles the notice that a run needs a call.
     fn on_call_needed(&mut self, id: RequestId, call: PendingCall) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -123,11 +124,14 @@
         }
     }
 
-    /// More notices were missed than the interpreter retains, so the end of a run may be among the lost ones. A run
-    /// that may have ended is not started again, unless that does no harm, and must not occupy a slot for ever: it
-    /// counts as failed.
+    /// Handles the loss of notices: more were missed than the interpreter retains, so the end of a run may be among
+    /// them. A run that may have ended counts as failed: it must not be started again unless that does no harm, and
+    /// must not occupy a slot indefinitely.
     fn on_notices_lost(&mut self) {
-        warn!("the interpreter no longer retains notices that were missed");
+        warn!(
+            "the interpreter no longer retains the notices that this server missed; \
+             runs that may have ended count as failed"
+        );
         let classes = &self.controller.settings().classes;
         let lost = self.table.find(|entry| {
             let is_idempotent = classes[entry.class.0].idempotency == Idempotency::Idempotent;
@@ -140,24 +144,21 @@
         }
     }
 
-    /// The interpreter refused a command. Without gauges there is no answer to wait for; a run that it refused to
-    /// start has failed.
+    /// Handles a command that the interpreter rejected. A rejected gauge query will not be answered, so a resumption
+    /// that waits for the answer is finished. A run whose start was rejected has failed.
     fn on_command_rejected(&mut self, command: &str, attempt: Option<AttemptId>) {
         if command == GAUGES_COMMAND && self.interpreter.is_resuming() {
             self.finish_resume();
         }
         if command == START_COMMAND {
-            let refused = attempt
+            let rejected = attempt
                 .and_then(|attempt| self.table.find_attempt(&attempt))
                 .filter(|id| self.is_starting(*id));
-            if let Some(id) = refused {
+            if let Some(id) = rejected {
                 self.on_run_ended(id, RunOutcome::Failed, Bytes::new());
             }
         }
-        warn!(
-            command,
-            "the interpreter did not carry out the command {command:?}"
-        );
+        warn!(command, "the interpreter rejected the command {command:?}");
     }
 
     fn is_starting(&self, id: RequestId) -> bool {
@@ -166,7 +167,8 @@
             .is_some_and(|entry| entry.execution.is_starting())
     }
 
-    /// A run has ended, or was stopped to be continued or started again later.
+    /// Handles the end of a run. A run that was stopped at the controller's request, and to whose client an answer is
+    /// still due, is paused or queued again.
     fn on_run_ended(&mut self, id: RequestId, end: RunOutcome, body: Bytes) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
@@ -198,7 +200,7 @@
     }
 }
 
-/// The outcome of a run for the controller.
+/// Converts the outcome of a run to the form that the controller receives.
 fn outcome(end: RunOutcome) -> Outcome {
     match end {
         RunOutcome::Succeeded => Outcome::Ok,
--- a/crates/heathspurd/src/event_loop/interpreter_session.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_session.rs
@@ -1,5 +1,5 @@
-//! The event loop's side of the interpreter's link: its state, the answered gauge queries, and the commands to send
-//! again after a reconnection.
+//! The event loop's state of the interpreter's link: whether commands can be sent, which gauge queries were answered,
+//! and which commands must be resent after a reconnection.
 
 use crate::event_loop::execution::CommandDelivery;
 use crate::peers::interpreter::Link;
@@ -7,42 +7,43 @@
 use heathspur_wire::interpreter::Command;
 use std::rc::Rc;
 
-/// The longest wait for missed notices once a link is up again (1 s).
+/// The longest wait for missed notices after a reconnection (1 s).
 const RESUME_TIMEOUT: Span = Span(1_000_000);
 
-/// Whether commands reach the interpreter.
+/// The state of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
     Down,
-    /// Connected. All missed notices have come once this query is answered, or are late by the deadline.
+    /// Connected, but commands are not sent yet. All missed notices have arrived once this gauge query is answered; the
+    /// wait for the answer ends at the deadline.
     Resuming {
         query: u64,
         deadline: Time,
     },
-    /// The answer is late, so missed notices may yet come. Commands of an earlier link are not sent again: their runs
-    /// may have ended, and would run twice.
-    Late,
+    /// The deadline passed without an answer, so missed notices may still arrive. Commands are sent, but those that
+    /// were sent on an earlier connection are not resent: their runs may have ended, and would run twice.
+    AnswerOverdue,
     Up,
 }
 
-/// The running requests whose last command is to be sent on the current link.
+/// Selects the running requests whose last command is sent on the current connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Resend {
     All,
-    /// Those that no link carried before.
+    /// Only commands that were not sent on an earlier connection.
     OnlyUnsent,
-    /// Those that an earlier link carried.
-    OnlyResent,
+    /// Only commands that were sent on an earlier connection.
+    OnlyPreviouslySent,
 }
 
 impl Resend {
-    /// Whether it covers a command with this delivery.
+    /// Returns whether the selection covers a command with this delivery.
     pub fn covers(self, delivery: CommandDelivery) -> bool {
-        let unsent = matches!(delivery, CommandDelivery::CurrentLink { .. });
+        let unsent = matches!(delivery, CommandDelivery::CurrentConnection { .. });
         match self {
             Resend::All => true,
             Resend::OnlyUnsent => unsent,
-            Resend::OnlyResent => !unsent,
+            Resend::OnlyPreviouslySent => !unsent,
         }
     }
 }
@@ -52,12 +53,13 @@
     link: Rc<Link>,
     state: LinkState,
     next_query: u64,
-    /// The last query that was answered. Queries are answered in order, and after all commands sent before them.
+    /// The last query that was answered. The interpreter answers queries in order, after it has processed all commands
+    /// sent before them.
     last_answered: u64,
 }
 
 impl InterpreterSession {
-    /// A session on a link that is down.
+    /// Creates the session of a link that is down.
     pub fn new(link: Rc<Link>) -> InterpreterSession {
         InterpreterSession {
             link,
@@ -67,9 +69,9 @@
         }
     }
 
-    /// Whether commands reach the interpreter.
+    /// Returns whether commands can be sent to the interpreter.
     pub fn is_up(&self) -> bool {
-        matches!(self.state, LinkState::Up | LinkState::Late)
+        matches!(self.state, LinkState::Up | LinkState::AnswerOverdue)
     }
 
     /// Sends a command on the link.
@@ -77,7 +79,7 @@
         self.link.send(command);
     }
 
-    /// Asks for the gauges; returns the number of the query.
+    /// Sends a gauge query and returns its number.
     pub fn query_gauges(&mut self) -> u64 {
         let query = self.next_query;
         self.next_query += 1;
@@ -85,14 +87,14 @@
         query
     }
 
-    /// The delivery of a command that is sent now.
+    /// Returns the delivery of a command that is sent now.
     pub fn delivery(&self) -> CommandDelivery {
-        CommandDelivery::CurrentLink {
+        CommandDelivery::CurrentConnection {
             before_query: self.next_query,
         }
     }
 
-    /// The link is connected: queries the gauges, whose answer comes after all missed notices.
+    /// Starts the resumption on a new connection: sends a gauge query, whose answer follows all missed notices.
     pub fn begin_resume(&mut self, now: Time) {
         let query = self.query_gauges();
         self.state = LinkState::Resuming {
@@ -101,58 +103,61 @@
         };
     }
 
-    /// Whether missed notices may yet come.
+    /// Returns whether missed notices may still arrive.
     pub fn is_resuming(&self) -> bool {
-        matches!(self.state, LinkState::Resuming { .. } | LinkState::Late)
+        matches!(
+            self.state,
+            LinkState::Resuming { .. } | LinkState::AnswerOverdue
+        )
     }
 
-    /// Whether the answer was late.
-    pub fn is_late(&self) -> bool {
-        self.state == LinkState::Late
+    /// Returns whether the wait for missed notices has timed out and they may still arrive.
+    pub fn is_answer_overdue(&self) -> bool {
+        self.state == LinkState::AnswerOverdue
     }
 
-    /// Whether the link waits for the answer to this query to resume.
+    /// Returns whether the answer to this query completes the resumption.
     pub fn resumes_with(&self, query: u64) -> bool {
         matches!(self.state, LinkState::Resuming { query: expected, .. } if expected == query)
     }
 
-    /// When the wait for missed notices ends.
+    /// Returns when the wait for missed notices times out.
     pub fn resume_deadline(&self) -> Option<Time> {
         match self.state {
             LinkState::Resuming { deadline, .. } => Some(deadline),
-            LinkState::Up | LinkState::Late | LinkState::Down => None,
+            LinkState::Up | LinkState::AnswerOverdue | LinkState::Down => None,
         }
     }
 
-    /// All missed notices have come.
+    /// Completes the resumption after all missed notices have arrived. Returns the commands to resend.
     pub fn finish_resume(&mut self) -> Resend {
         match std::mem::replace(&mut self.state, LinkState::Up) {
-            LinkState::Late => Resend::OnlyResent,
+            LinkState::AnswerOverdue => Resend::OnlyPreviouslySent,
             _ => Resend::All,
         }
     }
 
-    /// The wait for missed notices is over, and they may yet come.
-    pub fn resume_late(&mut self) -> Resend {
-        self.state = LinkState::Late;
+    /// Ends the wait for missed notices, which may still arrive. Returns the commands to send.
+    pub fn time_out_resume(&mut self) -> Resend {
+        self.state = LinkState::AnswerOverdue;
         Resend::OnlyUnsent
     }
 
-    /// The link broke; returns whether commands reached the interpreter until then.
+    /// Marks the link as down. Returns whether it was up, so that commands may have been lost.
     pub fn disconnect(&mut self) -> bool {
         let was_up = self.is_up();
         self.state = LinkState::Down;
         was_up
     }
 
-    /// Records the answer to a query.
+    /// Records the answer to a gauge query. Answers to queries that were never sent are ignored.
     pub fn record_answer(&mut self, query: u64) {
         if query < self.next_query {
             self.last_answered = self.last_answered.max(query);
         }
     }
 
-    /// The last query that was answered.
+    /// Returns the number of the last answered query, or 0 if there is none.
     pub fn last_answered(&self) -> u64 {
         self.last_answered
     }
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -1,9 +1,11 @@
-//! The one task that owns the admission controller and the state of all requests. Each turn takes in all
-//! input as one batch, lets the controller decide once, and carries its actions out in order. It never waits for a peer.
+//! The event loop: the one task that owns the admission controller and the state of all requests. Each iteration
+//! processes all pending input as one batch, lets the controller decide once, and performs the resulting actions in
+//! order. The event loop never waits for a peer.
 //!
-//! A request passes through `admission` (registered and passed to the controller), `dispatch` (the controller's
-//! actions), `commands` (to interpreter and store), `interpreter_events` and `store_events` (their results) and
-//! `completion` (answered and released). `execution` has the states that it goes through.
+//! A request passes through these modules: `admission` submits it to the controller, `dispatch` performs the
+//! controller's actions, `commands` sends commands to the interpreter and the store, `interpreter_events` and
+//! `store_events` handle their results, and `completion` answers and releases the request. `execution` defines the
+//! states of a request's execution.
 
 mod admission;
 mod commands;
@@ -51,15 +53,15 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Requests that one turn takes in at most.
-const MAX_REQUESTS_PER_TURN: usize = 64;
-/// Other events that one turn takes in at most, and that may wait for it.
+/// Maximum number of queued requests that one iteration processes.
+const MAX_REQUESTS_PER_ITERATION: usize = 64;
+/// Capacity of the inbox for other events, and the maximum number of them that one iteration processes.
 pub(crate) const INBOX_CAPACITY: usize = 1024;
-/// Time after a stall in which readers take in the input that arrived meanwhile. The reactor wakes timers first, possibly from
-/// a thread of its own; within this time it has woken the readers too.
+/// Time that readers get after a stall to read the input that arrived during it. The reactor wakes timers first,
+/// possibly from another thread; within this time it has woken the readers too.
 const STALL_READ_TIME: Duration = Duration::from_millis(1);
 
-/// The cause of the next turn.
+/// The cause of the next iteration.
 enum Wakeup {
     Request(IncomingRequest),
     Event(LoopEvent),
@@ -67,12 +69,12 @@
     Deadline,
 }
 
-/// The parts that an event loop is built from.
+/// The components from which an [`EventLoop`] is created.
 pub(crate) struct EventLoopParts {
     pub settings: Settings,
-    /// Seeds the controller's random numbers.
+    /// The seed of the controller's random numbers.
     pub seed: u64,
-    /// From the signal to drain to the end of the process.
+    /// The time from the signal to drain until the platform kills the process.
     pub stop_timeout: Duration,
     pub frontend: Rc<FrontendContext>,
     pub readiness: Rc<Readiness>,
@@ -80,15 +82,16 @@
     pub store: Rc<store::Link<LoopEvent>>,
     pub peer_addresses: PeerAddresses,
     pub idempotency: IdempotencyStore,
+    /// The fleet membership, if it is enabled.
     pub members: Option<MembershipHandle>,
     pub signals: Rc<SignalState>,
-    /// Closed by the event loop once no new request is accepted.
+    /// Closed by the event loop once no new requests are accepted.
     pub stop_accepting: Sender<()>,
-    /// Notified of each connection that closes during a drain.
+    /// Passed to the connection pool, which sends an item for each connection that closes during a drain.
     pub connection_closed: Sender<()>,
 }
 
-/// The owner of the admission controller and of all requests. Each part owns its state.
+/// The event loop, which owns the admission controller and the state of all requests.
 pub(crate) struct EventLoop {
     controller: Controller,
     timers: ControllerTimers,
@@ -99,19 +102,19 @@
     peer_addresses: PeerAddresses,
     frontend: Rc<FrontendContext>,
     readiness: Rc<Readiness>,
-    /// The fleet membership, where it is on.
+    /// The fleet membership, if it is enabled.
     members: Option<MembershipHandle>,
     signals: Rc<SignalState>,
     drain: Drain,
     connection_closed: Sender<()>,
     clock: Clock,
-    /// The time of this turn.
+    /// The time of the current iteration.
     now: Time,
     next_prune: Time,
 }
 
 impl EventLoop {
-    /// An event loop without requests, whose controller has not started.
+    /// Creates an event loop without requests, whose controller has not started.
     pub fn new(parts: EventLoopParts) -> EventLoop {
         let clock = Clock::start();
         let now = clock.now();
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Runs until the server has drained.
+    /// Runs the event loop until the server has drained.
     pub async fn run(
         mut self,
         mut requests: RequestQueues<IncomingRequest>,
@@ -144,14 +147,14 @@
         let mut actions = Vec::new();
         loop {
             let wakeup = self.wait(&mut requests, &inbox).await;
-            // Input that has arrived precedes a deadline that was missed: let the readers run first.
+            // Input that has already arrived is processed before a deadline that was missed, so the readers run first.
             future::yield_now().await;
             self.now = self.clock.now();
             if self.has_stalled() {
                 Timer::after(STALL_READ_TIME).await;
                 self.now = self.clock.now();
             }
-            self.take_inputs(wakeup, &mut requests, &inbox);
+            self.process_input(wakeup, &mut requests, &inbox);
             self.handle_deadlines();
             self.decide(&mut actions);
             if self.is_drained() {
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Waits for input or for the next deadline; not at all while events wait for a decision.
+    /// Waits for input or the next deadline. Returns immediately if events wait for a decision.
     async fn wait(
         &self,
         requests: &mut RequestQueues<IncomingRequest>,
@@ -190,9 +193,9 @@
         future::or(signal, future::or(event, future::or(request, deadline))).await
     }
 
-    /// Takes in all input that has arrived. Events come before requests: results, gauges and notices are few and must not wait
-    /// behind a burst of requests.
-    fn take_inputs(
+    /// Processes all input that has arrived, up to the limits per iteration. Events are processed before requests:
+    /// results, gauges and notices are few and must not wait behind a burst of requests.
+    fn process_input(
         &mut self,
         wakeup: Wakeup,
         requests: &mut RequestQueues<IncomingRequest>,
@@ -208,7 +211,7 @@
             let Ok(event) = inbox.try_recv() else { break };
             self.on_event(event);
         }
-        for _ in 0..MAX_REQUESTS_PER_TURN {
+        for _ in 0..MAX_REQUESTS_PER_ITERATION {
             let Some(request) = requests.try_next() else {
                 break;
             };
@@ -218,60 +221,65 @@
 
     fn on_request(&mut self, request: IncomingRequest) {
         self.start_controller(self.controller.settings().cold_start, self.now);
-        self.admit(request);
+        self.submit_request(request);
     }
 
     fn on_event(&mut self, event: LoopEvent) {
         match event {
             LoopEvent::ClientDisconnected(id) => self.on_client_disconnected(id),
+            // The event only wakes the event loop, which then checks whether the drain is complete.
             LoopEvent::ConnectionClosed => {}
             LoopEvent::Interpreter(event) => self.on_interpreter_event(event),
             LoopEvent::Store(event) => self.on_call_completed(event),
         }
     }
 
-    /// Starts the controller, once, as of the given time.
+    /// Starts the controller as of the time `started`, unless it has started.
     fn start_controller(&mut self, cold: bool, started: Time) {
         if self.controller.is_started() {
             return;
         }
         let mut actions = Vec::new();
         self.controller.start(cold, started, &mut actions);
-        self.carry_out(&mut actions);
+        self.dispatch_all(&mut actions);
     }
 
-    /// Has the controller decide on the events of this turn, and carries its actions out.
+    /// Lets the controller decide on the pending events, and performs its actions.
     fn decide(&mut self, actions: &mut Vec<Action>) {
         let Some(concurrency_limit) = self.controller.decide(self.now, actions) else {
             return;
         };
-        self.carry_out(actions);
+        self.dispatch_all(actions);
         if let Some(members) = &self.members {
             members.set_load(self.table.len(), concurrency_limit);
         }
     }
 
-    fn carry_out(&mut self, actions: &mut Vec<Action>) {
+    fn dispatch_all(&mut self, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             self.dispatch(action);
         }
     }
 
+    /// Handles the requests of signals.
     fn handle_signals(&mut self) {
         let requests = self.signals.take();
         if let Some(config) = requests.config {
-            self.move_peers(&config);
+            self.update_peer_addresses(&config);
         }
         if requests.drain {
             self.begin_drain();
         }
     }
 
-    /// Takes the peers' addresses from a new configuration. Its other fields apply from the next start.
-    fn move_peers(&mut self, config: &Config) {
+    /// Applies the peers' addresses of a reloaded configuration. Its other fields take effect at the next start.
+    fn update_peer_addresses(&mut self, config: &Config) {
         let (interpreter, registration) = (config.interpreter, config.registration);
         let store = config.store;
-        info!(%interpreter, %registration, ?store, "peers at {interpreter}, {registration} and {store:?}");
+        info!(
+            %interpreter, %registration, ?store,
+            "peer addresses reloaded: interpreter {interpreter}, registration service {registration}, store {store:?}"
+        );
         self.peer_addresses.set(config);
         self.calls.set_address(store);
     }
--- a/crates/heathspurd/src/event_loop/peer_addresses.rs
+++ b/crates/heathspurd/src/event_loop/peer_addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of the peers that a new configuration may move.
+//! The peer addresses that a configuration reload can change.
 
 use crate::config::Config;
 use crate::peers::connection::PeerAddress;
@@ -11,7 +11,7 @@
 }
 
 impl PeerAddresses {
-    /// The addresses in a configuration.
+    /// Creates the addresses from a configuration.
     pub fn new(config: &Config) -> PeerAddresses {
         PeerAddresses {
             interpreter: Rc::new(PeerAddress::new(config.interpreter)),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Moves the peers to the addresses in a new configuration.
+    /// Sets the addresses to those of a reloaded configuration.
     pub fn set(&self, config: &Config) {
         self.interpreter.set(config.interpreter);
         self.registration.set(config.registration);
--- a/crates/heathspurd/src/event_loop/request_table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of all requests that the admission controller knows.
+//! The table of all requests that were submitted to the admission controller and not released yet.
 
 use crate::event_loop::execution::ExecutionState;
 use crate::frontend::{Answer, AttemptId, IncomingRequest};
@@ -8,33 +8,33 @@
 use heathspur::{ClassId, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// One request, from its admission until its release.
+/// One request.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub attempt: AttemptId,
     pub class: ClassId,
     pub body: Bytes,
-    /// Where its answer goes, until it is answered or its client is gone.
+    /// Receives the answer; `None` once the request is answered or its client has disconnected.
     reply: Option<Sender<Answer>>,
-    /// The key that it shares with its repeats.
+    /// The key that it shares with its repeats, if any.
     pub key: Option<Key>,
     pub execution: ExecutionState,
 }
 
 impl Entry {
-    /// Whether an answer is due.
+    /// Returns whether an answer to the client is due.
     pub fn owes_reply(&self) -> bool {
         self.reply.is_some()
     }
 
-    /// Takes the sender of the answer, after which none is due.
+    /// Removes and returns the sender of the answer. No answer is due afterwards.
     pub fn take_reply(&mut self) -> Option<Sender<Answer>> {
         self.reply.take()
     }
 }
 
-/// All requests from their admission until their release. Bounded by the connections, and for requests that are
-/// answered and still run by the controller's concurrency limit.
+/// The table of requests. The number of unanswered requests is bounded by the number of connections, and that of
+/// answered requests that still run by the controller's concurrency limit.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     entries: BTreeMap<RequestId, Entry>,
@@ -42,27 +42,27 @@
 }
 
 impl RequestTable {
-    /// The number of requests in any state.
+    /// Returns the number of requests in any state.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The request with this id, for a change.
+    /// Returns a mutable reference to the request with this id.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Entry> {
         self.entries.get_mut(&id)
     }
 
-    /// The request with this id.
+    /// Returns the request with this id.
     pub fn get(&self, id: RequestId) -> Option<&Entry> {
         self.entries.get(&id)
     }
 
-    /// The request with this attempt id on the wire.
+    /// Returns the request with this attempt id, which the client has assigned.
     pub fn find_attempt(&self, attempt: &AttemptId) -> Option<RequestId> {
         self.attempts.get(attempt).copied()
     }
 
-    /// The requests that match a predicate, oldest first.
+    /// Returns the requests that match a predicate, oldest first.
     pub fn find(&self, predicate: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
         self.entries
             .iter()
@@ -71,12 +71,12 @@
             .collect()
     }
 
-    /// Whether an answer is due to any request.
+    /// Returns whether an answer to any request is due.
     pub fn owes_reply(&self) -> bool {
         self.entries.values().any(Entry::owes_reply)
     }
 
-    /// Applies a change to the execution of all requests, oldest first.
+    /// Applies a change to the execution state of all requests, oldest first.
     pub fn for_each_execution(&mut self, change: impl Fn(&mut ExecutionState)) {
         self.entries
             .values_mut()
@@ -99,7 +99,7 @@
         );
     }
 
-    /// Removes a request; only the event loop's `release` does.
+    /// Removes and returns a request. Called only by `EventLoop::release`, which frees its other resources.
     pub fn remove(&mut self, id: RequestId) -> Option<Entry> {
         let entry = self.entries.remove(&id)?;
         self.attempts.remove(&entry.attempt);
--- a/crates/heathspurd/src/event_loop/shutdown.rs
+++ b/crates/heathspurd/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown: how it begins, when it is over, and the last turn.
+//! The graceful shutdown: its start, the check for its completion, and the last iteration of the event loop.
 
 use crate::event_loop::deadlines::timer_without_gauges;
 use crate::event_loop::inbox::LoopEvent;
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use tracing::info;
 
-/// For writing the last answers at the exit; well within the exit margin of a drain.
+/// The time to write the last answers before the exit. It is well within the exit margin of a drain.
 const LAST_WRITES_TIMEOUT: Duration = Duration::from_millis(20);
 
 impl EventLoop {
-    /// Begins the graceful shutdown, once.
+    /// Begins the graceful shutdown, unless it has begun.
     pub(super) fn begin_drain(&mut self) {
         if self.drain.has_begun() {
             return;
@@ -38,7 +38,8 @@
         self.controller.push(Event::Drain(plan.controller_limit));
     }
 
-    /// Stops accepting once that is due; true once everything is answered, or the exit is due.
+    /// Stops accepting requests once that is due. Returns whether the server can exit: it has stopped accepting, and
+    /// either all requests are answered and all connections closed, or the exit is due.
     pub(super) fn is_drained(&self) -> bool {
         if !self.drain.has_begun() {
             return false;
@@ -48,8 +49,8 @@
         self.drain.has_stopped_accepting() && (is_idle() || self.drain.is_exit_due(self.now))
     }
 
-    /// The last turn. Whatever delayed the process, each request that is due an answer gets it now, and the
-    /// front ends' tasks have a short time to write the answers.
+    /// Runs the last iteration. It answers every request that is still unanswered, even if the process was delayed, and
+    /// gives the frontends' tasks a short time to write the answers.
     pub(super) async fn finish(
         mut self,
         mut requests: RequestQueues<IncomingRequest>,
--- a/crates/heathspurd/src/event_loop/store_calls.rs
+++ b/crates/heathspurd/src/event_loop/store_calls.rs
@@ -1,4 +1,4 @@
-//! The dependency calls in flight: their numbers, their timeouts, and the store link that carries them out.
+//! The dependency calls in flight: their ids, their timeouts, and the store link that makes them.
 
 use crate::event_loop::execution::InFlightCall;
 use crate::event_loop::inbox::LoopEvent;
@@ -10,27 +10,30 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Added to a call's timeout before the event loop gives it up (20 ms): the store reports a timeout first.
+/// Added to a call's timeout before the event loop abandons the call (20 ms), so that the store can report the timeout
+/// first.
 const TIMEOUT_MARGIN: Span = Span(20_000);
 
-/// A call to be started.
+/// The parameters of a call to start.
 pub(crate) struct CallRequest {
     pub request: RequestId,
     pub attempt: AttemptId,
     pub timeout: Span,
     pub body: Bytes,
-    /// Whether it needs a new connection.
+    /// Whether the call needs a new connection.
     pub new_connection: bool,
 }
 
-/// All calls in flight. Bounded by the requests that wait for calls.
+/// The calls in flight. Bounded by the number of requests that wait for calls.
 pub(crate) struct StoreCalls {
     link: Rc<store::Link<LoopEvent>>,
+    /// The deadlines of the calls, with the requests that made them.
     timeouts: BTreeSet<(Time, RequestId)>,
     next_call: u64,
 }
 
 impl StoreCalls {
+    /// Creates the state of a store link without calls.
     pub fn new(link: Rc<store::Link<LoopEvent>>) -> StoreCalls {
         StoreCalls {
             link,
@@ -39,12 +42,12 @@
         }
     }
 
-    /// New calls go to this address from now on.
+    /// Sets the address to which new calls are sent.
     pub fn set_address(&self, address: Option<SocketAddr>) {
         self.link.set_address(address);
     }
 
-    /// Starts a call and its timeout.
+    /// Starts a call with its timeout.
     pub fn start(&mut self, call: CallRequest, now: Time) -> InFlightCall {
         let id = CallId(self.next_call);
         self.next_call += 1;
@@ -65,34 +68,34 @@
         }
     }
 
-    /// Releases a call whose result has come.
+    /// Releases a call that has completed.
     pub fn complete(&mut self, request: RequestId, call: InFlightCall) {
         self.timeouts.remove(&(call.deadline, request));
     }
 
-    /// Releases a call whose result nobody needs.
+    /// Abandons a call whose result is no longer needed.
     pub fn cancel(&mut self, request: RequestId, call: InFlightCall) {
         let _ = self.link.give_up(call.id);
         self.timeouts.remove(&(call.deadline, request));
     }
 
-    /// Gives up a call that took too long. The outcome says whether it may have run.
+    /// Abandons a call that has timed out. The outcome states whether the call may have taken effect.
     pub fn time_out(&self, call: CallId) -> Outcome {
         self.link.give_up_late(call)
     }
 
-    /// Takes the next request whose call has timed out.
+    /// Removes the next call that has timed out, and returns its request.
     pub fn pop_timed_out(&mut self, now: Time) -> Option<RequestId> {
         self.timeouts.first().filter(|(at, _)| *at <= now)?;
         self.timeouts.pop_first().map(|(_, request)| request)
     }
 
-    /// When the next call times out.
+    /// Returns when the next call times out.
     pub fn next_timeout(&self) -> Option<Time> {
         self.timeouts.first().map(|(at, _)| *at)
     }
 
-    /// Closes idle connections that will not be used again.
+    /// Closes idle connections that will not be reused.
     pub fn prune_connections(&self) {
         self.link.prune();
     }
--- a/crates/heathspurd/src/event_loop/store_events.rs
+++ b/crates/heathspurd/src/event_loop/store_events.rs
@@ -1,4 +1,4 @@
-//! Results of dependency calls.
+//! Handling of completed and timed-out dependency calls.
 
 use crate::event_loop::execution::{ExecutionState, InFlightCall, LastCommand};
 use crate::event_loop::EventLoop;
@@ -6,7 +6,7 @@
 use heathspur::{Event, Outcome, RequestId};
 
 impl EventLoop {
-    /// The store link has completed a call. A result of a call that was given up meanwhile is ignored.
+    /// Handles the completion of a call. The result of a call that was abandoned meanwhile is ignored.
     pub(super) fn on_call_completed(&mut self, completed: CallCompleted) {
         let id = completed.request;
         let Some(in_flight) = self.call_in_flight(id) else {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The timeout of a request's call has passed.
+    /// Handles the timeout of a request's call.
     pub(super) fn on_call_timed_out(&mut self, id: RequestId) {
         if let Some(in_flight) = self.call_in_flight(id) {
             let outcome = self.calls.time_out(in_flight.id);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Reports the end of a request's call to the controller; the run waits for its decision.
+    /// Ends a request's call and reports it to the controller, on whose decision the run then waits.
     fn end_call(&mut self, id: RequestId, outcome: Outcome) {
         let ended = self
             .table
