--- a/crates/heathspur/src/action.rs
+++ b/crates/heathspur/src/action.rs
@@ -1,52 +1,51 @@
-//! Actions that an admission controller asks its host to carry out, in order.
+//! Actions that an admission controller requests of its host, which carries them out in order.
 
 use crate::event::{RequestId, Token};
 use crate::time::Span;
 
-/// Something for the host to do.
+/// An action for the host to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start a queued request, or resume a paused one.
     Run(RequestId),
-    /// Stop running work.
+    /// Stop a running request.
     Stop(RequestId),
-    /// Answer that the request was rejected: it never ran, or it is idempotent, so that running it
-    /// on another server does no harm.
+    /// Reject a request that never ran or is idempotent, so that another server can safely run it.
     Reject {
         /// The request.
         id: RequestId,
-        /// Ask the caller to send nothing for this long.
+        /// How long the caller is asked not to send requests; `None` for no such advice.
         retry_after: Option<Span>,
-        /// Ask the caller not to retry on another server.
+        /// Whether the caller is asked not to retry on another server.
         no_retry: bool,
     },
     /// Answer with an error.
     Fail(RequestId),
-    /// Make the call that a request waits for.
+    /// Make the call to the dependency that a request waits for.
     Call {
         /// The request.
         id: RequestId,
-        /// Abandon the call after this time.
+        /// Time after which the call is abandoned.
         timeout: Span,
     },
     /// Continue a run without its call.
     SkipCall(RequestId),
-    /// Enter a request into the idempotency store.
+    /// Add an entry for a request to the idempotency store.
     RetainResult {
         /// The request.
         id: RequestId,
-        /// How long the entry is kept.
+        /// How long the entry is retained.
         ttl: Span,
     },
-    /// Remove a request from the idempotency store.
+    /// Remove a request's entry from the idempotency store.
     EvictResult(RequestId),
     /// Answer a queued request with the result of the attempt that it repeats.
     ReplayResult(RequestId),
     /// Set the answer to health checks.
     Health {
-        /// The server takes traffic.
+        /// Whether the server accepts traffic.
         healthy: bool,
-        /// Answer checks from this state alone, at little cost.
+        /// Whether health checks are answered from this state, without the work of a full check.
         cached: bool,
     },
     /// Advertise this value of the load signal.
--- a/crates/heathspur/src/event.rs
+++ b/crates/heathspur/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that an admission controller is given, in batches.
+//! Events that the host passes to an admission controller, in batches.
 
 use crate::settings::{ClassId, TenantId};
 use crate::time::Span;
@@ -16,57 +16,59 @@
 pub struct Request {
     /// Identifies this attempt.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// The request's tenant; `None` if it has no tenant.
     pub tenant: Option<TenantId>,
-    /// It names the resource that it reads, so that reads of one resource can share a result.
+    /// Whether the request names the resource that it reads, so that reads of one resource can
+    /// share a result.
     pub has_subject: bool,
-    /// How long its client still waits, where the client states it.
+    /// Time that the client still waits for an answer; `None` if the client does not state it.
     pub remaining_deadline: Option<Span>,
-    /// Its expected work on a standard core, in seconds, where the client states it.
+    /// Expected work on a standard core, in seconds; `None` if the client does not state it.
     pub cost_hint: Option<f64>,
-    /// Memory that it takes while queued, in kilobytes.
+    /// Memory that the request uses while queued, in kilobytes.
     pub queued_memory_kb: f64,
-    /// It is marked as a retry.
+    /// Whether the request is marked as a retry.
     pub is_retry: bool,
-    /// Time between its arrival at the machine and this batch.
+    /// Time between the request's arrival at the machine and this batch.
     pub queueing_delay: Span,
-    /// The earlier attempt that this one repeats, as the idempotency store found it.
+    /// The earlier attempt that this one repeats, as found in the idempotency store; `None` for a
+    /// first attempt.
     pub previous_attempt: Option<RequestId>,
 }
 
 /// How a run or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Ok,
-    /// It failed and may have taken effect.
+    /// The run or call failed and may have taken effect.
     Error,
-    /// It was rejected before it ran.
+    /// The run or call was rejected before it ran.
     Rejected,
-    /// It was abandoned and may have taken effect.
+    /// The run or call was abandoned after its timeout and may have taken effect.
     Timeout,
-    /// No connection could be made, so it never ran.
+    /// No connection could be made, so the run or call never started.
     ConnectFailed,
-    /// Its connection broke, and it may have taken effect.
+    /// The connection was lost, and the run or call may have taken effect.
     Reset,
     /// The run was stopped, or ended at a call whose result is no longer needed.
     Cancelled,
-    /// It was never begun, because the request had ended already.
+    /// The run or call never started, because the request had already ended.
     NoLongerNeeded,
 }
 
-/// Measurements of the server itself; `None` where it has no such gauge.
+/// Measurements of the server itself; a value is `None` if the server has no such gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Fraction of the cores that were busy recently.
+    /// Fraction of the cores that were recently busy.
     pub cpu: Option<f64>,
     /// Number of runnable tasks.
     pub runnable: Option<f64>,
     /// Fraction of the memory in use.
     pub memory: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
 
@@ -79,9 +81,9 @@
     RunCompleted {
         /// The request.
         id: RequestId,
-        /// How it ended.
+        /// How the run or the wait ended.
         outcome: Outcome,
-        /// Time since it began.
+        /// Time since the run or the wait began.
         latency: Span,
     },
     /// A running request cannot continue without a call to the dependency.
@@ -97,9 +99,9 @@
     },
     /// The client no longer waits for this request.
     ClientCancelled(RequestId),
-    /// The server drains; its process stops after the given time.
+    /// The server starts to drain; its process stops after the given time.
     Drain(Span),
-    /// A timer is due.
+    /// A timer has expired.
     Timer {
         /// The timer's token.
         token: Token,
--- a/crates/heathspur/src/ewma.rs
+++ b/crates/heathspur/src/ewma.rs
@@ -2,7 +2,7 @@
 
 /// Weight of a new sample in averages that follow recent behaviour.
 pub(crate) const FAST_WEIGHT: f64 = 0.1;
-/// Weight of a new sample in averages that keep a long-term baseline.
+/// Weight of a new sample in averages that serve as a long-term baseline.
 pub(crate) const SLOW_WEIGHT: f64 = 0.01;
 
 /// A moving average that starts as a plain mean, until the plain mean gives a new sample less than
@@ -14,12 +14,12 @@
 }
 
 impl Ewma {
-    /// Creates an average that already stands at `value`, as after that many samples.
+    /// Creates an average with the given value, as if `samples` samples had been added.
     pub fn with_history(value: f64, samples: f64) -> Ewma {
         Ewma { value, samples }
     }
 
-    /// Adds a sample. `weight` is its weight once the average is established.
+    /// Adds a sample. `weight` is its weight once a plain mean would give it less.
     pub fn add(&mut self, sample: f64, weight: f64) {
         self.samples += 1.0;
         self.value += (sample - self.value) * weight.max(1.0 / self.samples);
--- a/crates/heathspur/src/lib.rs
+++ b/crates/heathspur/src/lib.rs
@@ -1,10 +1,10 @@
 //! Admission control and scheduling for one server behind load balancers that it cannot change.
 //!
-//! An [`AdmissionController`] is given batches of [`Event`]s and answers with [`Action`]s. It reads
-//! no clock, does no I/O and draws randomness from its seed alone, so the same events always give
-//! the same actions.
+//! An [`AdmissionController`] takes batches of [`Event`]s and returns [`Action`]s. It reads no
+//! clock, does no I/O and draws randomness only from its seed, so the same events always give the
+//! same actions.
 //!
-//! Every module owns the state of one concern; `controller` composes them.
+//! Each module owns the state of one concern; `controller` combines them.
 #![forbid(unsafe_code)]
 
 mod action;
--- a/crates/heathspur/src/settings.rs
+++ b/crates/heathspur/src/settings.rs
@@ -47,7 +47,7 @@
         capacity_share: f64,
         /// The window over which that mean is taken.
         averaging_window: Span,
-        /// How long the dependency may go on working on an abandoned call.
+        /// How long the dependency may continue to work on an abandoned call.
         abandoned_call_lifetime: Span,
     },
     /// A downstream tier of servers that does its own admission control.
@@ -57,24 +57,24 @@
 /// How callers interpret the load signal that this server advertises.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// Callers ignore it; it must not be set.
+    /// Callers ignore the signal, and the server must not set it.
     #[default]
     None,
-    /// Admission level: callers send no request of a lower priority rank.
+    /// Admission level: callers send no requests of a lower priority rank.
     Level,
-    /// Credit: each caller keeps at most this many requests outstanding.
+    /// Credit: each caller has at most this many requests outstanding.
     Credit,
     /// Load-balancing weight: the probability that a caller does not skip this server.
     Weight,
 }
 
-/// The unit by which priority weights are counted.
+/// The unit to which a priority weight applies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightUnit {
-    /// Each request counts once.
+    /// The weight applies once to each request.
     #[default]
     Request,
-    /// Each unit of work counts.
+    /// The weight applies to each unit of a request's work.
     Work,
 }
 
@@ -85,7 +85,7 @@
     pub latency_objective: Span,
     /// The objective is extended by this multiple of the request's own work.
     pub latency_objective_per_work: f64,
-    /// How long a client waits in all, over its attempts.
+    /// Total time that a client waits for an answer, over all attempts of a request.
     pub client_timeout: Span,
     /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
@@ -93,11 +93,11 @@
     pub late_weight: f64,
     /// Whether requests of the class may run more than once.
     pub idempotency: Idempotency,
-    /// For keyed classes: how long after its arrival a request may be retried under its key.
+    /// How long after its arrival a request of a keyed class may be retried under its key.
     pub dedup_window: Span,
-    /// Requests of the class may call the dependency.
+    /// Whether requests of the class may call the dependency.
     pub may_call: bool,
-    /// Fraction of the weight kept when a call is skipped; 0 where calls cannot be skipped.
+    /// Fraction of the weight that an answer without its call earns; 0 if calls cannot be skipped.
     pub degraded_weight: f64,
 }
 
@@ -108,22 +108,22 @@
     pub quota_per_s: f64,
 }
 
-/// Everything that an admission controller knows when it starts.
+/// The settings of an admission controller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenants; empty where requests carry none.
+    /// The tenants; empty if requests have no tenants.
     pub tenants: Vec<Tenant>,
     /// Weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// The unit by which priority weights are counted.
+    /// The unit to which a priority weight applies.
     pub weight_unit: WeightUnit,
-    /// Servers of this tier that were listed when this one started.
+    /// Number of servers of this tier that were listed when this one started.
     pub servers: u64,
-    /// Clients (load balancers) that call this tier.
+    /// Number of clients (load balancers) that call this tier.
     pub callers: u64,
-    /// Cores of this server.
+    /// Number of cores of this server.
     pub cores: u64,
     /// Memory of this server, in kilobytes.
     pub memory_kb: f64,
@@ -133,17 +133,17 @@
     pub dedup_entry_kb: f64,
     /// How running work can be preempted.
     pub preemption: Preemption,
-    /// The server has just started and still has to warm up.
+    /// Whether the server has just started and still has to warm up.
     pub cold_start: bool,
-    /// Fraction of the full capacity with which a cold server starts, at least.
+    /// Least fraction of its full capacity that a cold server has when it starts.
     pub cold_start_capacity: f64,
-    /// Time after which a cold server is warm, at most.
+    /// Longest time that a cold server takes to warm up.
     pub warm_up: Span,
     /// Running requests per core above which a warm server is overloaded.
     pub overload_concurrency: f64,
     /// The window over which that concurrency is averaged.
     pub overload_window: Span,
-    /// How long past its deadline an answer still counts.
+    /// How long after its deadline an answer still counts.
     pub answer_slack: Span,
     /// Requests that arrive later than this after the start of a drain must not run.
     pub drain_grace: Span,
@@ -151,16 +151,16 @@
     pub dependency: Dependency,
     /// How callers interpret the advertised load signal.
     pub load_signal: LoadSignal,
-    /// Health checks cost real work unless they are answered from a cached state.
+    /// Whether health checks cost real work unless they are answered from a cached state.
     pub costly_health_checks: bool,
-    /// How long callers leave a connection idle before they close it.
+    /// Time after which callers close an idle connection.
     pub client_idle_timeout: Span,
-    /// How long the answer to a read may serve other requests.
+    /// How long the answer to a read may be reused for other requests.
     pub cache_ttl: Span,
-    /// The longest `Retry-After` that callers honour; `None` where it is not passed on.
+    /// The longest `Retry-After` that callers honour; `None` if it is not passed on to them.
     pub max_retry_after: Option<Span>,
-    /// Weight of the worst-served class in the goal, as a fraction of all weights.
+    /// Weight of the worst-served class in the platform's objective, as a fraction of all weights.
     pub worst_class_weight: f64,
-    /// The finest step of the clock between batches.
+    /// The smallest step of the clock between batches.
     pub tick: Span,
 }
