--- a/crates/heathspur/src/class_queues.rs
+++ b/crates/heathspur/src/class_queues.rs
@@ -1,16 +1,16 @@
-//! FIFO queues of waiting requests and the order in which they are served.
+//! FIFO queues of waiting requests, and the order in which the queues are served.
 //!
 //! Each class has two queues: one for requests within their tenant's quota and one for requests
-//! beyond it. Ended requests stay in a queue until they reach its head.
+//! beyond it. A request that ended while queued is removed once it reaches the head of its queue.
 
 use crate::event::RequestId;
 use crate::settings::Settings;
 use std::collections::VecDeque;
 
-/// Least weight of requests beyond their quota, relative to those within it.
+/// Least weight of requests beyond their tenant's quota, relative to those within it.
 const MIN_OVER_QUOTA_WEIGHT: f64 = 0.01;
 
-/// Names a queue by class and quota standing.
+/// Identifies a queue by its class and by whether its requests are beyond their tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct QueueIndex {
     class: usize,
@@ -18,17 +18,17 @@
 }
 
 impl QueueIndex {
-    /// Returns the queue of a class for requests within or beyond their quota.
+    /// Returns the queue of a class for requests within or beyond their tenant's quota.
     pub fn new(class: usize, over_quota: bool) -> QueueIndex {
         QueueIndex { class, over_quota }
     }
 
-    /// Returns the class whose requests the queue has.
+    /// Returns the class of the queue's requests.
     pub fn class(self) -> usize {
         self.class
     }
 
-    /// Returns whether the queue has requests beyond their tenant's quota.
+    /// Returns whether the queue's requests are beyond their tenant's quota.
     pub fn is_over_quota(self) -> bool {
         self.over_quota
     }
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) struct ClassQueues {
     queues: Vec<VecDeque<RequestId>>,
-    /// Queues by falling priority weight; equal weights keep the order of the settings.
+    /// Queues by decreasing priority weight; equal weights are in the order of the settings.
     dispatch_order: Vec<QueueIndex>,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the queues by falling priority weight.
+    /// Returns the queues by decreasing priority weight.
     pub fn dispatch_order(&self) -> &[QueueIndex] {
         &self.dispatch_order
     }
@@ -84,8 +84,7 @@
         self.queues[queue.position()].push_back(id);
     }
 
-    /// Returns the first request of a queue that still waits, after it has dropped those before it
-    /// that do not.
+    /// Returns the first request of a queue that still waits, and removes the entries before it.
     pub fn first_waiting(
         &mut self,
         queue: QueueIndex,
--- a/crates/heathspur/src/concurrency_limit.rs
+++ b/crates/heathspur/src/concurrency_limit.rs
@@ -1,15 +1,16 @@
 //! The adaptive limit on running requests: additive increase, multiplicative decrease.
 //!
-//! The limit grows while requests wait, cores are idle and run times stay close to their baseline.
-//! It falls when run times are inflated.
+//! The limit increases while requests wait, cores are idle and run times are close to their
+//! baseline. It decreases when run times are inflated.
 
 use crate::ewma::{Ewma, FAST_WEIGHT};
 
-/// Factor by which an inflated run time lowers the limit.
+/// Factor on the limit when run times are inflated.
 const DECREASE_FACTOR: f64 = 0.85;
-/// Run time over its baseline above which the limit falls and does not grow.
+/// Ratio of run times to their baseline above which the limit decreases and never increases.
 const MAX_LATENCY_INFLATION: f64 = 1.15;
-/// Cores that must be idle for the limit to grow; on busy cores another run slows all others.
+/// Least number of idle cores for the limit to increase. On busy cores, another run slows all
+/// others.
 const MIN_IDLE_CORES: f64 = 0.5;
 
 /// The AIMD limit and the latency inflation that drives it.
@@ -21,15 +22,15 @@
     completions_since_decrease: f64,
 }
 
-/// What the server observes when a run completes.
+/// Observations of the server when a run completes.
 pub(crate) struct CompletionSignal {
-    /// The request was answered within its latency objective.
+    /// Whether the request was answered within its latency objective.
     pub met_objective: bool,
-    /// Other requests wait in queues.
+    /// Whether other requests wait in queues.
     pub requests_waiting: bool,
-    /// Fraction of the cores that are busy; `None` without such a gauge.
+    /// Fraction of the cores that are busy; `None` if there is no such gauge.
     pub cpu_utilization: Option<f64>,
-    /// The highest value that the limit may take.
+    /// The highest permitted value of the limit.
     pub ceiling: f64,
 }
 
@@ -55,7 +56,7 @@
         self.latency_inflation.add(inflation, FAST_WEIGHT);
     }
 
-    /// Counts a completed run and raises the limit if the run shows unused capacity.
+    /// Counts a completed run, and raises the limit if the observations show unused capacity.
     pub fn on_completion(&mut self, signal: &CompletionSignal) {
         self.completions_since_decrease += 1.0;
         let idle_cores = (1.0 - signal.cpu_utilization.unwrap_or(0.0)) * self.cores;
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Lowers the limit if run times are inflated, at most once for as many completions as the
-    /// limit allows to run at once.
+    /// Lowers the limit if run times are inflated. After a decrease, as many runs as the limit
+    /// allows at once must complete before the next one.
     pub fn decrease_if_inflated(&mut self) {
         let has_settled = self.completions_since_decrease >= self.limit;
         if has_settled && self.latency_inflation.value() > MAX_LATENCY_INFLATION {
--- a/crates/heathspur/src/deadline_factor.rs
+++ b/crates/heathspur/src/deadline_factor.rs
@@ -1,12 +1,13 @@
 //! The safety factor on remaining deadlines, adapted so that few runs are wasted.
 //!
-//! Estimated waits and runs are means, and about half of the requests that start with just that
-//! time left miss their objective. The factor is the fraction of the remaining time that an
-//! estimate may take. It falls while too many runs end too late or for a client that has gone.
+//! Estimated waits and run times are means, so about half of the requests that have just the
+//! estimated time left miss their latency objective. The factor is the fraction of the remaining
+//! time that an estimate may take. It decreases while too many runs end too late or after their
+//! client has cancelled.
 
 /// Target fraction of runs that are wasted.
 const WASTED_RUN_TARGET: f64 = 0.1;
-/// Relative step of the factor for a wasted run.
+/// Relative decrease of the factor for a wasted run.
 const STEP: f64 = 0.1;
 /// Least factor for the time in the queue and the run together.
 const MIN_QUEUE_FACTOR: f64 = 0.25;
@@ -40,12 +41,12 @@
         self.adjust(WASTED_RUN_TARGET / (1.0 - WASTED_RUN_TARGET));
     }
 
-    /// Records that a run ended too late, or after its client had gone.
+    /// Records that a run ended too late, or that its client cancelled it.
     pub fn record_wasted_run(&mut self) {
         self.adjust(-1.0);
     }
 
-    fn adjust(&mut self, direction: f64) {
-        self.factor = (self.factor * (1.0 + STEP * direction)).clamp(MIN_QUEUE_FACTOR, 1.0);
+    fn adjust(&mut self, steps: f64) {
+        self.factor = (self.factor * (1.0 + STEP * steps)).clamp(MIN_QUEUE_FACTOR, 1.0);
     }
 }
--- a/crates/heathspur/src/drain.rs
+++ b/crates/heathspur/src/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::time::{Span, Time};
 
-/// Whether the server drains, and until when.
+/// Whether the server is draining, and the period of the drain.
 #[derive(Debug, Default)]
 pub(crate) struct DrainState {
     period: Option<DrainPeriod>,
@@ -15,7 +15,7 @@
 }
 
 impl DrainState {
-    /// Begins a drain that ends `remaining` later.
+    /// Begins a drain that ends after `remaining`.
     pub fn begin(&mut self, now: Time, remaining: Span) {
         self.period = Some(DrainPeriod {
             began_at: now,
@@ -23,12 +23,12 @@
         });
     }
 
-    /// Returns whether the server drains.
+    /// Returns whether the server is draining.
     pub fn is_draining(&self) -> bool {
         self.period.is_some()
     }
 
-    /// Returns the deadline of a request, which the end of a drain bounds.
+    /// Returns the earlier of a request's deadline and the end of the drain, if there is one.
     pub fn bound_deadline(&self, deadline: Time) -> Time {
         match self.period {
             Some(period) => deadline.min(period.stops_at),
--- a/crates/heathspur/src/idempotency_groups.rs
+++ b/crates/heathspur/src/idempotency_groups.rs
@@ -1,14 +1,14 @@
-//! Groups of attempts that repeat one keyed request.
+//! Groups of the attempts of one keyed request.
 //!
-//! Attempts enter their group when they are read, so that a retry is recognized while the first
-//! attempt is queued, runs, or has a retained result. A group whose request has run never starts
-//! another run.
+//! An attempt joins its group when it is read, so that a retry is recognized while the first
+//! attempt is queued or running or has a retained result. Once an attempt of a group has run, no
+//! other attempt of the group is run.
 
 use crate::event::RequestId;
 use crate::time::{Span, Time};
 use std::collections::BTreeMap;
 
-/// A group is kept for this many deduplication windows after its last attempt.
+/// Number of deduplication windows for which a group is retained after its last attempt.
 const RETENTION_WINDOWS: u64 = 2;
 
 /// All groups, and the group of each attempt.
@@ -16,7 +16,7 @@
 pub(crate) struct IdempotencyGroups {
     groups: BTreeMap<RequestId, AttemptGroup>,
     first_attempts: BTreeMap<RequestId, RequestId>,
-    /// Entries that the groups have in the idempotency store.
+    /// Number of entries that the groups have in the idempotency store.
     entries: usize,
 }
 
@@ -24,29 +24,29 @@
 struct AttemptGroup {
     has_run: bool,
     entry: Option<StoreEntry>,
-    /// Attempts that have not ended and were entered before the request ran.
+    /// Unfinished attempts that joined before any attempt ran.
     waiting: Vec<RequestId>,
-    forget_at: Time,
+    retained_until: Time,
 }
 
-/// An entry in the idempotency store, under the attempt that was entered last.
+/// An entry in the idempotency store, under the attempt that joined last.
 #[derive(Debug)]
 struct StoreEntry {
     attempt: RequestId,
     expires_at: Time,
 }
 
-/// Result of entering an attempt into its group.
+/// The result of joining an attempt to its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JoinOutcome {
-    /// An attempt of the group has run, so this one must not.
+    /// An attempt of the group has run, so this one must not run.
     AlreadyRan,
-    /// The attempt has the group's entry in the idempotency store.
+    /// The attempt joined, and the group's entry in the idempotency store is now under it.
     Entered {
-        /// The group had no entry before.
+        /// Whether the group had no entry before.
         is_new_entry: bool,
     },
-    /// The idempotency store has no capacity, so the attempt must not run.
+    /// The idempotency store has no capacity for an entry, so the attempt must not run.
     NoCapacity,
 }
 
@@ -56,7 +56,8 @@
         self.entries
     }
 
-    /// Returns the first attempt of the request that an attempt repeats.
+    /// Returns the first attempt of the same request, which is the attempt itself if it repeats
+    /// none.
     pub fn first_attempt(&self, id: RequestId, previous: Option<RequestId>) -> RequestId {
         match previous {
             None => id,
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Enters an attempt into the group of `first_attempt`. `has_capacity` tells whether a new
-    /// entry fits into the idempotency store.
+    /// Joins an attempt to the group of `first_attempt`. `has_capacity` is whether a new entry fits
+    /// into the idempotency store.
     pub fn join(
         &mut self,
         id: RequestId,
@@ -79,8 +80,8 @@
         now: Time,
         has_capacity: bool,
     ) -> JoinOutcome {
-        let forget_at = now + Span(RETENTION_WINDOWS * window.0);
-        // A repeat of an unknown attempt: the store knows its result, so it has run.
+        let retained_until = now + Span(RETENTION_WINDOWS * window.0);
+        // A repeat without a group was found in the idempotency store, so its request has run.
         let group = self
             .groups
             .entry(first_attempt)
@@ -88,9 +89,9 @@
                 has_run: is_repeat,
                 entry: None,
                 waiting: Vec::new(),
-                forget_at,
+                retained_until,
             });
-        group.forget_at = forget_at;
+        group.retained_until = retained_until;
         self.first_attempts.insert(id, first_attempt);
         if group.has_run {
             return JoinOutcome::AlreadyRan;
@@ -117,7 +118,8 @@
             .is_some_and(|group| group.has_run)
     }
 
-    /// Records that an attempt of the group starts, and returns the attempts that waited with it.
+    /// Records that an attempt of the group starts to run, and returns the group's waiting
+    /// attempts.
     pub fn mark_run(&mut self, first_attempt: RequestId) -> Vec<RequestId> {
         let Some(group) = self.groups.get_mut(&first_attempt) else {
             return Vec::new();
@@ -126,8 +128,8 @@
         std::mem::take(&mut group.waiting)
     }
 
-    /// Removes an attempt that ended without a run. With the last such attempt the group's entry
-    /// is released; returns the attempt under which it is stored.
+    /// Removes an attempt that ended without a run. If it was the last one and none has run, the
+    /// group's entry is released, and the attempt under which it is stored is returned.
     pub fn leave(&mut self, id: RequestId) -> Option<RequestId> {
         let first_attempt = self.first_attempts.get(&id)?;
         let group = self.groups.get_mut(first_attempt)?;
@@ -140,12 +142,12 @@
         Some(entry.attempt)
     }
 
-    /// Drops expired entries and groups that are no longer needed; returns the number of entries
-    /// dropped. `is_known` tells whether an attempt is still in the request table.
+    /// Removes expired entries and groups that are no longer needed, and returns the number of
+    /// removed entries. `is_known` returns whether an attempt is still in the request table.
     pub fn expire(&mut self, now: Time, is_known: impl Fn(RequestId) -> bool) -> usize {
         let expired = self.expire_entries(now);
         self.groups.retain(|_, group| {
-            group.forget_at > now
+            group.retained_until > now
                 || group.entry.is_some()
                 || group.waiting.iter().any(|&attempt| is_known(attempt))
         });
--- a/crates/heathspur/src/idle_connections.rs
+++ b/crates/heathspur/src/idle_connections.rs
@@ -1,40 +1,46 @@
-//! How long idle client connections stay open.
+//! The idle timeout after which the server closes client connections.
 //!
-//! Connections that rarely serve a second request are closed early, since a full connection table
-//! takes processor time and keeps callers out. In a flood a full table is kept on purpose: it
-//! rejects work at no cost. The table stays full for one idle timeout after requests had to wait
-//! unread, since accepting and reading would compete with running work, and opens again while
-//! cores are idle.
+//! Idle connections that rarely serve a second request are closed early, since a full connection
+//! table takes processor time and prevents callers from connecting. During a flood of requests,
+//! most of which have to be rejected, the table is left full on purpose, since refused connections
+//! cost nothing. After requests had to wait unread, the table is left full for one idle timeout of
+//! the clients, since accepting and reading more requests would compete with running ones. While
+//! cores are idle, the timeout is lowered again.
 
 use crate::ewma::{Ewma, FAST_WEIGHT};
 use crate::settings::Settings;
 use crate::time::{Span, Time};
 
-/// Idle connections per request read in one idle time, above which most serve one request only.
+/// Idle connections per request read in one idle timeout above which most connections serve a
+/// single request.
 const MANY_IDLE_PER_READ: f64 = 0.5;
-/// Idle connections per request read in one idle time, below which most are reused.
+/// Idle connections per request read in one idle timeout below which most connections are reused.
 const FEW_IDLE_PER_READ: f64 = 0.2;
-/// Requests read in one idle time that are enough to judge by.
+/// Least number of requests read in one idle timeout that shows whether connections are reused.
 const MIN_READS: f64 = 8.0;
-/// Fraction of rejected requests above which the table is kept full.
+/// Fraction of rejected requests above which the table is left full.
 const FLOOD_REJECTION_RATE: f64 = 0.7;
-/// Factor on the idle time in each period in which a full table opens again.
+/// Factor on the idle timeout in each control period in which cores are idle although the table is
+/// left full.
 const REOPEN_FACTOR: f64 = 0.9;
-/// Fraction of busy cores below which a full table opens again.
+/// Fraction of busy cores below which cores count as idle and the table need not stay full.
 const REOPEN_CPU_UTILIZATION: f64 = 0.7;
-/// Time that requests wait unread, as a fraction of the tightest objective, above which reading
-/// is under pressure.
+/// Time that requests wait unread, as a fraction of the tightest latency objective, above which the
+/// server cannot read requests fast enough.
 const UNREAD_PRESSURE: f64 = 0.1;
+/// Factor on the idle timeout in each control period in which connections are rarely reused.
 const SHRINK_FACTOR: f64 = 0.5;
+/// Factor on the idle timeout in each control period in which most connections are reused, or in
+/// which a flood is to find the table full.
 const GROW_FACTOR: f64 = 2.0;
 
-/// The idle time that connections are granted.
+/// The idle timeout of connections and the measurements that it follows from.
 #[derive(Debug)]
 pub(crate) struct IdleConnections {
     client_idle_timeout: Span,
     callers: f64,
-    /// Idle time granted now, in seconds.
-    idle_time_s: f64,
+    /// Current idle timeout, in seconds.
+    idle_timeout_s: f64,
     /// Requests read in this control period.
     reads: f64,
     reads_per_s: Ewma,
@@ -42,27 +48,27 @@
     keep_full_until: Time,
 }
 
-/// What the decision on idle connections depends on beside their own state.
+/// Measurements of the server, other than of its connections, that the idle timeout depends on.
 pub(crate) struct ServerPressure {
-    /// Requests in the server.
+    /// Number of unfinished requests.
     pub requests: usize,
     /// Age of the server, in seconds.
     pub age_s: f64,
-    /// Time that recent requests waited unread, as a fraction of the tightest objective.
+    /// Time that recent requests waited unread, as a fraction of the tightest latency objective.
     pub unread_delay: f64,
-    /// Fraction of the cores that are busy; `None` without such a gauge.
+    /// Fraction of the cores that are busy; `None` if there is no such gauge.
     pub cpu_utilization: Option<f64>,
     /// Fraction of recent requests that were rejected.
     pub rejection_rate: f64,
 }
 
 impl IdleConnections {
-    /// Creates the state of a server whose connections stay as long as their clients leave them.
+    /// Creates the state of a server that leaves it to clients to close idle connections.
     pub fn new(settings: &Settings) -> IdleConnections {
         IdleConnections {
             client_idle_timeout: settings.client_idle_timeout,
             callers: settings.callers as f64,
-            idle_time_s: settings.client_idle_timeout.secs(),
+            idle_timeout_s: settings.client_idle_timeout.secs(),
             reads: 0.0,
             reads_per_s: Ewma::default(),
             open_connections: 0.0,
@@ -80,26 +86,26 @@
         self.open_connections = open_connections;
     }
 
-    /// Ends a control period; returns the idle time to grant if it changes.
+    /// Ends a control period. Returns the new idle timeout, or `None` if it does not change.
     pub fn update(&mut self, now: Time, period_s: f64, pressure: &ServerPressure) -> Option<Span> {
         self.reads_per_s.add(self.reads / period_s, FAST_WEIGHT);
         self.reads = 0.0;
         let factor = self.factor(now, pressure);
-        let idle_time_s = (self.idle_time_s * factor).min(self.client_idle_timeout.secs());
-        if idle_time_s == self.idle_time_s {
+        let idle_timeout_s = (self.idle_timeout_s * factor).min(self.client_idle_timeout.secs());
+        if idle_timeout_s == self.idle_timeout_s {
             return None;
         }
-        self.idle_time_s = idle_time_s;
-        Some(Span::from_secs(idle_time_s))
+        self.idle_timeout_s = idle_timeout_s;
+        Some(Span::from_secs(idle_timeout_s))
     }
 
-    /// Returns the factor on the granted idle time.
+    /// Returns the factor by which the idle timeout changes.
     fn factor(&mut self, now: Time, pressure: &ServerPressure) -> f64 {
         let is_under_read_pressure = pressure.unread_delay > UNREAD_PRESSURE;
         if is_under_read_pressure {
             self.keep_full_until = now + self.client_idle_timeout;
         }
-        // With a connection for every other caller no caller is kept out.
+        // With open connections for half of the callers, no caller is prevented from connecting.
         let has_spare_connections = 2.0 * self.open_connections >= self.callers;
         if has_spare_connections || is_under_read_pressure {
             return f64::MAX;
@@ -116,9 +122,9 @@
         self.factor_for_reuse(pressure)
     }
 
-    /// Returns the factor by how often idle connections are reused.
+    /// Returns the factor by which the idle timeout changes with the reuse of connections.
     fn factor_for_reuse(&self, pressure: &ServerPressure) -> f64 {
-        let reads = self.reads_per_s.value() * self.idle_time_s.min(pressure.age_s);
+        let reads = self.reads_per_s.value() * self.idle_timeout_s.min(pressure.age_s);
         let idle = self.open_connections - pressure.requests as f64;
         let idle_per_read = idle / reads.max(1.0);
         if idle_per_read > MANY_IDLE_PER_READ && reads >= MIN_READS {
--- a/crates/heathspur/src/load_signal.rs
+++ b/crates/heathspur/src/load_signal.rs
@@ -1,25 +1,25 @@
 //! The load signal that the server advertises to its callers.
 //!
-//! The admission level rises while the queued work takes too long to clear, so that callers keep
-//! requests of low priority to themselves instead of having them read and rejected here.
+//! The admission level rises while the queued work takes too long to clear, so that callers shed
+//! requests of low priority themselves instead of sending them here to be read and rejected.
 
 use crate::settings::{LoadSignal, Settings};
 
 /// Fraction of the tightest latency objective in which the queues should clear.
 const CLEAR_TIME_FRACTION: f64 = 0.25;
-/// Largest rise of the level in a control period.
+/// Largest increase of the level in a control period.
 const RISE_PER_PERIOD: f64 = 0.10;
-/// Largest fall of the level in a control period.
+/// Largest decrease of the level in a control period.
 const FALL_PER_PERIOD: f64 = 0.04;
-/// Credit of one caller, as a multiple of the concurrency limit: one caller may carry nearly all
-/// traffic, so each gets enough to fill the server.
+/// Credit of one caller, as a multiple of the concurrency limit. A single caller may send nearly
+/// all of the traffic, so the credit of each is large enough to use the server's full capacity.
 const CREDIT_PER_LIMIT: f64 = 2.0;
 
-/// The admission level and the value that was advertised last.
+/// The admission level and the last advertised value.
 #[derive(Debug)]
 pub(crate) struct LoadAdvertiser {
     kind: LoadSignal,
-    /// Highest level, at which the class of highest rank is still admitted.
+    /// Highest level, at which only the class of the highest rank is admitted.
     max_level: f64,
     /// Clear time above which the level rises, in seconds.
     target_clear_time_s: f64,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adapts the level to the time in which the present queues clear, in seconds.
+    /// Adapts the level to the time in which the queued work clears, in seconds.
     pub fn update_level(&mut self, clear_time_s: f64) {
         let excess = clear_time_s / self.target_clear_time_s - 1.0;
         let step = if excess > 0.0 {
@@ -50,8 +50,8 @@
         self.level = (self.level + step).clamp(0.0, self.max_level);
     }
 
-    /// Returns the value to advertise, if it differs from the last one. A server that is
-    /// unavailable asks callers to send nothing.
+    /// Returns the value to advertise, or `None` if it equals the last one. The value of an
+    /// unavailable server asks callers to send no requests.
     pub fn changed_value(&mut self, is_unavailable: bool, limit: f64) -> Option<f64> {
         let value = match (self.kind, is_unavailable) {
             (LoadSignal::None, _) => return None,
--- a/crates/heathspur/src/memory_guard.rs
+++ b/crates/heathspur/src/memory_guard.rs
@@ -1,4 +1,4 @@
-//! Accounting of the memory of requests and idempotency entries, with its limits.
+//! Memory use of requests and idempotency entries, and its limits.
 
 use crate::ewma::{Ewma, SLOW_WEIGHT};
 use crate::settings::Settings;
@@ -7,7 +7,7 @@
 const RUN_FRACTION: f64 = 0.85;
 /// Fraction of the memory up to which requests are queued and idempotency entries are made.
 const QUEUE_FRACTION: f64 = 0.93;
-/// Runs per core for which idempotency entries must leave memory.
+/// Runs per core whose memory is reserved and not available to idempotency entries.
 const RESERVED_RUNS_PER_CORE: f64 = 1.5;
 
 /// Memory in use and the limits on it, in kilobytes.
@@ -22,7 +22,7 @@
 }
 
 impl MemoryGuard {
-    /// Creates the account of a server with nothing in memory.
+    /// Creates the state of a server without requests and idempotency entries.
     pub fn new(settings: &Settings) -> MemoryGuard {
         MemoryGuard {
             capacity_kb: settings.memory_kb,
@@ -40,12 +40,12 @@
         self.mean_request_kb.add(request_kb, SLOW_WEIGHT);
     }
 
-    /// Returns whether a queued request's run still fits in memory.
+    /// Returns whether the run of a queued request still fits in memory.
     pub fn fits_run(&self, request_kb: f64) -> bool {
         self.used_kb + self.extra_run_kb(request_kb) <= RUN_FRACTION * self.capacity_kb
     }
 
-    /// Adds the memory that a queued request takes when it starts.
+    /// Adds the extra memory that a queued request takes when it starts.
     pub fn add_run(&mut self, request_kb: f64) {
         self.used_kb += self.extra_run_kb(request_kb);
     }
@@ -60,7 +60,8 @@
         self.used_kb -= request_kb * self.run_memory_factor.max(1.0);
     }
 
-    /// Returns whether one more idempotency entry fits beside `entries` and the reserve for runs.
+    /// Returns whether one more idempotency entry fits in memory in addition to `entries` existing
+    /// ones and the memory reserved for runs.
     pub fn fits_dedup_entry(&self, entries: usize) -> bool {
         let reserved_kb = RESERVED_RUNS_PER_CORE
             * self.cores
@@ -81,7 +82,7 @@
         self.used_kb -= self.dedup_entry_kb;
     }
 
-    /// Returns whether queued requests take more than their fraction of the memory.
+    /// Returns whether the memory in use exceeds the limit for queueing requests.
     pub fn is_over_queue_limit(&self) -> bool {
         self.used_kb > self.queue_limit_kb()
     }
--- a/crates/heathspur/src/overload_ceiling.rs
+++ b/crates/heathspur/src/overload_ceiling.rs
@@ -1,9 +1,9 @@
-//! The number of running requests at which the server is overloaded, lower while it warms up.
+//! The number of running requests at which the server is overloaded, which is lower during warm-up.
 
 use crate::settings::Settings;
 use crate::time::Time;
 
-/// Fraction of the overload concurrency that is used.
+/// Fraction of the overload concurrency up to which requests are started, to leave headroom.
 const USED_FRACTION: f64 = 0.8;
 /// Least warm-up time, in seconds, by which the server's age is divided.
 const MIN_WARM_UP_S: f64 = 0.02;
@@ -19,7 +19,7 @@
 }
 
 impl OverloadCeiling {
-    /// Creates the ceiling of a server that has not started yet.
+    /// Creates the ceiling of a server that has not started.
     pub fn new(settings: &Settings) -> OverloadCeiling {
         OverloadCeiling {
             cores: settings.cores as f64,
@@ -39,8 +39,8 @@
         self.started_at = Some(now);
     }
 
-    /// Returns the running requests at which the server is overloaded. At no age is that less than
-    /// one per core.
+    /// Returns the number of running requests at which the server is overloaded. It is at least one
+    /// per core at any age of the server.
     pub fn overload_concurrency(&self, now: Time) -> f64 {
         let age_s = self.started_at.map_or(0.0, |at| (now - at).secs());
         let ramp = (1.0 - self.initial_capacity) * age_s / self.warm_up_s.max(MIN_WARM_UP_S);
@@ -48,7 +48,7 @@
         self.cores * (1.0 + (self.overload_concurrency_per_core - 1.0) * warm_fraction)
     }
 
-    /// Returns the running requests that the server takes, with headroom below overload.
+    /// Returns the number of running requests that leaves headroom below overload.
     pub fn usable_concurrency(&self, now: Time) -> f64 {
         self.overload_concurrency(now) * USED_FRACTION
     }
--- a/crates/heathspur/src/rejection.rs
+++ b/crates/heathspur/src/rejection.rs
@@ -1,20 +1,22 @@
-//! The advice that goes with a rejection.
+//! The `Retry-After` advice of rejections.
 
 use crate::ewma::{Ewma, FAST_WEIGHT};
 use crate::settings::Settings;
 use crate::time::Span;
 
-/// Least fraction of the longest honoured `Retry-After` that a rejection for lack of capacity
-/// carries. Rejections are fast, and callers that prefer fast servers would return at once.
+/// Least `Retry-After` of a rejection for lack of capacity, as a fraction of the longest value that
+/// callers honour. Rejections are fast, so callers that prefer fast servers would otherwise send
+/// more requests at once.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
-/// The same for each server of the fleet, for requests beyond their tenant's quota. In a small
-/// fleet a longer advice would keep away requests within the quota too.
-const OVER_QUOTA_FRACTION_PER_SERVER: f64 = 0.01;
+/// Largest `Retry-After` of a rejection of a request beyond its tenant's quota, as a fraction of
+/// the longest value that callers honour, for each server of the fleet. In a small fleet, a longer
+/// value would also delay requests within the quota.
+const MAX_OVER_QUOTA_FRACTION_PER_SERVER: f64 = 0.01;
 
-/// Why a request is rejected, as far as the advice depends on it.
+/// The reason for a rejection, as far as the advice depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectionCause {
-    /// The server is stalled or drains and takes no requests.
+    /// The server has stalled or is draining and accepts no requests.
     Unavailable,
     /// There is no capacity for a request within its tenant's quota.
     Capacity,
@@ -32,7 +34,7 @@
 }
 
 impl RejectionAdvice {
-    /// Creates the advice of a server that has not rejected anything.
+    /// Creates the advice of a server that has not rejected any request.
     pub fn new(settings: &Settings) -> RejectionAdvice {
         RejectionAdvice {
             rejection_rate: Ewma::default(),
@@ -56,14 +58,15 @@
         self.rejection_rate.add(1.0, FAST_WEIGHT);
     }
 
-    /// Returns how long a rejected caller should stay away, where callers honour that.
+    /// Returns how long a rejected caller should wait before it sends more requests; `None` if
+    /// callers do not honour `Retry-After`.
     pub fn retry_after(&self, cause: RejectionCause) -> Option<Span> {
         let for_capacity = MIN_RETRY_AFTER_FRACTION.max(self.rejection_rate.value());
         let fraction = match cause {
             RejectionCause::Unavailable => 1.0,
             RejectionCause::Capacity => for_capacity,
             RejectionCause::OverQuota => {
-                for_capacity.min(OVER_QUOTA_FRACTION_PER_SERVER * self.servers)
+                for_capacity.min(MAX_OVER_QUOTA_FRACTION_PER_SERVER * self.servers)
             }
         };
         self.max_retry_after
--- a/crates/heathspur/src/run_estimates.rs
+++ b/crates/heathspur/src/run_estimates.rs
@@ -1,25 +1,25 @@
-//! Estimates of run times, learned for each class from completed runs and client cost hints.
+//! Estimates of run times for each class, from observed runs and the cost hints of clients.
 
 use crate::ewma::{Ewma, SLOW_WEIGHT};
 use crate::settings::Class;
 
-/// Weight of a run in the mean run time of its class.
+/// Weight of a new run in the mean run time of its class.
 const RUN_WEIGHT: f64 = 0.05;
-/// Run time that is assumed before any run of a class has ended, as a fraction of its objective.
+/// Run time assumed before any run of a class has ended, as a fraction of its latency objective.
 const INITIAL_RUN_FRACTION: f64 = 0.15;
-/// Longest mean run time that is assumed, as a fraction of the objective.
+/// Longest mean run time that is assumed, as a fraction of the latency objective.
 const MAX_RUN_FRACTION: f64 = 0.5;
-/// Largest factor by which a request is taken to be larger or smaller than its class's mean.
+/// Largest factor by which a request counts as larger or smaller than the mean of its class.
 const MAX_RELATIVE_SIZE: f64 = 4.0;
-/// Runs after which the regression of run times on hints is used.
+/// Least number of runs for the regression of run times on hinted sizes to be used.
 const MIN_HINT_SAMPLES: f64 = 8.0;
-/// Variance of the hinted sizes from which the regression is used.
+/// Variance of the hinted sizes that must be exceeded for the regression to be used.
 const MIN_HINT_VARIANCE: f64 = 0.01;
 /// Least cost hint by which sizes are divided, in seconds.
 const MIN_COST_S: f64 = 1e-6;
 /// Least run time by which run times are divided, in seconds.
 const MIN_RUN_S: f64 = 1e-6;
-/// Cost that is assumed for a request without a hint, in seconds.
+/// Cost assumed for a request without a hint, in seconds.
 const DEFAULT_COST_S: f64 = 1.0;
 
 /// Run-time estimates of all classes.
@@ -31,11 +31,12 @@
 #[derive(Debug)]
 struct ClassEstimates {
     latency_objective_s: f64,
-    /// Run time of a request of mean size, with its calls, in seconds.
+    /// Run time of a request of mean size, including its calls, in seconds.
     run_s: Ewma,
-    /// Run time without calls, measured while the cores were not shared, in seconds.
+    /// Run time of a request of mean size, excluding its calls, measured while cores were not
+    /// shared, in seconds.
     baseline_s: Ewma,
-    /// Cost hint, in seconds.
+    /// Cost hints of requests, in seconds.
     cost_s: Ewma,
     /// Covariance of run times and hinted sizes, both relative to their means.
     covariance: Ewma,
@@ -72,8 +73,8 @@
         self.run_s.add(run_s / size, RUN_WEIGHT);
     }
 
-    /// Returns how far run times follow hinted sizes, from 0 to 1. Hints are trusted until enough
-    /// runs have shown otherwise.
+    /// Returns the slope of the regression of run times on hinted sizes, clamped to 0 to 1. Hints
+    /// are trusted, with a slope of 1, until there are enough runs for the regression.
     fn hint_regression_slope(&self) -> f64 {
         let has_evidence = self.size_variance.samples() >= MIN_HINT_SAMPLES
             && self.size_variance.value() > MIN_HINT_VARIANCE;
@@ -86,14 +87,15 @@
 }
 
 impl RunEstimates {
-    /// Creates estimates without any observation.
+    /// Creates estimates without any observations.
     pub fn new(classes: &[Class]) -> RunEstimates {
         RunEstimates {
             classes: classes.iter().map(ClassEstimates::new).collect(),
         }
     }
 
-    /// Adds a request's cost hint and returns the request's size relative to its class's mean.
+    /// Records a request's cost hint and returns the request's size relative to the mean of its
+    /// class.
     pub fn relative_size(&mut self, class: usize, cost_hint: Option<f64>) -> f64 {
         let cost_s = cost_hint.unwrap_or(DEFAULT_COST_S).max(MIN_COST_S);
         let mean_cost_s = &mut self.classes[class].cost_s;
@@ -106,8 +108,8 @@
         self.classes[class].expected_run_s()
     }
 
-    /// Returns the expected run time of a request of the given size, in seconds. The mean run time
-    /// in it is bounded, so that a class with slow runs still gets starts to learn from.
+    /// Returns the expected run time of a request of the given size, in seconds. It is derived from
+    /// a bounded mean, so that a class with slow runs is still started and its estimate updated.
     pub fn expected_run_of_size_s(&self, class: usize, size: f64) -> f64 {
         let estimates = &self.classes[class];
         let longest_s = MAX_RUN_FRACTION * estimates.latency_objective_s;
@@ -115,7 +117,7 @@
         mean_s * (1.0 + (size - 1.0) * estimates.hint_regression_slope())
     }
 
-    /// Returns a run time that leaves half of the class's objective, in seconds.
+    /// Returns the longest mean run time that is assumed for a class, in seconds.
     pub fn longest_assumed_run_s(&self, class: usize) -> f64 {
         MAX_RUN_FRACTION * self.classes[class].latency_objective_s
     }
@@ -133,16 +135,17 @@
         self.classes[class].add_run(run_s, size);
     }
 
-    /// Adds a run that was stopped after `elapsed_s`. It would have taken longer than that, so it
-    /// counts as a mean run at least; without it only quick runs would be observed.
+    /// Adds a run that was stopped after `elapsed_s`. The complete run would have taken longer, so
+    /// it counts as at least the expected run time for its size. If stopped runs were left out,
+    /// only short runs would be observed.
     pub fn add_stopped_run(&mut self, class: usize, elapsed_s: f64, size: f64) {
         let estimates = &mut self.classes[class];
         let mean_s = estimates.run_s.value() * size;
         estimates.add_run(elapsed_s.max(mean_s), size);
     }
 
-    /// Returns a run time without calls as a multiple of the class's baseline, after it has added
-    /// the run to the baseline if the cores were not shared.
+    /// Returns the ratio of a run time without calls to the class's baseline. The run is first
+    /// added to the baseline if the cores were not shared or there is no baseline yet.
     pub fn latency_inflation(&mut self, class: usize, run_s: f64, cores_were_shared: bool) -> f64 {
         let baseline_s = &mut self.classes[class].baseline_s;
         if !cores_were_shared || !baseline_s.has_samples() {
--- a/crates/heathspur/src/slot_budgets.rs
+++ b/crates/heathspur/src/slot_budgets.rs
@@ -1,19 +1,20 @@
 //! Run-slot budgets of the classes, set by PI control of their queueing delay (Lu et al.).
 //!
-//! Each control period compares the mean wait of the class's starts with a target wait and moves
-//! the class's share of the run slots. Slots that a class leaves idle are lent to other classes by
-//! the dispatcher, so a budget is a guarantee and not a limit.
+//! At the end of each control period, a class's budget is adjusted by the difference between a
+//! target wait and the mean wait of the requests started in the period. The dispatcher lends slots
+//! that a class leaves idle to other classes, so a budget is a guarantee and not a limit.
 
 use crate::time::Time;
 
 /// Gain of the controller, in slots per second of error. A positive error means that the wait is
 /// below its target, so the gain is negative.
 const GAIN: f64 = -0.80;
-/// Fraction of the previous error that is subtracted from the present one.
+/// Fraction of the previous error that is subtracted from the current one.
 const PREVIOUS_ERROR_FRACTION: f64 = 0.30;
-/// Slots that every class keeps, so that each gets starts by which it can be judged.
+/// Least budget of a class, in slots, so that some of its requests start and their wait is
+/// measured.
 const MIN_BUDGET: f64 = 1.0;
-/// Target wait, as a fraction of the latency objective less the run time.
+/// Target wait, as a fraction of the latency objective minus the expected run time.
 const TARGET_WAIT_FRACTION: f64 = 0.5;
 /// Least target wait, as a fraction of the latency objective.
 const MIN_TARGET_WAIT_FRACTION: f64 = 0.1;
@@ -26,7 +27,7 @@
     pub latency_objective_s: f64,
     /// Expected run time of a request of mean size, in seconds.
     pub expected_run_s: f64,
-    /// Wait of the oldest queued request, in seconds, if one waits.
+    /// Wait of the oldest queued request, in seconds; `None` if none is queued.
     pub oldest_wait_s: Option<f64>,
 }
 
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Returns the mean wait of the period's starts. A class without starts is judged by its oldest
-    /// queued request; with none queued there is no wait to judge.
+    /// Returns the mean wait of the requests started in this period. If none was started, the wait
+    /// of the oldest queued request stands in; if none is queued either, there is no wait.
     fn observed_wait_s(&self, oldest_wait_s: Option<f64>) -> Option<f64> {
         if self.starts > 0.0 {
             Some(self.wait_sum_s / self.starts)
@@ -84,7 +85,7 @@
 }
 
 impl SlotBudgets {
-    /// Creates the least budgets for that many classes.
+    /// Creates the least budget for each of the given number of classes.
     pub fn new(classes: usize) -> SlotBudgets {
         SlotBudgets {
             classes: (0..classes).map(|_| ClassSlots::new()).collect(),
@@ -97,13 +98,13 @@
         self.classes.get(class).map_or(0.0, |slots| slots.budget)
     }
 
-    /// Returns whether a class runs fewer requests than its budget grants.
+    /// Returns whether a class runs fewer requests than its budget allows.
     pub fn is_within_budget(&self, class: usize) -> bool {
         let slots = &self.classes[class];
         (slots.running as f64) < slots.budget
     }
 
-    /// Records that a request of the class takes a run slot.
+    /// Records that a request of the class occupies a run slot.
     pub fn occupy(&mut self, class: usize) {
         self.classes[class].running += 1;
     }
@@ -113,7 +114,7 @@
         self.classes[class].running -= 1;
     }
 
-    /// Records the wait of a request that was started within its tenant's quota.
+    /// Records the wait of a started request that is within its tenant's quota.
     pub fn record_wait(&mut self, class: usize, wait_s: f64) {
         let slots = &mut self.classes[class];
         slots.wait_sum_s += wait_s;
@@ -129,20 +130,20 @@
         }
     }
 
-    /// Ends a control period: moves each class's budget by its wait. `limit` is the server's
+    /// Ends a control period and adjusts each class's budget to its wait. `limit` is the server's
     /// concurrency limit.
     pub fn update(&mut self, observations: &[ClassObservation], period_s: f64, limit: f64) {
         let granted = self.classes.iter().map(|slots| slots.budget).sum::<f64>();
-        // Once the budgets exceed the limit, control continues from the slots in actual use, which
-        // keeps it from winding up.
-        let saturated = granted > limit;
+        // While the budgets exceed the limit, control continues from the slots in actual use. This
+        // prevents the controller's output from winding up.
+        let is_saturated = granted > limit;
         for (slots, observed) in self.classes.iter_mut().zip(observations) {
             let wait_s = slots.observed_wait_s(observed.oldest_wait_s);
             let mean_used_slots = slots.used_slot_s / period_s.max(MIN_PERIOD_S);
             slots.begin_period();
             let Some(wait_s) = wait_s else { continue };
             let error_s = target_wait_s(observed) - wait_s;
-            let base = if saturated {
+            let base = if is_saturated {
                 mean_used_slots
             } else {
                 slots.control_output
--- a/crates/heathspur/src/tenant_quotas.rs
+++ b/crates/heathspur/src/tenant_quotas.rs
@@ -1,15 +1,15 @@
-//! Token buckets that tell whether a request is within its tenant's quota.
+//! Token buckets that determine whether a request is within its tenant's quota.
 //!
-//! A quota holds for the whole fleet. This server refills its buckets by its estimated share of the
-//! fleet's traffic.
+//! A quota applies to the entire fleet. This server refills its buckets according to its estimated
+//! share of the fleet's traffic.
 
 use crate::settings::Tenant;
 
-/// Seconds of its rate that a tenant may use at once.
+/// Burst capacity of a bucket, in seconds of its refill rate.
 const BURST_S: f64 = 2.0;
-/// Requests that a bucket takes on top, for random clustering of a low rate.
+/// Requests added to the burst capacity, since requests at a low rate cluster at random.
 const EXTRA_BURST_REQUESTS: f64 = 4.0;
-/// Weight per second of new arrivals in a tenant's arrival rate.
+/// Weight of new arrivals in a tenant's smoothed arrival rate, per second of the period.
 const RATE_WEIGHT_PER_S: f64 = 0.2;
 /// Least quota by which an arrival rate is divided, in requests per second.
 const MIN_QUOTA_PER_S: f64 = 1e-6;
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Returns whether a request is within its tenant's quota, and charges it. A retry is not
-    /// charged: it gets the standing that its tenant has now.
+    /// Returns whether a request is within its tenant's quota, and charges it. A retry is checked
+    /// against the tokens left but not charged.
     pub fn charge(&mut self, tenant: usize, is_retry: bool) -> bool {
         let Some(bucket) = self.buckets.get_mut(tenant) else {
             return true;
@@ -67,7 +67,7 @@
         within_quota
     }
 
-    /// Refills the buckets after a control period by this server's share of the fleet's traffic.
+    /// Refills the buckets after a control period, according to this server's share of the traffic.
     pub fn refill(&mut self, period_s: f64) {
         if self.buckets.is_empty() {
             return;
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Estimates this server's share of the fleet's traffic: at least an equal one, and more when
-    /// the median tenant sends more of its quota here. A single flooding tenant moves the median
-    /// little.
+    /// Estimates this server's share of the fleet's traffic as the share of its quota that the
+    /// median tenant sends here, but no less than an equal share. A single tenant that floods the
+    /// server hardly changes the median.
     fn traffic_share(&self) -> f64 {
         let share_of_quota =
             |bucket: &Bucket| bucket.arrival_rate_per_s / bucket.quota_per_s.max(MIN_QUOTA_PER_S);
--- a/crates/heathspur/tests/unit/class_queues.rs
+++ b/crates/heathspur/tests/unit/class_queues.rs
@@ -1,4 +1,4 @@
-//! Queues and their dispatch order.
+//! Tests of the queues and their dispatch order.
 
 use super::*;
 use crate::settings::{Class, Idempotency};
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn the_dispatch_order_falls_by_weight_and_quota_standing() {
+fn dispatch_order_decreases_by_weight_and_quota_state() {
     let order: Vec<_> = queues().dispatch_order().to_vec();
     let expected = [(1, false), (1, true), (0, false), (0, true)];
     assert_eq!(order, expected.map(|(c, over)| QueueIndex::new(c, over)));
 }
 
 #[test]
-fn ended_requests_are_dropped_from_the_head_only() {
+fn ended_requests_are_removed_from_head_only() {
     let mut queues = queues();
     let queue = QueueIndex::new(0, false);
     for id in 1..=4 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn memory_is_freed_from_the_newest_of_the_lowest_weight() {
+fn newest_request_of_lowest_weight_is_removed_first() {
     let mut queues = queues();
     queues.push(QueueIndex::new(1, false), RequestId(1));
     queues.push(QueueIndex::new(0, false), RequestId(2));
--- a/crates/heathspur/tests/unit/concurrency_limit.rs
+++ b/crates/heathspur/tests/unit/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The AIMD limit.
+//! Tests of the AIMD concurrency limit.
 
 use super::*;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn grows_by_the_inverse_of_itself_for_each_useful_completion() {
+fn useful_completion_raises_limit_by_its_inverse() {
     let mut limit = ConcurrencyLimit::new(4);
     limit.record_inflation(1.0);
     limit.on_completion(&busy_signal());
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn does_not_grow_without_waiting_requests_idle_cores_or_a_met_objective() {
+fn limit_is_constant_without_waiting_requests_idle_cores_or_met_objective() {
     let without = [
         CompletionSignal {
             met_objective: false,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn never_grows_past_its_ceiling() {
+fn limit_does_not_exceed_ceiling() {
     let mut limit = ConcurrencyLimit::new(4);
     let signal = CompletionSignal {
         ceiling: 4.1,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn falls_once_inflation_lasts_for_as_many_completions_as_it_allows() {
+fn inflation_lowers_limit_once_per_limit_completions() {
     let mut limit = ConcurrencyLimit::new(2);
     for _ in 0..8 {
         limit.on_completion(&busy_signal());
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn never_falls_below_the_cores() {
+fn limit_does_not_fall_below_cores() {
     let mut limit = ConcurrencyLimit::new(4);
     limit.record_inflation(2.0);
     for _ in 0..20 {
--- a/crates/heathspur/tests/unit/idempotency_groups.rs
+++ b/crates/heathspur/tests/unit/idempotency_groups.rs
@@ -1,4 +1,4 @@
-//! Groups of attempts.
+//! Tests of the groups of attempts of keyed requests.
 
 use super::*;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn attempts_of_one_request_share_an_entry() {
+fn attempts_of_one_request_share_entry() {
     let mut groups = IdempotencyGroups::default();
     let is_new = |is_new_entry| JoinOutcome::Entered { is_new_entry };
     assert_eq!(join(&mut groups, FIRST, None), is_new(true));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_run_of_one_attempt_bars_all_others() {
+fn run_of_one_attempt_prevents_runs_of_others() {
     let mut groups = IdempotencyGroups::default();
     join(&mut groups, FIRST, None);
     assert_eq!(groups.mark_run(FIRST), [FIRST]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_repeat_of_an_unknown_attempt_counts_as_run() {
+fn repeat_of_unknown_attempt_counts_as_run() {
     let mut groups = IdempotencyGroups::default();
     assert_eq!(
         join(&mut groups, RETRY, Some(FIRST)),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn without_capacity_no_new_entry_is_made() {
+fn join_without_capacity_adds_no_entry() {
     let mut groups = IdempotencyGroups::default();
     let outcome = groups.join(FIRST, FIRST, false, WINDOW, Time(0), false);
     assert_eq!(outcome, JoinOutcome::NoCapacity);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_entry_leaves_with_the_last_attempt_that_never_ran() {
+fn last_leaving_attempt_releases_entry() {
     let mut groups = IdempotencyGroups::default();
     join(&mut groups, FIRST, None);
     join(&mut groups, RETRY, Some(FIRST));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_entry_expires_after_its_window_and_its_group_after_two() {
+fn entry_expires_after_one_window_and_group_after_two() {
     let mut groups = IdempotencyGroups::default();
     join(&mut groups, FIRST, None);
     groups.mark_run(FIRST);
--- a/crates/heathspur/tests/unit/idle_connections.rs
+++ b/crates/heathspur/tests/unit/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle times of client connections.
+//! Tests of the idle timeout of client connections.
 
 use super::*;
 
@@ -30,20 +30,20 @@
 }
 
 #[test]
-fn connections_that_serve_one_request_are_closed_early() {
+fn rarely_reused_connections_halve_idle_timeout() {
     let mut connections = connections(49.0);
-    let idle_time = connections.update(Time(0), PERIOD_S, &pressure());
-    assert_eq!(idle_time, Some(Span(TIMEOUT.0 / 2)));
+    let idle_timeout = connections.update(Time(0), PERIOD_S, &pressure());
+    assert_eq!(idle_timeout, Some(Span(TIMEOUT.0 / 2)));
 }
 
 #[test]
-fn connections_stay_where_there_is_one_for_every_other_caller() {
+fn connections_for_half_of_callers_leave_idle_timeout_unchanged() {
     let mut connections = connections(50.0);
     assert_eq!(connections.update(Time(0), PERIOD_S, &pressure()), None);
 }
 
 #[test]
-fn the_idle_time_grows_back_to_the_clients_timeout_and_no_further() {
+fn flood_raises_idle_timeout_up_to_client_timeout() {
     let mut connections = connections(49.0);
     connections.update(Time(0), PERIOD_S, &pressure());
     connections.set_open(1.0);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn read_pressure_keeps_the_table_full_for_one_idle_timeout() {
+fn read_pressure_raises_idle_timeout_for_one_client_timeout() {
     let mut connections = connections(49.0);
     connections.update(Time(0), PERIOD_S, &pressure());
     let unread = ServerPressure {
@@ -67,9 +67,6 @@
         connections.update(Time(0), PERIOD_S, &unread),
         Some(TIMEOUT)
     );
-    let before_its_end = Time(TIMEOUT.0 - 1);
-    assert_eq!(
-        connections.update(before_its_end, PERIOD_S, &pressure()),
-        None
-    );
+    let before_end = Time(TIMEOUT.0 - 1);
+    assert_eq!(connections.update(before_end, PERIOD_S, &pressure()), None);
 }
--- a/crates/heathspur/tests/unit/load_signal.rs
+++ b/crates/heathspur/tests/unit/load_signal.rs
@@ -1,4 +1,4 @@
-//! The advertised load signal.
+//! Tests of the advertised load signal.
 
 use super::*;
 use crate::settings::{Class, Idempotency};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_level_rises_with_the_clear_time_up_to_the_highest_class() {
+fn long_clear_time_raises_level_up_to_maximum() {
     let mut advertiser = advertiser(LoadSignal::Level);
     advertiser.update_level(10.0);
     assert_eq!(advertiser.changed_value(false, 4.0), Some(0.1));
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn an_unchanged_value_is_not_advertised_again() {
+fn unchanged_value_is_not_advertised_again() {
     let mut advertiser = advertiser(LoadSignal::Credit);
     assert_eq!(advertiser.changed_value(false, 4.0), Some(8.0));
     assert_eq!(advertiser.changed_value(false, 4.0), None);
 }
 
 #[test]
-fn an_unavailable_server_asks_for_nothing() {
+fn unavailable_server_asks_for_no_requests() {
     let value = |kind| advertiser(kind).changed_value(true, 4.0);
     assert_eq!(value(LoadSignal::Level), Some(1.0));
     // Weight and credit are 0 from the start, so there is no change to advertise.
--- a/crates/heathspur/tests/unit/tenant_quotas.rs
+++ b/crates/heathspur/tests/unit/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! Token buckets of tenants.
+//! Tests of the tenants' token buckets.
 
 use super::*;
 
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn a_full_bucket_holds_two_seconds_of_the_rate_and_four_requests() {
+fn full_bucket_admits_two_seconds_of_rate_plus_four_requests() {
     let mut quotas = quotas(&[10.0], 2);
     assert_eq!(charge_all(&mut quotas, 0, 50), 14);
 }
 
 #[test]
-fn a_retry_is_judged_and_not_charged() {
+fn retry_is_checked_but_not_charged() {
     let mut quotas = quotas(&[0.0], 1);
     assert_eq!((0..50).filter(|_| quotas.charge(0, true)).count(), 50);
     assert_eq!(charge_all(&mut quotas, 0, 50), 4);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_bucket_refills_at_this_servers_share_of_the_rate() {
+fn bucket_refills_at_server_share_of_rate() {
     let mut quotas = quotas(&[10.0], 2);
     charge_all(&mut quotas, 0, 14);
     // Fourteen requests in a second raise the share above one half.
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_single_flooding_tenant_leaves_the_others_refill_alone() {
+fn flood_of_one_tenant_does_not_raise_refill_of_others() {
     let mut quotas = quotas(&[10.0, 10.0, 10.0], 10);
     for tenant in [1, 2] {
         charge_all(&mut quotas, tenant, 6);
@@ -51,6 +51,6 @@
 }
 
 #[test]
-fn an_unknown_tenant_is_within_its_quota() {
+fn unknown_tenant_is_within_quota() {
     assert!(quotas(&[], 1).charge(3, false));
 }
