--- a/crates/heathspur/src/controller/arrival.rs
+++ b/crates/heathspur/src/controller/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: it is joined to its earlier attempts and queued, or answered at once.
+//! Arrival of a request: it is joined to its earlier attempts and queued, or answered at once.
 
 use super::{tightest_objective_s, AdmissionController};
 use crate::action::Action;
@@ -27,7 +27,7 @@
         let queue = state.queue;
         self.requests.insert(request.id, state);
         if is_due || is_past_grace || !may_run || self.stall.is_stalled() {
-            self.give_up(request.id);
+            self.reject_or_fail(request.id);
         } else if self.has_group_run(request.id) {
             self.replay_result(request.id);
         } else {
@@ -55,9 +55,9 @@
             has_stated_deadline: request.remaining_deadline.is_some(),
             phase: Phase::Queued,
             has_run: false,
-            answer_owed: true,
-            time_at_calls_s: 0.0,
-            call_reached_at: Time::default(),
+            needs_answer: true,
+            time_blocked_on_calls_s: 0.0,
+            call_needed_at: Time::default(),
             run_started_at: Time::default(),
             concurrency_at_start: 0.0,
             call_attempts: 0,
@@ -73,11 +73,13 @@
         }
     }
 
-    /// Returns when the latency objective of the first attempt passes.
+    /// Returns when the latency objective passes, which counts from the first attempt.
     ///
-    /// The objective counts from the first attempt, whose age follows from the stated deadline only
-    /// where more of it is left than an answer may be late: the client may state less than its
-    /// timeout for one attempt. The first attempt is never younger than this one.
+    /// If more time remains than lies between the objective and the client's timeout, the age of
+    /// the first attempt follows from the stated deadline. If less remains, the client may have
+    /// stated a timeout for a single attempt, which is shorter than its timeout for all attempts.
+    /// The first attempt is at least as old as this one, so the objective passes no later than it
+    /// would if it counted from this attempt's arrival.
     fn objective_deadline(
         &self,
         request: &Request,
@@ -87,12 +89,12 @@
     ) -> Time {
         let class = &self.settings.classes[request.class.0];
         let objective = self.latency_objective(class, request.class.0, relative_size);
-        let longest_late = Span(class.client_timeout.0 - objective.0);
+        let max_lateness = Span(class.client_timeout.0 - objective.0);
         let age_is_known = request
             .remaining_deadline
-            .is_some_and(|remaining| remaining > longest_late);
+            .is_some_and(|remaining| remaining > max_lateness);
         let by_deadline = if age_is_known {
-            deadline - longest_late
+            deadline - max_lateness
         } else {
             deadline
         };
@@ -105,8 +107,9 @@
         Span::from_secs(class.latency_objective.secs() + for_work_s).min(class.client_timeout)
     }
 
-    /// Returns whether a request is served after those within their tenant's quota. So is a retry
-    /// without a stated deadline, since its objective has mostly passed during earlier attempts.
+    /// Returns whether a request is queued as one beyond its tenant's quota. This also applies to a
+    /// retry without a stated deadline, since its objective has usually passed during earlier
+    /// attempts.
     fn is_over_quota(&mut self, request: &Request) -> bool {
         let exceeds_quota = request
             .tenant
@@ -122,8 +125,9 @@
         self.memory.add_queued(request.queued_memory_kb);
     }
 
-    /// Joins a keyed request to the attempts that it repeats. Returns whether it may be served:
-    /// not if its attempts could no longer be recognized as one.
+    /// Joins a keyed request to its earlier attempts. Returns whether it may be served, which is
+    /// not the case if the idempotency store has no capacity for it, since a retry could then not
+    /// be recognized.
     fn join_attempts(&mut self, request: &Request, state: &mut RequestState) -> bool {
         let class = &self.settings.classes[request.class.0];
         if class.idempotency != Idempotency::Keyed {
@@ -166,8 +170,9 @@
             .is_some_and(|first_attempt| self.idempotency.has_run(first_attempt))
     }
 
-    /// Answers a repeat with the result of the attempt that runs or has run. It fails while memory
-    /// is short, since a request that waits for a result can no longer be shed.
+    /// Answers a repeat with the result of the attempt that is running or has run. The repeat fails
+    /// while memory is over its limit, since a request that waits for a result can no longer be
+    /// shed. A request that repeats no earlier attempt fails as well.
     pub(super) fn replay_result(&mut self, id: RequestId) {
         self.requests.await_result(id);
         let is_repeat = self
@@ -177,18 +182,18 @@
         if is_repeat && !self.memory.is_over_queue_limit() {
             self.actions.push(Action::ReplayResult(id));
         } else {
-            self.give_up(id);
+            self.reject_or_fail(id);
         }
     }
 
-    /// Rejects the newest requests of the lowest priority weight while queued memory is over its
-    /// limit.
+    /// Sheds the newest requests of the lowest priority weight while the memory in use is over the
+    /// limit for queueing.
     fn shed_for_memory(&mut self) {
         while self.memory.is_over_queue_limit() {
             let Some(id) = self.queues.pop_newest_of_lowest() else {
                 return;
             };
-            self.give_up(id);
+            self.reject_or_fail(id);
         }
     }
 }
--- a/crates/heathspur/src/controller/calls.rs
+++ b/crates/heathspur/src/controller/calls.rs
@@ -11,18 +11,18 @@
 impl AdmissionController {
     pub(super) fn on_call_needed(&mut self, id: RequestId) {
         self.stall.record_progress(self.now);
-        if let Some(class) = self.requests.begin_call(id, self.now) {
+        if let Some(class) = self.requests.await_call(id, self.now) {
             self.slot_budgets.vacate(class);
         }
     }
 
-    /// Makes the calls that requests wait for, by falling priority weight, or skips them.
+    /// Makes or skips the calls that requests wait for, by decreasing priority weight.
     pub(super) fn make_calls(&mut self) {
-        if self.requests.at_calls() == self.calls.in_flight() {
+        if self.requests.blocked_on_calls() == self.calls.in_flight() {
             return;
         }
         let max_attempts = self.calls.max_attempts();
-        for id in self.requests_at_calls() {
+        for id in self.requests_ready_to_call() {
             let Some(request) = self.requests.get(id) else {
                 continue;
             };
@@ -33,20 +33,20 @@
                     self.actions.push(Action::SkipCall(id));
                     self.resume_run(id);
                 }
-                CallDecision::GiveUp => self.give_up(id),
+                CallDecision::EndRequest => self.reject_or_fail(id),
                 CallDecision::Wait => {}
             }
         }
     }
 
-    /// Returns the requests whose calls can be made now, by falling priority weight and then by
-    /// the time for which they have waited.
-    fn requests_at_calls(&self) -> Vec<RequestId> {
+    /// Returns the requests whose calls can be made now, by decreasing priority weight and then by
+    /// decreasing time of waiting.
+    fn requests_ready_to_call(&self) -> Vec<RequestId> {
         let mut waiting: Vec<_> = self
             .requests
             .iter()
             .filter(|(_, request)| self.can_call(request))
-            .map(|(id, request)| (self.queues.rank(request.queue), request.call_reached_at, id))
+            .map(|(id, request)| (self.queues.rank(request.queue), request.call_needed_at, id))
             .collect();
         waiting.sort();
         waiting.into_iter().map(|(_, _, id)| id).collect()
@@ -54,7 +54,7 @@
 
     fn can_call(&self, request: &RequestState) -> bool {
         match request.phase {
-            Phase::AtCall { not_before } => not_before <= self.now && request.answer_owed,
+            Phase::CallPending { not_before } => not_before <= self.now && request.needs_answer,
             _ => false,
         }
     }
@@ -70,7 +70,7 @@
             can_skip: class.degraded_weight > 0.0,
             is_idempotent: class.idempotency == Idempotency::Idempotent,
             attempts: request.call_attempts,
-            waiting_since: request.call_reached_at,
+            waiting_since: request.call_needed_at,
             latency_objective_s: class.latency_objective.secs(),
             objective_deadline: request.objective_deadline,
             remaining: (useful_until - self.answer_margin()) - self.now,
@@ -79,23 +79,23 @@
 
     fn make_call(&mut self, id: RequestId, timeout: Span) {
         self.actions.push(Action::Call { id, timeout });
-        self.requests.record_call(id, self.now, timeout.secs());
+        self.requests.record_call_made(id, self.now, timeout.secs());
     }
 
     pub(super) fn on_call_completed(&mut self, id: RequestId, outcome: Outcome, latency: Span) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let Phase::Calling { made_at, timeout_s } = request.phase else {
+        let Phase::CallInFlight { made_at, timeout_s } = request.phase else {
             return;
         };
         let attempts = request.call_attempts;
-        let answer_owed = request.answer_owed;
+        let needs_answer = request.needs_answer;
         let class = &self.settings.classes[request.class];
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
-        let at_calls = self.requests.at_calls();
+        let blocked_on_calls = self.requests.blocked_on_calls();
         self.calls
-            .record_end(self.now, outcome, made_at, timeout_s, at_calls);
+            .record_end(self.now, outcome, made_at, timeout_s, blocked_on_calls);
         self.calls.record_result(outcome, latency);
         if outcome == Outcome::Ok {
             self.resume_run(id);
@@ -103,8 +103,8 @@
         }
         let delay = self.calls.retry_delay(attempts, &mut self.random);
         self.requests.await_call_retry(id, self.now + delay);
-        if answer_owed && !is_idempotent && !never_ran(outcome) {
-            self.give_up(id);
+        if needs_answer && !is_idempotent && !never_ran(outcome) {
+            self.reject_or_fail(id);
         }
     }
 
--- a/crates/heathspur/src/controller/completion.rs
+++ b/crates/heathspur/src/controller/completion.rs
@@ -1,4 +1,4 @@
-//! A request ends: it completes, is rejected or fails, or its client cancels it.
+//! End of a request: it completes, is rejected, fails, or is cancelled by its client.
 
 use super::AdmissionController;
 use crate::action::Action;
@@ -9,12 +9,12 @@
 use crate::settings::{Idempotency, Preemption};
 use crate::time::Span;
 
-/// Run times that must be left for a retry on another server to be of use.
+/// Time that must be left for a retry on another server to be useful, in expected run times.
 const MIN_RUNS_LEFT_FOR_RETRY: f64 = 2.0;
 
 impl AdmissionController {
     pub(super) fn on_run_completed(&mut self, id: RequestId, outcome: Outcome, latency: Span) {
-        // A run that never began, because its client had gone, releases its slot all the same.
+        // A run that never started because its client had cancelled occupies a slot all the same.
         let Some(request) = self.release(id) else {
             return;
         };
@@ -22,16 +22,17 @@
             return;
         }
         self.stall.record_progress(self.now);
-        if request.answer_owed {
-            self.learn_from_answered_run(&request, latency);
+        if request.needs_answer {
+            self.record_answered_run(&request, latency);
         } else {
-            // The longest runs are among those that went on past their answer.
+            // The longest runs are among those that continued after their request was answered, so
+            // they count in the estimates as well.
             self.estimates
                 .add_run(request.class, latency.secs(), request.relative_size);
         }
     }
 
-    fn learn_from_answered_run(&mut self, request: &RequestState, latency: Span) {
+    fn record_answered_run(&mut self, request: &RequestState, latency: Span) {
         let met_objective = self.now <= request.objective_deadline;
         self.rejection.record_served();
         let inflation = self.latency_inflation(request, latency);
@@ -51,10 +52,11 @@
         });
     }
 
-    /// Returns the run time without calls as a multiple of the class's baseline. Only a run that
-    /// shared no core adds to the baseline; the concurrency limit falls to the cores for that.
+    /// Returns the ratio of the run time without calls to the class's baseline. Only runs that did
+    /// not share cores update the baseline. The concurrency limit can decrease to the number of
+    /// cores, at which such runs occur.
     fn latency_inflation(&mut self, request: &RequestState, latency: Span) -> f64 {
-        let without_calls_s = (latency.secs() - request.time_at_calls_s).max(0.0);
+        let without_calls_s = (latency.secs() - request.time_blocked_on_calls_s).max(0.0);
         let run_s = without_calls_s / request.relative_size;
         let concurrency_at_end = self.requests.running() as f64 + 1.0;
         let cores = self.settings.cores.max(1) as f64;
@@ -63,16 +65,17 @@
             .latency_inflation(request.class, run_s, cores_were_shared)
     }
 
-    /// Ends a request whose client no longer waits: it is dropped from its queue or its run is
-    /// stopped. A request at a call ends by itself, and keyed work continues, since a retry may
-    /// still ask for its result.
+    /// Ends a request whose client no longer waits for an answer, or has been given one: the
+    /// request is removed if it has not started, or its run is stopped. A request that is blocked
+    /// on a call is not stopped, since it ends at the call. The run of a keyed request continues,
+    /// since a retry may still need its result.
     pub(super) fn on_client_cancelled(&mut self, id: RequestId) {
         let now = self.now;
         let can_preempt = self.settings.preemption != Preemption::None;
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let was_owed = std::mem::replace(&mut request.answer_owed, false);
+        let needed_answer = std::mem::replace(&mut request.needs_answer, false);
         let is_before_run = request.is_before_run();
         let is_keyed = request.first_attempt.is_some();
         let stops_run = request.phase == Phase::Running && can_preempt && !is_keyed;
@@ -83,7 +86,7 @@
             self.estimates
                 .add_stopped_run(class, elapsed_s, relative_size);
         }
-        if was_owed && !self.stall.is_stalled() && !is_before_run {
+        if needed_answer && !self.stall.is_stalled() && !is_before_run {
             self.deadline_factor.record_wasted_run();
         }
         if is_before_run {
@@ -94,14 +97,14 @@
         }
     }
 
-    /// Gives a request its final answer at once: a rejection where it certainly did not run, or
-    /// running it again does no harm, else an error. A run is stopped.
-    pub(super) fn give_up(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(id).filter(|r| r.answer_owed) else {
+    /// Answers a request at once and ends it. The answer is a rejection if the request certainly
+    /// did not run or can safely run again, and an error otherwise.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id).filter(|r| r.needs_answer) else {
             return;
         };
         if self.can_reject(id, request) {
-            let action = self.rejection_of(id, request);
+            let action = self.rejection_action(id, request);
             self.rejection.record_rejected();
             self.actions.push(action);
         } else {
@@ -115,10 +118,10 @@
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
         let never_ran =
             !request.has_run && !self.has_group_run(id) && request.phase != Phase::AwaitingResult;
-        is_idempotent && !request.is_at_call() || never_ran
+        is_idempotent && !request.is_blocked_on_call() || never_ran
     }
 
-    fn rejection_of(&self, id: RequestId, request: &RequestState) -> Action {
+    fn rejection_action(&self, id: RequestId, request: &RequestState) -> Action {
         let is_unavailable = self.stall.is_stalled() || self.drain.is_draining();
         let cause = if is_unavailable {
             RejectionCause::Unavailable
@@ -127,7 +130,8 @@
         } else {
             RejectionCause::Capacity
         };
-        // A retry elsewhere needs enough time, which is certain only with a stated deadline.
+        // A retry on another server needs time, which is known to remain only from a stated
+        // deadline.
         let left_s = (request.objective_deadline - self.now).secs();
         let needed_s = MIN_RUNS_LEFT_FOR_RETRY * self.expected_run_s(request);
         let can_retry_elsewhere = request.has_stated_deadline && left_s >= needed_s;
@@ -144,8 +148,8 @@
             .expected_run_of_size_s(request.class, request.relative_size)
     }
 
-    /// Removes an attempt that never ran from its group, and the group's idempotency entry with the
-    /// last such attempt.
+    /// Removes an attempt that never ran from its group. If it was the last attempt of a group that
+    /// has not run, the group's idempotency entry is removed as well.
     fn leave_group(&mut self, id: RequestId) {
         if let Some(entry) = self.idempotency.leave(id) {
             self.actions.push(Action::EvictResult(entry));
@@ -164,10 +168,15 @@
         if request.phase == Phase::Running {
             self.slot_budgets.vacate(request.class);
         }
-        if let Phase::Calling { made_at, timeout_s } = request.phase {
-            let at_calls = self.requests.at_calls();
-            self.calls
-                .record_end(self.now, Outcome::Cancelled, made_at, timeout_s, at_calls);
+        if let Phase::CallInFlight { made_at, timeout_s } = request.phase {
+            let blocked_on_calls = self.requests.blocked_on_calls();
+            self.calls.record_end(
+                self.now,
+                Outcome::Cancelled,
+                made_at,
+                timeout_s,
+                blocked_on_calls,
+            );
         }
         Some(request)
     }
--- a/crates/heathspur/src/controller/dispatch.rs
+++ b/crates/heathspur/src/controller/dispatch.rs
@@ -1,14 +1,14 @@
-//! Free run slots are given to queued requests.
+//! Dispatch of queued requests to free run slots.
 //!
-//! A class within its budget goes first, in the order of priority weights; slots that are left are
-//! lent to the first queue that has a request.
+//! Classes within their budget are served first, by decreasing priority weight. Slots that are left
+//! are lent to the first queue in that order that has a request.
 
 use super::AdmissionController;
 use crate::action::Action;
 use crate::class_queues::QueueIndex;
 use crate::event::RequestId;
 
-/// Least number of requests that may run at once.
+/// Least limit on running requests, so that some request can always run.
 const MIN_CONCURRENCY: f64 = 1.0;
 
 impl AdmissionController {
@@ -17,7 +17,7 @@
             return;
         }
         while let Some(allowed) = self.allowed_concurrency() {
-            let Some(queue) = self.next_queue(self.are_calls_full(allowed)) else {
+            let Some(queue) = self.next_queue(self.lacks_call_capacity(allowed)) else {
                 return;
             };
             let Some(id) = self.first_waiting(queue) else {
@@ -37,29 +37,31 @@
         let usable = self.overload_ceiling.usable_concurrency(self.now);
         let limit = self.concurrency_limit.get().min(usable);
         let allowed = limit.max(MIN_CONCURRENCY).floor() as usize;
-        // Requests at calls return to the cores. On a server that bears one or two requests, a
-        // limit that is rounded up past the ceiling would be one too many.
-        let started = (self.requests.running() + self.requests.at_calls()) as f64;
+        // Requests that are blocked on calls return to the cores, so they count as started. The
+        // check `started < usable` rounds a fractional ceiling up, which on a server that can run
+        // only one or two requests would exceed the overload concurrency.
+        let started = (self.requests.running() + self.requests.blocked_on_calls()) as f64;
         let is_at_limit = self.requests.running() >= allowed + self.runs_off_cpu;
         let would_overload = started + 1.0 > self.overload_ceiling.overload_concurrency(self.now);
         (!is_at_limit && started < usable && !would_overload).then_some(allowed)
     }
 
-    /// Returns whether requests at calls leave no capacity for further requests that call. With
-    /// none at a call none would return and free capacity, so waiting for it would never end.
-    fn are_calls_full(&self, allowed: usize) -> bool {
-        let at_calls = self.requests.at_calls();
+    /// Returns whether the requests that are blocked on calls leave no capacity for further
+    /// requests that may call. This never applies while no request is blocked on a call: no request
+    /// would then return from a call and free capacity, so the wait would never end.
+    fn lacks_call_capacity(&self, allowed: usize) -> bool {
+        let blocked_on_calls = self.requests.blocked_on_calls();
         let usable = self.overload_ceiling.usable_concurrency(self.now);
-        at_calls > 0 && (at_calls + allowed) as f64 >= usable
+        blocked_on_calls > 0 && (blocked_on_calls + allowed) as f64 >= usable
     }
 
     /// Returns the queue whose first request starts next.
-    fn next_queue(&mut self, calls_are_full: bool) -> Option<QueueIndex> {
+    fn next_queue(&mut self, lacks_call_capacity: bool) -> Option<QueueIndex> {
         let mut borrower = None;
         for rank in 0..self.queues.dispatch_order().len() {
             let queue = self.queues.dispatch_order()[rank];
             let class = queue.class();
-            if calls_are_full && self.settings.classes[class].may_call {
+            if lacks_call_capacity && self.settings.classes[class].may_call {
                 continue;
             }
             if self.first_waiting(queue).is_none() {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Has the queued attempts of a keyed request wait for the result of the one that starts.
+    /// Makes the other queued attempts of a keyed request wait for the result of the started one.
     fn replay_to_waiting_attempts(&mut self, started: RequestId, first_attempt: RequestId) {
         for attempt in self.idempotency.mark_run(first_attempt) {
             let waits_in_queue = self
--- a/crates/heathspur/src/controller/mod.rs
+++ b/crates/heathspur/src/controller/mod.rs
@@ -1,9 +1,10 @@
-//! The admission controller: composes the parts of the crate and drives them by events.
+//! The admission controller, which combines the modules of the crate and processes events.
 //!
-//! The controller owns the parts and passes values between them; each part owns its state. The
-//! path of a request leads through `arrival` (read, joined to its earlier attempts, queued),
-//! `dispatch` (started), `calls` (its calls to the dependency) and `completion` (answered, learned
-//! from, released). `tick` answers requests that are due and ends control periods.
+//! The controller owns a component from each module and passes values between them; each component
+//! owns its state. A request passes through `arrival` (it is joined to its earlier attempts and
+//! queued), `dispatch` (it is started), `calls` (its calls to the dependency are made) and
+//! `completion` (it is answered, its run is recorded in the estimates, and its resources are
+//! released). `tick` answers requests that are due and ends control periods.
 
 mod arrival;
 mod calls;
@@ -34,16 +35,17 @@
 use crate::tenant_quotas::TenantQuotas;
 use crate::time::{Span, Time};
 
-/// Time between checks for requests that are due, in seconds.
+/// Time between two ticks, which check for requests that are due, in seconds.
 const TICK_INTERVAL_S: f64 = 0.02;
-/// Length of a control period, in seconds: some starts of each class, well below the objectives.
+/// Length of a control period, in seconds. It is long enough for several starts of each class and
+/// much shorter than the latency objectives.
 const CONTROL_PERIOD_S: f64 = 0.5;
-/// Steps of the clock by which a tick may be late.
+/// Largest delay of a tick, in steps of the clock.
 const TICK_JITTER_STEPS: u64 = 3;
 /// The token of the only timer that the controller sets.
 const TICK_TOKEN: Token = Token(0);
 
-/// The admission and scheduling decisions of one server, from its start to its end.
+/// The admission controller and scheduler of one server, for the lifetime of its process.
 ///
 /// The controller does no I/O and reads no clock: the same settings, seed and events always give
 /// the same actions.
@@ -70,11 +72,12 @@
     rejection: RejectionAdvice,
     load: LoadAdvertiser,
     idle_connections: IdleConnections,
-    /// Time that recent requests waited unread, as a fraction of the tightest objective.
+    /// Time that recent requests waited unread, as a fraction of the tightest latency objective.
     unread_delay: Ewma,
     /// Fraction of the cores that were busy at the last tick.
     cpu_utilization: Option<f64>,
-    /// Running requests that needed no core at the last tick, since they waited for a disk.
+    /// Number of running requests that needed no core at the last tick, since they waited for a
+    /// disk.
     runs_off_cpu: usize,
     actions: Vec<Action>,
 }
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Takes in all events of a batch, then decides once and appends the resulting actions.
+    /// Processes all events of a batch, then decides once and appends the resulting actions.
     ///
     /// `now` is the time of the batch, on a clock that only advances.
     pub fn decide(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
@@ -135,8 +138,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// Returns the run slots that a class is granted before idle ones are lent to it; 0 for a
-    /// class that does not exist.
+    /// Returns the number of run slots that a class is guaranteed, or 0 for a class that does not
+    /// exist. Slots that other classes leave idle are lent to it in addition.
     pub fn run_slot_budget(&self, class: ClassId) -> f64 {
         self.slot_budgets.budget(class.0)
     }
@@ -190,7 +193,8 @@
         };
     }
 
-    /// Returns how long before its deadline a request is answered: one tick, with its jitter.
+    /// Returns how long before its deadline a request is answered: the tick interval plus the
+    /// largest delay of a tick.
     fn answer_margin(&self) -> Span {
         let jitter = TICK_JITTER_STEPS * self.settings.tick.0;
         Span(Span::from_secs(TICK_INTERVAL_S).0 + jitter)
--- a/crates/heathspur/src/controller/tick.rs
+++ b/crates/heathspur/src/controller/tick.rs
@@ -1,4 +1,4 @@
-//! Periodic work: requests that are due, stalls, and the end of control periods.
+//! Periodic work: answers to requests that are due, stall checks, and the end of control periods.
 
 use super::{
     tightest_objective_s, AdmissionController, CONTROL_PERIOD_S, TICK_INTERVAL_S, TICK_TOKEN,
@@ -13,14 +13,14 @@
 use crate::slot_budgets::ClassObservation;
 use crate::time::Span;
 
-/// Fraction of its objective that a request queues before the work ahead of it can have it
-/// rejected.
+/// Time that a request must have been queued before it can be rejected for the work ahead of it, as
+/// a fraction of its latency objective.
 const MIN_QUEUED_FRACTION: f64 = 0.1;
 
 impl AdmissionController {
     pub(super) fn on_tick(&mut self) {
         self.check_stall();
-        self.give_up_due_requests();
+        self.end_due_requests();
         if self.now - self.last_control_at >= Span::from_secs(CONTROL_PERIOD_S) {
             self.end_control_period();
         }
@@ -49,8 +49,8 @@
         self.advertise_load();
     }
 
-    /// Reports a stall or its end. While work is stalled, requests are rejected so that callers use
-    /// other servers.
+    /// Reports the beginning or the end of a stall. During a stall, requests are rejected so that
+    /// callers use other servers.
     fn check_stall(&mut self) {
         let running = self.requests.running();
         let has_changed = self.stall.update(
@@ -72,22 +72,22 @@
         } else {
             "work has resumed"
         };
-        let idle_s = self.stall.idle_s(self.now);
+        let time_since_progress_s = self.stall.time_since_progress_s(self.now);
         self.actions.push(Action::Log(format!(
-            "{state}: {running} requests running, last progress {idle_s:.1} s ago"
+            "{state}: {running} requests running, last progress {time_since_progress_s:.1} s ago"
         )));
     }
 
-    fn give_up_due_requests(&mut self) {
+    fn end_due_requests(&mut self) {
         let mut ended = self.unlikely_to_finish();
         ended.extend(
             self.requests
                 .iter()
-                .filter(|(_, request)| request.answer_owed && self.is_due(request))
+                .filter(|(_, request)| request.needs_answer && self.is_due(request))
                 .map(|(id, _)| id),
         );
         for id in ended {
-            self.give_up(id);
+            self.reject_or_fail(id);
         }
     }
 
@@ -96,17 +96,17 @@
         let is_idempotent = class.idempotency == Idempotency::Idempotent;
         let is_stoppable_run = request.phase == Phase::Running && is_idempotent;
         let is_past_deadline = self.now + self.answer_margin() >= request.deadline;
-        // A late answer that earns nothing makes way; other effects are completed while the client
-        // still waits.
-        let is_worthless =
+        // A run whose late answer has no value is stopped to free its slot. Runs that cannot safely
+        // be repeated are completed while the client still waits.
+        let has_no_value =
             is_stoppable_run && class.late_weight == 0.0 && self.now > request.objective_deadline;
-        let can_go_elsewhere = request.phase == Phase::Queued || is_stoppable_run;
-        is_past_deadline || is_worthless || self.stall.is_stalled() && can_go_elsewhere
+        let can_run_elsewhere = request.phase == Phase::Queued || is_stoppable_run;
+        is_past_deadline || has_no_value || self.stall.is_stalled() && can_run_elsewhere
     }
 
-    /// Returns the queued requests that will probably miss their objective: their run does not fit
-    /// into the time left, or, once they have queued for a while, the work ahead of them and their
-    /// run do not.
+    /// Returns the queued requests that will probably miss their latency objective: their run does
+    /// not fit into the time left, or, once they have been queued for a while, the work ahead of
+    /// them and their run together do not.
     fn unlikely_to_finish(&self) -> Vec<RequestId> {
         let mut found = Vec::new();
         let mut work_ahead_s = 0.0;
@@ -145,7 +145,7 @@
         let class = &self.settings.classes[request.class];
         let queued_s = (self.now - request.arrived_at).secs();
         let has_queued = queued_s > MIN_QUEUED_FRACTION * class.latency_objective.secs();
-        // Without contention nothing is gained by rejecting a run that is risky or long.
+        // Without contention for slots, rejecting a risky or long run frees nothing for others.
         let expected_run_s = self.expected_run_s(request);
         let (factor, run_s) = if slots_are_contended {
             (self.deadline_factor.for_queue(), expected_run_s)
@@ -208,13 +208,14 @@
             cpu_utilization: self.cpu_utilization,
             rejection_rate: self.rejection.rejection_rate(),
         };
-        let idle_time = self.idle_connections.update(self.now, period_s, &pressure);
-        if let Some(idle_time) = idle_time {
-            self.actions.push(Action::CloseIdleConnections(idle_time));
+        let idle_timeout = self.idle_connections.update(self.now, period_s, &pressure);
+        if let Some(idle_timeout) = idle_timeout {
+            self.actions
+                .push(Action::CloseIdleConnections(idle_timeout));
         }
     }
 
-    /// Updates the load signal, and advertises it if it changes.
+    /// Updates the load signal, and advertises its value if that changes.
     fn advertise_load(&mut self) {
         let clear_time_s = self.queue_clear_time_s();
         self.load.update_level(clear_time_s);
--- a/crates/heathspur/src/dependency_calls/budget.rs
+++ b/crates/heathspur/src/dependency_calls/budget.rs
@@ -1,9 +1,11 @@
 //! This server's budget of calls to a dependency that all servers share.
 //!
-//! Two bounds apply. The window bound keeps the call seconds that ended in the averaging window,
-//! and those that calls in flight may still take, below this server's share, so that the fleet
-//! together cannot overload the dependency. The token bucket paces the starts: calls in flight
-//! come to an adaptive limit (AIMD) on average, which can be far below one.
+//! The budget is counted in call seconds: one call that is in flight for one second uses one call
+//! second. Two bounds apply. The window bound limits the call seconds of the calls that ended in
+//! the averaging window and of those that are in flight to this server's share, so that the servers
+//! of the fleet together cannot overload the dependency. The token bucket paces the starts of
+//! calls, so that the mean number of calls in flight stays at an adaptive limit (AIMD), which can
+//! be far below one.
 
 use super::statistics::CallStatistics;
 use crate::event::Outcome;
@@ -11,35 +13,38 @@
 use crate::time::{Span, Time};
 use std::collections::VecDeque;
 
-/// Fraction of the capacity share that is used at most.
+/// Largest fraction of the capacity share that is used.
 const MAX_USED_FRACTION: f64 = 0.9;
-/// Fraction of the capacity share at which the limit on calls in flight starts.
+/// Initial limit on calls in flight, as a fraction of the capacity share.
 const INITIAL_LIMIT_FRACTION: f64 = 0.33;
 /// Least capacity share, as a mean number of calls, by which times are divided.
 const MIN_CAPACITY_SHARE: f64 = 1e-6;
-/// Seconds of tokens that the bucket can hold.
+/// Burst capacity of the token bucket, in seconds of its refill rate.
 const BURST_S: f64 = 1.0;
 /// Fraction of the bucket that is reserved for calls that cannot be skipped.
 const RESERVED_FOR_REQUIRED_CALLS: f64 = 0.5;
-/// Fraction of the time between two infrequent calls in which a saved one may start.
+/// Fraction of the interval between infrequent calls during which one may start.
 const START_SLOT_FRACTION: f64 = 0.25;
-/// Latency that is assumed for the first call, in lifetimes of an abandoned call: the call itself
-/// and its abandoned remainder, and a margin of the same size.
+/// Latency assumed for the first call, as a multiple of the lifetime of an abandoned call: the call
+/// itself, its abandoned remainder, and a margin as long as both.
 const FIRST_CALL_LIFETIMES: f64 = 4.0;
-/// Factor on the first call's latency after a cold start, since the process before it may have
-/// used the same window.
+/// Factor on the latency assumed for the first call after a cold start, since the calls of the
+/// previous process may still count in the averaging window.
 const COLD_START_FACTOR: f64 = 2.0;
-/// Call latency over its baseline above which the limit falls.
+/// Ratio of the call latency to its baseline above which the limit decreases.
 const MAX_LATENCY_INFLATION: f64 = 2.0;
-/// Factor by which inflated latency lowers the limit.
+/// Factor on the limit when the call latency is inflated.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Usual call times that must fit into the window for another call to start.
+/// Call seconds that must be left in the window for another call to start, as a multiple of the
+/// typical call latency.
 const REQUIRED_LATENCIES: f64 = 6.0;
-/// The most of the window that is required for another call to start.
+/// Largest fraction of the window's capacity that must be left for another call to start.
 const MAX_REQUIRED_FRACTION: f64 = 0.5;
-/// Calls, each with its abandoned remainder, that the averaging window holds at least.
+/// Least number of calls, each with its abandoned remainder, for which the averaging window has
+/// capacity.
 const MIN_CALLS_IN_WINDOW: f64 = 2.0;
-/// Calls below the limit at which the limit still counts as used and may grow.
+/// The limit counts as used, and may increase, while it exceeds the calls in flight by less than
+/// this number.
 const GROWTH_HEADROOM: f64 = 2.0;
 
 /// A call that has ended.
@@ -52,7 +57,7 @@
     pub elapsed_s: f64,
 }
 
-/// The call seconds of an ended call, which count until it leaves the averaging window.
+/// The call seconds of an ended call, which count until they leave the averaging window.
 #[derive(Debug)]
 struct RecentUsage {
     expires_at: Time,
@@ -62,22 +67,23 @@
 /// The budget and its control state.
 #[derive(Debug)]
 pub(crate) struct CallBudget {
-    /// This server's share of the dependency's capacity, as a mean number of calls.
+    /// This server's share of the dependency's capacity, as a mean number of calls in flight.
     capacity_share: f64,
     averaging_window_s: f64,
     abandoned_call_lifetime_s: f64,
     /// Limit on the mean number of calls in flight.
     limit: f64,
-    /// Call seconds that pacing still grants; negative while calls are paid off.
+    /// Call seconds in the token bucket; negative while earlier calls have used more than has
+    /// accrued.
     tokens_s: f64,
     tokens_updated_at: Time,
-    /// Call seconds that calls in flight may take.
+    /// Call seconds that the calls in flight may use, including abandoned remainders.
     committed_s: f64,
     recent_usage: VecDeque<RecentUsage>,
 }
 
 impl CallBudget {
-    /// Creates the budget for a share of a dependency.
+    /// Creates the budget for a share of a dependency's capacity.
     pub fn new(
         capacity_share: f64,
         averaging_window: Span,
@@ -95,8 +101,9 @@
         }
     }
 
-    /// Starts pacing. The first call is granted at a random moment of the time in which the share
-    /// pays for one: servers that start together with work waiting would otherwise call at once.
+    /// Starts the pacing of calls. The first call may start after a random part of the interval in
+    /// which tokens for it accrue. Otherwise servers that start together with requests waiting
+    /// would all call at the same time.
     pub fn start(
         &mut self,
         now: Time,
@@ -112,7 +119,7 @@
         self.tokens_s = -random.next_fraction() * first_interval_s * self.limit;
     }
 
-    /// Brings tokens and recent usage up to `now`.
+    /// Updates the tokens and the recent usage to `now`.
     pub fn accrue(&mut self, now: Time, in_flight: usize, statistics: &CallStatistics) {
         let elapsed_s = (now - self.tokens_updated_at).secs();
         self.tokens_updated_at = now;
@@ -133,7 +140,7 @@
         }
     }
 
-    /// Returns the call seconds that another call may take now; 0 where none may start.
+    /// Returns the call seconds that another call may use now, or 0 if no call may start.
     pub fn available_call_s(
         &self,
         can_skip: bool,
@@ -147,7 +154,7 @@
             .map(|usage| usage.call_s)
             .sum::<f64>();
         let left_s = total_s - self.committed_s - used_s;
-        let required_s = REQUIRED_LATENCIES * self.usual_call_s(statistics);
+        let required_s = REQUIRED_LATENCIES * self.typical_call_s(statistics);
         let fits_window = left_s >= required_s.min(MAX_REQUIRED_FRACTION * total_s);
         let is_below_limit = (in_flight as f64) < self.limit.max(1.0).floor();
         if fits_window && is_below_limit && self.has_tokens(can_skip, statistics) {
@@ -157,19 +164,19 @@
         }
     }
 
-    /// Records that a call is made with this timeout.
+    /// Records that a call with the given timeout has been made.
     pub fn commit(&mut self, timeout: Span) {
         self.committed_s += timeout.secs() + self.abandoned_call_lifetime_s;
     }
 
-    /// Records the end of a call and adapts the limit. An abandoned call occupies the dependency
-    /// for a while longer. `in_flight` no longer counts the call.
+    /// Records the end of a call and adapts the limit. An abandoned call is charged for as long as
+    /// the dependency may continue to work on it. `in_flight` no longer includes the call.
     pub fn release(
         &mut self,
         now: Time,
         call: &EndedCall,
         in_flight: usize,
-        at_calls: usize,
+        blocked_on_calls: usize,
         statistics: &CallStatistics,
     ) {
         self.committed_s -= call.timeout_s + self.abandoned_call_lifetime_s;
@@ -180,16 +187,16 @@
             call_s: call.elapsed_s + remainder_s,
         });
         self.tokens_s -= remainder_s;
-        self.adapt_limit(call.outcome, in_flight, at_calls, statistics);
+        self.adapt_limit(call.outcome, in_flight, blocked_on_calls, statistics);
     }
 
-    /// Returns the call seconds charged for a call beyond its end.
+    /// Returns the call seconds that are charged for an ended call in addition to its elapsed time.
     fn remainder_s(&self, call: &EndedCall, statistics: &CallStatistics) -> f64 {
         match call.outcome {
             Outcome::Timeout | Outcome::Cancelled => self.abandoned_call_lifetime_s,
-            // A rejected call costs a usual one. Otherwise all servers would save tokens while the
-            // dependency is full and return to it at once.
-            Outcome::Rejected => (self.usual_call_s(statistics) - call.elapsed_s).max(0.0),
+            // A rejected call is charged as much as a typical one. Otherwise all servers would
+            // accumulate tokens while the dependency is full and then call it at the same time.
+            Outcome::Rejected => (self.typical_call_s(statistics) - call.elapsed_s).max(0.0),
             _ => 0.0,
         }
     }
@@ -198,12 +205,13 @@
         &mut self,
         outcome: Outcome,
         in_flight: usize,
-        at_calls: usize,
+        blocked_on_calls: usize,
         statistics: &CallStatistics,
     ) {
+        // The least limit, and the unit of the additive increase.
         let step = (INITIAL_LIMIT_FRACTION * self.capacity_share).min(1.0);
-        // A limit below one call grows only while other calls wait for it.
-        let is_binding = self.limit >= 1.0 || 1 + in_flight < at_calls;
+        // A limit below one call increases only while other calls wait.
+        let is_binding = self.limit >= 1.0 || 1 + in_flight < blocked_on_calls;
         let is_used = in_flight as f64 + GROWTH_HEADROOM > self.limit;
         let inflated_s = MAX_LATENCY_INFLATION * statistics.baseline_s().value();
         if statistics.latency_s().value() > inflated_s {
@@ -229,34 +237,36 @@
         self.limit >= 1.0 || is_in_start_slot && self.tokens_s >= reserved * bucket_s
     }
 
-    /// Returns the length of a usual call if pacing grants fewer than one in the averaging window.
+    /// Returns the latency of a typical call, in seconds, if the limit allows fewer than one such
+    /// call in the averaging window, and `None` otherwise.
     ///
-    /// Such a call starts only in a slot that recurs as often as the tokens pay for a call, at a
-    /// moment that differs between servers. Otherwise all idle servers would call at once when
-    /// requests reach them together.
+    /// An infrequent call may start only in the first part of an interval that begins whenever
+    /// tokens for a typical call have accrued, at times that differ between servers. Otherwise all
+    /// idle servers would call at the same time when requests reach them together.
     fn infrequent_call_s(&self, statistics: &CallStatistics) -> Option<f64> {
-        let call_s = self.usual_call_s(statistics);
+        let call_s = self.typical_call_s(statistics);
         (call_s > self.limit * self.averaging_window_s).then_some(call_s)
     }
 
-    /// Returns the recent call latency, in seconds; before the first call the lifetime of an
-    /// abandoned one.
-    fn usual_call_s(&self, statistics: &CallStatistics) -> f64 {
+    /// Returns the recent call latency, in seconds, or the lifetime of an abandoned call before the
+    /// first result.
+    fn typical_call_s(&self, statistics: &CallStatistics) -> f64 {
         statistics
             .latency_s()
             .value_or(self.abandoned_call_lifetime_s)
     }
 
-    /// Returns the averaging window, in seconds, extended where the share is so small that the
-    /// window would not hold a usual call.
+    /// Returns the averaging window, in seconds. It is extended if the share is too small for the
+    /// window to have capacity for [`MIN_CALLS_IN_WINDOW`] typical calls.
     fn effective_window_s(&self, statistics: &CallStatistics) -> f64 {
-        let call_s = self.abandoned_call_lifetime_s + self.usual_call_s(statistics);
+        let call_s = self.abandoned_call_lifetime_s + self.typical_call_s(statistics);
         let least_s = MIN_CALLS_IN_WINDOW * call_s;
         self.averaging_window_s
             .max(least_s / (MAX_USED_FRACTION * self.capacity_share))
     }
 
-    /// Returns the call seconds that this server may use in an averaging window.
+    /// Returns the call seconds that this server may use in an averaging window, in which one
+    /// abandoned remainder is reserved.
     fn window_capacity_s(&self, statistics: &CallStatistics) -> f64 {
         let window_s = self.effective_window_s(statistics);
         MAX_USED_FRACTION * self.capacity_share * window_s - self.abandoned_call_lifetime_s
--- a/crates/heathspur/src/dependency_calls/mod.rs
+++ b/crates/heathspur/src/dependency_calls/mod.rs
@@ -1,8 +1,8 @@
 //! Calls to the dependency: whether, when and for how long a request's call is made.
 //!
-//! [`CallBudget`] keeps the calls within this server's share of a shared dependency's capacity;
-//! [`CallStatistics`] keeps latencies and the acceptance rate, from which timeouts and the number
-//! of attempts follow.
+//! [`CallBudget`] limits the calls to this server's share of a shared dependency's capacity.
+//! [`CallStatistics`] tracks call latencies and the acceptance rate, from which timeouts and the
+//! number of attempts are derived.
 
 mod budget;
 mod statistics;
@@ -15,69 +15,70 @@
 use budget::{CallBudget, EndedCall};
 use statistics::CallStatistics;
 
-/// Attempts after which a call that can be skipped is skipped.
+/// Number of failed attempts after which a call that can be skipped is skipped.
 const SKIPPABLE_ATTEMPTS: u32 = 2;
-/// Fraction of the remaining time that a call that can be skipped may take.
+/// Timeout of a call that can be skipped, as a fraction of the request's remaining time.
 const SKIPPABLE_TIMEOUT_FRACTION: f64 = 0.5;
-/// Wait for capacity after which a call that can be skipped is skipped, as a fraction of the
-/// latency objective.
+/// Time of waiting for capacity after which a call that can be skipped is skipped, as a fraction of
+/// the latency objective.
 const SKIP_AFTER_WAIT_FRACTION: f64 = 0.1;
-/// Latencies after which a call that can be repeated counts as lost.
+/// Time after which an idempotent call counts as lost and times out, as a multiple of the typical
+/// latency.
 const LOST_CALL_LATENCIES: f64 = 6.0;
-/// Backoff before the first retry, in seconds; doubled for each further one.
-const INITIAL_BACKOFF_S: f64 = 0.05;
+/// Base of the exponential backoff, in seconds, which is doubled for each attempt made.
+const BASE_BACKOFF_S: f64 = 0.05;
 /// Largest number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Least jitter factor of the backoff; the largest is 1 more.
+/// Least jitter factor of the backoff. The factor is less than 1 above it.
 const MIN_BACKOFF_JITTER: f64 = 0.5;
 
 /// A request that waits for its call to be made.
 pub(crate) struct WaitingCall {
-    /// The request can be answered, at a lower weight, without the call.
+    /// Whether the request can be answered, with a lower weight, without the call.
     pub can_skip: bool,
-    /// Repeating the call does no harm.
+    /// Whether the call can safely be repeated.
     pub is_idempotent: bool,
-    /// Attempts made so far.
+    /// Number of attempts made so far.
     pub attempts: u32,
-    /// Since when the request waits for the call.
+    /// When the request began to wait for the call.
     pub waiting_since: Time,
     /// Latency objective of the request's class, in seconds.
     pub latency_objective_s: f64,
     /// When the request's latency objective passes.
     pub objective_deadline: Time,
-    /// Time in which an answer is still of use.
+    /// Time left for the call in which an answer is still useful.
     pub remaining: Span,
 }
 
-/// What becomes of a waiting call.
+/// The decision on a waiting call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallDecision {
-    /// The call is made now, and abandoned after the timeout.
+    /// The call is made now.
     Make {
         /// Time after which the call is abandoned.
         timeout: Span,
     },
     /// The request continues without the call.
     Skip,
-    /// The request is given up.
-    GiveUp,
+    /// The request ends without the call: it is rejected or fails.
+    EndRequest,
     /// The call waits for capacity.
     Wait,
 }
 
-/// State of all calls of a server.
+/// The state of all calls of a server.
 #[derive(Debug)]
 pub(crate) struct DependencyCalls {
     statistics: CallStatistics,
-    /// Present where the dependency is shared.
+    /// `None` unless the dependency is shared.
     budget: Option<CallBudget>,
     in_flight: usize,
-    /// Shortest timeout of a call.
+    /// Least timeout of a call.
     min_timeout: Span,
 }
 
 impl DependencyCalls {
-    /// Creates the state of a server that has made no call.
+    /// Creates the state of a server that has made no calls.
     pub fn new(settings: &Settings, min_timeout: Span) -> DependencyCalls {
         let budget = match settings.dependency {
             Dependency::Shared {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Starts the budget of a server that starts now.
+    /// Starts the call budget of a server that starts now.
     pub fn start(&mut self, now: Time, cold_start: bool, random: &mut Random) {
         if let Some(budget) = &mut self.budget {
             budget.start(now, cold_start, &self.statistics, random);
@@ -111,13 +112,13 @@
         self.in_flight
     }
 
-    /// Returns how often one call is attempted. Where most calls are rejected, retries only add to
-    /// the load.
+    /// Returns the number of attempts allowed for one call. It is lower while the dependency
+    /// rejects calls, since retries then only add to its load.
     pub fn max_attempts(&self) -> u32 {
         self.statistics.max_attempts()
     }
 
-    /// Decides on a waiting call. `max_attempts` is the bound for all calls of the present batch.
+    /// Decides on a waiting call. `max_attempts` applies to all calls of the current batch.
     pub fn decide(&mut self, now: Time, call: &WaitingCall, max_attempts: u32) -> CallDecision {
         let available_s = self.available_call_s(now, call.can_skip);
         let has_capacity = available_s > 0.0;
@@ -125,7 +126,7 @@
             return CallDecision::Skip;
         }
         if call.attempts >= max_attempts || call.remaining.0 == 0 {
-            return CallDecision::GiveUp;
+            return CallDecision::EndRequest;
         }
         if !has_capacity {
             return CallDecision::Wait;
@@ -138,15 +139,15 @@
         CallDecision::Make { timeout }
     }
 
-    /// Records the end of a call that was made at `made_at` with `timeout_s`. `at_calls` is the
-    /// number of requests that wait for a call or its result.
+    /// Records the end of a call that was made at `made_at` with `timeout_s`. `blocked_on_calls` is
+    /// the number of requests that wait for a call to be made or to end.
     pub fn record_end(
         &mut self,
         now: Time,
         outcome: Outcome,
         made_at: Time,
         timeout_s: f64,
-        at_calls: usize,
+        blocked_on_calls: usize,
     ) {
         let in_flight_before = self.in_flight;
         self.in_flight -= 1;
@@ -157,21 +158,27 @@
                 elapsed_s: (now - made_at).secs(),
             };
             budget.accrue(now, in_flight_before, &self.statistics);
-            budget.release(now, &call, self.in_flight, at_calls, &self.statistics);
+            budget.release(
+                now,
+                &call,
+                self.in_flight,
+                blocked_on_calls,
+                &self.statistics,
+            );
         }
     }
 
-    /// Learns from the result of a call, after its end was recorded.
+    /// Updates the statistics with the result of a call. The call's end is recorded first.
     pub fn record_result(&mut self, outcome: Outcome, latency: Span) {
         self.statistics.record_result(outcome, latency);
     }
 
-    /// Returns the time before a failed call is attempted again: exponential backoff with jitter,
-    /// or zero where no attempt is left, so that the request is given up in this batch.
+    /// Returns the delay before a failed call is attempted again: exponential backoff with jitter,
+    /// or zero if no attempt is left, so that the request ends in this batch.
     pub fn retry_delay(&self, attempts: u32, random: &mut Random) -> Span {
         let doublings = attempts.min(MAX_BACKOFF_DOUBLINGS);
         let jitter = MIN_BACKOFF_JITTER + random.next_fraction();
-        let backoff_s = INITIAL_BACKOFF_S * f64::from(1u32 << doublings) * jitter;
+        let backoff_s = BASE_BACKOFF_S * f64::from(1u32 << doublings) * jitter;
         if attempts < self.max_attempts() {
             Span::from_secs(backoff_s)
         } else {
@@ -211,17 +218,18 @@
             call.remaining
         };
         if call.is_idempotent {
-            let usual_s = self.usual_latency_s(call).value_or(call.remaining.secs());
-            timeout = timeout.min(Span::from_secs(LOST_CALL_LATENCIES * usual_s));
+            let typical_s = self.typical_latency_s(call).value_or(call.remaining.secs());
+            timeout = timeout.min(Span::from_secs(LOST_CALL_LATENCIES * typical_s));
         }
         timeout
             .min(Span::from_secs(available_s))
             .max(self.min_timeout)
     }
 
-    /// Returns the latency by which a lost call is recognized. A call that can be skipped does not
-    /// occupy a shared dependency for longer than one takes without load.
-    fn usual_latency_s(&self, call: &WaitingCall) -> &Ewma {
+    /// Returns the latency from which the timeout of an idempotent call is derived. For a call that
+    /// can be skipped, this is the baseline, so that it does not occupy a shared dependency for
+    /// long while the dependency is slow.
+    fn typical_latency_s(&self, call: &WaitingCall) -> &Ewma {
         if self.budget.is_some() && call.can_skip {
             self.statistics.baseline_s()
         } else {
--- a/crates/heathspur/src/dependency_calls/statistics.rs
+++ b/crates/heathspur/src/dependency_calls/statistics.rs
@@ -1,16 +1,16 @@
-//! Latency and acceptance of recent calls.
+//! Latency and acceptance rate of recent calls.
 
 use crate::event::Outcome;
 use crate::ewma::{Ewma, FAST_WEIGHT, SLOW_WEIGHT};
 use crate::time::Span;
 
-/// Attempts of one call while all calls are accepted.
+/// Attempts allowed for one call while all calls are accepted.
 const MAX_ATTEMPTS: u32 = 4;
 
 /// Moving averages over the calls of a server.
 #[derive(Debug)]
 pub(crate) struct CallStatistics {
-    /// Latency of calls that ended or timed out, in seconds.
+    /// Recent latency of calls that succeeded or timed out, in seconds.
     latency_s: Ewma,
     /// Long-term latency of successful calls, in seconds.
     baseline_s: Ewma,
@@ -19,7 +19,7 @@
 }
 
 impl CallStatistics {
-    /// Creates statistics that assume an accepting dependency.
+    /// Creates statistics that assume that the dependency accepts all calls.
     pub fn new() -> CallStatistics {
         CallStatistics {
             latency_s: Ewma::default(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the recent latency, in seconds.
+    /// Returns the recent latency of calls that succeeded or timed out, in seconds.
     pub fn latency_s(&self) -> &Ewma {
         &self.latency_s
     }
@@ -38,13 +38,13 @@
         &self.baseline_s
     }
 
-    /// Returns how often one call is attempted at the present acceptance rate.
+    /// Returns the number of attempts allowed for one call at the current acceptance rate.
     pub fn max_attempts(&self) -> u32 {
         let attempts = f64::from(MAX_ATTEMPTS) * self.acceptance_rate.value();
         attempts.ceil().max(1.0) as u32
     }
 
-    /// Adds the result of a call.
+    /// Records the result of a call.
     pub fn record_result(&mut self, outcome: Outcome, latency: Span) {
         match outcome {
             Outcome::Ok => self.acceptance_rate.add(1.0, FAST_WEIGHT),
--- a/crates/heathspur/src/requests.rs
+++ b/crates/heathspur/src/requests.rs
@@ -1,97 +1,101 @@
-//! The table of requests that the controller has not finished, and their states.
+//! The table of unfinished requests and their states.
 
 use crate::class_queues::QueueIndex;
 use crate::event::RequestId;
 use crate::time::Time;
 use std::collections::BTreeMap;
 
-/// Where a request stands.
+/// The phase of a request between its arrival and its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Phase {
-    /// Waits in its class's queue.
+    /// The request waits in a queue of its class.
     Queued,
-    /// Occupies a run slot.
+    /// The request occupies a run slot.
     Running,
-    /// Waits for a call to the dependency to be made.
-    AtCall {
-        /// The call is not attempted before this time.
+    /// The request waits for a call to the dependency to be made.
+    CallPending {
+        /// Earliest time at which the call is attempted.
         not_before: Time,
     },
-    /// Waits for the result of a call.
-    Calling {
+    /// The request waits for the result of a call.
+    CallInFlight {
         /// When the call was made.
         made_at: Time,
-        /// When the call is abandoned, in seconds after it was made.
+        /// Time after which the call is abandoned, in seconds.
         timeout_s: f64,
     },
-    /// Waits for the result of the attempt that it repeats.
+    /// The request waits for the result of the attempt that it repeats.
     AwaitingResult,
 }
 
-/// One request.
+/// The state of one request.
 #[derive(Debug)]
 pub(crate) struct RequestState {
-    /// Its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// The queue that it waits in.
+    /// The queue to which the request belongs.
     pub queue: QueueIndex,
-    /// When it reached the machine.
+    /// When the request arrived at the machine.
     pub arrived_at: Time,
-    /// When its final answer is due.
+    /// When the final answer is due.
     pub deadline: Time,
-    /// When an answer stops earning the full weight, as far as this attempt shows.
+    /// When the latency objective passes, as far as it can be derived from this attempt.
     pub objective_deadline: Time,
     /// Memory while queued, in kilobytes.
     pub memory_kb: f64,
-    /// Its work relative to the mean of its class.
+    /// The request's work, relative to the mean of its class.
     pub relative_size: f64,
-    /// Its client stated how long it waits, so the request's age is known.
+    /// Whether the client stated how long it still waits.
     pub has_stated_deadline: bool,
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
-    /// It was started: unless idempotent, it is never rejected any more.
+    /// Whether the request was started. Unless it is idempotent, a started request is never
+    /// rejected, since it may have taken effect.
     pub has_run: bool,
-    /// Its final answer has not been given.
-    pub answer_owed: bool,
-    /// Time spent waiting for calls, in seconds.
-    pub time_at_calls_s: f64,
-    /// When it reached its present call.
-    pub call_reached_at: Time,
-    /// When it was started.
+    /// Whether the final answer is still to be given; false once the client no longer waits.
+    pub needs_answer: bool,
+    /// Total time for which the request was blocked on calls that have ended, in seconds.
+    pub time_blocked_on_calls_s: f64,
+    /// When the request began to wait for its current call.
+    pub call_needed_at: Time,
+    /// When the request was started.
     pub run_started_at: Time,
-    /// Requests on the cores when it was started, itself included.
+    /// Number of running requests when this one was started, including itself.
     pub concurrency_at_start: f64,
-    /// Attempts of its present call.
+    /// Number of attempts of the current call.
     pub call_attempts: u32,
     /// First attempt of the same keyed request; `None` for requests without a key.
     pub first_attempt: Option<RequestId>,
-    /// The earlier attempt that it repeats.
+    /// The earlier attempt that this one repeats.
     pub previous_attempt: Option<RequestId>,
 }
 
 impl RequestState {
     /// Returns whether the request waits in its queue for a run slot.
     pub fn is_waiting_in_queue(&self) -> bool {
-        self.phase == Phase::Queued && self.answer_owed
+        self.phase == Phase::Queued && self.needs_answer
     }
 
-    /// Returns whether the request has not been started.
+    /// Returns whether the request has not started to run.
     pub fn is_before_run(&self) -> bool {
         matches!(self.phase, Phase::Queued | Phase::AwaitingResult)
     }
 
     /// Returns whether the request waits for a call to be made or to end.
-    pub fn is_at_call(&self) -> bool {
-        matches!(self.phase, Phase::AtCall { .. } | Phase::Calling { .. })
+    pub fn is_blocked_on_call(&self) -> bool {
+        matches!(
+            self.phase,
+            Phase::CallPending { .. } | Phase::CallInFlight { .. }
+        )
     }
 }
 
-/// All requests, with the number of those in each kind of run state.
+/// All unfinished requests, with counts of those that run and those that are blocked on calls.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestId, RequestState>,
     running: usize,
-    at_calls: usize,
+    blocked_on_calls: usize,
 }
 
 impl RequestTable {
@@ -105,12 +109,12 @@
         self.running
     }
 
-    /// Returns the number of started requests that wait for a call or its result.
-    pub fn at_calls(&self) -> usize {
-        self.at_calls
+    /// Returns the number of started requests that wait for a call to be made or to end.
+    pub fn blocked_on_calls(&self) -> usize {
+        self.blocked_on_calls
     }
 
-    /// Returns whether the table has a request.
+    /// Returns whether the table contains a request.
     pub fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
@@ -120,17 +124,17 @@
         self.requests.get(&id)
     }
 
-    /// Returns a request for changes that leave its phase alone.
+    /// Returns a mutable reference to a request, whose phase must not be changed through it.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
 
-    /// Returns all requests, by their ids.
+    /// Returns all requests, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &RequestState)> {
         self.requests.iter().map(|(&id, request)| (id, request))
     }
 
-    /// Returns all requests for changes that leave their phases alone.
+    /// Returns mutable references to all requests, whose phases must not be changed through them.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut RequestState> {
         self.requests.values_mut()
     }
@@ -140,14 +144,14 @@
         self.requests.insert(id, request);
     }
 
-    /// Has a queued request wait for another attempt's result.
+    /// Moves a queued request to waiting for another attempt's result.
     pub fn await_result(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::AwaitingResult;
         }
     }
 
-    /// Starts a queued request.
+    /// Moves a queued request to a run slot.
     pub fn start_run(&mut self, id: RequestId, now: Time) -> Option<&RequestState> {
         let request = self.requests.get_mut(&id)?;
         self.running += 1;
@@ -158,25 +162,25 @@
         Some(request)
     }
 
-    /// Has a running request leave its slot to wait for a call. Returns its class, or `None` if it
-    /// does not run.
-    pub fn begin_call(&mut self, id: RequestId, now: Time) -> Option<usize> {
+    /// Moves a running request out of its run slot to wait for a call. Returns its class, or `None`
+    /// if it is not running.
+    pub fn await_call(&mut self, id: RequestId, now: Time) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
         if request.phase != Phase::Running {
             return None;
         }
-        request.phase = Phase::AtCall { not_before: now };
-        request.call_reached_at = now;
+        request.phase = Phase::CallPending { not_before: now };
+        request.call_needed_at = now;
         request.call_attempts = 0;
         self.running -= 1;
-        self.at_calls += 1;
+        self.blocked_on_calls += 1;
         Some(request.class)
     }
 
-    /// Records that a request's call is made.
-    pub fn record_call(&mut self, id: RequestId, now: Time, timeout_s: f64) {
+    /// Records that a request's call has been made.
+    pub fn record_call_made(&mut self, id: RequestId, now: Time, timeout_s: f64) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.phase = Phase::Calling {
+            request.phase = Phase::CallInFlight {
                 made_at: now,
                 timeout_s,
             };
@@ -184,19 +188,19 @@
         }
     }
 
-    /// Has a request wait to repeat its call.
+    /// Moves a request to waiting for another attempt of its call.
     pub fn await_call_retry(&mut self, id: RequestId, not_before: Time) {
         if let Some(request) = self.requests.get_mut(&id) {
-            request.phase = Phase::AtCall { not_before };
+            request.phase = Phase::CallPending { not_before };
         }
     }
 
-    /// Returns a request from its call to the cores. Returns its class.
+    /// Moves a request from its call back to a run slot. Returns its class.
     pub fn resume_run(&mut self, id: RequestId, now: Time) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
         request.phase = Phase::Running;
-        request.time_at_calls_s += (now - request.call_reached_at).secs();
-        self.at_calls -= 1;
+        request.time_blocked_on_calls_s += (now - request.call_needed_at).secs();
+        self.blocked_on_calls -= 1;
         self.running += 1;
         Some(request.class)
     }
@@ -206,8 +210,8 @@
         let request = self.requests.remove(&id)?;
         if request.phase == Phase::Running {
             self.running -= 1;
-        } else if request.is_at_call() {
-            self.at_calls -= 1;
+        } else if request.is_blocked_on_call() {
+            self.blocked_on_calls -= 1;
         }
         Some(request)
     }
--- a/crates/heathspur/src/stall_detector.rs
+++ b/crates/heathspur/src/stall_detector.rs
@@ -1,4 +1,4 @@
-//! Detects that running work has stopped making progress.
+//! Detection of stalls, in which running requests make no progress.
 
 use crate::time::Time;
 
@@ -6,8 +6,8 @@
 const MIN_STALL_S: f64 = 1.0;
 /// Time without progress that counts as a stall, in mean run times of the slowest class.
 const STALL_RUN_TIMES: f64 = 3.0;
-/// Time without progress after which a stall continues, in seconds.
-const STALL_CONTINUES_S: f64 = 0.5;
+/// Least time without progress for which a detected stall continues, in seconds.
+const MIN_ONGOING_STALL_S: f64 = 0.5;
 
 /// Tracks the last progress of running requests.
 #[derive(Debug, Default)]
@@ -17,29 +17,30 @@
 }
 
 impl StallDetector {
-    /// Records that running work made progress.
+    /// Records that a running request made progress.
     pub fn record_progress(&mut self, now: Time) {
         self.last_progress_at = now;
     }
 
-    /// Returns whether work is stalled.
+    /// Returns whether running requests are stalled.
     pub fn is_stalled(&self) -> bool {
         self.is_stalled
     }
 
-    /// Returns the time without progress, in seconds.
-    pub fn idle_s(&self, now: Time) -> f64 {
+    /// Returns the time since the last progress, in seconds.
+    pub fn time_since_progress_s(&self, now: Time) -> f64 {
         (now - self.last_progress_at).secs()
     }
 
-    /// Checks for a stall, which takes at least half of the cores to be occupied. Returns whether
-    /// the state has changed.
+    /// Updates whether running requests are stalled, and returns whether that has changed. A stall
+    /// begins only while at least half of the cores are occupied.
     pub fn update(&mut self, now: Time, running: usize, cores: u64, slowest_run_s: f64) -> bool {
-        let idle_s = self.idle_s(now);
-        let is_occupied = 2 * running >= cores as usize;
-        let has_no_progress = idle_s > MIN_STALL_S.max(STALL_RUN_TIMES * slowest_run_s);
-        let continues = self.is_stalled && idle_s > STALL_CONTINUES_S;
-        let is_stalled = running > 0 && (is_occupied && has_no_progress || continues);
+        let time_since_progress_s = self.time_since_progress_s(now);
+        let cores_are_occupied = 2 * running >= cores as usize;
+        let has_no_progress =
+            time_since_progress_s > MIN_STALL_S.max(STALL_RUN_TIMES * slowest_run_s);
+        let continues = self.is_stalled && time_since_progress_s > MIN_ONGOING_STALL_S;
+        let is_stalled = running > 0 && (cores_are_occupied && has_no_progress || continues);
         let has_changed = is_stalled != self.is_stalled;
         self.is_stalled = is_stalled;
         has_changed
--- a/crates/heathspur/tests/unit/budget.rs
+++ b/crates/heathspur/tests/unit/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of calls to a shared dependency.
+//! Tests of the budget of calls to a shared dependency.
 
 use super::*;
 
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn calls_in_flight_stay_at_the_limit() {
+fn no_call_available_at_limit_on_calls_in_flight() {
     let (budget, statistics) = budget();
     assert!(budget.available_call_s(false, 2, &statistics) > 0.0);
     assert_eq!(budget.available_call_s(false, 3, &statistics), 0.0);
 }
 
 #[test]
-fn committed_call_seconds_close_the_window_until_they_are_released() {
+fn committed_call_seconds_block_calls_until_release() {
     let (mut budget, statistics) = budget();
-    // The window holds 0.9 * 10 * 10 s, less one abandoned call.
+    // The window's capacity is 0.9 * 10 * 10 s, minus one abandoned remainder of 1 s.
     budget.commit(Span::from_secs(87.0));
     assert_eq!(budget.available_call_s(false, 0, &statistics), 0.0);
     let call = EndedCall {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_abandoned_call_counts_for_its_lifetime_after_its_end() {
+fn abandoned_call_is_charged_for_its_lifetime_after_end() {
     let (mut budget, statistics) = budget();
     budget.commit(Span::from_secs(2.0));
     budget.release(second(61), &ended(Outcome::Timeout), 0, 0, &statistics);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn inflated_latency_lowers_the_limit() {
+fn inflated_latency_lowers_limit() {
     let (mut budget, mut statistics) = budget();
     statistics.record_result(Outcome::Ok, Span::from_secs(0.1));
     for _ in 0..40 {
@@ -73,13 +73,14 @@
 }
 
 #[test]
-fn calls_that_can_be_skipped_leave_tokens_to_the_others() {
+fn skippable_calls_leave_tokens_for_required_calls() {
     let statistics = CallStatistics::new();
     let mut budget = CallBudget::new(2.0, WINDOW, LIFETIME);
     budget.start(Time(0), false, &statistics, &mut Random::new(1));
     budget.accrue(second(60), 0, &statistics);
     assert!(budget.available_call_s(true, 0, &statistics) > 0.0);
-    // Abandoned calls spend tokens down to less than half of the bucket.
+    // The rejected call leaves less than half of the bucket's tokens, the part that is reserved for
+    // calls that cannot be skipped.
     budget.commit(Span::from_secs(2.0));
     let call = EndedCall {
         outcome: Outcome::Rejected,
