--- a/crates/heathspur-settings/src/convert.rs
+++ b/crates/heathspur-settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion of the wire's settings into the admission controller's.
+//! Conversion of the JSON settings to the settings of the admission controller.
 
 use crate::wire::{
     WireDependency, WireIdempotency, WireLoadSignal, WireObjective, WirePreemption, WireServer,
@@ -9,14 +9,14 @@
     Class, Dependency, Idempotency, LoadSignal, Preemption, Settings, Span, Tenant, WeightUnit,
 };
 
-/// The wire's word for weights by work; any other value weighs by request.
+/// The JSON value for weights by work. Any other value selects weights by request.
 const WEIGHT_BY_WORK: &str = "work";
 
-/// A server's settings, split by their user.
+/// A server's settings: those of its admission controller, and the names of the protocol.
 pub struct ServerSettings {
     /// The settings of the admission controller.
     pub admission: Settings,
-    /// The names that only the wire needs.
+    /// Names that only the conversion of messages uses.
     pub names: WireNames,
 }
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// The worst class's part of the objective; 0 if the objective has no weights.
+/// Returns the fraction of the objective's weights that the worst class has; 0 without weights.
 fn worst_class_weight(objective: &WireObjective) -> f64 {
     let sum = objective.total_weight
         + objective.worst_class_weight
--- a/crates/heathspur-settings/src/lib.rs
+++ b/crates/heathspur-settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The JSON settings of a server: read from the names of the wire into the admission controller's [`Settings`].
+//! Reads the JSON settings of a server and converts them to the admission controller's
+//! [`Settings`].
 //!
-//! [`wire`] is the only place with the wire's names. The simulator adapter and the server both start from
-//! [`WireSettings`].
+//! Only [`wire`] contains the field names of the JSON format. The simulator adapter and the server
+//! both deserialize [`WireSettings`] and convert it to [`ServerSettings`].
 //!
 //! [`Settings`]: heathspur::Settings
 #![forbid(unsafe_code)]
--- a/crates/heathspur-settings/src/names.rs
+++ b/crates/heathspur-settings/src/names.rs
@@ -1,23 +1,24 @@
-//! The names of the wire that a server's settings define.
+//! Names in the protocol's messages that a server's settings define.
 
 use heathspur::Gauges;
 
-/// The wire's names of the gauges that the decisions use.
+/// The protocol's names of the gauges that the admission controller uses.
 const CPU_GAUGE: &str = "cpu_busy";
 const RUNNABLE_GAUGE: &str = "runnable";
 const MEMORY_GAUGE: &str = "mem_used";
 const CONNECTIONS_GAUGE: &str = "sockets";
 
-/// The classes, tenants and gauges of one server by position, and the events that its interpreter reports.
+/// The names of one server's classes, tenants and gauges, and the events that its interpreter
+/// reports.
 #[derive(Clone, Debug)]
 pub struct WireNames {
-    /// The classes, in the order of [`ClassId`](heathspur::ClassId).
+    /// Names of the classes, in the order of [`ClassId`](heathspur::ClassId).
     pub classes: Vec<String>,
-    /// The tenants, in the order of [`TenantId`](heathspur::TenantId).
+    /// Names of the tenants, in the order of [`TenantId`](heathspur::TenantId).
     pub tenants: Vec<String>,
-    /// The positions of the gauges.
+    /// The order of the gauge values.
     pub gauges: GaugeLayout,
-    /// The server is notified of clients that cancel.
+    /// Whether the server is notified when clients cancel.
     pub reports_cancellation: bool,
 }
 
@@ -26,7 +27,7 @@
 pub struct GaugeLayout(pub(crate) Vec<String>);
 
 impl GaugeLayout {
-    /// Reads the values, which are in the order of the settings.
+    /// Converts gauge values, which are in the order of the gauges' names in the settings.
     pub fn read(&self, values: &[f64]) -> Gauges {
         Gauges {
             cpu: self.value(CPU_GAUGE, values),
--- a/crates/heathspur-settings/src/wire.rs
+++ b/crates/heathspur-settings/src/wire.rs
@@ -1,8 +1,8 @@
-//! The settings object as it arrives, with the names of the wire. Unknown fields are ignored.
+//! The JSON format of the settings object. Unknown fields are ignored.
 
 use serde::Deserialize;
 
-/// The settings object.
+/// The settings object of a server.
 #[derive(Deserialize)]
 pub struct WireSettings {
     #[serde(rename = "services")]
@@ -45,6 +45,7 @@
     pub dedup_window_s: f64,
 }
 
+/// Whether requests of a class may run more than once.
 #[derive(Deserialize, Clone, Copy)]
 pub(crate) enum WireIdempotency {
     #[serde(rename = "read_like")]
@@ -86,10 +87,10 @@
     pub call_averaging_window_s: f64,
     #[serde(rename = "linger-s", default)]
     pub abandoned_call_lifetime_s: f64,
-    /// For each class.
+    /// Whether requests may call the dependency, for each class.
     #[serde(rename = "calls-by-class", default)]
     pub may_call: Vec<bool>,
-    /// For each class.
+    /// Fraction of the weight that an answer without its call earns, for each class.
     #[serde(rename = "class-skip-worth", default)]
     pub degraded_weights: Vec<f64>,
     #[serde(rename = "say", default)]
@@ -108,6 +109,7 @@
     pub reports_cancellation: bool,
 }
 
+/// How running work can be preempted.
 #[derive(Deserialize, Default, Clone, Copy)]
 pub(crate) enum WirePreemption {
     #[default]
@@ -119,6 +121,7 @@
     Pause,
 }
 
+/// The kind of the downstream service.
 #[derive(Deserialize, Default, Clone, Copy)]
 pub(crate) enum WireDependency {
     #[default]
@@ -130,6 +133,7 @@
     Tier,
 }
 
+/// How callers interpret the advertised load signal.
 #[derive(Deserialize, Default, Clone, Copy)]
 pub(crate) enum WireLoadSignal {
     #[default]
@@ -160,7 +164,7 @@
     pub overload_window_s: f64,
 }
 
-/// What clients and load balancers support.
+/// Features that clients and load balancers support.
 #[derive(Deserialize, Default)]
 pub(crate) struct WireClientCapabilities {
     #[serde(rename = "max-retry-after-s", default)]
@@ -169,7 +173,7 @@
     pub retry_after: bool,
 }
 
-/// The weights of the parts of the objective.
+/// The weights of the components of the platform's objective.
 #[derive(Deserialize, Default)]
 pub(crate) struct WireObjective {
     #[serde(rename = "whole", default)]
--- a/crates/heathspur-settings/tests/read.rs
+++ b/crates/heathspur-settings/tests/read.rs
@@ -1,4 +1,4 @@
-//! Reading the settings object of the wire's page into the admission controller's settings.
+//! Tests that the JSON settings object is converted to the settings of the admission controller.
 
 use heathspur::*;
 use heathspur_settings::{ServerSettings, WireNames, WireSettings};
@@ -34,11 +34,15 @@
 }
 
 #[test]
-fn every_field_is_read() {
-    let (s, names) = read(wire_settings());
-    let effects: Vec<_> = s.classes.iter().map(|c| c.idempotency).collect();
+fn every_field_is_converted() {
+    let (settings, names) = read(wire_settings());
+    let idempotency: Vec<_> = settings
+        .classes
+        .iter()
+        .map(|class| class.idempotency)
+        .collect();
     assert_eq!(
-        effects,
+        idempotency,
         [
             Idempotency::Idempotent,
             Idempotency::Keyed,
@@ -46,35 +50,51 @@
         ]
     );
     assert_eq!(
-        (s.classes[0].latency_objective, s.classes[0].client_timeout),
+        (
+            settings.classes[0].latency_objective,
+            settings.classes[0].client_timeout
+        ),
         (Span(2_300_000), Span(5_900_000))
     );
     assert_eq!(
         (
-            s.classes[0].latency_objective_per_work,
-            s.classes[0].may_call,
-            s.classes[0].degraded_weight
+            settings.classes[0].latency_objective_per_work,
+            settings.classes[0].may_call,
+            settings.classes[0].degraded_weight
         ),
         (1.5, true, 0.6)
     );
     assert_eq!(
         (
-            s.classes[1].dedup_window,
-            s.classes[1].late_weight,
-            s.classes[1].may_call
+            settings.classes[1].dedup_window,
+            settings.classes[1].late_weight,
+            settings.classes[1].may_call
         ),
         (Span(21_951_000), 0.2, false)
     );
     assert_eq!(
-        (s.tenants[0].quota_per_s, s.over_quota_weight, s.weight_unit),
+        (
+            settings.tenants[0].quota_per_s,
+            settings.over_quota_weight,
+            settings.weight_unit
+        ),
         (26.0, 0.05, WeightUnit::Work)
     );
     assert_eq!(
-        (s.cores, s.memory_kb, s.run_memory_factor, s.dedup_entry_kb),
+        (
+            settings.cores,
+            settings.memory_kb,
+            settings.run_memory_factor,
+            settings.dedup_entry_kb
+        ),
         (6, 49584.0, 8.0, 120.66)
     );
     assert_eq!(
-        (s.preemption, s.cold_start, s.load_signal),
+        (
+            settings.preemption,
+            settings.cold_start,
+            settings.load_signal
+        ),
         (Preemption::Pause, true, LoadSignal::Weight)
     );
     let shared = Dependency::Shared {
@@ -82,16 +102,23 @@
         averaging_window: Span(5_000_000),
         abandoned_call_lifetime: Span(200_000),
     };
-    assert_eq!((s.dependency, s.servers, s.callers), (shared, 10, 3));
     assert_eq!(
-        (s.max_retry_after, s.client_idle_timeout, s.tick),
+        (settings.dependency, settings.servers, settings.callers),
+        (shared, 10, 3)
+    );
+    assert_eq!(
+        (
+            settings.max_retry_after,
+            settings.client_idle_timeout,
+            settings.tick
+        ),
         (Some(Span(1_000_000)), Span(30_000_000), Span(2_000))
     );
     assert_eq!(
-        (s.drain_grace, s.answer_slack),
+        (settings.drain_grace, settings.answer_slack),
         (Span(2_500_000), Span(60_000))
     );
-    assert!((s.worst_class_weight - 0.15).abs() < 1e-9);
+    assert!((settings.worst_class_weight - 0.15).abs() < 1e-9);
     assert_eq!(
         (names.classes[2].as_str(), names.tenants[0].as_str()),
         ("wire-out", "baltic-fleet")
@@ -100,7 +127,7 @@
 }
 
 #[test]
-fn gauges_are_read_by_their_position_in_the_settings() {
+fn gauges_are_read_by_position_in_settings() {
     let (_, names) = read(wire_settings());
     let gauges = names.gauges.read(&[40.0, 0.5]);
     assert_eq!(
@@ -115,8 +142,8 @@
 }
 
 #[test]
-fn absent_fields_are_off() {
-    let mut bare = wire_settings();
+fn absent_fields_have_neutral_defaults() {
+    let mut minimal = wire_settings();
     for field in [
         "realms",
         "caps",
@@ -125,17 +152,25 @@
         "worth-by",
         "over-share-worth",
     ] {
-        bare.as_object_mut().unwrap().remove(field);
+        minimal.as_object_mut().unwrap().remove(field);
     }
-    bare["family-info"] = json!({"n-cores": 1, "mem-limit-kb": 10.0});
-    let (s, names) = read(bare);
-    assert!(s.tenants.is_empty() && !names.reports_cancellation);
+    minimal["family-info"] = json!({"n-cores": 1, "mem-limit-kb": 10.0});
+    let (settings, names) = read(minimal);
+    assert!(settings.tenants.is_empty() && !names.reports_cancellation);
     assert_eq!(
-        (s.preemption, s.dependency, s.load_signal),
+        (
+            settings.preemption,
+            settings.dependency,
+            settings.load_signal
+        ),
         (Preemption::None, Dependency::None, LoadSignal::None)
     );
     assert_eq!(
-        (s.max_retry_after, s.worst_class_weight, s.weight_unit),
+        (
+            settings.max_retry_after,
+            settings.worst_class_weight,
+            settings.weight_unit
+        ),
         (None, 0.0, WeightUnit::Request)
     );
 }
