--- a/crates/heathspur-simulator-adapter/src/convert.rs
+++ b/crates/heathspur-simulator-adapter/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between the simulator's messages and the admission controller's events and actions.
+//! Conversion of the simulator's messages to events, and of actions to messages.
 
 use crate::error::LineError;
 use crate::messages::incoming::{Completion, IncomingRequest};
@@ -9,7 +9,7 @@
 use heathspur::{Action, ClassId, Event, Outcome, Request, RequestId, Span, TenantId, Token};
 use heathspur_settings::WireNames;
 
-/// The wire's codes of outcomes.
+/// The protocol's outcome codes.
 const CODE_OK: u64 = 0;
 const CODE_ERROR: u64 = 5;
 const CODE_REJECTED: u64 = 11;
@@ -19,7 +19,7 @@
 const CODE_NO_LONGER_NEEDED: u64 = 114;
 const CODE_CANCELLED: u64 = 125;
 
-/// Resolves a request's class and tenant.
+/// Converts a request and looks up the indexes of its class and tenant.
 pub(crate) fn request(message: IncomingRequest, names: &WireNames) -> Result<Request, LineError> {
     let class =
         position(&names.classes, &message.class).ok_or(LineError::UnknownClass(message.class))?;
@@ -47,6 +47,7 @@
     })
 }
 
+/// Converts the end of a run.
 pub(crate) fn run_completed(message: &Completion) -> Result<Event, LineError> {
     Ok(Event::RunCompleted {
         id: RequestId(message.request_id),
@@ -55,6 +56,7 @@
     })
 }
 
+/// Converts the end of a call.
 pub(crate) fn call_completed(message: &Completion) -> Result<Event, LineError> {
     Ok(Event::CallCompleted {
         id: RequestId(message.request_id),
@@ -63,6 +65,7 @@
     })
 }
 
+/// Parses the token of a timer.
 pub(crate) fn token(text: String) -> Result<Token, LineError> {
     match text.parse() {
         Ok(number) => Ok(Token(number)),
@@ -88,7 +91,7 @@
     }
 }
 
-/// Converts an action of one server.
+/// Converts an action of a server to a message.
 pub(crate) fn outgoing(server_id: u64, action: &Action) -> Outgoing<'_> {
     let on_request = |id: &RequestId| RequestAction {
         server_id,
--- a/crates/heathspur-simulator-adapter/src/error.rs
+++ b/crates/heathspur-simulator-adapter/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Why the adapter stopped.
+/// The reason for which the adapter stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// Reading or writing failed.
@@ -24,28 +24,28 @@
     },
 }
 
-/// How a line violates the protocol.
+/// A violation of the protocol by one line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     /// The line is not a message of the protocol.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A batch begins before the end of another.
+    /// A batch begins before the previous one has ended.
     #[error("a batch begins inside another")]
     NestedBatch,
-    /// A message stands outside any batch.
+    /// A message is not part of a batch.
     #[error("a message outside a batch")]
     OutsideBatch,
-    /// The request's class has no settings.
+    /// The settings do not contain the request's class.
     #[error("class {0:?} is not in the settings")]
     UnknownClass(String),
-    /// The request's tenant has no settings.
+    /// The settings do not contain the request's tenant.
     #[error("tenant {0:?} is not in the settings")]
     UnknownTenant(String),
-    /// The outcome of a run or call is not one of the protocol's.
+    /// The protocol does not define the outcome code of a run or call.
     #[error("outcome code {0} is not in the protocol")]
     UnknownOutcome(u64),
-    /// The token of a timer is not a number.
+    /// The token of a timer is not an unsigned integer.
     #[error("timer token {0:?} is not a number")]
     InvalidToken(String),
 }
--- a/crates/heathspur-simulator-adapter/src/lib.rs
+++ b/crates/heathspur-simulator-adapter/src/lib.rs
@@ -1,7 +1,8 @@
-//! Drives admission controllers over the simulator's line protocol: reads batches of events, passes each to its
-//! server, and writes the servers' actions.
+//! Drives admission controllers over the simulator's line protocol: reads batches of events, passes
+//! each event to its server's controller, and writes the controllers' actions.
 //!
-//! The adapter converts messages and decides nothing. A line that violates the protocol ends the run with an error.
+//! The adapter only converts messages. A line that violates the protocol ends the run with an
+//! error.
 #![forbid(unsafe_code)]
 
 mod convert;
@@ -14,7 +15,12 @@
 use session::Session;
 use std::io::{BufRead, Write};
 
-/// Runs until the input ends.
+/// Processes the input's lines and writes the replies until the input ends.
+///
+/// # Errors
+///
+/// Returns an error if reading or writing fails, if a line violates the protocol, or if the input
+/// ends inside a batch.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), Error> {
     let mut session = Session::default();
     let mut line = Vec::new();
--- a/crates/heathspur-simulator-adapter/src/messages/incoming.rs
+++ b/crates/heathspur-simulator-adapter/src/messages/incoming.rs
@@ -1,9 +1,9 @@
-//! Messages from the simulator, one JSON object a line. Unknown fields are ignored.
+//! Messages from the simulator, one JSON object per line. Unknown fields are ignored.
 
 use heathspur_settings::WireSettings;
 use serde::Deserialize;
 
-/// One line from the simulator.
+/// A message from the simulator.
 #[derive(Deserialize)]
 pub(crate) enum Incoming {
     #[serde(rename = "BEGIN_BATCH")]
@@ -30,18 +30,18 @@
     Timer(Timer),
 }
 
-/// Starts a batch: all events up to its end happen at this time.
+/// Begins a batch, whose events all have the same time.
 #[derive(Deserialize)]
 pub(crate) struct BeginBatch {
     #[serde(rename = "t-s")]
     pub time_s: f64,
 }
 
-/// Ends a batch: the servers decide and reply.
+/// Ends a batch and requests the servers' actions.
 #[derive(Deserialize)]
 pub(crate) struct EndBatch {}
 
-/// Starts a server, in place of one with the same identifier.
+/// Starts a server, which replaces any server with the same identifier.
 #[derive(Deserialize)]
 pub(crate) struct StartServer {
     #[serde(rename = "server-id")]
@@ -59,7 +59,7 @@
     pub server_id: u64,
 }
 
-/// An event of one request.
+/// An event that concerns one request.
 #[derive(Deserialize)]
 pub(crate) struct RequestReference {
     #[serde(rename = "server-id")]
@@ -81,7 +81,7 @@
     pub latency_s: f64,
 }
 
-/// The server is to drain, and stops after that time.
+/// The server starts to drain, and stops after the given time.
 #[derive(Deserialize)]
 pub(crate) struct Drain {
     #[serde(rename = "server-id")]
@@ -97,7 +97,7 @@
     pub server_id: u64,
     #[serde(rename = "token")]
     pub token: String,
-    /// The values of the gauges, in the order of the settings.
+    /// The gauge values, in the order of the gauges' names in the settings.
     #[serde(rename = "gauge", default)]
     pub gauges: Vec<f64>,
 }
@@ -111,7 +111,7 @@
     pub request_id: u64,
     #[serde(rename = "kind")]
     pub class: String,
-    /// The tenant's name; a value that is no string means no tenant.
+    /// The tenant's name. A value that is not a string means that the request has no tenant.
     #[serde(rename = "client-group", default)]
     pub tenant: Option<serde_json::Value>,
     #[serde(rename = "route-key", default)]
@@ -119,7 +119,7 @@
     /// 0 if the request has no deadline.
     #[serde(rename = "patience-left-s", default)]
     pub remaining_deadline_s: f64,
-    /// 0 if the request has no hint.
+    /// 0 if the request has no cost hint.
     #[serde(rename = "cost-s", default)]
     pub cost_hint_s: f64,
     #[serde(rename = "size-kb", default)]
--- a/crates/heathspur-simulator-adapter/src/messages/mod.rs
+++ b/crates/heathspur-simulator-adapter/src/messages/mod.rs
@@ -1,4 +1,4 @@
-//! The messages of the simulator's line protocol, with the names of the wire.
+//! The JSON messages of the simulator's line protocol.
 
 pub(crate) mod incoming;
 pub(crate) mod outgoing;
--- a/crates/heathspur-simulator-adapter/src/messages/outgoing.rs
+++ b/crates/heathspur-simulator-adapter/src/messages/outgoing.rs
@@ -1,8 +1,8 @@
-//! Messages to the simulator, one JSON object a line.
+//! Messages to the simulator, one JSON object per line.
 
 use serde::Serialize;
 
-/// One line to the simulator.
+/// A message to the simulator.
 #[derive(Serialize)]
 pub(crate) enum Outgoing<'a> {
     #[serde(rename = "EXECUTE")]
@@ -47,6 +47,7 @@
     pub request_id: u64,
 }
 
+/// Rejects a request.
 #[derive(Serialize)]
 pub(crate) struct Reject {
     #[serde(rename = "server-id")]
@@ -59,6 +60,7 @@
     pub no_retry: bool,
 }
 
+/// Makes the call that a request waits for.
 #[derive(Serialize)]
 pub(crate) struct Call {
     #[serde(rename = "server-id")]
@@ -69,6 +71,7 @@
     pub timeout_s: f64,
 }
 
+/// Adds an entry to the idempotency store.
 #[derive(Serialize)]
 pub(crate) struct RetainResult {
     #[serde(rename = "server-id")]
@@ -79,6 +82,7 @@
     pub ttl_s: f64,
 }
 
+/// Sets the answer to health checks.
 #[derive(Serialize)]
 pub(crate) struct Health {
     #[serde(rename = "server-id")]
@@ -89,6 +93,7 @@
     pub cached: bool,
 }
 
+/// Sets the advertised load signal.
 #[derive(Serialize)]
 pub(crate) struct SetLoadSignal {
     #[serde(rename = "server-id")]
@@ -97,6 +102,7 @@
     pub level: f64,
 }
 
+/// Closes connections that have been idle for a given time.
 #[derive(Serialize)]
 pub(crate) struct CloseIdleConnections {
     #[serde(rename = "server-id")]
@@ -105,6 +111,7 @@
     pub idle_timeout_s: f64,
 }
 
+/// Sets a timer.
 #[derive(Serialize)]
 pub(crate) struct SetTimer {
     #[serde(rename = "server-id")]
@@ -115,6 +122,7 @@
     pub token: String,
 }
 
+/// Writes a line to the operators' log.
 #[derive(Serialize)]
 pub(crate) struct Log<'a> {
     #[serde(rename = "server-id")]
--- a/crates/heathspur-simulator-adapter/src/session.rs
+++ b/crates/heathspur-simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! One run of the simulator: its servers, and the batch in progress.
+//! The servers of one run of the simulator, and the batch in progress.
 
 use crate::convert;
 use crate::error::LineError;
@@ -8,13 +8,13 @@
 use heathspur_settings::{ServerSettings, WireNames};
 use std::collections::BTreeMap;
 
-/// A server of the simulator.
+/// A server of the simulator, with its admission controller.
 struct Server {
     controller: AdmissionController,
     names: WireNames,
-    /// The events of the batch in progress.
+    /// The server's events in the batch in progress.
     events: Vec<Event>,
-    /// The server has started or received an event in the batch in progress.
+    /// Whether the server has started or received an event in the batch in progress.
     needs_decision: bool,
 }
 
@@ -45,19 +45,21 @@
 #[derive(Default)]
 pub(crate) struct Session {
     servers: BTreeMap<u64, Server>,
-    /// The time of the batch in progress.
+    /// The time of the batch in progress; `None` between batches.
     batch_time: Option<Time>,
-    /// Reused buffers.
+    /// Buffer for the actions of one server, reused to avoid allocations.
     actions: Vec<Action>,
+    /// Buffer for the reply to a batch, reused to avoid allocations.
     reply: Vec<u8>,
 }
 
 impl Session {
+    /// Returns whether a batch is in progress.
     pub fn is_in_batch(&self) -> bool {
         self.batch_time.is_some()
     }
 
-    /// Processes one line; returns the reply if the line ends a batch.
+    /// Processes one line. Returns the reply if the line ends a batch.
     pub fn handle_line(&mut self, line: &[u8]) -> Result<Option<&[u8]>, LineError> {
         let message: Incoming = serde_json::from_slice(line)?;
         match (message, self.batch_time) {
@@ -74,7 +76,8 @@
         self.batch_time = Some(Time(Span::from_secs(message.time_s).0));
     }
 
-    /// Lets the servers with events decide, in the order of their identifiers, and returns their actions.
+    /// Runs the controllers of the servers with events, in the order of the servers' identifiers,
+    /// and returns the reply with their actions.
     fn end_batch(&mut self, time: Time) -> &[u8] {
         self.batch_time = None;
         self.reply.clear();
@@ -92,10 +95,11 @@
         &self.reply
     }
 
-    /// Processes a message to one server. Messages to unknown servers are ignored, but must be well-formed.
+    /// Processes a message to one server. Messages to unknown servers must be well-formed but are
+    /// otherwise ignored.
     fn handle_server_message(&mut self, message: Incoming) -> Result<(), LineError> {
         match message {
-            // Not messages to one server: `handle_line` processes them.
+            // `handle_line` processes the messages that are not addressed to a server.
             Incoming::BeginBatch(_) | Incoming::EndBatch(_) => {}
             Incoming::StartServer(message) => {
                 self.servers
--- a/crates/heathspur-simulator-adapter/tests/wire.rs
+++ b/crates/heathspur-simulator-adapter/tests/wire.rs
@@ -1,9 +1,10 @@
-//! The adapter: the form of messages in and out, unusual but valid input, and the errors on invalid input.
+//! Tests of the adapter's line protocol: message formats, unusual but valid input, and invalid
+//! input.
 
 use heathspur_simulator_adapter::{serve, Error};
 use serde_json::{json, Value};
 
-fn facts() -> Value {
+fn settings() -> Value {
     json!({
         "services": [
             {"name": "look", "effect": "read_like", "gain": 1.0, "give-up-s": 5.0, "slo-s": 2.0, "late-worth": 0.0,
@@ -28,11 +29,11 @@
     })
 }
 
-fn enlist(id: u64) -> Value {
-    json!({"ENLIST": {"server-id": id, "init-seed": 9007199254740991u64, "facts": facts()}})
+fn start_server(id: u64) -> Value {
+    json!({"ENLIST": {"server-id": id, "init-seed": 9007199254740991u64, "facts": settings()}})
 }
 
-fn demand(server: u64, ticket: u64, kind: &str) -> Value {
+fn request(server: u64, ticket: u64, kind: &str) -> Value {
     json!({"DEMAND": {"server-id": server, "ticket": ticket, "kind": kind, "client-group": "north",
         "size-kb": 20.5, "prio": 0.6, "neighbour": 4, "waited-s": 0.002, "new-field": "x"}})
 }
@@ -45,7 +46,7 @@
     text + "{\"YOUR_TURN\":{}}\n"
 }
 
-fn play(input: &str) -> Result<Vec<Vec<Value>>, Error> {
+fn serve_input(input: &str) -> Result<Vec<Vec<Value>>, Error> {
     let mut out = Vec::new();
     serve(input.as_bytes(), &mut out)?;
     let mut replies = vec![Vec::new()];
@@ -66,15 +67,18 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
-    assert_eq!(play(&batch(8.5, &[])).unwrap(), vec![Vec::<Value>::new()]);
-    assert!(play("").unwrap().is_empty());
+fn empty_batch_gets_empty_reply() {
+    assert_eq!(
+        serve_input(&batch(8.5, &[])).unwrap(),
+        vec![Vec::<Value>::new()]
+    );
+    assert!(serve_input("").unwrap().is_empty());
 }
 
 #[test]
-fn a_request_is_run_called_for_and_ended() {
-    let input = batch(1.0, &[enlist(5)])
-        + &batch(1.01, &[demand(5, 11, "pay")])
+fn request_runs_with_call_and_completes() {
+    let input = batch(1.0, &[start_server(5)])
+        + &batch(1.01, &[request(5, 11, "pay")])
         + &batch(
             1.02,
             &[json!({"WANTS_CALL": {"server-id": 5, "ticket": 11}})],
@@ -91,7 +95,7 @@
             1.07,
             &[json!({"TICK_DUE": {"server-id": 5, "token": "0", "gauge": [0.5, 1, 0.1, 3]}})],
         );
-    let replies = play(&input).unwrap();
+    let replies = serve_input(&input).unwrap();
     assert_eq!(replies.len(), 6);
     assert!(replies[0]
         .iter()
@@ -102,55 +106,67 @@
     let call = replies[2].iter().find(|v| !v["CALL"].is_null()).unwrap();
     assert!(call["CALL"]["limit-s"].as_f64().unwrap() > 0.1);
     assert!(replies[3].is_empty() && replies[4].is_empty());
-    assert_eq!(replies[5].len(), 1, "one timer again: {:?}", replies[5]);
+    assert_eq!(
+        replies[5].len(),
+        1,
+        "expected only the next timer: {:?}",
+        replies[5]
+    );
 }
 
 #[test]
-fn a_duplicate_is_attached() {
-    let mut again = demand(5, 12, "pay");
-    again["DEMAND"]["dup-of"] = json!(11);
-    let input = batch(1.0, &[enlist(5), demand(5, 11, "pay"), again]);
-    let replies = play(&input).unwrap();
+fn repeat_of_running_request_replays_result() {
+    let mut repeat = request(5, 12, "pay");
+    repeat["DEMAND"]["dup-of"] = json!(11);
+    let input = batch(1.0, &[start_server(5), request(5, 11, "pay"), repeat]);
+    let replies = serve_input(&input).unwrap();
     assert!(has_message(&replies[0], "EXECUTE", 11) && has_message(&replies[0], "ATTACH", 12));
 }
 
 #[test]
-fn a_rejection_carries_retry_after_and_no_retry_only_when_set() {
+fn rejection_contains_retry_after_and_no_retry_only_if_set() {
     let drain = json!({"DRAIN": {"server-id": 5, "patience-left-s": 4.0}});
-    let input = batch(1.0, &[enlist(5), drain]) + &batch(3.0, &[demand(5, 11, "look")]);
-    let replies = play(&input).unwrap();
+    let input = batch(1.0, &[start_server(5), drain]) + &batch(3.0, &[request(5, 11, "look")]);
+    let replies = serve_input(&input).unwrap();
     assert!(replies[0].iter().any(|v| v["STAMP"]["level"] == json!(1.0)));
-    let busy = replies[1].iter().find(|v| !v["BUSY"].is_null()).unwrap();
+    let rejection = replies[1].iter().find(|v| !v["BUSY"].is_null()).unwrap();
     assert_eq!(
-        busy["BUSY"],
+        rejection["BUSY"],
         json!({"server-id": 5, "ticket": 11, "not-before-for-s": 1.0})
     );
 }
 
 #[test]
-fn a_stopped_server_restarts_in_one_batch() {
-    let halt = json!({"HALT": {"server-id": 5}});
-    let input = batch(1.0, &[enlist(5), demand(5, 11, "pay")])
-        + &batch(2.0, &[halt, enlist(5)])
-        + &batch(2.1, &[demand(5, 12, "pay")]);
-    let replies = play(&input).unwrap();
+fn stopped_server_restarts_in_same_batch() {
+    let stop = json!({"HALT": {"server-id": 5}});
+    let input = batch(1.0, &[start_server(5), request(5, 11, "pay")])
+        + &batch(2.0, &[stop, start_server(5)])
+        + &batch(2.1, &[request(5, 12, "pay")]);
+    let replies = serve_input(&input).unwrap();
     assert!(replies[1].iter().any(|v| !v["HEALTH"].is_null()));
     assert!(has_message(&replies[2], "EXECUTE", 12));
 }
 
 #[test]
-fn events_for_unknown_servers_and_requests_are_harmless() {
-    let ended =
+fn events_for_unknown_servers_and_requests_are_ignored() {
+    let completed =
         |server| json!({"ENDED": {"server-id": server, "ticket": 77, "rc": 125, "rtt-s": 0.1}});
-    let input = batch(1.0, &[enlist(5), ended(5), ended(6), demand(6, 1, "look")])
-        + &batch(
-            1.1,
-            &[
-                json!({"ABANDONED": {"server-id": 5, "ticket": 77}}),
-                json!({"HALT": {"server-id": 9}}),
-            ],
-        );
-    let replies = play(&input).unwrap();
+    let input = batch(
+        1.0,
+        &[
+            start_server(5),
+            completed(5),
+            completed(6),
+            request(6, 1, "look"),
+        ],
+    ) + &batch(
+        1.1,
+        &[
+            json!({"ABANDONED": {"server-id": 5, "ticket": 77}}),
+            json!({"HALT": {"server-id": 9}}),
+        ],
+    );
+    let replies = serve_input(&input).unwrap();
     assert!(replies[0]
         .iter()
         .all(|v| !has_message(std::slice::from_ref(v), "EXECUTE", 1)));
@@ -159,8 +175,9 @@
 
 #[test]
 fn only_servers_with_events_decide() {
-    let input = batch(1.0, &[enlist(5), enlist(6)]) + &batch(9.0, &[demand(6, 1, "look")]);
-    let replies = play(&input).unwrap();
+    let input =
+        batch(1.0, &[start_server(5), start_server(6)]) + &batch(9.0, &[request(6, 1, "look")]);
+    let replies = serve_input(&input).unwrap();
     assert!(replies[1].iter().all(|v| v
         .as_object()
         .unwrap()
@@ -169,15 +186,15 @@
 }
 
 #[test]
-fn replies_do_not_depend_on_other_servers_of_the_process() {
-    let own = |id: u64| {
+fn replies_do_not_depend_on_other_servers() {
+    let single = |id: u64| {
         batch(
             1.0,
             &[
-                enlist(id),
-                demand(id, 1, "look"),
-                demand(id, 2, "pay"),
-                demand(id, 3, "look"),
+                start_server(id),
+                request(id, 1, "look"),
+                request(id, 2, "pay"),
+                request(id, 3, "look"),
             ],
         ) + &batch(
             1.5,
@@ -187,14 +204,14 @@
     let both = batch(
         1.0,
         &[
-            enlist(1),
-            enlist(2),
-            demand(1, 1, "look"),
-            demand(2, 1, "look"),
-            demand(1, 2, "pay"),
-            demand(2, 2, "pay"),
-            demand(1, 3, "look"),
-            demand(2, 3, "look"),
+            start_server(1),
+            start_server(2),
+            request(1, 1, "look"),
+            request(2, 1, "look"),
+            request(1, 2, "pay"),
+            request(2, 2, "pay"),
+            request(1, 3, "look"),
+            request(2, 3, "look"),
         ],
     ) + &batch(
         1.5,
@@ -204,9 +221,9 @@
         ],
     );
     let (one, two, both) = (
-        play(&own(1)).unwrap(),
-        play(&own(2)).unwrap(),
-        play(&both).unwrap(),
+        serve_input(&single(1)).unwrap(),
+        serve_input(&single(2)).unwrap(),
+        serve_input(&both).unwrap(),
     );
     for i in 0..2 {
         assert_eq!(both[i], [one[i].clone(), two[i].clone()].concat());
@@ -214,7 +231,7 @@
 }
 
 #[test]
-fn invalid_input_ends_with_its_line_and_reason() {
+fn invalid_input_reports_line_and_reason() {
     let begin = "{\"BEGIN_BATCH\":{\"t-s\":1.0}}\n";
     let cases = [
         ("not json\n".to_string(), "line 1: "),
@@ -236,14 +253,14 @@
             "line 1: a message outside a batch",
         ),
         (
-            batch(1.0, &[enlist(1), demand(1, 2, "sing")]),
+            batch(1.0, &[start_server(1), request(1, 2, "sing")]),
             "line 3: class \"sing\" is not in the settings",
         ),
         (
             batch(
                 1.0,
                 &[
-                    enlist(1),
+                    start_server(1),
                     json!({"ENDED": {"server-id": 1, "ticket": 2, "rc": 99}}),
                 ],
             ),
@@ -251,7 +268,7 @@
         ),
     ];
     for (input, expected) in cases {
-        let error = play(&input).expect_err(expected).to_string();
+        let error = serve_input(&input).expect_err(expected).to_string();
         assert!(error.starts_with(expected), "{error:?}, not {expected:?}");
         assert!(!error.contains('\n'));
     }
