--- a/crates/heathspur/src/controller/dispatch.rs
+++ b/crates/heathspur/src/controller/dispatch.rs
@@ -39,7 +39,7 @@
         let allowed = limit.max(MIN_CONCURRENCY).floor() as usize;
         // Requests that are blocked on calls return to the cores, so they count as started. The
         // check `started < usable` rounds a fractional ceiling up, which on a server that can run
-        // only one or two requests would exceed the overload concurrency.
+        // only one or two requests could exceed the overload concurrency.
         let started = (self.requests.running() + self.requests.blocked_on_calls()) as f64;
         let is_at_limit = self.requests.running() >= allowed + self.runs_off_cpu;
         let would_overload = started + 1.0 > self.overload_ceiling.overload_concurrency(self.now);
--- a/crates/heathspur/src/dependency_calls/budget.rs
+++ b/crates/heathspur/src/dependency_calls/budget.rs
@@ -3,9 +3,9 @@
 //! The budget is counted in call seconds: one call that is in flight for one second uses one call
 //! second. Two bounds apply. The window bound limits the call seconds of the calls that ended in
 //! the averaging window and of those that are in flight to this server's share, so that the servers
-//! of the fleet together cannot overload the dependency. The token bucket paces the starts of
-//! calls, so that the mean number of calls in flight stays at an adaptive limit (AIMD), which can
-//! be far below one.
+//! of the fleet together cannot overload the dependency. An adaptive limit (AIMD) bounds the calls
+//! in flight. It can be far below one call; a token bucket then paces the starts of calls, so that
+//! the mean number of calls in flight stays at the limit.
 
 use super::statistics::CallStatistics;
 use crate::event::Outcome;
