--- a/crates/heathspur/tests/common/mod.rs
+++ b/crates/heathspur/tests/common/mod.rs
@@ -1,14 +1,27 @@
-//! Shared settings, a driver and a checker of the four rules of the service. The checker models no
-//! speeds: it fails on the first action that breaks a rule for a request.
+//! Settings, a test harness and an invariant checker shared by the integration tests.
+//!
+//! The checker fails on the first action that breaks a rule of the service: each request is
+//! answered once and in time, a request that is not idempotent runs at most once, memory and
+//! concurrency stay within their limits, and a drain ends before the process stops. It doesn't
+//! model execution speed.
 #![allow(dead_code)]
 
 use heathspur::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub fn ms(n: u64) -> Span {
-    Span(n * 1000)
+/// Index of the idempotent class in [`settings`]: priority weight 1, may call the dependency.
+pub const IDEMPOTENT: usize = 0;
+/// Index of the keyed class in [`settings`]: priority weight 4, may call the dependency.
+pub const KEYED: usize = 1;
+/// Index of the non-idempotent class in [`settings`]: priority weight 2, makes no calls.
+pub const NON_IDEMPOTENT: usize = 2;
+
+/// Returns a span of `millis` milliseconds.
+pub fn ms(millis: u64) -> Span {
+    Span(millis * 1000)
 }
 
+/// Returns a class with a latency objective of 2 s and a client timeout of 6 s.
 pub fn class(priority_weight: f64, idempotency: Idempotency, may_call: bool) -> Class {
     Class {
         latency_objective: ms(2000),
@@ -27,7 +40,8 @@
     }
 }
 
-/// Four cores, three classes (idempotent, keyed, not idempotent), memory for about 60 runs.
+/// Returns settings with four cores, an idempotent, a keyed and a non-idempotent class, and memory
+/// for about 60 runs.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -57,6 +71,7 @@
     }
 }
 
+/// Returns a first attempt without optional fields that takes 10 kB while queued.
 pub fn request(id: u64, class: usize) -> Request {
     Request {
         id: RequestId(id),
@@ -72,68 +87,89 @@
     }
 }
 
+/// The state of a request on the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
+    /// Waits for a run slot.
     Queued,
+    /// Occupies a run slot.
     Running,
-    AtCall,
+    /// Waits for a call to the dependency to be made.
+    AwaitingCall,
+    /// Waits for a call to the dependency to end.
     Calling,
+    /// Waits for the result of another attempt.
     AwaitingResult,
 }
 
+/// A request that the controller has been given and that has not ended.
 #[derive(Debug)]
 pub struct TrackedRequest {
     pub class: usize,
     pub state: State,
-    pub ran: bool,
+    pub has_run: bool,
     pub answered: bool,
-    pub arrived: Time,
+    pub arrived_at: Time,
     pub deadline: Time,
+    /// Memory while queued, in kilobytes.
     pub memory_kb: f64,
-    pub since: Time,
-    pub identity: u64,
+    /// When its run or its latest call started; when it was delivered if neither has.
+    pub started_at: Time,
+    pub idempotency_key: u64,
+    /// A call may be made: the first one, or a retry of one that was idempotent or never ran.
     pub may_call: bool,
 }
 
-/// A controller with the events it was given and the actions it answered.
+/// A drain in progress.
+#[derive(Clone, Copy, Debug)]
+pub struct DrainPeriod {
+    pub began_at: Time,
+    pub stops_at: Time,
+}
+
+/// A controller with the events that it was given and the actions that it returned.
 pub struct Harness {
     pub settings: Settings,
     pub controller: AdmissionController,
     pub now: Time,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
-    pub all: Vec<Action>,
-    pub last: Vec<Action>,
+    /// All actions so far.
+    pub actions: Vec<Action>,
+    /// The actions of the last batch.
+    pub last_actions: Vec<Action>,
     pub timers: Vec<(Time, Token)>,
-    /// The gauges sent with every timer.
+    /// The gauges sent with every timer event.
     pub gauges: Gauges,
-    /// Arrivals of keyed attempts that ran, by idempotency key.
+    /// Arrival time of the last attempt that ran, by idempotency key.
     pub keyed_runs: BTreeMap<u64, Time>,
-    pub entries: BTreeMap<u64, (RequestId, Time)>,
-    pub drain: Option<(Time, Time)>,
-    pub answers: BTreeMap<RequestId, usize>,
-    /// Stopped runs, whose ends are reported in a batch of their own.
-    pub stopped: BTreeSet<RequestId>,
+    /// The idempotency store: the retained attempt and its expiry, by idempotency key.
+    pub store_entries: BTreeMap<u64, (RequestId, Time)>,
+    pub drain: Option<DrainPeriod>,
+    /// Number of final answers, by request.
+    pub answer_counts: BTreeMap<RequestId, usize>,
+    /// Stopped runs whose completion has not been reported; it is reported in a separate batch.
+    pub stopped_runs: BTreeSet<RequestId>,
 }
 
 impl Harness {
-    pub fn new(set: Settings) -> Harness {
-        let mut bench = Harness {
-            controller: AdmissionController::new(set.clone(), 7),
-            settings: set,
+    pub fn new(settings: Settings) -> Harness {
+        let mut harness = Harness {
+            controller: AdmissionController::new(settings.clone(), 7),
+            settings,
             now: Time(1_000_000_000),
             requests: BTreeMap::new(),
-            all: Vec::new(),
-            last: Vec::new(),
+            actions: Vec::new(),
+            last_actions: Vec::new(),
             timers: Vec::new(),
             gauges: Gauges::default(),
             keyed_runs: BTreeMap::new(),
-            entries: BTreeMap::new(),
+            store_entries: BTreeMap::new(),
             drain: None,
-            answers: BTreeMap::new(),
-            stopped: BTreeSet::new(),
+            answer_counts: BTreeMap::new(),
+            stopped_runs: BTreeSet::new(),
         };
-        bench.batch(&[]);
-        bench
+        harness.decide(&[]);
+        harness
     }
 
     /// Advances the clock and delivers the timers that become due.
@@ -143,9 +179,9 @@
             if self.timers[i].0 > end {
                 break;
             }
-            let (at, token) = self.timers.remove(i);
-            self.now = self.now.max(at);
-            self.batch(&[Event::Timer {
+            let (due_at, token) = self.timers.remove(i);
+            self.now = self.now.max(due_at);
+            self.decide(&[Event::Timer {
                 token,
                 gauges: self.gauges,
             }]);
@@ -153,143 +189,161 @@
         self.now = end;
     }
 
-    /// Delivers a request. `identity` stands for its idempotency key, by which a retry names the
-    /// attempt that the idempotency store would name.
-    pub fn arrive(&mut self, mut r: Request, identity: u64) {
-        let arrived = self.now - r.queueing_delay;
-        if self.settings.classes[r.class.0].idempotency == Idempotency::Keyed
-            && r.previous_attempt.is_none()
+    /// Delivers a request. A keyed request without a previous attempt gets the one that the
+    /// idempotency store retains under `idempotency_key`.
+    pub fn arrive(&mut self, mut request: Request, idempotency_key: u64) {
+        let arrived_at = self.now - request.queueing_delay;
+        if self.settings.classes[request.class.0].idempotency == Idempotency::Keyed
+            && request.previous_attempt.is_none()
         {
             let entry = self
-                .entries
-                .get(&identity)
-                .filter(|(_, until)| *until >= arrived);
-            r.previous_attempt = entry.map(|(id, _)| *id);
+                .store_entries
+                .get(&idempotency_key)
+                .filter(|(_, expires_at)| *expires_at >= arrived_at);
+            request.previous_attempt = entry.map(|(id, _)| *id);
         }
-        self.track(&r, identity);
-        self.batch(&[Event::Request(r)]);
+        self.track(&request, idempotency_key);
+        self.decide(&[Event::Request(request)]);
     }
 
-    pub fn track(&mut self, r: &Request, identity: u64) {
-        let class = &self.settings.classes[r.class.0];
-        let arrived = self.now - r.queueing_delay;
-        let due = r
+    /// Tracks a request that the caller delivers in a batch of its own.
+    pub fn track(&mut self, request: &Request, idempotency_key: u64) {
+        let class = &self.settings.classes[request.class.0];
+        let arrived_at = self.now - request.queueing_delay;
+        let deadline = request
             .remaining_deadline
-            .map_or(arrived + class.client_timeout, |p| self.now + p)
+            .map_or(arrived_at + class.client_timeout, |remaining| {
+                self.now + remaining
+            })
             .max(self.now);
-        let known = TrackedRequest {
-            class: r.class.0,
+        let tracked = TrackedRequest {
+            class: request.class.0,
             state: State::Queued,
-            ran: false,
+            has_run: false,
             answered: false,
-            arrived,
-            deadline: due,
-            memory_kb: r.queued_memory_kb,
-            since: self.now,
-            identity,
+            arrived_at,
+            deadline,
+            memory_kb: request.queued_memory_kb,
+            started_at: self.now,
+            idempotency_key,
             may_call: true,
         };
-        self.requests.insert(r.id, known);
+        self.requests.insert(request.id, tracked);
     }
 
+    /// Ends a run or a wait for another attempt's result. Does nothing for a request that is not
+    /// tracked.
     pub fn complete_run(&mut self, id: u64, outcome: Outcome) {
         let id = RequestId(id);
-        let Some(k) = self.requests.remove(&id) else {
+        let Some(request) = self.requests.remove(&id) else {
             return;
         };
-        if !k.answered && matches!(outcome, Outcome::Ok | Outcome::Error) {
-            *self.answers.entry(id).or_default() += 1;
+        if !request.answered && matches!(outcome, Outcome::Ok | Outcome::Error) {
+            *self.answer_counts.entry(id).or_default() += 1;
         }
-        let latency = self.now - k.since;
-        self.batch(&[Event::RunCompleted {
+        let latency = self.now - request.started_at;
+        self.decide(&[Event::RunCompleted {
             id,
             outcome,
             latency,
         }]);
     }
 
+    /// Reports that a running request needs a call to the dependency.
     pub fn need_call(&mut self, id: u64) {
-        let k = self.requests.get_mut(&RequestId(id)).expect("known");
-        k.state = State::AtCall;
-        k.may_call = true;
-        self.batch(&[Event::CallNeeded(RequestId(id))]);
+        let request = self
+            .requests
+            .get_mut(&RequestId(id))
+            .expect("request is tracked");
+        request.state = State::AwaitingCall;
+        request.may_call = true;
+        self.decide(&[Event::CallNeeded(RequestId(id))]);
     }
 
+    /// Ends a call. The request resumes its run if the call succeeded.
     pub fn complete_call(&mut self, id: u64, outcome: Outcome) {
-        let safe = {
-            let k = self.requests.get(&RequestId(id)).expect("known");
-            self.settings.classes[k.class].idempotency == Idempotency::Idempotent
-        };
-        let k = self.requests.get_mut(&RequestId(id)).expect("known");
-        let latency = self.now - k.since;
-        k.state = if outcome == Outcome::Ok {
+        let request = self
+            .requests
+            .get_mut(&RequestId(id))
+            .expect("request is tracked");
+        let class = &self.settings.classes[request.class];
+        let is_idempotent = class.idempotency == Idempotency::Idempotent;
+        let latency = self.now - request.started_at;
+        request.state = if outcome == Outcome::Ok {
             State::Running
         } else {
-            State::AtCall
+            State::AwaitingCall
         };
         let never_ran = matches!(
             outcome,
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::NoLongerNeeded
         );
-        k.may_call = safe || never_ran;
-        self.batch(&[Event::CallCompleted {
+        request.may_call = is_idempotent || never_ran;
+        self.decide(&[Event::CallCompleted {
             id: RequestId(id),
             outcome,
             latency,
         }]);
     }
 
+    /// Has the client cancel a request.
     pub fn cancel(&mut self, id: u64) {
         let id = RequestId(id);
-        if let Some(k) = self.requests.get_mut(&id) {
-            k.answered = true;
-            if matches!(k.state, State::Queued | State::AwaitingResult) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.answered = true;
+            if matches!(request.state, State::Queued | State::AwaitingResult) {
                 self.requests.remove(&id);
             }
         }
-        self.batch(&[Event::ClientCancelled(id)]);
+        self.decide(&[Event::ClientCancelled(id)]);
     }
 
-    pub fn drain(&mut self, left: Span) {
-        self.drain = Some((self.now, self.now + left));
-        self.batch(&[Event::Drain(left)]);
+    /// Begins a drain; the process stops after `remaining`.
+    pub fn begin_drain(&mut self, remaining: Span) {
+        self.drain = Some(DrainPeriod {
+            began_at: self.now,
+            stops_at: self.now + remaining,
+        });
+        self.decide(&[Event::Drain(remaining)]);
     }
 
-    pub fn batch(&mut self, events: &[Event]) {
-        self.last.clear();
+    /// Delivers a batch of events, applies the resulting actions and checks the invariants.
+    pub fn decide(&mut self, events: &[Event]) {
+        self.last_actions.clear();
         let mut actions = Vec::new();
         self.controller.decide(self.now, events, &mut actions);
         for action in &actions {
             self.apply(action);
         }
-        self.all.extend(actions.iter().cloned());
-        self.check();
-        let ended = std::mem::take(&mut self.stopped);
-        if !ended.is_empty() {
+        self.actions.extend(actions.iter().cloned());
+        self.check_invariants();
+        let stopped_runs = std::mem::take(&mut self.stopped_runs);
+        if !stopped_runs.is_empty() {
             let cancelled = |id| Event::RunCompleted {
                 id,
                 outcome: Outcome::Cancelled,
                 latency: ms(1),
             };
-            self.batch(&ended.into_iter().map(cancelled).collect::<Vec<_>>());
+            self.decide(&stopped_runs.into_iter().map(cancelled).collect::<Vec<_>>());
         }
-        self.last = actions;
+        self.last_actions = actions;
     }
 
+    /// Records a final answer, which must be the only one and in time.
     fn answer(&mut self, id: RequestId) {
         let now = self.now;
-        let k = self
+        let request = self
             .requests
             .get_mut(&id)
-            .unwrap_or_else(|| panic!("answered {id:?}, which is not known"));
-        assert!(!k.answered, "{id:?} answered twice");
+            .unwrap_or_else(|| panic!("answered {id:?}, which is not tracked"));
+        assert!(!request.answered, "{id:?} answered twice");
         assert!(
-            now <= k.deadline + self.settings.answer_slack,
-            "{id:?} answered after its due time"
+            now <= request.deadline + self.settings.answer_slack,
+            "{id:?} answered after its deadline"
         );
-        k.answered = true;
-        *self.answers.entry(id).or_default() += 1;
-        if matches!(k.state, State::Queued | State::AwaitingResult) {
+        request.answered = true;
+        *self.answer_counts.entry(id).or_default() += 1;
+        if matches!(request.state, State::Queued | State::AwaitingResult) {
             self.requests.remove(&id);
         }
     }
@@ -298,90 +352,109 @@
         match action {
             Action::Run(id) => {
                 let now = self.now;
-                let k = self
+                let request = self
                     .requests
                     .get_mut(id)
-                    .unwrap_or_else(|| panic!("ran {id:?}, which is not known"));
-                assert_eq!(k.state, State::Queued, "{id:?} run while it is not held");
-                let effect = self.settings.classes[k.class].idempotency;
+                    .unwrap_or_else(|| panic!("started {id:?}, which is not tracked"));
+                assert_eq!(
+                    request.state,
+                    State::Queued,
+                    "{id:?} started while it was not queued"
+                );
+                let idempotency = self.settings.classes[request.class].idempotency;
                 assert!(
-                    effect == Idempotency::Idempotent || !k.ran,
-                    "{id:?} run again"
+                    idempotency == Idempotency::Idempotent || !request.has_run,
+                    "{id:?} started again, although it is not idempotent"
                 );
-                if effect == Idempotency::Keyed {
-                    let window = self.settings.classes[k.class].dedup_window;
-                    if let Some(&before) = self.keyed_runs.get(&k.identity) {
+                if idempotency == Idempotency::Keyed {
+                    let window = self.settings.classes[request.class].dedup_window;
+                    if let Some(&previous) = self.keyed_runs.get(&request.idempotency_key) {
                         assert!(
-                            k.arrived > before + window,
-                            "{id:?}: an effect twice in its window"
+                            request.arrived_at > previous + window,
+                            "{id:?}: an idempotency key ran twice in its deduplication window"
                         );
                     }
-                    self.keyed_runs.insert(k.identity, k.arrived);
+                    self.keyed_runs
+                        .insert(request.idempotency_key, request.arrived_at);
                 }
-                if let Some((since, _)) = self.drain {
+                if let Some(drain) = self.drain {
                     assert!(
-                        k.arrived <= since + self.settings.drain_grace,
-                        "{id:?} run past the grace"
+                        request.arrived_at <= drain.began_at + self.settings.drain_grace,
+                        "{id:?} started although it arrived after the drain grace period"
                     );
                 }
-                (k.state, k.ran, k.since) = (State::Running, true, now);
+                (request.state, request.has_run, request.started_at) = (State::Running, true, now);
             }
             Action::Stop(id) => {
                 assert_ne!(
                     self.settings.preemption,
                     Preemption::None,
-                    "stopped where nothing can be"
+                    "stopped a run on a server without preemption"
                 );
-                if let Some(k) = self
+                if let Some(request) = self
                     .requests
                     .get_mut(id)
-                    .filter(|k| k.state == State::Running)
+                    .filter(|request| request.state == State::Running)
                 {
-                    if k.answered {
+                    if request.answered {
                         self.requests.remove(id);
-                        self.stopped.insert(*id);
+                        self.stopped_runs.insert(*id);
                     } else {
-                        k.state = State::Queued;
+                        request.state = State::Queued;
                     }
                 }
             }
             Action::Reject { id, .. } => {
-                let k = &self.requests[id];
-                let safe = self.settings.classes[k.class].idempotency == Idempotency::Idempotent;
-                assert!(safe || !k.ran, "{id:?} rejected after it ran");
-                if self.settings.classes[k.class].idempotency == Idempotency::Keyed {
-                    let window = self.settings.classes[k.class].dedup_window;
-                    let ran = self
+                let request = &self.requests[id];
+                let class = &self.settings.classes[request.class];
+                let is_idempotent = class.idempotency == Idempotency::Idempotent;
+                assert!(
+                    is_idempotent || !request.has_run,
+                    "{id:?} rejected after it ran"
+                );
+                if class.idempotency == Idempotency::Keyed {
+                    let attempt_ran = self
                         .keyed_runs
-                        .get(&k.identity)
-                        .is_some_and(|&at| k.arrived <= at + window);
-                    assert!(!ran, "{id:?} rejected though a try of it ran");
+                        .get(&request.idempotency_key)
+                        .is_some_and(|&ran| request.arrived_at <= ran + class.dedup_window);
+                    assert!(
+                        !attempt_ran,
+                        "{id:?} rejected although an attempt with its key ran"
+                    );
                 }
                 self.answer(*id);
             }
             Action::Fail(id) => self.answer(*id),
             Action::Call { id, .. } => {
                 let now = self.now;
-                let k = self.requests.get_mut(id).expect("calls for what is known");
-                assert_eq!(k.state, State::AtCall, "{id:?} stands at no call");
-                assert!(k.may_call, "{id:?}: a call repeated that may have run");
-                (k.state, k.since) = (State::Calling, now);
+                let request = self.requests.get_mut(id).expect("caller is tracked");
+                assert_eq!(
+                    request.state,
+                    State::AwaitingCall,
+                    "{id:?} made a call without waiting for one"
+                );
+                assert!(
+                    request.may_call,
+                    "{id:?} retried a call that may have taken effect"
+                );
+                (request.state, request.started_at) = (State::Calling, now);
             }
             Action::SkipCall(id) => {
-                let k = self.requests.get_mut(id).expect("skips for what is known");
+                let request = self.requests.get_mut(id).expect("caller is tracked");
                 assert!(
-                    self.settings.classes[k.class].degraded_weight > 0.0,
-                    "{id:?} skipped a call it needs"
+                    self.settings.classes[request.class].degraded_weight > 0.0,
+                    "{id:?} skipped a required call"
                 );
-                k.state = State::Running;
+                request.state = State::Running;
             }
             Action::RetainResult { id, ttl } => {
-                let k = &self.requests[id];
-                self.entries.insert(k.identity, (*id, self.now + *ttl));
+                let request = &self.requests[id];
+                self.store_entries
+                    .insert(request.idempotency_key, (*id, self.now + *ttl));
             }
-            Action::EvictResult(id) => self.entries.retain(|_, (entry, _)| entry != id),
+            Action::EvictResult(id) => self.store_entries.retain(|_, (entry, _)| entry != id),
             Action::ReplayResult(id) => {
-                self.requests.get_mut(id).expect("known").state = State::AwaitingResult
+                self.requests.get_mut(id).expect("request is tracked").state = State::AwaitingResult
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + *after, *token)),
             Action::SetLoadSignal(_) => assert_ne!(self.settings.load_signal, LoadSignal::None),
@@ -389,83 +462,90 @@
         }
     }
 
-    /// Checks what must hold after every batch.
-    fn check(&self) {
+    /// Checks what must be true after every batch.
+    fn check_invariants(&self) {
         let now = self.now;
-        let mut memory = 0.0;
-        for (id, k) in &self.requests {
-            let running = matches!(k.state, State::Running | State::AtCall | State::Calling);
-            memory += k.memory_kb
-                * if running {
+        let mut memory_kb = 0.0;
+        for (id, request) in &self.requests {
+            let has_started = matches!(
+                request.state,
+                State::Running | State::AwaitingCall | State::Calling
+            );
+            memory_kb += request.memory_kb
+                * if has_started {
                     self.settings.run_memory_factor
                 } else {
                     1.0
                 };
             assert!(
-                k.answered || now <= k.deadline + self.settings.answer_slack,
-                "{id:?} lost: {k:?}"
+                request.answered || now <= request.deadline + self.settings.answer_slack,
+                "{id:?} not answered by its deadline: {request:?}"
             );
-            if let Some((_, stop)) = self.drain {
+            if let Some(drain) = self.drain {
                 assert!(
-                    k.answered || now < stop,
-                    "{id:?} not answered before the stop"
+                    request.answered || now < drain.stops_at,
+                    "{id:?} not answered before the process stopped"
                 );
             }
         }
-        memory += self
-            .entries
+        memory_kb += self
+            .store_entries
             .values()
-            .filter(|(_, until)| *until >= now)
+            .filter(|(_, expires_at)| *expires_at >= now)
             .count() as f64
             * self.settings.dedup_entry_kb;
         assert!(
-            memory <= self.settings.memory_kb,
-            "memory {memory} over {}",
+            memory_kb <= self.settings.memory_kb,
+            "{memory_kb} kB in use, limit {} kB",
             self.settings.memory_kb
         );
         let running = self
             .requests
             .values()
-            .filter(|k| k.state == State::Running)
+            .filter(|request| request.state == State::Running)
             .count() as f64;
-        let limit = self.settings.cores as f64 * self.settings.overload_concurrency;
+        let overload = self.settings.cores as f64 * self.settings.overload_concurrency;
         assert!(
-            running <= limit,
-            "{running} running, overload above {limit}"
+            running <= overload,
+            "{running} requests running, overload above {overload}"
         );
     }
 
+    /// Returns the requests that occupy a run slot.
     pub fn running(&self) -> Vec<u64> {
         self.in_state(State::Running)
     }
 
+    /// Returns the requests in a state, by ascending id.
     pub fn in_state(&self, state: State) -> Vec<u64> {
         self.requests
             .iter()
-            .filter(|(_, k)| k.state == state)
+            .filter(|(_, request)| request.state == state)
             .map(|(id, _)| id.0)
             .collect()
     }
 
+    /// Returns the requests of all `Run` actions, in their order.
     pub fn started(&self) -> Vec<u64> {
-        let run = |a: &Action| {
-            if let Action::Run(id) = a {
+        let started = |action: &Action| {
+            if let Action::Run(id) = action {
                 Some(id.0)
             } else {
                 None
             }
         };
-        self.all.iter().filter_map(run).collect()
+        self.actions.iter().filter_map(started).collect()
     }
 
+    /// Returns the requests of all `Reject` actions, in their order.
     pub fn rejected(&self) -> Vec<u64> {
-        let rejected = |a: &Action| {
-            if let Action::Reject { id, .. } = a {
+        let rejected = |action: &Action| {
+            if let Action::Reject { id, .. } = action {
                 Some(id.0)
             } else {
                 None
             }
         };
-        self.all.iter().filter_map(rejected).collect()
+        self.actions.iter().filter_map(rejected).collect()
     }
 }
--- a/crates/heathspur/tests/deadline_factor.rs
+++ b/crates/heathspur/tests/deadline_factor.rs
@@ -1,5 +1,5 @@
-//! Learning from wasted runs: the concurrency limit, run-time estimates, and the safety factor by
-//! which queued requests are rejected.
+//! What the controller learns from completed and wasted runs: the concurrency limit, run-time
+//! estimates, and the safety factor on the remaining time by which queued requests are rejected.
 
 mod common;
 use common::*;
@@ -7,351 +7,413 @@
 
 const CORES: u64 = 8;
 
-/// An idempotent class to judge by, and an idempotent and a non-idempotent class to learn from; each
-/// with an objective of 2 s and a client timeout of 6 s.
-fn server(halt: Preemption) -> Harness {
-    let effects = [
+/// The idempotent class whose requests are checked for admission.
+const TESTED: usize = 0;
+/// An idempotent class whose runs the controller learns from.
+const IDEMPOTENT_LOAD: usize = 1;
+/// A non-idempotent class that occupies cores and whose runs the controller learns from.
+const NON_IDEMPOTENT_LOAD: usize = 2;
+
+/// Returns a server with the classes above, each with an objective of 2 s and a client timeout of
+/// 6 s.
+fn server(preemption: Preemption) -> Harness {
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::Idempotent,
         Idempotency::NonIdempotent,
     ];
-    let classes = effects.map(|effect| class(1.0, effect, false)).to_vec();
+    let classes = idempotencies
+        .map(|idempotency| class(1.0, idempotency, false))
+        .to_vec();
     Harness::new(Settings {
         classes,
-        preemption: halt,
+        preemption,
         cores: CORES,
         memory_kb: 1e6,
         ..settings()
     })
 }
 
-/// Runs requests one after the other, each alone on the cores; stopped runs do not complete.
-fn runs(harness: &mut Harness, n: u64, class: usize, took: u64) {
-    for _ in 0..n {
+/// Runs requests one after the other, each alone on the cores. A run that the controller stops
+/// before `run_ms` does not complete.
+fn complete_runs(harness: &mut Harness, count: u64, class: usize, run_ms: u64) {
+    for _ in 0..count {
         let id = harness.now.0;
         harness.arrive(request(id, class), id);
-        harness.advance(ms(took));
+        harness.advance(ms(run_ms));
         harness.complete_run(id, Outcome::Ok);
     }
 }
 
-/// Starts requests whose clients cancel.
-fn left(harness: &mut Harness, n: u64, class: usize, took: u64) {
-    for _ in 0..n {
+/// Starts requests one after the other, whose clients cancel after `run_ms`.
+fn cancel_runs(harness: &mut Harness, count: u64, class: usize, run_ms: u64) {
+    for _ in 0..count {
         let id = harness.now.0;
         harness.arrive(request(id, class), id);
-        harness.advance(ms(took));
+        harness.advance(ms(run_ms));
         harness.cancel(id);
     }
 }
 
-fn fill(harness: &mut Harness, class: usize) {
+/// Starts a run on each core.
+fn occupy_cores(harness: &mut Harness, class: usize) {
     for id in harness.now.0..harness.now.0 + CORES {
         harness.arrive(request(id, class), id);
     }
     assert_eq!(harness.running().len() as u64, CORES);
 }
 
-/// Ends all requests; nothing is learned from runs that fail.
-fn clear(harness: &mut Harness) {
+/// Fails all runs, including those that start meanwhile. The controller learns nothing from failed
+/// runs.
+fn fail_all_runs(harness: &mut Harness) {
     while let Some(&id) = harness.running().first() {
         harness.complete_run(id, Outcome::Error);
     }
 }
 
-/// Returns the next id that `fill` has not used.
-fn next(harness: &Harness) -> u64 {
+/// Returns the first id after those that `occupy_cores` uses at the present time.
+fn next_free_id(harness: &Harness) -> u64 {
     harness.now.0 + CORES
 }
 
-/// Returns whether a request behind full cores, with `others` after it that have time, is kept by
-/// the next tick and then run. Otherwise it was rejected there, with `Retry-After`.
-fn tried(harness: &mut Harness, r: Request, others: u64) -> bool {
-    let id = next(harness);
-    fill(harness, 2);
+/// Returns whether a request is admitted that arrives while all cores are busy, followed by
+/// `followers` requests that have enough time. An admitted request is still queued after the next
+/// tick and runs once cores are free; otherwise that tick rejects it with a `Retry-After` of at
+/// least 500 ms.
+fn is_admitted(harness: &mut Harness, request_to_admit: Request, followers: u64) -> bool {
+    let id = next_free_id(harness);
+    occupy_cores(harness, NON_IDEMPOTENT_LOAD);
     harness.arrive(
         Request {
             id: RequestId(id),
-            ..r
+            ..request_to_admit
         },
         id,
     );
-    for other in id + 1..=id + others {
-        harness.arrive(request(other, 0), other);
+    for follower in id + 1..=id + followers {
+        harness.arrive(request(follower, TESTED), follower);
     }
     harness.advance(ms(20));
-    let advised = |a: &Action| matches!(a, Action::Reject { id: r, retry_after: Some(s), .. } if r.0 == id && *s >= ms(500));
-    let rejected = harness.last.iter().any(advised);
-    clear(harness);
+    let is_rejection = |action: &Action| {
+        matches!(
+            action,
+            Action::Reject { id: rejected, retry_after: Some(delay), .. }
+                if rejected.0 == id && *delay >= ms(500)
+        )
+    };
+    let is_rejected = harness.last_actions.iter().any(is_rejection);
+    fail_all_runs(harness);
     harness.advance(ms(20));
-    let ran = harness.started();
+    let started = harness.started();
     assert_eq!(
-        ran.contains(&id),
-        !rejected,
-        "neither run nor rejected with advice"
+        started.contains(&id),
+        !is_rejected,
+        "neither started nor rejected with Retry-After"
     );
     assert!(
-        (id + 1..=id + others).all(|other| ran.contains(&other)),
-        "one with time was turned away"
+        (id + 1..=id + followers).all(|follower| started.contains(&follower)),
+        "a request with enough time was rejected"
     );
-    !rejected
+    !is_rejected
 }
 
-/// A request of class 0 with 0.8 s left of its objective, although it has just arrived.
-fn tight() -> Request {
+/// Returns a request that has just arrived with 0.8 s left of its objective: its stated deadline
+/// shows that its first attempt is 1.2 s old.
+fn request_with_800_ms_left() -> Request {
     Request {
         remaining_deadline: Some(ms(4800)),
-        ..request(0, 0)
+        ..request(0, TESTED)
     }
 }
 
 #[test]
-fn the_limit_grows_with_half_a_core_idle_and_not_on_busy_cores() {
+fn concurrency_limit_grows_only_with_half_a_core_idle() {
     let mut harness = server(Preemption::Restart);
-    runs(&mut harness, 10, 0, 400);
-    fill(&mut harness, 0);
-    // Requests are always queued, and run times do not depend on concurrency.
-    let mut grown = |cpu: f64| {
-        harness.gauges.cpu = Some(cpu);
+    complete_runs(&mut harness, 10, TESTED, 400);
+    occupy_cores(&mut harness, TESTED);
+    // Requests are always queued, and each run takes 400 ms at any concurrency.
+    let mut growth_at = |cpu_utilization: f64| {
+        harness.gauges.cpu = Some(cpu_utilization);
         harness.advance(ms(20));
-        let before = harness.controller.concurrency_limit();
+        let limit_before = harness.controller.concurrency_limit();
         for _ in 0..30 {
-            let id = next(&harness);
-            harness.arrive(request(id, 0), id);
+            let id = next_free_id(&harness);
+            harness.arrive(request(id, TESTED), id);
             harness.advance(Span(400_000 / harness.running().len() as u64));
             let first = harness.running()[0];
             harness.complete_run(first, Outcome::Ok);
         }
-        harness.controller.concurrency_limit() - before
+        harness.controller.concurrency_limit() - limit_before
     };
-    assert_eq!(grown(1.0), 0.0);
-    assert_eq!(grown(0.95), 0.0, "0.4 of a core idle");
-    assert!(grown(1.0 - 0.5 / CORES as f64) >= 1.0, "half a core idle");
-    assert_eq!(grown(1.0), 0.0, "busy again");
+    assert_eq!(growth_at(1.0), 0.0);
+    assert_eq!(growth_at(0.95), 0.0, "0.4 of a core idle");
+    assert!(
+        growth_at(1.0 - 0.5 / CORES as f64) >= 1.0,
+        "half a core idle"
+    );
+    assert_eq!(growth_at(1.0), 0.0, "busy again");
 }
 
 #[test]
-fn a_hint_above_the_objective_is_rejected_while_queued_and_a_mean_request_starts() {
+fn large_cost_hint_is_rejected_if_others_wait_and_mean_request_starts() {
     let mut harness = server(Preemption::Restart);
     // Mean run times beyond the objective are bounded, so that a class always gets starts; the hint
     // multiplies the bounded value.
-    runs(&mut harness, 10, 2, 3000);
-    assert!(tried(&mut harness, request(0, 2), 0));
-    assert!(!tried(
+    complete_runs(&mut harness, 10, NON_IDEMPOTENT_LOAD, 3000);
+    assert!(is_admitted(
+        &mut harness,
+        request(0, NON_IDEMPOTENT_LOAD),
+        0
+    ));
+    assert!(!is_admitted(
         &mut harness,
         Request {
             cost_hint: Some(4.0),
-            ..request(0, 2)
+            ..request(0, NON_IDEMPOTENT_LOAD)
         },
         1
     ));
     assert!(
-        tried(
+        is_admitted(
             &mut harness,
             Request {
                 cost_hint: Some(4.0),
-                ..request(0, 2)
+                ..request(0, NON_IDEMPOTENT_LOAD)
             },
             0
         ),
-        "nobody else for the slot"
+        "rejected although no other request waits for the slot"
     );
-    assert!(tried(&mut harness, request(0, 2), 0));
+    assert!(is_admitted(
+        &mut harness,
+        request(0, NON_IDEMPOTENT_LOAD),
+        0
+    ));
 }
 
 #[test]
-fn hints_count_as_far_as_run_times_followed_them() {
-    // Runs of 0.5 and 1.5 times the mean cost take the same time, or a time by their hints.
-    for (took, believed) in [([700, 700], false), ([350, 1050], true)] {
+fn cost_hint_counts_only_if_run_times_followed_hints() {
+    // Runs with hints of 0.5 and 1.5 times the mean take the same time, or times in proportion.
+    for (run_ms, follows_hints) in [([700, 700], false), ([350, 1050], true)] {
         let mut harness = server(Preemption::Restart);
         for i in 0..40 {
             let id = harness.now.0;
             harness.arrive(
                 Request {
                     cost_hint: Some([0.5, 1.5][i % 2]),
-                    ..request(id, 0)
+                    ..request(id, TESTED)
                 },
                 id,
             );
-            harness.advance(ms(took[i % 2]));
+            harness.advance(ms(run_ms[i % 2]));
             harness.complete_run(id, Outcome::Ok);
         }
         let large = Request {
             cost_hint: Some(4.0),
-            ..request(0, 0)
+            ..request(0, TESTED)
         };
-        assert_eq!(tried(&mut harness, large, 1), !believed, "{took:?}");
+        assert_eq!(
+            is_admitted(&mut harness, large, 1),
+            !follows_hints,
+            "{run_ms:?}"
+        );
     }
 }
 
 #[test]
-fn late_and_cancelled_runs_count_in_the_run_time_estimate() {
+fn late_and_cancelled_runs_count_in_run_time_estimate() {
     let mut harness = server(Preemption::Restart);
-    runs(&mut harness, 2, 0, 100);
-    assert!(tried(&mut harness, tight(), 0));
-    runs(&mut harness, 10, 0, 2100);
+    complete_runs(&mut harness, 2, TESTED, 100);
+    assert!(is_admitted(&mut harness, request_with_800_ms_left(), 0));
+    complete_runs(&mut harness, 10, TESTED, 2100);
     assert_eq!(
         harness
-            .all
+            .actions
             .iter()
-            .filter(|a| matches!(a, Action::Stop(_)))
+            .filter(|action| matches!(action, Action::Stop(_)))
             .count(),
         10
     );
-    assert!(!tried(&mut harness, tight(), 0));
-    // A cancelled run does not show its length, so it does not count as short.
-    left(&mut harness, 60, 0, 20);
-    assert!(!tried(&mut harness, tight(), 0));
+    assert!(!is_admitted(&mut harness, request_with_800_ms_left(), 0));
+    // The length of a cancelled run is unknown, so it does not count as a short run.
+    cancel_runs(&mut harness, 60, TESTED, 20);
+    assert!(!is_admitted(&mut harness, request_with_800_ms_left(), 0));
 }
 
 #[test]
-fn without_preemption_runs_that_outlive_their_answers_count() {
+fn runs_completed_after_their_answer_count_without_preemption() {
     let mut harness = server(Preemption::None);
-    runs(&mut harness, 2, 0, 100);
-    assert!(tried(&mut harness, tight(), 0));
-    runs(&mut harness, 20, 0, 2500);
-    assert!(!tried(&mut harness, tight(), 0));
-    // Cancelled requests were not served: the advice follows a high rejection rate.
-    let advice = |a: &Action| {
-        if let Action::Reject {
-            retry_after: stay_away,
-            ..
-        } = a
-        {
-            *stay_away
+    complete_runs(&mut harness, 2, TESTED, 100);
+    assert!(is_admitted(&mut harness, request_with_800_ms_left(), 0));
+    complete_runs(&mut harness, 20, TESTED, 2500);
+    assert!(!is_admitted(&mut harness, request_with_800_ms_left(), 0));
+    // The late requests were rejected while they ran, so `Retry-After` follows a high rejection
+    // rate.
+    let retry_after = |action: &Action| {
+        if let Action::Reject { retry_after, .. } = action {
+            *retry_after
         } else {
             None
         }
     };
-    assert!(harness.all.iter().rev().find_map(advice).expect("advice") > ms(800));
+    assert!(
+        harness
+            .actions
+            .iter()
+            .rev()
+            .find_map(retry_after)
+            .expect("a rejection with Retry-After")
+            > ms(800)
+    );
 }
 
 #[test]
-fn wasted_runs_lower_the_safety_factor_and_useful_runs_raise_it() {
-    let vain: [fn(&mut Harness); 3] = [
-        |harness| runs(harness, 16, 1, 2100), // stopped, because late
-        |harness| runs(harness, 16, 2, 2100), // writes that complete late
-        |harness| left(harness, 16, 1, 100),
+fn wasted_runs_lower_safety_factor_and_useful_runs_raise_it() {
+    let wasted_runs: [fn(&mut Harness); 3] = [
+        // Idempotent runs that are stopped because they are late.
+        |harness| complete_runs(harness, 16, IDEMPOTENT_LOAD, 2100),
+        // Non-idempotent runs that complete late.
+        |harness| complete_runs(harness, 16, NON_IDEMPOTENT_LOAD, 2100),
+        |harness| cancel_runs(harness, 16, IDEMPOTENT_LOAD, 100),
     ];
-    for (kind, vain) in vain.iter().enumerate() {
+    for (kind, waste_runs) in wasted_runs.iter().enumerate() {
         let mut harness = server(Preemption::Restart);
-        let queued = Request {
+        let queued_for_300_ms = Request {
             queueing_delay: ms(300),
-            ..request(0, 0)
+            ..request(0, TESTED)
         };
-        runs(&mut harness, 20, 0, 500);
-        assert!(tried(&mut harness, tight(), 1) && tried(&mut harness, queued.clone(), 1));
-        vain(&mut harness);
+        complete_runs(&mut harness, 20, TESTED, 500);
         assert!(
-            !tried(&mut harness, tight(), 1),
-            "{kind}: started with its mean just left"
+            is_admitted(&mut harness, request_with_800_ms_left(), 1)
+                && is_admitted(&mut harness, queued_for_300_ms.clone(), 1)
         );
+        waste_runs(&mut harness);
         assert!(
-            !tried(&mut harness, queued.clone(), 1),
-            "{kind}: the line may take all that is left"
+            !is_admitted(&mut harness, request_with_800_ms_left(), 1),
+            "{kind}: admitted with little more time left than its mean run time"
         );
-        assert!(tried(&mut harness, tight(), 0), "{kind}: alone in the line");
-        // On free cores, alone or first of two, and checked before it is started.
-        for n in 1..=2 {
+        assert!(
+            !is_admitted(&mut harness, queued_for_300_ms.clone(), 1),
+            "{kind}: admitted although queue and run may take most of the time left"
+        );
+        assert!(
+            is_admitted(&mut harness, request_with_800_ms_left(), 0),
+            "{kind}: rejected although no other request waits"
+        );
+        // On idle cores, alone or first of two. The timer in the same batch checks the requests
+        // before they are started.
+        for count in 1..=2 {
             let requests = [
                 Request {
                     id: RequestId(1),
-                    ..tight()
+                    ..request_with_800_ms_left()
                 },
-                request(2, 0),
+                request(2, TESTED),
             ];
-            requests[..n].iter().for_each(|r| harness.track(r, r.id.0));
-            let mut events: Vec<_> = requests[..n].iter().cloned().map(Event::Request).collect();
+            requests[..count]
+                .iter()
+                .for_each(|request| harness.track(request, request.id.0));
+            let mut events: Vec<_> = requests[..count]
+                .iter()
+                .cloned()
+                .map(Event::Request)
+                .collect();
             events.push(Event::Timer {
                 token: Token(9),
                 gauges: harness.gauges,
             });
-            harness.batch(&events);
-            assert_eq!(harness.running(), [1, 2][..n], "{kind}: on free cores");
-            clear(&mut harness);
+            harness.decide(&events);
+            assert_eq!(
+                harness.running(),
+                [1, 2][..count],
+                "{kind}: not started on idle cores"
+            );
+            fail_all_runs(&mut harness);
         }
-        runs(&mut harness, 130, 1, 40);
+        complete_runs(&mut harness, 130, IDEMPOTENT_LOAD, 40);
         assert!(
-            tried(&mut harness, tight(), 1) && tried(&mut harness, queued, 1),
-            "{kind}: not widened"
+            is_admitted(&mut harness, request_with_800_ms_left(), 1)
+                && is_admitted(&mut harness, queued_for_300_ms, 1),
+            "{kind}: useful runs did not raise the factor"
         );
     }
 }
 
 #[test]
-fn stalled_runs_and_requests_that_never_ran_leave_the_safety_factor() {
+fn stalled_runs_and_rejected_queued_requests_keep_safety_factor() {
     let mut harness = server(Preemption::Restart);
-    runs(&mut harness, 20, 0, 500);
-    fill(&mut harness, 1);
+    complete_runs(&mut harness, 20, TESTED, 500);
+    // No run makes progress, so the server counts as stalled and rejects the runs.
+    occupy_cores(&mut harness, IDEMPOTENT_LOAD);
     harness.advance(ms(1700));
     assert_eq!(harness.rejected().len() as u64, CORES);
-    assert!(tried(&mut harness, tight(), 1));
+    assert!(is_admitted(&mut harness, request_with_800_ms_left(), 1));
     for _ in 0..10 {
-        assert!(!tried(
+        assert!(!is_admitted(
             &mut harness,
             Request {
                 queueing_delay: ms(1800),
-                ..request(0, 0)
+                ..request(0, TESTED)
             },
             0
         ));
     }
-    assert!(tried(&mut harness, tight(), 1));
+    assert!(is_admitted(&mut harness, request_with_800_ms_left(), 1));
 }
 
 /// Returns the time until a request is rejected, and whether the same batch stops its run.
-fn refused_after(harness: &mut Harness, id: u64) -> (Span, bool) {
+fn time_until_rejection(harness: &mut Harness, id: u64) -> (Span, bool) {
     let since = harness.now;
     while harness.requests.contains_key(&RequestId(id)) {
         harness.advance(ms(20));
-        let stops = harness.last.contains(&Action::Stop(RequestId(id)));
+        let is_stopped = harness.last_actions.contains(&Action::Stop(RequestId(id)));
         if harness
-            .last
+            .last_actions
             .iter()
-            .any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id))
+            .any(|action| matches!(action, Action::Reject { id: rejected, .. } if rejected.0 == id))
         {
-            return (harness.now - since, stops);
+            return (harness.now - since, is_stopped);
         }
-        assert!(!stops, "stopped without its answer");
+        assert!(!is_stopped, "stopped without an answer");
     }
-    panic!("gone without a refusal");
+    panic!("ended without a rejection");
 }
 
 #[test]
-fn a_request_given_up_is_answered_in_that_batch() {
+fn rejection_is_sent_in_batch_that_ends_request() {
     let mut harness = server(Preemption::Restart);
-    runs(&mut harness, 20, 0, 700);
+    complete_runs(&mut harness, 20, TESTED, 700);
     let late = harness.now.0;
-    harness.arrive(request(late, 0), late);
-    let (after, stops) = refused_after(&mut harness, late);
+    harness.arrive(request(late, TESTED), late);
+    let (after, is_stopped) = time_until_rejection(&mut harness, late);
     assert!(
-        stops && after <= ms(2020),
-        "a late run: {after:?}, stopped: {stops}"
+        is_stopped && after <= ms(2020),
+        "a late run: {after:?}, stopped: {is_stopped}"
     );
-    left(&mut harness, 16, 1, 100);
-    let id = next(&harness);
-    fill(&mut harness, 2);
+    cancel_runs(&mut harness, 16, IDEMPOTENT_LOAD, 100);
+    let id = next_free_id(&harness);
+    occupy_cores(&mut harness, NON_IDEMPOTENT_LOAD);
     harness.arrive(
         Request {
             cost_hint: Some(6.0),
-            ..request(id, 0)
+            ..request(id, TESTED)
         },
         id,
     );
-    harness.arrive(request(id + 1, 0), id + 1);
+    harness.arrive(request(id + 1, TESTED), id + 1);
     assert_eq!(
-        refused_after(&mut harness, id),
+        time_until_rejection(&mut harness, id),
         (ms(20), false),
-        "too large"
+        "run too long for the time left"
     );
     // After a tenth of its objective, queue and run must fit into a quarter of the 1.8 s left.
     assert_eq!(
-        refused_after(&mut harness, id + 1),
+        time_until_rejection(&mut harness, id + 1),
         (ms(200), false),
-        "too long a line"
+        "queue and run too long for the time left"
     );
     harness.advance(ms(6000));
     assert!([late, id, id + 1]
         .iter()
-        .all(|id| harness.answers[&RequestId(*id)] == 1));
+        .all(|id| harness.answer_counts[&RequestId(*id)] == 1));
 }
--- a/crates/heathspur/tests/deadlines.rs
+++ b/crates/heathspur/tests/deadlines.rs
@@ -1,28 +1,28 @@
-//! Requests are answered by their deadlines, whatever state they are in.
+//! Requests are answered by their deadlines in every state, and late events are ignored.
 
 mod common;
 use common::*;
 use heathspur::*;
 
 #[test]
-fn running_work_fails_by_its_deadline() {
+fn running_request_fails_by_its_deadline() {
     let mut harness = Harness::new(settings());
-    harness.arrive(request(1, 1), 1);
-    harness.arrive(request(2, 2), 2);
+    harness.arrive(request(1, KEYED), 1);
+    harness.arrive(request(2, NON_IDEMPOTENT), 2);
     harness.advance(ms(8000));
     assert!(
-        harness.all.contains(&Action::Fail(RequestId(1)))
-            && harness.all.contains(&Action::Fail(RequestId(2)))
+        harness.actions.contains(&Action::Fail(RequestId(1)))
+            && harness.actions.contains(&Action::Fail(RequestId(2)))
     );
 }
 
 #[test]
-fn a_request_read_after_its_deadline_is_answered_at_once() {
+fn request_read_after_its_deadline_is_rejected_at_once() {
     let mut harness = Harness::new(settings());
     harness.arrive(
         Request {
             queueing_delay: ms(7000),
-            ..request(1, 0)
+            ..request(1, IDEMPOTENT)
         },
         1,
     );
@@ -30,21 +30,21 @@
 }
 
 #[test]
-fn a_request_at_a_call_fails_by_its_deadline() {
+fn request_at_call_fails_by_its_deadline() {
     let mut harness = Harness::new(settings());
-    harness.arrive(request(1, 1), 1);
+    harness.arrive(request(1, KEYED), 1);
     harness.need_call(1);
     harness.advance(ms(8000));
-    assert!(harness.all.contains(&Action::Fail(RequestId(1))));
+    assert!(harness.actions.contains(&Action::Fail(RequestId(1))));
 }
 
 #[test]
-fn events_of_finished_requests_are_ignored() {
+fn events_of_ended_requests_are_ignored() {
     let mut harness = Harness::new(settings());
-    harness.arrive(request(1, 0), 1);
+    harness.arrive(request(1, IDEMPOTENT), 1);
     harness.complete_run(1, Outcome::Ok);
     let id = RequestId(1);
-    harness.batch(&[
+    harness.decide(&[
         Event::RunCompleted {
             id,
             outcome: Outcome::Ok,
@@ -62,19 +62,19 @@
             gauges: Gauges::default(),
         },
     ]);
-    harness.arrive(request(2, 0), 2);
+    harness.arrive(request(2, IDEMPOTENT), 2);
     assert_eq!(harness.running(), [2]);
 }
 
 #[test]
-fn a_run_that_never_began_releases_its_slot_and_memory() {
+fn run_that_never_began_releases_slot_and_memory() {
     let mut harness = Harness::new(settings());
     for id in 1..200 {
-        harness.arrive(request(id, 0), id);
+        harness.arrive(request(id, IDEMPOTENT), id);
         assert_eq!(
             harness.running(),
             [id],
-            "the slots of runs that never began are free"
+            "the slot of an earlier run is still occupied"
         );
         harness.complete_run(id, Outcome::NoLongerNeeded);
     }
--- a/crates/heathspur/tests/dependency_calls.rs
+++ b/crates/heathspur/tests/dependency_calls.rs
@@ -1,36 +1,62 @@
-//! Calls to the dependency: retries, skips, timeouts and the budget of a shared one.
+//! Calls to the dependency: retries, skips, timeouts and the budget of a shared dependency.
 
 mod common;
 use common::*;
 use heathspur::*;
 
+/// Returns settings with calls of the idempotent class that can be skipped.
+fn settings_with_skippable_calls() -> Settings {
+    let mut settings = settings();
+    settings.classes[IDEMPOTENT].degraded_weight = 0.6;
+    settings
+}
+
+/// Returns a shared dependency that averages its load over 5 s and works on an abandoned call for
+/// 200 ms.
+fn shared_dependency(capacity_share: f64) -> Dependency {
+    Dependency::Shared {
+        capacity_share,
+        averaging_window: ms(5000),
+        abandoned_call_lifetime: ms(200),
+    }
+}
+
+/// Returns the timeout of a `Call` action.
+fn call_timeout(action: &Action) -> Option<Span> {
+    if let Action::Call { timeout, .. } = action {
+        Some(*timeout)
+    } else {
+        None
+    }
+}
+
 #[test]
-fn a_call_that_may_have_run_is_not_retried_for_a_write() {
+fn keyed_call_that_may_have_run_is_not_retried() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset] {
         let mut harness = Harness::new(settings());
-        harness.arrive(request(1, 1), 1);
+        harness.arrive(request(1, KEYED), 1);
         harness.need_call(1);
         harness.complete_call(1, outcome);
         assert!(
-            harness.last.contains(&Action::Fail(RequestId(1))),
+            harness.last_actions.contains(&Action::Fail(RequestId(1))),
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_call_that_provably_did_not_run_is_retried_after_a_backoff() {
+fn call_that_did_not_run_is_retried_after_backoff() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
         let mut harness = Harness::new(settings());
-        harness.arrive(request(1, 1), 1);
+        harness.arrive(request(1, KEYED), 1);
         harness.need_call(1);
         harness.complete_call(1, outcome);
         assert!(
             !harness
-                .last
+                .last_actions
                 .iter()
-                .any(|a| matches!(a, Action::Call { .. })),
-            "no pause"
+                .any(|action| matches!(action, Action::Call { .. })),
+            "retried without a backoff"
         );
         harness.advance(ms(500));
         assert_eq!(harness.in_state(State::Calling), [1], "{outcome:?}");
@@ -38,33 +64,31 @@
 }
 
 #[test]
-fn a_skippable_call_is_skipped_when_it_keeps_failing() {
-    let mut set = settings();
-    set.classes[0].degraded_weight = 0.6;
-    let mut harness = Harness::new(set);
-    harness.arrive(request(1, 0), 1);
+fn skippable_call_is_skipped_after_repeated_rejection() {
+    let mut harness = Harness::new(settings_with_skippable_calls());
+    harness.arrive(request(1, IDEMPOTENT), 1);
     harness.need_call(1);
     for _ in 0..2 {
         harness.complete_call(1, Outcome::Rejected);
         harness.advance(ms(400));
     }
-    assert!(harness.all.contains(&Action::SkipCall(RequestId(1))));
+    assert!(harness.actions.contains(&Action::SkipCall(RequestId(1))));
 }
 
+/// The acceptance rate falls with each rejected call, down to one attempt for each call. The
+/// request of a skippable call must not be rejected for that.
 #[test]
-fn a_rejected_skippable_call_is_skipped_and_its_request_not_given_up() {
-    let mut set = settings();
-    set.classes[0].degraded_weight = 0.6;
-    let mut harness = Harness::new(set);
+fn skippable_call_is_skipped_while_all_calls_are_rejected() {
+    let mut harness = Harness::new(settings_with_skippable_calls());
     for id in 1..40 {
-        harness.arrive(request(id, 0), id);
+        harness.arrive(request(id, IDEMPOTENT), id);
         harness.need_call(id);
         while harness.in_state(State::Calling).contains(&id) {
             harness.complete_call(id, Outcome::Rejected);
             harness.advance(ms(400));
         }
         assert!(
-            harness.all.contains(&Action::SkipCall(RequestId(id))),
+            harness.actions.contains(&Action::SkipCall(RequestId(id))),
             "{id}"
         );
         harness.complete_run(id, Outcome::Ok);
@@ -73,16 +97,13 @@
 }
 
 #[test]
-fn concurrent_calls_stay_below_this_servers_share() {
-    let mut set = settings();
-    set.dependency = Dependency::Shared {
-        capacity_share: 2.5,
-        averaging_window: ms(5000),
-        abandoned_call_lifetime: ms(200),
-    };
-    let mut harness = Harness::new(set);
+fn concurrent_calls_stay_within_capacity_share() {
+    let mut harness = Harness::new(Settings {
+        dependency: shared_dependency(2.5),
+        ..settings()
+    });
     for id in 1..=4 {
-        harness.arrive(request(id, 0), id);
+        harness.arrive(request(id, IDEMPOTENT), id);
     }
     for id in 1..=4 {
         harness.need_call(id);
@@ -101,40 +122,47 @@
 }
 
 #[test]
-fn an_abandoned_call_counts_for_its_lifetime() {
-    let mut set = settings();
-    set.dependency = Dependency::Shared {
-        capacity_share: 1.0,
-        averaging_window: ms(5000),
-        abandoned_call_lifetime: ms(200),
-    };
-    let mut harness = Harness::new(set);
-    harness.arrive(request(1, 0), 1);
-    harness.arrive(request(2, 0), 2);
+fn abandoned_call_occupies_share_for_its_lifetime() {
+    let mut harness = Harness::new(Settings {
+        dependency: shared_dependency(1.0),
+        ..settings()
+    });
+    harness.arrive(request(1, IDEMPOTENT), 1);
+    harness.arrive(request(2, IDEMPOTENT), 2);
     harness.need_call(1);
     harness.complete_call(1, Outcome::Timeout);
     harness.need_call(2);
     assert!(
         harness.in_state(State::Calling).is_empty(),
-        "called while ours still lingers"
+        "called while the abandoned call occupies the dependency"
     );
     harness.advance(ms(900));
     assert_eq!(harness.in_state(State::Calling).len(), 1);
 }
 
-/// Returns the calls that a server makes whose capacity share is far below one call, with many
-/// requests waiting for calls. Each call takes `time` ms.
-fn calls_at_small_share(part: f64, time: u64, rounds: u64) -> Vec<(u64, Time)> {
-    let mut set = settings();
-    set.dependency = Dependency::Shared {
-        capacity_share: part,
-        averaging_window: ms(5000),
-        abandoned_call_lifetime: ms(200),
-    };
-    set.classes[0].degraded_weight = 0.6;
-    set.memory_kb = 1e6;
-    let mut harness = Harness::new(set);
-    let mut made: Vec<(u64, Time)> = Vec::new();
+/// The first call that a request made.
+struct MadeCall {
+    request: u64,
+    made_at: Time,
+}
+
+impl MadeCall {
+    /// Returns whether the request could continue without the call. Even ids are idempotent.
+    fn can_skip(&self) -> bool {
+        self.request % 2 == 0
+    }
+}
+
+/// Returns the calls of a server whose capacity share is below one call, while in each round two
+/// new requests need a call: one can skip it and one, of the keyed class, cannot. Each call takes
+/// `call_ms`, and so does a round.
+fn calls_at_small_share(capacity_share: f64, call_ms: u64, rounds: u64) -> Vec<MadeCall> {
+    let mut harness = Harness::new(Settings {
+        dependency: shared_dependency(capacity_share),
+        memory_kb: 1e6,
+        ..settings_with_skippable_calls()
+    });
+    let mut calls: Vec<MadeCall> = Vec::new();
     for round in 0..rounds {
         for id in [2 * round, 2 * round + 1] {
             harness.arrive(request(id, (id % 2) as usize), id);
@@ -142,12 +170,16 @@
                 harness.need_call(id);
             }
         }
-        harness.advance(ms(time));
+        harness.advance(ms(call_ms));
         for id in harness.in_state(State::Calling) {
-            if !made.iter().any(|m| m.0 == id) {
-                made.push((id, harness.requests[&RequestId(id)].since));
+            let made_at = harness.requests[&RequestId(id)].started_at;
+            if !calls.iter().any(|call| call.request == id) {
+                calls.push(MadeCall {
+                    request: id,
+                    made_at,
+                });
             }
-            if harness.now - harness.requests[&RequestId(id)].since >= ms(time) {
+            if harness.now - made_at >= ms(call_ms) {
                 harness.complete_call(id, Outcome::Ok);
                 harness.complete_run(id, Outcome::Ok);
             }
@@ -156,49 +188,54 @@
             harness.complete_run(id, Outcome::Ok);
         }
     }
-    made
+    calls
 }
 
 #[test]
-fn a_small_share_holds_in_every_window_from_the_first() {
+fn calls_stay_within_small_share_in_every_window() {
     // A mean of 0.4 calls over 5 s are 2 call seconds; each call takes 0.4 s.
-    let made = calls_at_small_share(0.4, 400, 60);
-    assert!(made.len() > 5, "{}", made.len());
-    for &(_, from) in &made {
-        let within = made
+    let calls = calls_at_small_share(0.4, 400, 60);
+    assert!(calls.len() > 5, "{}", calls.len());
+    for first in &calls {
+        let window = first.made_at..first.made_at + ms(5000);
+        let calls_in_window = calls
             .iter()
-            .filter(|m| m.1 >= from && m.1 < from + ms(5000))
+            .filter(|call| window.contains(&call.made_at))
             .count();
-        assert!(within as f64 * 0.4 <= 2.0, "{within} calls within 5 s");
+        assert!(
+            calls_in_window as f64 * 0.4 <= 2.0,
+            "{calls_in_window} calls within 5 s"
+        );
     }
 }
 
 #[test]
 fn paced_calls_go_first_to_requests_that_cannot_skip_them() {
-    let made = calls_at_small_share(0.4, 50, 400);
-    let must = made.iter().filter(|m| m.0 % 2 == 1).count();
-    assert!(must > 2 * (made.len() - must), "{must} of {}", made.len());
+    let calls = calls_at_small_share(0.4, 50, 400);
+    let required = calls.iter().filter(|call| !call.can_skip()).count();
+    assert!(
+        required > 2 * (calls.len() - required),
+        "{required} of {}",
+        calls.len()
+    );
 }
 
 #[test]
-fn a_share_below_one_usual_call_still_makes_some() {
-    let made = calls_at_small_share(0.02, 50, 2000);
-    assert!((1..40).contains(&made.len()), "{}", made.len());
+fn share_far_below_one_call_still_makes_some_calls() {
+    let calls = calls_at_small_share(0.02, 50, 2000);
+    assert!((1..40).contains(&calls.len()), "{}", calls.len());
 }
 
-/// A server at a shared dependency with spare capacity and a known baseline latency of 100 ms.
+/// Returns a server whose calls have had a latency of 100 ms, with spare capacity at a shared
+/// dependency.
 fn server_with_known_latency() -> Harness {
-    let mut set = settings();
-    set.dependency = Dependency::Shared {
-        capacity_share: 6.0,
-        averaging_window: ms(5000),
-        abandoned_call_lifetime: ms(200),
-    };
-    set.classes[0].degraded_weight = 0.6;
-    set.memory_kb = 1e6;
-    let mut harness = Harness::new(set);
+    let mut harness = Harness::new(Settings {
+        dependency: shared_dependency(6.0),
+        memory_kb: 1e6,
+        ..settings_with_skippable_calls()
+    });
     for id in 1000..1100 {
-        harness.arrive(request(id, 0), id);
+        harness.arrive(request(id, IDEMPOTENT), id);
         harness.need_call(id);
         harness.advance(ms(100));
         harness.complete_call(id, Outcome::Ok);
@@ -208,10 +245,10 @@
 }
 
 #[test]
-fn the_call_limit_does_not_grow_while_one_is_enough() {
+fn call_limit_does_not_grow_without_concurrent_calls() {
     let mut harness = server_with_known_latency();
     for id in 1..=4 {
-        harness.arrive(request(id, 1), id);
+        harness.arrive(request(id, KEYED), id);
     }
     for id in 1..=4 {
         harness.need_call(id);
@@ -224,132 +261,136 @@
 }
 
 #[test]
-fn the_call_limit_falls_when_latency_is_inflated() {
+fn call_limit_grows_under_demand_and_falls_when_latency_is_inflated() {
     let mut harness = server_with_known_latency();
-    let busy = |harness: &mut Harness, from: u64, time: u64| {
-        for id in from..from + 4 {
-            harness.arrive(request(id, 1), id);
+    // Completes four requests with calls of `call_ms`; returns the most calls in flight at once.
+    let peak_calls = |harness: &mut Harness, first_id: u64, call_ms: u64| {
+        for id in first_id..first_id + 4 {
+            harness.arrive(request(id, KEYED), id);
             harness.need_call(id);
         }
-        let mut most = 0;
+        let mut peak = 0;
         while let Some(&id) = harness.in_state(State::Calling).first() {
-            most = most.max(harness.in_state(State::Calling).len());
-            harness.advance(ms(time));
+            peak = peak.max(harness.in_state(State::Calling).len());
+            harness.advance(ms(call_ms));
             if harness
                 .requests
                 .get(&RequestId(id))
-                .is_some_and(|k| !k.answered && k.state == State::Calling)
+                .is_some_and(|request| !request.answered && request.state == State::Calling)
             {
                 harness.complete_call(id, Outcome::Ok);
             }
             harness.complete_run(id, Outcome::Ok);
         }
-        most
+        peak
     };
     let mut grown = 0;
     for round in 0..10 {
-        grown = busy(&mut harness, 2000 + 10 * round, 30);
+        grown = peak_calls(&mut harness, 2000 + 10 * round, 30);
     }
     assert!(grown >= 3, "{grown}");
     for round in 0..6 {
-        busy(&mut harness, 3000 + 10 * round, 400);
+        peak_calls(&mut harness, 3000 + 10 * round, 400);
     }
-    assert_eq!(busy(&mut harness, 4000, 400), 1);
+    assert_eq!(peak_calls(&mut harness, 4000, 400), 1);
 }
 
 #[test]
-fn a_skippable_call_at_a_shared_dependency_times_out_after_a_few_baseline_latencies() {
+fn skippable_call_to_shared_dependency_times_out_after_few_baseline_latencies() {
     let mut harness = server_with_known_latency();
-    harness.arrive(request(1, 0), 1);
+    harness.arrive(request(1, IDEMPOTENT), 1);
     harness.need_call(1);
-    let limit = |a: &Action| {
-        if let Action::Call { timeout: limit, .. } = a {
-            Some(*limit)
-        } else {
-            None
-        }
-    };
-    let given = harness.last.iter().find_map(limit).expect("a call");
-    assert!(given > ms(200) && given < ms(1000), "{given:?}");
+    let timeout = harness
+        .last_actions
+        .iter()
+        .find_map(call_timeout)
+        .expect("a call");
+    assert!(timeout > ms(200) && timeout < ms(1000), "{timeout:?}");
 }
 
 #[test]
-fn an_idempotent_call_times_out_early_and_a_write_does_not() {
+fn idempotent_call_times_out_early_and_keyed_call_does_not() {
     let mut harness = Harness::new(settings());
     for id in 1000..1040 {
-        harness.arrive(request(id, 0), id);
+        harness.arrive(request(id, IDEMPOTENT), id);
         harness.need_call(id);
         harness.advance(ms(50));
         harness.complete_call(id, Outcome::Ok);
         harness.complete_run(id, Outcome::Ok);
     }
-    let limit = |a: &Action| {
-        if let Action::Call { timeout: limit, .. } = a {
-            Some(*limit)
-        } else {
-            None
-        }
-    };
-    harness.arrive(request(1, 0), 1);
+    harness.arrive(request(1, IDEMPOTENT), 1);
     harness.need_call(1);
-    assert!(harness.last.iter().find_map(limit).expect("a call") < ms(500));
-    harness.arrive(request(2, 1), 2);
+    let idempotent_timeout = harness.last_actions.iter().find_map(call_timeout);
+    assert!(idempotent_timeout.expect("a call") < ms(500));
+    harness.arrive(request(2, KEYED), 2);
     harness.need_call(2);
-    assert!(harness.last.iter().find_map(limit).expect("a call") > ms(1500));
+    let keyed_timeout = harness.last_actions.iter().find_map(call_timeout);
+    assert!(keyed_timeout.expect("a call") > ms(1500));
     harness.advance(ms(200));
     harness.complete_call(1, Outcome::Timeout);
     harness.advance(ms(500));
-    assert_eq!(harness.in_state(State::Calling), [1, 2], "not repeated");
+    assert_eq!(
+        harness.in_state(State::Calling),
+        [1, 2],
+        "the idempotent call was not retried"
+    );
 }
 
 /// Returns how often a call is attempted that is always rejected, and the time until its request is
-/// given up, while all other calls end with the outcome `others`.
-fn attempts_of_a_call(class: usize, others: Outcome) -> (usize, Span) {
+/// answered, while all other calls end with `other_outcome`.
+fn attempts_of_rejected_call(class: usize, other_outcome: Outcome) -> (usize, Span) {
     let mut harness = Harness::new(settings());
-    let mut next = 1000;
-    let mut call_others = |harness: &mut Harness, n: u64| {
-        for id in next..next + n {
-            harness.arrive(request(id, 0), id);
+    let mut next_id = 1000;
+    let mut make_other_calls = |harness: &mut Harness, count: u64| {
+        for id in next_id..next_id + count {
+            harness.arrive(request(id, IDEMPOTENT), id);
             harness.need_call(id);
-            harness.complete_call(id, others);
+            harness.complete_call(id, other_outcome);
             harness.complete_run(id, Outcome::Error);
         }
-        next += n;
+        next_id += count;
     };
-    call_others(&mut harness, 40);
-    let began = harness.now;
+    make_other_calls(&mut harness, 40);
+    let began_at = harness.now;
     harness.arrive(request(1, class), 1);
     harness.need_call(1);
     while harness
         .requests
         .get(&RequestId(1))
-        .is_some_and(|k| !k.answered)
+        .is_some_and(|request| !request.answered)
     {
         if harness.in_state(State::Calling).contains(&1) {
             harness.complete_call(1, Outcome::Rejected);
-            // Other calls in between, so that the request's own calls have little weight.
-            call_others(&mut harness, 8);
+            // With other calls in between, the rejections of this call have little weight in the
+            // acceptance rate.
+            make_other_calls(&mut harness, 8);
         }
         harness.advance(ms(20));
     }
-    let made = |a: &&Action| {
+    let is_attempt = |action: &&Action| {
         matches!(
-            a,
+            action,
             Action::Call {
                 id: RequestId(1),
                 ..
             }
         )
     };
-    (harness.all.iter().filter(made).count(), harness.now - began)
+    (
+        harness.actions.iter().filter(is_attempt).count(),
+        harness.now - began_at,
+    )
 }
 
 #[test]
-fn calls_are_retried_as_far_as_calls_are_accepted() {
-    for class in [0, 1] {
-        assert_eq!(attempts_of_a_call(class, Outcome::Ok).0, 4);
-        // The request is given up as soon as the last attempt ends.
-        let (made, took) = attempts_of_a_call(class, Outcome::Rejected);
-        assert!(made == 1 && took <= ms(20), "{made} calls, {took:?}");
+fn number_of_call_attempts_follows_acceptance_rate() {
+    for class in [IDEMPOTENT, KEYED] {
+        assert_eq!(attempts_of_rejected_call(class, Outcome::Ok).0, 4);
+        // The request is answered as soon as the only attempt ends.
+        let (attempts, elapsed) = attempts_of_rejected_call(class, Outcome::Rejected);
+        assert!(
+            attempts == 1 && elapsed <= ms(20),
+            "{attempts} attempts, {elapsed:?}"
+        );
     }
 }
--- a/crates/heathspur/tests/fleet.rs
+++ b/crates/heathspur/tests/fleet.rs
@@ -1,80 +1,98 @@
-//! Many controllers in one seeded event loop: the load that they put on a shared dependency together,
-//! and the advice that their clients get. Each knows its own capacity share and not the others'.
+//! Simulates a fleet of servers in one seeded event loop and checks the load that they put together
+//! on a shared dependency. Each server has its own controller, which is configured with the
+//! server's capacity share and gets no information about the other servers.
 
 mod common;
 
 use common::*;
 use heathspur::*;
 use std::collections::BTreeMap;
-
-/// The dependency's averaging window and the lifetime of an abandoned call, in seconds.
-const OVER: f64 = 5.0;
-const LINGER: f64 = 0.2;
-/// Step of the sliding window, in seconds.
-const LOOK: f64 = 0.05;
-
-/// One scenario: the fleet, its clients and the dependency.
+use std::ops::Range;
+
+/// Window over which the load on the dependency is averaged, in seconds.
+const AVERAGING_WINDOW_S: f64 = 5.0;
+/// Time for which an abandoned call still occupies the dependency, in seconds.
+const ABANDONED_CALL_LIFETIME_S: f64 = 0.2;
+/// Step of the sliding window in which the load is measured, in seconds.
+const WINDOW_STEP_S: f64 = 0.05;
+/// Work of a request before its call, in seconds.
+const WORK_BEFORE_CALL_S: f64 = 0.02;
+/// Work of a request after its call, in seconds.
+const WORK_AFTER_CALL_S: f64 = 0.005;
+/// Time in which a full dependency rejects a call, in seconds.
+const REJECTION_S: f64 = 0.002;
+/// Least arrival rate by which intervals are divided, in requests per second.
+const MIN_ARRIVAL_RATE_PER_S: f64 = 1e-9;
+
+/// One simulated case: the fleet, its clients and the dependency.
 #[derive(Clone, Debug)]
-struct Plan {
+struct Scenario {
     seed: u64,
-    instances: usize,
-    part: f64,
-    /// Seconds of a usual call, and of the whole scenario.
-    call: f64,
-    length: f64,
-    /// Requests that each server reads when it starts, and per second afterwards.
-    at_start: usize,
-    rate: f64,
-    /// All clients of the fleet send their requests at the same times.
-    in_step: bool,
-    /// Factor on the length of calls between these two times, in seconds.
-    slow: (f64, f64, f64),
-    /// The dependency rejects calls between these two times, in seconds.
-    full: (f64, f64),
-    /// All servers crash and restart cold at these times, in seconds.
-    restarts: Vec<f64>,
-    /// Fraction of the clients that cancel before their answer.
-    leave: f64,
+    servers: usize,
+    /// Capacity share of each server, as a mean number of concurrent calls.
+    capacity_share: f64,
+    /// Mean length of a call, in seconds.
+    call_s: f64,
+    /// Length of the simulation, in seconds.
+    duration_s: f64,
+    /// Requests that each server reads when it starts.
+    initial_requests: usize,
+    /// Requests that each server reads afterwards, per second.
+    arrival_rate_per_s: f64,
+    /// Requests arrive at all servers at the same times.
+    synchronized_arrivals: bool,
+    /// Period in which calls take `slow_factor` times as long, in seconds from the start.
+    slow_period_s: Range<f64>,
+    slow_factor: f64,
+    /// Period in which the dependency rejects all calls, in seconds from the start.
+    full_period_s: Range<f64>,
+    /// Times at which all servers crash and restart cold, in seconds from the start.
+    restart_times_s: Vec<f64>,
+    /// Fraction of the clients that cancel within 3 s of the arrival.
+    cancel_fraction: f64,
 }
 
-impl Plan {
-    fn new(instances: usize, part: f64, call: f64) -> Plan {
-        Plan {
+impl Scenario {
+    fn new(servers: usize, capacity_share: f64, call_s: f64) -> Scenario {
+        Scenario {
             seed: 1,
-            instances,
-            part,
-            call,
-            length: 20.0,
-            at_start: 8,
-            rate: 4.0,
-            in_step: false,
-            slow: (0.0, 0.0, 1.0),
-            full: (0.0, 0.0),
-            restarts: Vec::new(),
-            leave: 0.0,
+            servers,
+            capacity_share,
+            call_s,
+            duration_s: 20.0,
+            initial_requests: 8,
+            arrival_rate_per_s: 4.0,
+            synchronized_arrivals: false,
+            slow_period_s: 0.0..0.0,
+            slow_factor: 1.0,
+            full_period_s: 0.0..0.0,
+            restart_times_s: Vec::new(),
+            cancel_fraction: 0.0,
         }
     }
 
+    /// Returns the settings of each server. Calls of the idempotent class can be skipped.
     fn settings(&self) -> Settings {
-        let mut set = settings();
-        set.classes[0].degraded_weight = 0.6;
-        set.servers = self.instances as u64;
-        set.memory_kb = 1e6;
-        set.cold_start = true;
-        set.dependency = Dependency::Shared {
-            capacity_share: self.part,
-            averaging_window: Span::from_secs(OVER),
-            abandoned_call_lifetime: Span::from_secs(LINGER),
+        let mut settings = settings();
+        settings.classes[IDEMPOTENT].degraded_weight = 0.6;
+        settings.servers = self.servers as u64;
+        settings.memory_kb = 1e6;
+        settings.cold_start = true;
+        settings.dependency = Dependency::Shared {
+            capacity_share: self.capacity_share,
+            averaging_window: Span::from_secs(AVERAGING_WINDOW_S),
+            abandoned_call_lifetime: Span::from_secs(ABANDONED_CALL_LIFETIME_S),
         };
-        set
+        settings
     }
 }
 
-/// A seeded generator for the clients, independent of the controllers' generators.
-struct Chance(u64);
+/// The random generator of the simulation, independent of the controllers' generators.
+struct SimulationRandom(u64);
 
-impl Chance {
-    fn next(&mut self) -> f64 {
+impl SimulationRandom {
+    /// Returns the next number, at least 0 and below 1.
+    fn next_fraction(&mut self) -> f64 {
         self.0 = self
             .0
             .wrapping_mul(6364136223846793005)
@@ -85,201 +103,237 @@
 }
 
 #[derive(Clone, Debug)]
-enum Due {
+enum SimulationEvent {
     Timer(Token),
-    Arrive,
+    Arrival,
     /// The work before or after the call is done.
-    Worked(RequestId),
-    Called(RequestId, Outcome),
-    Leaves(RequestId),
-    Restart,
+    WorkDone(RequestId),
+    CallEnded(RequestId, Outcome),
+    ClientCancels(RequestId),
+    RestartAll,
 }
 
+/// An event for one server.
 #[derive(Debug)]
-struct TrackedRequest {
+struct ScheduledEvent {
+    server: usize,
+    /// The fleet's generation when the event was scheduled.
+    generation: u64,
+    event: SimulationEvent,
+}
+
+/// A request that a server has read and that has not ended.
+#[derive(Debug)]
+struct ServerRequest {
     class: usize,
     state: State,
-    since: Time,
-    due: Time,
+    /// When its run or its latest call started; when it was read if neither has.
+    started_at: Time,
+    deadline: Time,
     answered: bool,
-    called: bool,
-    /// Index of its call in the list of calls.
+    /// The work before the call is done.
+    has_reached_call: bool,
+    /// Index of its latest call in [`Fleet::calls`].
     call: usize,
 }
 
-struct Instance {
-    server: AdmissionController,
-    known: BTreeMap<RequestId, TrackedRequest>,
+struct Server {
+    controller: AdmissionController,
+    requests: BTreeMap<RequestId, ServerRequest>,
 }
 
-/// A call that occupies the dependency, in seconds.
+/// The time in which a call occupies the dependency, in seconds from the start.
 #[derive(Clone, Copy, Debug)]
-struct OpenCall {
-    from: f64,
-    until: f64,
+struct DependencyCall {
+    from_s: f64,
+    until_s: f64,
+}
+
+/// The highest load on the dependency in any window.
+struct PeakLoad {
+    /// Mean number of concurrent calls.
+    mean_calls: f64,
+    /// Number of calls that started.
+    started_calls: usize,
 }
 
 struct Fleet {
-    plan: Plan,
-    set: Settings,
-    instances: Vec<Instance>,
-    due: BTreeMap<(Time, u64), (usize, u64, Due)>,
-    /// Counts restarts, so that events planned before one are ignored.
-    lives: u64,
-    planned: u64,
-    ids: u64,
+    scenario: Scenario,
+    settings: Settings,
+    servers: Vec<Server>,
+    /// Events by their time; events at the same time in the order in which they were scheduled.
+    schedule: BTreeMap<(Time, u64), ScheduledEvent>,
+    /// Number of starts of the fleet. Events of earlier generations are dropped.
+    generation: u64,
+    events_scheduled: u64,
+    requests_read: u64,
     now: Time,
-    chance: Chance,
-    calls: Vec<OpenCall>,
-    /// When the `Retry-After` of each rejection ends.
-    away: Vec<(f64, f64)>,
-    skipped: usize,
-    given_up: usize,
-    served: usize,
+    random: SimulationRandom,
+    calls: Vec<DependencyCall>,
+    /// Start and end of the `Retry-After` of each rejection, in seconds from the start.
+    retry_after_periods_s: Vec<(f64, f64)>,
+    skipped_calls: usize,
+    failed_requests: usize,
+    served_requests: usize,
 }
 
 const START: Time = Time(1_000_000_000);
 
 impl Fleet {
-    fn play(plan: Plan) -> Fleet {
+    /// Simulates a scenario to its end.
+    fn simulate(scenario: Scenario) -> Fleet {
         let mut fleet = Fleet {
-            set: plan.settings(),
-            instances: Vec::new(),
-            due: BTreeMap::new(),
-            lives: 0,
-            planned: 0,
-            ids: 0,
+            settings: scenario.settings(),
+            servers: Vec::new(),
+            schedule: BTreeMap::new(),
+            generation: 0,
+            events_scheduled: 0,
+            requests_read: 0,
             now: START,
-            chance: Chance(plan.seed),
+            random: SimulationRandom(scenario.seed),
             calls: Vec::new(),
-            away: Vec::new(),
-            skipped: 0,
-            given_up: 0,
-            served: 0,
-            plan,
+            retry_after_periods_s: Vec::new(),
+            skipped_calls: 0,
+            failed_requests: 0,
+            served_requests: 0,
+            scenario,
         };
-        fleet.start();
-        for at in fleet.plan.restarts.clone() {
-            fleet.after(at, 0, Due::Restart);
+        fleet.start_all();
+        for restart_s in fleet.scenario.restart_times_s.clone() {
+            fleet.schedule_after(restart_s, 0, SimulationEvent::RestartAll);
         }
-        let end = START + Span::from_secs(fleet.plan.length);
-        while let Some((&key, _)) = fleet.due.first_key_value() {
+        let end = START + Span::from_secs(fleet.scenario.duration_s);
+        while let Some((&key, _)) = fleet.schedule.first_key_value() {
             if key.0 > end {
                 break;
             }
-            let (i, life, due) = fleet.due.remove(&key).expect("it is there");
+            let scheduled = fleet.schedule.remove(&key).expect("key was just read");
             fleet.now = key.0;
-            if life == fleet.lives || matches!(due, Due::Restart) {
-                fleet.step(i, due);
+            if scheduled.generation == fleet.generation
+                || matches!(scheduled.event, SimulationEvent::RestartAll)
+            {
+                fleet.handle(scheduled.server, scheduled.event);
             }
         }
         fleet
     }
 
-    fn secs(&self) -> f64 {
+    /// Returns the time since the start of the simulation, in seconds.
+    fn elapsed_s(&self) -> f64 {
         (self.now - START).secs()
     }
 
-    fn after(&mut self, secs: f64, i: usize, due: Due) {
-        self.planned += 1;
-        self.due.insert(
-            (self.now + Span::from_secs(secs), self.planned),
-            (i, self.lives, due),
+    fn schedule_after(&mut self, delay_s: f64, server: usize, event: SimulationEvent) {
+        self.events_scheduled += 1;
+        self.schedule.insert(
+            (self.now + Span::from_secs(delay_s), self.events_scheduled),
+            ScheduledEvent {
+                server,
+                generation: self.generation,
+                event,
+            },
         );
     }
 
-    /// All servers start at the same time, with queued work for each.
-    fn start(&mut self) {
-        let now = self.secs();
-        for instance in &self.instances {
-            for k in instance
-                .known
+    /// Starts all servers at the same time, each with requests to read. Servers that were running
+    /// crash: their calls are abandoned and their requests are lost.
+    fn start_all(&mut self) {
+        let now_s = self.elapsed_s();
+        for server in &self.servers {
+            for request in server
+                .requests
                 .values()
-                .filter(|k| k.state == State::Calling)
+                .filter(|request| request.state == State::Calling)
             {
-                let call = &mut self.calls[k.call];
-                call.until = call.until.min(now + LINGER);
+                let call = &mut self.calls[request.call];
+                call.until_s = call.until_s.min(now_s + ABANDONED_CALL_LIFETIME_S);
             }
         }
-        self.lives += 1;
-        self.instances.clear();
-        for i in 0..self.plan.instances {
-            let seed = (self.chance.next() * (1u64 << 53) as f64) as u64;
-            let server = AdmissionController::new(self.set.clone(), seed);
-            self.instances.push(Instance {
-                server,
-                known: BTreeMap::new(),
+        self.generation += 1;
+        self.servers.clear();
+        for server in 0..self.scenario.servers {
+            let seed = (self.random.next_fraction() * (1u64 << 53) as f64) as u64;
+            let controller = AdmissionController::new(self.settings.clone(), seed);
+            self.servers.push(Server {
+                controller,
+                requests: BTreeMap::new(),
             });
             let mut events = Vec::new();
-            for _ in 0..self.plan.at_start {
-                events.push(self.read(i));
+            for _ in 0..self.scenario.initial_requests {
+                events.push(self.read_request(server));
             }
-            self.batch(i, &events);
-            let first = if self.plan.in_step {
+            self.decide(server, &events);
+            let jitter = if self.scenario.synchronized_arrivals {
                 0.0
             } else {
-                self.chance.next()
+                self.random.next_fraction()
             };
-            self.after((0.5 + first) / self.plan.rate.max(1e-9), i, Due::Arrive);
+            let rate_per_s = self.scenario.arrival_rate_per_s.max(MIN_ARRIVAL_RATE_PER_S);
+            self.schedule_after(
+                (0.5 + jitter) / rate_per_s,
+                server,
+                SimulationEvent::Arrival,
+            );
         }
     }
 
-    fn read(&mut self, i: usize) -> Event {
-        self.ids += 1;
-        let id = RequestId(self.ids);
-        let class = (self.ids % 2) as usize;
-        let due = self.now + self.set.classes[class].client_timeout;
-        let (state, since) = (State::Queued, self.now);
-        let known = TrackedRequest {
+    /// Has a server read a new request. Requests alternate between the idempotent and the keyed
+    /// class.
+    fn read_request(&mut self, server: usize) -> Event {
+        self.requests_read += 1;
+        let id = RequestId(self.requests_read);
+        let class = (self.requests_read % 2) as usize;
+        let deadline = self.now + self.settings.classes[class].client_timeout;
+        let tracked = ServerRequest {
             class,
-            state,
-            since,
-            due,
+            state: State::Queued,
+            started_at: self.now,
+            deadline,
             answered: false,
-            called: false,
+            has_reached_call: false,
             call: 0,
         };
-        self.instances[i].known.insert(id, known);
-        if self.chance.next() < self.plan.leave {
-            let after = 3.0 * self.chance.next();
-            self.after(after, i, Due::Leaves(id));
+        self.servers[server].requests.insert(id, tracked);
+        if self.random.next_fraction() < self.scenario.cancel_fraction {
+            let delay_s = 3.0 * self.random.next_fraction();
+            self.schedule_after(delay_s, server, SimulationEvent::ClientCancels(id));
         }
         Event::Request(request(id.0, class))
     }
 
-    fn step(&mut self, i: usize, due: Due) {
+    fn handle(&mut self, server: usize, event: SimulationEvent) {
         let now = self.now;
-        let event = match due {
-            Due::Restart => return self.start(),
-            Due::Timer(token) => Event::Timer {
+        let event = match event {
+            SimulationEvent::RestartAll => return self.start_all(),
+            SimulationEvent::Timer(token) => Event::Timer {
                 token,
                 gauges: Gauges::default(),
             },
-            Due::Arrive => {
-                let every = 1.0 / self.plan.rate.max(1e-9);
-                let jitter = if self.plan.in_step {
+            SimulationEvent::Arrival => {
+                let interval_s = 1.0 / self.scenario.arrival_rate_per_s.max(MIN_ARRIVAL_RATE_PER_S);
+                let jitter = if self.scenario.synchronized_arrivals {
                     1.0
                 } else {
-                    2.0 * self.chance.next()
+                    2.0 * self.random.next_fraction()
                 };
-                self.after(every * jitter, i, Due::Arrive);
-                self.read(i)
+                self.schedule_after(interval_s * jitter, server, SimulationEvent::Arrival);
+                self.read_request(server)
             }
-            Due::Worked(id) => {
-                let Some(k) = self.instances[i].known.get_mut(&id) else {
+            SimulationEvent::WorkDone(id) => {
+                let Some(request) = self.servers[server].requests.get_mut(&id) else {
                     return;
                 };
-                if k.state != State::Running {
+                if request.state != State::Running {
                     return;
                 }
-                if !k.answered && !k.called {
-                    (k.state, k.called) = (State::AtCall, true);
+                if !request.answered && !request.has_reached_call {
+                    (request.state, request.has_reached_call) = (State::AwaitingCall, true);
                     Event::CallNeeded(id)
                 } else {
-                    let latency = now - k.since;
-                    let served = !k.answered;
-                    self.served += usize::from(served);
-                    self.instances[i].known.remove(&id);
+                    let latency = now - request.started_at;
+                    let is_served = !request.answered;
+                    self.served_requests += usize::from(is_served);
+                    self.servers[server].requests.remove(&id);
                     Event::RunCompleted {
                         id,
                         outcome: Outcome::Ok,
@@ -287,18 +341,18 @@
                     }
                 }
             }
-            Due::Called(id, outcome) => {
-                let Some(k) = self.instances[i].known.get_mut(&id) else {
+            SimulationEvent::CallEnded(id, outcome) => {
+                let Some(request) = self.servers[server].requests.get_mut(&id) else {
                     return;
                 };
-                if k.state != State::Calling {
+                if request.state != State::Calling {
                     return;
                 }
-                let latency = now - k.since;
-                if k.answered {
-                    self.instances[i].known.remove(&id);
-                    return self.batch(
-                        i,
+                let latency = now - request.started_at;
+                if request.answered {
+                    self.servers[server].requests.remove(&id);
+                    return self.decide(
+                        server,
                         &[Event::RunCompleted {
                             id,
                             outcome: Outcome::Cancelled,
@@ -306,13 +360,13 @@
                         }],
                     );
                 }
-                k.state = if outcome == Outcome::Ok {
+                request.state = if outcome == Outcome::Ok {
                     State::Running
                 } else {
-                    State::AtCall
+                    State::AwaitingCall
                 };
                 if outcome == Outcome::Ok {
-                    self.after(0.005, i, Due::Worked(id));
+                    self.schedule_after(WORK_AFTER_CALL_S, server, SimulationEvent::WorkDone(id));
                 }
                 Event::CallCompleted {
                     id,
@@ -320,39 +374,44 @@
                     latency,
                 }
             }
-            Due::Leaves(id) => {
-                let Some(k) = self.instances[i].known.get_mut(&id).filter(|k| !k.answered) else {
+            SimulationEvent::ClientCancels(id) => {
+                let Some(request) = self.servers[server]
+                    .requests
+                    .get_mut(&id)
+                    .filter(|request| !request.answered)
+                else {
                     return;
                 };
-                k.answered = true;
-                let state = k.state;
+                request.answered = true;
+                let state = request.state;
                 if matches!(state, State::Queued | State::AwaitingResult) {
-                    self.instances[i].known.remove(&id);
+                    self.servers[server].requests.remove(&id);
                 }
-                self.batch(i, &[Event::ClientCancelled(id)]);
-                return self.at_call_ends(i, id);
+                self.decide(server, &[Event::ClientCancelled(id)]);
+                return self.end_answered_request_at_call(server, id);
             }
         };
-        self.batch(i, &[event]);
+        self.decide(server, &[event]);
     }
 
-    /// A cancelled request ends at its call; the call occupies the dependency for a while longer.
-    fn at_call_ends(&mut self, i: usize, id: RequestId) {
-        let now = self.secs();
-        let Some(k) = self.instances[i].known.get(&id) else {
+    /// Ends a request that was answered or cancelled at its call. An abandoned call occupies the
+    /// dependency for a while longer.
+    fn end_answered_request_at_call(&mut self, server: usize, id: RequestId) {
+        let now_s = self.elapsed_s();
+        let Some(request) = self.servers[server].requests.get(&id) else {
             return;
         };
-        if !k.answered || !matches!(k.state, State::AtCall | State::Calling) {
+        if !request.answered || !matches!(request.state, State::AwaitingCall | State::Calling) {
             return;
         }
-        if k.state == State::Calling {
-            let call = &mut self.calls[k.call];
-            call.until = call.until.min(now + LINGER);
+        if request.state == State::Calling {
+            let call = &mut self.calls[request.call];
+            call.until_s = call.until_s.min(now_s + ABANDONED_CALL_LIFETIME_S);
         }
-        let latency = self.now - k.since;
-        self.instances[i].known.remove(&id);
-        self.batch(
-            i,
+        let latency = self.now - request.started_at;
+        self.servers[server].requests.remove(&id);
+        self.decide(
+            server,
             &[Event::RunCompleted {
                 id,
                 outcome: Outcome::Cancelled,
@@ -361,85 +420,92 @@
         );
     }
 
-    fn batch(&mut self, i: usize, events: &[Event]) {
+    /// Delivers a batch of events to a server and applies the resulting actions.
+    fn decide(&mut self, server: usize, events: &[Event]) {
         let mut actions = Vec::new();
-        self.instances[i]
-            .server
+        self.servers[server]
+            .controller
             .decide(self.now, events, &mut actions);
-        let mut ended = Vec::new();
+        let mut answered_at_call = Vec::new();
         for action in actions {
-            self.apply(i, action, &mut ended);
+            self.apply(server, action, &mut answered_at_call);
         }
-        for id in ended {
-            self.at_call_ends(i, id);
+        for id in answered_at_call {
+            self.end_answered_request_at_call(server, id);
         }
-        let slack = self.set.answer_slack;
-        for (id, k) in &self.instances[i].known {
+        let answer_slack = self.settings.answer_slack;
+        for (id, request) in &self.servers[server].requests {
             assert!(
-                k.answered || self.now <= k.due + slack,
-                "{id:?} lost: {k:?}"
+                request.answered || self.now <= request.deadline + answer_slack,
+                "{id:?} not answered by its deadline: {request:?}"
             );
         }
     }
 
-    fn apply(&mut self, i: usize, action: Action, ended: &mut Vec<RequestId>) {
+    fn apply(&mut self, server: usize, action: Action, answered_at_call: &mut Vec<RequestId>) {
         let now = self.now;
         match action {
             Action::Run(id) => {
-                let k = self.instances[i]
-                    .known
+                let request = self.servers[server]
+                    .requests
                     .get_mut(&id)
-                    .expect("runs what is known");
-                assert_eq!(k.state, State::Queued, "{id:?} run while it is not held");
-                (k.state, k.since) = (State::Running, now);
-                self.after(0.02, i, Due::Worked(id));
+                    .expect("started request is tracked");
+                assert_eq!(
+                    request.state,
+                    State::Queued,
+                    "{id:?} started while it was not queued"
+                );
+                (request.state, request.started_at) = (State::Running, now);
+                self.schedule_after(WORK_BEFORE_CALL_S, server, SimulationEvent::WorkDone(id));
             }
-            Action::Call { id, timeout: limit } => {
-                let at = self.calls.len();
-                let k = self.instances[i]
-                    .known
+            Action::Call { id, timeout } => {
+                let call = self.calls.len();
+                let request = self.servers[server]
+                    .requests
                     .get_mut(&id)
-                    .expect("calls for what is known");
-                assert_eq!(k.state, State::AtCall, "{id:?} stands at no call");
-                (k.state, k.since, k.call) = (State::Calling, now, at);
-                self.call(i, id, limit.secs());
+                    .expect("caller is tracked");
+                assert_eq!(
+                    request.state,
+                    State::AwaitingCall,
+                    "{id:?} made a call without waiting for one"
+                );
+                (request.state, request.started_at, request.call) = (State::Calling, now, call);
+                self.make_call(server, id, timeout.secs());
             }
             Action::SkipCall(id) => {
-                let k = self.instances[i]
-                    .known
+                let request = self.servers[server]
+                    .requests
                     .get_mut(&id)
-                    .expect("skips for what is known");
+                    .expect("caller is tracked");
                 assert!(
-                    self.set.classes[k.class].degraded_weight > 0.0,
-                    "{id:?} skipped a call it needs"
+                    self.settings.classes[request.class].degraded_weight > 0.0,
+                    "{id:?} skipped a required call"
                 );
-                k.state = State::Running;
-                self.skipped += 1;
-                self.after(0.005, i, Due::Worked(id));
+                request.state = State::Running;
+                self.skipped_calls += 1;
+                self.schedule_after(WORK_AFTER_CALL_S, server, SimulationEvent::WorkDone(id));
             }
             Action::Reject {
-                id,
-                retry_after: stay_away,
-                ..
+                id, retry_after, ..
             } => {
-                let at = self.secs();
-                self.away
-                    .extend(stay_away.map(|span| (at, at + span.secs())));
-                self.answer(i, id, ended);
+                let now_s = self.elapsed_s();
+                self.retry_after_periods_s
+                    .extend(retry_after.map(|span| (now_s, now_s + span.secs())));
+                self.answer(server, id, answered_at_call);
             }
             Action::Fail(id) => {
-                self.given_up += 1;
-                self.answer(i, id, ended);
+                self.failed_requests += 1;
+                self.answer(server, id, answered_at_call);
             }
             Action::Stop(id) => {
-                let k = self.instances[i]
-                    .known
+                let request = self.servers[server]
+                    .requests
                     .get(&id)
-                    .expect("stops what is known");
-                assert!(k.answered, "{id:?} stopped while it is owed");
-                self.instances[i].known.remove(&id);
-                self.batch(
-                    i,
+                    .expect("stopped request is tracked");
+                assert!(request.answered, "{id:?} stopped before it was answered");
+                self.servers[server].requests.remove(&id);
+                self.decide(
+                    server,
                     &[Event::RunCompleted {
                         id,
                         outcome: Outcome::Cancelled,
@@ -447,105 +513,133 @@
                     }],
                 );
             }
-            Action::SetTimer { after, token } => self.after(after.secs(), i, Due::Timer(token)),
+            Action::SetTimer { after, token } => {
+                self.schedule_after(after.secs(), server, SimulationEvent::Timer(token))
+            }
             _ => {}
         }
     }
 
-    fn answer(&mut self, i: usize, id: RequestId, ended: &mut Vec<RequestId>) {
-        let k = self.instances[i]
-            .known
+    /// Records a final answer, which must be the only one.
+    fn answer(&mut self, server: usize, id: RequestId, answered_at_call: &mut Vec<RequestId>) {
+        let request = self.servers[server]
+            .requests
             .get_mut(&id)
-            .expect("answers what is known");
-        assert!(!k.answered, "{id:?} answered twice");
-        k.answered = true;
-        match k.state {
-            State::Queued | State::AwaitingResult => drop(self.instances[i].known.remove(&id)),
+            .expect("answered request is tracked");
+        assert!(!request.answered, "{id:?} answered twice");
+        request.answered = true;
+        match request.state {
+            State::Queued | State::AwaitingResult => {
+                self.servers[server].requests.remove(&id);
+            }
             State::Running => {}
-            State::AtCall | State::Calling => ended.push(id),
+            State::AwaitingCall | State::Calling => answered_at_call.push(id),
         }
     }
 
-    /// The dependency accepts a call, or rejects it while it is full.
-    fn call(&mut self, i: usize, id: RequestId, limit: f64) {
-        let now = self.secs();
-        let full = now >= self.plan.full.0 && now < self.plan.full.1;
-        let slow = if now >= self.plan.slow.0 && now < self.plan.slow.1 {
-            self.plan.slow.2
+    /// Makes a call, which the dependency accepts, or rejects while it is full.
+    fn make_call(&mut self, server: usize, id: RequestId, timeout_s: f64) {
+        let now_s = self.elapsed_s();
+        let is_full = self.scenario.full_period_s.contains(&now_s);
+        let slow_factor = if self.scenario.slow_period_s.contains(&now_s) {
+            self.scenario.slow_factor
         } else {
             1.0
         };
-        let takes = if full {
-            0.002
+        let call_s = if is_full {
+            REJECTION_S
         } else {
-            self.plan.call * slow * (0.8 + 0.4 * self.chance.next())
+            self.scenario.call_s * slow_factor * (0.8 + 0.4 * self.random.next_fraction())
         };
-        let outcome = match (full, takes > limit) {
+        let outcome = match (is_full, call_s > timeout_s) {
             (true, _) => Outcome::Rejected,
             (_, true) => Outcome::Timeout,
             _ => Outcome::Ok,
         };
-        let until = now + takes.min(limit + LINGER);
-        self.calls.push(OpenCall { from: now, until });
-        self.after(takes.min(limit), i, Due::Called(id, outcome));
+        self.calls.push(DependencyCall {
+            from_s: now_s,
+            until_s: now_s + call_s.min(timeout_s + ABANDONED_CALL_LIFETIME_S),
+        });
+        self.schedule_after(
+            call_s.min(timeout_s),
+            server,
+            SimulationEvent::CallEnded(id, outcome),
+        );
     }
 
-    /// Returns the highest mean number of concurrent calls and of started calls over all windows.
-    fn most(&self, window: f64) -> (f64, usize) {
-        let looks = (self.plan.length / LOOK) as usize;
-        let (mut hands, mut begun) = (0.0f64, 0);
-        for look in 0..looks {
-            let (from, to) = (look as f64 * LOOK - 1e-6, look as f64 * LOOK + window);
-            let within = |c: &OpenCall| (c.until.min(to) - c.from.max(from)).max(0.0);
-            hands = hands.max(self.calls.iter().map(within).sum::<f64>() / window);
-            begun = begun.max(
+    /// Returns the highest load on the dependency over all windows of the given length.
+    fn peak_load(&self, window_s: f64) -> PeakLoad {
+        let steps = (self.scenario.duration_s / WINDOW_STEP_S) as usize;
+        let mut peak = PeakLoad {
+            mean_calls: 0.0,
+            started_calls: 0,
+        };
+        for step in 0..steps {
+            let (from_s, to_s) = (
+                step as f64 * WINDOW_STEP_S - 1e-6,
+                step as f64 * WINDOW_STEP_S + window_s,
+            );
+            let occupied_s =
+                |call: &DependencyCall| (call.until_s.min(to_s) - call.from_s.max(from_s)).max(0.0);
+            let mean_calls = self.calls.iter().map(occupied_s).sum::<f64>() / window_s;
+            peak.mean_calls = peak.mean_calls.max(mean_calls);
+            peak.started_calls = peak.started_calls.max(
                 self.calls
                     .iter()
-                    .filter(|c| c.from >= from && c.from < to)
+                    .filter(|call| call.from_s >= from_s && call.from_s < to_s)
                     .count(),
             );
         }
-        (hands, begun)
+        peak
     }
 
-    /// Returns how many calls the sum of the shares allows to start in a window, with an allowance for
-    /// random clustering.
-    fn allowed(&self, window: f64) -> f64 {
-        let n = self.sum() * window / self.plan.call;
-        n + 2.0 * n.sqrt() + 2.0
+    /// Returns how many calls the capacity shares of all servers allow to start in a window: the
+    /// mean number, and an allowance for random clustering.
+    fn allowed_starts(&self, window_s: f64) -> f64 {
+        let mean = self.total_share() * window_s / self.scenario.call_s;
+        mean + 2.0 * mean.sqrt() + 2.0
     }
 
-    fn sum(&self) -> f64 {
-        self.plan.part * self.plan.instances as f64
+    /// Returns the sum of the capacity shares, as a mean number of concurrent calls.
+    fn total_share(&self) -> f64 {
+        self.scenario.capacity_share * self.scenario.servers as f64
     }
 }
 
-/// Plays a scenario under a few seeds and compares the load of all servers with the sum of their
-/// shares.
-fn assert_within_shares(plan: &Plan, seeds: u64) {
+/// Asserts that in no window the concurrent or the started calls of all servers exceed the sum of
+/// their capacity shares. Simulates the scenario with the seeds from 1 to `seeds`.
+fn assert_load_within_shares(scenario: &Scenario, seeds: u64) {
     for seed in 1..=seeds {
-        let fleet = Fleet::play(Plan {
+        let fleet = Fleet::simulate(Scenario {
             seed,
-            ..plan.clone()
+            ..scenario.clone()
         });
-        let (hands, begun) = fleet.most(OVER);
-        let (sum, allowed) = (fleet.sum(), fleet.allowed(OVER));
+        let peak = fleet.peak_load(AVERAGING_WINDOW_S);
+        let total_share = fleet.total_share();
+        let allowed_starts = fleet.allowed_starts(AVERAGING_WINDOW_S);
         assert!(
-            hands <= sum,
-            "{hands:.2} calls in hand in the mean of a window, parts sum to {sum:.2}: {:?}",
-            fleet.plan
+            peak.mean_calls <= total_share,
+            "{:.2} concurrent calls in the mean of a window, shares sum to {total_share:.2}: {:?}",
+            peak.mean_calls,
+            fleet.scenario
         );
         assert!(
-            begun as f64 <= allowed,
-            "{begun} calls begun in a window, {allowed:.1} allowed: {:?}",
-            fleet.plan
+            peak.started_calls as f64 <= allowed_starts,
+            "{} calls started in a window, {allowed_starts:.1} allowed: {:?}",
+            peak.started_calls,
+            fleet.scenario
+        );
+        assert!(
+            !fleet.calls.is_empty(),
+            "no call was made: {:?}",
+            fleet.scenario
         );
-        assert!(!fleet.calls.is_empty(), "no call at all: {:?}", fleet.plan);
     }
 }
 
-/// Capacity shares far below one call, close to one and above, each with the seconds of a usual call.
-const PARTS: [(f64, f64); 6] = [
+/// Capacity shares far below one call, close to one and above, each with the mean length of a call
+/// in seconds.
+const SHARES_AND_CALL_TIMES_S: [(f64, f64); 6] = [
     (0.05, 0.4),
     (0.1, 0.4),
     (0.25, 1.0),
@@ -555,22 +649,22 @@
 ];
 
 #[test]
-fn a_cold_fleet_with_queued_work_stays_within_its_capacity_shares() {
-    for instances in [20, 30] {
-        for (part, call) in PARTS {
-            assert_within_shares(&Plan::new(instances, part, call), 2);
+fn cold_fleet_with_queued_requests_stays_within_capacity_shares() {
+    for servers in [20, 30] {
+        for (capacity_share, call_s) in SHARES_AND_CALL_TIMES_S {
+            assert_load_within_shares(&Scenario::new(servers, capacity_share, call_s), 2);
         }
     }
 }
 
 #[test]
-fn a_cold_fleet_with_few_requests_stays_within_its_capacity_shares() {
-    for (part, call) in PARTS {
-        assert_within_shares(
-            &Plan {
-                at_start: 1,
-                rate: 0.2,
-                ..Plan::new(30, part, call)
+fn cold_fleet_with_few_requests_stays_within_capacity_shares() {
+    for (capacity_share, call_s) in SHARES_AND_CALL_TIMES_S {
+        assert_load_within_shares(
+            &Scenario {
+                initial_requests: 1,
+                arrival_rate_per_s: 0.2,
+                ..Scenario::new(30, capacity_share, call_s)
             },
             2,
         );
@@ -578,12 +672,12 @@
 }
 
 #[test]
-fn a_fleet_that_restarts_at_once_stays_within_its_capacity_shares() {
-    for (part, call) in PARTS {
-        assert_within_shares(
-            &Plan {
-                restarts: vec![10.0],
-                ..Plan::new(30, part, call)
+fn fleet_restarting_simultaneously_stays_within_capacity_shares() {
+    for (capacity_share, call_s) in SHARES_AND_CALL_TIMES_S {
+        assert_load_within_shares(
+            &Scenario {
+                restart_times_s: vec![10.0],
+                ..Scenario::new(30, capacity_share, call_s)
             },
             2,
         );
@@ -591,8 +685,8 @@
 }
 
 #[test]
-fn a_fleet_whose_dependency_slows_stays_within_its_capacity_shares() {
-    for (part, call) in [
+fn fleet_with_slow_dependency_stays_within_capacity_shares() {
+    for (capacity_share, call_s) in [
         (0.05, 0.05),
         (0.1, 0.2),
         (0.25, 0.4),
@@ -600,10 +694,11 @@
         (1.0, 0.2),
         (2.5, 0.2),
     ] {
-        assert_within_shares(
-            &Plan {
-                slow: (10.0, 16.0, 6.0),
-                ..Plan::new(30, part, call)
+        assert_load_within_shares(
+            &Scenario {
+                slow_period_s: 10.0..16.0,
+                slow_factor: 6.0,
+                ..Scenario::new(30, capacity_share, call_s)
             },
             2,
         );
@@ -611,126 +706,134 @@
 }
 
 #[test]
-fn a_fleet_whose_clients_cancel_stays_within_its_capacity_shares() {
-    for (part, call) in PARTS {
-        assert_within_shares(
-            &Plan {
-                leave: 0.3,
-                ..Plan::new(30, part, call)
+fn fleet_with_cancelling_clients_stays_within_capacity_shares() {
+    for (capacity_share, call_s) in SHARES_AND_CALL_TIMES_S {
+        assert_load_within_shares(
+            &Scenario {
+                cancel_fraction: 0.3,
+                ..Scenario::new(30, capacity_share, call_s)
             },
             2,
         );
     }
 }
 
+/// If rejected calls cost no tokens, all servers save tokens while the dependency is full and call
+/// it at once when it has capacity again.
 #[test]
-fn rejected_calls_use_tokens_and_are_retried_out_of_step() {
-    for (part, call) in [(0.05, 0.4), (0.25, 0.4)] {
-        assert_within_shares(
-            &Plan {
-                full: (8.0, 14.0),
-                ..Plan::new(30, part, call)
+fn rejected_calls_use_tokens_and_retries_are_spread() {
+    for (capacity_share, call_s) in [(0.05, 0.4), (0.25, 0.4)] {
+        assert_load_within_shares(
+            &Scenario {
+                full_period_s: 8.0..14.0,
+                ..Scenario::new(30, capacity_share, call_s)
             },
             2,
         );
     }
-    for (part, call) in PARTS {
-        let fleet = Fleet::play(Plan {
-            full: (8.0, 14.0),
-            ..Plan::new(30, part, call)
+    for (capacity_share, call_s) in SHARES_AND_CALL_TIMES_S {
+        let fleet = Fleet::simulate(Scenario {
+            full_period_s: 8.0..14.0,
+            ..Scenario::new(30, capacity_share, call_s)
         });
-        let (hands, _) = fleet.most(OVER);
+        let mean_calls = fleet.peak_load(AVERAGING_WINDOW_S).mean_calls;
         assert!(
-            hands <= fleet.sum(),
-            "{hands:.2} of {:.2}: {:?}",
-            fleet.sum(),
-            fleet.plan
+            mean_calls <= fleet.total_share(),
+            "{mean_calls:.2} of {:.2}: {:?}",
+            fleet.total_share(),
+            fleet.scenario
         );
         assert!(
-            fleet.calls.iter().any(|c| c.from >= 14.0),
-            "no call came back: {:?}",
-            fleet.plan
+            fleet.calls.iter().any(|call| call.from_s >= 14.0),
+            "no call after the dependency was full: {:?}",
+            fleet.scenario
         );
     }
 }
 
-/// Compares the calls started in a window with what the sum of the shares allows.
-fn begins_no_more(plan: &Plan) {
+/// Asserts that no window has more started calls than the capacity shares allow, and that the fleet
+/// makes at least a tenth of the calls that it could make. Simulates the scenario with three seeds.
+fn assert_starts_within_shares(scenario: &Scenario) {
     for seed in 1..=3 {
-        let fleet = Fleet::play(Plan {
+        let fleet = Fleet::simulate(Scenario {
             seed,
-            ..plan.clone()
+            ..scenario.clone()
         });
-        let (_, begun) = fleet.most(OVER);
-        let allowed = fleet.allowed(OVER);
+        let started_calls = fleet.peak_load(AVERAGING_WINDOW_S).started_calls;
+        let allowed_starts = fleet.allowed_starts(AVERAGING_WINDOW_S);
         assert!(
-            begun as f64 <= allowed,
-            "{begun} calls begun, {allowed:.1} allowed: {:?}",
-            fleet.plan
+            started_calls as f64 <= allowed_starts,
+            "{started_calls} calls started, {allowed_starts:.1} allowed: {:?}",
+            fleet.scenario
         );
-        // Calls do start: at least a tenth of those requested or paid for in the whole scenario.
-        let pays = fleet.sum() * fleet.plan.length / fleet.plan.call;
-        let least = 0.1 * pays.min(fleet.ids as f64);
+        // The shares and the number of requests both bound the calls of the whole scenario.
+        let affordable_calls =
+            fleet.total_share() * fleet.scenario.duration_s / fleet.scenario.call_s;
+        let least_calls = 0.1 * affordable_calls.min(fleet.requests_read as f64);
         assert!(
-            fleet.calls.len() as f64 > least,
-            "{} calls of {least:.0}: {:?}",
+            fleet.calls.len() as f64 > least_calls,
+            "{} calls made, at least {least_calls:.0} expected: {:?}",
             fleet.calls.len(),
-            fleet.plan
+            fleet.scenario
         );
     }
 }
 
 #[test]
-fn a_burst_at_an_idle_fleet_starts_no_more_calls_than_its_shares_allow() {
-    for instances in [20, 30] {
-        for (part, call) in [
+fn burst_at_idle_fleet_starts_no_more_calls_than_shares_allow() {
+    for servers in [20, 30] {
+        for (capacity_share, call_s) in [
             (0.02, 0.4),
             (0.05, 0.4),
             (0.1, 1.0),
             (0.25, 1.0),
             (1.0, 0.4),
         ] {
-            let rare = Plan {
-                in_step: true,
-                at_start: 0,
-                rate: 0.05,
-                length: 80.0,
-                ..Plan::new(instances, part, call)
+            let infrequent = Scenario {
+                synchronized_arrivals: true,
+                initial_requests: 0,
+                arrival_rate_per_s: 0.05,
+                duration_s: 80.0,
+                ..Scenario::new(servers, capacity_share, call_s)
             };
-            begins_no_more(&rare);
-            begins_no_more(&Plan { rate: 0.1, ..rare });
+            assert_starts_within_shares(&infrequent);
+            assert_starts_within_shares(&Scenario {
+                arrival_rate_per_s: 0.1,
+                ..infrequent
+            });
         }
     }
 }
 
 #[test]
-fn rejected_calls_count_as_started_where_a_share_allows_some() {
-    for instances in [20, 30] {
-        for (part, call) in [(0.5, 1.0), (1.0, 0.4), (2.5, 0.4)] {
-            begins_no_more(&Plan {
-                full: (8.0, 14.0),
-                ..Plan::new(instances, part, call)
+fn rejected_calls_count_as_started_at_shares_of_half_a_call_or_more() {
+    for servers in [20, 30] {
+        for (capacity_share, call_s) in [(0.5, 1.0), (1.0, 0.4), (2.5, 0.4)] {
+            assert_starts_within_shares(&Scenario {
+                full_period_s: 8.0..14.0,
+                ..Scenario::new(servers, capacity_share, call_s)
             });
         }
     }
 }
 
 #[test]
-fn a_lone_start_makes_its_first_call_once_its_share_pays_for_it() {
-    for part in [0.1, 0.25, 0.5, 1.0, 2.5] {
+fn single_cold_server_makes_first_call_once_its_share_pays_for_it() {
+    for capacity_share in [0.1, 0.25, 0.5, 1.0, 2.5] {
         for seed in 1..=5 {
-            let fleet = Fleet::play(Plan {
+            let fleet = Fleet::simulate(Scenario {
                 seed,
-                ..Plan::new(1, part, 0.1)
+                ..Scenario::new(1, capacity_share, 0.1)
             });
-            let first = fleet.calls.first().map_or(f64::MAX, |c| c.from);
-            // Twice four lifetimes, paid by nine tenths of the share; half a second until the next
-            // request needs a call.
-            let pays = 2.0 * 4.0 * LINGER / (0.9 * part);
+            let first_call_s = fleet.calls.first().map_or(f64::MAX, |call| call.from_s);
+            // The first call is assumed to take four lifetimes of an abandoned call, twice that
+            // after a cold start, and nine tenths of the share are used. The next request that
+            // needs a call may come half a second later.
+            let paid_after_s = 2.0 * 4.0 * ABANDONED_CALL_LIFETIME_S / (0.9 * capacity_share);
             assert!(
-                first <= pays + 0.5,
-                "first call after {first:.2} s, {pays:.2} paid: {:?}",
-                fleet.plan
+                first_call_s <= paid_after_s + 0.5,
+                "first call after {first_call_s:.2} s, paid for after {paid_after_s:.2} s: {:?}",
+                fleet.scenario
             );
         }
     }
--- a/crates/heathspur/tests/idle_connections.rs
+++ b/crates/heathspur/tests/idle_connections.rs
@@ -4,93 +4,101 @@
 use common::*;
 use heathspur::*;
 
-/// Returns the idle times granted while `open` connections are open and four requests a second
-/// arrive, which are served or left waiting.
-fn granted_idle_times(
+/// Returns a server with far more callers than it has connections in these tests.
+fn server_with_500_callers() -> Harness {
+    Harness::new(Settings {
+        callers: 500,
+        ..settings()
+    })
+}
+
+/// Returns the changes of the granted idle time while 60 requests arrive, four a second. With
+/// `serve` each completes before the next; otherwise none does. `open_connections` returns the
+/// number of open connections at a request, by the request's index.
+fn idle_time_changes(
     harness: &mut Harness,
-    from: u64,
-    open: impl Fn(u64) -> f64,
+    first_id: u64,
+    open_connections: impl Fn(u64) -> f64,
     serve: bool,
 ) -> Vec<Span> {
-    let before = harness.all.len();
-    for n in 0..60 {
-        let id = from + n;
-        harness.gauges.connections = Some(open(n));
-        harness.arrive(request(id, 0), id);
+    let actions_before = harness.actions.len();
+    for index in 0..60 {
+        let id = first_id + index;
+        harness.gauges.connections = Some(open_connections(index));
+        harness.arrive(request(id, IDEMPOTENT), id);
         harness.advance(ms(250));
         if serve {
             harness.complete_run(id, Outcome::Ok);
         }
     }
-    let given = |a: &Action| {
-        if let Action::CloseIdleConnections(span) = a {
-            Some(*span)
-        } else {
-            None
-        }
-    };
-    harness.all[before..].iter().filter_map(given).collect()
+    harness.actions[actions_before..]
+        .iter()
+        .filter_map(granted_idle_time)
+        .collect()
+}
+
+/// Returns the idle time that an action grants to connections.
+fn granted_idle_time(action: &Action) -> Option<Span> {
+    if let Action::CloseIdleConnections(idle_time) = action {
+        Some(*idle_time)
+    } else {
+        None
+    }
 }
 
 #[test]
-fn idle_connections_that_serve_one_request_close_early() {
-    let mut set = settings();
-    set.callers = 500;
-    let mut harness = Harness::new(set);
-    let given = granted_idle_times(&mut harness, 0, |n| n as f64, true);
-    assert!(given.last().is_some_and(|&t| t <= ms(4000)), "{given:?}");
-    // Reused connections are kept longer.
-    let given = granted_idle_times(&mut harness, 100, |_| 1.0, true);
-    assert_eq!(given.last(), Some(&ms(30_000)), "{given:?}");
+fn connections_that_serve_one_request_close_early() {
+    let mut harness = server_with_500_callers();
+    let changes = idle_time_changes(&mut harness, 0, |index| index as f64, true);
+    assert!(
+        changes
+            .last()
+            .is_some_and(|&idle_time| idle_time <= ms(4000)),
+        "{changes:?}"
+    );
+    // Connections that are reused stay open for longer again.
+    let changes = idle_time_changes(&mut harness, 100, |_| 1.0, true);
+    assert_eq!(changes.last(), Some(&ms(30_000)), "{changes:?}");
 }
 
 #[test]
-fn few_connections_that_serve_many_requests_stay_open() {
-    let mut set = settings();
-    set.callers = 500;
-    let mut harness = Harness::new(set);
-    assert!(granted_idle_times(&mut harness, 0, |_| 5.0, true).is_empty());
-    // Connections stay where there is one for most callers.
+fn reused_or_spare_connections_stay_open() {
+    let mut harness = server_with_500_callers();
+    assert!(idle_time_changes(&mut harness, 0, |_| 5.0, true).is_empty());
+    // With the two callers of the default settings, there is a connection for every other caller,
+    // so no caller is shut out.
     let mut harness = Harness::new(settings());
-    assert!(granted_idle_times(&mut harness, 0, |n| n as f64, true).is_empty());
+    assert!(idle_time_changes(&mut harness, 0, |index| index as f64, true).is_empty());
 }
 
+/// In a flood the connection table should stay full, since a full table rejects work at no cost.
 #[test]
-fn the_table_stays_full_while_most_requests_are_rejected() {
-    let mut set = settings();
-    set.callers = 500;
-    let mut harness = Harness::new(set);
-    granted_idle_times(&mut harness, 0, |n| n as f64, true);
-    // No run ends any more, so arrivals are rejected.
-    harness.arrive(request(99, 2), 99);
-    let given = granted_idle_times(&mut harness, 100, |_| 60.0, false);
+fn idle_connections_stay_open_while_most_requests_are_rejected() {
+    let mut harness = server_with_500_callers();
+    idle_time_changes(&mut harness, 0, |index| index as f64, true);
+    // The run of request 99 does not end and no further run completes, so arrivals are rejected.
+    harness.arrive(request(99, NON_IDEMPOTENT), 99);
+    let changes = idle_time_changes(&mut harness, 100, |_| 60.0, false);
     assert!(
-        given.windows(2).all(|w| w[0] < w[1]) && given.len() > 1,
-        "{given:?}"
+        changes.windows(2).all(|w| w[0] < w[1]) && changes.len() > 1,
+        "{changes:?}"
     );
 }
 
-/// Returns the idle time after each of `n` requests: four a second that waited unread for `waited`
-/// and are served.
+/// Returns the idle time in force after each of `count` requests. Four requests a second arrive,
+/// each with the changes queueing delay, and are served.
 fn idle_times_under_unread_delay(
     harness: &mut Harness,
-    from: u64,
-    n: u64,
-    waited: Span,
+    first_id: u64,
+    count: u64,
+    queueing_delay: Span,
 ) -> Vec<Span> {
-    let given = |a: &Action| {
-        if let Action::CloseIdleConnections(span) = a {
-            Some(*span)
-        } else {
-            None
-        }
-    };
     let mut idle_times = Vec::new();
-    for id in from..from + n {
+    for id in first_id..first_id + count {
         harness.arrive(
             Request {
-                queueing_delay: waited,
-                ..request(id, 0)
+                queueing_delay,
+                ..request(id, IDEMPOTENT)
             },
             id,
         );
@@ -98,9 +106,9 @@
         harness.complete_run(id, Outcome::Ok);
         idle_times.push(
             harness
-                .all
+                .actions
                 .iter()
-                .filter_map(given)
+                .filter_map(granted_idle_time)
                 .next_back()
                 .unwrap_or(harness.settings.client_idle_timeout),
         );
@@ -108,9 +116,9 @@
     idle_times
 }
 
-/// Returns a server that closes idle connections early, and the idle times it granted while requests
-/// then waited unread for half of their objective.
-fn idle_times_around_read_pressure(cpu: Option<f64>) -> (Harness, Vec<Span>) {
+/// Returns a server that closes idle connections early, and the idle times after each of eight
+/// requests that then waited unread for half of their objective.
+fn server_under_read_pressure(cpu: Option<f64>) -> (Harness, Vec<Span>) {
     let mut harness = Harness::new(Settings {
         callers: 500,
         client_idle_timeout: ms(10_000),
@@ -122,67 +130,79 @@
         ..Gauges::default()
     };
     idle_times_under_unread_delay(&mut harness, 0, 60, ms(0));
-    let given = idle_times_under_unread_delay(&mut harness, 100, 8, ms(1000));
-    (harness, given)
+    let idle_times = idle_times_under_unread_delay(&mut harness, 100, 8, ms(1000));
+    (harness, idle_times)
 }
 
 #[test]
-fn unread_delay_keeps_the_table_full_for_one_idle_timeout() {
+fn unread_delay_keeps_connections_open_for_one_client_idle_timeout() {
     for cpu in [None, Some(0.75)] {
-        let (mut harness, given) = idle_times_around_read_pressure(cpu);
-        let early = given[0];
-        assert!(early < ms(2000), "not closed early: {early:?}");
+        let (mut harness, under_pressure) = server_under_read_pressure(cpu);
+        let early = under_pressure[0];
         assert!(
-            given
-                .iter()
-                .all(|&s| s == early || s == harness.settings.client_idle_timeout),
-            "by steps: {given:?}"
+            early < ms(2000),
+            "connections did not close early: {early:?}"
+        );
+        assert!(
+            under_pressure.iter().all(|&idle_time| idle_time == early
+                || idle_time == harness.settings.client_idle_timeout),
+            "not raised in one step: {under_pressure:?}"
+        );
+        assert_eq!(
+            under_pressure.last(),
+            Some(&harness.settings.client_idle_timeout)
         );
-        assert_eq!(given.last(), Some(&harness.settings.client_idle_timeout));
-        // The average delay takes some 10 requests to fall, and an idle timeout spans 40.
-        let calm = idle_times_under_unread_delay(&mut harness, 200, 80, ms(0));
-        let first = calm
+        // The average delay falls within about 10 requests, and the idle timeout of 10 s spans 40.
+        let after_pressure = idle_times_under_unread_delay(&mut harness, 200, 80, ms(0));
+        let first_reduced = after_pressure
             .iter()
-            .position(|&s| s < harness.settings.client_idle_timeout);
+            .position(|&idle_time| idle_time < harness.settings.client_idle_timeout);
         assert!(
-            first.is_some_and(|n| (45..56).contains(&n)),
-            "{cpu:?}: opened at {first:?}"
+            first_reduced.is_some_and(|index| (45..56).contains(&index)),
+            "{cpu:?}: reduced at request {first_reduced:?}"
+        );
+        assert!(
+            after_pressure.last() < Some(&ms(2000)),
+            "{after_pressure:?}"
         );
-        assert!(calm.last() < Some(&ms(2000)), "{calm:?}");
     }
 }
 
 #[test]
-fn after_read_pressure_the_table_reopens_by_a_tenth_a_period_on_idle_cores() {
-    let (mut harness, given) = idle_times_around_read_pressure(Some(0.65));
-    assert_eq!(given.last(), Some(&harness.settings.client_idle_timeout));
-    let mut calm = idle_times_under_unread_delay(&mut harness, 200, 40, ms(0));
-    calm.dedup();
-    let eases = |w: &[Span]| (w[1].secs() / w[0].secs() - 0.9).abs() < 0.001;
-    assert!(calm.len() > 8 && calm.windows(2).all(eases), "{calm:?}");
+fn idle_time_falls_by_a_tenth_per_period_after_read_pressure_on_idle_cores() {
+    let (mut harness, under_pressure) = server_under_read_pressure(Some(0.65));
+    assert_eq!(
+        under_pressure.last(),
+        Some(&harness.settings.client_idle_timeout)
+    );
+    let mut idle_times = idle_times_under_unread_delay(&mut harness, 200, 40, ms(0));
+    idle_times.dedup();
+    let falls_by_a_tenth = |pair: &[Span]| (pair[1].secs() / pair[0].secs() - 0.9).abs() < 0.001;
+    assert!(
+        idle_times.len() > 8 && idle_times.windows(2).all(falls_by_a_tenth),
+        "{idle_times:?}"
+    );
 }
 
 #[test]
-fn after_a_flood_idle_connections_close_early_on_idle_cores_only() {
-    for (cpu, early) in [(Some(0.3), true), (Some(0.9), false), (None, false)] {
-        let mut harness = Harness::new(Settings {
-            callers: 500,
-            ..settings()
-        });
-        harness.gauges.cpu = cpu.map(|_| 0.9);
-        harness.arrive(request(99, 2), 99);
-        // No run ends, so all further arrivals are rejected.
-        let flood = granted_idle_times(&mut harness, 100, |_| 100.0, false);
+fn connections_close_early_after_flood_only_on_idle_cores() {
+    for (cpu_after_flood, closes_early) in [(Some(0.3), true), (Some(0.9), false), (None, false)] {
+        let mut harness = server_with_500_callers();
+        harness.gauges.cpu = cpu_after_flood.map(|_| 0.9);
+        harness.arrive(request(99, NON_IDEMPOTENT), 99);
+        // No run completes, so all further arrivals are rejected.
+        let changes_in_flood = idle_time_changes(&mut harness, 100, |_| 100.0, false);
         assert!(
-            flood.is_empty() && harness.rejected().len() > 40,
-            "{flood:?}"
+            changes_in_flood.is_empty() && harness.rejected().len() > 40,
+            "{changes_in_flood:?}"
         );
-        let before = harness.all.len();
-        harness.gauges.cpu = cpu;
+        let actions_before = harness.actions.len();
+        harness.gauges.cpu = cpu_after_flood;
         harness.advance(ms(8000));
-        let closed = harness.all[before..]
+        let closed_early = harness.actions[actions_before..]
             .iter()
-            .any(|a| matches!(a, Action::CloseIdleConnections(s) if *s < ms(20_000)));
-        assert_eq!(closed, early, "{cpu:?}");
+            .filter_map(granted_idle_time)
+            .any(|idle_time| idle_time < ms(20_000));
+        assert_eq!(closed_early, closes_early, "{cpu_after_flood:?}");
     }
 }
--- a/crates/heathspur/tests/invariants.rs
+++ b/crates/heathspur/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The four rules of the service hold under random but legal events.
+//! The invariants that the harness checks are true under random but legal sequences of events.
 
 mod common;
 use common::*;
@@ -6,42 +6,50 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// One step of a random sequence. `pick` selects a request, modulo the number of eligible ones; a
+/// step without an eligible request does nothing.
 #[derive(Clone, Debug)]
-enum Op {
+enum Step {
+    /// A request arrives in a batch of its own.
     Arrive {
         class: usize,
-        identity: u64,
-        waited: u64,
-        patience: Option<u64>,
-        retry: bool,
-        kb: u64,
+        idempotency_key: u64,
+        queueing_delay_ms: u64,
+        remaining_deadline_ms: Option<u64>,
+        is_retry: bool,
+        memory_kb: u64,
     },
-    Together {
-        identity: u64,
-        tries: u64,
+    /// Attempts with one idempotency key arrive in one batch; each repeats the one before it.
+    ArriveTogether {
+        idempotency_key: u64,
+        attempts: u64,
     },
-    Done {
+    /// A run or a wait for another attempt's result ends.
+    CompleteRun {
         pick: usize,
-        ok: bool,
+        succeeds: bool,
     },
-    NeedsCall {
+    /// A running request needs a call.
+    NeedCall {
         pick: usize,
     },
-    Called {
+    CompleteCall {
         pick: usize,
         outcome: Outcome,
     },
-    Gone {
+    /// A client cancels.
+    Cancel {
         pick: usize,
     },
-    Pass {
-        span: u64,
+    /// The clock advances.
+    Advance {
+        span_ms: u64,
     },
-    Leave,
+    BeginDrain,
 }
 
-fn op() -> impl Strategy<Value = Op> {
-    let outcome = prop_oneof![
+fn any_step() -> impl Strategy<Value = Step> {
+    let call_outcomes = prop_oneof![
         4 => Just(Outcome::Ok),
         1 => Just(Outcome::Rejected),
         1 => Just(Outcome::Error),
@@ -50,28 +58,56 @@
         1 => Just(Outcome::ConnectFailed),
     ];
     prop_oneof![
-        8 => (0usize..3, 0u64..6, 0u64..1500, prop::option::of(1u64..7000), any::<bool>(), 1u64..60).prop_map(
-            |(class, identity, waited, patience, retry, kb)| {
-                Op::Arrive { class, identity, waited, patience, retry, kb }
-            }
-        ),
-        1 => (0u64..6, 2u64..5).prop_map(|(identity, tries)| Op::Together { identity, tries }),
-        4 => (any::<usize>(), prop::bool::weighted(0.9)).prop_map(|(pick, ok)| Op::Done { pick, ok }),
-        3 => any::<usize>().prop_map(|pick| Op::NeedsCall { pick }),
-        3 => (any::<usize>(), outcome).prop_map(|(pick, outcome)| Op::Called { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| Op::Gone { pick }),
-        5 => (1u64..700).prop_map(|span| Op::Pass { span }),
-        1 => prop::bool::weighted(0.05).prop_map(|l| if l { Op::Leave } else { Op::Pass { span: 50 } }),
+        8 => (
+            0usize..3,
+            0u64..6,
+            0u64..1500,
+            prop::option::of(1u64..7000),
+            any::<bool>(),
+            1u64..60,
+        )
+            .prop_map(
+                |(
+                    class,
+                    idempotency_key,
+                    queueing_delay_ms,
+                    remaining_deadline_ms,
+                    is_retry,
+                    memory_kb,
+                )| Step::Arrive {
+                    class,
+                    idempotency_key,
+                    queueing_delay_ms,
+                    remaining_deadline_ms,
+                    is_retry,
+                    memory_kb,
+                },
+            ),
+        1 => (0u64..6, 2u64..5).prop_map(|(idempotency_key, attempts)| {
+            Step::ArriveTogether { idempotency_key, attempts }
+        }),
+        4 => (any::<usize>(), prop::bool::weighted(0.9))
+            .prop_map(|(pick, succeeds)| Step::CompleteRun { pick, succeeds }),
+        3 => any::<usize>().prop_map(|pick| Step::NeedCall { pick }),
+        3 => (any::<usize>(), call_outcomes)
+            .prop_map(|(pick, outcome)| Step::CompleteCall { pick, outcome }),
+        1 => any::<usize>().prop_map(|pick| Step::Cancel { pick }),
+        5 => (1u64..700).prop_map(|span_ms| Step::Advance { span_ms }),
+        1 => prop::bool::weighted(0.05).prop_map(|drains| {
+            if drains { Step::BeginDrain } else { Step::Advance { span_ms: 50 } }
+        }),
     ]
 }
 
-fn world() -> impl Strategy<Value = Settings> {
-    let halt = prop_oneof![
+/// Generates settings for small and large fleets and all kinds of preemption, dependency and load
+/// signal.
+fn any_settings() -> impl Strategy<Value = Settings> {
+    let preemptions = prop_oneof![
         Just(Preemption::None),
         Just(Preemption::Restart),
         Just(Preemption::Pause)
     ];
-    let below = prop_oneof![
+    let dependencies = prop_oneof![
         Just(Dependency::Tier),
         Just(Dependency::Shared {
             capacity_share: 2.4,
@@ -89,101 +125,133 @@
             abandoned_call_lifetime: ms(200)
         }),
     ];
-    let say = prop_oneof![
+    let load_signals = prop_oneof![
         Just(LoadSignal::None),
         Just(LoadSignal::Level),
         Just(LoadSignal::Credit),
         Just(LoadSignal::Weight)
     ];
-    let memory = prop_oneof![Just(900.0), Just(5000.0)];
-    // One core among hundreds of servers, with a tenth of a request per second for each tenant; or
-    // neither of these.
-    let size = prop_oneof![
+    let memory_kb = prop_oneof![Just(900.0), Just(5000.0)];
+    // Cores, servers, callers and client idle timeout in milliseconds: a few servers, hundreds of
+    // servers with one core each and a tenant quota of 0.1 requests per second at each, or a server
+    // that has no other server and no caller listed.
+    let sizes = prop_oneof![
         Just((4, 4, 2, 0)),
         Just((1, 300, 1000, 30_000)),
         Just((2, 0, 0, 30_000))
     ];
-    (halt, below, say, memory, any::<bool>(), any::<bool>(), size).prop_map(
-        |(halt, below, say, memory, cold, skip, (cores, servers, callers, idle))| {
-            let mut set = settings();
-            (set.cores, set.servers, set.callers, set.client_idle_timeout) =
-                (cores, servers, callers, ms(idle));
-            if servers > 4 {
-                set.tenants = vec![Tenant { quota_per_s: 30.0 }, Tenant { quota_per_s: 0.0 }];
-            }
-            (
-                set.preemption,
-                set.dependency,
-                set.load_signal,
-                set.memory_kb,
-            ) = (halt, below, say, memory);
-            set.cold_start = cold;
-            set.classes[0].degraded_weight = if skip { 0.6 } else { 0.0 };
-            set.classes[0].late_weight = if skip { 0.2 } else { 0.0 };
-            set
-        },
+    (
+        preemptions,
+        dependencies,
+        load_signals,
+        memory_kb,
+        any::<bool>(),
+        any::<bool>(),
+        sizes,
     )
+        .prop_map(
+            |(
+                preemption,
+                dependency,
+                load_signal,
+                memory_kb,
+                cold_start,
+                accepts_degraded_and_late,
+                (cores, servers, callers, client_idle_timeout_ms),
+            )| {
+                let mut settings = settings();
+                settings.cores = cores;
+                settings.servers = servers;
+                settings.callers = callers;
+                settings.client_idle_timeout = ms(client_idle_timeout_ms);
+                if servers > 4 {
+                    settings.tenants =
+                        vec![Tenant { quota_per_s: 30.0 }, Tenant { quota_per_s: 0.0 }];
+                }
+                settings.preemption = preemption;
+                settings.dependency = dependency;
+                settings.load_signal = load_signal;
+                settings.memory_kb = memory_kb;
+                settings.cold_start = cold_start;
+                let idempotent = &mut settings.classes[IDEMPOTENT];
+                idempotent.degraded_weight = if accepts_degraded_and_late { 0.6 } else { 0.0 };
+                idempotent.late_weight = if accepts_degraded_and_late { 0.2 } else { 0.0 };
+                settings
+            },
+        )
 }
 
-fn nth(ids: Vec<u64>, pick: usize) -> Option<u64> {
+/// Returns the id at `pick` modulo the number of ids, or `None` if there are none.
+fn pick_id(ids: Vec<u64>, pick: usize) -> Option<u64> {
     (!ids.is_empty()).then(|| ids[pick % ids.len()])
 }
 
-fn play(set: Settings, ops: &[Op]) -> Harness {
-    let mut harness = Harness::new(set);
-    let mut next = 1;
-    for op in ops {
-        match op.clone() {
-            Op::Arrive {
+/// Plays the steps. Stops early at the end of a drain, since a stopped process gets no further
+/// events.
+fn play(settings: Settings, steps: &[Step]) -> Harness {
+    let mut harness = Harness::new(settings);
+    let mut next_id = 1;
+    for step in steps {
+        match step.clone() {
+            Step::Arrive {
                 class,
-                identity,
-                waited,
-                patience,
-                retry,
-                kb,
+                idempotency_key,
+                queueing_delay_ms,
+                remaining_deadline_ms,
+                is_retry,
+                memory_kb,
             } => {
-                let r = Request {
-                    queueing_delay: ms(waited),
-                    remaining_deadline: patience.map(ms),
-                    is_retry: retry,
-                    queued_memory_kb: kb as f64,
-                    tenant: Some(TenantId((identity % 3) as usize)),
-                    ..request(next, class)
+                let arriving = Request {
+                    queueing_delay: ms(queueing_delay_ms),
+                    remaining_deadline: remaining_deadline_ms.map(ms),
+                    is_retry,
+                    queued_memory_kb: memory_kb as f64,
+                    tenant: Some(TenantId((idempotency_key % 3) as usize)),
+                    ..request(next_id, class)
                 };
-                harness.arrive(r, identity);
-                next += 1;
+                harness.arrive(arriving, idempotency_key);
+                next_id += 1;
             }
-            Op::Together { identity, tries } => {
+            Step::ArriveTogether {
+                idempotency_key,
+                attempts,
+            } => {
                 let mut events = Vec::new();
-                for i in 0..tries {
-                    let mut r = request(next, 1);
+                for attempt in 0..attempts {
+                    let mut arriving = request(next_id, KEYED);
                     let entry = harness
-                        .entries
-                        .get(&identity)
-                        .filter(|(_, until)| *until >= harness.now);
-                    r.previous_attempt = if i > 0 {
-                        Some(RequestId(next - 1))
+                        .store_entries
+                        .get(&idempotency_key)
+                        .filter(|(_, expires_at)| *expires_at >= harness.now);
+                    arriving.previous_attempt = if attempt > 0 {
+                        Some(RequestId(next_id - 1))
                     } else {
                         entry.map(|(id, _)| *id)
                     };
-                    harness.track(&r, identity);
-                    events.push(Event::Request(r));
-                    next += 1;
+                    harness.track(&arriving, idempotency_key);
+                    events.push(Event::Request(arriving));
+                    next_id += 1;
                 }
-                harness.batch(&events);
+                harness.decide(&events);
             }
-            Op::Done { pick, ok } => {
+            Step::CompleteRun { pick, succeeds } => {
                 let mut ids = harness.running();
                 ids.extend(harness.in_state(State::AwaitingResult));
-                if let Some(id) = nth(ids, pick) {
-                    harness.complete_run(id, if ok { Outcome::Ok } else { Outcome::Error });
+                if let Some(id) = pick_id(ids, pick) {
+                    let outcome = if succeeds {
+                        Outcome::Ok
+                    } else {
+                        Outcome::Error
+                    };
+                    harness.complete_run(id, outcome);
                 }
             }
-            Op::NeedsCall { pick } => {
-                let calls = |id: &u64| {
+            Step::NeedCall { pick } => {
+                let may_call = |id: &u64| {
                     harness.settings.classes[harness.requests[&RequestId(*id)].class].may_call
                 };
-                if let Some(id) = nth(harness.running().into_iter().filter(calls).collect(), pick) {
+                let ids = harness.running().into_iter().filter(may_call).collect();
+                if let Some(id) = pick_id(ids, pick) {
                     if harness.requests[&RequestId(id)].answered {
                         harness.complete_run(id, Outcome::Cancelled);
                     } else {
@@ -191,8 +259,8 @@
                     }
                 }
             }
-            Op::Called { pick, outcome } => {
-                if let Some(id) = nth(harness.in_state(State::Calling), pick) {
+            Step::CompleteCall { pick, outcome } => {
+                if let Some(id) = pick_id(harness.in_state(State::Calling), pick) {
                     if harness.requests[&RequestId(id)].answered {
                         harness.complete_run(id, Outcome::Cancelled);
                     } else {
@@ -200,31 +268,33 @@
                     }
                 }
             }
-            Op::Gone { pick } => {
-                let open = harness
+            Step::Cancel { pick } => {
+                let unanswered = harness
                     .requests
                     .iter()
-                    .filter(|(_, k)| !k.answered)
+                    .filter(|(_, request)| !request.answered)
                     .map(|(id, _)| id.0)
                     .collect();
-                if let Some(id) = nth(open, pick) {
+                if let Some(id) = pick_id(unanswered, pick) {
                     harness.cancel(id);
                 }
             }
-            Op::Pass { span } => harness.advance(ms(span)),
-            Op::Leave => {
+            Step::Advance { span_ms } => harness.advance(ms(span_ms)),
+            Step::BeginDrain => {
                 if harness.drain.is_none() {
-                    harness.drain(ms(4000));
+                    harness.begin_drain(ms(4000));
                 }
             }
         }
-        // A process that has stopped gets no further events.
+        // A step may take up to 700 ms, so the next one could pass the end of the drain.
         if harness
             .drain
-            .is_some_and(|(_, stop)| harness.now + ms(700) >= stop)
+            .is_some_and(|drain| harness.now + ms(700) >= drain.stops_at)
         {
-            let left = harness.drain.map_or(ms(0), |(_, stop)| stop - harness.now);
-            harness.advance(left);
+            let remaining = harness
+                .drain
+                .map_or(ms(0), |drain| drain.stops_at - harness.now);
+            harness.advance(remaining);
             return harness;
         }
     }
@@ -241,9 +311,16 @@
     })]
 
     #[test]
-    fn every_request_is_answered_once_and_no_rule_is_broken(set in world(), ops in prop::collection::vec(op(), 1..160)) {
-        let harness = play(set, &ops);
-        prop_assert!(harness.answers.values().all(|&n| n == 1));
-        prop_assert!(harness.requests.values().all(|k| k.answered), "left unanswered: {:?}", harness.requests);
+    fn random_events_get_one_answer_per_request_and_break_no_invariant(
+        settings in any_settings(),
+        steps in prop::collection::vec(any_step(), 1..160),
+    ) {
+        let harness = play(settings, &steps);
+        prop_assert!(harness.answer_counts.values().all(|&count| count == 1));
+        prop_assert!(
+            harness.requests.values().all(|request| request.answered),
+            "requests without an answer: {:?}",
+            harness.requests
+        );
     }
 }
--- a/crates/heathspur/tests/pi_control.rs
+++ b/crates/heathspur/tests/pi_control.rs
@@ -1,33 +1,40 @@
 //! PI control of run-slot budgets through the controller, against values calculated by hand.
+//!
+//! The control law is `U(m) = U(m-1) - 0.8 (E(m) - 0.3 E(m-1))`: `E` is the target wait less the
+//! mean wait of the period's starts in seconds, and `U` is the budget in slots before rounding, at
+//! least 1.
 
 mod common;
 use common::*;
 use heathspur::*;
 
-/// One class with runs of 500 ms and an objective of 5 s: its target wait is half of the 4.5 s
-/// left, 2.25 s.
-fn one_class() -> Harness {
-    let mut set = settings();
-    set.classes = vec![class(1.0, Idempotency::Idempotent, false)];
-    set.classes[0].latency_objective = ms(5000);
-    set.classes[0].client_timeout = ms(50_000);
-    set.cores = 100;
-    set.memory_kb = 1e6;
-    let mut harness = Harness::new(set);
+/// The only class of [`server_with_one_class`].
+const CLASS: usize = 0;
+
+/// Returns a server with one class, whose runs take 500 ms and whose objective is 5 s: its target
+/// wait is half of the 4.5 s left, 2.25 s.
+fn server_with_one_class() -> Harness {
+    let mut settings = settings();
+    settings.classes = vec![class(1.0, Idempotency::Idempotent, false)];
+    settings.classes[CLASS].latency_objective = ms(5000);
+    settings.classes[CLASS].client_timeout = ms(50_000);
+    settings.cores = 100;
+    settings.memory_kb = 1e6;
+    let mut harness = Harness::new(settings);
     for id in 9000..9100 {
-        harness.arrive(request(id, 0), id);
+        harness.arrive(request(id, CLASS), id);
         harness.advance(ms(500));
         harness.complete_run(id, Outcome::Ok);
     }
     harness
 }
 
-/// Starts one request in this period that has waited for so many milliseconds.
-fn period(harness: &mut Harness, id: u64, waited: u64) {
+/// Starts one request that has waited for `wait_ms`, and ends the control period.
+fn play_period(harness: &mut Harness, id: u64, wait_ms: u64) {
     harness.arrive(
         Request {
-            queueing_delay: ms(waited),
-            ..request(id, 0)
+            queueing_delay: ms(wait_ms),
+            ..request(id, CLASS)
         },
         id,
     );
@@ -35,47 +42,52 @@
 }
 
 #[test]
-fn budgets_follow_the_pi_law() {
-    let mut harness = one_class();
-    let k = ClassId(0);
-    // Waits of zero: the error is 2.25 s, so the output stays at its minimum.
-    assert_eq!(harness.controller.run_slot_budget(k), 1.0);
-    // Wait 3.25: E = -1, E before = 2.25: 1 + -0.8 x (-1 - 0.3 x 2.25) = 2.34, in whole slots 2.
-    period(&mut harness, 1, 3250);
-    assert_eq!(harness.controller.run_slot_budget(k), 2.0);
-    // Wait 4.25: E = -2, E before = -1: 2.34 + -0.8 x (-2 + 0.3) = 3.7, in whole slots 4.
-    period(&mut harness, 2, 4250);
-    assert_eq!(harness.controller.run_slot_budget(k), 4.0);
-    // Wait 2.25: E = 0, E before = -2: 3.7 + -0.8 x 0.6 = 3.22, in whole slots 3.
-    period(&mut harness, 3, 2250);
-    assert_eq!(harness.controller.run_slot_budget(k), 3.0);
+fn budget_follows_pi_law() {
+    let mut harness = server_with_one_class();
+    let class = ClassId(CLASS);
+    // Waits of zero: the error is 2.25 s, so the output stays at its minimum of 1.
+    assert_eq!(harness.controller.run_slot_budget(class), 1.0);
+    // Wait 3.25 s: E = -1, previous E = 2.25; 1 - 0.8 x (-1 - 0.3 x 2.25) = 2.34, rounded to 2
+    // slots.
+    play_period(&mut harness, 1, 3250);
+    assert_eq!(harness.controller.run_slot_budget(class), 2.0);
+    // Wait 4.25 s: E = -2, previous E = -1; 2.34 - 0.8 x (-2 + 0.3) = 3.7, rounded to 4 slots.
+    play_period(&mut harness, 2, 4250);
+    assert_eq!(harness.controller.run_slot_budget(class), 4.0);
+    // Wait 2.25 s: E = 0, previous E = -2; 3.7 - 0.8 x 0.6 = 3.22, rounded to 3 slots.
+    play_period(&mut harness, 3, 2250);
+    assert_eq!(harness.controller.run_slot_budget(class), 3.0);
 }
 
 #[test]
-fn a_class_with_nothing_queued_or_started_keeps_its_budget() {
-    let mut harness = one_class();
-    period(&mut harness, 1, 3250);
-    period(&mut harness, 2, 4250);
-    let before = harness.controller.run_slot_budget(ClassId(0));
+fn class_without_queued_or_started_requests_keeps_its_budget() {
+    let mut harness = server_with_one_class();
+    play_period(&mut harness, 1, 3250);
+    play_period(&mut harness, 2, 4250);
+    let budget_before = harness.controller.run_slot_budget(ClassId(CLASS));
     for _ in 0..4 {
         harness.advance(ms(500));
     }
-    assert_eq!(harness.controller.run_slot_budget(ClassId(0)), before);
+    assert_eq!(
+        harness.controller.run_slot_budget(ClassId(CLASS)),
+        budget_before
+    );
 }
 
+/// Requests of two classes wait behind long runs, so both outputs rise in every period. Unbounded,
+/// they would wind up; computed from the slots in use, each stays within the concurrency limit and
+/// falls as soon as the waits do.
 #[test]
-fn after_saturation_control_continues_from_the_slots_in_use() {
-    // Two classes starve behind long runs. Unbounded, their outputs would wind up in every period;
-    // based on the slots in use, each budget stays within the limit and falls once waits do.
-    let mut set = settings();
-    set.classes = vec![
+fn saturated_budgets_are_computed_from_slots_in_use() {
+    let mut settings = settings();
+    settings.classes = vec![
         class(1.0, Idempotency::NonIdempotent, false),
         class(2.0, Idempotency::NonIdempotent, false),
     ];
-    for c in &mut set.classes {
-        (c.latency_objective, c.client_timeout) = (ms(20_000), ms(60_000));
+    for class in &mut settings.classes {
+        (class.latency_objective, class.client_timeout) = (ms(20_000), ms(60_000));
     }
-    let mut harness = Harness::new(set);
+    let mut harness = Harness::new(settings);
     for id in 1..=12 {
         harness.arrive(
             Request {
@@ -86,14 +98,18 @@
         );
     }
     harness.advance(ms(3000));
-    let cap = harness.controller.concurrency_limit();
+    let limit = harness.controller.concurrency_limit();
     let (low, high) = (
         harness.controller.run_slot_budget(ClassId(0)),
         harness.controller.run_slot_budget(ClassId(1)),
     );
-    assert!(low + high > cap, "not saturated: {low} + {high}, cap {cap}");
-    assert!(low <= cap && high <= cap);
+    assert!(
+        low + high > limit,
+        "not saturated: {low} + {high}, limit {limit}"
+    );
+    assert!(low <= limit && high <= limit);
     // Waits of 14 s to 15 s against a target of 8.5 s (objective 20 s, assumed run 3 s): from two
-    // slots in use each, one period adds 0.8 x (E - 0.3 E), a little under 4, which the limit bounds.
-    assert_eq!((low, high), (cap, cap));
+    // slots in use each, one period adds 0.8 x (E - 0.3 E), a little under 4, which the limit
+    // bounds.
+    assert_eq!((low, high), (limit, limit));
 }
