--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -177,10 +177,10 @@
     pub fn settings(&self) -> Settings {
         let period_ms = self.period.0.as_millis() as u64;
         Settings {
-            period_ms,
+            protocol_period_ms: period_ms,
             probe_timeout_ms: self.probe_timeout.0.as_millis() as u64,
-            gossip_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_MS),
-            suspicion_mult: self.suspicion,
+            gossip_interval_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_MS),
+            suspicion_multiplier: self.suspicion,
             lifeguard: self.lifeguard,
             ..Settings::default()
         }
--- a/crates/heathspur-emulator/tests/members.rs
+++ b/crates/heathspur-emulator/tests/members.rs
@@ -158,7 +158,7 @@
 #[test]
 fn partition_longer_than_dead_entries_are_kept_heals_through_the_seeds() {
     let settings = Settings {
-        dead_keep_ms: 30_000,
+        dead_retention_ms: 30_000,
         ..Settings::default()
     };
     let mut fleet = converged_fleet(12, 8, settings);
--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -113,7 +113,7 @@
 
     /// Worsens the local health, as failed probes and refutations do.
     pub(crate) fn degrade_local_health(&mut self, by: u32, settings: &Settings) {
-        self.local_health = (self.local_health + by).min(settings.local_health_max);
+        self.local_health = (self.local_health + by).min(settings.max_local_health);
     }
 
     /// Sets when the first probe starts.
@@ -136,7 +136,7 @@
             .round_trip_ms()
             .max(self.usual_round_trip_ms)
             .max(u64::from(entry.member.usual_round_trip_ms));
-        (2 * round_trip).min(MAX_ACK_WAIT_PERIODS * settings.period_ms)
+        (2 * round_trip).min(MAX_ACK_WAIT_PERIODS * settings.protocol_period_ms)
     }
 
     /// How long a suspicion of this member lasts in a fleet of `live_members`.
@@ -227,7 +227,7 @@
         if now < self.next_probe_at {
             return None;
         }
-        let period = self.scale_by_local_health(settings.period_ms, settings);
+        let period = self.scale_by_local_health(settings.protocol_period_ms, settings);
         self.next_probe_at = now + period;
         if self.probes.len() >= MAX_PROBES {
             return None;
--- a/crates/heathspur-members/src/input_limits.rs
+++ b/crates/heathspur-members/src/input_limits.rs
@@ -42,7 +42,8 @@
         let max_sources = settings.max_members * MAX_SOURCES_PER_MEMBER;
         // A new source is counted only while the map has capacity, so that spoofed sources can't grow it.
         let map_full = received.is_none() && self.datagrams_by_source.len() >= max_sources;
-        if map_full || received.is_some_and(|count| count >= settings.per_peer_per_second) {
+        let max_datagrams = settings.max_datagrams_per_source_per_second;
+        if map_full || received.is_some_and(|count| count >= max_datagrams) {
             self.reject(RejectionReason::RateLimited, from);
             return false;
         }
@@ -95,7 +96,7 @@
         if now < self.next_report_at {
             return None;
         }
-        self.next_report_at = now + settings.period_ms.max(MIN_REPORT_INTERVAL_MS);
+        self.next_report_at = now + settings.protocol_period_ms.max(MIN_REPORT_INTERVAL_MS);
         let totals = self.rejected(gossip_queue_full);
         let total = totals.total();
         if total <= self.reported_total {
--- a/crates/heathspur-members/src/join.rs
+++ b/crates/heathspur-members/src/join.rs
@@ -23,7 +23,7 @@
             seeds,
             joined: false,
             next_attempt_at: None,
-            backoff_ms: settings.join_backoff_ms,
+            backoff_ms: settings.initial_join_backoff_ms,
             newcomer_until: 0,
         }
     }
@@ -31,8 +31,8 @@
     /// Starts to join at once.
     pub(crate) fn start(&mut self, now: u64, settings: &Settings) {
         self.next_attempt_at = Some(now);
-        self.backoff_ms = settings.join_backoff_ms;
-        self.newcomer_until = now + NEWCOMER_PERIODS * settings.period_ms;
+        self.backoff_ms = settings.initial_join_backoff_ms;
+        self.newcomer_until = now + NEWCOMER_PERIODS * settings.protocol_period_ms;
     }
 
     pub(crate) fn seeds(&self) -> &[SocketAddrV4] {
@@ -66,7 +66,7 @@
         }
         let jitter = rng.random_range(0..=self.backoff_ms / 2);
         self.next_attempt_at = Some(now + self.backoff_ms + jitter);
-        self.backoff_ms = (self.backoff_ms * 2).min(settings.join_backoff_max_ms);
+        self.backoff_ms = (self.backoff_ms * 2).min(settings.max_join_backoff_ms);
         self.seeds.clone()
     }
 }
--- a/crates/heathspur-members/src/membership/mod.rs
+++ b/crates/heathspur-members/src/membership/mod.rs
@@ -58,7 +58,7 @@
             now: 0,
             rng: StdRng::seed_from_u64(random_seed),
             local: LocalMember::new(local, incarnation),
-            others: MemberStates::new(settings.max_pending),
+            others: MemberStates::new(settings.max_queued_updates),
             detector: FailureDetector::new(),
             next_gossip_at: 0,
             anti_entropy: AntiEntropy::default(),
@@ -159,9 +159,9 @@
     fn on_join(&mut self, out: &mut Vec<Action>) {
         self.join.start(self.now, &self.settings);
         // Members started together don't probe, gossip and exchange views in step.
-        let first_probe = self.random_time_within(self.settings.period_ms);
+        let first_probe = self.random_time_within(self.settings.protocol_period_ms);
         self.detector.start_at(first_probe);
-        self.next_gossip_at = self.random_time_within(self.settings.gossip_ms);
+        self.next_gossip_at = self.random_time_within(self.settings.gossip_interval_ms);
         let push_pull_interval = self
             .settings
             .push_pull_every_ms(1 + self.others.table().len());
@@ -180,7 +180,7 @@
         }
         self.detector.stop();
         self.announce_incarnation(out);
-        for to in self.random_live_addresses(self.settings.fanout * LEAVE_FANOUT_FACTOR) {
+        for to in self.random_live_addresses(self.settings.gossip_fanout * LEAVE_FANOUT_FACTOR) {
             self.send(to, Body::Gossip, out);
         }
     }
@@ -192,7 +192,7 @@
     }
 
     fn gossip_to_random_members(&mut self, out: &mut Vec<Action>) {
-        for to in self.random_live_addresses(self.settings.fanout) {
+        for to in self.random_live_addresses(self.settings.gossip_fanout) {
             self.send(to, Body::Gossip, out);
         }
     }
--- a/crates/heathspur-members/src/membership/timers.rs
+++ b/crates/heathspur-members/src/membership/timers.rs
@@ -47,8 +47,9 @@
         if !self.others.table().has_departed() || self.now < self.next_reap_at {
             return;
         }
-        self.next_reap_at = self.now + self.settings.period_ms;
-        self.others.reap(self.now, self.settings.dead_keep_ms, out);
+        self.next_reap_at = self.now + self.settings.protocol_period_ms;
+        self.others
+            .reap(self.now, self.settings.dead_retention_ms, out);
     }
 
     fn send_due_nacks(&mut self, out: &mut Vec<Action>) {
@@ -64,7 +65,7 @@
         if self.now < self.next_gossip_at {
             return;
         }
-        self.next_gossip_at = self.now + self.settings.gossip_ms;
+        self.next_gossip_at = self.now + self.settings.gossip_interval_ms;
         if !self.others.gossip().is_empty() {
             self.gossip_to_random_members(out);
         }
--- a/crates/heathspur-members/tests/errors.rs
+++ b/crates/heathspur-members/tests/errors.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_setting_out_of_its_range_is_reported_with_its_value_and_bounds() {
     let settings = Settings {
-        period_ms: 49,
+        protocol_period_ms: 49,
         ..Settings::default()
     };
     let error = settings.check().unwrap_err();
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -207,7 +207,7 @@
 #[test]
 fn datagrams_of_one_address_are_limited_in_each_second() {
     let settings = Settings {
-        per_peer_per_second: 10,
+        max_datagrams_per_source_per_second: 10,
         ..Settings::default()
     };
     let mut membership = Membership::new(settings, member(0), 1, vec![], 1);
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -185,10 +185,10 @@
 fn settings(config: &MembersConfig) -> Settings {
     let period_ms = config.period.0.as_millis() as u64;
     Settings {
-        period_ms,
-        gossip_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_INTERVAL_MS),
+        protocol_period_ms: period_ms,
+        gossip_interval_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_INTERVAL_MS),
         probe_timeout_ms: config.probe_timeout.0.as_millis() as u64,
-        suspicion_mult: config.suspicion,
+        suspicion_multiplier: config.suspicion,
         max_members: config.max_members,
         lifeguard: config.lifeguard,
         ..Settings::default()
