--- a/crates/heathspur-members/src/anti_entropy.rs
+++ b/crates/heathspur-members/src/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: the periodic push-pull of the whole view with one other member.
+//! Anti-entropy: the periodic push-pull of the full view with one other member.
 
 use crate::local_member::LocalMember;
 use crate::member::MemberState;
@@ -9,34 +9,35 @@
 use rand::RngExt;
 use std::net::SocketAddrV4;
 
-/// One push-pull in so many goes to a dead member: that is how the halves of a healed partition find each other.
+/// One push-pull in this many, on average, is sent to a dead member, so that the sides of a healed partition merge.
 const DEAD_PEER_ONE_IN: u32 = 3;
-/// The most bytes by which the length prefix of a datagram's updates grows.
+/// The maximum growth of the length prefix of a datagram's updates, in bytes.
 const LENGTH_PREFIX_GROWTH_BYTES: usize = 2;
 
-/// The schedule of push-pulls and the choice of their peers.
+/// The schedule of push-pulls.
 #[derive(Default)]
 pub(crate) struct AntiEntropy {
     next_at: u64,
 }
 
 impl AntiEntropy {
-    /// Sets when the first push-pull happens.
+    /// Sets when the first push-pull is due.
     pub(crate) fn start_at(&mut self, time: u64) {
         self.next_at = time;
     }
 
-    /// Whether a push-pull is due; schedules the next one.
+    /// Returns whether a push-pull is due, and schedules the next one if it is.
     pub(crate) fn take_due(&mut self, now: u64, live_members: usize, settings: &Settings) -> bool {
         if now < self.next_at {
             return false;
         }
-        self.next_at = now + settings.push_pull_every_ms(live_members);
+        self.next_at = now + settings.scaled_push_pull_interval_ms(live_members);
         true
     }
 }
 
-/// The member to exchange views with: a live one, now and then a dead one.
+/// Chooses the member to exchange views with: usually a live one, and a dead one with probability
+/// 1 / [`DEAD_PEER_ONE_IN`].
 pub(crate) fn choose_peer(
     table: &MemberTable,
     seeds: &[SocketAddrV4],
@@ -44,8 +45,8 @@
 ) -> Option<SocketAddrV4> {
     let live = table.live_addresses();
     let mut dead = table.addresses(|entry| entry.state == MemberState::Dead);
-    // A seed without a live member counts as dead: through it, members are found again that were partitioned for
-    // longer than the dead stay in the table.
+    // A seed address without a live member counts as dead. Through seeds, a partition that lasted longer than dead
+    // members stay in the table still heals.
     dead.extend(seeds.iter().filter(|seed| !live.contains(seed)));
     let choose_dead =
         !dead.is_empty() && (live.is_empty() || rng.random_range(0..DEAD_PEER_ONE_IN) == 0);
@@ -54,7 +55,7 @@
     candidates.get(index).copied()
 }
 
-/// The whole view in datagrams under the largest size; only the first one asks for a reply.
+/// Returns the full view as datagrams within the maximum size. Only the first one may request a reply.
 pub(crate) fn push_pull_datagrams(
     local: &LocalMember,
     table: &MemberTable,
--- a/crates/heathspur-members/src/event.rs
+++ b/crates/heathspur-members/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that drive a member and the actions that it asks its shell to carry out.
+//! The events that drive the state machine, and the actions that its caller carries out.
 
 use crate::member::{MemberId, MemberState};
 use crate::rejected_input::RejectionReport;
@@ -14,35 +14,35 @@
         /// The payload; one longer than [`crate::wire::MAX_DATAGRAM_BYTES`] is rejected.
         bytes: &'a [u8],
     },
-    /// Time has passed; to be delivered at least every tenth of a protocol period.
+    /// Time has passed. The caller delivers this event at least every tenth of a protocol period.
     Tick,
-    /// Join the fleet through the seeds, retrying with backoff until one answers.
+    /// Joins the fleet through the seeds, with retries and backoff until one answers.
     Join,
-    /// Announce that this member leaves, and stop probing.
+    /// Announces that the local member leaves, and stops its probes.
     Leave,
 }
 
 /// Why the state of a member changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeCause {
-    /// It was seen for the first time.
+    /// The member was seen for the first time.
     Joined,
-    /// It answered neither a direct nor an indirect probe.
+    /// The member acked neither a direct nor an indirect probe.
     ProbeMissed,
     /// Another member reported the change.
     Gossip,
-    /// It refuted a suspicion with a higher incarnation.
+    /// The member refuted a suspicion with a higher incarnation.
     Refuted,
-    /// Its suspicion timed out.
+    /// The suspicion of the member timed out.
     SuspicionTimeout,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
-    /// It was dead or left for longer than the retention time and is no longer in the table.
+    /// The member had been dead or left for longer than the retention time and was removed from the table.
     Reaped,
 }
 
 impl ChangeCause {
-    /// Its name in logs.
+    /// Returns the cause's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             ChangeCause::Joined => "joined",
@@ -56,10 +56,10 @@
     }
 }
 
-/// An output of the state machine, for the shell to carry out.
+/// An output of the state machine, which the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram.
+    /// Sends a datagram.
     Send {
         /// The destination.
         to: SocketAddrV4,
@@ -70,15 +70,16 @@
     StateChanged {
         /// The member.
         id: MemberId,
-        /// Its new state; `None` once it is no longer in the table.
+        /// Its new state; `None` if it was removed from the table.
         to: Option<MemberState>,
-        /// Its incarnation as known here.
+        /// Its incarnation in the local view.
         incarnation: u64,
-        /// The reason.
+        /// Why the state changed.
         cause: ChangeCause,
     },
-    /// This member raised its own incarnation, to refute or to leave; the shell may persist it.
+    /// The local member raised its own incarnation, to refute a suspicion, to publish a vote or to leave. The caller
+    /// may persist it.
     IncarnationRaised(u64),
-    /// Input was rejected since the last report; at most one report a period.
+    /// Input was rejected since the last report. There is at most one report in a protocol period.
     InputRejected(RejectionReport),
 }
--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -1,7 +1,8 @@
-//! The failure detector: direct and indirect probes (SWIM, section 3.1) and the local health multiplier that slows a
+//! The failure detector: direct and indirect probes (SWIM, section 3.1), and the local health multiplier that slows a
 //! member whose own probes fail (Lifeguard, section 4.1).
 //!
-//! It decides whom to probe and which probes have failed; the caller sends the datagrams and raises the suspicions.
+//! It chooses the probe targets and determines which probes have failed. The caller sends the datagrams and starts the
+//! suspicions.
 
 use crate::member::{MemberId, MemberState};
 use crate::member_table::{MemberEntry, MemberTable};
@@ -12,16 +13,18 @@
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// Indirect probes relayed for others at once; past it, a request is not relayed and the requester gets no nack.
+/// The maximum number of indirect probes that are relayed for other members at once. Above it, a request is dropped
+/// and the requester gets no nack.
 const MAX_RELAYED_PROBES: usize = 64;
-/// Probes in flight at once, and failed ones that may still be answered late; a period without capacity starts none.
+/// The maximum number of probes in flight, and of failed probes that may still be acked late. While it is reached, no
+/// probe starts.
 const MAX_PROBES: usize = 8;
-/// The longest wait for an ack, in protocol periods, however slow the member usually is.
+/// The upper bound of the usual wait for an ack, in protocol periods, however slow the member is.
 const MAX_ACK_WAIT_PERIODS: u64 = 4;
-/// The published round trip is rounded down to this step, so that views don't change with every probe.
+/// The step to which the published round trip is rounded down, so that views don't change with every probe.
 const PUBLISHED_ROUND_TRIP_STEP_MS: u64 = 50;
 
-/// A probe of one member, direct first and indirect once its ack is late.
+/// A probe of one member, which starts as a direct probe and becomes indirect when its ack is late.
 struct Probe {
     target: MemberId,
     sequence: u32,
@@ -33,21 +36,21 @@
     nacks_received: u32,
 }
 
-/// A probe made on behalf of another member.
+/// A probe that is made on behalf of another member.
 struct RelayedProbe {
     sequence: u32,
     requester: Requester,
     nack_at: u64,
 }
 
-/// Who requested an indirect probe, and the sequence number that its answer carries.
+/// The member that requested an indirect probe, with the sequence number of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Requester {
     pub(crate) address: SocketAddrV4,
     pub(crate) sequence: u32,
 }
 
-/// A direct probe to be sent.
+/// A direct probe that the caller is to send.
 pub(crate) struct DirectProbe {
     pub(crate) sequence: u32,
     pub(crate) target: MemberId,
@@ -56,7 +59,7 @@
     pub(crate) suspected: bool,
 }
 
-/// An indirect probe to be requested from `helpers`.
+/// An indirect probe that the caller is to request from `helpers`.
 pub(crate) struct IndirectProbe {
     pub(crate) sequence: u32,
     pub(crate) target: MemberId,
@@ -64,21 +67,21 @@
     pub(crate) helpers: Vec<SocketAddrV4>,
 }
 
-/// The probe that an ack belongs to.
+/// The probe to which an ack belongs.
 pub(crate) enum AckedProbe {
-    /// One of the local member's own, with the time that it took.
+    /// A probe by the local member, with its round trip.
     Own {
         target: MemberId,
         round_trip_ms: u64,
     },
-    /// One relayed for another member, which is to get the ack.
+    /// A probe that was relayed for another member, to which the ack is to be forwarded.
     Relayed(Requester),
 }
 
-/// Probes in flight, the order of the next ones, and what their results say about the local member.
+/// The probes in flight, the order of the next ones, and the local health that their results imply.
 pub(crate) struct FailureDetector {
     probes: Vec<Probe>,
-    /// Failed probes, kept for the round trip of a late ack.
+    /// Failed probes, retained so that a late ack still yields a round trip.
     failed_probes: VecDeque<Probe>,
     relayed_probes: Vec<RelayedProbe>,
     last_sequence: u32,
@@ -111,7 +114,7 @@
         self.local_health
     }
 
-    /// Worsens the local health, as failed probes and refutations do.
+    /// Worsens the local health by `by`, after a failed probe or a refutation.
     pub(crate) fn degrade_local_health(&mut self, by: u32, settings: &Settings) {
         self.local_health = (self.local_health + by).min(settings.max_local_health);
     }
@@ -121,13 +124,14 @@
         self.next_probe_at = time;
     }
 
-    /// Drops the probes in flight: a leaving member accuses nobody.
+    /// Drops the probes in flight, since a leaving member must not accuse others.
     pub(crate) fn stop(&mut self) {
         self.probes.clear();
     }
 
-    /// How long the member's ack usually takes at most: twice its round trip as measured here, the average one here
-    /// or the one that it publishes, whichever is longest. A slow member that answers is not suspected each time.
+    /// Returns the time in which the ack of a member usually arrives, in milliseconds: twice the longest of its
+    /// measured round trip, the local average and the average that it publishes. It prevents repeated suspicions of a
+    /// slow member that does answer.
     fn usual_ack_wait(&self, entry: &MemberEntry, settings: &Settings) -> u64 {
         if !settings.lifeguard {
             return 0;
@@ -139,16 +143,16 @@
         (2 * round_trip).min(MAX_ACK_WAIT_PERIODS * settings.protocol_period_ms)
     }
 
-    /// How long a suspicion of this member lasts in a fleet of `live_members`.
+    /// Returns the timeout of a suspicion of a member in a fleet of `live_members`.
     pub(crate) fn suspicion_timeout(
         &self,
         entry: &MemberEntry,
         live_members: usize,
         settings: &Settings,
     ) -> SuspicionTimeout {
-        let (minimum_ms, maximum_ms) = settings.suspicion_ms(live_members);
+        let (minimum_ms, maximum_ms) = settings.suspicion_bounds_ms(live_members);
         if !settings.lifeguard {
-            // In plain SWIM a suspicion has a fixed time.
+            // In plain SWIM the suspicion timeout is fixed.
             return SuspicionTimeout {
                 minimum_ms,
                 maximum_ms: minimum_ms,
@@ -157,7 +161,7 @@
         }
         // A slow member refutes as slowly as it answers probes.
         let ack_wait = self.usual_ack_wait(entry, settings);
-        // Neither the suspect nor the local member confirms.
+        // Neither the suspect nor the local member can confirm the suspicion.
         let other_members = live_members.saturating_sub(2);
         SuspicionTimeout {
             minimum_ms: minimum_ms + ack_wait,
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Starts the indirect phase of the probes whose direct ack is late.
+    /// Starts the indirect phase of the probes whose direct ack is late, and returns the probes to request.
     pub(crate) fn take_due_indirect_probes(
         &mut self,
         now: u64,
@@ -199,7 +203,7 @@
         requests
     }
 
-    /// Ends the probes that nobody has answered in time and returns their targets.
+    /// Ends the probes that were not acked in time and returns their targets.
     pub(crate) fn take_failed_targets(&mut self, now: u64, settings: &Settings) -> Vec<MemberId> {
         let mut targets = Vec::new();
         while let Some(at) = self.probes.iter().position(|probe| now >= probe.fails_at) {
@@ -216,7 +220,7 @@
         targets
     }
 
-    /// The direct probe of this period, if it is due.
+    /// Starts and returns the direct probe of this period if it is due.
     pub(crate) fn take_due_probe(
         &mut self,
         now: u64,
@@ -255,7 +259,8 @@
         })
     }
 
-    /// Registers an indirect probe for another member; returns its sequence number, `None` at the limit.
+    /// Registers a probe on behalf of another member and returns its sequence number; `None` if too many probes are
+    /// being relayed.
     pub(crate) fn relay(
         &mut self,
         requester: Requester,
@@ -269,13 +274,13 @@
         self.relayed_probes.push(RelayedProbe {
             sequence,
             requester,
-            // Before the requester's own probe timeout has passed.
+            // The nack is sent before the requester's own probe timeout has passed.
             nack_at: now + settings.probe_timeout_ms * 4 / 5,
         });
         Some(sequence)
     }
 
-    /// Ends the relayed probes that were not acked in time; their requesters are to get a nack.
+    /// Ends the relayed probes that were not acked in time and returns their requesters, which are to receive a nack.
     pub(crate) fn take_unanswered_relays(&mut self, now: u64) -> Vec<Requester> {
         let relayed = self.relayed_probes.drain(..);
         let (due, waiting): (Vec<_>, Vec<_>) = relayed.partition(|relay| relay.nack_at <= now);
@@ -283,7 +288,7 @@
         due.into_iter().map(|relay| relay.requester).collect()
     }
 
-    /// Matches an ack to its probe.
+    /// Ends the probe to which an ack belongs and returns it; `None` if there is no such probe.
     pub(crate) fn on_ack(&mut self, sequence: u32, now: u64) -> Option<AckedProbe> {
         if let Some(at) = self.probes.iter().position(|p| p.sequence == sequence) {
             self.local_health = self.local_health.saturating_sub(1);
@@ -305,7 +310,7 @@
         }
     }
 
-    /// Averages a round trip in and returns the usual one, as it is to be published.
+    /// Adds a round trip to the moving average, and returns the average as it is to be published, in milliseconds.
     pub(crate) fn record_round_trip(&mut self, round_trip_ms: u64) -> u64 {
         self.usual_round_trip_ms = (7 * self.usual_round_trip_ms + round_trip_ms) / 8;
         self.usual_round_trip_ms / PUBLISHED_ROUND_TRIP_STEP_MS * PUBLISHED_ROUND_TRIP_STEP_MS
@@ -324,7 +329,8 @@
         self.last_sequence
     }
 
-    /// The next target of SWIM's round robin: every live member once in a shuffled order, then in a new order.
+    /// Returns the next target in SWIM's round robin, which probes every live member once in a random order and then
+    /// draws a new order.
     fn take_next_target(&mut self, table: &MemberTable, rng: &mut StdRng) -> Option<MemberId> {
         if let Some(target) = self.take_live_target(table) {
             return Some(target);
@@ -347,7 +353,7 @@
 }
 
 impl Probe {
-    /// How far the failure worsens the local health: missing nacks say that the fault may be local.
+    /// Returns by how much the failure worsens the local health. Missing nacks indicate that the fault may be local.
     fn local_health_penalty(&self) -> u32 {
         if self.nacks_expected == 0 {
             1
--- a/crates/heathspur-members/src/gossip_queue.rs
+++ b/crates/heathspur-members/src/gossip_queue.rs
@@ -1,10 +1,11 @@
-//! The queue of updates to disseminate: each sent a bounded number of times, least sent first, one per member.
+//! The queue of updates to disseminate. It has at most one update of each member, and sends each update a bounded
+//! number of times, the least sent ones first.
 
 use crate::wire::{self, Envelope, Update};
 
-/// The most bytes by which the length prefix of a datagram's updates grows.
+/// The maximum growth of the length prefix of a datagram's updates, in bytes.
 const LENGTH_PREFIX_GROWTH_BYTES: usize = 2;
-/// Bytes of a datagram that are left free for that prefix.
+/// The part of a datagram that is reserved for the growth of that prefix, in bytes.
 const LENGTH_PREFIX_RESERVE_BYTES: usize = 4;
 
 struct QueuedUpdate {
@@ -21,7 +22,7 @@
 }
 
 impl GossipQueue {
-    /// An empty queue for at most `capacity` updates.
+    /// Creates an empty queue for at most `capacity` updates.
     pub(crate) fn new(capacity: usize) -> GossipQueue {
         GossipQueue {
             queued: Vec::new(),
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Queues an update in place of an older one about the same member.
+    /// Queues an update, which replaces any queued one about the same member.
     pub(crate) fn push(&mut self, update: Update) {
         self.queued
             .retain(|queued| queued.update.member.id != update.member.id);
@@ -44,7 +45,7 @@
         });
     }
 
-    /// The update sent most often has reached most members already.
+    /// Evicts the update that was sent most often, since it has probably reached most members.
     fn evict_most_sent(&mut self) {
         let most_sent = (0..self.queued.len()).max_by_key(|&at| self.queued[at].transmissions);
         if let Some(at) = most_sent {
@@ -61,13 +62,14 @@
         self.queued.len()
     }
 
-    /// Updates evicted because the queue was full.
+    /// Returns the number of updates that were evicted because the queue was full.
     pub(crate) fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Fills a datagram up to its largest size with updates, least sent first, and counts them as sent. The member of
-    /// the datagram's first update is skipped; an update sent `max_transmissions` times leaves the queue.
+    /// Fills a datagram up to its maximum size with updates, the least sent ones first, and counts them as sent.
+    /// Updates about the member of the datagram's first update are skipped. An update that was sent `max_transmissions`
+    /// times leaves the queue.
     pub(crate) fn fill(&mut self, datagram: &mut Envelope, max_transmissions: u32) {
         let used = wire::encoded_len(datagram) + LENGTH_PREFIX_RESERVE_BYTES;
         let mut capacity = wire::MAX_DATAGRAM_BYTES.saturating_sub(used);
--- a/crates/heathspur-members/src/input_limits.rs
+++ b/crates/heathspur-members/src/input_limits.rs
@@ -1,17 +1,19 @@
-//! Rate limits on incoming datagrams, and the counts of everything that was rejected.
+//! Rate limits of incoming datagrams, and the counts of rejected input.
 
 use crate::rejected_input::{RejectedInput, RejectionReason, RejectionReport};
 use crate::settings::Settings;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// The window over which datagrams and push-pull replies are limited.
+/// The window in which datagrams and push-pull replies are limited, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
-/// Push-pull requests answered in one window; past it, a request is merged but not answered.
+/// The maximum number of push-pull requests that are answered in one window. Above it, the view in a request is still
+/// merged, but not answered.
 const MAX_PUSH_PULL_REPLIES: u32 = 8;
-/// Source addresses counted in one window, as a multiple of the largest member count.
+/// The maximum number of source addresses that are counted in one window, as a multiple of the maximum number of
+/// members.
 const MAX_SOURCES_PER_MEMBER: usize = 2;
-/// The shortest time between two reports of rejected input.
+/// The minimum interval between two reports of rejected input, in milliseconds.
 const MIN_REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// Admits or rejects input, and reports rejections at a bounded rate.
@@ -36,11 +38,12 @@
         }
     }
 
-    /// Whether a datagram from this address is within the limits of the window; counts it either way.
+    /// Returns whether a datagram from this address is within the limits of the window, and counts it as admitted or
+    /// rejected.
     pub(crate) fn admit(&mut self, from: SocketAddrV4, settings: &Settings) -> bool {
         let received = self.datagrams_by_source.get(&from).copied();
         let max_sources = settings.max_members * MAX_SOURCES_PER_MEMBER;
-        // A new source is counted only while the map has capacity, so that spoofed sources can't grow it.
+        // A new source is rejected once the map is full, so that spoofed source addresses can't grow it.
         let map_full = received.is_none() && self.datagrams_by_source.len() >= max_sources;
         let max_datagrams = settings.max_datagrams_per_source_per_second;
         if map_full || received.is_some_and(|count| count >= max_datagrams) {
@@ -51,7 +54,7 @@
         true
     }
 
-    /// Whether another push-pull request may be answered in this window; counts the reply.
+    /// Returns whether another push-pull request may be answered in this window, and counts the reply if so.
     pub(crate) fn admit_push_pull_reply(&mut self) -> bool {
         let admitted = self.push_pull_replies < MAX_PUSH_PULL_REPLIES;
         self.push_pull_replies += u32::from(admitted);
@@ -63,22 +66,22 @@
         self.last_sender = Some(from);
     }
 
-    /// Counts a newcomer that the full table has no capacity for.
+    /// Counts a new member that was dropped because the member table was full.
     pub(crate) fn count_table_full(&mut self) {
         self.rejected.table_full += 1;
     }
 
-    /// Counts a datagram that could not be encoded within the largest size.
+    /// Counts an outgoing datagram that exceeded the maximum size once encoded.
     pub(crate) fn count_unsent(&mut self) {
         self.rejected.unsent += 1;
     }
 
-    /// Source addresses counted in the current window.
+    /// Returns the number of source addresses that are counted in the current window.
     pub(crate) fn counted_sources(&self) -> usize {
         self.datagrams_by_source.len()
     }
 
-    /// Everything rejected since the start, with the updates that the gossip queue has dropped.
+    /// Returns the counts since the start, with `gossip_queue_full` updates evicted by the gossip queue.
     pub(crate) fn rejected(&self, gossip_queue_full: u64) -> RejectedInput {
         RejectedInput {
             gossip_queue_full,
@@ -86,7 +89,7 @@
         }
     }
 
-    /// A report of new rejections, if there are any and the last report is long enough ago.
+    /// Returns a report of new rejections, if there are any and the minimum interval since the last report has passed.
     pub(crate) fn take_report(
         &mut self,
         now: u64,
--- a/crates/heathspur-members/src/join.rs
+++ b/crates/heathspur-members/src/join.rs
@@ -1,11 +1,11 @@
-//! Joining the fleet: the seeds are asked with backoff until a member answers.
+//! Joining the fleet: the seeds are contacted with backoff until a member answers.
 
 use crate::settings::Settings;
 use rand::rngs::StdRng;
 use rand::RngExt;
 use std::net::SocketAddrV4;
 
-/// A member counts as a newcomer for this many protocol periods after it starts to join.
+/// The number of protocol periods during which a member counts as a newcomer after it starts to join.
 const NEWCOMER_PERIODS: u64 = 10;
 
 /// The progress of joining the fleet.
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Starts to join at once.
+    /// Starts to join; the first attempt is due at once.
     pub(crate) fn start(&mut self, now: u64, settings: &Settings) {
         self.next_attempt_at = Some(now);
         self.backoff_ms = settings.initial_join_backoff_ms;
@@ -39,7 +39,7 @@
         &self.seeds
     }
 
-    /// Whether a seed or another member has answered.
+    /// Returns whether a seed or another member has answered.
     pub(crate) fn joined(&self) -> bool {
         self.joined
     }
@@ -48,12 +48,13 @@
         self.joined = true;
     }
 
-    /// Whether this member is so new that the fleet knows all that it learns.
+    /// Returns whether the local member joined so recently that the fleet already has the members it receives by
+    /// push-pull.
     pub(crate) fn is_newcomer(&self, now: u64) -> bool {
         now < self.newcomer_until
     }
 
-    /// The seeds to ask, if an attempt is due; schedules the next attempt.
+    /// Returns the seeds to contact if an attempt is due, and schedules the next attempt.
     pub(crate) fn take_due_seeds(
         &mut self,
         now: u64,
--- a/crates/heathspur-members/src/lib.rs
+++ b/crates/heathspur-members/src/lib.rs
@@ -1,18 +1,23 @@
-//! Fleet membership without I/O or clocks: a state machine that takes events and returns actions.
+//! Fleet membership as a state machine without I/O or clocks: it takes events and returns actions.
 //!
-//! Failure detection is SWIM's (Das, Gupta, Motivala, DSN 2002): a probe each period, indirect probes through `k`
-//! other members, suspicion before death, incarnations by which a member refutes, and updates piggybacked and sent
-//! about λ·log N times. Lifeguard's parts (Dadgar, Phillips, Currey, 2018) are on unless switched off as a baseline:
-//! local health that slows a slow member's own accusations, suspicion that shortens with independent confirmations,
-//! and accusations sent to the suspect itself. A periodic push-pull of the whole view with one peer, now and then a
-//! dead one, merges the halves of a healed partition.
+//! Failures are detected by SWIM (Das, Gupta, Motivala, DSN 2002). Each protocol period a member probes another one,
+//! indirectly through `k` other members if the direct probe is not acked. A member that fails its probe becomes
+//! suspect before it is declared dead, and refutes the suspicion with a higher incarnation. Updates are piggybacked on
+//! other messages, and each is sent about λ·log N times.
+//!
+//! The extensions of Lifeguard (Dadgar, Phillips, Currey, 2018) are on by default and are switched off only for
+//! comparison. A member whose own probes fail slows its probes and accusations (local health), independent
+//! confirmations shorten a suspicion, and accusations are sent to the suspect itself.
+//!
+//! A periodic push-pull exchanges the full view with one peer. Some of these peers are dead members, so that the two
+//! sides of a healed partition merge.
 //!
 //! [`Membership`] composes parts that each own their state: the local member, the member table, the failure
 //! detector, the gossip queue, joining, anti-entropy and the limits on input.
 //!
-//! Every table and queue is bounded ([`Settings`]); input that is malformed or over a bound is counted
-//! ([`RejectedInput`]) and dropped. Datagrams are at most [`wire::MAX_DATAGRAM_BYTES`] bytes, postcard in a versioned
-//! envelope.
+//! [`Settings`] bounds every table and queue. Input that is malformed or exceeds a bound is dropped and counted in
+//! [`RejectedInput`]. A datagram has at most [`wire::MAX_DATAGRAM_BYTES`] bytes: a versioned envelope encoded with
+//! postcard.
 #![forbid(unsafe_code)]
 
 mod anti_entropy;
--- a/crates/heathspur-members/src/local_member.rs
+++ b/crates/heathspur-members/src/local_member.rs
@@ -1,14 +1,14 @@
-//! The local member: its own record, incarnation and whether it is leaving.
+//! The local member: its record, its incarnation and whether it is leaving.
 
 use crate::member::{Load, Member, MemberId, MemberState, ZoneVote};
 use crate::wire::Update;
 
-/// The record that this member publishes about itself.
+/// The local member and the record that it publishes about itself.
 pub(crate) struct LocalMember {
     member: Member,
     incarnation: u64,
     leaving: bool,
-    /// Changes of the incarnation so far; part of the view's version.
+    /// The number of changes of the incarnation; it is part of the view's version.
     version: u64,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The update by which this member announces itself.
+    /// Returns the update by which the local member announces itself.
     pub(crate) fn update(&self) -> Update {
         Update {
             state: self.state(),
@@ -68,7 +68,8 @@
         self.member.usual_round_trip_ms = milliseconds as u32;
     }
 
-    /// Publishes a new vote at a higher incarnation; false if the vote is unchanged or this member is leaving.
+    /// Sets a new vote and raises the incarnation. Returns false, without a change, if the vote is the same or the
+    /// member is leaving.
     pub(crate) fn set_zone_vote(&mut self, vote: ZoneVote) -> bool {
         if self.member.zone_vote() == vote || self.leaving {
             return false;
@@ -80,7 +81,7 @@
         true
     }
 
-    /// Starts to leave at a higher incarnation; false if this member is leaving already.
+    /// Marks the member as leaving and raises the incarnation. Returns false if it is leaving already.
     pub(crate) fn leave(&mut self) -> bool {
         if self.leaving {
             return false;
--- a/crates/heathspur-members/src/member.rs
+++ b/crates/heathspur-members/src/member.rs
@@ -1,10 +1,10 @@
-//! The record that a member publishes about itself, and the states that others see it in.
+//! The record that a member publishes about itself, and the states that other members assign to it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// The longest id, zone or region, in bytes.
+/// The maximum length of an id, zone or region, in bytes.
 pub const MAX_NAME_BYTES: usize = 48;
 /// The level at which all of a zone's traffic stays in the zone, in tenths.
 pub const ALL_TRAFFIC_TENTHS: u8 = 10;
@@ -19,7 +19,7 @@
     }
 }
 
-/// A summary of a member's load, for routing that reads the view; admission never reads it.
+/// A summary of a member's load. Routing reads it from the view; admission does not use it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Requests in flight.
@@ -30,28 +30,29 @@
     pub rejections_per_second: u32,
 }
 
-/// The record that a member publishes about itself. The order of its fields is the wire format.
+/// The record that a member publishes about itself. The order of its fields is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its unique name.
+    /// The member's unique name.
     pub id: MemberId,
-    /// Where it receives membership datagrams (IPv4).
+    /// The IPv4 address at which it receives membership datagrams.
     pub address: SocketAddrV4,
     /// Its zone.
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// The version of its program as one number: 1.2.3 is 1002003.
+    /// The version of its program as one number; 1.2.3 is 1002003.
     pub version: u32,
     /// Its load.
     pub load: Load,
-    /// The usual round trip of its probes, in milliseconds. Others wait for its acks accordingly, within a bound.
+    /// The moving average of its probes' round trips, in milliseconds. Others adapt their wait for its acks to it,
+    /// within a bound.
     pub usual_round_trip_ms: u32,
-    /// The epoch of the zone decision that it has accepted; 0 before the first, or without failover.
+    /// The epoch of the zone decision that it has accepted; 0 before the first decision or without failover.
     pub decision_epoch: u64,
-    /// That decision: tenths of its zone's traffic that stay in the zone, 0 to [`ALL_TRAFFIC_TENTHS`].
+    /// The level of that decision: tenths of the zone's traffic that stay in the zone, 0 to [`ALL_TRAFFIC_TENTHS`].
     pub local_traffic_tenths: u8,
-    /// The level that it prefers itself.
+    /// The level that the member itself prefers.
     pub preferred_tenths: u8,
 }
 
@@ -67,8 +68,8 @@
 }
 
 impl Member {
-    /// Whether its names and levels are within their bounds.
-    pub fn well_formed(&self) -> bool {
+    /// Returns whether all names and levels are within their bounds.
+    pub fn is_well_formed(&self) -> bool {
         let fits = |name: &str| name.len() <= MAX_NAME_BYTES;
         let levels_fit = self.local_traffic_tenths <= ALL_TRAFFIC_TENTHS
             && self.preferred_tenths <= ALL_TRAFFIC_TENTHS;
@@ -76,7 +77,7 @@
         levels_fit && id_fits && fits(&self.zone) && fits(&self.region)
     }
 
-    /// Its vote on the decision of its zone.
+    /// Returns the member's vote on the decision of its zone.
     pub fn zone_vote(&self) -> ZoneVote {
         ZoneVote {
             decision_epoch: self.decision_epoch,
@@ -89,18 +90,18 @@
 /// The state of a member in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It missed a probe and may still refute the suspicion.
+    /// The member missed a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// Its name in logs and tables.
+    /// Returns the state's name in logs and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Whether the member counts as part of the fleet.
+    /// Returns whether a member in this state counts as part of the fleet.
     pub fn live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/heathspur-members/src/member_states.rs
+++ b/crates/heathspur-members/src/member_states.rs
@@ -1,4 +1,4 @@
-//! Changes of member states: each is applied to the table, queued as gossip and reported as an action.
+//! Changes of member states. Each change is applied to the table, queued as gossip and reported as an action.
 
 use crate::event::{Action, ChangeCause};
 use crate::gossip_queue::GossipQueue;
@@ -49,13 +49,13 @@
         self.table.insert(member, incarnation, now);
     }
 
-    /// Adds a member that was seen for the first time; `gossip` says whether others are to learn of it.
+    /// Adds a member that was seen for the first time; `gossip` determines whether its update is gossiped.
     pub(crate) fn add_newcomer(
         &mut self,
         update: &Update,
         gossip: bool,
         now: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let alive = Update {
             state: MemberState::Alive,
@@ -65,32 +65,32 @@
         self.table
             .insert(alive.member.clone(), alive.incarnation, now);
         let id = &alive.member.id;
-        out.push(state_changed(id, alive.record(), ChangeCause::Joined));
+        actions.push(state_changed(id, alive.record(), ChangeCause::Joined));
         if gossip {
             self.gossip.push(alive);
         }
     }
 
-    /// Takes over what the member publishes about itself at the known incarnation. That is not gossiped, since each
-    /// member publishes its own.
+    /// Replaces the record that a member publishes about itself, at the known incarnation. The record is not gossiped,
+    /// since each member publishes its own.
     pub(crate) fn update_member(&mut self, member: &Member) {
         self.table.update_member(member);
     }
 
-    /// Applies an update by which a member is alive at a higher incarnation.
-    pub(crate) fn apply_alive(&mut self, update: &Update, now: u64, out: &mut Vec<Action>) {
+    /// Applies an update that reports a member as alive at a higher incarnation.
+    pub(crate) fn apply_alive(&mut self, update: &Update, now: u64, actions: &mut Vec<Action>) {
         let incarnation = update.incarnation;
         if self.table.mark_alive(&update.member, incarnation, now) {
             let id = &update.member.id;
-            out.push(state_changed(id, update.record(), ChangeCause::Refuted));
+            actions.push(state_changed(id, update.record(), ChangeCause::Refuted));
         }
         self.gossip.push(update.clone());
     }
 
-    /// Applies an update by which a member has left.
-    pub(crate) fn apply_left(&mut self, update: &Update, now: u64, out: &mut Vec<Action>) {
+    /// Applies an update that reports that a member has left.
+    pub(crate) fn apply_left(&mut self, update: &Update, now: u64, actions: &mut Vec<Action>) {
         let id = &update.member.id;
-        self.set_record(id, update.record(), ChangeCause::Left, now, out);
+        self.set_record(id, update.record(), ChangeCause::Left, now, actions);
         self.gossip.push(update.clone());
     }
 
@@ -100,7 +100,7 @@
         accusation: Accusation<'_>,
         timeout: SuspicionTimeout,
         now: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Accusation {
             suspect,
@@ -114,44 +114,45 @@
         if let Some(suspected) = entry.record().suspect(incarnation) {
             let suspicion = Suspicion::new(now, timeout, accuser.clone());
             if self.table.mark_suspect(suspect, suspected, suspicion, now) {
-                out.push(state_changed(suspect, suspected, cause));
+                actions.push(state_changed(suspect, suspected, cause));
             }
             self.gossip_accusation(suspect, MemberState::Suspect, accuser);
         } else if self.table.confirm_suspicion(suspect, incarnation, &accuser) {
-            // A confirmation is gossiped too, since it shortens the timers of others.
+            // A confirmation is gossiped too, since it shortens the suspicion of other members.
             self.gossip_accusation(suspect, MemberState::Suspect, accuser);
         }
     }
 
-    /// Shortens a running suspicion to its least time, since another member has declared the suspect dead.
+    /// Shortens a running suspicion to its minimum timeout, since another member has declared the suspect dead.
     pub(crate) fn shorten_suspicion(&mut self, id: &MemberId, incarnation: u64) {
         self.table.shorten_suspicion(id, incarnation);
     }
 
-    /// Declares a suspect dead whose suspicion has timed out; `accuser` is the local member.
+    /// Declares a member dead whose suspicion has timed out. `accuser` is the local member.
     pub(crate) fn declare_dead(
         &mut self,
         id: &MemberId,
         accuser: &MemberId,
         now: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(dead) = self.table.get(id).and_then(|entry| entry.record().expire()) else {
             return;
         };
-        self.set_record(id, dead, ChangeCause::SuspicionTimeout, now, out);
+        self.set_record(id, dead, ChangeCause::SuspicionTimeout, now, actions);
         self.gossip_accusation(id, MemberState::Dead, accuser.clone());
     }
 
-    /// Suspects due for a last direct query before their suspicion times out; each is returned once a suspicion.
+    /// Returns the suspects that are due for a last direct query before their suspicion times out, each once for a
+    /// suspicion.
     pub(crate) fn take_suspects_to_query(&mut self, now: u64) -> Vec<MemberId> {
         self.table.take_suspects_to_query(now)
     }
 
     /// Removes members that have been dead or left for at least `retention_ms`.
-    pub(crate) fn reap(&mut self, now: u64, retention_ms: u64, out: &mut Vec<Action>) {
+    pub(crate) fn reap(&mut self, now: u64, retention_ms: u64, actions: &mut Vec<Action>) {
         for entry in self.table.reap(now, retention_ms) {
-            out.push(Action::StateChanged {
+            actions.push(Action::StateChanged {
                 id: entry.member.id,
                 to: None,
                 incarnation: entry.incarnation,
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Records the round trip of an ack; false if it did not come from the member itself.
+    /// Records the round trip of an ack. Returns false, without a change, if the member itself did not send it.
     pub(crate) fn record_round_trip(
         &mut self,
         id: &MemberId,
@@ -176,10 +177,10 @@
         record: StateRecord,
         cause: ChangeCause,
         now: u64,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if self.table.set_record(id, record, now) {
-            out.push(state_changed(id, record, cause));
+            actions.push(state_changed(id, record, cause));
         }
     }
 
--- a/crates/heathspur-members/src/member_table.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of other members: their records, suspicions and round trips, and indexes over their states.
+//! The table of other members: their records, suspicions and round trips, with an index by state.
 
 use crate::member::{Member, MemberId, MemberState};
 use crate::state_record::StateRecord;
@@ -8,20 +8,20 @@
 use std::net::SocketAddrV4;
 use std::ops::Bound;
 
-/// One member as seen by the local member.
+/// The entry of one other member in the local view.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
     /// The record that the member publishes about itself.
     pub member: Member,
-    /// Its state as known here.
+    /// Its state in the local view.
     pub state: MemberState,
-    /// Its incarnation as known here.
+    /// Its incarnation in the local view.
     pub incarnation: u64,
-    /// When its state last changed here, in milliseconds of the local clock.
+    /// When its state in the local view last changed, in milliseconds of the local clock.
     pub state_since: u64,
     /// The running suspicion of a suspect.
     suspicion: Option<Suspicion>,
-    /// The recent round trip of its acks; 0 before the first.
+    /// The recent round trip of its acks, in milliseconds; 0 before the first.
     round_trip_ms: u64,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// State and incarnation as known here.
+    /// Returns the member's state and incarnation in the local view.
     pub fn record(&self) -> StateRecord {
         StateRecord {
             state: self.state,
@@ -49,7 +49,7 @@
         self.round_trip_ms
     }
 
-    /// The update that accuses this member of being in `state`.
+    /// Returns the update by which `accuser` reports this member as suspect or dead.
     pub(crate) fn accusation(&self, state: MemberState, accuser: MemberId) -> Update {
         Update {
             state,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// The update that passes on the state of this member as known here.
+    /// Returns the update that reports the member's state in the local view.
     pub(crate) fn update(&self, local: &MemberId) -> Update {
         let accused = matches!(self.state, MemberState::Suspect | MemberState::Dead);
         let accuser = || {
             let first = self.suspicion.as_ref().and_then(Suspicion::first_accuser);
-            // Without a running suspicion the local member stands for the accusation.
+            // Without a running suspicion the local member is the accuser.
             first.unwrap_or(local).clone()
         };
         Update {
@@ -76,11 +76,11 @@
     }
 }
 
-/// Members by state, so that a tick does not walk the whole table.
+/// An index of members by state, so that a tick does not scan the whole table.
 #[derive(Default)]
 struct StateIndex {
     suspects: BTreeSet<MemberId>,
-    /// Members that are dead or left.
+    /// The number of members that are dead or left.
     departed: usize,
 }
 
@@ -125,7 +125,7 @@
         self.entries.len()
     }
 
-    /// Members that are alive or suspect.
+    /// Returns the number of members that are alive or suspect.
     pub(crate) fn live_len(&self) -> usize {
         self.entries.len() - self.index.departed
     }
@@ -138,12 +138,12 @@
         self.entries.get(id)
     }
 
-    /// All members, in the order of ids.
+    /// Returns all members in the order of ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.entries.values()
     }
 
-    /// The members whose ids follow `id`, in the order of ids; all of them for `None`.
+    /// Returns the members whose ids follow `id`, in the order of ids; all members for `None`.
     pub(crate) fn after(&self, id: Option<&MemberId>) -> impl Iterator<Item = &MemberEntry> {
         let start = id.map_or(Bound::Unbounded, Bound::Excluded);
         self.entries
@@ -151,24 +151,24 @@
             .map(|(_, entry)| entry)
     }
 
-    /// The ids of all live members, in order.
+    /// Returns the ids of all live members, in order.
     pub(crate) fn live_ids(&self) -> Vec<MemberId> {
         let live = self.iter().filter(|entry| entry.state.live());
         live.map(|entry| entry.member.id.clone()).collect()
     }
 
-    /// The addresses of all live members, in the order of ids.
+    /// Returns the addresses of all live members, in the order of ids.
     pub(crate) fn live_addresses(&self) -> Vec<SocketAddrV4> {
         self.addresses(|entry| entry.state.live())
     }
 
-    /// The addresses of the members for which `matches` holds, in the order of ids.
+    /// Returns the addresses of the members for which `matches` returns true, in the order of ids.
     pub(crate) fn addresses(&self, matches: impl Fn(&MemberEntry) -> bool) -> Vec<SocketAddrV4> {
         let matching = self.iter().filter(|entry| matches(entry));
         matching.map(|entry| entry.member.address).collect()
     }
 
-    /// Adds a member that is not in the table yet, as alive.
+    /// Adds a member that is not in the table yet, in the alive state.
     pub(crate) fn insert(&mut self, member: Member, incarnation: u64, now: u64) {
         let id = member.id.clone();
         self.index.add(&id, MemberState::Alive);
@@ -177,7 +177,7 @@
         self.version += 1;
     }
 
-    /// Takes over what the member publishes about itself at the known incarnation.
+    /// Replaces the record that a member publishes about itself, at the known incarnation.
     pub(crate) fn update_member(&mut self, member: &Member) {
         let Some(entry) = self.entries.get_mut(&member.id) else {
             return;
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Takes a member as alive at a higher incarnation; returns whether its state changed.
+    /// Marks a member as alive at a higher incarnation. Returns whether its state changed.
     pub(crate) fn mark_alive(&mut self, member: &Member, incarnation: u64, now: u64) -> bool {
         let Some(entry) = self.entries.get_mut(&member.id) else {
             return false;
@@ -201,7 +201,7 @@
         self.set_record(&member.id, alive, now)
     }
 
-    /// Starts a suspicion; returns whether the state of the member changed.
+    /// Starts a suspicion. Returns whether the member's state changed.
     pub(crate) fn mark_suspect(
         &mut self,
         id: &MemberId,
@@ -216,7 +216,7 @@
         self.set_record(id, suspected, now)
     }
 
-    /// Sets state and incarnation of a member; returns whether its state changed.
+    /// Sets the state and incarnation of a member. Returns whether its state changed.
     pub(crate) fn set_record(&mut self, id: &MemberId, record: StateRecord, now: u64) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
@@ -236,7 +236,7 @@
         previous != record.state
     }
 
-    /// Adds an accuser to a running suspicion; returns whether it is a new confirmation.
+    /// Adds an accuser to a running suspicion. Returns whether it is a new confirmation.
     pub(crate) fn confirm_suspicion(
         &mut self,
         id: &MemberId,
@@ -247,7 +247,7 @@
         suspicion.is_some_and(|suspicion| suspicion.confirm(accuser.clone()))
     }
 
-    /// Shortens a running suspicion to its least time, since another member has declared the suspect dead.
+    /// Shortens a running suspicion to its minimum timeout, since another member has declared the suspect dead.
     pub(crate) fn shorten_suspicion(&mut self, id: &MemberId, incarnation: u64) {
         if let Some(suspicion) = self.suspicion_mut(id, incarnation) {
             suspicion.declare_dead();
@@ -262,7 +262,7 @@
         entry.suspicion.as_mut()
     }
 
-    /// Suspects whose suspicion has timed out.
+    /// Returns the suspects whose suspicion has timed out.
     pub(crate) fn expired_suspects(&self, now: u64) -> Vec<MemberId> {
         let expired = |id: &&MemberId| {
             let suspicion = self.entries.get(*id).and_then(|e| e.suspicion.as_ref());
@@ -276,19 +276,20 @@
             .collect()
     }
 
-    /// Suspects due for a last direct query before their suspicion times out; each is returned once a suspicion.
+    /// Returns the suspects that are due for a last direct query before their suspicion times out, each once for a
+    /// suspicion.
     pub(crate) fn take_suspects_to_query(&mut self, now: u64) -> Vec<MemberId> {
         let mut due = Vec::new();
         for id in &self.index.suspects {
             let suspicion = self.entries.get_mut(id).and_then(|e| e.suspicion.as_mut());
-            if suspicion.is_some_and(|suspicion| suspicion.take_query(now)) {
+            if suspicion.is_some_and(|suspicion| suspicion.take_due_query(now)) {
                 due.push(id.clone());
             }
         }
         due
     }
 
-    /// Removes members that have been dead or left for at least `retention_ms`.
+    /// Removes and returns the members that have been dead or left for at least `retention_ms`.
     pub(crate) fn reap(&mut self, now: u64, retention_ms: u64) -> Vec<MemberEntry> {
         let expired = |entry: &&MemberEntry| {
             !entry.state.live() && now.saturating_sub(entry.state_since) >= retention_ms
@@ -309,7 +310,7 @@
         reaped
     }
 
-    /// Records the round trip of an ack; false if it did not come from the member itself.
+    /// Records the round trip of an ack. Returns false, without a change, if the member itself did not send it.
     pub(crate) fn record_round_trip(
         &mut self,
         id: &MemberId,
@@ -321,7 +322,7 @@
             return false;
         };
         let known = entry.round_trip_ms;
-        // A longer round trip counts at once, a shorter one gradually.
+        // A longer round trip takes effect at once, a shorter one gradually.
         entry.round_trip_ms = if round_trip_ms >= known {
             round_trip_ms
         } else {
--- a/crates/heathspur-members/src/membership/mod.rs
+++ b/crates/heathspur-members/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! The member's state machine: composes its parts and turns events into actions.
+//! The membership state machine, which composes its parts and turns events into actions.
 
 mod receive;
 mod send;
@@ -23,10 +23,10 @@
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddrV4;
 
-/// A leaving member announces that to this many times the gossip fanout.
+/// The number of members to which a leaving member announces its departure, as a multiple of the gossip fanout.
 const LEAVE_FANOUT_FACTOR: usize = 2;
 
-/// One member's view of the fleet and its part in maintaining it.
+/// The membership state machine of the local member.
 pub struct Membership {
     settings: Settings,
     /// Monotonic time of the last event, in milliseconds.
@@ -43,8 +43,9 @@
 }
 
 impl Membership {
-    /// A member that knows only itself, at `incarnation`, which must never go back across restarts. `random_seed`
-    /// determines its random choices. The caller has checked the settings.
+    /// Creates a member whose view contains only itself, at `incarnation`, which must never decrease across restarts.
+    /// `random_seed` determines its random choices. The caller must have checked the settings with
+    /// [`Settings::check`].
     pub fn new(
         settings: Settings,
         local: Member,
@@ -69,31 +70,32 @@
         }
     }
 
-    /// Handles one event at monotonic time `now`, in milliseconds, and appends the actions that follow.
-    pub fn handle(&mut self, now: u64, event: Event<'_>, out: &mut Vec<Action>) {
+    /// Handles one event at monotonic time `now`, in milliseconds, and appends the resulting actions to `actions`.
+    pub fn handle(&mut self, now: u64, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Datagram { from, bytes } => self.on_datagram(from, bytes, out),
-            Event::Tick => self.on_tick(out),
-            Event::Join => self.on_join(out),
-            Event::Leave => self.on_leave(out),
+            Event::Datagram { from, bytes } => self.on_datagram(from, bytes, actions),
+            Event::Tick => self.on_tick(actions),
+            Event::Join => self.on_join(actions),
+            Event::Leave => self.on_leave(actions),
         }
     }
 
-    /// Sets the load that this member publishes with its next datagrams.
+    /// Sets the load that the local member publishes with its next datagrams.
     pub fn set_load(&mut self, load: Load) {
         self.local.set_load(load);
     }
 
-    /// Sets the vote that this member publishes on its zone's decision; a new vote is gossiped at once.
-    pub fn set_zone_vote(&mut self, vote: ZoneVote, out: &mut Vec<Action>) {
+    /// Sets the vote that the local member publishes on its zone's decision. A changed vote is gossiped at once.
+    pub fn set_zone_vote(&mut self, vote: ZoneVote, actions: &mut Vec<Action>) {
         if self.local.set_zone_vote(vote) {
-            self.announce_incarnation(out);
-            self.gossip_to_random_members(out);
+            self.announce_incarnation(actions);
+            self.gossip_to_random_members(actions);
         }
     }
 
-    /// Adds members that are known to be alive without gossip of them, as in a fleet that stands already.
+    /// Adds members that are known to be alive without gossiping them, as in a fleet that is established already.
+    /// Members that are in the table already or exceed its capacity are skipped.
     pub fn add_known_members(&mut self, members: impl IntoIterator<Item = (Member, u64)>) {
         for (member, incarnation) in members {
             let known =
@@ -106,94 +108,95 @@
         }
     }
 
-    /// The current view.
+    /// Returns the current view.
     pub fn view(&self) -> View {
         view::snapshot(&self.local, self.others.table())
     }
 
-    /// The version of the view, which rises with every change.
+    /// Returns the version of the view, which rises with every change.
     pub fn version(&self) -> u64 {
         view::view_version(&self.local, self.others.table())
     }
 
-    /// One other member as known here.
+    /// Returns the table entry of another member.
     pub fn entry(&self, id: &MemberId) -> Option<&MemberEntry> {
         self.others.table().get(id)
     }
 
-    /// This member's own id.
+    /// Returns the local member's id.
     pub fn id(&self) -> &str {
         &self.local.id().0
     }
 
-    /// This member's own incarnation.
+    /// Returns the local member's incarnation.
     pub fn incarnation(&self) -> u64 {
         self.local.incarnation()
     }
 
-    /// Lifeguard's local health multiplier less one: 0 is healthy.
+    /// Returns Lifeguard's local health multiplier less one; 0 is healthy.
     pub fn local_health(&self) -> u32 {
         self.detector.local_health()
     }
 
-    /// Everything rejected since the start.
+    /// Returns the counts of input that was rejected since the start.
     pub fn rejected_input(&self) -> RejectedInput {
         self.limits.rejected(self.others.gossip().evicted())
     }
 
-    /// Source addresses counted for the rate limit; at most twice `max_members`.
+    /// Returns the number of source addresses that are counted for the rate limit; at most twice `max_members`.
     pub fn counted_addresses(&self) -> usize {
         self.limits.counted_sources()
     }
 
-    /// Updates queued for gossip.
-    pub fn pending(&self) -> usize {
+    /// Returns the number of updates that are queued for gossip.
+    pub fn queued_updates(&self) -> usize {
         self.others.gossip().len()
     }
 
-    /// Whether a seed or another member has answered.
+    /// Returns whether a seed or another member has answered.
     pub fn joined(&self) -> bool {
         self.join.joined()
     }
 
-    fn on_join(&mut self, out: &mut Vec<Action>) {
+    fn on_join(&mut self, actions: &mut Vec<Action>) {
         self.join.start(self.now, &self.settings);
-        // Members started together don't probe, gossip and exchange views in step.
+        // Random first times prevent members that started together from probing, gossiping and exchanging views in
+        // step.
         let first_probe = self.random_time_within(self.settings.protocol_period_ms);
         self.detector.start_at(first_probe);
         self.next_gossip_at = self.random_time_within(self.settings.gossip_interval_ms);
         let push_pull_interval = self
             .settings
-            .push_pull_every_ms(1 + self.others.table().len());
+            .scaled_push_pull_interval_ms(1 + self.others.table().len());
         let first_push_pull = self.random_time_within(push_pull_interval);
         self.anti_entropy.start_at(first_push_pull);
-        self.on_tick(out);
+        self.on_tick(actions);
     }
 
     fn random_time_within(&mut self, span_ms: u64) -> u64 {
         self.now + self.rng.random_range(0..span_ms.max(1))
     }
 
-    fn on_leave(&mut self, out: &mut Vec<Action>) {
+    fn on_leave(&mut self, actions: &mut Vec<Action>) {
         if !self.local.leave() {
             return;
         }
         self.detector.stop();
-        self.announce_incarnation(out);
+        self.announce_incarnation(actions);
         for to in self.random_live_addresses(self.settings.gossip_fanout * LEAVE_FANOUT_FACTOR) {
-            self.send(to, Body::Gossip, out);
+            self.send(to, Body::Gossip, actions);
         }
     }
 
-    /// Reports and gossips this member's raised incarnation.
-    fn announce_incarnation(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::IncarnationRaised(self.local.incarnation()));
+    /// Reports and gossips the local member's raised incarnation.
+    fn announce_incarnation(&mut self, actions: &mut Vec<Action>) {
+        actions.push(Action::IncarnationRaised(self.local.incarnation()));
         self.others.gossip_mut().push(self.local.update());
     }
 
-    fn gossip_to_random_members(&mut self, out: &mut Vec<Action>) {
+    fn gossip_to_random_members(&mut self, actions: &mut Vec<Action>) {
         for to in self.random_live_addresses(self.settings.gossip_fanout) {
-            self.send(to, Body::Gossip, out);
+            self.send(to, Body::Gossip, actions);
         }
     }
 
@@ -208,7 +211,7 @@
         1 + self.others.table().len() >= self.settings.max_members
     }
 
-    /// Live members by which SWIM's times and retransmissions scale, this one included.
+    /// Returns the number of live members, including the local one, by which SWIM's timeouts and retransmissions scale.
     fn live_members(&self) -> usize {
         1 + self.others.table().live_len()
     }
--- a/crates/heathspur-members/src/membership/receive.rs
+++ b/crates/heathspur-members/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Handling of a received datagram and its message.
+//! Handling of received datagrams and their messages.
 
 use super::Membership;
 use crate::event::Action;
@@ -10,7 +10,12 @@
 use std::net::SocketAddrV4;
 
 impl Membership {
-    pub(super) fn on_datagram(&mut self, from: SocketAddrV4, bytes: &[u8], out: &mut Vec<Action>) {
+    pub(super) fn on_datagram(
+        &mut self,
+        from: SocketAddrV4,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
         if !self.limits.admit(from, &self.settings) {
             return;
         }
@@ -22,7 +27,7 @@
             }
         };
         if let Body::ViewRequest(request) = &envelope.body {
-            self.on_view_request(from, request, bytes.len(), out);
+            self.on_view_request(from, request, bytes.len(), actions);
             return;
         }
         if envelope.from == *self.local.id() {
@@ -32,17 +37,17 @@
         if !matches!(envelope.body, Body::Nack { .. } | Body::ViewResponse(_)) {
             self.join.mark_joined();
         }
-        self.apply_updates(&envelope, from, out);
+        self.apply_updates(&envelope, from, actions);
         if !self.local.is_leaving() {
-            self.on_message(from, envelope.body, out);
+            self.on_message(from, envelope.body, actions);
         }
     }
 
-    fn on_message(&mut self, from: SocketAddrV4, message: Body, out: &mut Vec<Action>) {
+    fn on_message(&mut self, from: SocketAddrV4, message: Body, actions: &mut Vec<Action>) {
         match message {
             Body::Ping { sequence, target } => {
                 if target == *self.local.id() {
-                    self.send(from, Body::Ack { sequence }, out);
+                    self.send(from, Body::Ack { sequence }, actions);
                 }
             }
             Body::PingReq {
@@ -54,13 +59,13 @@
                     address: from,
                     sequence,
                 };
-                self.relay_probe(requester, target, address, out);
+                self.relay_probe(requester, target, address, actions);
             }
-            Body::Ack { sequence } => self.on_ack(sequence, from, out),
+            Body::Ack { sequence } => self.on_ack(sequence, from, actions),
             Body::Nack { sequence } => self.detector.on_nack(sequence),
             Body::PushPull { reply } => {
                 if reply && self.limits.admit_push_pull_reply() {
-                    self.send_push_pull(from, false, out);
+                    self.send_push_pull(from, false, actions);
                 }
             }
             Body::Gossip | Body::ViewRequest(_) | Body::ViewResponse(_) => {}
@@ -72,7 +77,7 @@
         from: SocketAddrV4,
         request: &wire::ViewRequest,
         request_len: usize,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let responder = ViewResponder {
             local: &self.local,
@@ -82,7 +87,7 @@
             rejected: self.rejected_input().total(),
         };
         if let Some(response) = responder.respond(request, request_len) {
-            self.emit(from, &response, out);
+            self.emit(from, &response, actions);
         }
     }
 
@@ -91,15 +96,15 @@
         requester: Requester,
         target: MemberId,
         address: SocketAddrV4,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let sequence = self.detector.relay(requester, self.now, &self.settings);
         if let Some(sequence) = sequence {
-            self.send(address, Body::Ping { sequence, target }, out);
+            self.send(address, Body::Ping { sequence, target }, actions);
         }
     }
 
-    fn on_ack(&mut self, sequence: u32, from: SocketAddrV4, out: &mut Vec<Action>) {
+    fn on_ack(&mut self, sequence: u32, from: SocketAddrV4, actions: &mut Vec<Action>) {
         match self.detector.on_ack(sequence, self.now) {
             Some(AckedProbe::Own {
                 target,
@@ -107,13 +112,14 @@
             }) => self.record_round_trip(&target, from, round_trip_ms),
             Some(AckedProbe::Relayed(requester)) => {
                 let sequence = requester.sequence;
-                self.send(requester.address, Body::Ack { sequence }, out);
+                self.send(requester.address, Body::Ack { sequence }, actions);
             }
             None => {}
         }
     }
 
-    /// Records the round trip of the target itself; an ack relayed by a helper has none.
+    /// Records the round trip of an ack that the target itself sent. The time of an ack that a helper relayed is not
+    /// the target's round trip.
     fn record_round_trip(&mut self, target: &MemberId, from: SocketAddrV4, round_trip_ms: u64) {
         if self.others.record_round_trip(target, from, round_trip_ms) {
             let usual = self.detector.record_round_trip(round_trip_ms);
--- a/crates/heathspur-members/src/membership/send.rs
+++ b/crates/heathspur-members/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! Datagrams to other members, with piggybacked updates.
+//! Sending of datagrams with piggybacked updates.
 
 use super::Membership;
 use crate::anti_entropy;
@@ -8,30 +8,35 @@
 use std::net::SocketAddrV4;
 
 impl Membership {
-    pub(super) fn send_push_pull(&mut self, to: SocketAddrV4, reply: bool, out: &mut Vec<Action>) {
+    pub(super) fn send_push_pull(
+        &mut self,
+        to: SocketAddrV4,
+        reply: bool,
+        actions: &mut Vec<Action>,
+    ) {
         for datagram in anti_entropy::push_pull_datagrams(&self.local, self.others.table(), reply) {
-            self.emit(to, &datagram, out);
+            self.emit(to, &datagram, actions);
         }
     }
 
-    /// Sends `body` to a suspect with the accusation in place of this member's own update.
+    /// Sends `body` to a suspect, with the accusation in place of the local member's own update.
     pub(super) fn send_accusation(
         &mut self,
         suspect: &MemberId,
         body: Body,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let Some(entry) = self.others.table().get(suspect) else {
             return;
         };
         let to = entry.member.address;
         let accusation = entry.accusation(MemberState::Suspect, self.local.id().clone());
-        self.send_with_first_update(to, body, accusation, out);
+        self.send_with_first_update(to, body, accusation, actions);
     }
 
-    /// Sends `body` with this member's own update, which carries its load, and queued gossip.
-    pub(super) fn send(&mut self, to: SocketAddrV4, body: Body, out: &mut Vec<Action>) {
-        self.send_with_first_update(to, body, self.local.update(), out);
+    /// Sends `body` with the local member's own update, which carries its load, and with queued gossip.
+    pub(super) fn send(&mut self, to: SocketAddrV4, body: Body, actions: &mut Vec<Action>) {
+        self.send_with_first_update(to, body, self.local.update(), actions);
     }
 
     /// Sends `body` with `first` and as many queued updates as fit.
@@ -40,23 +45,28 @@
         to: SocketAddrV4,
         body: Body,
         first: Update,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let mut envelope = Envelope {
             from: self.local.id().clone(),
             body,
             updates: vec![first],
         };
-        let max_transmissions = self.settings.retransmits(self.live_members());
+        let max_transmissions = self.settings.max_transmissions(self.live_members());
         self.others
             .gossip_mut()
             .fill(&mut envelope, max_transmissions);
-        self.emit(to, &envelope, out);
+        self.emit(to, &envelope, actions);
     }
 
-    pub(super) fn emit(&mut self, to: SocketAddrV4, envelope: &Envelope, out: &mut Vec<Action>) {
+    pub(super) fn emit(
+        &mut self,
+        to: SocketAddrV4,
+        envelope: &Envelope,
+        actions: &mut Vec<Action>,
+    ) {
         match wire::encode(envelope) {
-            Some(bytes) => out.push(Action::Send { to, bytes }),
+            Some(bytes) => actions.push(Action::Send { to, bytes }),
             None => self.limits.count_unsent(),
         }
     }
--- a/crates/heathspur-members/src/membership/updates.rs
+++ b/crates/heathspur-members/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Application of received updates to other members and to the local one.
+//! Application of received updates to other members and to the local member.
 
 use super::Membership;
 use crate::event::{Action, ChangeCause};
@@ -15,9 +15,10 @@
         &mut self,
         envelope: &Envelope,
         from: SocketAddrV4,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        // A newcomer learns by push-pull what the fleet knows already, and does not gossip it again.
+        // The fleet already has the members that a newcomer receives by push-pull, so the newcomer does not gossip
+        // them.
         let known_by_fleet =
             matches!(envelope.body, Body::PushPull { .. }) && self.join.is_newcomer(self.now);
         let source = UpdateSource {
@@ -27,12 +28,13 @@
         let mut local_update_seen = false;
         for update in &envelope.updates {
             let about_local = update.member.id == *self.local.id();
-            // An update about the local member may be answered; one datagram must not cause many answers.
+            // Only the first update about the local member is applied: each may cause a reply, and one datagram must
+            // not cause many replies.
             if about_local && std::mem::replace(&mut local_update_seen, true) {
                 continue;
             }
             let gossip_newcomer = !known_by_fleet || update.member.id == envelope.from;
-            self.apply_update(update, &source, gossip_newcomer, out);
+            self.apply_update(update, &source, gossip_newcomer, actions);
         }
     }
 
@@ -41,7 +43,7 @@
         update: &Update,
         source: &UpdateSource<'_>,
         gossip_newcomer: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let known = self.others.table().get(&update.member.id);
         let rejection = check_update(update)
@@ -51,16 +53,16 @@
             return;
         }
         if update.member.id == *self.local.id() {
-            self.apply_local_update(update, source.address, out);
+            self.apply_local_update(update, source.address, actions);
             return;
         }
         match known.map(|known| known.record().effect_of(update.record())) {
-            None => self.apply_newcomer(update, gossip_newcomer, out),
-            Some(effect) => self.apply_effect(effect, update, source, out),
+            None => self.apply_newcomer(update, gossip_newcomer, actions),
+            Some(effect) => self.apply_effect(effect, update, source, actions),
         }
     }
 
-    fn apply_newcomer(&mut self, update: &Update, gossip: bool, out: &mut Vec<Action>) {
+    fn apply_newcomer(&mut self, update: &Update, gossip: bool, actions: &mut Vec<Action>) {
         if !update.state.live() {
             return;
         }
@@ -68,7 +70,7 @@
             self.limits.count_table_full();
             return;
         }
-        self.others.add_newcomer(update, gossip, self.now, out);
+        self.others.add_newcomer(update, gossip, self.now, actions);
         if update.state == MemberState::Suspect {
             let accusation = Accusation {
                 suspect: &update.member.id,
@@ -76,7 +78,7 @@
                 accuser: update.accuser.as_ref().unwrap_or(&update.member.id).clone(),
                 cause: ChangeCause::Gossip,
             };
-            self.suspect(accusation, out);
+            self.suspect(accusation, actions);
         }
     }
 
@@ -85,11 +87,11 @@
         effect: UpdateEffect,
         update: &Update,
         source: &UpdateSource<'_>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         match effect {
-            UpdateEffect::Alive => self.others.apply_alive(update, self.now, out),
-            UpdateEffect::Left => self.others.apply_left(update, self.now, out),
+            UpdateEffect::Alive => self.others.apply_alive(update, self.now, actions),
+            UpdateEffect::Left => self.others.apply_left(update, self.now, actions),
             UpdateEffect::Unchanged if source.is_subject_of(update) => {
                 self.others.update_member(&update.member);
             }
@@ -100,7 +102,7 @@
                     accuser: update.accuser.as_ref().unwrap_or(source.sender).clone(),
                     cause: ChangeCause::Gossip,
                 };
-                self.suspect(accusation, out);
+                self.suspect(accusation, actions);
                 if declared_dead {
                     self.others
                         .shorten_suspicion(&update.member.id, update.incarnation);
@@ -110,16 +112,22 @@
         }
     }
 
-    /// Refutes an accusation of this member, and answers one that was refuted before.
-    fn apply_local_update(&mut self, update: &Update, from: SocketAddrV4, out: &mut Vec<Action>) {
+    /// Refutes an accusation of the local member, or replies to one that was refuted before.
+    fn apply_local_update(
+        &mut self,
+        update: &Update,
+        from: SocketAddrV4,
+        actions: &mut Vec<Action>,
+    ) {
         if self.local.is_leaving() {
             return;
         }
         let own_incarnation = self.local.incarnation();
         let Some(refuting) = refuting_incarnation(own_incarnation, update.record()) else {
-            // The sender has missed the refutation; without an answer it alone would take this member for dead.
+            // The sender has missed the refutation. Without a reply it would be the only member to declare this one
+            // dead.
             if self.settings.lifeguard && update.state != MemberState::Alive {
-                self.send(from, Body::Gossip, out);
+                self.send(from, Body::Gossip, actions);
             }
             return;
         };
@@ -131,13 +139,13 @@
         if self.settings.lifeguard {
             self.detector.degrade_local_health(1, &self.settings);
         }
-        self.announce_incarnation(out);
-        // The refutation goes to the accuser and to a few more at once, not with the next gossip round.
-        self.send(from, Body::Gossip, out);
-        self.gossip_to_random_members(out);
+        self.announce_incarnation(actions);
+        // The refutation is sent at once to the accuser and some random members instead of with the next gossip round.
+        self.send(from, Body::Gossip, actions);
+        self.gossip_to_random_members(actions);
     }
 
-    pub(super) fn suspect(&mut self, accusation: Accusation<'_>, out: &mut Vec<Action>) {
+    pub(super) fn suspect(&mut self, accusation: Accusation<'_>, actions: &mut Vec<Action>) {
         let Some(entry) = self.others.table().get(accusation.suspect) else {
             return;
         };
@@ -145,6 +153,6 @@
         let timeout = self
             .detector
             .suspicion_timeout(entry, live_members, &self.settings);
-        self.others.suspect(accusation, timeout, self.now, out);
+        self.others.suspect(accusation, timeout, self.now, actions);
     }
 }
--- a/crates/heathspur-members/src/rejected_input.rs
+++ b/crates/heathspur-members/src/rejected_input.rs
@@ -1,4 +1,4 @@
-//! Counts of rejected input by reason, and the periodic report of them.
+//! Counts of rejected input by reason, and their periodic report.
 
 use std::net::SocketAddrV4;
 
@@ -16,28 +16,30 @@
 /// Input rejected since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedInput {
-    /// Datagrams over the largest size.
+    /// Datagrams larger than the maximum size.
     pub oversized: u64,
-    /// Datagrams of another protocol, truncated or not decodable, and members with names or levels out of bounds.
+    /// Datagrams that are truncated, not decodable or of another protocol, and member records with names or levels out
+    /// of bounds.
     pub malformed: u64,
     /// Datagrams of another version of the protocol.
     pub unsupported_version: u64,
-    /// Datagrams over the limit of one source address.
+    /// Datagrams that exceed the rate limit of their source address.
     pub rate_limited: u64,
-    /// Updates that claim a known member's id from another address.
+    /// Datagrams that use the local member's id, and updates that change the address of a known member without being
+    /// sent by it.
     pub id_conflict: u64,
     /// Updates whose incarnation is too far ahead of the known one.
     pub future_incarnation: u64,
-    /// Newcomers that the full table had no capacity for.
+    /// New members that were dropped because the member table was full.
     pub table_full: u64,
-    /// Updates evicted from the full gossip queue.
+    /// Updates that were evicted because the gossip queue was full.
     pub gossip_queue_full: u64,
-    /// Datagrams that could not be encoded within the largest size.
+    /// Outgoing datagrams that were dropped because they exceeded the maximum size once encoded.
     pub unsent: u64,
 }
 
 impl RejectedInput {
-    /// The sum over all reasons.
+    /// Returns the sum over all reasons.
     pub fn total(&self) -> u64 {
         self.oversized
             + self.malformed
--- a/crates/heathspur-members/src/state_record.rs
+++ b/crates/heathspur-members/src/state_record.rs
@@ -1,11 +1,11 @@
 //! The state of a member at an incarnation, and the effect of an update on it.
 //!
-//! In SWIM (section 4.2) a death overrides everything. Here a death reported by another member starts a suspicion:
-//! after a partition heals, each side reports members as dead that the other side still reaches.
+//! In SWIM (section 4.2) a reported death overrides every other state. Here it only starts a suspicion, since after a
+//! partition heals each side reports members as dead that the other side still reaches.
 
 use crate::member::MemberState;
 
-/// A member's state at an incarnation, as known or as reported.
+/// The state of a member at an incarnation, either known locally or reported by an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StateRecord {
     /// The state.
@@ -19,13 +19,13 @@
 pub enum UpdateEffect {
     /// The report is older than the known record.
     Stale,
-    /// The report equals the known record; from the member itself, its load may be new.
+    /// The report has the known state and incarnation. If the member itself sent it, its load may be new.
     Unchanged,
     /// The member is alive at a higher incarnation.
     Alive,
     /// The member is accused: a suspicion starts, or a running one is confirmed.
     Accused {
-        /// Whether the accuser has waited for a refutation already.
+        /// Whether the accuser's own suspicion has timed out already.
         declared_dead: bool,
     },
     /// The member has announced that it leaves.
@@ -33,7 +33,7 @@
 }
 
 impl StateRecord {
-    /// The effect of `reported` on this known record.
+    /// Returns the effect of `reported` on this known record.
     pub fn effect_of(self, reported: StateRecord) -> UpdateEffect {
         let newer = reported.incarnation > self.incarnation;
         let older = reported.incarnation < self.incarnation;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The record once the member is suspected at `incarnation`; `None` if that changes nothing.
+    /// Returns the record after a suspicion at `incarnation`; `None` if it changes nothing.
     pub fn suspect(self, incarnation: u64) -> Option<StateRecord> {
         let starts = self.state == MemberState::Alive || incarnation > self.incarnation;
         let applies = self.state.live() && incarnation >= self.incarnation;
@@ -62,7 +62,7 @@
         })
     }
 
-    /// The record once a suspicion has timed out; only a suspect becomes dead.
+    /// Returns the record after a suspicion has timed out; `None` if the member is not suspect.
     pub fn expire(self) -> Option<StateRecord> {
         (self.state == MemberState::Suspect).then_some(StateRecord {
             state: MemberState::Dead,
@@ -71,7 +71,8 @@
     }
 }
 
-/// The incarnation by which a member at `own` refutes a report about itself; `None` if none is needed.
+/// Returns the incarnation by which a member whose own incarnation is `own` refutes a report about itself; `None` if
+/// the report needs no refutation.
 pub fn refuting_incarnation(own: u64, reported: StateRecord) -> Option<u64> {
     let accused = reported.state != MemberState::Alive && reported.incarnation >= own;
     accused.then(|| reported.incarnation + 1)
--- a/crates/heathspur-members/src/suspicion.rs
+++ b/crates/heathspur-members/src/suspicion.rs
@@ -1,16 +1,16 @@
-//! The timer of a suspicion, shortened by independent confirmations (Lifeguard, section 4.2).
+//! The timer of a suspicion, which independent confirmations shorten (Lifeguard, section 4.2).
 
 use crate::member::MemberId;
 use std::collections::BTreeSet;
 
-/// How long a suspicion lasts and how many confirmations shorten it.
+/// The bounds of a suspicion's timeout, and the number of confirmations that shorten it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SuspicionTimeout {
-    /// The time in which the suspect may refute in any case.
+    /// The timeout after all expected confirmations: the least time that the suspect has to refute.
     pub(crate) minimum_ms: u64,
-    /// The time without any confirmation.
+    /// The timeout without any confirmation.
     pub(crate) maximum_ms: u64,
-    /// Confirmations that shorten the time to its minimum.
+    /// The number of confirmations that shorten the timeout to its minimum.
     pub(crate) expected_confirmations: usize,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Suspicion {
-    /// A suspicion that `accuser` raised at `now`.
+    /// Starts a suspicion that `accuser` raised at `now`.
     pub(crate) fn new(now: u64, timeout: SuspicionTimeout, accuser: MemberId) -> Suspicion {
         let maximum_ms = timeout.maximum_ms.max(timeout.minimum_ms);
         Suspicion {
@@ -40,12 +40,13 @@
         }
     }
 
-    /// The first accuser, in the order of ids.
+    /// Returns the first accuser in the order of ids.
     pub(crate) fn first_accuser(&self) -> Option<&MemberId> {
         self.accusers.first()
     }
 
-    /// Adds an accuser; returns whether it is a new confirmation. Bounded by the expected confirmations.
+    /// Adds an accuser and returns whether it is a new confirmation. Accusers beyond the expected number of
+    /// confirmations are ignored, which bounds the set.
     pub(crate) fn confirm(&mut self, accuser: MemberId) -> bool {
         if self.accusers.len() > self.timeout.expected_confirmations {
             return false;
@@ -53,19 +54,22 @@
         self.accusers.insert(accuser)
     }
 
-    /// Another member's timer has run out, which counts as all confirmations; the minimum time still applies.
+    /// Records that another member has declared the suspect dead, which counts as all confirmations. The minimum
+    /// timeout still applies.
     pub(crate) fn declare_dead(&mut self) {
         self.declared_dead = true;
     }
 
-    /// Whether the suspect is to be queried now: once, while two thirds of the minimum time are left.
-    pub(crate) fn take_query(&mut self, now: u64) -> bool {
+    /// Returns whether the suspect is due for its last direct query. It returns true once for a suspicion, when at most
+    /// two thirds of the minimum timeout are left.
+    pub(crate) fn take_due_query(&mut self, now: u64) -> bool {
         let due = !self.queried && now + 2 * self.timeout.minimum_ms / 3 >= self.deadline();
         self.queried |= due;
         due
     }
 
-    /// When the suspicion times out: the maximum, falling with the logarithm of confirmations to the minimum.
+    /// Returns when the suspicion times out. The timeout falls from its maximum to its minimum with the logarithm of
+    /// the number of confirmations.
     pub(crate) fn deadline(&self) -> u64 {
         let SuspicionTimeout {
             minimum_ms,
@@ -78,7 +82,7 @@
         let confirmations = self.accusers.len().saturating_sub(1) as f64;
         let expected = expected_confirmations as f64;
         let fraction = ((confirmations + 1.0).ln() / (expected + 1.0).ln()).min(1.0);
-        let span = maximum_ms as f64 - (maximum_ms - minimum_ms) as f64 * fraction;
-        self.started_at + (span as u64).max(minimum_ms)
+        let timeout_ms = maximum_ms as f64 - (maximum_ms - minimum_ms) as f64 * fraction;
+        self.started_at + (timeout_ms as u64).max(minimum_ms)
     }
 }
--- a/crates/heathspur-members/src/view.rs
+++ b/crates/heathspur-members/src/view.rs
@@ -1,23 +1,23 @@
-//! The local member's view of the fleet: the snapshot for its own process, and the parts that tools request.
+//! The local member's view of the fleet: snapshots for its own process, and the parts that tools request.
 
 use crate::local_member::LocalMember;
 use crate::member::{Member, MemberState};
 use crate::member_table::MemberTable;
 use crate::wire::{self, Body, Envelope, ViewRequest, ViewResponse, ViewRow};
 
-/// The most rows of a view that a datagram may have space for; the shortest take some 35 bytes.
+/// The maximum number of view rows in a datagram. The shortest rows take about 35 bytes.
 const MAX_ROWS: usize = 40;
-/// The most bytes by which the length prefix of a response's rows grows.
+/// The maximum growth of the length prefix of a response's rows, in bytes.
 const LENGTH_PREFIX_GROWTH_BYTES: usize = 1;
 
-/// The view at one moment. A reader compares versions instead of waiting for changes.
+/// A snapshot of the view. Readers detect changes by comparing versions.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Rises with every change.
+    /// The version, which rises with every change.
     pub version: u64,
     /// The local member's own incarnation.
     pub incarnation: u64,
-    /// All members in the table and the local one, by id.
+    /// All members in the table and the local member, in the order of ids.
     pub members: Vec<MemberSnapshot>,
 }
 
@@ -26,18 +26,18 @@
 pub struct MemberSnapshot {
     /// The record that the member publishes about itself.
     pub member: Member,
-    /// Its state as known here.
+    /// Its state in the local view.
     pub state: MemberState,
-    /// Its incarnation as known here.
+    /// Its incarnation in the local view.
     pub incarnation: u64,
 }
 
-/// The version of the view over both the local member and the table.
+/// Returns the version of the view, which covers the local member and the table.
 pub(crate) fn view_version(local: &LocalMember, table: &MemberTable) -> u64 {
     local.version() + table.version()
 }
 
-/// The view of the local member and its table.
+/// Returns a snapshot of the local member and the table.
 pub(crate) fn snapshot(local: &LocalMember, table: &MemberTable) -> View {
     let mut members = vec![MemberSnapshot {
         member: local.member().clone(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Answers view requests.
+/// The data from which view requests are answered.
 pub(crate) struct ViewResponder<'a> {
     pub(crate) local: &'a LocalMember,
     pub(crate) table: &'a MemberTable,
@@ -67,7 +67,7 @@
 }
 
 impl ViewResponder<'_> {
-    /// A response with as many rows as fit in `capacity_bytes`, the length of the request; `None` if not even a
+    /// Returns a response with as many rows as fit in `capacity_bytes`, the length of the request; `None` if not even a
     /// response without rows fits.
     pub(crate) fn respond(&self, request: &ViewRequest, capacity_bytes: usize) -> Option<Envelope> {
         let mut response = self.response_without_rows(request.sequence);
@@ -98,7 +98,8 @@
         after.is_none_or(|after| self.local.id() > after)
     }
 
-    /// The rows that may fit in one datagram; a flood of requests doesn't walk the whole table each time.
+    /// Returns the rows that may fit in one datagram. The limit prevents a flood of requests from reading the whole
+    /// table each time.
     fn rows_after(&self, request: &ViewRequest) -> Vec<ViewRow> {
         let others = self.table.after(request.after.as_ref()).take(MAX_ROWS);
         let mut rows: Vec<ViewRow> = others
