--- a/crates/heathspur-members/tests/errors.rs
+++ b/crates/heathspur-members/tests/errors.rs
@@ -1,10 +1,10 @@
-//! Errors name the value that is wrong and the bound that it breaks.
+//! Errors contain the invalid value and the bound that it violates.
 
 use heathspur_members::wire::{self, DecodeError, MAX_DATAGRAM_BYTES, VERSION};
 use heathspur_members::{Settings, SettingsError};
 
 #[test]
-fn a_setting_out_of_its_range_is_reported_with_its_value_and_bounds() {
+fn setting_out_of_range_is_reported_with_value_and_bounds() {
     let settings = Settings {
         protocol_period_ms: 49,
         ..Settings::default()
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_probe_timeout_has_to_be_shorter_than_the_period() {
+fn probe_timeout_not_below_period_is_rejected() {
     let settings = Settings {
         probe_timeout_ms: 1_000,
         ..Settings::default()
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_datagram_of_another_version_is_reported_with_its_version() {
+fn unsupported_version_is_reported_with_its_number() {
     let error = wire::decode(b"hm\x63").unwrap_err();
     assert_eq!(error, DecodeError::UnsupportedVersion { version: 0x63 });
     let expected = format!("the datagram has protocol version 99, but {VERSION} is expected");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_oversized_datagram_is_reported_with_its_length() {
+fn oversized_datagram_is_reported_with_its_length() {
     let length = MAX_DATAGRAM_BYTES + 1;
     let error = wire::decode(&vec![0; length]).unwrap_err();
     assert_eq!(error, DecodeError::Oversized { length });
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -1,4 +1,4 @@
-//! Invalid input is counted and dropped, bounds hold, and no datagram makes a member panic.
+//! Invalid input is counted and dropped, tables and queues stay within their bounds, and no datagram causes a panic.
 
 use heathspur_members::wire::{self, Body, Envelope, Update, MAX_DATAGRAM_BYTES};
 use heathspur_members::{
@@ -27,16 +27,16 @@
 }
 
 fn deliver(membership: &mut Membership, from: SocketAddrV4, envelope: &Envelope) -> Vec<Action> {
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     membership.handle(
         1,
         Event::Datagram {
             from,
             bytes: &wire::encode(envelope).unwrap(),
         },
-        &mut out,
+        &mut actions,
     );
-    out
+    actions
 }
 
 fn alive(i: u8, incarnation: u64) -> Update {
@@ -49,17 +49,17 @@
 }
 
 #[test]
-fn malformed_oversized_and_unsupported_datagrams_are_counted_apart() {
+fn malformed_oversized_and_unsupported_datagrams_have_separate_counts() {
     let mut membership = new_membership();
     let from = member(9).address;
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     membership.handle(
         1,
         Event::Datagram {
             from,
             bytes: b"GET / HTTP/1.1\r\n",
         },
-        &mut out,
+        &mut actions,
     );
     membership.handle(
         1,
@@ -67,19 +67,34 @@
             from,
             bytes: &[0u8; MAX_DATAGRAM_BYTES + 1],
         },
-        &mut out,
+        &mut actions,
     );
-    let mut good = wire::encode(&Envelope {
+    let mut datagram = wire::encode(&Envelope {
         from: MemberId("m9".into()),
         body: Body::Gossip,
         updates: vec![],
     })
     .unwrap();
-    good[2] = 99;
-    membership.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
-    good[2] = wire::VERSION;
-    good.pop();
-    membership.handle(1, Event::Datagram { from, bytes: &good }, &mut out);
+    let version_offset = 2;
+    datagram[version_offset] = 99;
+    membership.handle(
+        1,
+        Event::Datagram {
+            from,
+            bytes: &datagram,
+        },
+        &mut actions,
+    );
+    datagram[version_offset] = wire::VERSION;
+    datagram.pop();
+    membership.handle(
+        1,
+        Event::Datagram {
+            from,
+            bytes: &datagram,
+        },
+        &mut actions,
+    );
     let counts = membership.rejected_input();
     assert_eq!(
         (
@@ -90,14 +105,15 @@
         (2, 1, 1)
     );
     assert_eq!(membership.view().members.len(), 1);
-    membership.handle(2_000, Event::Tick, &mut out);
-    assert!(out.iter().any(
-        |a| matches!(a, Action::InputRejected(report) if report.new_rejections == 4 && report.last_sender == Some(from))
-    ));
+    membership.handle(2_000, Event::Tick, &mut actions);
+    assert!(actions
+        .iter()
+        .any(|action| matches!(action, Action::InputRejected(report)
+            if report.new_rejections == 4 && report.last_sender == Some(from))));
 }
 
 #[test]
-fn another_address_under_a_known_id_is_rejected() {
+fn address_change_of_known_id_by_other_member_is_rejected() {
     let mut membership = new_membership();
     let envelope = Envelope {
         from: MemberId("m1".into()),
@@ -125,7 +141,7 @@
 }
 
 #[test]
-fn updates_from_the_far_future_are_dropped() {
+fn updates_with_implausible_incarnations_are_rejected() {
     let mut membership = new_membership();
     let envelope = Envelope {
         from: MemberId("m1".into()),
@@ -133,21 +149,21 @@
         updates: vec![alive(1, 5)],
     };
     deliver(&mut membership, member(1).address, &envelope);
-    let far = Update {
+    let implausible = Update {
         state: MemberState::Dead,
         incarnation: 1 << 50,
         accuser: None,
         member: member(1),
     };
-    let mut about_me = far.clone();
-    about_me.member = member(0);
+    let mut about_local_member = implausible.clone();
+    about_local_member.member = member(0);
     deliver(
         &mut membership,
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
             body: Body::Gossip,
-            updates: vec![far, about_me],
+            updates: vec![implausible, about_local_member],
         },
     );
     assert_eq!(
@@ -159,7 +175,7 @@
 }
 
 #[test]
-fn a_suspicion_of_itself_is_refuted_with_a_higher_incarnation() {
+fn accusation_of_local_member_is_refuted_with_higher_incarnation() {
     let mut membership = new_membership();
     let suspect = Update {
         state: MemberState::Suspect,
@@ -167,7 +183,7 @@
         accuser: None,
         member: member(0),
     };
-    let out = deliver(
+    let actions = deliver(
         &mut membership,
         member(1).address,
         &Envelope {
@@ -177,14 +193,14 @@
         },
     );
     assert_eq!(membership.incarnation(), 13);
-    assert!(out.contains(&Action::IncarnationRaised(13)));
-    assert!(out
+    assert!(actions.contains(&Action::IncarnationRaised(13)));
+    assert!(actions
         .iter()
-        .any(|a| matches!(a, Action::Send { to, .. } if *to == member(1).address)));
+        .any(|action| matches!(action, Action::Send { to, .. } if *to == member(1).address)));
 }
 
 #[test]
-fn the_table_stops_at_its_bound() {
+fn full_member_table_rejects_new_members() {
     let settings = Settings {
         max_members: 5,
         ..Settings::default()
@@ -205,13 +221,13 @@
 }
 
 #[test]
-fn datagrams_of_one_address_are_limited_in_each_second() {
+fn datagrams_above_source_rate_limit_are_rejected() {
     let settings = Settings {
         max_datagrams_per_source_per_second: 10,
         ..Settings::default()
     };
     let mut membership = Membership::new(settings, member(0), 1, vec![], 1);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     for _ in 0..50 {
         membership.handle(
             1,
@@ -219,7 +235,7 @@
                 from: member(3).address,
                 bytes: b"x",
             },
-            &mut out,
+            &mut actions,
         );
     }
     assert_eq!(
@@ -232,7 +248,7 @@
 }
 
 #[test]
-fn a_whole_view_goes_out_in_parts_under_the_largest_datagram() {
+fn push_pull_splits_view_into_datagrams_within_maximum_size() {
     let mut membership = new_membership();
     let updates: Vec<Update> = (1..200).map(|i| alive(i, 1)).collect();
     for chunk in updates.chunks(10) {
@@ -243,16 +259,16 @@
         };
         deliver(&mut membership, member(1).address, &envelope);
     }
-    let push = Envelope {
+    let push_pull = Envelope {
         from: MemberId("m7".into()),
         body: Body::PushPull { reply: true },
         updates: vec![alive(7, 1)],
     };
-    let out = deliver(&mut membership, member(7).address, &push);
-    let parts: Vec<&Vec<u8>> = out
+    let actions = deliver(&mut membership, member(7).address, &push_pull);
+    let parts: Vec<&Vec<u8>> = actions
         .iter()
-        .filter_map(|a| {
-            if let Action::Send { bytes, .. } = a {
+        .filter_map(|action| {
+            if let Action::Send { bytes, .. } = action {
                 Some(bytes)
             } else {
                 None
@@ -260,32 +276,32 @@
         })
         .collect();
     assert!(parts.len() >= 3);
-    assert!(parts.iter().all(|p| p.len() <= MAX_DATAGRAM_BYTES));
-    let carried: usize = parts
+    assert!(parts.iter().all(|part| part.len() <= MAX_DATAGRAM_BYTES));
+    let sent_updates: usize = parts
         .iter()
-        .map(|p| wire::decode(p).unwrap().updates.len())
+        .map(|part| wire::decode(part).unwrap().updates.len())
         .sum();
-    assert_eq!(carried, 200);
+    assert_eq!(sent_updates, 200);
 }
 
 #[test]
-fn datagrams_from_ever_new_addresses_do_not_grow_the_rate_limiter() {
+fn spoofed_source_addresses_do_not_grow_rate_limiter() {
     let settings = Settings {
         max_members: 8,
         ..Settings::default()
     };
     let mut membership = Membership::new(settings, member(0), 1, vec![], 1);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     for port in 0..5_000u16 {
         let from = SocketAddrV4::new(Ipv4Addr::new(127, 0, 0, 2), port);
-        membership.handle(1, Event::Datagram { from, bytes: b"x" }, &mut out);
+        membership.handle(1, Event::Datagram { from, bytes: b"x" }, &mut actions);
     }
     assert_eq!(membership.counted_addresses(), 16);
     assert_eq!(membership.rejected_input().rate_limited, 5_000 - 16);
 }
 
 #[test]
-fn an_outdated_accusation_is_answered_with_the_current_incarnation() {
+fn outdated_accusation_is_answered_with_current_incarnation() {
     let mut membership = new_membership();
     let mut suspect = Update {
         state: MemberState::Suspect,
@@ -303,12 +319,12 @@
         deliver(membership, member(accuser).address, &envelope)
     };
     accuse(&mut membership, 1, &suspect);
-    // Another member receives the accusation late.
+    // Another member declares the local member dead, since it missed the refutation.
     suspect.state = MemberState::Dead;
-    let out = accuse(&mut membership, 2, &suspect);
+    let actions = accuse(&mut membership, 2, &suspect);
     assert_eq!(membership.incarnation(), 13);
-    let [Action::Send { to, bytes }] = &out[..] else {
-        panic!("{out:?}")
+    let [Action::Send { to, bytes }] = &actions[..] else {
+        panic!("{actions:?}")
     };
     let refutation = &wire::decode(bytes).unwrap().updates[0];
     assert_eq!(
@@ -318,8 +334,8 @@
 }
 
 #[test]
-fn many_accusations_in_one_datagram_are_answered_as_one() {
-    let accused = |incarnations: std::ops::Range<u64>| {
+fn multiple_accusations_in_one_datagram_cause_one_answer() {
+    let answers_to = |incarnations: std::ops::Range<u64>| {
         let mut membership = new_membership();
         membership.add_known_members((1..9).map(|i| (member(i), 5)));
         let accuse = |incarnation| Update {
@@ -336,30 +352,30 @@
         };
         deliver(&mut membership, member(1).address, &envelope).len()
     };
-    // Outdated accusations, and such as each need a refutation.
+    // The first range is outdated; each accusation of the second one requires a refutation.
     assert_eq!(
-        (accused(3..15), accused(12..24)),
-        (accused(3..4), accused(12..13))
+        (answers_to(3..15), answers_to(12..24)),
+        (answers_to(3..4), answers_to(12..13))
     );
 }
 
 #[test]
-fn a_zone_vote_is_gossiped_beyond_its_first_receivers() {
+fn zone_vote_is_gossiped_onward_by_receivers() {
     let (mut membership, mut other) = (
         new_membership(),
         Membership::new(Settings::default(), member(1), 10, vec![], 2),
     );
     membership.add_known_members((1..4).map(|i| (member(i), 5)));
     other.add_known_members([(member(0), 10), (member(2), 5)]);
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     let vote = ZoneVote {
         decision_epoch: 3,
         local_traffic_tenths: 4,
         preferred_tenths: 2,
     };
-    membership.set_zone_vote(vote, &mut out);
-    assert!(out.contains(&Action::IncarnationRaised(11)));
-    let sent = out.iter().find_map(|a| match a {
+    membership.set_zone_vote(vote, &mut actions);
+    assert!(actions.contains(&Action::IncarnationRaised(11)));
+    let sent = actions.iter().find_map(|action| match action {
         Action::Send { to, bytes } if *to == member(1).address => Some(bytes.clone()),
         _ => None,
     });
@@ -381,24 +397,26 @@
         ),
         (3, 4, 2)
     );
-    // The receiver gossips it further.
+    // The receiver gossips the vote to another member.
     (1..1_000).for_each(|now| other.handle(now, Event::Tick, &mut forwarded));
     let has_vote = |bytes: &[u8]| {
         let updates = wire::decode(bytes).unwrap().updates;
-        updates
-            .iter()
-            .any(|u| u.member.id.0 == "m0" && u.member.decision_epoch == 3 && u.incarnation == 11)
+        updates.iter().any(|update| {
+            update.member.id.0 == "m0"
+                && update.member.decision_epoch == 3
+                && update.incarnation == 11
+        })
     };
     assert!(forwarded.iter().any(
-        |a| matches!(a, Action::Send { to, bytes } if *to == member(2).address && has_vote(bytes))
+        |action| matches!(action, Action::Send { to, bytes } if *to == member(2).address && has_vote(bytes))
     ));
     // An unchanged vote is not gossiped.
-    out.clear();
-    membership.set_zone_vote(vote, &mut out);
-    assert!(out.is_empty());
+    actions.clear();
+    membership.set_zone_vote(vote, &mut actions);
+    assert!(actions.is_empty());
 }
 
-/// Requests the whole view part by part, as a tool does.
+/// Requests the full view part by part, as a tool does.
 fn request_view(membership: &mut Membership, padding: usize) -> Vec<wire::ViewRow> {
     let (mut rows, mut after) = (Vec::<wire::ViewRow>::new(), None);
     for sequence in 0..100 {
@@ -412,15 +430,15 @@
             body: Body::ViewRequest(request),
             updates: vec![],
         };
-        let requested = wire::encode(&request).unwrap().len();
-        let out = deliver(membership, member(99).address, &request);
-        let [Action::Send { to, bytes }] = &out[..] else {
-            panic!("{} actions", out.len())
+        let request_len = wire::encode(&request).unwrap().len();
+        let actions = deliver(membership, member(99).address, &request);
+        let [Action::Send { to, bytes }] = &actions[..] else {
+            panic!("{} actions", actions.len())
         };
         assert_eq!(*to, member(99).address);
         assert!(
-            bytes.len() <= requested,
-            "a response of {} bytes to a request of {requested}",
+            bytes.len() <= request_len,
+            "a response of {} bytes to a request of {request_len}",
             bytes.len()
         );
         let Body::ViewResponse(response) = wire::decode(bytes).unwrap().body else {
@@ -437,7 +455,7 @@
 }
 
 #[test]
-fn a_tool_reads_the_view_in_responses_no_longer_than_its_requests_and_is_no_member() {
+fn view_responses_are_no_longer_than_requests_and_tool_does_not_join() {
     let mut membership = new_membership();
     membership.add_known_members((1..60).map(|i| (member(i), 7)));
     for padding in [1_100, 400] {
@@ -469,8 +487,8 @@
     }
 }
 
-/// When a suspect is declared dead after accusations at 1 ms, each given as its sender and its accuser.
-fn death_after(accusations: &[(u8, u8)]) -> u64 {
+/// Returns when a suspect is declared dead after accusations at 1 ms, each given as its sender and its accuser.
+fn time_of_death(accusations: &[(u8, u8)]) -> u64 {
     let mut membership = new_membership();
     membership.add_known_members((1..10).map(|i| (member(i), 5)));
     for (sender, accuser) in accusations {
@@ -482,35 +500,38 @@
         };
         deliver(&mut membership, member(*sender).address, &envelope);
     }
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     (1..60_000)
         .step_by(50)
         .find(|now| {
-            membership.handle(*now, Event::Tick, &mut out);
+            membership.handle(*now, Event::Tick, &mut actions);
             membership
                 .entry(&MemberId("m1".into()))
-                .is_some_and(|e| e.state == MemberState::Dead)
+                .is_some_and(|entry| entry.state == MemberState::Dead)
         })
         .expect("the suspect is declared dead")
 }
 
 #[test]
-fn only_accusations_by_different_members_shorten_a_suspicion() {
-    let once = death_after(&[(2, 2)]);
-    assert_eq!(death_after(&[(2, 2), (3, 2), (4, 2), (5, 2)]), once);
-    let thrice = death_after(&[(2, 2), (3, 3), (4, 4), (5, 5)]);
-    assert!(thrice * 4 < once, "{thrice} of {once}");
+fn only_accusations_by_different_members_shorten_suspicion() {
+    let unconfirmed = time_of_death(&[(2, 2)]);
+    assert_eq!(
+        time_of_death(&[(2, 2), (3, 2), (4, 2), (5, 2)]),
+        unconfirmed
+    );
+    let confirmed = time_of_death(&[(2, 2), (3, 3), (4, 4), (5, 5)]);
+    assert!(confirmed * 4 < unconfirmed, "{confirmed} of {unconfirmed}");
 }
 
 #[test]
-fn a_member_that_ran_for_a_year_comes_back_with_its_clock_as_incarnation() {
+fn restart_after_one_year_with_clock_incarnation_is_accepted() {
     let mut membership = new_membership();
     membership.add_known_members([(member(1), 1_700_000_000_000)]);
-    let back = alive(1, 1_700_000_000_000 + 366 * 86_400_000);
+    let restarted = alive(1, 1_700_000_000_000 + 366 * 86_400_000);
     let envelope = Envelope {
         from: MemberId("m1".into()),
         body: Body::Gossip,
-        updates: vec![back.clone()],
+        updates: vec![restarted.clone()],
     };
     deliver(&mut membership, member(1).address, &envelope);
     assert_eq!(
@@ -518,59 +539,61 @@
             .entry(&MemberId("m1".into()))
             .unwrap()
             .incarnation,
-        back.incarnation
+        restarted.incarnation
     );
     assert_eq!(membership.rejected_input().future_incarnation, 0);
 }
 
 #[test]
-fn a_leaving_member_repeats_its_departure_and_probes_nobody() {
+fn leaving_member_repeats_departure_and_stops_probing() {
     let mut membership = new_membership();
     membership.add_known_members((1..30).map(|i| (member(i), 5)));
-    let mut out = Vec::new();
-    membership.handle(1, Event::Leave, &mut out);
-    let first = out.len();
+    let mut actions = Vec::new();
+    membership.handle(1, Event::Leave, &mut actions);
+    let first_announcements = actions.len();
     for now in 2..600 {
-        membership.handle(now, Event::Tick, &mut out);
+        membership.handle(now, Event::Tick, &mut actions);
     }
-    let announces_departure = |a: &Action| {
-        let Action::Send { bytes, .. } = a else {
+    let announces_departure = |action: &Action| {
+        let Action::Send { bytes, .. } = action else {
             return false;
         };
         wire::decode(bytes)
             .unwrap()
             .updates
             .iter()
-            .any(|u| u.state == MemberState::Left && u.member.id.0 == "m0")
+            .any(|update| update.state == MemberState::Left && update.member.id.0 == "m0")
     };
     assert!(
-        out.iter()
-            .skip(first)
-            .filter(|a| announces_departure(a))
+        actions
+            .iter()
+            .skip(first_announcements)
+            .filter(|action| announces_departure(action))
             .count()
             >= 6
     );
-    // It no longer probes.
-    assert!(!out.iter().any(|a| matches!(a, Action::Send { bytes, .. }
+    assert!(!actions
+        .iter()
+        .any(|action| matches!(action, Action::Send { bytes, .. }
         if matches!(wire::decode(bytes).unwrap().body, Body::Ping { .. }))));
 }
 
 proptest! {
     #[test]
-    fn no_datagram_makes_a_member_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
+    fn arbitrary_datagrams_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1300)) {
         let mut membership = new_membership();
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut framed = b"hm".to_vec();
         framed.push(wire::VERSION);
         framed.extend_from_slice(&bytes);
-        membership.handle(1, Event::Datagram { from: member(5).address, bytes: &bytes }, &mut out);
-        membership.handle(2, Event::Datagram { from: member(5).address, bytes: &framed }, &mut out);
-        membership.handle(3_000, Event::Tick, &mut out);
+        membership.handle(1, Event::Datagram { from: member(5).address, bytes: &bytes }, &mut actions);
+        membership.handle(2, Event::Datagram { from: member(5).address, bytes: &framed }, &mut actions);
+        membership.handle(3_000, Event::Tick, &mut actions);
         prop_assert!(membership.view().members.len() <= Settings::default().max_members);
     }
 
     #[test]
-    fn encoded_envelopes_decode_to_themselves(incarnation in 0u64..1 << 40, sequence in any::<u32>(), n in 0u8..10) {
+    fn encoded_envelope_decodes_to_itself(incarnation in 0u64..1 << 40, sequence in any::<u32>(), n in 0u8..10) {
         let envelope = Envelope {
             from: MemberId("m1".into()),
             body: Body::Ping { sequence, target: MemberId("m2".into()) },
--- a/crates/heathspur-members/tests/model.rs
+++ b/crates/heathspur-members/tests/model.rs
@@ -1,25 +1,25 @@
-//! A model of three members under crashes, restarts and partitions, explored exhaustively with the crate's own state
-//! records. Messages are delivered in any order, and a suspicion may time out at any moment.
+//! A model of three members under crashes, restarts and partitions, which is explored exhaustively and uses the crate's
+//! own state records. Messages are delivered in any order, and a suspicion may time out at any moment.
 //!
-//! Each mutant leaves out one part of the protocol, and the model has to find every mutant.
+//! Each mutant omits one part of the protocol. The test fails unless the model detects every mutant.
 
 use heathspur_members::state_record::{refuting_incarnation, StateRecord, UpdateEffect};
 use heathspur_members::MemberState;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const MEMBERS: usize = 3;
-/// Rounds of probes, push-pulls and suspicion timeouts after which all views agree.
-const ROUNDS: usize = 4;
-/// Crashes and partitions in one history.
-const FAULTS: u8 = 2;
-/// Histories with a higher incarnation are not explored.
-const HIGHEST: u64 = 5;
+/// The number of rounds of probes, push-pulls and suspicion timeouts after which all views must agree.
+const CONVERGENCE_ROUNDS: usize = 4;
+/// The maximum number of crashes, partitions and lost probes in one history.
+const MAX_FAULTS: u8 = 2;
+/// The highest incarnation up to which histories are explored.
+const MAX_INCARNATION: u64 = 5;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
     up: bool,
     incarnation: u64,
-    /// Its record of each member; its own is always `None`.
+    /// Its record of each member; the one of itself is always `None`.
     view: [Option<StateRecord>; MEMBERS],
 }
 
@@ -29,27 +29,27 @@
     /// The member that is partitioned from the others.
     partitioned: Option<usize>,
     faults: u8,
-    /// A member was declared dead without having been suspect.
+    /// Whether a member was declared dead without having been suspect.
     died_unsuspected: bool,
-    /// A known incarnation was lowered.
+    /// Whether a known incarnation was lowered.
     incarnation_lowered: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Move {
+enum ModelAction {
     Crash(usize),
     Restart(usize),
     Partition(usize),
     Heal,
-    /// A probe fails; by loss, that of a reachable member may fail too.
+    /// An observer's probe of a subject fails. The probe of a reachable member may fail too, by loss.
     FailProbe(usize, usize),
-    /// A suspicion times out.
+    /// An observer's suspicion of a subject times out.
     Expire(usize, usize),
-    /// A member sends another its whole view.
+    /// A member sends its full view to another one.
     SendView(usize, usize),
 }
 
-/// The part of the protocol that is left out.
+/// The part of the protocol that is omitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
@@ -59,8 +59,8 @@
     DeathOverrides,
     /// A failed probe declares death at once.
     NoSuspicion,
-    /// The dead get no view, so that the halves of a partition never merge.
-    DeadGetNoView,
+    /// Dead members receive no view, so that the sides of a partition never merge.
+    NoViewsToDead,
 }
 
 struct Swim {
@@ -68,21 +68,24 @@
 }
 
 impl Fleet {
+    /// Returns whether datagrams between two members are delivered.
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let side = |i| self.partitioned == Some(i);
+        let side = |member| self.partitioned == Some(member);
         self.nodes[from].up && self.nodes[to].up && side(from) == side(to)
     }
 
-    fn set(&mut self, by: usize, of: usize, to: StateRecord) {
-        let before = self.nodes[by].view[of];
+    /// Sets an observer's record of a subject.
+    fn set(&mut self, observer: usize, subject: usize, to: StateRecord) {
+        let before = self.nodes[observer].view[subject];
         self.died_unsuspected |= to.state == MemberState::Dead
-            && before.is_some_and(|b| b.state != MemberState::Suspect);
-        self.incarnation_lowered |= before.is_some_and(|b| to.incarnation < b.incarnation);
-        self.nodes[by].view[of] = Some(to);
+            && before.is_some_and(|known| known.state != MemberState::Suspect);
+        self.incarnation_lowered |= before.is_some_and(|known| to.incarnation < known.incarnation);
+        self.nodes[observer].view[subject] = Some(to);
     }
 
-    fn suspect(&mut self, by: usize, of: usize, incarnation: u64, mutant: Mutant) {
-        let Some(known) = self.nodes[by].view[of] else {
+    /// Makes an observer suspect a subject.
+    fn suspect(&mut self, observer: usize, subject: usize, incarnation: u64, mutant: Mutant) {
+        let Some(known) = self.nodes[observer].view[subject] else {
             return;
         };
         let Some(mut suspected) = known.suspect(incarnation) else {
@@ -91,12 +94,13 @@
         if mutant == Mutant::NoSuspicion {
             suspected.state = MemberState::Dead;
         }
-        self.set(by, of, suspected);
+        self.set(observer, subject, suspected);
     }
 
-    fn apply(&mut self, by: usize, of: usize, reported: StateRecord, mutant: Mutant) {
-        if by == of {
-            let node = &mut self.nodes[by];
+    /// Applies a report about a subject to an observer.
+    fn apply(&mut self, observer: usize, subject: usize, reported: StateRecord, mutant: Mutant) {
+        if observer == subject {
+            let node = &mut self.nodes[observer];
             match refuting_incarnation(node.incarnation, reported) {
                 Some(_) if mutant == Mutant::NoRefutation => {}
                 Some(higher) => node.incarnation = higher,
@@ -104,10 +108,10 @@
             }
             return;
         }
-        let Some(known) = self.nodes[by].view[of] else {
+        let Some(known) = self.nodes[observer].view[subject] else {
             // A newcomer is added unless it is dead.
             if reported.state.live() {
-                self.nodes[by].view[of] = Some(StateRecord {
+                self.nodes[observer].view[subject] = Some(StateRecord {
                     state: MemberState::Alive,
                     ..reported
                 });
@@ -115,26 +119,29 @@
             return;
         };
         match known.effect_of(reported) {
-            UpdateEffect::Alive => self.set(by, of, reported),
+            UpdateEffect::Alive => self.set(observer, subject, reported),
             UpdateEffect::Accused {
                 declared_dead: true,
-            } if mutant == Mutant::DeathOverrides => self.set(by, of, reported),
-            UpdateEffect::Accused { .. } => self.suspect(by, of, reported.incarnation, mutant),
-            UpdateEffect::Left => self.set(by, of, reported),
+            } if mutant == Mutant::DeathOverrides => self.set(observer, subject, reported),
+            UpdateEffect::Accused { .. } => {
+                self.suspect(observer, subject, reported.incarnation, mutant)
+            }
+            UpdateEffect::Left => self.set(observer, subject, reported),
             UpdateEffect::Unchanged | UpdateEffect::Stale => {}
         }
     }
 
+    /// Sends the full view of one member to another one.
     fn send_view(&mut self, from: usize, to: usize, mutant: Mutant) {
         let view = self.nodes[from].view;
-        for (of, reported) in view
+        for (subject, reported) in view
             .iter()
             .enumerate()
-            .filter_map(|(of, reported)| Some((of, (*reported)?)))
+            .filter_map(|(subject, reported)| Some((subject, (*reported)?)))
         {
-            self.apply(to, of, reported, mutant);
+            self.apply(to, subject, reported, mutant);
         }
-        // Its own record comes last, so that its refutation prevails.
+        // The sender's own record is applied last, so that its refutation prevails.
         let incarnation = self.nodes[from].incarnation;
         self.apply(
             to,
@@ -147,30 +154,34 @@
         );
     }
 
-    /// The members that it sends its view to: the dead too, since that is how the halves of a partition merge.
+    /// Returns the members to which `from` sends its view. They include dead ones, so that the sides of a partition
+    /// merge.
     fn receivers(&self, from: usize, mutant: Mutant) -> Vec<usize> {
-        let dead = |to: usize| self.nodes[from].view[to].is_some_and(|r| !r.state.live());
-        let skip = |to: usize| mutant == Mutant::DeadGetNoView && dead(to);
+        let dead = |to: usize| self.nodes[from].view[to].is_some_and(|known| !known.state.live());
+        let skip = |to: usize| mutant == Mutant::NoViewsToDead && dead(to);
         (0..MEMBERS)
             .filter(|&to| to != from && self.reaches(from, to) && !skip(to))
             .collect()
     }
 
-    /// One round without faults: only probes of unreachable members fail, and a suspect has time to refute.
+    /// Runs one round without faults: only probes of unreachable members fail, and a suspect has time to refute.
     fn fault_free_round(&mut self, mutant: Mutant) {
         let suspects: Vec<(usize, usize)> = pairs()
-            .filter(|&(by, of)| {
-                self.nodes[by].up
-                    && self.nodes[by].view[of].is_some_and(|r| r.state == MemberState::Suspect)
+            .filter(|&(observer, subject)| {
+                self.nodes[observer].up
+                    && self.nodes[observer].view[subject]
+                        .is_some_and(|known| known.state == MemberState::Suspect)
             })
             .collect();
-        for (by, of) in pairs() {
-            let live = self.nodes[by].view[of].filter(|r| r.state.live());
-            if let Some(known) = live.filter(|_| self.nodes[by].up && !self.reaches(by, of)) {
-                self.suspect(by, of, known.incarnation, mutant);
+        for (observer, subject) in pairs() {
+            let live = self.nodes[observer].view[subject].filter(|known| known.state.live());
+            if let Some(known) =
+                live.filter(|_| self.nodes[observer].up && !self.reaches(observer, subject))
+            {
+                self.suspect(observer, subject, known.incarnation, mutant);
             }
         }
-        // Views are sent, the accused refute, and the refutations are sent.
+        // The first pass delivers accusations, which their subjects refute; the second one delivers the refutations.
         for _ in 0..2 {
             for from in 0..MEMBERS {
                 for to in self.receivers(from, mutant) {
@@ -178,25 +189,25 @@
                 }
             }
         }
-        for (by, of) in suspects {
-            if let Some(dead) = self.nodes[by].view[of].and_then(StateRecord::expire) {
-                self.set(by, of, dead);
+        for (observer, subject) in suspects {
+            if let Some(dead) = self.nodes[observer].view[subject].and_then(StateRecord::expire) {
+                self.set(observer, subject, dead);
             }
         }
     }
 
-    /// Whether all running members know exactly the running members as alive, at their current incarnation.
+    /// Returns whether all running members consider exactly the running members alive, at their current incarnation.
     fn agrees(&self) -> bool {
         pairs()
-            .filter(|(by, _)| self.nodes[*by].up)
-            .all(|(by, of)| {
-                let known = self.nodes[by].view[of].filter(|r| r.state.live());
-                match self.nodes[of].up {
+            .filter(|(observer, _)| self.nodes[*observer].up)
+            .all(|(observer, subject)| {
+                let known = self.nodes[observer].view[subject].filter(|known| known.state.live());
+                match self.nodes[subject].up {
                     true => {
                         known
                             == Some(StateRecord {
                                 state: MemberState::Alive,
-                                incarnation: self.nodes[of].incarnation,
+                                incarnation: self.nodes[subject].incarnation,
                             })
                     }
                     false => known.is_none(),
@@ -205,27 +216,28 @@
     }
 }
 
+/// Returns all pairs of an observer and a subject.
 fn pairs() -> impl Iterator<Item = (usize, usize)> {
-    (0..MEMBERS).flat_map(|by| {
+    (0..MEMBERS).flat_map(|observer| {
         (0..MEMBERS)
-            .filter(move |of| *of != by)
-            .map(move |of| (by, of))
+            .filter(move |subject| *subject != observer)
+            .map(move |subject| (observer, subject))
     })
 }
 
 impl Model for Swim {
     type State = Fleet;
-    type Action = Move;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<Fleet> {
         let alive = StateRecord {
             state: MemberState::Alive,
             incarnation: 1,
         };
-        let nodes = std::array::from_fn(|i| Node {
+        let nodes = std::array::from_fn(|member| Node {
             up: true,
             incarnation: 1,
-            view: std::array::from_fn(|of| (of != i).then_some(alive)),
+            view: std::array::from_fn(|subject| (subject != member).then_some(alive)),
         });
         vec![Fleet {
             nodes,
@@ -236,103 +248,106 @@
         }]
     }
 
-    fn actions(&self, state: &Fleet, moves: &mut Vec<Move>) {
-        let may_fail = state.faults < FAULTS;
-        for i in 0..MEMBERS {
-            match state.nodes[i].up {
-                true if may_fail => moves.push(Move::Crash(i)),
-                false => moves.push(Move::Restart(i)),
+    fn actions(&self, state: &Fleet, actions: &mut Vec<ModelAction>) {
+        let may_fail = state.faults < MAX_FAULTS;
+        for member in 0..MEMBERS {
+            match state.nodes[member].up {
+                true if may_fail => actions.push(ModelAction::Crash(member)),
+                false => actions.push(ModelAction::Restart(member)),
                 true => {}
             }
             if may_fail && state.partitioned.is_none() {
-                moves.push(Move::Partition(i));
+                actions.push(ModelAction::Partition(member));
             }
         }
         if state.partitioned.is_some() {
-            moves.push(Move::Heal);
+            actions.push(ModelAction::Heal);
         }
-        for (by, of) in pairs().filter(|(by, _)| state.nodes[*by].up) {
-            match state.nodes[by].view[of].map(|r| r.state) {
-                // Loss may fail any probe, but counts as a fault if the member would have answered.
-                Some(MemberState::Alive) if !state.reaches(by, of) || may_fail => {
-                    moves.push(Move::FailProbe(by, of))
+        for (observer, subject) in pairs().filter(|(observer, _)| state.nodes[*observer].up) {
+            match state.nodes[observer].view[subject].map(|known| known.state) {
+                // Any probe may fail by loss, which counts as a fault if the member is reachable.
+                Some(MemberState::Alive) if !state.reaches(observer, subject) || may_fail => {
+                    actions.push(ModelAction::FailProbe(observer, subject))
                 }
-                Some(MemberState::Suspect) => moves.push(Move::Expire(by, of)),
+                Some(MemberState::Suspect) => actions.push(ModelAction::Expire(observer, subject)),
                 _ => {}
             }
-            if state.receivers(by, self.mutant).contains(&of) {
-                moves.push(Move::SendView(by, of));
+            if state.receivers(observer, self.mutant).contains(&subject) {
+                actions.push(ModelAction::SendView(observer, subject));
             }
         }
     }
 
-    fn next_state(&self, before: &Fleet, step: Move) -> Option<Fleet> {
+    fn next_state(&self, before: &Fleet, step: ModelAction) -> Option<Fleet> {
         let mut state = before.clone();
         match step {
-            Move::Crash(i) => {
-                state.nodes[i].up = false;
+            ModelAction::Crash(member) => {
+                state.nodes[member].up = false;
                 state.faults += 1;
             }
-            Move::Restart(i) => {
-                // It restarts with a higher incarnation and an empty view.
-                let node = &mut state.nodes[i];
+            ModelAction::Restart(member) => {
+                // The member restarts with a higher incarnation and an empty view.
+                let node = &mut state.nodes[member];
                 node.up = true;
                 node.incarnation += 1;
                 node.view = [None; MEMBERS];
             }
-            Move::Partition(i) => {
-                state.partitioned = Some(i);
+            ModelAction::Partition(member) => {
+                state.partitioned = Some(member);
                 state.faults += 1;
             }
-            Move::Heal => state.partitioned = None,
-            Move::FailProbe(by, of) => {
-                state.faults += state.reaches(by, of) as u8;
-                let incarnation = state.nodes[by].view[of]?.incarnation;
-                state.suspect(by, of, incarnation, self.mutant);
+            ModelAction::Heal => state.partitioned = None,
+            ModelAction::FailProbe(observer, subject) => {
+                state.faults += state.reaches(observer, subject) as u8;
+                let incarnation = state.nodes[observer].view[subject]?.incarnation;
+                state.suspect(observer, subject, incarnation, self.mutant);
             }
-            Move::Expire(by, of) => {
-                let dead = state.nodes[by].view[of]?.expire()?;
-                state.set(by, of, dead);
+            ModelAction::Expire(observer, subject) => {
+                let dead = state.nodes[observer].view[subject]?.expire()?;
+                state.set(observer, subject, dead);
             }
-            Move::SendView(from, to) => state.send_view(from, to, self.mutant),
+            ModelAction::SendView(from, to) => state.send_view(from, to, self.mutant),
         }
         Some(state)
     }
 
     fn within_boundary(&self, state: &Fleet) -> bool {
-        state.nodes.iter().all(|node| node.incarnation <= HIGHEST)
+        state
+            .nodes
+            .iter()
+            .all(|node| node.incarnation <= MAX_INCARNATION)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "rule: once healed, all running members agree within the given rounds",
-                |model, s: &Fleet| {
-                    let mut calm = s.clone();
-                    calm.partitioned = None;
-                    (0..ROUNDS).for_each(|_| calm.fault_free_round(model.mutant));
-                    calm.agrees()
+                "invariant: after faults end, all running members agree within the convergence rounds",
+                |model, state: &Fleet| {
+                    let mut later = state.clone();
+                    later.partitioned = None;
+                    (0..CONVERGENCE_ROUNDS).for_each(|_| later.fault_free_round(model.mutant));
+                    later.agrees()
                 },
             ),
             Property::always(
-                "rule: no member is declared dead without having been suspect",
-                |_, s: &Fleet| !s.died_unsuspected,
+                "invariant: no member is declared dead without having been suspect",
+                |_, state: &Fleet| !state.died_unsuspected,
             ),
-            Property::always("rule: no known incarnation is lowered", |_, s: &Fleet| {
-                !s.incarnation_lowered
+            Property::always("invariant: no known incarnation is lowered", |_, state: &Fleet| {
+                !state.incarnation_lowered
             }),
             Property::sometimes(
                 "a running member is declared dead and refutes",
-                |_, s: &Fleet| {
-                    s.nodes[0].up && s.nodes[0].incarnation > 1 && s.faults == 1 && s.agrees()
+                |_, state: &Fleet| {
+                    state.nodes[0].up && state.nodes[0].incarnation > 1 && state.faults == 1 && state.agrees()
                 },
             ),
             Property::sometimes(
                 "the others know a crashed member as dead",
-                |_, s: &Fleet| {
-                    !s.nodes[2].up
-                        && (0..2).all(|by| {
-                            s.nodes[by].view[2].is_some_and(|r| r.state == MemberState::Dead)
+                |_, state: &Fleet| {
+                    !state.nodes[2].up
+                        && (0..2).all(|observer| {
+                            state.nodes[observer].view[2].is_some_and(|known| known.state == MemberState::Dead)
                         })
                 },
             ),
@@ -340,7 +355,8 @@
     }
 }
 
-fn broken_by(mutant: Mutant) -> Vec<&'static str> {
+/// Returns the invariants that a mutant violates.
+fn invariants_violated_by(mutant: Mutant) -> Vec<&'static str> {
     let checker = Swim { mutant }
         .checker()
         .threads(4)
@@ -350,12 +366,12 @@
         .join()
         .discoveries()
         .into_keys()
-        .filter(|name| name.starts_with("rule"))
+        .filter(|name| name.starts_with("invariant"))
         .collect()
 }
 
 #[test]
-fn views_agree_again_after_every_history_of_faults() {
+fn views_agree_after_every_history_of_faults() {
     let checker = Swim {
         mutant: Mutant::None,
     }
@@ -369,14 +385,14 @@
 }
 
 #[test]
-fn each_mutant_is_found() {
+fn every_mutant_violates_an_invariant() {
     for mutant in [
         Mutant::NoRefutation,
         Mutant::DeathOverrides,
         Mutant::NoSuspicion,
-        Mutant::DeadGetNoView,
+        Mutant::NoViewsToDead,
     ] {
-        let found = broken_by(mutant);
-        assert!(!found.is_empty(), "{mutant:?} breaks no rule");
+        let violated = invariants_violated_by(mutant);
+        assert!(!violated.is_empty(), "{mutant:?} violates no invariant");
     }
 }
--- a/crates/heathspur-members/tests/wire_format.rs
+++ b/crates/heathspur-members/tests/wire_format.rs
@@ -1,10 +1,10 @@
-//! The bytes of every kind of datagram, recorded once: members of different builds share a fleet, so none may change.
+//! The recorded bytes of every kind of datagram. They must not change, since members of different builds share a fleet.
 
 use heathspur_members::wire::{self, Body, Envelope, Update, ViewRequest, ViewResponse, ViewRow};
 use heathspur_members::{Load, Member, MemberId, MemberState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// One datagram of a kind, and the bytes that it has on the wire.
+/// A datagram of one kind and its recorded bytes on the wire.
 struct Recorded {
     kind: &'static str,
     envelope: Envelope,
@@ -15,7 +15,7 @@
     MemberId(name.to_string())
 }
 
-/// A member whose load, lag and zone decision all differ from their defaults.
+/// Returns a member whose load, round trip and zone decision all differ from their defaults.
 fn member_with_decision() -> Member {
     Member {
         id: id("m2"),
@@ -83,12 +83,12 @@
         update(MemberState::Dead, Some(id("m1")), member_with_decision()),
         update(MemberState::Left, None, member_with_decision()),
     ];
-    let ask = Body::ViewRequest(ViewRequest {
+    let view_request = Body::ViewRequest(ViewRequest {
         sequence: 9,
         after: Some(id("m1")),
         padding: vec![0; 4],
     });
-    let seen = Body::ViewResponse(ViewResponse {
+    let view_response = Body::ViewResponse(ViewResponse {
         sequence: 9,
         version: 1_000,
         members: 60,
@@ -112,7 +112,7 @@
             hex: "686d02026d3100ac02026d32010080d095ffbc3100026d317f000001d83600000100000000000a0a",
         },
         Recorded {
-            kind: "indirect_probes ping request",
+            kind: "indirect probe request",
             envelope: datagram(ping_req, vec![]),
             hex: "686d02026d3101ad02026d320a0001028a3e00",
         },
@@ -130,7 +130,7 @@
             hex: "686d02026d3103ad0200",
         },
         Recorded {
-            kind: "push-pull that asks for a reply",
+            kind: "push-pull that requests a reply",
             envelope: datagram(
                 Body::PushPull { reply: true },
                 vec![update(MemberState::Alive, None, member_with_decision())],
@@ -138,7 +138,7 @@
             hex: "686d02026d310401010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
         },
         Recorded {
-            kind: "push-pull that replies",
+            kind: "push-pull reply",
             envelope: datagram(Body::PushPull { reply: false }, vec![]),
             hex: "686d02026d31040000",
         },
@@ -149,12 +149,12 @@
         },
         Recorded {
             kind: "view request",
-            envelope: datagram(ask, vec![]),
+            envelope: datagram(view_request, vec![]),
             hex: "686d02026d31060901026d31040000000000",
         },
         Recorded {
             kind: "view response",
-            envelope: datagram(seen, vec![]),
+            envelope: datagram(view_response, vec![]),
             hex: "686d02026d310709e8073c0290030101026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a20404000111c41300",
         },
     ]
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn each_kind_of_datagram_encodes_to_its_recorded_bytes() {
+fn each_kind_of_datagram_encodes_to_recorded_bytes() {
     for Recorded {
         kind,
         envelope,
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn recorded_bytes_decode_to_their_datagram_and_encode_to_themselves_again() {
+fn recorded_bytes_decode_to_datagram_and_encode_unchanged() {
     for Recorded {
         kind,
         envelope,
@@ -198,8 +198,8 @@
 }
 
 #[test]
-fn the_record_of_a_zone_decision_keeps_its_place_at_the_end_of_a_member() {
-    let with = |decision_epoch, local_traffic_tenths, preferred_tenths| {
+fn zone_decision_is_encoded_at_end_of_member() {
+    let encoded_with = |decision_epoch, local_traffic_tenths, preferred_tenths| {
         let member = Member {
             decision_epoch,
             local_traffic_tenths,
@@ -209,8 +209,8 @@
         let gossip = datagram(Body::Gossip, vec![update(MemberState::Alive, None, member)]);
         to_hex(&wire::encode(&gossip).unwrap())
     };
-    // Epoch as a variable-length integer, then the accepted and the preferred level, a byte each.
-    assert!(with(0, 10, 10).ends_with("000a0a"));
-    assert!(with(3, 4, 2).ends_with("030402"));
-    assert!(with(70_000, 0, 10).ends_with("f0a204000a"));
+    // The epoch is a variable-length integer; the accepted and the preferred level have one byte each.
+    assert!(encoded_with(0, 10, 10).ends_with("000a0a"));
+    assert!(encoded_with(3, 4, 2).ends_with("030402"));
+    assert!(encoded_with(70_000, 0, 10).ends_with("f0a204000a"));
 }
