--- a/crates/heathspur-emulator/src/experiment.rs
+++ b/crates/heathspur-emulator/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment: injects the plan's faults into a fleet and measures how the members notice and recover.
+//! Runs an experiment: injects the plan's faults into a fleet and measures how its members detect them and recover.
 
 use crate::false_deaths;
 use crate::fleet::Fleet;
@@ -9,13 +9,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Interval between two samples of views and traffic, in milliseconds.
+/// The interval between two samples of views and traffic, in milliseconds.
 const SAMPLE_MS: u64 = 1_000;
-/// Most members are aware of a failure once this share of the others is, in percent.
+/// The share of the other members that counts as most of them having detected a failure, in percent.
 const MOST_PERCENT: usize = 99;
-/// Fault index of the outcome for the start of the fleet, which is no fault of the plan.
+/// The fault index of the outcome for the start of the fleet, which is not a fault of the plan.
 const INITIAL_JOIN: usize = usize::MAX;
-/// Shortest total of running time that rates are divided by, in seconds.
+/// The minimum total running time by which rates are divided, in seconds. It prevents a division by zero.
 const MIN_MEMBER_SECONDS: f64 = 1e-3;
 
 /// Runs the plan once for each seed, in parallel on the available cores; the runs are sorted by seed.
@@ -60,18 +60,18 @@
     /// Its index among the outcomes.
     outcome: usize,
     started_at: u64,
-    /// The member whose end the others have to notice, if any.
+    /// The stopped member that the others have to detect, if any.
     stopped_member: Option<usize>,
 }
 
-/// A fleet under experiment and what has been measured so far.
+/// A fleet under experiment and its measurements so far.
 struct Runner {
     fleet: Fleet,
     outcomes: Vec<FaultOutcome>,
     measurements: Vec<Measurement>,
-    /// Sum of the running time of all members, in milliseconds.
+    /// The total running time of all members, in milliseconds.
     member_ms: u64,
-    /// Samples in order of time; their bytes count from the start.
+    /// The samples in order of time. Their bytes are totals since the start until the run ends.
     samples: Vec<ViewSample>,
 }
 
@@ -151,7 +151,7 @@
         let datagrams = sum(traffic, |traffic| traffic.datagrams) as f64;
         let bytes = sum(traffic, |traffic| traffic.bytes) as f64;
         let busiest = traffic.iter().map(|traffic| traffic.bytes).max();
-        // From totals since the start to bytes in each interval.
+        // Convert totals since the start to bytes in each interval.
         for index in (1..self.samples.len()).rev() {
             self.samples[index].bytes_per_member -= self.samples[index - 1].bytes_per_member;
         }
@@ -179,7 +179,7 @@
         FaultKind::Restart => fleet.start(member),
         FaultKind::Leave => fleet.leave(member),
         FaultKind::Pause => fleet.nodes[member].paused_until = fleet.now + span_ms,
-        FaultKind::Slow => fleet.nodes[member].slow_ms = span_ms,
+        FaultKind::Slow => fleet.nodes[member].extra_delay_ms = span_ms,
         FaultKind::Clock => fleet.nodes[member].clock_rate = fault.rate.unwrap_or(1.0),
         FaultKind::Partition => network.partition(members, member),
         FaultKind::Heal => network.heal(),
@@ -195,7 +195,7 @@
     }
 }
 
-/// Brings an outcome up to date; returns whether its measurement is complete.
+/// Updates an outcome. Returns whether its measurement is complete.
 fn update(measurement: &Measurement, outcome: &mut FaultOutcome, fleet: &Fleet) -> bool {
     let elapsed_ms = fleet.now - measurement.started_at;
     if let Some(member) = measurement.stopped_member {
@@ -210,16 +210,16 @@
     outcome.converged_ms.is_some()
 }
 
-/// Records how far the news that `member` stopped has spread.
+/// Records when the other members detect that `member` has stopped.
 fn update_detection(outcome: &mut FaultOutcome, fleet: &Fleet, member: usize, elapsed_ms: u64) {
     let detection = fleet.views.failure_detection(member);
-    let most_aware = detection.aware * 100 >= detection.observers * MOST_PERCENT;
-    let all_aware = detection.aware == detection.observers;
+    let detected_by_most = detection.detected_by * 100 >= detection.observers * MOST_PERCENT;
+    let detected_by_all = detection.detected_by == detection.observers;
     for (time, reached) in [
         (&mut outcome.suspected_ms, fleet.views.is_suspected(member)),
-        (&mut outcome.first_ms, detection.aware > 0),
-        (&mut outcome.most_ms, most_aware),
-        (&mut outcome.all_ms, all_aware),
+        (&mut outcome.first_ms, detection.detected_by > 0),
+        (&mut outcome.most_ms, detected_by_most),
+        (&mut outcome.all_ms, detected_by_all),
     ] {
         if reached {
             time.get_or_insert(elapsed_ms);
--- a/crates/heathspur-emulator/src/false_deaths.rs
+++ b/crates/heathspur-emulator/src/false_deaths.rs
@@ -1,13 +1,16 @@
-//! Counts false positives of the failure detector: members declared dead although they ran and could be reached.
+//! Counts false positives of the failure detector: members that were declared dead while they were running and
+//! reachable.
 
 use crate::fleet::ObservedChange;
 use crate::plan::{Fault, FaultKind, Plan};
 use heathspur_members::MemberState;
 
-/// A suspicion from before a heal may still expire: for so long, deaths across the healed partition are not false.
+/// How long deaths across a healed partition are not counted as false, in milliseconds. Suspicions from before the heal
+/// may still expire during this time.
 const HEAL_GRACE_MS: u64 = 2_000;
 
-/// Counts the observed deaths of members that ran, were reachable by the observer and had not announced a leave.
+/// Counts the observed deaths of members that were running, were reachable by the observer and had not announced a
+/// leave.
 pub(crate) fn count(changes: &[ObservedChange], plan: &Plan) -> u64 {
     changes
         .iter()
@@ -21,7 +24,7 @@
         return false;
     };
     let mut is_running = true;
-    // The number of members on the first side of a partition in force, and of one healed just before.
+    // The number of members on the first side of the partition in force, and of one that healed just before.
     let mut partition = None;
     let mut healed_partition = None;
     for fault in plan
--- a/crates/heathspur-emulator/src/fleet.rs
+++ b/crates/heathspur-emulator/src/fleet.rs
@@ -9,33 +9,34 @@
 
 /// The step of emulated time, in milliseconds.
 pub const TICK_MS: u64 = 10;
-/// How long the process of a member runs on after it left, in milliseconds.
+/// How long the process of a member continues to run after the member left, in milliseconds.
 pub const DRAIN_MS: u64 = 1_000;
 
-/// Distance between the incarnations of two starts; leaves room for the refutations in between.
+/// The difference between the incarnations of two successive starts. Refutations between them raise the incarnation by
+/// less.
 const INCARNATION_STEP: u64 = 1_000;
 
-/// A change of state that a member observed.
+/// A change of a member's state that another member observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedChange {
-    /// True time, in milliseconds.
+    /// The true time of the change, in milliseconds.
     pub at: u64,
     /// The member that observed it.
     pub observer: usize,
     /// The member whose state changed.
     pub subject: MemberId,
-    /// The new state; `None` if the observer dropped the entry.
+    /// The new state; `None` if the observer removed the entry.
     pub state: Option<MemberState>,
 }
 
 impl ObservedChange {
-    /// The index of the member whose state changed; `None` for an id that is not of this fleet.
+    /// Returns the index of the member whose state changed; `None` for an id that is not of this fleet.
     pub(crate) fn subject_index(&self) -> Option<usize> {
         index_of_id(&self.subject)
     }
 }
 
-/// The fleet and its network.
+/// An emulated fleet and its network.
 pub struct Fleet {
     /// Its members, by index.
     pub nodes: Vec<Node>,
@@ -52,7 +53,7 @@
 }
 
 impl Fleet {
-    /// A fleet whose members all start now and join through member 0; zones are assigned in turn.
+    /// Creates a fleet whose members all start now and join through member 0. Zones are assigned in turn.
     pub fn new(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
         let mut fleet = Fleet::stopped(members, zones, settings, seed);
         for member in 0..members {
@@ -61,7 +62,7 @@
         fleet
     }
 
-    /// A fleet that has run for long: its members know each other from the start.
+    /// Creates a fleet that is established already: every member has all others in its view from the start.
     pub fn established(members: usize, zones: usize, settings: Settings, seed: u64) -> Fleet {
         let mut fleet = Fleet::stopped(members, zones, settings, seed);
         let known: Vec<(Member, u64)> = fleet
@@ -70,7 +71,7 @@
             .map(|node| (node.member.clone(), FIRST_INCARNATION))
             .collect();
         for member in 0..members {
-            fleet.start_knowing(member, &known);
+            fleet.start_with_known_members(member, &known);
         }
         for observer in 0..members {
             for subject in 0..members {
@@ -95,10 +96,10 @@
 
     /// Starts or restarts a member, with an incarnation above all its earlier ones.
     pub fn start(&mut self, member: usize) {
-        self.start_knowing(member, &[]);
+        self.start_with_known_members(member, &[]);
     }
 
-    fn start_knowing(&mut self, index: usize, known: &[(Member, u64)]) {
+    fn start_with_known_members(&mut self, index: usize, known: &[(Member, u64)]) {
         self.views.set_up(index, true);
         let node = &mut self.nodes[index];
         node.stops_at = None;
@@ -122,11 +123,11 @@
         self.views.set_up(member, false);
     }
 
-    /// Makes a member leave gracefully; its process ends [`DRAIN_MS`] later.
+    /// Makes a member leave gracefully. Its process ends `DRAIN_MS` later.
     pub fn leave(&mut self, member: usize) {
         self.handle(member, Event::Leave);
         self.nodes[member].stops_at = Some(self.now + DRAIN_MS);
-        // From now on its own view does not count.
+        // The view of a leaving member is no longer compared with the true state.
         self.views.set_up(member, false);
     }
 
@@ -211,8 +212,8 @@
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let receiver_delay_ms = self.nodes.get(to).map_or(0, |node| node.slow_ms);
-        let member_delay_ms = self.nodes[from].slow_ms + receiver_delay_ms;
+        let receiver_delay_ms = self.nodes.get(to).map_or(0, |node| node.extra_delay_ms);
+        let member_delay_ms = self.nodes[from].extra_delay_ms + receiver_delay_ms;
         self.network
             .send(self.now, (from, to), bytes, member_delay_ms, &mut self.rng);
     }
@@ -230,12 +231,13 @@
         self.changes.push(change);
     }
 
-    /// Whether every running member considers exactly the running members alive.
+    /// Returns whether every running member considers exactly the running members alive.
     pub fn has_converged(&self) -> bool {
         self.views.wrong() == 0
     }
 
-    /// Number of observed deaths of members that `was_running` names as running at that time.
+    /// Returns the number of observed deaths of members for which `was_running` returns true, given the member and the
+    /// time of the observation.
     pub fn false_deaths(&self, was_running: impl Fn(usize, u64) -> bool) -> usize {
         self.changes
             .iter()
--- a/crates/heathspur-emulator/src/lib.rs
+++ b/crates/heathspur-emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Emulator of a fleet: many instances of the daemon's membership state machine on a seeded, simulated network.
+//! Emulator of a fleet: many instances of the server's membership state machine on a simulated network.
 //!
-//! Time is emulated in milliseconds and advances by a fixed tick. Every random draw comes from one seed, so a
+//! Time is emulated in milliseconds and advances by a fixed tick. Every random draw is derived from one seed, so a
 //! run repeats exactly. The faults are loss, delay with jitter (which reorders datagrams), duplication,
 //! partitions, one-way cuts, paused and slow members, clocks that run fast or slow, and crashes followed by
 //! restarts with a higher incarnation.
--- a/crates/heathspur-emulator/src/network.rs
+++ b/crates/heathspur-emulator/src/network.rs
@@ -5,9 +5,9 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
 
-/// Size of the IPv4 and UDP headers of a datagram, in bytes.
+/// The size of the IPv4 and UDP headers of a datagram, in bytes.
 const HEADER_BYTES: u64 = 28;
-/// Shortest delay of a datagram, in milliseconds: nothing arrives at the instant it was sent.
+/// The minimum delay of a datagram, in milliseconds: no datagram arrives at the time at which it was sent.
 const MIN_DELAY_MS: u64 = 1;
 
 /// The network faults in force.
@@ -23,12 +23,12 @@
     pub duplicate: f64,
     /// The side of a partition that each member is on; empty without a partition.
     pub sides: Vec<u8>,
-    /// Links cut in one direction, as (sender, receiver).
+    /// The links that are cut in one direction, as (sender, receiver).
     pub cut: HashSet<(usize, usize)>,
 }
 
 impl NetworkFaults {
-    /// Whether partitions and cuts let a datagram through.
+    /// Returns whether the partition and the cuts allow a datagram from one member to another.
     pub fn is_reachable(&self, from: usize, to: usize) -> bool {
         if self.cut.contains(&(from, to)) {
             return false;
@@ -53,16 +53,16 @@
     }
 }
 
-/// Datagrams that a member has sent, lost ones included.
+/// The datagrams that a member has sent, including lost ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Number of datagrams.
+    /// The number of datagrams.
     pub datagrams: u64,
-    /// Bytes, including the IP and UDP headers.
+    /// The number of bytes, including the IP and UDP headers.
     pub bytes: u64,
 }
 
-/// A datagram on its way; ordered by delivery time, then by order of sending.
+/// A datagram in flight. Datagrams are ordered by delivery time, then by the order in which they were sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Datagram {
     pub(crate) deliver_at: u64,
@@ -82,7 +82,7 @@
 }
 
 impl Network {
-    /// A network of `members` members without faults.
+    /// Creates a network of `members` members without faults.
     pub(crate) fn new(members: usize) -> Network {
         Network {
             faults: NetworkFaults::default(),
@@ -92,14 +92,15 @@
         }
     }
 
-    /// What each member has sent, by index.
+    /// Returns the traffic that each member has sent, by index.
     pub fn traffic(&self) -> &[Traffic] {
         &self.traffic
     }
 
     /// Sends a datagram at time `now`. `member_delay_ms` is the delay that slow members add to the network's.
     ///
-    /// The order of the random draws (loss, duplication, jitter of each copy) is part of what a seed means.
+    /// The order of the random draws (loss, duplication, jitter of each copy) must not change, so that a seed keeps
+    /// producing the same run.
     pub(crate) fn send(
         &mut self,
         now: u64,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The next datagram due by `now`, taken off the network.
+    /// Removes and returns the next datagram that is due by `now`.
     pub(crate) fn next_due(&mut self, now: u64) -> Option<Datagram> {
         let Reverse(next) = self.in_flight.peek()?;
         if next.deliver_at > now {
@@ -141,7 +142,7 @@
         self.in_flight.pop().map(|Reverse(datagram)| datagram)
     }
 
-    /// Puts a datagram back, to be delivered at `deliver_at`.
+    /// Returns a datagram to the network, to be delivered at `deliver_at`.
     pub(crate) fn postpone(&mut self, datagram: Datagram, deliver_at: u64) {
         self.in_flight.push(Reverse(Datagram {
             deliver_at,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Draws whether an event of the given probability happens; an impossible event takes no draw.
+/// Draws whether an event of the given probability happens. An impossible event uses no random draw.
 fn happens(probability: f64, rng: &mut StdRng) -> bool {
     probability > 0.0 && rng.random::<f64>() < probability
 }
--- a/crates/heathspur-emulator/src/node.rs
+++ b/crates/heathspur-emulator/src/node.rs
@@ -3,34 +3,34 @@
 use heathspur_members::{Load, Member, MemberId, Membership};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// UDP port of every member.
+/// The UDP port of every member.
 const PORT: u16 = 7946;
-/// Incarnation of every member's first start.
+/// The incarnation of every member at its first start.
 pub(crate) const FIRST_INCARNATION: u64 = 1;
-/// Regions of the fleet; zones are assigned to them in turn.
+/// The number of regions of the fleet. Zones are assigned to them in turn.
 const REGIONS: usize = 2;
 
 /// One member of the emulated fleet.
 pub struct Node {
     /// Its membership state machine; `None` while the process is down.
     pub membership: Option<Membership>,
-    /// Its member record.
+    /// The record that it publishes about itself.
     pub member: Member,
-    /// Until this time it neither receives nor sends, in milliseconds.
+    /// The time until which its process is paused and neither receives nor sends, in milliseconds.
     pub paused_until: u64,
-    /// Extra delay of every datagram it sends or receives, in milliseconds.
-    pub slow_ms: u64,
-    /// Rate of its clock relative to true time (1.0: exact).
+    /// The extra delay of every datagram that it sends or receives, in milliseconds.
+    pub extra_delay_ms: u64,
+    /// The rate of its clock relative to true time; 1.0 is exact.
     pub clock_rate: f64,
-    /// When its process ends after a graceful leave.
+    /// The time at which its process ends after a graceful leave.
     pub(crate) stops_at: Option<u64>,
     clock_ms: f64,
-    /// Incarnation of its next start.
+    /// The incarnation at its next start.
     pub(crate) next_incarnation: u64,
 }
 
 impl Node {
-    /// A member that is down, in one of `zones` zones.
+    /// Creates a member that is down, in one of `zones` zones.
     pub(crate) fn new(index: usize, zones: usize) -> Node {
         let zone = index % zones.max(1);
         Node {
@@ -48,7 +48,7 @@
                 preferred_tenths: 10,
             },
             paused_until: 0,
-            slow_ms: 0,
+            extra_delay_ms: 0,
             clock_rate: 1.0,
             stops_at: None,
             clock_ms: 0.0,
@@ -56,24 +56,24 @@
         }
     }
 
-    /// The reading of its clock, in milliseconds.
+    /// Returns the time of its clock, in milliseconds.
     pub(crate) fn clock(&self) -> u64 {
         self.clock_ms as u64
     }
 
-    /// Moves its clock on by `true_ms` of true time.
+    /// Advances its clock by `true_ms` of true time.
     pub(crate) fn advance_clock(&mut self, true_ms: u64) {
         self.clock_ms += true_ms as f64 * self.clock_rate;
     }
 }
 
-/// The address of the member with this index.
+/// Returns the address of the member with this index.
 pub(crate) fn address_of(index: usize) -> SocketAddrV4 {
     let ip = Ipv4Addr::new(10, (index >> 16) as u8, (index >> 8) as u8, index as u8);
     SocketAddrV4::new(ip, PORT)
 }
 
-/// The index of the member at this address.
+/// Returns the index of the member at this address.
 pub(crate) fn index_of_address(address: SocketAddrV4) -> usize {
     let [_, high, middle, low] = address.ip().octets().map(usize::from);
     (high << 16) | (middle << 8) | low
@@ -83,7 +83,7 @@
     MemberId(format!("m{index}"))
 }
 
-/// The index of the member with this id; `None` for an id that is not of this fleet.
+/// Returns the index of the member with this id; `None` for an id that is not of this fleet.
 pub(crate) fn index_of_id(id: &MemberId) -> Option<usize> {
     id.0.strip_prefix('m')?.parse().ok()
 }
--- a/crates/heathspur-emulator/src/outcome.rs
+++ b/crates/heathspur-emulator/src/outcome.rs
@@ -1,26 +1,26 @@
-//! The results of an experiment. The names of its serialised fields are those of `report.json`.
+//! The results of an experiment. The serialized field names are those of `report.json`.
 
 use crate::plan::FaultKind;
 use serde::Serialize;
 
-/// How the fleet noticed one fault, or recovered from it. All times count from the fault, in milliseconds, and
-/// are `None` if the event did not happen before the run ended.
+/// How the fleet detected one fault, or recovered from it. All times are in milliseconds since the fault, and are
+/// `None` if the event did not happen before the run ended.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FaultOutcome {
-    /// Index of the fault in the plan; beyond its end for the initial join of all members.
+    /// The index of the fault in the plan; `usize::MAX` for the initial join of all members.
     pub fault: usize,
-    /// Kind of the fault.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Time until the first member suspected the stopped one.
+    /// The time until the first other member suspected the stopped one.
     #[serde(rename = "noticed_ms")]
     pub suspected_ms: Option<u64>,
-    /// Time until the first member considered it gone.
+    /// The time until the first other member considered the stopped one dead or left.
     pub first_ms: Option<u64>,
-    /// Time until 99% of the others did.
+    /// The time until 99% of the other members considered it dead or left.
     pub most_ms: Option<u64>,
-    /// Time until all others did.
+    /// The time until all other members considered it dead or left.
     pub all_ms: Option<u64>,
-    /// Time until the views of all running members were correct.
+    /// The time until the views of all running members were correct.
     #[serde(rename = "settled_ms")]
     pub converged_ms: Option<u64>,
 }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether the fault stopped a member, so that the others had to detect it.
+    /// Returns whether the fault stopped a member, which the others had to detect.
     pub fn stops_member(&self) -> bool {
         matches!(self.kind, FaultKind::Crash | FaultKind::Leave)
     }
@@ -49,33 +49,33 @@
 pub struct Run {
     /// The seed of the run.
     pub seed: u64,
-    /// Outcomes of the initial join, crashes, restarts, leaves and heals, in order of time.
+    /// The outcomes of the initial join, crashes, restarts, leaves and heals, in order of time.
     #[serde(rename = "courses")]
     pub outcomes: Vec<FaultOutcome>,
-    /// How often a member declared a running, reachable one dead.
+    /// The number of times that a member declared a running, reachable one dead.
     pub false_deaths: u64,
-    /// Total running time of all members, in hours.
+    /// The total running time of all members, in hours.
     pub member_hours: f64,
-    /// Datagrams that a member sent per second, on average.
+    /// The datagrams that a member sent per second, on average.
     #[serde(rename = "datagrams")]
     pub datagrams_per_second: f64,
-    /// Bytes that a member sent per second, on average, including the IP and UDP headers.
+    /// The bytes that a member sent per second, on average, including the IP and UDP headers.
     #[serde(rename = "bytes")]
     pub bytes_per_second: f64,
-    /// Bytes per second sent by the busiest member.
+    /// The bytes per second that the busiest member sent.
     #[serde(rename = "most_bytes")]
     pub max_bytes_per_second: f64,
     /// Views and traffic, once per second.
     pub samples: Vec<ViewSample>,
 }
 
-/// Views and traffic in one second of a run; serialised as a pair.
+/// Views and traffic in one second of a run, serialized as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct ViewSample {
-    /// Share of the entries in the views of running members that are wrong, 0 to 1.
+    /// The share of wrong entries in the views of running members, 0 to 1.
     pub wrong_share: f64,
-    /// Bytes sent per running member.
+    /// The bytes sent per running member.
     pub bytes_per_member: f64,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// The value at a quantile (0 to 1) of measured times, where `None` counts as infinite. Returns `None` if that
+/// Returns the value at a quantile (0 to 1) of measured times, where `None` counts as infinite. Returns `None` if the
 /// value is infinite or there are no times.
 pub fn quantile(times: impl Iterator<Item = Option<u64>>, quantile: f64) -> Option<u64> {
     let mut sorted: Vec<u64> = times.map(|time| time.unwrap_or(u64::MAX)).collect();
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of an experiment: a fleet, its settings, timed faults and seeds, read from an XML file with a schema.
+//! The plan of an experiment: a fleet, its settings, timed faults and seeds. It is read from an XML file with a schema.
 
 use crate::validation::check_plan;
 use heathspur_config::units::Span;
@@ -18,34 +18,35 @@
 pub struct Plan {
     #[serde(rename = "@xmlns", default)]
     xmlns: String,
-    /// Members of the fleet; 2 to 2,000.
+    /// The number of members of the fleet; 2 to 2,000.
     #[serde(rename = "@members")]
     pub members: usize,
-    /// Number of zones, assigned to members in turn; 1 to 100.
+    /// The number of zones, which are assigned to members in turn; 1 to 100.
     #[serde(rename = "@zones", default = "default::zones")]
     pub zones: usize,
-    /// Number of runs, each with its own seed; 1 to 1,000.
+    /// The number of runs, each with its own seed; 1 to 1,000.
     #[serde(rename = "@seeds", default = "default::seeds")]
     pub seeds: u64,
     /// The first seed.
     #[serde(rename = "@first-seed", default = "default::first_seed")]
     pub first_seed: u64,
-    /// Emulated duration of each run; up to 24 h.
+    /// The emulated duration of each run; up to 24 h.
     #[serde(rename = "@duration")]
     pub duration: Span,
-    /// Whether the members know each other at the start; otherwise all join through the first at once.
+    /// Whether every member has all others in its view at the start. Otherwise all join through the first one at once.
     #[serde(rename = "@standing", default = "default::standing")]
     pub standing: bool,
-    /// Probe period; 50 ms to 60 s.
+    /// The protocol period; 50 ms to 60 s.
     #[serde(rename = "@period", default = "default::period")]
     pub period: Span,
-    /// Time a direct probe may take before indirect probes are sent; under the period.
+    /// How long a direct probe waits for its ack before indirect probes start; shorter than the protocol period.
     #[serde(rename = "@probe-timeout", default = "default::probe_timeout")]
     pub probe_timeout: Span,
-    /// Suspicion multiplier: the minimum suspicion timeout is this many periods times log10 of the members; 1 to 20.
+    /// The suspicion multiplier: the minimum suspicion timeout is this many protocol periods times log10 of the number
+    /// of members (at least 1); 1 to 20.
     #[serde(rename = "@suspicion", default = "default::suspicion")]
     pub suspicion: u64,
-    /// Whether the Lifeguard extensions of SWIM are on; off only for comparison.
+    /// Whether the Lifeguard extensions of SWIM are on. They are switched off only for comparison.
     #[serde(rename = "@lifeguard", default = "default::lifeguard")]
     pub lifeguard: bool,
     /// The faults, in order of time.
@@ -57,10 +58,10 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it happens, from the start of the run.
+    /// When the fault happens, from the start of the run.
     #[serde(rename = "@at")]
     pub at: Span,
-    /// What happens.
+    /// The kind of the fault.
     #[serde(rename = "@kind")]
     pub kind: FaultKind,
     /// The member concerned; for a partition, the number of members on its first side.
@@ -69,21 +70,21 @@
     /// The receiving member of a cut.
     #[serde(rename = "@other", default)]
     pub other: Option<usize>,
-    /// Share of all datagrams, 0 to 1.
+    /// The share of all datagrams that is affected, 0 to 1.
     #[serde(rename = "@share", default)]
     pub share: Option<f64>,
-    /// Duration of a pause, or the delay of a slow member or of the network.
+    /// The duration of a pause, or the delay of a slow member or of the network.
     #[serde(rename = "@span", default)]
     pub span: Option<Span>,
-    /// Maximum extra delay of the network, drawn uniformly for each datagram, which reorders them.
+    /// The maximum extra delay of the network, drawn uniformly for each datagram, which reorders them.
     #[serde(rename = "@jitter", default)]
     pub jitter: Option<Span>,
-    /// Rate of a clock relative to true time, 0.5 to 2.
+    /// The rate of a clock relative to true time, 0.5 to 2.
     #[serde(rename = "@rate", default)]
     pub rate: Option<f64>,
 }
 
-/// Kinds of faults.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultKind {
@@ -113,12 +114,12 @@
     Delay,
 }
 
-/// Gossip rounds in one probe period.
+/// The number of gossip rounds in one protocol period.
 const GOSSIP_ROUNDS_PER_PERIOD: u64 = 5;
-/// Shortest gossip interval, in milliseconds.
-const MIN_GOSSIP_MS: u64 = 10;
+/// The minimum gossip interval, in milliseconds.
+const MIN_GOSSIP_INTERVAL_MS: u64 = 10;
 
-/// Defaults of the attributes, as the schema has them.
+/// The defaults of the attributes, which are the same in the schema.
 mod default {
     use heathspur_config::units::Span;
     use std::time::Duration;
@@ -160,7 +161,7 @@
     /// Reads and checks a plan file.
     ///
     /// # Errors
-    /// Returns the first mistake, with file, line and element.
+    /// Returns the first error of the file, with file, line and element.
     pub fn read(file: &Path) -> Result<Plan, Error> {
         Plan::parse(&heathspur_config::read_text(file, "experiment")?, file)
     }
@@ -168,25 +169,25 @@
     /// Parses and checks the text of a plan file; errors name `file`.
     ///
     /// # Errors
-    /// Returns the first mistake, with file, line and element.
+    /// Returns the first error of the file, with file, line and element.
     pub fn parse(text: &str, file: &Path) -> Result<Plan, Error> {
         heathspur_config::parse(text, file, "experiment", check_plan)
     }
 
-    /// The members' settings; those that the plan does not set keep their defaults.
+    /// Returns the members' settings. Those that the plan does not set have their defaults.
     pub fn settings(&self) -> Settings {
         let period_ms = self.period.0.as_millis() as u64;
         Settings {
             protocol_period_ms: period_ms,
             probe_timeout_ms: self.probe_timeout.0.as_millis() as u64,
-            gossip_interval_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_MS),
+            gossip_interval_ms: (period_ms / GOSSIP_ROUNDS_PER_PERIOD).max(MIN_GOSSIP_INTERVAL_MS),
             suspicion_multiplier: self.suspicion,
             lifeguard: self.lifeguard,
             ..Settings::default()
         }
     }
 
-    /// The namespace that the file declares.
+    /// Returns the namespace that the file declares.
     pub(crate) fn namespace(&self) -> &str {
         &self.xmlns
     }
--- a/crates/heathspur-emulator/src/validation.rs
+++ b/crates/heathspur-emulator/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks what the types of an experiment's plan can't express.
+//! Checks of an experiment's plan that its types can't express.
 
 use crate::plan::{Fault, FaultKind, Plan, NAMESPACE};
 use heathspur_config::InvalidValue;
@@ -12,13 +12,13 @@
 const SHARE: RangeInclusive<f64> = 0.0..=1.0;
 const CLOCK_RATE: RangeInclusive<f64> = 0.5..=2.0;
 
-/// Checks a whole plan and returns the first mistake.
+/// Checks a plan and returns its first error.
 pub(crate) fn check_plan(plan: &Plan) -> Result<(), InvalidValue> {
     check_namespace(plan)?;
     check_ranges(plan)?;
     check_settings(plan)?;
     if plan.faults.len() > MAX_FAULTS {
-        return Err(InvalidValue::new("", "1000 faults at most are expected"));
+        return Err(InvalidValue::new("", "at most 1000 faults are expected"));
     }
     for (index, fault) in plan.faults.iter().enumerate() {
         check_fault(fault, plan).map_err(|error| InvalidValue {
@@ -27,7 +27,10 @@
         })?;
         if index > 0 && plan.faults[index - 1].at.0 > fault.at.0 {
             let path = format!("fault[{index}].@at");
-            return Err(InvalidValue::new(path, "the order of times is expected"));
+            return Err(InvalidValue::new(
+                path,
+                "a time not before that of the previous fault is expected",
+            ));
         }
     }
     Ok(())
@@ -58,7 +61,7 @@
     Ok(())
 }
 
-/// Checks the members' settings by their own rules.
+/// Checks the bounds of the members' settings.
 fn check_settings(plan: &Plan) -> Result<(), InvalidValue> {
     plan.settings()
         .check()
@@ -81,7 +84,7 @@
         return Err(InvalidValue::new("@rate", "0.5 to 2 is expected"));
     }
     if fault.at.0 >= plan.duration.0 {
-        let reason = "a time before the play's end is expected";
+        let reason = "a time before the end of the run is expected";
         return Err(InvalidValue::new("@at", reason));
     }
     Ok(())
--- a/crates/heathspur-emulator/src/views.rs
+++ b/crates/heathspur-emulator/src/views.rs
@@ -1,25 +1,25 @@
 //! The membership view of every member, compared with the true state of the fleet.
 //!
-//! The number of wrong entries is updated with each change, so that a large fleet need not be scanned in
+//! The number of wrong entries is updated with each change, so that the views of a large fleet need not be scanned in
 //! every step.
 
 use heathspur_members::MemberState;
 
-/// What one member believes of another.
+/// The state of a member in another member's view.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Belief {
+enum ObservedState {
     /// Dead, left or unknown.
     Gone,
     Alive,
     Suspect,
 }
 
-/// How far the news of a member's end has spread.
+/// The number of members that have detected that a member stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureDetection {
-    /// Running members that consider it gone.
-    pub aware: usize,
-    /// Running members other than it.
+    /// The number of running members that consider it dead or left, or don't have it in their view.
+    pub detected_by: usize,
+    /// The number of running members other than it.
     pub observers: usize,
 }
 
@@ -27,84 +27,84 @@
 pub struct MembershipViews {
     members: usize,
     up: Vec<bool>,
-    /// The belief of each observer (row) about each subject (column).
-    beliefs: Vec<Belief>,
+    /// The state of each subject (column) in the view of each observer (row).
+    observed_states: Vec<ObservedState>,
     wrong: usize,
 }
 
 impl MembershipViews {
-    /// Views of a fleet in which no member runs and no member knows another.
+    /// Creates the views of a fleet in which no member runs and all views are empty.
     pub fn new(members: usize) -> MembershipViews {
         MembershipViews {
             members,
             up: vec![false; members],
-            beliefs: vec![Belief::Gone; members * members],
+            observed_states: vec![ObservedState::Gone; members * members],
             wrong: 0,
         }
     }
 
-    /// Records the state that `observer` now has for `subject`; `None` if it dropped the entry.
+    /// Records the new state of `subject` in the view of `observer`; `None` if the observer removed the entry.
     pub fn record(&mut self, observer: usize, subject: usize, state: Option<MemberState>) {
         self.wrong -= usize::from(self.is_wrong(observer, subject));
-        self.beliefs[observer * self.members + subject] = match state {
-            Some(MemberState::Alive) => Belief::Alive,
-            Some(MemberState::Suspect) => Belief::Suspect,
-            Some(MemberState::Dead | MemberState::Left) | None => Belief::Gone,
+        self.observed_states[observer * self.members + subject] = match state {
+            Some(MemberState::Alive) => ObservedState::Alive,
+            Some(MemberState::Suspect) => ObservedState::Suspect,
+            Some(MemberState::Dead | MemberState::Left) | None => ObservedState::Gone,
         };
         self.wrong += usize::from(self.is_wrong(observer, subject));
     }
 
-    /// Records that a member starts or stops; its own view is empty afterwards.
+    /// Records that a member starts or stops, and clears its view.
     pub fn set_up(&mut self, member: usize, up: bool) {
         self.wrong -= self.wrong_pairs_with(member);
         let row = member * self.members;
-        self.beliefs[row..row + self.members].fill(Belief::Gone);
+        self.observed_states[row..row + self.members].fill(ObservedState::Gone);
         self.up[member] = up;
         self.wrong += self.wrong_pairs_with(member);
     }
 
-    /// Whether a member is up.
+    /// Returns whether a member is running.
     pub fn is_up(&self, member: usize) -> bool {
         self.up[member]
     }
 
-    /// Number of members that are up.
+    /// Returns the number of running members.
     pub fn up_count(&self) -> usize {
         self.up.iter().filter(|up| **up).count()
     }
 
-    /// Number of wrong entries in the views of running members; zero if the views have converged.
+    /// Returns the number of wrong entries in the views of running members; zero if the views have converged.
     pub fn wrong(&self) -> usize {
         self.wrong
     }
 
-    /// Wrong entries as a share of all entries in the views of running members, 0 to 1.
+    /// Returns the share of wrong entries in the views of running members, 0 to 1.
     pub fn wrong_share(&self) -> f64 {
         let entries = self.up_count() * (self.members - 1);
         self.wrong as f64 / entries.max(1) as f64
     }
 
-    /// How many running members consider `subject` gone.
+    /// Returns how many running members have detected that `subject` stopped.
     pub fn failure_detection(&self, subject: usize) -> FailureDetection {
         let observers = self.observers_of(subject);
-        let aware = observers
+        let detected_by = observers
             .clone()
-            .filter(|&observer| self.belief(observer, subject) == Belief::Gone)
+            .filter(|&observer| self.observed_state(observer, subject) == ObservedState::Gone)
             .count();
         FailureDetection {
-            aware,
+            detected_by,
             observers: observers.count(),
         }
     }
 
-    /// Whether any running member suspects `subject` or considers it gone.
+    /// Returns whether any running member suspects `subject` or has detected that it stopped.
     pub fn is_suspected(&self, subject: usize) -> bool {
         self.observers_of(subject)
-            .any(|observer| self.belief(observer, subject) != Belief::Alive)
+            .any(|observer| self.observed_state(observer, subject) != ObservedState::Alive)
     }
 
-    fn belief(&self, observer: usize, subject: usize) -> Belief {
-        self.beliefs[observer * self.members + subject]
+    fn observed_state(&self, observer: usize, subject: usize) -> ObservedState {
+        self.observed_states[observer * self.members + subject]
     }
 
     fn observers_of(&self, subject: usize) -> impl Iterator<Item = usize> + Clone + '_ {
@@ -120,16 +120,16 @@
             .sum()
     }
 
-    /// A running member must be alive in the view, a stopped one gone.
+    /// Returns whether an entry is wrong. In a correct view, running members are alive and stopped ones are gone.
     fn is_wrong(&self, observer: usize, subject: usize) -> bool {
         if observer == subject || !self.up[observer] {
             return false;
         }
         let correct = if self.up[subject] {
-            Belief::Alive
+            ObservedState::Alive
         } else {
-            Belief::Gone
+            ObservedState::Gone
         };
-        self.belief(observer, subject) != correct
+        self.observed_state(observer, subject) != correct
     }
 }
--- a/crates/heathspur-emulator/tests/members.rs
+++ b/crates/heathspur-emulator/tests/members.rs
@@ -3,11 +3,11 @@
 use heathspur_emulator::Fleet;
 use heathspur_members::{MemberState, Settings};
 
-fn fleet(members: usize, seed: u64) -> Fleet {
+fn new_fleet(members: usize, seed: u64) -> Fleet {
     Fleet::new(members, 3, Settings::default(), seed)
 }
 
-/// A fleet whose membership views have converged.
+/// Returns a fleet whose membership views have converged.
 fn converged_fleet(members: usize, seed: u64, settings: Settings) -> Fleet {
     let mut fleet = Fleet::new(members, 3, settings, seed);
     assert!(
@@ -17,7 +17,7 @@
     fleet
 }
 
-/// Deaths observed up to `span_ms` after `fault` was injected.
+/// Returns the number of deaths observed up to `span_ms` after `fault` was injected.
 fn deaths_under(fleet: &mut Fleet, span_ms: u64, fault: impl FnOnce(&mut Fleet)) -> usize {
     fault(fleet);
     let at = fleet.now;
@@ -25,14 +25,14 @@
     fleet.false_deaths(|_, _| true)
 }
 
-/// Deaths observed with a member slow by 500 ms each way and 20% loss. In plain SWIM the slow member accuses
-/// healthy ones.
+/// Returns the number of deaths observed with 20% loss and one member that is slow by 500 ms in each direction. In
+/// plain SWIM the slow member accuses healthy ones.
 fn deaths_with_slow_member(settings: Settings) -> usize {
     let deaths = |seed| {
         let mut fleet = converged_fleet(20, seed, settings.clone());
-        deaths_under(&mut fleet, 120_000, |f| {
-            f.network.faults.loss = 0.20;
-            f.nodes[5].slow_ms = 500;
+        deaths_under(&mut fleet, 120_000, |fleet| {
+            fleet.network.faults.loss = 0.20;
+            fleet.nodes[5].extra_delay_ms = 500;
         })
     };
     (4..8).map(deaths).sum()
@@ -40,7 +40,7 @@
 
 #[test]
 fn fifty_members_join_through_one_seed() {
-    let mut fleet = fleet(50, 1);
+    let mut fleet = new_fleet(50, 1);
     assert!(
         fleet.run_until_condition(30_000, Fleet::has_converged),
         "the views did not converge within 30 s"
@@ -50,7 +50,7 @@
 
 #[test]
 fn crash_is_detected_by_all_and_restart_rejoins_with_higher_incarnation() {
-    let mut fleet = fleet(30, 2);
+    let mut fleet = new_fleet(30, 2);
     assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     let before = fleet.nodes[7]
         .membership
@@ -61,7 +61,10 @@
     fleet.crash(7);
     let observers = fleet.views.failure_detection(7).observers;
     assert!(
-        fleet.run_until_condition(at + 15_000, |f| f.views.failure_detection(7).aware
+        fleet.run_until_condition(at + 15_000, |fleet| fleet
+            .views
+            .failure_detection(7)
+            .detected_by
             == observers),
         "not all members detected the crash within 15 s"
     );
@@ -82,29 +85,29 @@
 }
 
 #[test]
-fn views_converge_after_a_partition_heals() {
-    let mut fleet = fleet(20, 3);
+fn views_converge_after_partition_heals() {
+    let mut fleet = new_fleet(20, 3);
     assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     fleet.network.faults.partition(20, 8);
     let at = fleet.now;
     fleet.run_until(at + 25_000);
-    // Each half considers the other dead by now.
-    assert!(fleet.views.failure_detection(0).aware >= 11);
+    // Each side considers the other one dead by now.
+    assert!(fleet.views.failure_detection(0).detected_by >= 11);
     fleet.network.faults.heal();
     let at = fleet.now;
     assert!(
         fleet.run_until_condition(at + 60_000, Fleet::has_converged),
-        "the halves did not merge within 60 s"
+        "the two sides did not merge within 60 s"
     );
 }
 
 #[test]
-fn lifeguard_prevents_false_deaths_with_a_slow_member() {
+fn lifeguard_prevents_false_deaths_with_slow_member() {
     assert_eq!(deaths_with_slow_member(Settings::default()), 0);
 }
 
 #[test]
-fn plain_swim_has_false_deaths_with_a_slow_member() {
+fn plain_swim_has_false_deaths_with_slow_member() {
     assert!(
         deaths_with_slow_member(Settings {
             lifeguard: false,
@@ -117,8 +120,8 @@
 fn pause_of_three_seconds_is_refuted_in_time() {
     let mut fleet = converged_fleet(12, 5, Settings::default());
     assert_eq!(
-        deaths_under(&mut fleet, 20_000, |f| f.nodes[4].paused_until =
-            f.now + 3_000),
+        deaths_under(&mut fleet, 20_000, |fleet| fleet.nodes[4].paused_until =
+            fleet.now + 3_000),
         0
     );
     assert!(fleet.has_converged());
@@ -127,27 +130,28 @@
 #[test]
 fn loss_of_twenty_percent_causes_no_false_deaths() {
     let mut fleet = converged_fleet(15, 6, Settings::default());
-    let faults = |f: &mut Fleet| {
-        f.network.faults.loss = 0.20;
-        f.network.faults.duplicate = 0.05;
-        f.network.faults.jitter_ms = 30;
+    let faults = |fleet: &mut Fleet| {
+        fleet.network.faults.loss = 0.20;
+        fleet.network.faults.duplicate = 0.05;
+        fleet.network.faults.jitter_ms = 30;
     };
     assert_eq!(deaths_under(&mut fleet, 60_000, faults), 0);
 }
 
 #[test]
 fn graceful_leave_is_not_observed_as_death() {
-    let mut fleet = fleet(10, 7);
+    let mut fleet = new_fleet(10, 7);
     assert!(fleet.run_until_condition(30_000, Fleet::has_converged));
     fleet.leave(2);
     let at = fleet.now;
     fleet.run_until(at + 2_000);
     fleet.crash(2);
     let observers = fleet.views.failure_detection(2).observers;
-    assert!(
-        fleet.run_until_condition(at + 10_000, |f| f.views.failure_detection(2).aware
-            == observers)
-    );
+    assert!(fleet.run_until_condition(at + 10_000, |fleet| fleet
+        .views
+        .failure_detection(2)
+        .detected_by
+        == observers));
     assert!(fleet
         .changes
         .iter()
@@ -156,7 +160,7 @@
 }
 
 #[test]
-fn partition_longer_than_dead_entries_are_kept_heals_through_the_seeds() {
+fn partition_longer_than_dead_retention_heals_through_seeds() {
     let settings = Settings {
         dead_retention_ms: 30_000,
         ..Settings::default()
@@ -165,7 +169,7 @@
     fleet.network.faults.partition(12, 5);
     let at = fleet.now;
     fleet.run_until(at + 120_000);
-    // Each half has dropped its entries of the other.
+    // Each side has removed its entries of the other one.
     assert!(fleet.nodes[0]
         .membership
         .as_ref()
@@ -181,6 +185,6 @@
     fleet.network.faults.heal();
     assert!(
         fleet.run_until_condition(at + 240_000, Fleet::has_converged),
-        "the halves did not merge within 120 s"
+        "the two sides did not merge within 120 s"
     );
 }
--- a/crates/heathspur-emulator/tests/plan.rs
+++ b/crates/heathspur-emulator/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of experiments: the examples match the schema, errors name their place, and runs repeat exactly.
+//! Plans of experiments: the examples match the schema, errors contain their location, and runs repeat exactly.
 
 use heathspur_emulator::experiment::{run, run_seed};
 use heathspur_emulator::plan::{FaultKind, Plan, SCHEMA};
@@ -40,46 +40,46 @@
 }
 
 #[test]
-fn errors_name_line_and_place() {
-    let long = "duration=\"9 s\"";
-    for (attributes, faults, line, place) in [
+fn errors_contain_line_and_location() {
+    let valid = "duration=\"9 s\"";
+    for (attributes, faults, line, location) in [
         ("duration=\"9 s\" seeds=\"0\"", "", 1, "@seeds"),
         ("duration=\"9\"", "", 1, "@duration"),
         ("duration=\"9 s\" period=\"5 ms\"", "", 1, "@period"),
         (
-            long,
+            valid,
             "<fault at=\"1 s\" kind=\"crash\"/>",
             2,
             "fault: member is expected",
         ),
         (
-            long,
+            valid,
             "<fault at=\"1 s\" kind=\"crash\" member=\"5\"/>",
             2,
             "fault@member",
         ),
         (
-            long,
+            valid,
             "<fault at=\"1 s\" kind=\"loss\" share=\"1.5\"/>",
             2,
             "fault@share",
         ),
         (
-            long,
+            valid,
             "<fault at=\"1 s\" kind=\"heal\" span=\"1 s\"/>",
             2,
             "fault@span",
         ),
-        (long, "<fault at=\"12 s\" kind=\"heal\"/>", 2, "fault@at"),
+        (valid, "<fault at=\"12 s\" kind=\"heal\"/>", 2, "fault@at"),
         (
-            long,
+            valid,
             "<fault at=\"2 s\" kind=\"heal\"/>\n<fault at=\"1 s\" kind=\"heal\"/>",
             3,
             "fault@at",
         ),
-        (long, "<fault at=\"1 s\" kind=\"quake\"/>", 2, "fault"),
+        (valid, "<fault at=\"1 s\" kind=\"quake\"/>", 2, "fault"),
         (
-            long,
+            valid,
             "<fault at=\"1 s\" kind=\"heal\" colour=\"red\"/>",
             2,
             "fault",
@@ -89,23 +89,24 @@
             .unwrap_err()
             .to_string();
         assert!(
-            message.starts_with(&format!("x.xml:{line}:")) && message.contains(place),
+            message.starts_with(&format!("x.xml:{line}:")) && message.contains(location),
             "{faults}: {message}"
         );
     }
 }
 
-fn rough() -> Plan {
+/// Returns the example plan with an unreliable network.
+fn rough_network_plan() -> Plan {
     let file = examples()
         .into_iter()
-        .find(|f| f.ends_with("rough.xml"))
+        .find(|file| file.ends_with("rough.xml"))
         .unwrap();
     Plan::read(&file).unwrap()
 }
 
 #[test]
 fn runs_repeat_exactly_and_seeds_differ() {
-    let plan = rough();
+    let plan = rough_network_plan();
     let first = run_seed(&plan, 3);
     assert_eq!(first, run_seed(&plan, 3));
     assert_ne!(first.samples, run_seed(&plan, 4).samples);
@@ -113,7 +114,7 @@
 
 #[test]
 fn rough_network_causes_no_false_deaths_and_views_converge() {
-    let runs = run(&rough());
+    let runs = run(&rough_network_plan());
     assert_eq!(runs.len(), 8);
     for Run {
         seed,
