--- a/crates/heathspurd/src/peers/connection.rs
+++ b/crates/heathspurd/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! What all peer connections share: the peer's address, connecting within a time limit, and a buffer of unread bytes.
+//! Common parts of all peer connections: the peer's address, connecting with a timeout, and the read buffer.
 
 use crate::clock::within;
 use crate::notify::Notify;
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Initial size of a read buffer, in bytes. It doubles whenever a message does not fit.
+/// Initial size of a read buffer, in bytes. The buffer doubles whenever a message does not fit.
 const INITIAL_BUFFER_BYTES: usize = 16 * 1024;
 
-/// A peer's address, which a new configuration may change.
+/// The address of a peer. It changes when a new configuration is loaded.
 pub(crate) struct PeerAddress {
     address: Cell<SocketAddr>,
     change: Notify,
@@ -30,44 +30,49 @@
         }
     }
 
+    /// Returns the current address.
     pub fn get(&self) -> SocketAddr {
         self.address.get()
     }
 
+    /// Sets the address and wakes the task that waits for a change.
     pub fn set(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.change.notify();
         }
     }
 
-    /// Waits until the address differs from `from`. Only one task may wait for each peer.
-    pub async fn changed(&self, from: SocketAddr) {
-        while self.address.get() == from {
+    /// Waits until the address differs from `current`. At most one task may wait at a time.
+    pub async fn changed(&self, current: SocketAddr) {
+        while self.address.get() == current {
             self.change.notified().await;
         }
     }
 }
 
-/// Whether the connection is open and has no unread bytes.
+/// Returns whether the connection is open and has no unread bytes.
 pub(crate) fn is_idle(stream: &Stream) -> bool {
     matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Connects within `limit`; the connection is recorded where peer traffic is.
+/// Connects to a peer, or fails with [`io::ErrorKind::TimedOut`] after `timeout`. With a recorder, the traffic is
+/// recorded as the given leg if the recording includes peer connections.
 pub(crate) async fn connect(
     address: SocketAddr,
-    limit: Duration,
-    recorded: Option<(&Rc<RecorderHandle>, Leg)>,
+    timeout: Duration,
+    recorder: Option<(&Rc<RecorderHandle>, Leg)>,
 ) -> io::Result<Stream> {
-    let stream = within(limit, Async::<TcpStream>::connect(address)).await?;
+    let stream = within(timeout, Async::<TcpStream>::connect(address)).await?;
     stream.get_ref().set_nodelay(true)?;
-    Ok(Stream::made(stream, recorded))
+    Ok(Stream::outgoing(stream, recorder))
 }
 
-/// Bytes that were received and not consumed yet.
+/// A buffer of received bytes that have not been consumed yet.
 pub(crate) struct ReadBuffer {
     buffer: Vec<u8>,
+    /// Number of bytes in `buffer` that were received.
     filled: usize,
+    /// Number of received bytes that were consumed.
     consumed: usize,
 }
 
@@ -80,22 +85,22 @@
         }
     }
 
-    /// Receives more bytes; the end of the stream is an error.
+    /// Receives more bytes. Fails with [`io::ErrorKind::UnexpectedEof`] at the end of the stream.
     pub async fn fill(&mut self, mut stream: &Stream) -> io::Result<()> {
-        self.make_room();
+        self.reserve_space();
         let count = stream.read(&mut self.buffer[self.filled..]).await?;
         if count == 0 {
             return Err(io::Error::new(
                 io::ErrorKind::UnexpectedEof,
-                "closed by the other side",
+                "the peer closed the connection",
             ));
         }
         self.filled += count;
         Ok(())
     }
 
-    /// Moves the unread bytes to the front, and grows the buffer where they fill it.
-    fn make_room(&mut self) {
+    /// Moves the unconsumed bytes to the front of the buffer, and doubles the buffer if they fill it.
+    fn reserve_space(&mut self) {
         self.buffer.copy_within(self.consumed..self.filled, 0);
         self.filled -= self.consumed;
         self.consumed = 0;
@@ -104,7 +109,7 @@
         }
     }
 
-    /// Receives bytes until `parse` finds a message at the front of the unread ones.
+    /// Receives bytes until `parse` finds a message at the start of the unconsumed bytes. The message is not consumed.
     pub async fn read_message<T, E>(
         &mut self,
         stream: &Stream,
@@ -121,10 +126,12 @@
         }
     }
 
+    /// Returns the unconsumed bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.buffer[self.consumed..self.filled]
     }
 
+    /// Discards the first `count` unconsumed bytes.
     pub fn consume(&mut self, count: usize) {
         self.consumed = (self.consumed + count).min(self.filled);
     }
--- a/crates/heathspurd/src/peers/interpreter/mod.rs
+++ b/crates/heathspurd/src/peers/interpreter/mod.rs
@@ -1,5 +1,5 @@
-//! The link to the interpreter: one connection, re-established when it breaks and resumed after the last notice that
-//! the event loop has received.
+//! The link to the interpreter: a single connection, which is re-established when it breaks. A new connection resumes
+//! after the last notice that the event loop has received.
 //!
 //! [`run`] owns the connection and its reconnect backoff. The event loop queues commands on the [`Link`] and receives
 //! [`InterpreterEvent`]s; it never waits for the connection.
@@ -28,27 +28,28 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Bounds on the backoff between connection attempts.
+/// The shortest delay before a reconnection attempt. It doubles with each further attempt.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(10);
+/// The longest delay before a reconnection attempt.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
-/// Time limit on one connection attempt. The system retransmits a lost SYN after one and three seconds, so a shorter
-/// limit would never get through to a listener that is this slow.
+/// Timeout of one connection attempt. The kernel retransmits a lost SYN one and three seconds after the first one, so
+/// with a shorter timeout a listener that drops the first SYNs could never be reached.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Bytes of unsent commands at which the connection counts as broken.
+/// Maximum size of the commands that wait to be written, in bytes. Beyond it the connection is closed as broken.
 const MAX_QUEUED_COMMAND_BYTES: usize = 8 << 20;
 
-/// What the link reports to the event loop.
+/// An event that the link reports to the event loop.
 #[derive(Debug)]
 pub(crate) enum InterpreterEvent {
-    /// A connection is up; the interpreter started `started_ms_ago` milliseconds earlier.
+    /// A connection is established. The interpreter was started `started_ms_ago` milliseconds before.
     Connected { warmth: Warmth, started_ms_ago: f64 },
-    /// A run has ended; `body` is its result where it succeeded.
+    /// A run has ended. `body` is the result of a run that succeeded.
     RunEnded {
         attempt: AttemptId,
         outcome: RunOutcome,
         body: Bytes,
     },
-    /// A run waits for the reply to its call number `index`.
+    /// A run waits for the reply to a call. `index` is the number of the notice, which identifies the call.
     CallRequested {
         attempt: AttemptId,
         index: u64,
@@ -56,39 +57,39 @@
     },
     /// The reply to the gauge query with this nonce.
     Gauges { nonce: u64, readings: Vec<f64> },
-    /// A command was not carried out.
+    /// The interpreter rejected a command. `command` is the command's verb.
     CommandRejected {
         command: String,
         attempt: Option<AttemptId>,
     },
-    /// Notices were missed that the interpreter no longer retains.
+    /// Notices were missed, and the interpreter no longer retains them.
     NoticesLost,
     /// The connection has ended.
     Disconnected,
 }
 
-/// Why a connection to the interpreter ended.
+/// The reason why a connection to the interpreter ended.
 #[derive(Debug, thiserror::Error)]
 enum LinkError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("the interpreter's address has changed")]
+    #[error("the configured address of the interpreter changed")]
     AddressChanged,
-    #[error("{0} bytes of commands are queued, more than {MAX_QUEUED_COMMAND_BYTES}")]
+    #[error("{0} bytes of commands are queued; the limit is {MAX_QUEUED_COMMAND_BYTES}")]
     CommandBacklog(usize),
-    #[error("a notice has no valid request id")]
+    #[error("received a notice without a valid request id")]
     InvalidRequestId,
-    #[error("notice number {0} is out of sequence")]
+    #[error("received notice number {0}, which is out of sequence")]
     OutOfSequence(u64),
-    #[error("a line is not a valid notice: {0}")]
+    #[error("received a line that is not a valid notice: {0}")]
     InvalidNotice(#[source] wire::Error),
-    #[error("a line is longer than {} bytes", wire::MAX_LINE_BYTES)]
+    #[error("received a line longer than {} bytes", wire::MAX_LINE_BYTES)]
     LineTooLong,
-    #[error("the event loop has ended")]
+    #[error("the event loop ended")]
     EventLoopEnded,
 }
 
-/// The event loop's end of the link: commands queue here until the connection's task writes them.
+/// The event loop's end of the link: a queue of encoded commands, which the connection's task writes.
 pub(crate) struct Link {
     queued_commands: RefCell<Vec<u8>>,
     command_queued: Notify,
@@ -102,20 +103,22 @@
         })
     }
 
+    /// Queues a command. It is lost if the connection ends before the command is written, or if there is none.
     pub fn send(&self, command: Command<'_>) {
         wire::write_command(&mut self.queued_commands.borrow_mut(), command);
         self.command_queued.notify();
     }
 
-    /// Drops what was queued for an earlier connection and queues the command that opens a new one.
-    fn restart_queue(&self, last_notice: u64) {
+    /// Drops the commands that were queued for an earlier connection, and queues the command that asks for all notices
+    /// after `last_notice`.
+    fn reset_queue(&self, last_notice: u64) {
         let mut queued = self.queued_commands.borrow_mut();
         queued.clear();
         wire::write_command(&mut queued, Command::Connect(last_notice));
     }
 }
 
-/// Keeps the link connected until the event loop ends, following changes of the interpreter's address.
+/// Keeps the link connected until the event loop ends. Reconnects when the interpreter's address changes.
 pub(crate) async fn run<N: From<InterpreterEvent>>(
     target: Rc<PeerAddress>,
     link: Rc<Link>,
@@ -126,14 +129,18 @@
     let mut delay = MIN_RECONNECT_DELAY;
     loop {
         let address = target.get();
-        match connect_unless_moved(&target, address, recorder.as_ref()).await {
+        match connect_unless_address_changes(&target, address, recorder.as_ref()).await {
             Some(Ok(stream)) => {
                 let last_before = sequence.last();
                 let error =
                     run_connection(&stream, &link, &events, &mut sequence, &target, address).await;
                 link.queued_commands.borrow_mut().clear();
                 let last = sequence.last();
-                warn!(last, cause = %error, "the interpreter's link broke after notice {last}: {error}");
+                warn!(
+                    last,
+                    cause = %error,
+                    "connection to the interpreter at {address} ended after notice {last}: {error}"
+                );
                 if last > last_before {
                     delay = MIN_RECONNECT_DELAY;
                 }
@@ -142,7 +149,9 @@
                     return;
                 }
             }
-            Some(Err(e)) => warn!(error = %e, "no link to the interpreter: {e}"),
+            Some(Err(e)) => {
+                warn!(error = %e, "cannot connect to the interpreter at {address}: {e}")
+            }
             None => {}
         }
         if target.get() != address {
@@ -154,22 +163,22 @@
     }
 }
 
-/// Connects to the interpreter; `None` once its address has changed.
-async fn connect_unless_moved(
+/// Connects to the interpreter. Returns `None` if its address changes first.
+async fn connect_unless_address_changes(
     target: &PeerAddress,
     address: SocketAddr,
     recorder: Option<&Rc<RecorderHandle>>,
 ) -> Option<io::Result<Stream>> {
-    let recorded = recorder.map(|recorder| (recorder, Leg::Interpreter));
-    let connected = async { Some(connect(address, CONNECT_TIMEOUT, recorded).await) };
-    let moved = async {
+    let recorder = recorder.map(|recorder| (recorder, Leg::Interpreter));
+    let connected = async { Some(connect(address, CONNECT_TIMEOUT, recorder).await) };
+    let address_changed = async {
         target.changed(address).await;
         None
     };
-    future::or(connected, moved).await
+    future::or(connected, address_changed).await
 }
 
-/// Waits for the delay, or less where the interpreter's address changes.
+/// Waits until the delay has elapsed or the interpreter's address changes.
 async fn back_off(target: &PeerAddress, address: SocketAddr, delay: Duration) {
     let elapsed = async {
         Timer::after(delay).await;
@@ -177,7 +186,7 @@
     future::or(elapsed, target.changed(address)).await;
 }
 
-/// Carries one connection to its end and returns why it ended.
+/// Exchanges commands and notices on a connection until it ends, and returns the reason.
 async fn run_connection<N: From<InterpreterEvent>>(
     stream: &Stream,
     link: &Link,
@@ -187,18 +196,19 @@
     address: SocketAddr,
 ) -> LinkError {
     sequence.begin_connection();
-    link.restart_queue(sequence.last());
+    link.reset_queue(sequence.last());
     let exchange = future::or(
         read_notices(stream, events, sequence),
         write_commands(stream, link),
     );
-    let moved = async {
+    let address_changed = async {
         target.changed(address).await;
         LinkError::AddressChanged
     };
-    future::or(exchange, moved).await
+    future::or(exchange, address_changed).await
 }
 
+/// Writes commands as they are queued, and returns the reason why that ended.
 async fn write_commands(stream: &Stream, link: &Link) -> LinkError {
     match try_write_commands(stream, link).await {
         Ok(never) => match never {},
--- a/crates/heathspurd/src/peers/interpreter/notice_sequence.rs
+++ b/crates/heathspurd/src/peers/interpreter/notice_sequence.rs
@@ -1,73 +1,79 @@
-//! Classifies the numbers of the interpreter's notices: new, duplicate, or damaged on the way. No I/O.
+//! Classifies the numbers of the interpreter's notices as new, duplicate or out of sequence. Performs no I/O.
 //!
-//! The interpreter numbers its notices consecutively and retains the last 4,000 for a connection that resumes. A
-//! number that cannot be right ends the connection, so that the notices after the last accepted one are sent again.
+//! The interpreter numbers its notices consecutively and retains the last 4,000 for a connection that resumes. A number
+//! that is too high may have been corrupted in transit. It ends the connection, so that the interpreter sends the
+//! notices after the last accepted one again.
 
-/// Connections ended in a row for an out-of-sequence number before the lowest such number is accepted.
+/// Maximum number of consecutive connections that end because of an out-of-sequence number. On the next such
+/// connection, the lowest of these numbers is accepted.
 const MAX_REJECTED_CONNECTIONS: u32 = 3;
-/// Notices that the interpreter retains. The oldest retained number advances while a connection is re-established.
+/// Number of notices that the interpreter retains. While the server reconnects, newer notices may evict older ones, so
+/// the oldest retained number may rise.
 const RETAINED_NOTICES: u64 = 4_000;
 
-/// How a notice's number relates to the numbers accepted before it.
+/// The relation of a notice's number to the numbers accepted before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SequencePosition {
-    /// The next notice.
+    /// The notice is the next one.
     Next,
-    /// The next notice that exists: the interpreter no longer retains those in between.
+    /// The notice is the next one available: the interpreter no longer retains the notices before it.
     NextAfterGap,
-    /// Accepted before.
+    /// The notice was accepted before.
     Duplicate,
-    /// Too high to be next: the connection has to end, and the notices after the last accepted one are sent again.
+    /// The number is too high. The connection must end, so that the interpreter sends the notices after the last
+    /// accepted one again.
     OutOfSequence,
 }
 
-/// Out-of-sequence numbers seen since the last accepted notice.
+/// The out-of-sequence numbers received since the last accepted notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RejectedNumbers {
     lowest: u64,
-    /// Connections that ended for such a number.
+    /// Number of connections that ended because of such a number.
     connections: u32,
-    /// Whether the first of these numbers was the first one on its connection.
+    /// Whether the first out-of-sequence number was also the first number on its connection.
     first_at_connection_start: bool,
 }
 
 impl RejectedNumbers {
-    /// Whether a number that starts the next connection repeats the rejected one, or is as far beyond it as notices
-    /// may have been made meanwhile. A number damaged on the way would come back undamaged.
+    /// Returns whether `number`, the first one on a new connection, confirms the rejected one: it is equal, or higher by
+    /// at most the notices that the interpreter may have sent in the meantime. If the rejected number had been corrupted
+    /// in transit, the interpreter would send the correct number this time.
     fn is_confirmed_by(&self, number: u64) -> bool {
         number >= self.lowest && number - self.lowest <= RETAINED_NOTICES
     }
 }
 
-/// The notice numbers accepted so far. The reader works on a copy, which replaces the original once the notice has
-/// been passed on.
+/// The notice numbers accepted so far. The reader updates a copy, which replaces the original once the event loop has
+/// received the notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct NoticeSequence {
+    /// The last accepted number; 0 if there is none.
     last: u64,
-    /// No numbered notice has been read on this connection yet, so missed ones may still arrive.
+    /// Whether no numbered notice has been read on this connection yet, so that missed ones may still arrive.
     at_connection_start: bool,
     rejected: Option<RejectedNumbers>,
-    /// The interpreter was seen to skip numbers, so a gap says nothing.
+    /// Whether this interpreter is known to skip numbers, so that a gap does not indicate a fault.
     peer_skips_numbers: bool,
 }
 
 impl NoticeSequence {
-    /// The last accepted number; 0 for none.
+    /// Returns the last accepted number, or 0 if there is none.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// A new connection resumes after the last accepted number.
+    /// Records that a new connection resumes after the last accepted number.
     pub fn begin_connection(&mut self) {
         self.at_connection_start = true;
     }
 
-    /// All missed notices have arrived: the interpreter has answered a query on this connection.
-    pub fn caught_up(&mut self) {
+    /// Records that all missed notices have arrived, because the interpreter answered a query on this connection.
+    pub fn mark_caught_up(&mut self) {
         self.at_connection_start = false;
     }
 
-    /// Classifies the next notice's number and accepts it unless it is a duplicate or out of sequence.
+    /// Classifies the number of the next notice, and accepts it unless it is a duplicate or out of sequence.
     pub fn accept(&mut self, number: u64) -> SequencePosition {
         let at_connection_start = std::mem::replace(&mut self.at_connection_start, false);
         if number <= self.last {
@@ -85,8 +91,8 @@
         }
     }
 
-    /// Accepts a gap that a second connection has confirmed: either more notices were missed than are retained, or
-    /// this interpreter skips numbers.
+    /// Accepts a gap that a second connection has confirmed. If the gap was at the start of a connection, more notices
+    /// were missed than the interpreter retains; otherwise, this interpreter skips numbers.
     fn accept_gap(&mut self, number: u64, rejected: RejectedNumbers) -> SequencePosition {
         self.advance_to(number);
         if rejected.first_at_connection_start {
@@ -96,6 +102,7 @@
         SequencePosition::Next
     }
 
+    /// Rejects an out-of-sequence number, unless too many connections have ended because of such numbers.
     fn reject(&mut self, number: u64, at_connection_start: bool) -> SequencePosition {
         let rejected = match self.rejected {
             None => RejectedNumbers {
@@ -110,7 +117,8 @@
             },
         };
         if rejected.connections > MAX_REJECTED_CONNECTIONS {
-            // Bounds the reconnections. Where numbers are damaged upwards, the lowest is the closest to the truth.
+            // Bounds the number of reconnections. Only numbers that are too high are rejected, so the lowest one is
+            // the closest to the correct number.
             self.advance_to(rejected.lowest);
             return SequencePosition::Next;
         }
@@ -118,6 +126,7 @@
         SequencePosition::OutOfSequence
     }
 
+    /// Accepts a number and discards the record of rejected ones.
     fn advance_to(&mut self, number: u64) {
         self.last = number;
         self.rejected = None;
--- a/crates/heathspurd/src/peers/interpreter/notices.rs
+++ b/crates/heathspurd/src/peers/interpreter/notices.rs
@@ -1,6 +1,7 @@
-//! Reads the interpreter's notices from a connection and passes them on to the event loop.
+//! Reads the interpreter's notices from a connection and forwards them to the event loop.
 //!
-//! A notice counts as received only once the event loop has it, so that none is lost with a connection.
+//! A notice counts as received only once it is in the event loop's queue, so that no notice is lost when a connection
+//! ends.
 
 use super::notice_sequence::{NoticeSequence, SequencePosition};
 use super::{InterpreterEvent, LinkError};
@@ -11,7 +12,7 @@
 use heathspur_wire::interpreter::{self as wire, Notice};
 use std::convert::Infallible;
 
-/// Passes notices on as they arrive, and returns why that ended.
+/// Forwards notices as they arrive, and returns the reason why that ended.
 pub(super) async fn read_notices<N: From<InterpreterEvent>>(
     stream: &Stream,
     events: &Sender<N>,
@@ -23,7 +24,7 @@
     }
 }
 
-/// Passes notices on as they arrive, until the connection fails.
+/// Forwards notices as they arrive, until the connection fails.
 async fn try_read_notices<N: From<InterpreterEvent>>(
     stream: &Stream,
     events: &Sender<N>,
@@ -33,7 +34,7 @@
     loop {
         buffer.fill(stream).await?;
         while let Some(end) = wire::line_end(buffer.bytes()) {
-            pass_on_line(&buffer.bytes()[..end], events, sequence).await?;
+            forward_line(&buffer.bytes()[..end], events, sequence).await?;
             buffer.consume(end + 1);
         }
         if buffer.bytes().len() > wire::MAX_LINE_BYTES {
@@ -42,9 +43,9 @@
     }
 }
 
-/// Passes on what one line says. The sequence advances only once the event loop has received it: a connection that
-/// ends before that reads the notice again.
-async fn pass_on_line<N: From<InterpreterEvent>>(
+/// Forwards the events of one line. The sequence advances only once the event loop's queue has accepted them. If the
+/// connection ends before that, the interpreter sends the notice again on the next one.
+async fn forward_line<N: From<InterpreterEvent>>(
     line: &[u8],
     events: &Sender<N>,
     sequence: &mut NoticeSequence,
@@ -54,21 +55,21 @@
         Ok(line_events) => line_events,
         Err(error) => {
             if matches!(error, LinkError::OutOfSequence(_)) {
-                // The next connection needs to know the rejected number.
+                // The rejected number decides which numbers are accepted on the next connection.
                 *sequence = advanced;
             }
             return Err(error);
         }
     };
     for event in line_events.into_iter().flatten() {
-        let passed_on = events.send(event.into()).await;
-        passed_on.map_err(|_| LinkError::EventLoopEnded)?;
+        let sent = events.send(event.into()).await;
+        sent.map_err(|_| LinkError::EventLoopEnded)?;
     }
     *sequence = advanced;
     Ok(())
 }
 
-/// The events that a line stands for, in order.
+/// Parses a line into events, and accepts its number in `sequence`. An empty line or a duplicate yields no events.
 fn parse_line(
     line: &[u8],
     sequence: &mut NoticeSequence,
@@ -78,10 +79,10 @@
         Err(_) if line.trim_ascii().is_empty() => return Ok([None, None]),
         Err(error) => return Err(LinkError::InvalidNotice(error)),
     };
-    // Checked before the number is accepted, so that the notice is sent again on the next connection.
+    // Checked before the number is accepted, so that the interpreter sends the notice again on the next connection.
     require_request_id(&notice)?;
     if matches!(notice, Notice::Gauges { .. }) {
-        sequence.caught_up();
+        sequence.mark_caught_up();
     }
     let position = match notice_number(&notice) {
         Some(number) => accept_number(sequence, number)?,
@@ -95,6 +96,7 @@
     Ok([lost, notice_event(notice)])
 }
 
+/// Checks that a notice about a request has a valid request id.
 fn require_request_id(notice: &Notice<'_>) -> Result<(), LinkError> {
     match notice {
         Notice::RunCompleted { request_id, .. } | Notice::CallNeeded { request_id, .. }
@@ -106,6 +108,7 @@
     }
 }
 
+/// Accepts a notice's number, or fails if it is out of sequence.
 fn accept_number(
     sequence: &mut NoticeSequence,
     number: u64,
@@ -116,7 +119,7 @@
     }
 }
 
-/// The number of a notice, where its kind has one.
+/// Returns the number of a notice, or `None` if notices of its kind are not numbered.
 fn notice_number(notice: &Notice<'_>) -> Option<u64> {
     match notice {
         Notice::RunCompleted { index, .. }
@@ -126,7 +129,7 @@
     }
 }
 
-/// The event that a notice stands for, where it concerns the event loop.
+/// Converts a notice into an event, or returns `None` if it does not concern the event loop.
 fn notice_event(notice: Notice<'_>) -> Option<InterpreterEvent> {
     match notice {
         Notice::Connected { warmth, uptime_ms } => Some(InterpreterEvent::Connected {
--- a/crates/heathspurd/src/peers/mod.rs
+++ b/crates/heathspurd/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Connections to the services that the server depends on: interpreter, store and announce service.
+//! Connections to the services that the server depends on: the interpreter, the store and the registration service.
 //!
-//! Each peer has a task or tasks of its own, so that the event loop never waits for a peer. No peer is trusted: what
-//! it sends is bounded and checked before it reaches the event loop.
+//! Each peer has its own task or tasks, so that the event loop never waits for a peer. No peer is trusted: its messages
+//! are limited in size and validated before they reach the event loop.
 
 pub(crate) mod connection;
 pub(crate) mod interpreter;
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -1,7 +1,7 @@
-//! Reports readiness to the announce service.
+//! The client of the registration service, to which the server reports whether it is ready for requests.
 //!
-//! When to connect and to report is decided by [`heathspur_server_core::registration`]; this module connects, sends and
-//! receives as that schedule says, and reports the outcomes back to it.
+//! The [schedule](heathspur_server_core::registration) decides when to connect and when to report. This module performs
+//! the I/O that the schedule requests, and passes the results back to it.
 
 use crate::notify::Notify;
 use crate::peers::connection::{self, PeerAddress, ReadBuffer};
@@ -22,13 +22,13 @@
 use std::time::Instant;
 use tracing::warn;
 
-/// Bounds on the announce service's answer, in bytes.
-const ANSWER_LIMITS: Limits = Limits {
+/// Size limits on a response of the registration service, in bytes.
+const RESPONSE_LIMITS: Limits = Limits {
     head: 4 * 1024,
     body: 4 * 1024,
 };
 
-/// The readiness to report; nothing is reported until it is set.
+/// The readiness of the server. Nothing is reported until it is set.
 pub(crate) struct Readiness {
     ready: Cell<Option<bool>>,
     changed: Notify,
@@ -42,6 +42,7 @@
         })
     }
 
+    /// Sets the readiness and wakes the reporting task if it changed.
     pub fn set(&self, ready: bool) {
         if self.ready.replace(Some(ready)) != Some(ready) {
             self.changed.notify();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Reports the readiness of the server `name` for as long as the process runs.
+/// Reports the readiness of the server `name` to the registration service. Never completes.
 pub(crate) async fn run(target: Rc<PeerAddress>, name: String, readiness: Rc<Readiness>) {
     let mut reporter = Reporter::new(target.get(), name);
     loop {
@@ -57,16 +58,17 @@
             readiness.changed.notified().await;
             continue;
         };
-        reporter.move_to(target.get());
+        reporter.set_address(target.get());
         reporter.handle(Event::Ready(ready));
-        reporter.carry_out_actions();
+        reporter.perform_actions();
         if let Some((index, outcome)) = wait(&mut reporter, &target, &readiness).await {
-            reporter.step_completed(index, outcome);
+            reporter.complete_step(index, outcome);
         }
     }
 }
 
-/// Waits until a step completes, or until the readiness, the address or the time calls for another look (`None`).
+/// Waits until a connection's step completes, and returns the index of the connection with the outcome. Returns `None`
+/// if the readiness or the address changed first, or the next action became due.
 async fn wait(
     reporter: &mut Reporter,
     target: &PeerAddress,
@@ -77,7 +79,7 @@
         future::or(readiness.changed.notified(), target.changed(address)).await;
         None
     };
-    let woken = async {
+    let action_due = async {
         match wake_at {
             Some(at) => Timer::at(at).await,
             None => future::pending().await,
@@ -85,69 +87,72 @@
         None
     };
     let completed = async { Some(reporter.next_completed_step().await) };
-    future::or(completed, future::or(changed, woken)).await
+    future::or(completed, future::or(changed, action_due)).await
 }
 
 type IoFuture<T> = Pin<Box<dyn Future<Output = io::Result<T>>>>;
 
-/// What a connection is doing.
+/// The step that a connection is in.
 enum ConnectionStep {
     Connecting(IoFuture<Stream>),
     Idle(Stream),
-    Reporting(IoFuture<ReportAnswer>),
+    Reporting(IoFuture<ReportResponse>),
 }
 
-/// The answer to a report.
-struct ReportAnswer {
+/// The response to a report.
+struct ReportResponse {
+    /// The HTTP status code.
     status: u16,
-    /// The connection, where it can carry another report.
+    /// The connection, if it can carry another report.
     reusable: Option<Stream>,
 }
 
-/// How a step completed.
+/// The outcome of a step.
 enum StepOutcome {
     Connected(io::Result<Stream>),
-    /// An idle connection was closed by the other side, or received bytes that were not asked for.
+    /// The service closed an idle connection, or sent bytes on it that belong to no response.
     IdleClosed,
-    Answered(io::Result<ReportAnswer>),
+    Responded(io::Result<ReportResponse>),
 }
 
 impl ConnectionStep {
+    /// Polls the step for its outcome.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<StepOutcome> {
         match self {
             ConnectionStep::Connecting(connecting) => {
                 connecting.as_mut().poll(cx).map(StepOutcome::Connected)
             }
             ConnectionStep::Idle(stream) => poll_idle(stream, cx),
-            ConnectionStep::Reporting(answer) => {
-                answer.as_mut().poll(cx).map(StepOutcome::Answered)
+            ConnectionStep::Reporting(response) => {
+                response.as_mut().poll(cx).map(StepOutcome::Responded)
             }
         }
     }
 }
 
-/// Ready once the connection is no longer open and free of unread bytes.
+/// Becomes ready once the service closes the idle connection or sends bytes on it.
 fn poll_idle(stream: &Stream, cx: &mut Context<'_>) -> Poll<StepOutcome> {
     loop {
         match stream.poll_readable(cx) {
             Poll::Pending => return Poll::Pending,
-            // The readiness may stem from bytes that were read already.
+            // The reactor may still report the stream as readable because of bytes that were read already.
             Poll::Ready(Ok(())) if connection::is_idle(stream) => {}
             Poll::Ready(_) => return Poll::Ready(StepOutcome::IdleClosed),
         }
     }
 }
 
-/// Owns the connections to the announce service and drives the schedule.
+/// Owns the connections to the registration service and drives the schedule.
 struct Reporter {
     address: SocketAddr,
+    /// The server's name.
     name: String,
     schedule: Schedule,
-    /// The origin of the schedule's time.
+    /// Time zero of the schedule.
     start: Instant,
-    /// In the order in which they began their step.
+    /// The connections, ordered by when their current step began.
     connections: Vec<(ConnectionId, ConnectionStep)>,
-    /// The error behind the last [`Event::Failed`], kept for the log.
+    /// The error that caused the last [`Event::Failed`], for the log.
     last_error: Option<io::Error>,
 }
 
@@ -165,19 +170,21 @@
         }
     }
 
-    fn move_to(&mut self, address: SocketAddr) {
+    /// Sets the address of the service. A change resets the schedule.
+    fn set_address(&mut self, address: SocketAddr) {
         if self.address != address {
             self.address = address;
             self.handle(Event::AddressChanged);
         }
     }
 
+    /// Passes an event to the schedule.
     fn handle(&mut self, event: Event) {
         self.schedule.handle(self.start.elapsed(), event);
     }
 
-    /// Carries out every action that is due.
-    fn carry_out_actions(&mut self) {
+    /// Performs every action that is due.
+    fn perform_actions(&mut self) {
         let now = self.start.elapsed();
         while let Some(action) = self.schedule.poll(now) {
             match action {
@@ -192,12 +199,14 @@
         }
     }
 
+    /// Starts a connection attempt.
     fn connect(&mut self, id: ConnectionId) {
         let connecting = Box::pin(connection::connect(self.address, CONNECT_TIMEOUT, None));
         self.connections
             .push((id, ConnectionStep::Connecting(connecting)));
     }
 
+    /// Removes a connection and returns its step, or `None` for an unknown connection.
     fn remove(&mut self, id: ConnectionId) -> Option<ConnectionStep> {
         let index = self
             .connections
@@ -206,13 +215,15 @@
         Some(self.connections.remove(index).1)
     }
 
+    /// Starts to send a report on an idle connection, or closes the connection if it is unusable. Returns the matching
+    /// event for the schedule.
     fn send_report(&mut self, id: ConnectionId, ready: bool) -> Event {
         match self.remove(id) {
-            // Bytes that arrived before the report cannot be the answer to it.
+            // Bytes that arrived before the report was sent cannot be its response.
             Some(ConnectionStep::Idle(stream)) if connection::is_idle(&stream) => {
-                let answer = Box::pin(exchange(stream, self.report(ready)));
+                let response = Box::pin(exchange(stream, self.report_request(ready)));
                 self.connections
-                    .push((id, ConnectionStep::Reporting(answer)));
+                    .push((id, ConnectionStep::Reporting(response)));
                 Event::ReportSent(id)
             }
             _ => Event::Closed(id),
@@ -226,18 +237,27 @@
                 .last_error
                 .take()
                 .unwrap_or_else(|| io::ErrorKind::Other.into()),
-            Failure::ConnectionClosed => io::ErrorKind::UnexpectedEof.into(),
-            Failure::UnexpectedStatus(status) => io::Error::other(format!("status {status}")),
+            Failure::ConnectionClosed => io::Error::new(
+                io::ErrorKind::UnexpectedEof,
+                "the peer closed the connection or sent unexpected bytes",
+            ),
+            Failure::UnexpectedStatus(status) => {
+                io::Error::other(format!("unexpected response status {status}"))
+            }
         };
-        warn!(error = %error, "the announce service did not take a report: {error}");
+        let address = self.address;
+        warn!(
+            error = %error,
+            "cannot report readiness to the registration service at {address}: {error}"
+        );
     }
 
-    /// When an action becomes due without an event.
+    /// Returns when the next action becomes due if no event arrives first.
     fn wake_at(&self) -> Option<Instant> {
         self.schedule.next_wakeup().map(|at| self.start + at)
     }
 
-    /// Waits until a step completes; returns the connection's index with the outcome.
+    /// Waits until a step completes, and returns the index of the connection with the outcome.
     async fn next_completed_step(&mut self) -> (usize, StepOutcome) {
         future::poll_fn(|cx| {
             for (index, (_, step)) in self.connections.iter_mut().enumerate() {
@@ -250,18 +270,18 @@
         .await
     }
 
-    /// Moves a connection on to its next step and reports the outcome to the schedule.
-    fn step_completed(&mut self, index: usize, outcome: StepOutcome) {
+    /// Advances a connection to its next step and passes the outcome to the schedule.
+    fn complete_step(&mut self, index: usize, outcome: StepOutcome) {
         let (id, _) = self.connections.remove(index);
         let event = match outcome {
             StepOutcome::Connected(Ok(stream)) => {
                 self.push_idle(id, stream);
                 Event::Connected(id)
             }
-            StepOutcome::Answered(Ok(answer)) => self.answered(id, answer),
+            StepOutcome::Responded(Ok(response)) => self.complete_report(id, response),
             StepOutcome::IdleClosed => Event::Closed(id),
-            StepOutcome::Connected(Err(error)) | StepOutcome::Answered(Err(error)) => {
-                self.connection_failed(id, error)
+            StepOutcome::Connected(Err(error)) | StepOutcome::Responded(Err(error)) => {
+                self.record_failure(id, error)
             }
         };
         self.handle(event);
@@ -271,29 +291,31 @@
         self.connections.push((id, ConnectionStep::Idle(stream)));
     }
 
-    fn answered(&mut self, id: ConnectionId, answer: ReportAnswer) -> Event {
-        let open = answer.reusable.is_some();
-        if let Some(stream) = answer.reusable {
+    /// Makes a connection idle after the response to its report, if it can be reused.
+    fn complete_report(&mut self, id: ConnectionId, response: ReportResponse) -> Event {
+        let reusable = response.reusable.is_some();
+        if let Some(stream) = response.reusable {
             self.push_idle(id, stream);
         }
         Event::ReportAnswered {
             connection: id,
-            status: answer.status,
-            reusable: open,
+            status: response.status,
+            reusable,
         }
     }
 
-    fn connection_failed(&mut self, id: ConnectionId, error: io::Error) -> Event {
-        let late = error.kind() == io::ErrorKind::TimedOut;
+    /// Stores the error of a failed connection for the log.
+    fn record_failure(&mut self, id: ConnectionId, error: io::Error) -> Event {
+        let timed_out = error.kind() == io::ErrorKind::TimedOut;
         self.last_error = Some(error);
         Event::Failed {
             connection: id,
-            timed_out: late,
+            timed_out,
         }
     }
 
-    /// The HTTP request that reports the readiness.
-    fn report(&self, ready: bool) -> Vec<u8> {
+    /// Encodes the HTTP request that reports the readiness.
+    fn report_request(&self, ready: bool) -> Vec<u8> {
         let path = format!("/announce/{}", self.name);
         let host = self.address.to_string();
         let body = format!(r#"{{"accepting":"{ready}"}}"#);
@@ -303,10 +325,10 @@
     }
 }
 
-/// Sends one report and reads its answer.
-async fn exchange(stream: Stream, request: Vec<u8>) -> io::Result<ReportAnswer> {
+/// Sends one report and reads the response to it.
+async fn exchange(stream: Stream, request: Vec<u8>) -> io::Result<ReportResponse> {
     (&stream).write_all(&request).await?;
-    let mut reader = Reader::new(ANSWER_LIMITS);
+    let mut reader = Reader::new(RESPONSE_LIMITS);
     let mut buffer = ReadBuffer::new();
     let message = buffer
         .read_message(&stream, |bytes| {
@@ -317,7 +339,7 @@
     let status = http::status_line(&bytes[message.start_line]).map_err(io::Error::other)?;
     let closing = http::has_close_option(Fields::over(&bytes[message.fields]));
     let excess_bytes = bytes.len() > message.body.end;
-    Ok(ReportAnswer {
+    Ok(ReportResponse {
         status,
         reusable: (!closing && !excess_bytes).then_some(stream),
     })
--- a/crates/heathspurd/src/recording/recorded_stream.rs
+++ b/crates/heathspurd/src/recording/recorded_stream.rs
@@ -30,8 +30,11 @@
     }
 
     /// A connection made to a peer.
-    pub fn made(inner: Async<TcpStream>, recorded: Option<(&Rc<RecorderHandle>, Leg)>) -> Stream {
-        let recorder = recorded
+    pub fn outgoing(
+        inner: Async<TcpStream>,
+        recorder: Option<(&Rc<RecorderHandle>, Leg)>,
+    ) -> Stream {
+        let recorder = recorder
             .filter(|(handle, _)| handle.records_peer_links())
             .and_then(|(handle, leg)| StreamRecorder::start(&inner, handle, leg, Side::Client));
         Stream { inner, recorder }
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -112,7 +112,7 @@
     });
     let _: Vec<_> = rig.lines.try_iter().collect();
     for _ in 0..FAILURES {
-        rig.logs("the announce service did not take a report");
+        rig.logs("cannot report readiness to the registration service at ");
     }
     rest(&rig, &mut crowd, SOCKETS);
     let reports = announce_at(up(service));
--- a/crates/heathspurd/tests/program.rs
+++ b/crates/heathspurd/tests/program.rs
@@ -122,7 +122,8 @@
         "{first}"
     );
     assert!(
-        first.contains("no link to the interpreter: ") || first.contains("announce service"),
+        first.contains("cannot connect to the interpreter at ")
+            || first.contains("cannot report readiness to the registration service at "),
         "{first}"
     );
 }
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -123,10 +123,12 @@
             store,
         } = self;
         assert_eq!(health(&rig), 503);
-        rig.vm = interpreter.comes_up(&rig, "no link to the interpreter");
+        rig.vm = interpreter.comes_up(&rig, "cannot connect to the interpreter at ");
         let vm = rig.link();
-        let reports =
-            announce_at(registry.comes_up(&rig, "the announce service did not take a report"));
+        let reports = announce_at(registry.comes_up(
+            &rig,
+            "cannot report readiness to the registration service at ",
+        ));
         assert_eq!(
             reports.recv_timeout(NEVER).unwrap(),
             json!({"accepting": "true"})
