--- a/crates/heathspurd/src/event_loop/store_calls.rs
+++ b/crates/heathspurd/src/event_loop/store_calls.rs
@@ -72,13 +72,13 @@
 
     /// Releases a call whose result nobody needs.
     pub fn cancel(&mut self, request: RequestId, call: InFlightCall) {
-        let _ = self.link.give_up(call.id);
+        let _ = self.link.abandon(call.id);
         self.timeouts.remove(&(call.deadline, request));
     }
 
     /// Gives up a call that took too long. The outcome says whether it may have run.
     pub fn time_out(&self, call: CallId) -> Outcome {
-        self.link.give_up_late(call)
+        self.link.abandon_timed_out(call)
     }
 
     /// Takes the next request whose call has timed out.
--- a/crates/heathspurd/src/peers/store/connection.rs
+++ b/crates/heathspurd/src/peers/store/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the store, which carries one call at a time.
+//! A connection to the store, which carries one call at a time.
 
 use crate::frontend::AttemptId;
 use crate::peers::connection::{connect, is_idle, ReadBuffer};
@@ -15,15 +15,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long an idle connection may be reused: the other side may close or drop one that stays idle for longer.
+/// How long an idle connection may be reused. The store may close or silently drop one that is idle for longer.
 const REUSE_WINDOW: Duration = Duration::from_millis(250);
 
-/// Why a call got no reply.
+/// The reason why a call received no reply.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error(transparent)]
+    #[error("received an invalid reply: {0}")]
     InvalidReply(#[from] wire::Error),
 }
 
@@ -31,16 +31,17 @@
 pub(super) struct Reply {
     pub outcome: Outcome,
     pub body: Bytes,
-    /// Nothing but this reply arrived on the connection, so another call may use it.
+    /// Whether another call may use the connection, because nothing but this reply arrived on it.
     pub connection_reusable: bool,
 }
 
-/// The call that a connection carried last.
+/// The last call that a connection carried.
 struct LastCall {
     attempt: AttemptId,
     ended: Instant,
 }
 
+/// An open connection to the store.
 pub(super) struct Connection {
     stream: Stream,
     buffer: ReadBuffer,
@@ -49,26 +50,29 @@
 }
 
 impl Connection {
+    /// Connects to the store, or fails after `timeout`.
     pub async fn open(
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
         recorder: Option<&Rc<RecorderHandle>>,
     ) -> io::Result<Connection> {
-        let recorded = recorder.map(|recorder| (recorder, Leg::Store));
+        let recorder = recorder.map(|recorder| (recorder, Leg::Store));
         Ok(Connection {
-            stream: connect(address, limit, recorded).await?,
+            stream: connect(address, timeout, recorder).await?,
             buffer: ReadBuffer::new(),
             address,
             last_call: None,
         })
     }
 
+    /// Returns the store's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Whether it may carry a call of this attempt to this address. A late copy of the last reply bears the same
-    /// attempt id, so the same attempt does not reuse it.
+    /// Returns whether the connection may carry a call of this attempt to this address. Two calls of one attempt never
+    /// follow each other on a connection: replies carry the attempt id, so a late duplicate of the first reply could not
+    /// be distinguished from the second one.
     pub fn can_carry(&self, attempt: AttemptId, address: SocketAddr) -> bool {
         self.address == address
             && self
@@ -79,20 +83,20 @@
             && is_idle(&self.stream)
     }
 
-    /// Whether its last call ended within the reuse window.
+    /// Returns whether the last call ended within the reuse window.
     pub fn is_recent(&self) -> bool {
         self.last_call
             .as_ref()
             .is_some_and(|last| last.ended.elapsed() < REUSE_WINDOW)
     }
 
-    /// Notes that a call of this attempt has ended now.
-    pub fn call_ended(&mut self, attempt: AttemptId) {
+    /// Records that a call of this attempt has just ended.
+    pub fn record_call_end(&mut self, attempt: AttemptId) {
         let ended = Instant::now();
         self.last_call = Some(LastCall { attempt, ended });
     }
 
-    /// Sends a call with the time left to it, and reads the reply.
+    /// Sends a call, with `time_left` as the timeout for the store, and reads the reply.
     pub async fn exchange(
         &mut self,
         call: &Call,
@@ -103,7 +107,7 @@
         let time_left_ms = (time_left.as_millis() as u64).max(1);
         wire::write_call(&mut request, attempt, time_left_ms, &call.body);
         (&self.stream).write_all(&request).await?;
-        let mut foreign_reply = false;
+        let mut received_other_reply = false;
         loop {
             let reply = self
                 .buffer
@@ -112,25 +116,25 @@
                 })
                 .await?;
             let bytes = self.buffer.bytes();
-            let is_ours = bytes[reply.request_id] == *attempt.as_bytes();
+            let is_for_this_call = bytes[reply.request_id] == *attempt.as_bytes();
             let body = Bytes::copy_from_slice(&bytes[reply.body]);
             self.buffer.consume(reply.end);
-            if is_ours {
+            if is_for_this_call {
                 return Ok(Reply {
                     outcome: outcome(reply.status),
                     body,
-                    connection_reusable: !foreign_reply && self.buffer.bytes().is_empty(),
+                    connection_reusable: !received_other_reply && self.buffer.bytes().is_empty(),
                 });
             }
-            // A reply to another call does not answer this one, but the connection can no longer be trusted.
-            foreign_reply = true;
+            // A reply to another call is skipped, but the connection is not reused: more such replies may follow.
+            received_other_reply = true;
         }
     }
 }
 
-/// The outcome that a reply's word stands for.
-fn outcome(word: CallStatus) -> Outcome {
-    match word {
+/// Converts the status of a reply into the outcome of the call.
+fn outcome(status: CallStatus) -> Outcome {
+    match status {
         CallStatus::Ok => Outcome::Ok,
         CallStatus::Rejected => Outcome::Rejected,
         CallStatus::Failed => Outcome::Error,
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -1,14 +1,14 @@
 //! The link to the store.
 //!
-//! Each call occupies a connection of its own, so a corrupt reply or a broken connection affects only that call. A
-//! connection that received one complete reply and nothing else is reused for a short time; abandoning a call closes
-//! its connection.
+//! Each call in flight has a connection to itself, so a corrupt reply or a broken connection affects only that call. A
+//! connection on which one complete reply and nothing else arrived may be reused for a short time. Abandoning a call
+//! closes its connection.
 
 mod connection;
 mod pool;
 
 use crate::frontend::AttemptId;
-use crate::membership::failover::{Route as ReplicaRoute, Router};
+use crate::membership::failover::{Route, Router};
 use crate::recording::RecorderHandle;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Identifies one call; numbers are never reused.
+/// The identifier of a call. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct CallId(pub u64);
 
@@ -33,12 +33,12 @@
     pub attempt: AttemptId,
     pub timeout_ms: u64,
     pub body: Bytes,
-    /// Requires a new connection: the other side may have dropped an idle one, and a connection that breaks under
-    /// the call would not prove that the call did not run.
+    /// Whether the call requires a new connection. The store may have silently dropped an idle connection, and if a
+    /// connection breaks after the call was written, it is unknown whether the call has run.
     pub new_connection: bool,
 }
 
-/// Reports to the event loop how a call ended; `body` is the reply where the outcome is [`Outcome::Ok`].
+/// The event that reports the end of a call to the event loop. `body` is the reply if the outcome is [`Outcome::Ok`].
 #[derive(Debug)]
 pub(crate) struct CallCompleted {
     pub request: RequestId,
@@ -47,117 +47,120 @@
     pub body: Bytes,
 }
 
-/// A call in progress and the time that it began.
+/// A call in flight, as its task sees it.
 struct OutgoingCall {
     call: Call,
     started: Instant,
-    /// Set once the call may have been written to a connection.
+    /// Whether the call may have been written to a connection.
     written: Rc<Cell<bool>>,
 }
 
 impl OutgoingCall {
+    /// Returns the time until the call's timeout.
     fn time_left(&self) -> Duration {
         Duration::from_millis(self.call.timeout_ms).saturating_sub(self.started.elapsed())
     }
 }
 
-/// Where a call goes.
+/// The destination of a call.
 #[derive(Clone)]
-enum Route {
-    /// To the store's address as it stands when the call is sent.
+enum Destination {
+    /// The address of the store that is configured at the time when the call is sent.
     ConfiguredAddress,
-    /// To a replica that failover has chosen.
-    Replica(Rc<ReplicaRoute>),
-    /// Nowhere: no replica may take the call.
+    /// The replica that failover has selected.
+    Replica(Rc<Route>),
+    /// No replica has capacity for the call.
     NoCapacity,
 }
 
-/// What the link keeps of a call in progress. Dropping the task closes the call's connection.
+/// The link's record of a call in flight. Dropping the task closes the call's connection.
 struct PendingCall {
     task: Task<()>,
     written: Rc<Cell<bool>>,
-    route: Route,
+    destination: Destination,
 }
 
-/// The event loop's end of the link. Its calls are bounded by the requests that wait for one, and its connections by
-/// the pool's slots.
+/// The event loop's end of the link. The number of calls is bounded by the number of requests that wait for one, and the
+/// number of connections by the pool's slots.
 pub(crate) struct Link<N> {
     executor: Rc<LocalExecutor<'static>>,
     address: Cell<Option<SocketAddr>>,
     pool: Pool,
     pending: RefCell<HashMap<CallId, PendingCall>>,
     events: Sender<N>,
-    /// Router calls by zone; without it all calls go to the one address.
-    routes: Option<Rc<Router>>,
+    /// Selects a replica for each call if zone failover is enabled. Otherwise, all calls go to `address`.
+    router: Option<Rc<Router>>,
 }
 
 impl<N: From<CallCompleted> + 'static> Link<N> {
+    /// Creates a link that opens at most `max_connections` connections at a time.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         address: Option<SocketAddr>,
         max_connections: usize,
         events: Sender<N>,
         recorder: Option<Rc<RecorderHandle>>,
-        routes: Option<Rc<Router>>,
+        router: Option<Rc<Router>>,
     ) -> Rc<Link<N>> {
         Rc::new(Link {
             executor,
             address: Cell::new(address),
-            pool: Pool::new(max_connections, routes.is_some(), recorder),
+            pool: Pool::new(max_connections, router.is_some(), recorder),
             pending: RefCell::default(),
             events,
-            routes,
+            router,
         })
     }
 
-    /// Sends new calls to this address; calls in progress stay where they are.
+    /// Sets the address for new calls. Calls in flight are not affected.
     pub fn set_address(&self, address: Option<SocketAddr>) {
         self.address.set(address);
     }
 
-    /// Makes a call; [`CallCompleted`] follows unless the call is abandoned.
+    /// Starts a call. A [`CallCompleted`] event follows unless the call is abandoned.
     pub fn call(self: &Rc<Self>, call: Call) {
         let id = call.call;
-        let route = self.pick_route();
+        let destination = self.pick_destination();
         let written = Rc::new(Cell::new(false));
         let outgoing = OutgoingCall {
             call,
             started: Instant::now(),
             written: written.clone(),
         };
-        let (link, task_route) = (self.clone(), route.clone());
+        let (link, task_destination) = (self.clone(), destination.clone());
         let task = self
             .executor
-            .spawn(async move { link.run_call(&outgoing, &task_route).await });
+            .spawn(async move { link.run_call(&outgoing, &task_destination).await });
         let pending = PendingCall {
             task,
             written,
-            route,
+            destination,
         };
         self.pending.borrow_mut().insert(id, pending);
     }
 
-    fn pick_route(&self) -> Route {
-        match &self.routes {
-            None => Route::ConfiguredAddress,
-            Some(routes) => match routes.pick() {
-                Some(replica) => Route::Replica(Rc::new(replica)),
-                None => Route::NoCapacity,
+    /// Selects the destination of the next call.
+    fn pick_destination(&self) -> Destination {
+        match &self.router {
+            None => Destination::ConfiguredAddress,
+            Some(router) => match router.pick() {
+                Some(route) => Destination::Replica(Rc::new(route)),
+                None => Destination::NoCapacity,
             },
         }
     }
 
-    /// Carries a call to its end and reports how it ended.
-    async fn run_call(&self, outgoing: &OutgoingCall, route: &Route) {
-        let (outcome, body) = match route {
-            Route::ConfiguredAddress => self.exchange(outgoing, self.address.get()).await,
-            Route::Replica(replica) => {
-                let (outcome, body) = self.exchange(outgoing, Some(replica.address())).await;
-                replica.complete(outcome);
+    /// Performs a call and reports its outcome to the event loop.
+    async fn run_call(&self, outgoing: &OutgoingCall, destination: &Destination) {
+        let (outcome, body) = match destination {
+            Destination::ConfiguredAddress => self.exchange(outgoing, self.address.get()).await,
+            Destination::Replica(route) => {
+                let (outcome, body) = self.exchange(outgoing, Some(route.address())).await;
+                route.complete(outcome);
                 (outcome, body)
             }
-            // Nothing of the call was sent, so it is proven not to have run.
-            Route::NoCapacity => (Outcome::Rejected, Bytes::new()),
+            // No part of the call was sent, so it cannot have run.
+            Destination::NoCapacity => (Outcome::Rejected, Bytes::new()),
         };
         self.detach(outgoing.call.call);
         let completed = CallCompleted {
@@ -166,29 +169,31 @@
             outcome,
             body,
         };
-        // Fails only once the event loop has ended.
+        // Sending fails only after the event loop has ended.
         let _ = self.events.send(completed.into()).await;
     }
 
-    /// Makes a call impossible to abandon, since the event loop will learn its outcome.
+    /// Removes a completed call from those that can be abandoned, and lets its task report the outcome.
     fn detach(&self, call: CallId) {
         if let Some(pending) = self.pending.borrow_mut().remove(&call) {
             pending.task.detach();
         }
     }
 
-    /// Abandons a call that took too long, which counts against the replica that it went to.
-    pub fn give_up_late(&self, call: CallId) -> Outcome {
+    /// Abandons a call that timed out, and counts the timeout as a failure of the call's replica. Returns the same as
+    /// [`abandon`](Link::abandon).
+    pub fn abandon_timed_out(&self, call: CallId) -> Outcome {
         if let Some(pending) = self.pending.borrow().get(&call) {
-            if let Route::Replica(replica) = &pending.route {
-                replica.complete(Outcome::Timeout);
+            if let Destination::Replica(route) = &pending.destination {
+                route.complete(Outcome::Timeout);
             }
         }
-        self.give_up(call)
+        self.abandon(call)
     }
 
-    /// Abandons a call, which is not reported any more. The outcome says whether it may have run.
-    pub fn give_up(&self, call: CallId) -> Outcome {
+    /// Abandons a call, whose outcome is then not reported. Returns [`Outcome::ConnectFailed`] if the call cannot have
+    /// run because it was never written to a connection, otherwise [`Outcome::Timeout`].
+    pub fn abandon(&self, call: CallId) -> Outcome {
         let pending = self.pending.borrow_mut().remove(&call);
         match pending {
             Some(pending) if !pending.written.get() => Outcome::ConnectFailed,
@@ -196,12 +201,12 @@
         }
     }
 
-    /// Closes connections that will not be reused.
+    /// Closes the idle connections whose reuse window has passed.
     pub fn prune(&self) {
         self.pool.close_expired();
     }
 
-    /// Sends a call to `address` and reads its reply.
+    /// Sends a call to `address` and reads its reply. Without an address, the call fails.
     async fn exchange(
         &self,
         outgoing: &OutgoingCall,
@@ -212,13 +217,13 @@
         let Some(address) = address else {
             return not_sent;
         };
-        // Waiting for a slot and connecting count towards the call's timeout.
+        // The time spent waiting for a slot and connecting counts towards the call's timeout.
         let _slot = self.pool.acquire_slot().await;
         let time_left = outgoing.time_left();
         let mut connection = match self.pool.connect(call, address, time_left).await {
             Ok(connection) => connection,
             Err(e) => {
-                warn!(error = %e, "no connection to the store: {e}");
+                warn!(error = %e, "cannot connect to the store at {address}: {e}");
                 return not_sent;
             }
         };
@@ -226,13 +231,13 @@
         match connection.exchange(call, outgoing.time_left()).await {
             Ok(reply) => {
                 if reply.connection_reusable {
-                    connection.call_ended(call.attempt);
+                    connection.record_call_end(call.attempt);
                     self.pool.put_back(connection);
                 }
                 (reply.outcome, reply.body)
             }
             Err(e) => {
-                warn!(cause = %e, "the store's connection broke under a call: {e}");
+                warn!(cause = %e, "connection to the store at {address} failed during a call: {e}");
                 (Outcome::Reset, Bytes::new())
             }
         }
--- a/crates/heathspurd/src/peers/store/pool.rs
+++ b/crates/heathspurd/src/peers/store/pool.rs
@@ -1,4 +1,4 @@
-//! The store's connections: a bounded number of slots, and the idle connections that may be reused.
+//! The pool of connections to the store: a bounded number of slots, and the idle connections that may be reused.
 
 use crate::peers::store::connection::Connection;
 use crate::peers::store::Call;
@@ -11,21 +11,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Owns the idle connections and the slots. Busy and idle connections together never exceed the slots.
+/// Owns the idle connections and the slots. The total number of busy and idle connections never exceeds the number of
+/// slots.
 pub(super) struct Pool {
-    /// In the order in which they became idle.
+    /// The idle connections, least recently used first.
     idle: RefCell<VecDeque<Connection>>,
     returned_slots: Sender<()>,
     free_slots: Receiver<()>,
     recorder: Option<Rc<RecorderHandle>>,
-    /// Calls go to several addresses at once, so a connection to another address stays useful.
-    several_addresses: bool,
+    /// Whether calls go to several addresses at the same time, so that an idle connection to another address than the
+    /// current call's is retained.
+    multiple_addresses: bool,
 }
 
 impl Pool {
+    /// Creates a pool with `max_connections` slots, at least one.
     pub fn new(
         max_connections: usize,
-        several_addresses: bool,
+        multiple_addresses: bool,
         recorder: Option<Rc<RecorderHandle>>,
     ) -> Pool {
         let (returned_slots, free_slots) = async_channel::bounded(max_connections.max(1));
@@ -35,34 +38,37 @@
             returned_slots,
             free_slots,
             recorder,
-            several_addresses,
+            multiple_addresses,
         }
     }
 
-    /// Waits for a slot, which a call needs for its connection.
+    /// Waits for a free slot. Each call occupies one for its connection.
     pub async fn acquire_slot(&self) -> Slot<'_> {
         // The pool owns both ends of the channel, so it is never closed.
         let _ = self.free_slots.recv().await;
         Slot(&self.returned_slots)
     }
 
-    /// A connection for a call: the idle one that was used last, else a new one.
+    /// Returns a connection for a call: the most recently used idle one that can carry it, or a new one. Fails if a new
+    /// connection is not established within `timeout`. The caller must occupy a slot.
     pub async fn connect(
         &self,
         call: &Call,
         address: SocketAddr,
-        limit: Duration,
+        timeout: Duration,
     ) -> io::Result<Connection> {
         match self.take_idle(call, address) {
             Some(connection) => Ok(connection),
-            None => Connection::open(address, limit, self.recorder.as_ref()).await,
+            None => Connection::open(address, timeout, self.recorder.as_ref()).await,
         }
     }
 
+    /// Takes the most recently used idle connection that can carry the call. If there is none, closes as many idle
+    /// connections as needed for a new one. In either case, connections that can no longer be reused are closed.
     fn take_idle(&self, call: &Call, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| {
-            (connection.address() == address || self.several_addresses) && connection.is_recent()
+            (connection.address() == address || self.multiple_addresses) && connection.is_recent()
         });
         let reusable = match call.new_connection {
             true => None,
@@ -72,7 +78,7 @@
                 .and_then(|index| idle.remove(index)),
         };
         if reusable.is_none() {
-            // The new connection replaces an idle one where no slot is free.
+            // Without a free slot, the new connection replaces the least recently used idle one.
             while idle.len() > self.free_slots.len() {
                 idle.pop_front();
             }
@@ -80,10 +86,12 @@
         reusable
     }
 
-    /// Keeps a connection for reuse. The caller still occupies its slot.
+    /// Adds a connection to the idle ones, and closes the least recently used one if there is no slot for it. The caller
+    /// must still occupy the connection's slot.
     pub fn put_back(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         idle.push_back(connection);
+        // The caller's slot, which is not free yet, counts as well.
         while idle.len() > self.free_slots.len() + 1 {
             idle.pop_front();
         }
@@ -95,7 +103,7 @@
     }
 }
 
-/// A connection's slot; returned when it is dropped.
+/// An occupied slot of the pool. Dropping it frees the slot.
 pub(super) struct Slot<'a>(&'a Sender<()>);
 
 impl Drop for Slot<'_> {
--- a/crates/heathspurd/tests/unit/store.rs
+++ b/crates/heathspurd/tests/unit/store.rs
@@ -4,8 +4,10 @@
 use std::io::Read;
 use std::net::TcpListener;
 
+/// Abandoning a call must distinguish a call that was never written, which cannot have run, from one that was written
+/// and may have run.
 #[test]
-fn a_call_that_was_never_written_is_proven_not_to_have_run() {
+fn abandoned_call_reports_connect_failure_only_if_never_written() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let executor = Rc::new(LocalExecutor::new());
     let (events, _events_received) = async_channel::bounded::<CallCompleted>(4);
@@ -27,14 +29,13 @@
         new_connection: false,
     };
     link.call(call(1));
-    assert_eq!(link.give_up(CallId(1)), Outcome::ConnectFailed);
+    assert_eq!(link.abandon(CallId(1)), Outcome::ConnectFailed);
     link.call(call(2));
-    let reader =
-        std::thread::spawn(move || listener.accept().unwrap().0.read(&mut [0; 4]).unwrap());
+    let store = std::thread::spawn(move || listener.accept().unwrap().0.read(&mut [0; 4]).unwrap());
     async_io::block_on(executor.run(async {
-        while !reader.is_finished() {
+        while !store.is_finished() {
             futures_lite::future::yield_now().await;
         }
     }));
-    assert_eq!(link.give_up(CallId(2)), Outcome::Timeout);
+    assert_eq!(link.abandon(CallId(2)), Outcome::Timeout);
 }
