--- a/crates/heathspurd/src/recording/handle.rs
+++ b/crates/heathspurd/src/recording/handle.rs
@@ -9,29 +9,32 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The number of legs, each of which counts its dropped events.
-pub(super) const LEGS: usize = Leg::ALL.len();
+/// The number of legs. Dropped events are counted per leg.
+pub(super) const LEG_COUNT: usize = Leg::ALL.len();
 
-/// An event for the recorder's thread.
+/// An event in the queue of the recorder's thread.
 pub(crate) struct QueuedEvent {
     pub event: Event,
-    /// Per leg, the events dropped since the last queued one.
-    pub dropped_events: [u64; LEGS],
+    /// Per leg, the number of events that were dropped since the last queued one.
+    pub dropped_events: [u64; LEG_COUNT],
 }
 
-/// Queues events without ever waiting: past the budget they are dropped and counted.
+/// Queues events without ever waiting. Events beyond the budget are dropped and counted.
 pub(crate) struct RecorderHandle {
     events: SyncSender<QueuedEvent>,
-    /// Bytes of queued events; the recorder's thread subtracts what it has taken.
+    /// Size of the queued events. The recorder's thread subtracts the events that it has processed.
     queued_bytes: Arc<AtomicUsize>,
+    /// The maximum of `queued_bytes`.
     budget_bytes: usize,
     records_peer_links: bool,
-    dropped_events: Cell<[u64; LEGS]>,
+    /// Per leg, the number of events that were dropped since the last queued one.
+    dropped_events: Cell<[u64; LEG_COUNT]>,
     next_connection: Cell<u64>,
     clock: RecordingClock,
 }
 
 impl RecorderHandle {
+    /// Creates a handle that queues at most `budget_bytes` of events.
     pub fn new(
         events: SyncSender<QueuedEvent>,
         queued_bytes: Arc<AtomicUsize>,
@@ -43,25 +46,25 @@
             queued_bytes,
             budget_bytes,
             records_peer_links,
-            dropped_events: Cell::new([0; LEGS]),
+            dropped_events: Cell::new([0; LEG_COUNT]),
             next_connection: Cell::new(1),
             clock: RecordingClock::start(),
         }
     }
 
-    /// Whether connections to peers are recorded, besides those from clients.
+    /// Returns whether connections to peers are recorded as well as those from clients.
     pub fn records_peer_links(&self) -> bool {
         self.records_peer_links
     }
 
-    /// A connection number that was not used before.
+    /// Returns a new connection number.
     pub fn next_connection(&self) -> u64 {
         let number = self.next_connection.get();
         self.next_connection.set(number + 1);
         number
     }
 
-    /// Queues an event; false where it was dropped.
+    /// Queues an event. Returns `false` if it was dropped.
     pub fn send(&self, connection: ConnectionInfo, kind: EventKind) -> bool {
         let time = self.clock.now();
         let event = Event {
@@ -71,7 +74,7 @@
         };
         let is_queued = self.try_queue(event);
         if is_queued {
-            self.dropped_events.set([0; LEGS]);
+            self.dropped_events.set([0; LEG_COUNT]);
         } else {
             let mut dropped = self.dropped_events.get();
             dropped[connection.leg as usize] += 1;
@@ -80,6 +83,7 @@
         is_queued
     }
 
+    /// Queues an event if it fits into the budget and the queue. Returns `false` otherwise.
     fn try_queue(&self, event: Event) -> bool {
         let weight = event.weight();
         if self.queued_bytes.load(Ordering::Relaxed) + weight > self.budget_bytes {
@@ -98,14 +102,15 @@
     }
 }
 
-/// Timestamps that continue monotonically from the wall clock at the start, so that a jump of the wall clock moves no
-/// event within a recording.
+/// A clock for timestamps, which reads the wall clock once at the start and is monotonic from then on. So a step of the
+/// wall clock does not reorder the events of a recording.
 struct RecordingClock {
     start_unix_nanos: u64,
     start: Instant,
 }
 
 impl RecordingClock {
+    /// Creates a clock that starts at the current wall clock time.
     fn start() -> RecordingClock {
         RecordingClock {
             start_unix_nanos: unix_time().as_nanos() as u64,
@@ -113,6 +118,7 @@
         }
     }
 
+    /// Returns the current timestamp.
     fn now(&self) -> Stamp {
         Stamp(self.start_unix_nanos + self.start.elapsed().as_nanos() as u64)
     }
--- a/crates/heathspurd/src/recording/mod.rs
+++ b/crates/heathspurd/src/recording/mod.rs
@@ -1,7 +1,8 @@
-//! The traffic recorder: streams report what they send and receive, and a thread writes it to capture files.
+//! The traffic recorder: streams queue events for the bytes that they send and receive, and a thread writes them to
+//! capture files.
 //!
-//! Nothing waits for the recorder: past its memory budget events are dropped and counted. What goes into which file,
-//! and what is redacted, is decided by `heathspur-record`.
+//! No stream ever waits for the recorder: events beyond its memory budget are dropped and counted. The
+//! `heathspur-record` package decides when to rotate files and what to redact.
 
 mod handle;
 pub(crate) mod recorded_stream;
@@ -19,20 +20,21 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use writer::Writer;
 
-/// Events queued for the recorder's thread at most, whatever their size.
+/// Maximum number of events that are queued for the recorder's thread, in addition to the memory budget.
 const MAX_QUEUED_EVENTS: usize = 8192;
 
-/// A running recording. Owns its thread.
+/// A running recording.
 pub(crate) struct Recording {
     pub handle: Rc<RecorderHandle>,
+    /// Receives a message once the thread has written all events.
     finished: Receiver<()>,
 }
 
 impl Recording {
-    /// Starts the thread for the server `name`.
+    /// Starts the recorder's thread. The names of the capture files begin with the server's `name`.
     pub fn start(name: &str, settings: &Record) -> io::Result<Recording> {
         let (events, queue) = sync_channel(MAX_QUEUED_EVENTS);
-        let (finish, finished) = sync_channel(1);
+        let (notify_finished, finished) = sync_channel(1);
         let queued_bytes = Arc::new(AtomicUsize::new(0));
         let budget_bytes = settings.budget.memory.0 as usize;
         let handle =
@@ -42,7 +44,7 @@
             .name("record".into())
             .spawn(move || {
                 writer.run(&queue, &queued_bytes);
-                let _ = finish.send(());
+                let _ = notify_finished.send(());
             })?;
         Ok(Recording {
             handle: Rc::new(handle),
@@ -50,15 +52,15 @@
         })
     }
 
-    /// Waits until the queued events are written, at most for `timeout`. All other references to the handle must have
-    /// been dropped.
+    /// Waits until the queued events are written, for at most `timeout`. All other references to the handle must have
+    /// been dropped, because the thread runs until then.
     pub fn finish(self, timeout: Duration) {
         drop(self.handle);
         let _ = self.finished.recv_timeout(timeout);
     }
 }
 
-/// The system's time since the Unix epoch.
+/// Returns the wall clock's time since the Unix epoch.
 fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/heathspurd/src/recording/recorded_stream.rs
+++ b/crates/heathspurd/src/recording/recorded_stream.rs
@@ -1,5 +1,5 @@
-//! TCP streams whose traffic is recorded where that is enabled. Without recording, each read and write costs one look at
-//! an option.
+//! TCP streams whose traffic is recorded if recording is enabled. If it is disabled, the only cost is one check of an
+//! `Option` per read and write.
 
 use crate::recording::RecorderHandle;
 use async_io::Async;
@@ -15,21 +15,22 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A connection's stream.
+/// The TCP stream of a connection, with its optional recorder.
 pub(crate) struct Stream {
     inner: Async<TcpStream>,
     recorder: Option<StreamRecorder>,
 }
 
 impl Stream {
-    /// A connection that a client has made.
+    /// Creates the stream of a connection that a client opened.
     pub fn accepted(inner: Async<TcpStream>, handle: Option<&Rc<RecorderHandle>>) -> Stream {
         let recorder = handle
             .and_then(|handle| StreamRecorder::start(&inner, handle, Leg::Front, Side::Server));
         Stream { inner, recorder }
     }
 
-    /// A connection made to a peer.
+    /// Creates the stream of a connection that this process opened to a peer. It is recorded only if the recording
+    /// includes connections to peers.
     pub fn outgoing(
         inner: Async<TcpStream>,
         recorder: Option<(&Rc<RecorderHandle>, Leg)>,
@@ -41,17 +42,17 @@
     }
 }
 
-/// Records one stream; its end is recorded when it is dropped.
+/// The recorder of one stream. Dropping it records the end of the stream.
 struct StreamRecorder {
     handle: Rc<RecorderHandle>,
     connection: ConnectionInfo,
-    /// The side of the connection that this process is.
+    /// The side of the connection that this process takes.
     local_side: Side,
     dropped_bytes: Cell<DroppedBytes>,
     end: Cell<StreamEnd>,
 }
 
-/// Bytes of each side that were not recorded since the last recorded ones.
+/// Per sending side, the number of bytes that were not recorded since the last recorded ones.
 #[derive(Clone, Copy, Default)]
 struct DroppedBytes {
     client: u64,
@@ -59,7 +60,8 @@
 }
 
 impl DroppedBytes {
-    fn of(&mut self, side: Side) -> &mut u64 {
+    /// Returns the count for the bytes that `side` sent.
+    fn count_mut(&mut self, side: Side) -> &mut u64 {
         match side {
             Side::Client => &mut self.client,
             Side::Server => &mut self.server,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Which side ended a stream, and whether by a reset.
+/// The end of a stream: the side that ended it, and whether it did so by a reset.
 #[derive(Clone, Copy)]
 struct StreamEnd {
     by: Side,
@@ -75,7 +77,8 @@
 }
 
 impl StreamRecorder {
-    /// Records the start of a stream; `None` where its addresses are unknown because it has ended.
+    /// Records the start of a stream. Returns `None` if its addresses are unknown because the connection has already
+    /// ended.
     fn start(
         stream: &Async<TcpStream>,
         handle: &Rc<RecorderHandle>,
@@ -98,6 +101,7 @@
         Some(StreamRecorder::new(handle.clone(), connection, local_side))
     }
 
+    /// Creates a recorder that assumes the local side will end the stream, until a read shows otherwise.
     fn new(
         handle: Rc<RecorderHandle>,
         connection: ConnectionInfo,
@@ -115,10 +119,10 @@
         }
     }
 
-    /// Records bytes that a side has sent.
+    /// Records bytes that `side` has sent.
     fn record_bytes(&self, side: Side, bytes: &[u8]) {
         let mut dropped_bytes = self.dropped_bytes.get();
-        let dropped = dropped_bytes.of(side);
+        let dropped = dropped_bytes.count_mut(side);
         let kind = EventKind::Data {
             side,
             bytes: Bytes::copy_from_slice(bytes),
@@ -131,7 +135,7 @@
         self.dropped_bytes.set(dropped_bytes);
     }
 
-    /// Records the result of a read into `buffer`.
+    /// Records the result of a read into `buffer`: the bytes, or the end of the stream.
     fn record_read(&self, result: &io::Result<usize>, buffer: &[u8]) {
         let remote_side = self.local_side.other();
         match result {
--- a/crates/heathspurd/src/recording/writer.rs
+++ b/crates/heathspurd/src/recording/writer.rs
@@ -1,4 +1,4 @@
-//! The recorder's thread: takes events from the queue and writes capture blocks to files.
+//! The recorder's thread, which encodes queued events as capture blocks and writes them to files.
 
 use super::handle::QueuedEvent;
 use super::unix_time;
@@ -15,27 +15,29 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Blocks are written together, up to this many bytes.
+/// Size of the encoded blocks at which a batch is written, in bytes.
 const MAX_BATCH_BYTES: usize = 256 * 1024;
-/// The longest wait for an event before the blocks at hand are written.
+/// The longest wait for an event before the pending blocks are written.
 const MAX_BATCH_DELAY: Duration = Duration::from_millis(200);
 
 /// Owns the recorder's state, the open file and the blocks that wait to be written to it.
 pub(super) struct Writer {
     directory: PathBuf,
     recorder: Recorder,
-    files: FileRotation,
+    rotation: FileRotation,
+    /// The open file, if any.
     file: Option<File>,
     /// The path of `file`.
     path: PathBuf,
-    /// Bytes of `file` that are complete blocks.
+    /// Number of bytes at the start of `file` that consist of complete blocks.
     complete_bytes: u64,
-    /// The origin of the files' time.
+    /// Time zero of `rotation`.
     start: Instant,
     pending_blocks: Vec<u8>,
 }
 
 impl Writer {
+    /// Creates a writer without an open file. Recordings that exist in the directory take part in the rotation.
     pub fn new(name: &str, settings: &Record) -> Writer {
         let redaction = RedactionPolicy {
             bodies: settings.contents == Contents::Headers,
@@ -54,7 +56,7 @@
         Writer {
             directory: settings.directory.clone(),
             recorder: Recorder::new(redaction),
-            files: FileRotation::new(&file_prefix(name), limits, existing),
+            rotation: FileRotation::new(&file_prefix(name), limits, existing),
             file: None,
             path: PathBuf::new(),
             complete_bytes: 0,
@@ -63,11 +65,11 @@
         }
     }
 
-    /// Records events until all their senders are gone.
+    /// Records events until all senders have been dropped.
     pub fn run(&mut self, events: &Receiver<QueuedEvent>, queued_bytes: &AtomicUsize) {
         loop {
             match events.recv_timeout(MAX_BATCH_DELAY) {
-                Ok(first) => self.take_batch(first, events, queued_bytes),
+                Ok(first) => self.encode_batch(first, events, queued_bytes),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
                     self.end_recording();
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Makes blocks of the events that are queued, up to the size of a batch.
-    fn take_batch(
+    /// Encodes the queued events, starting with `first`, until the queue is empty or the batch is full.
+    fn encode_batch(
         &mut self,
         first: QueuedEvent,
         events: &Receiver<QueuedEvent>,
@@ -87,7 +89,7 @@
     ) {
         let mut next = Some(first);
         while let Some(queued) = next {
-            self.take(&queued);
+            self.encode(&queued);
             queued_bytes.fetch_sub(queued.event.weight(), Ordering::Relaxed);
             if self.pending_blocks.len() >= MAX_BATCH_BYTES {
                 return;
@@ -96,7 +98,8 @@
         }
     }
 
-    fn take(&mut self, queued: &QueuedEvent) {
+    /// Encodes an event as pending blocks.
+    fn encode(&mut self, queued: &QueuedEvent) {
         for (leg, count) in Leg::ALL.into_iter().zip(queued.dropped_events) {
             self.recorder.add_dropped(leg, count);
         }
@@ -104,7 +107,7 @@
         self.pending_blocks.extend(blocks);
     }
 
-    /// Writes the blocks at hand and those that end the open file.
+    /// Writes the pending blocks and the final statistics of the open file.
     fn end_recording(&mut self) {
         if self.file.is_some() {
             let now = Stamp(unix_time().as_nanos() as u64);
@@ -114,7 +117,8 @@
         self.write_pending();
     }
 
-    /// Writes the pending blocks to the file that is due, or drops them where there is none.
+    /// Writes the pending blocks to the open file, after rotating files if that is due. Drops the blocks if no file can
+    /// be opened at present.
     fn write_pending(&mut self) {
         if self.pending_blocks.is_empty() {
             return;
@@ -122,23 +126,24 @@
         let now_ms = self.start.elapsed().as_millis() as u64;
         let blocks = std::mem::take(&mut self.pending_blocks);
         let written = match self
-            .files
+            .rotation
             .next_action(now_ms, unix_time().as_millis() as u64)
         {
             FileAction::Drop => return,
             FileAction::Write => self.write(&blocks),
             FileAction::Rotate { create, delete } => self
-                .change_file(now_ms, &create, &delete)
+                .rotate_files(now_ms, &create, &delete)
                 .and_then(|()| self.write(&blocks)),
         };
         match written {
-            Ok(()) => self.files.bytes_written(blocks.len() as u64),
-            Err(e) => self.write_failed(now_ms, &e),
+            Ok(()) => self.rotation.bytes_written(blocks.len() as u64),
+            Err(e) => self.handle_write_error(now_ms, &e),
         }
     }
 
+    /// Writes blocks to the open file.
     fn write(&mut self, blocks: &[u8]) -> io::Result<()> {
-        // A file whose directory was removed can still be written to, but nobody would find it.
+        // After the file or its directory was removed, writes still succeed, but their content would be lost.
         std::fs::symlink_metadata(&self.path)?;
         let file = self.file.as_mut().ok_or(io::ErrorKind::NotFound)?;
         file.write_all(blocks)?;
@@ -146,60 +151,63 @@
         Ok(())
     }
 
-    /// Closes the file, without a block that may have been written in part.
-    fn write_failed(&mut self, now_ms: u64, error: &io::Error) {
+    /// Closes the file after truncating a block that may be incomplete. Logs only the first error of several in a row.
+    fn handle_write_error(&mut self, now_ms: u64, error: &io::Error) {
         if let Some(file) = self.file.take() {
             let _ = file.set_len(self.complete_bytes);
         }
-        if let Some(StatusChange::Stopped) = self.files.write_failed(now_ms) {
+        if let Some(StatusChange::Stopped) = self.rotation.write_failed(now_ms) {
             let directory = self.directory.display();
-            warn!(error = %error, "recording has stopped: {directory}: {error}");
+            warn!(error = %error, "recording stopped: cannot write to {directory}: {error}");
         }
     }
 
-    /// Closes the open file, deletes the oldest files and makes a new one.
-    fn change_file(&mut self, now_ms: u64, make: &str, delete: &[String]) -> io::Result<()> {
+    /// Closes the open file, deletes the files named in `delete` and creates the file `create`.
+    fn rotate_files(&mut self, now_ms: u64, create: &str, delete: &[String]) -> io::Result<()> {
         self.file = None;
         self.delete_files(delete);
-        self.path = self.directory.join(make);
+        self.path = self.directory.join(create);
         let mut file = OpenOptions::new()
             .write(true)
             .create_new(true)
             .open(&self.path)?;
-        let start = self.recorder.file_header();
-        file.write_all(&start)?;
-        self.complete_bytes = start.len() as u64;
+        let header = self.recorder.file_header();
+        file.write_all(&header)?;
+        self.complete_bytes = header.len() as u64;
         self.file = Some(file);
-        let resumed = self.files.file_created(now_ms, make, self.complete_bytes);
+        let resumed = self
+            .rotation
+            .file_created(now_ms, create, self.complete_bytes);
         if let Some(StatusChange::Resumed(left_out)) = resumed {
             info!(
                 left_out,
-                "recording goes on in {make}; blocks were left out {left_out} times"
+                "recording resumed in {create}; {left_out} batches of blocks were dropped"
             );
         }
         Ok(())
     }
 
+    /// Deletes files. A file that cannot be deleted remains in the rotation.
     fn delete_files(&mut self, names: &[String]) {
         for name in names {
-            // A file that is gone already counts as deleted; deleting one that remains is tried again with the next
-            // change of files.
+            // A file that no longer exists counts as deleted. Deleting a file that remains is retried on the next
+            // rotation.
             match std::fs::remove_file(self.directory.join(name)) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => {}
-                _ => self.files.file_deleted(name),
+                _ => self.rotation.file_deleted(name),
             }
         }
     }
 }
 
-/// The server's name in a form that is safe in file names.
+/// Returns the server's name with all characters that are unsafe in file names replaced by `_`.
 fn file_prefix(name: &str) -> String {
     name.chars()
         .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
         .collect()
 }
 
-/// The names of the files in a directory; none where it cannot be read.
+/// Returns the names of the files in a directory, or nothing if it cannot be read.
 fn file_names(directory: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(directory).into_iter().flatten().flatten();
     entries
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -199,7 +199,7 @@
     std::fs::remove_dir_all(&folder.0).unwrap();
     let (rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
     serve(&rig, &mut vm, 1..20);
-    rig.logs("recording has stopped");
+    rig.logs("recording stopped: cannot write to ");
     std::fs::create_dir_all(&folder.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
@@ -208,7 +208,7 @@
         serve(&rig, &mut vm, txn..txn + 1);
         txn += 1;
     }
-    assert!(rig.logs("recording").contains("recording goes on in n3-"));
+    assert!(rig.logs("recording").contains("recording resumed in n3-"));
 }
 
 #[test]
@@ -219,7 +219,7 @@
     folder.holds(2);
     std::fs::remove_dir_all(&folder.0).unwrap();
     serve(&rig, &mut vm, 10..12);
-    rig.logs("recording has stopped");
+    rig.logs("recording stopped: cannot write to ");
     std::fs::create_dir_all(&folder.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
--- a/crates/heathspurd/tests/unit/recorded_stream.rs
+++ b/crates/heathspurd/tests/unit/recorded_stream.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_stalled_recorder_drops_events_and_never_blocks() {
+fn stalled_recorder_drops_events_without_blocking() {
     let (events, recorder) = sync_channel(1000);
     let queued_bytes = Arc::new(AtomicUsize::new(0));
     let handle = Rc::new(RecorderHandle::new(
@@ -31,23 +31,23 @@
     for _ in 0..100 {
         stream.record_bytes(Side::Client, &[b'a'; 500]);
     }
-    let taken: Vec<QueuedEvent> = recorder.try_iter().collect();
-    assert!((5..20).contains(&taken.len()), "{}", taken.len());
+    let queued: Vec<QueuedEvent> = recorder.try_iter().collect();
+    assert!((5..20).contains(&queued.len()), "{}", queued.len());
     assert!(queued_bytes.load(Ordering::Relaxed) <= 10_000);
-    // The next event reports what was dropped, in bytes and in events.
+    // The next event reports the number of dropped bytes and events.
     queued_bytes.store(0, Ordering::Relaxed);
     stream.record_bytes(Side::Client, b"next");
     let next = recorder.try_recv().unwrap();
-    let dropped = 100 - taken.len() as u64;
+    let dropped = 100 - queued.len() as u64;
     assert_eq!(next.dropped_events, [dropped, 0, 0]);
     let EventKind::Data { skipped, .. } = next.event.kind else {
         panic!("{:?}", next.event)
     };
     assert_eq!(skipped, dropped * 500);
-    stream.record_bytes(Side::Server, b"answer");
-    let answer = recorder.try_recv().unwrap();
+    stream.record_bytes(Side::Server, b"response");
+    let response = recorder.try_recv().unwrap();
     assert!(
-        matches!(answer.event.kind, EventKind::Data { skipped: 0, .. })
-            && answer.dropped_events == [0; 3]
+        matches!(response.event.kind, EventKind::Data { skipped: 0, .. })
+            && response.dropped_events == [0; 3]
     );
 }
--- a/crates/heathspurd/tests/unit/recorder_handle.rs
+++ b/crates/heathspurd/tests/unit/recorder_handle.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_full_queue_drops_events_and_counts_them() {
+fn full_queue_drops_and_counts_events() {
     let (events, recorder) = sync_channel(2);
     let queued_bytes = Arc::new(AtomicUsize::new(0));
     let handle = RecorderHandle::new(events, queued_bytes.clone(), 1 << 20, false);
--- a/crates/heathspurd/tests/unit/recording_writer.rs
+++ b/crates/heathspurd/tests/unit/recording_writer.rs
@@ -3,8 +3,9 @@
 use super::*;
 use heathspur_config::Operator;
 
+/// An error while writing must neither end the recorder's thread nor cause a retry for every batch of blocks.
 #[test]
-fn a_full_disk_stops_recording_which_goes_on_in_a_new_file() {
+fn full_disk_stops_recording_until_retry_in_new_file() {
     let directory = std::env::temp_dir().join(format!("heathspurd-full-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
     let text = format!(
@@ -16,8 +17,8 @@
         .record
         .unwrap();
     let mut writer = Writer::new("n 1", &settings);
-    // The file that is open lies on a device that is always full.
-    writer.files.file_created(0, "n_1-full", 0);
+    // The open file is on a device that is always full.
+    writer.rotation.file_created(0, "n_1-full", 0);
     writer.path = PathBuf::from("/dev/full");
     writer.file = Some(OpenOptions::new().write(true).open(&writer.path).unwrap());
     writer.pending_blocks = vec![0; 4096];
@@ -27,9 +28,9 @@
     writer.write_pending();
     assert!(
         file_names(&directory).is_empty(),
-        "it waits before it tries again"
+        "a new file was created before the retry delay had passed"
     );
-    // Moves the start back, as if the delay had passed.
+    // Moves the start into the past, so that the retry delay has passed.
     writer.start = Instant::now().checked_sub(Duration::from_secs(2)).unwrap();
     writer.pending_blocks = vec![0; 64];
     writer.write_pending();
@@ -38,10 +39,10 @@
         panic!("{written:?}")
     };
     assert!(name.starts_with("n_1-"), "{name}");
-    let start = writer.recorder.file_header().len() as u64;
+    let header_bytes = writer.recorder.file_header().len() as u64;
     assert_eq!(
         std::fs::metadata(directory.join(name)).unwrap().len(),
-        start + 64
+        header_bytes + 64
     );
     std::fs::remove_dir_all(directory).unwrap();
 }
