--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -1,5 +1,8 @@
-//! The shell of failover: the event loop's calls are counted for the membership thread, whose routing plan comes back
-//! as a versioned snapshot. `heathspur-failover` makes the decisions, and neither side waits for the other.
+//! Failover between zones: connects the event loop, which routes calls, with the membership thread, which runs the
+//! failover state machine of `heathspur-failover`.
+//!
+//! The event loop counts the outcomes of its calls. The membership thread feeds these counts into the state machine and
+//! publishes the resulting routing plan as a versioned snapshot. Neither thread waits for the other.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -22,12 +25,12 @@
 
 /// The interval between steps of the failover state machine.
 const STEP_INTERVAL: Duration = Duration::from_millis(100);
-/// A health check fails if its connection takes longer.
+/// The timeout of a health check, which fails if the connection is not established by then.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// Logarithms of latencies cross threads as integers in this fraction of a unit.
+/// The factor by which logarithms of latencies are scaled, so that an atomic integer can hold their sum.
 const LN_SCALE: f64 = 1e6;
 
-/// Counts of calls and health checks of the local replica that the failover worker has not taken yet.
+/// Counts of calls to and health checks of the local replica since the failover worker last reset them.
 #[derive(Default)]
 struct Counters {
     calls_succeeded: AtomicU32,
@@ -39,6 +42,7 @@
 }
 
 impl Counters {
+    /// Counts a call, unless its outcome is no evidence of the replica's health.
     fn record_call(&self, outcome: Outcome, latency: Duration) {
         match call_succeeded(outcome) {
             Some(true) => {
@@ -53,6 +57,7 @@
         }
     }
 
+    /// Counts a health check.
     fn record_check(&self, succeeded: bool) {
         let counter = if succeeded {
             &self.checks_succeeded
@@ -62,7 +67,7 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Moves all counts into the failover state machine.
+    /// Passes all counts to the failover state machine and resets them.
     fn drain_into(&self, failover: &mut Failover) {
         let take = |counter: &AtomicU32| counter.swap(0, Ordering::Relaxed);
         let succeeded = take(&self.calls_succeeded);
@@ -84,45 +89,51 @@
 #[derive(Default)]
 struct Shared {
     counters: Counters,
-    /// Whether the local replica needs health checks.
+    /// Whether the local replica needs health checks, because too few calls show its health.
     needs_check: AtomicBool,
-    /// Rises with each plan.
+    /// Increases with each published plan.
     plan_version: AtomicU64,
     plan: Mutex<Arc<RoutingPlan>>,
 }
 
 impl Shared {
+    /// Publishes a plan for the event loop.
     fn publish_plan(&self, plan: RoutingPlan) {
         *self.lock_plan() = Arc::new(plan);
         self.plan_version.fetch_add(1, Ordering::Release);
     }
 
-    /// Locked for no longer than the exchange of a pointer; a poisoned lock still has a whole plan.
+    /// Locks the plan, which callers only do to copy or replace the pointer. A poisoned lock is used nevertheless, since
+    /// a pointer is never partly written.
     fn lock_plan(&self) -> MutexGuard<'_, Arc<RoutingPlan>> {
         self.plan.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The membership thread's end: steps the failover state machine.
+/// The membership thread's part, which steps the failover state machine.
 pub(crate) struct FailoverWorker {
     shared: Arc<Shared>,
     failover: Failover,
-    stepped_at: Instant,
+    /// The time up to which the state machine has been advanced.
+    advanced_to: Instant,
+    /// The last published plan.
     plan: RoutingPlan,
     without_quorum: bool,
     local_replica: SocketAddr,
     check_interval: Duration,
 }
 
-/// The event loop's end, before it is moved to the event loop's thread.
+/// The data from which the event loop's thread creates its [`Router`], which cannot be moved between threads.
 pub(crate) struct ReplicaRoutes {
     shared: Arc<Shared>,
     zones: Vec<String>,
     addresses: Vec<SocketAddr>,
+    /// The index of the local zone.
     home: usize,
 }
 
-/// Creates both ends; `home` is the index of the local zone's replica.
+/// Creates the membership thread's part and the event loop's part of failover. `home` is the index of the local zone's
+/// replica.
 pub(crate) fn start(
     config: &FailoverConfig,
     home: usize,
@@ -134,7 +145,7 @@
     let worker = FailoverWorker {
         shared: shared.clone(),
         failover: Failover::new(zones.clone(), home, region.to_string(), hysteresis(config)),
-        stepped_at: Instant::now(),
+        advanced_to: Instant::now(),
         plan: RoutingPlan::default(),
         without_quorum: false,
         local_replica: addresses[home],
@@ -149,7 +160,7 @@
     (worker, routes)
 }
 
-/// The hysteresis by the names of the operator's file; the dead band keeps its default.
+/// Converts the hysteresis settings of the operator's file. The dead band is not configurable and keeps its default.
 fn hysteresis(config: &FailoverConfig) -> Hysteresis {
     let milliseconds = |span: Span| span.0.as_millis() as u32;
     Hysteresis {
@@ -161,15 +172,16 @@
 }
 
 impl FailoverWorker {
-    /// Whether the next step is due; the view is not read at each turn of the thread.
+    /// Returns whether the next step is due, so that the caller creates the membership view only for due steps.
     pub(crate) fn is_due(&self, now: Instant) -> bool {
-        now.duration_since(self.stepped_at) >= STEP_INTERVAL
+        now.duration_since(self.advanced_to) >= STEP_INTERVAL
     }
 
-    /// Steps with the current view and publishes the routing plan; returns the vote to publish to other members.
+    /// Advances the state machine with the current membership view, and publishes a changed routing plan to the event
+    /// loop. Returns the vote to publish to the other members.
     pub(crate) fn step(&mut self, view: &View, local_id: &str) -> ZoneVote {
-        let elapsed_ms = self.stepped_at.elapsed().as_millis() as u32;
-        self.stepped_at += Duration::from_millis(u64::from(elapsed_ms));
+        let elapsed_ms = self.advanced_to.elapsed().as_millis() as u32;
+        self.advanced_to += Duration::from_millis(u64::from(elapsed_ms));
         self.shared.counters.drain_into(&mut self.failover);
         let outcome = self.failover.step(elapsed_ms, &peers(view, local_id));
         self.log_changes(&outcome);
@@ -190,6 +202,7 @@
         }
     }
 
+    /// Logs a new decision and a change of the quorum.
     fn log_changes(&mut self, outcome: &StepOutcome) {
         if let Some(decision) = outcome.new_decision {
             let Decision {
@@ -210,14 +223,17 @@
         if without_quorum {
             info!(
                 without_quorum,
-                "failover: no quorum of the zone: only this server's own calls move"
+                "failover: no quorum in the local zone; only this server's own calls are rerouted"
             );
         } else {
-            info!(without_quorum, "failover: quorum of the zone restored");
+            info!(
+                without_quorum,
+                "failover: quorum in the local zone restored"
+            );
         }
     }
 
-    /// Checks the local replica while too few calls show its health; never completes.
+    /// Runs health checks of the local replica whenever too few calls show its health. Never completes.
     pub(crate) fn run_checks(&self) -> impl std::future::Future<Output = ()> {
         let (shared, replica) = (self.shared.clone(), self.local_replica);
         let interval = self.check_interval;
@@ -233,7 +249,7 @@
     }
 }
 
-/// Whether a TCP connection to the replica is established in time.
+/// Returns whether a TCP connection to the replica is established within [`CHECK_TIMEOUT`].
 async fn accepts_connections(replica: SocketAddr) -> bool {
     let connected = async { Async::<TcpStream>::connect(replica).await.is_ok() };
     let timed_out = async {
@@ -243,7 +259,7 @@
     future::or(connected, timed_out).await
 }
 
-/// All other members in the view that have not left.
+/// Returns all other members in the view that have not left.
 fn peers(view: &View, local_id: &str) -> Vec<Peer> {
     let others = view.members.iter().filter(|other| {
         let is_local = other.member.id.0 == local_id;
@@ -252,6 +268,7 @@
     others.map(peer).collect()
 }
 
+/// Converts a member of the view into a peer of the failover state machine.
 fn peer(snapshot: &MemberSnapshot) -> Peer {
     let MemberSnapshot { member, state, .. } = snapshot;
     Peer {
@@ -272,17 +289,19 @@
     }
 }
 
-/// The routing of calls, on the event loop's thread.
+/// The event loop's part, which routes calls by the published plan.
 pub(crate) struct Router {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
+    /// The index of the local zone.
     home: usize,
+    /// The version of the plan that `picker` uses.
     plan_version: Cell<u64>,
     picker: RefCell<ReplicaPicker>,
 }
 
 impl ReplicaRoutes {
-    /// The router, once on the event loop's thread.
+    /// Creates the router. Must be called on the event loop's thread.
     pub(crate) fn into_router(self) -> Rc<Router> {
         Rc::new(Router {
             picker: RefCell::new(ReplicaPicker::new(self.zones, self.home)),
@@ -295,9 +314,10 @@
 }
 
 impl Router {
-    /// The route of the next call; `None` if the replica that is due has no capacity for it.
+    /// Returns the route of the next call, or `None` if the plan sends it to another zone and no remote replica has
+    /// capacity for it.
     pub(crate) fn pick(self: &Rc<Router>) -> Option<Route> {
-        self.take_new_plan();
+        self.update_plan();
         let replica = self.picker.borrow_mut().pick()?;
         Some(Route {
             router: self.clone(),
@@ -307,7 +327,8 @@
         })
     }
 
-    fn take_new_plan(&self) {
+    /// Passes the published plan to the picker if it is a new one.
+    fn update_plan(&self) {
         let version = self.shared.plan_version.load(Ordering::Acquire);
         if self.plan_version.replace(version) != version {
             let plan = self.shared.lock_plan().clone();
@@ -316,20 +337,23 @@
     }
 }
 
-/// The route of one call to a replica, released when it is dropped.
+/// The route of one call to a replica. Dropping it releases the capacity that the call occupies.
 pub(crate) struct Route {
     router: Rc<Router>,
+    /// The index of the replica.
     replica: usize,
     started_at: Instant,
+    /// Whether the outcome has been counted.
     completed: Cell<bool>,
 }
 
 impl Route {
+    /// Returns the address of the replica.
     pub(crate) fn address(&self) -> SocketAddr {
         self.router.addresses[self.replica]
     }
 
-    /// Counts the outcome of a call to the local replica, once.
+    /// Counts the outcome of the call if it went to the local replica. Only the first outcome counts.
     pub(crate) fn complete(&self, outcome: Outcome) {
         if self.replica != self.router.home || self.completed.replace(true) {
             return;
--- a/crates/heathspurd/src/membership/load_gauge.rs
+++ b/crates/heathspurd/src/membership/load_gauge.rs
@@ -1,45 +1,48 @@
-//! The server's load, set by the event loop and sampled by the membership thread.
+//! The server's load, which the event loop sets and the membership thread samples.
 
 use heathspur_members::Load;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Rejections are counted over this window.
+/// The length of a window in which rejections are counted.
 const REJECTION_WINDOW: Duration = Duration::from_secs(1);
 
-/// The load that the event loop sets.
+/// The server's load, shared between the event loop and the membership thread.
 #[derive(Default)]
 pub(super) struct LoadGauge {
     in_flight: AtomicU32,
     concurrency_limit: AtomicU32,
-    /// Requests rejected since the start.
+    /// Number of requests rejected since the start.
     rejections: AtomicU64,
 }
 
 impl LoadGauge {
+    /// Sets the number of requests in flight and the limit on it.
     pub(super) fn set(&self, in_flight: usize, concurrency_limit: f64) {
         self.in_flight.store(in_flight as u32, Ordering::Relaxed);
         self.concurrency_limit
             .store(concurrency_limit as u32, Ordering::Relaxed);
     }
 
+    /// Counts a rejected request.
     pub(super) fn count_rejection(&self) {
         self.rejections.fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Samples the gauge, with rejections counted by the window.
+/// Samples a [`LoadGauge`] and computes the rate of rejections from its counter.
 pub(super) struct LoadSampler {
     gauge: Arc<LoadGauge>,
     window_started_at: Instant,
-    /// Rejections before the current window.
+    /// Number of rejections before the current window.
     rejections_before: u64,
-    /// Rejections in the previous window.
+    /// Number of rejections in the previous window.
     rejections_per_second: u32,
 }
 
 impl LoadSampler {
+    /// Creates a sampler whose first window starts now.
     pub(super) fn new(gauge: Arc<LoadGauge>) -> LoadSampler {
         LoadSampler {
             gauge,
@@ -49,6 +52,7 @@
         }
     }
 
+    /// Returns the current load, with the rate of rejections in the last complete window.
     pub(super) fn sample(&mut self, now: Instant) -> Load {
         let rejections = self.gauge.rejections.load(Ordering::Relaxed);
         if now.duration_since(self.window_started_at) >= REJECTION_WINDOW {
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -1,7 +1,8 @@
-//! The shell of fleet membership: UDP on a thread and local executor of its own, which carries out the actions of
-//! `heathspur-members`.
+//! Fleet membership: a thread with its own local executor, which runs the SWIM state machine of `heathspur-members` over
+//! UDP.
 //!
-//! The event loop and this thread share a few numbers and a bounded channel, and neither waits for the other.
+//! The event loop and this thread share only a few atomic numbers and a bounded channel, and neither waits for the
+//! other.
 
 pub(crate) mod failover;
 mod load_gauge;
@@ -22,51 +23,52 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// The longest interval between ticks; at most a tenth of the protocol period.
+/// The longest interval between ticks. A short protocol period shortens it; see [`MIN_TICKS_PER_PERIOD`].
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Ticks in a protocol period at the least.
-const TICKS_PER_PERIOD: u32 = 10;
-/// Gossip rounds in a protocol period.
+/// Minimum number of ticks in a protocol period.
+const MIN_TICKS_PER_PERIOD: u32 = 10;
+/// Number of gossip rounds in a protocol period.
 const GOSSIP_ROUNDS_PER_PERIOD: u64 = 5;
 /// The shortest interval between gossip rounds, in milliseconds.
 const MIN_GOSSIP_INTERVAL_MS: u64 = 10;
-/// Sets the random seed apart from the incarnation; the golden ratio's bits, as in Fibonacci hashing.
+/// Combined with the incarnation by XOR to give the random seed, so that the two differ. The value is 2^64 divided by
+/// the golden ratio, as in Fibonacci hashing.
 const RANDOM_SEED_MASK: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Commands that are ever sent: one to leave and one to stop.
-const COMMANDS: usize = 2;
+/// The capacity of the command channel. At most two commands are ever sent: one to leave and one to stop.
+const COMMAND_CHANNEL_CAPACITY: usize = 2;
 
-/// Why membership could not start.
+/// The reason why membership could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// A setting is out of its bounds.
+    /// A setting is out of range.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The advertised address is not IPv4.
-    #[error("the address {0} is advertised to other members, but IPv4 is expected")]
+    #[error("the advertised address {0} is not an IPv4 address")]
     AdvertisedIpv6(SocketAddr),
-    /// The socket could not be bound.
+    /// The UDP socket could not be bound.
     #[error("cannot bind the UDP address {address}: {source}")]
     Bind {
-        /// The address.
+        /// The local address.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
     /// The thread could not be started.
-    #[error("cannot start the members thread: {0}")]
+    #[error("cannot start the membership thread: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// A command of the event loop to the membership thread.
+/// A command for the membership thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Command {
-    /// Announce that this member leaves, and go on receiving.
+    /// Announce that this member leaves, and continue to receive messages.
     Leave,
-    /// Stop once the departure was announced for long enough.
+    /// Announce that this member leaves, unless done before, and stop once it has been announced for long enough.
     Stop,
 }
 
-/// The event loop's end.
+/// The event loop's handle of the membership thread.
 pub(crate) struct MembershipHandle {
     gauge: Arc<LoadGauge>,
     commands: Sender<Command>,
@@ -83,9 +85,9 @@
         self.gauge.count_rejection();
     }
 
-    /// Announces that this server drains, so that no other member counts on it.
+    /// Announces that this server leaves the fleet because it drains, so that no other member relies on it.
     pub(crate) fn leave(&self) {
-        // The channel has capacity for every command that is ever sent.
+        // The channel has capacity for all commands that are ever sent.
         let _ = self.commands.try_send(Command::Leave);
     }
 }
@@ -117,12 +119,12 @@
         let membership =
             Membership::new(settings, local, incarnation, seeds.collect(), random_seed);
         let gauge = Arc::new(LoadGauge::default());
-        let (commands, received_commands) = async_channel::bounded(COMMANDS);
+        let (commands, received_commands) = async_channel::bounded(COMMAND_CHANNEL_CAPACITY);
         let worker = MembershipWorker::new(
             membership,
             LoadSampler::new(gauge.clone()),
             received_commands,
-            MAX_TICK_INTERVAL.min(config.period.0 / TICKS_PER_PERIOD),
+            MAX_TICK_INTERVAL.min(config.period.0 / MIN_TICKS_PER_PERIOD),
             failover,
         );
         let thread = thread::Builder::new()
@@ -136,7 +138,7 @@
         })
     }
 
-    /// A handle for the event loop.
+    /// Returns a handle for the event loop.
     pub(crate) fn handle(&self) -> MembershipHandle {
         MembershipHandle {
             gauge: self.gauge.clone(),
@@ -144,7 +146,8 @@
         }
     }
 
-    /// Stops the thread, after announcing the departure if that has not been done yet.
+    /// Stops the thread and waits for its end. If [`MembershipHandle::leave`] has not been called, the departure is
+    /// announced first.
     pub(crate) fn stop(mut self) {
         let _ = self.commands.try_send(Command::Stop);
         if let Some(thread) = self.thread.take() {
@@ -153,6 +156,7 @@
     }
 }
 
+/// Runs the membership worker and the health checks of failover until the worker stops.
 fn run_thread(worker: MembershipWorker, socket: UdpSocket) {
     let executor = async_executor::LocalExecutor::new();
     if let Some(failover) = worker.failover() {
@@ -163,7 +167,7 @@
     }
 }
 
-/// The record that this server publishes about itself.
+/// Creates the member record that this server publishes about itself.
 fn local_member(config: &MembersConfig) -> Result<Member, MembershipError> {
     let advertised = config.advertise.unwrap_or(config.listen);
     let address = ipv4(advertised).ok_or(MembershipError::AdvertisedIpv6(advertised))?;
@@ -181,7 +185,7 @@
     })
 }
 
-/// The settings by the operator's file; the others keep their defaults.
+/// Converts the settings of the operator's file. All others keep their defaults.
 fn settings(config: &MembersConfig) -> Settings {
     let period_ms = config.period.0.as_millis() as u64;
     Settings {
@@ -195,6 +199,7 @@
     }
 }
 
+/// Returns the address if it is an IPv4 address. The protocol does not support IPv6.
 fn ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
     match address {
         SocketAddr::V4(ipv4) => Some(ipv4),
@@ -202,7 +207,7 @@
     }
 }
 
-/// The program's version as one number, so that the fleet's view shows it: 1.2.3 is 1002003.
+/// Encodes the program's version as a number for the member record: 1.2.3 becomes 1002003.
 fn program_version() -> u32 {
     let parts = env!("CARGO_PKG_VERSION")
         .split('.')
@@ -212,8 +217,8 @@
         .fold(0, |number: u32, part: u32| number * 1_000 + part.min(999))
 }
 
-/// An incarnation that does not go back across restarts: the wall clock's milliseconds at the start. The one
-/// exception is a clock set back by more than the downtime.
+/// Returns the initial incarnation: the wall clock in milliseconds since the Unix epoch. It is higher than that of the
+/// previous run, unless the clock was set back by more than the downtime between the two runs.
 fn first_incarnation() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/heathspurd/src/membership/worker.rs
+++ b/crates/heathspurd/src/membership/worker.rs
@@ -1,4 +1,4 @@
-//! The membership thread's loop: datagrams, ticks and commands into the state machine, its actions carried out.
+//! The membership thread's loop, which passes datagrams, ticks and commands to the state machine and performs its actions.
 
 use crate::membership::failover::FailoverWorker;
 use crate::membership::load_gauge::LoadSampler;
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How long a stopping member goes on gossiping that it leaves.
+/// How long a member gossips that it leaves before it stops.
 const LEAVE_ANNOUNCEMENT: Duration = Duration::from_millis(300);
 
-/// What the loop waits for.
+/// The event that ends a wait of the loop.
 enum Wakeup {
     Datagram(io::Result<(usize, SocketAddr)>),
     TickDue,
@@ -29,12 +29,16 @@
     commands: Receiver<Command>,
     tick_interval: Duration,
     failover: Option<FailoverWorker>,
+    /// Time zero of the state machine.
     started_at: Instant,
-    left_at: Option<Instant>,
+    /// When this member began to announce that it leaves.
+    leaving_since: Option<Instant>,
+    /// When the loop ends.
     stops_at: Option<Instant>,
 }
 
 impl MembershipWorker {
+    /// Creates a worker. `failover` is `None` if zone failover is disabled.
     pub(super) fn new(
         membership: Membership,
         load: LoadSampler,
@@ -49,16 +53,17 @@
             tick_interval,
             failover,
             started_at: Instant::now(),
-            left_at: None,
+            leaving_since: None,
             stops_at: None,
         }
     }
 
+    /// Returns the failover worker if zone failover is enabled.
     pub(super) fn failover(&self) -> Option<&FailoverWorker> {
         self.failover.as_ref()
     }
 
-    /// Runs until a stop command, once the departure has been announced for long enough.
+    /// Runs until a stop command has arrived and the departure has been announced for long enough.
     pub(super) async fn run(mut self, socket: UdpSocket) -> io::Result<()> {
         let socket = Async::new(socket)?;
         let mut buffer = vec![0u8; wire::MAX_DATAGRAM_BYTES + 1];
@@ -70,18 +75,19 @@
                 Wakeup::Datagram(Ok((len, from))) => {
                     self.on_datagram(from, &buffer[..len], &mut actions);
                 }
-                // A datagram's error (a port unreachable after a send) says nothing about the socket.
+                // A receive error, such as a port unreachable reported for an earlier send, does not mean that the
+                // socket is unusable.
                 Wakeup::Datagram(Err(_)) | Wakeup::TickDue => {}
                 Wakeup::Command(command) => self.on_command(command, &mut actions),
             }
-            // By the clock and not by the timer, which a flood of datagrams would starve.
+            // Checked against the clock, because a flood of datagrams would keep the timer from being polled.
             let now = Instant::now();
             if now >= next_tick_at {
                 next_tick_at = now + self.tick_interval;
                 self.on_tick(now, &mut actions);
             }
             for action in actions.drain(..) {
-                carry_out(&socket, action).await;
+                perform_action(&socket, action).await;
             }
             if self.stops_at.is_some_and(|at| now >= at) {
                 info!("members: left");
@@ -90,6 +96,7 @@
         }
     }
 
+    /// Waits for a datagram, a command or the next tick, in this order of priority.
     async fn wait(
         &self,
         socket: &Async<UdpSocket>,
@@ -97,7 +104,7 @@
         next_tick_at: Instant,
     ) -> Wakeup {
         let datagram = async { Wakeup::Datagram(socket.recv_from(buffer).await) };
-        // The channel is closed once the event loop has ended.
+        // The channel is closed after a stop command, or once all senders have been dropped.
         let command =
             async { Wakeup::Command(self.commands.recv().await.unwrap_or(Command::Stop)) };
         let tick = async {
@@ -107,26 +114,30 @@
         future::or(datagram, future::or(command, tick)).await
     }
 
+    /// Passes an event to the state machine, which adds its actions to `actions`.
     fn handle(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
         let now_ms = self.started_at.elapsed().as_millis() as u64;
         self.membership.handle(now_ms, event, actions);
     }
 
+    /// Handles a datagram. Datagrams from IPv6 addresses are ignored.
     fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8], actions: &mut Vec<Action>) {
         if let Some(from) = ipv4(from) {
             self.handle(Event::Datagram { from, bytes }, actions);
         }
     }
 
+    /// Announces that this member leaves, and schedules the end of the loop if the command is to stop.
     fn on_command(&mut self, command: Command, actions: &mut Vec<Action>) {
-        let left_at = *self.left_at.get_or_insert_with(Instant::now);
+        let leaving_since = *self.leaving_since.get_or_insert_with(Instant::now);
         self.handle(Event::Leave, actions);
         if command == Command::Stop {
-            self.stops_at = Some(left_at + LEAVE_ANNOUNCEMENT);
+            self.stops_at = Some(leaving_since + LEAVE_ANNOUNCEMENT);
             self.commands.close();
         }
     }
 
+    /// Updates the published load, advances the state machine, and steps failover if that is due.
     fn on_tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let load = self.load.sample(now);
         self.membership.set_load(load);
@@ -140,9 +151,10 @@
     }
 }
 
-async fn carry_out(socket: &Async<UdpSocket>, action: Action) {
+/// Performs an action of the state machine.
+async fn perform_action(socket: &Async<UdpSocket>, action: Action) {
     match action {
-        // A failed send is a lost datagram, which SWIM tolerates.
+        // A failed send amounts to a lost datagram, which SWIM tolerates.
         Action::Send { to, bytes } => {
             let _ = socket.send_to(&bytes, to).await;
         }
@@ -166,6 +178,7 @@
     }
 }
 
+/// Logs the numbers of rejected datagrams and updates by reason.
 fn log_rejections(report: &RejectionReport) {
     let sender = report.last_sender.map(|sender| sender.to_string());
     let sender = sender.unwrap_or_default();
--- a/crates/heathspurd/src/peers/interpreter/mod.rs
+++ b/crates/heathspurd/src/peers/interpreter/mod.rs
@@ -120,7 +120,7 @@
 
 /// Keeps the link connected until the event loop ends. Reconnects when the interpreter's address changes.
 pub(crate) async fn run<N: From<InterpreterEvent>>(
-    target: Rc<PeerAddress>,
+    peer_address: Rc<PeerAddress>,
     link: Rc<Link>,
     events: Sender<N>,
     recorder: Option<Rc<RecorderHandle>>,
@@ -128,12 +128,19 @@
     let mut sequence = NoticeSequence::default();
     let mut delay = MIN_RECONNECT_DELAY;
     loop {
-        let address = target.get();
-        match connect_unless_address_changes(&target, address, recorder.as_ref()).await {
+        let address = peer_address.get();
+        match connect_unless_address_changes(&peer_address, address, recorder.as_ref()).await {
             Some(Ok(stream)) => {
                 let last_before = sequence.last();
-                let error =
-                    run_connection(&stream, &link, &events, &mut sequence, &target, address).await;
+                let error = run_connection(
+                    &stream,
+                    &link,
+                    &events,
+                    &mut sequence,
+                    &peer_address,
+                    address,
+                )
+                .await;
                 link.queued_commands.borrow_mut().clear();
                 let last = sequence.last();
                 warn!(
@@ -154,36 +161,36 @@
             }
             None => {}
         }
-        if target.get() != address {
+        if peer_address.get() != address {
             delay = MIN_RECONNECT_DELAY;
             continue;
         }
-        back_off(&target, address, delay).await;
+        back_off(&peer_address, address, delay).await;
         delay = (delay * 2).min(MAX_RECONNECT_DELAY);
     }
 }
 
 /// Connects to the interpreter. Returns `None` if its address changes first.
 async fn connect_unless_address_changes(
-    target: &PeerAddress,
+    peer_address: &PeerAddress,
     address: SocketAddr,
     recorder: Option<&Rc<RecorderHandle>>,
 ) -> Option<io::Result<Stream>> {
     let recorder = recorder.map(|recorder| (recorder, Leg::Interpreter));
     let connected = async { Some(connect(address, CONNECT_TIMEOUT, recorder).await) };
     let address_changed = async {
-        target.changed(address).await;
+        peer_address.changed(address).await;
         None
     };
     future::or(connected, address_changed).await
 }
 
 /// Waits until the delay has elapsed or the interpreter's address changes.
-async fn back_off(target: &PeerAddress, address: SocketAddr, delay: Duration) {
+async fn back_off(peer_address: &PeerAddress, address: SocketAddr, delay: Duration) {
     let elapsed = async {
         Timer::after(delay).await;
     };
-    future::or(elapsed, target.changed(address)).await;
+    future::or(elapsed, peer_address.changed(address)).await;
 }
 
 /// Exchanges commands and notices on a connection until it ends, and returns the reason.
@@ -192,7 +199,7 @@
     link: &Link,
     events: &Sender<N>,
     sequence: &mut NoticeSequence,
-    target: &PeerAddress,
+    peer_address: &PeerAddress,
     address: SocketAddr,
 ) -> LinkError {
     sequence.begin_connection();
@@ -202,7 +209,7 @@
         write_commands(stream, link),
     );
     let address_changed = async {
-        target.changed(address).await;
+        peer_address.changed(address).await;
         LinkError::AddressChanged
     };
     future::or(exchange, address_changed).await
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -51,17 +51,17 @@
 }
 
 /// Reports the readiness of the server `name` to the registration service. Never completes.
-pub(crate) async fn run(target: Rc<PeerAddress>, name: String, readiness: Rc<Readiness>) {
-    let mut reporter = Reporter::new(target.get(), name);
+pub(crate) async fn run(peer_address: Rc<PeerAddress>, name: String, readiness: Rc<Readiness>) {
+    let mut reporter = Reporter::new(peer_address.get(), name);
     loop {
         let Some(ready) = readiness.ready.get() else {
             readiness.changed.notified().await;
             continue;
         };
-        reporter.set_address(target.get());
+        reporter.set_address(peer_address.get());
         reporter.handle(Event::Ready(ready));
         reporter.perform_actions();
-        if let Some((index, outcome)) = wait(&mut reporter, &target, &readiness).await {
+        if let Some((index, outcome)) = wait(&mut reporter, &peer_address, &readiness).await {
             reporter.complete_step(index, outcome);
         }
     }
@@ -71,12 +71,12 @@
 /// if the readiness or the address changed first, or the next action became due.
 async fn wait(
     reporter: &mut Reporter,
-    target: &PeerAddress,
+    peer_address: &PeerAddress,
     readiness: &Readiness,
 ) -> Option<(usize, StepOutcome)> {
     let (address, wake_at) = (reporter.address, reporter.wake_at());
     let changed = async {
-        future::or(readiness.changed.notified(), target.changed(address)).await;
+        future::or(readiness.changed.notified(), peer_address.changed(address)).await;
         None
     };
     let action_due = async {
