--- a/crates/heathspurd/src/event_loop/store_calls.rs
+++ b/crates/heathspurd/src/event_loop/store_calls.rs
@@ -75,13 +75,13 @@
 
     /// Abandons a call whose result is no longer needed.
     pub fn cancel(&mut self, request: RequestId, call: InFlightCall) {
-        let _ = self.link.give_up(call.id);
+        let _ = self.link.abandon(call.id);
         self.timeouts.remove(&(call.deadline, request));
     }
 
     /// Abandons a call that has timed out. The outcome states whether the call may have taken effect.
     pub fn time_out(&self, call: CallId) -> Outcome {
-        self.link.give_up_late(call)
+        self.link.abandon_timed_out(call)
     }
 
     /// Removes the next call that has timed out, and returns its request.
