--- a/crates/heathspur-streams/src/frame_cost.rs
+++ b/crates/heathspur-streams/src/frame_cost.rs
@@ -1,34 +1,35 @@
-//! The cost of a connection's frames, by which abuse is recognized.
+//! Detects floods of frames on a connection by a balance of points.
 //!
-//! Frames are counted as their bytes arrive, so that those which a library answers by itself count
-//! too. Each kind of frame costs points; submitted requests, read responses and time earn points. A
-//! connection whose balance is exhausted is to be closed with `ENHANCE_YOUR_CALM`.
+//! Frames are counted as their bytes arrive, so that frames which an HTTP/2 library answers by itself
+//! count too. Each frame costs points by its type; submitted requests, responses that the client read
+//! and elapsed time add points. A connection whose balance is exhausted has to be closed with
+//! `ENHANCE_YOUR_CALM`.
 
 use crate::Time;
 
-/// Highest balance of a connection, with which it starts, in points: twenty seconds of earnings by
-/// time. Earnings beyond it are lost, so that a quiet hour pays for no storm.
+/// Initial and highest balance of a connection, in points: the credit of twenty seconds. The cap
+/// prevents a long idle period from paying for a flood.
 const MAX_BALANCE: i64 = 4_000;
-/// Points earned by time, per second.
+/// Points credited per second of elapsed time.
 const POINTS_PER_SECOND: u64 = 200;
-/// Points earned by a submitted request; its own frames cost less.
+/// Points credited for a submitted request. The frames of an ordinary request cost less.
 const POINTS_PER_REQUEST: i64 = 14;
-/// Points earned by a response that was read, for which the client sends window updates.
+/// Points credited for a response that was read; they pay for the client's window updates.
 const POINTS_PER_RESPONSE: i64 = 2;
-/// Points earned by each KiB of such a response.
+/// Points credited for each KiB of a response that was read.
 const POINTS_PER_RESPONSE_KIB: i64 = 1;
-/// Largest response, in KiB, that earns points.
+/// Highest number of KiB of one response for which points are credited.
 const MAX_RESPONSE_KIB: u64 = 1 << 20;
-/// Points that a refused stream costs: the client ignored the advertised limit.
+/// Points that a refused stream costs: the client exceeded the advertised limit.
 const REFUSED_STREAM_COST: i64 = 4;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const BYTES_PER_KIB: u64 = 1024;
 
 /// Length of a frame header, in bytes (RFC 9113, section 4.1).
 const FRAME_HEADER_BYTES: usize = 9;
-/// Flag of SETTINGS and PING: the frame is an acknowledgement.
+/// Flag of SETTINGS and PING frames: the frame is an acknowledgement.
 const FLAG_ACK: u8 = 1;
-/// Flag of DATA: the client has ended its side of the stream.
+/// Flag of DATA frames: the frame is the last one that the client sends on the stream.
 const FLAG_END_STREAM: u8 = 1;
 
 /// Frame types (RFC 9113, section 6).
@@ -45,12 +46,13 @@
 
 /// Costs of frames, in points.
 mod cost {
-    /// DATA without bytes that does not end its stream.
+    /// An empty DATA frame that does not end its stream.
     pub const EMPTY_DATA: i64 = 20;
-    /// DATA of any size: small pieces cost as much to handle as large ones.
+    /// Any other DATA frame. The cost does not depend on the length, because handling a small frame
+    /// takes as much work as handling a large one.
     pub const DATA: i64 = 1;
     pub const HEADERS: i64 = 6;
-    /// Header blocks of permitted size need few of these.
+    /// A high cost, since header blocks of permitted size need few CONTINUATION frames.
     pub const CONTINUATION: i64 = 10;
     pub const PRIORITY: i64 = 4;
     pub const RST_STREAM: i64 = 20;
@@ -67,58 +69,59 @@
 pub struct FrameCounts {
     /// Frames of any type.
     pub frames: u64,
-    /// Streams that the client reset.
+    /// RST_STREAM frames: streams that the client reset.
     pub resets: u64,
-    /// Acknowledgements of PINGs.
+    /// PING frames that are acknowledgements.
     pub ping_acks: u64,
 }
 
-/// The balance of one connection.
+/// Point balance and frame counts of one connection.
 #[derive(Clone, Debug)]
 pub struct FrameCostMeter {
-    /// Bytes of the frame header that is being read.
+    /// The frame header that is being received; the first `header_len` bytes are valid.
     header: [u8; FRAME_HEADER_BYTES],
-    header_bytes: usize,
-    /// Payload bytes of the present frame that are still to come.
+    header_len: usize,
+    /// Payload bytes of the current frame that have not arrived yet.
     payload_left: u32,
-    /// Points.
+    /// In points; negative once it is exhausted.
     balance: i64,
-    /// Time up to which points were earned.
-    earned_until: Time,
+    /// Time up to which points have been credited.
+    credited_until: Time,
     counts: FrameCounts,
 }
 
 impl FrameCostMeter {
-    /// Creates the balance of a connection that has sent its preface only.
+    /// Creates the meter of a connection on which only the preface has been received.
     pub fn new(now: Time) -> FrameCostMeter {
         FrameCostMeter {
             header: [0; FRAME_HEADER_BYTES],
-            header_bytes: 0,
+            header_len: 0,
             payload_left: 0,
             balance: MAX_BALANCE,
-            earned_until: now,
+            credited_until: now,
             counts: FrameCounts::default(),
         }
     }
 
-    /// Reads bytes of the connection, in pieces of any size.
+    /// Records bytes received on the connection and charges for each frame whose header is complete.
+    /// The bytes may be split anywhere.
     pub fn record_bytes(&mut self, mut bytes: &[u8], now: Time) {
-        self.earn_by_time(now);
+        self.credit_elapsed_time(now);
         while !bytes.is_empty() {
             bytes = self.skip_payload(bytes);
             bytes = self.read_header(bytes);
         }
     }
 
-    /// Credits a request that was submitted.
+    /// Adds the points of a submitted request.
     pub fn credit_request(&mut self) {
-        self.earn(POINTS_PER_REQUEST);
+        self.credit(POINTS_PER_REQUEST);
     }
 
-    /// Credits a response of that many bytes that was read.
+    /// Adds the points of a response of `bytes` bytes that the client has read.
     pub fn credit_response(&mut self, bytes: u64) {
         let kib = (bytes / BYTES_PER_KIB).min(MAX_RESPONSE_KIB) as i64;
-        self.earn(POINTS_PER_RESPONSE + POINTS_PER_RESPONSE_KIB * kib);
+        self.credit(POINTS_PER_RESPONSE + POINTS_PER_RESPONSE_KIB * kib);
     }
 
     /// Charges for a stream that was refused.
@@ -143,29 +146,30 @@
     }
 
     fn read_header<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        let taken = (FRAME_HEADER_BYTES - self.header_bytes).min(bytes.len());
-        let header_end = self.header_bytes + taken;
-        self.header[self.header_bytes..header_end].copy_from_slice(&bytes[..taken]);
-        self.header_bytes = header_end;
+        let taken = (FRAME_HEADER_BYTES - self.header_len).min(bytes.len());
+        let header_end = self.header_len + taken;
+        self.header[self.header_len..header_end].copy_from_slice(&bytes[..taken]);
+        self.header_len = header_end;
         if header_end == FRAME_HEADER_BYTES {
-            self.header_bytes = 0;
+            self.header_len = 0;
             self.charge_frame();
         }
         &bytes[taken..]
     }
 
-    fn earn(&mut self, points: i64) {
+    fn credit(&mut self, points: i64) {
         self.balance = (self.balance + points).min(MAX_BALANCE);
     }
 
-    /// Earns whole points; the remaining time counts next time.
-    fn earn_by_time(&mut self, now: Time) {
-        let elapsed_us = now.since(self.earned_until);
+    /// Adds a whole number of points for the time since the last credit. Time that is worth less than
+    /// a point stays uncredited until the next call.
+    fn credit_elapsed_time(&mut self, now: Time) {
+        let elapsed_us = now.since(self.credited_until);
         let points = elapsed_us.saturating_mul(POINTS_PER_SECOND) / MICROS_PER_SECOND;
         if points > 0 {
-            let paid_us = points * MICROS_PER_SECOND / POINTS_PER_SECOND;
-            self.earned_until = self.earned_until.after(paid_us);
-            self.earn(points.min(MAX_BALANCE as u64) as i64);
+            let credited_us = points * MICROS_PER_SECOND / POINTS_PER_SECOND;
+            self.credited_until = self.credited_until.after(credited_us);
+            self.credit(points.min(MAX_BALANCE as u64) as i64);
         }
     }
 
--- a/crates/heathspur-streams/src/lib.rs
+++ b/crates/heathspur-streams/src/lib.rs
@@ -1,15 +1,15 @@
-//! Decisions of an HTTP/2 server (RFC 9113) about its streams and connections, without I/O and clocks.
+//! Decisions of an HTTP/2 server (RFC 9113) about its streams and connections, without I/O or clocks.
 //!
-//! Events go in, actions come out; the caller moves the bytes. Admission is decided by `heathspur`:
-//! a request that is refused here never reached it.
+//! The state machines take events and return actions; the caller performs the I/O. Whether a request
+//! is admitted is decided by `heathspur`: a stream that is refused here was never submitted to it.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`stream_lifecycle`] | what an event means for one stream |
-//! | [`connection_drain`] | the graceful shutdown of a connection (GOAWAY) |
-//! | [`stream_limits`] | how many streams may be open, and the flow-control windows |
-//! | [`response_memory`] | which response is dropped when unread ones exceed their memory |
-//! | [`frame_cost`] | when the frames of a connection are abuse |
+//! | [`stream_lifecycle`] | how a stream's state changes with each event, and what has to be sent |
+//! | [`connection_drain`] | the steps of a connection's graceful shutdown (GOAWAY) |
+//! | [`stream_limits`] | how many streams may be open, and how large the flow-control windows are |
+//! | [`response_memory`] | which response is dropped when unread responses exceed their memory limit |
+//! | [`frame_cost`] | when a connection's frames count as abuse |
 #![forbid(unsafe_code)]
 
 pub mod connection_drain;
@@ -28,7 +28,7 @@
         Time(self.0.saturating_add(micros))
     }
 
-    /// Returns the microseconds since `earlier`, or 0 if that lies ahead.
+    /// Returns the microseconds since `earlier`, or 0 if `earlier` is later than this time.
     pub fn since(self, earlier: Time) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/heathspur-streams/src/response_memory.rs
+++ b/crates/heathspur-streams/src/response_memory.rs
@@ -1,7 +1,7 @@
-//! Memory of responses that wait to be read: one budget over all connections.
+//! Limits on the memory of responses that clients have not read yet, per connection and in total.
 //!
-//! When the budget is exceeded, the oldest response of the connection that uses the most is dropped,
-//! so that a stalled reader pays for itself.
+//! When the total is exceeded, the oldest response of the connection that uses the most memory is
+//! dropped, so that a client that does not read loses its own responses and not those of others.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,62 +13,65 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ResponseKey(pub u64);
 
+/// Unread responses of one connection.
 #[derive(Clone, Debug, Default)]
-struct Account {
+struct ConnectionUsage {
+    /// Bytes of all `responses`.
     bytes: u64,
-    /// Responses with their bytes, oldest first.
+    /// Responses with their sizes in bytes, oldest first.
     responses: VecDeque<(ResponseKey, u64)>,
 }
 
 /// Limits on unread responses, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryLimits {
-    /// Of one connection.
+    /// Limit of one connection.
     pub per_connection: u64,
-    /// Of all connections together.
+    /// Limit of all connections together.
     pub total: u64,
 }
 
-/// The memory of all unread responses.
+/// Accounts for the memory of all unread responses.
 #[derive(Clone, Debug)]
 pub struct ResponseMemory {
     limits: MemoryLimits,
     used_bytes: u64,
-    accounts: BTreeMap<ConnectionKey, Account>,
-    /// Connections by the bytes that they use, ascending.
+    /// Connections that have unread responses.
+    connections: BTreeMap<ConnectionKey, ConnectionUsage>,
+    /// The same connections, in ascending order of the bytes that they use.
     by_usage: BTreeSet<(u64, ConnectionKey)>,
 }
 
 impl ResponseMemory {
-    /// Creates an empty budget.
+    /// Creates the accounting without any responses.
     pub fn new(limits: MemoryLimits) -> ResponseMemory {
         ResponseMemory {
             limits,
             used_bytes: 0,
-            accounts: BTreeMap::new(),
+            connections: BTreeMap::new(),
             by_usage: BTreeSet::new(),
         }
     }
 
-    /// Returns the bytes of all unread responses.
+    /// Returns the memory of all unread responses, in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.used_bytes
     }
 
-    /// Adds a response, and returns the responses to drop for it, in order. Their bytes are released
-    /// already. The new response can be among them.
+    /// Adds a response and returns the responses that have to be dropped to stay within the limits,
+    /// in the order of dropping. They are already released here. The new response can be among them.
     pub fn reserve(
         &mut self,
         connection: ConnectionKey,
         response: ResponseKey,
         bytes: u64,
     ) -> Vec<(ConnectionKey, ResponseKey)> {
-        self.change(connection, |account| {
-            account.bytes += bytes;
-            account.responses.push_back((response, bytes));
+        self.update(connection, |usage| {
+            usage.bytes += bytes;
+            usage.responses.push_back((response, bytes));
         });
         let mut dropped = Vec::new();
-        while self.is_over_its_limit(connection) {
+        while self.exceeds_connection_limit(connection) {
             dropped.extend(self.drop_oldest(connection));
         }
         while self.used_bytes > self.limits.total {
@@ -80,49 +83,46 @@
         dropped
     }
 
-    /// Releases a response that was read. A response that was dropped is unknown and ignored.
+    /// Releases a response that was read. Does nothing if the response was dropped before.
     pub fn release(&mut self, connection: ConnectionKey, response: ResponseKey) {
-        self.change(connection, |account| {
-            let position = account
-                .responses
-                .iter()
-                .position(|(known, _)| *known == response);
-            if let Some((_, bytes)) = position.and_then(|at| account.responses.remove(at)) {
-                account.bytes -= bytes;
+        self.update(connection, |usage| {
+            let position = usage.responses.iter().position(|(key, _)| *key == response);
+            if let Some((_, bytes)) = position.and_then(|index| usage.responses.remove(index)) {
+                usage.bytes -= bytes;
             }
         });
     }
 
-    fn is_over_its_limit(&self, connection: ConnectionKey) -> bool {
-        self.accounts
+    fn exceeds_connection_limit(&self, connection: ConnectionKey) -> bool {
+        self.connections
             .get(&connection)
-            .is_some_and(|account| account.bytes > self.limits.per_connection)
+            .is_some_and(|usage| usage.bytes > self.limits.per_connection)
     }
 
     fn drop_oldest(&mut self, connection: ConnectionKey) -> Option<(ConnectionKey, ResponseKey)> {
         let mut dropped = None;
-        self.change(connection, |account| {
-            if let Some((response, bytes)) = account.responses.pop_front() {
-                account.bytes -= bytes;
+        self.update(connection, |usage| {
+            if let Some((response, bytes)) = usage.responses.pop_front() {
+                usage.bytes -= bytes;
                 dropped = Some((connection, response));
             }
         });
         dropped
     }
 
-    /// Changes an account and keeps the total and the order by usage in step with it.
-    fn change(&mut self, connection: ConnectionKey, change: impl FnOnce(&mut Account)) {
-        let account = self.accounts.entry(connection).or_default();
-        let before = account.bytes;
-        change(account);
-        let after = account.bytes;
-        let is_empty = account.responses.is_empty();
-        self.used_bytes = self.used_bytes - before + after;
-        self.by_usage.remove(&(before, connection));
+    /// Applies a change to a connection's usage and updates the total and the order by usage with it.
+    fn update(&mut self, connection: ConnectionKey, change: impl FnOnce(&mut ConnectionUsage)) {
+        let usage = self.connections.entry(connection).or_default();
+        let bytes_before = usage.bytes;
+        change(usage);
+        let bytes_after = usage.bytes;
+        let is_empty = usage.responses.is_empty();
+        self.used_bytes = self.used_bytes - bytes_before + bytes_after;
+        self.by_usage.remove(&(bytes_before, connection));
         if is_empty {
-            self.accounts.remove(&connection);
+            self.connections.remove(&connection);
         } else {
-            self.by_usage.insert((after, connection));
+            self.by_usage.insert((bytes_after, connection));
         }
     }
 }
--- a/crates/heathspur-streams/src/stream_lifecycle.rs
+++ b/crates/heathspur-streams/src/stream_lifecycle.rs
@@ -1,8 +1,9 @@
-//! The lifecycle of one stream: what each event means in each state.
+//! The lifecycle of one stream: the action that each event causes in each state.
 //!
-//! A stream begins when its header block is complete. Whether its request runs is not known here: a
-//! submitted stream stays [`StreamState::Submitted`] until its one final response comes. The result of
-//! a keyed request is retained under its key, whatever becomes of the stream.
+//! A stream begins when its header block is complete. This module has no information on whether a
+//! submitted request runs: the stream stays [`StreamState::Submitted`] until its one final response
+//! arrives. The result of a request with an idempotency key is retained elsewhere, under that key, no
+//! matter how the stream ends.
 
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
 const STATUS_CONTENT_TOO_LARGE: u16 = 413;
@@ -15,14 +16,14 @@
         /// Bytes received.
         received: u32,
     },
-    /// The request was submitted to admission; its response is owed.
+    /// The request was submitted to admission, and its response has not arrived.
     Submitted,
     /// The response is being sent.
     SendingResponse {
         /// Bytes of the body not sent yet.
         remaining: u32,
     },
-    /// The response waits for the client's flow-control window.
+    /// The client's flow-control window is used up; the rest of the response waits for it to grow.
     FlowBlocked {
         /// Bytes of the body not sent yet.
         remaining: u32,
@@ -34,40 +35,40 @@
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamEnd {
-    /// Its final response was sent, whether from admission or from this server's own checks.
+    /// The final response was sent, whether it came from admission or from this server's own checks.
     Completed,
-    /// It was refused before its request was submitted, so that the client may repeat it at once.
+    /// The stream was refused before its request was submitted; the client may retry at once.
     Refused,
-    /// The client reset it.
+    /// The client reset the stream.
     Reset,
-    /// Its connection ended.
+    /// The connection ended.
     ConnectionLost,
-    /// Its response was dropped: it was not read in time, or its memory was needed.
+    /// The response was dropped: it was not read in time, or its memory was reclaimed.
     ResponseDropped,
 }
 
-/// Something that happens to a stream.
+/// An event that a stream has to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamEvent {
-    /// Bytes of the request's body have arrived; there may be none.
+    /// Bytes of the request's body have arrived.
     Data {
-        /// Number of bytes.
+        /// Number of bytes; may be 0.
         bytes: u32,
-        /// The client has ended its side.
+        /// Whether the body is complete.
         end: bool,
     },
-    /// The request is invalid and gets this server's own response.
+    /// The request is invalid and is answered by this server without being submitted.
     InvalidRequest {
         /// Status of the response.
         status: u16,
     },
-    /// The request was not complete in time, or the response not read in time.
+    /// The request was not complete in time, or the response was not read in time.
     TimedOut,
     /// The client has reset the stream.
     Reset,
     /// The connection has ended.
     ConnectionLost,
-    /// The final response.
+    /// The final response of the submitted request has arrived.
     Response {
         /// Bytes of its body.
         bytes: u32,
@@ -77,9 +78,9 @@
         /// Bytes that may be sent; 0 if the window is used up.
         bytes: u32,
     },
-    /// The memory of the response is needed for others.
+    /// The memory of the response is needed for other responses.
     MemoryReclaimed,
-    /// The connection drains, and no stream is read any more.
+    /// The connection drains and receives no further requests; incomplete ones are refused.
     StopReading,
 }
 
@@ -92,9 +93,9 @@
     BufferData,
     /// Buffer the bytes and submit the request.
     SubmitRequest,
-    /// Report that the client has gone.
+    /// Report that the client of a submitted request has disconnected.
     ReportDisconnect,
-    /// Send this server's own response, and read no more of the request.
+    /// Send a response with this status, and stop reading the request. It was not submitted.
     RespondWithStatus {
         /// Status of the response.
         status: u16,
@@ -105,16 +106,17 @@
     SendData {
         /// Number of bytes.
         bytes: u32,
-        /// They are the last.
+        /// Whether the body is complete with them.
         end: bool,
     },
-    /// Reset with `REFUSED_STREAM`, which proves that nothing ran (RFC 9113, section 8.7).
+    /// Reset the stream with `REFUSED_STREAM`, which guarantees to the client that the request was
+    /// not processed (RFC 9113, section 8.7).
     RefuseStream,
-    /// Reset with `ENHANCE_YOUR_CALM` and drop the response.
+    /// Reset the stream with `ENHANCE_YOUR_CALM` and drop the response.
     DropResponse,
 }
 
-/// One stream.
+/// State machine of one stream.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StreamLifecycle {
     state: StreamState,
@@ -122,7 +124,8 @@
 }
 
 impl StreamLifecycle {
-    /// Creates a stream whose header block is complete.
+    /// Creates a stream whose header block is complete. A request body of more than `max_body_bytes`
+    /// bytes is rejected.
     pub fn new(max_body_bytes: u32) -> StreamLifecycle {
         StreamLifecycle {
             state: StreamState::ReceivingBody { received: 0 },
@@ -135,7 +138,8 @@
         self.state
     }
 
-    /// Handles an event and returns what is to be done. Events that come too late change nothing.
+    /// Handles an event and returns the action that it causes. An event that has no meaning in the
+    /// current state changes nothing.
     pub fn handle(&mut self, event: StreamEvent) -> StreamAction {
         let (state, action) = match self.state {
             StreamState::ReceivingBody { received } => self.while_receiving(received, event),
@@ -168,7 +172,7 @@
             }
             StreamEvent::InvalidRequest { status } => respond_with(status),
             StreamEvent::TimedOut => respond_with(STATUS_REQUEST_TIMEOUT),
-            // Nothing was submitted, so nothing ran.
+            // The request was not submitted, so it cannot have run.
             StreamEvent::StopReading => close(StreamEnd::Refused, StreamAction::RefuseStream),
             StreamEvent::Reset => close(StreamEnd::Reset, StreamAction::None),
             StreamEvent::ConnectionLost => close(StreamEnd::ConnectionLost, StreamAction::None),
@@ -188,7 +192,7 @@
             StreamEvent::TimedOut | StreamEvent::MemoryReclaimed => {
                 close(StreamEnd::ResponseDropped, StreamAction::DropResponse)
             }
-            // The request is finished, so that no disconnect has to be reported.
+            // The request has been answered, so no disconnect has to be reported.
             StreamEvent::Reset => close(StreamEnd::Reset, StreamAction::None),
             StreamEvent::ConnectionLost => close(StreamEnd::ConnectionLost, StreamAction::None),
             StreamEvent::Data { .. }
@@ -208,12 +212,12 @@
             let state = StreamState::SendingResponse { remaining: bytes };
             (state, StreamAction::SendHeaders)
         }
-        // Whether the request ran is not known here; the event loop decides what a disconnect means.
+        // The request may be running; the event loop decides what to do about the disconnect.
         StreamEvent::Reset => close(StreamEnd::Reset, StreamAction::ReportDisconnect),
         StreamEvent::ConnectionLost => {
             close(StreamEnd::ConnectionLost, StreamAction::ReportDisconnect)
         }
-        // The request was read before the drain and is answered.
+        // A request that was submitted before the drain is still answered.
         StreamEvent::StopReading
         | StreamEvent::TimedOut
         | StreamEvent::MemoryReclaimed
--- a/crates/heathspur-streams/src/stream_limits.rs
+++ b/crates/heathspur-streams/src/stream_limits.rs
@@ -1,60 +1,66 @@
-//! How many streams may be open, on one connection and in all, and the flow-control windows.
+//! Limits on open streams, per connection and in total, and the flow-control windows.
 //!
-//! The limit on all streams follows what the server admits: it falls by a quarter when a request had
-//! to wait before it could be submitted, and grows with each response. It is never below the number of
-//! open streams. Up to three quarters of the limit a connection can use its full allowance; beyond
-//! that, each has an equal share.
+//! The total limit adapts to the load that the server can handle: it is reduced by a quarter when a
+//! request had to wait before it could be submitted, and grows with each response. It is never below
+//! the number of open streams. While fewer than three quarters of the total limit are in use, a
+//! connection may open streams up to its own limit; beyond that, each connection has an equal share.
 
 use crate::Time;
 
 /// Limits set by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Streams of one connection at most.
+    /// Maximum number of open streams of one connection.
     pub per_connection: u32,
-    /// Streams of all connections at most.
+    /// Maximum number of open streams of all connections.
     pub total: u32,
-    /// Bytes that all connections together may send ahead of what is read.
+    /// Request bytes that the clients of all connections together may send before the server has
+    /// read them. Distributed as flow-control windows.
     pub receive_bytes: u64,
 }
 
-/// Initial flow-control window of a connection, in bytes (RFC 9113, section 6.9.2); none is smaller.
-pub const INITIAL_WINDOW: u32 = 65_535;
-/// Largest flow-control window of a connection, in bytes; requests are small.
-const MAX_WINDOW: u32 = 1 << 20;
-/// Least time between two decreases of the limit, in microseconds: a burst counts once.
+/// Initial and smallest flow-control window of a connection, in bytes (RFC 9113, section 6.9.2).
+pub const INITIAL_WINDOW_BYTES: u32 = 65_535;
+/// Largest flow-control window of a connection, in bytes. Requests are small, so that a larger window
+/// has no use.
+const MAX_WINDOW_BYTES: u32 = 1 << 20;
+/// Minimum time between two decreases of the limit, in microseconds. A burst of waiting requests
+/// decreases it once.
 const DECREASE_INTERVAL_US: u64 = 100_000;
-/// Streams that are always allowed, so that a recovery of the server is noticed.
+/// Lower bound of the limit, in streams. Some requests must get through for the limit to grow again
+/// when the server recovers.
 const MIN_LIMIT: u32 = 16;
-/// Fixed-point units of one stream in the limit.
+/// Fixed-point units per stream in the limit.
 const UNITS_PER_STREAM: u64 = 64;
 /// Units by which a response raises the limit: an eighth of a stream.
 const INCREASE_UNITS: u64 = UNITS_PER_STREAM / 8;
-/// Fraction of the limit that remains after a decrease, and above which streams are shared equally.
+/// Numerator and denominator of the fraction of the limit that remains after a decrease, and from
+/// which on open streams are shared equally among the connections.
 const THREE_QUARTERS: (u64, u64) = (3, 4);
 
-/// The limit that refuses a stream. Nothing of the stream was submitted.
+/// The limit by which a stream is refused. A refused stream's request was not submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReached {
-    /// The connection has as many streams as one may have.
+    /// The connection has its maximum number of streams.
     PerConnection,
-    /// The streams of all connections are used up, or the rest are other connections' share.
+    /// The total limit is reached, or what is left of it is the share of other connections.
     Total,
 }
 
-/// The streams of all HTTP/2 connections.
+/// Counts and limits the open streams of all HTTP/2 connections.
 #[derive(Clone, Debug)]
 pub struct StreamLimits {
     settings: LimitSettings,
     connections: u32,
     open_streams: u32,
-    /// The present limit, in units of a stream.
+    /// The total limit, in fixed-point units ([`UNITS_PER_STREAM`]).
     limit_units: u64,
+    /// When the total limit was last decreased.
     decreased_at: Option<Time>,
 }
 
 impl StreamLimits {
-    /// Creates the limits of a server without connections. Settings of 0 count as 1.
+    /// Creates the limits of a server without connections. Stream limits of 0 are raised to 1.
     pub fn new(settings: LimitSettings) -> StreamLimits {
         let settings = LimitSettings {
             per_connection: settings.per_connection.max(1),
@@ -76,7 +82,8 @@
         self.connections += 1;
     }
 
-    /// Records the end of a connection. Its streams are closed one by one.
+    /// Records the end of a connection. Its streams have to be closed separately, by
+    /// [`close_stream`](Self::close_stream).
     pub fn connection_closed(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
@@ -86,13 +93,13 @@
         self.open_streams
     }
 
-    /// Returns the present limit on all streams.
+    /// Returns the current total limit on open streams.
     pub fn current_limit(&self) -> u32 {
         let least = MIN_LIMIT.min(self.settings.total).max(self.open_streams);
         ((self.limit_units / UNITS_PER_STREAM) as u32).max(least)
     }
 
-    /// Returns the limit that a new connection is sent (`SETTINGS_MAX_CONCURRENT_STREAMS`).
+    /// Returns the limit to send to a new connection (`SETTINGS_MAX_CONCURRENT_STREAMS`).
     pub fn advertised_limit(&self) -> u32 {
         self.settings
             .per_connection
@@ -100,7 +107,7 @@
             .max(1)
     }
 
-    /// Opens a stream of a connection that has `open_on_connection` others.
+    /// Opens a stream on a connection that has `open_on_connection` open streams already.
     ///
     /// # Errors
     ///
@@ -125,7 +132,8 @@
         self.open_streams = self.open_streams.saturating_sub(1);
     }
 
-    /// Records that a request had to wait before it could be submitted.
+    /// Records that a request had to wait before it could be submitted. Decreases the limit, at most
+    /// once per [`DECREASE_INTERVAL_US`].
     pub fn on_backpressure(&mut self, now: Time) {
         let may_decrease = self
             .decreased_at
@@ -138,20 +146,20 @@
         }
     }
 
-    /// Records that a request was answered.
+    /// Records that a request was answered, and increases the limit.
     pub fn on_response(&mut self) {
         let highest = u64::from(self.settings.total) * UNITS_PER_STREAM;
         self.limit_units = (self.limit_units + INCREASE_UNITS).min(highest);
     }
 
-    /// Returns the flow-control window of each connection, in bytes: an equal share of what all may
-    /// send ahead.
+    /// Returns the flow-control window of each connection, in bytes: an equal share of
+    /// [`LimitSettings::receive_bytes`], within the bounds of a window.
     pub fn connection_window(&self) -> u32 {
         let share = self.settings.receive_bytes / u64::from(self.connections.max(1));
-        share.clamp(INITIAL_WINDOW.into(), MAX_WINDOW.into()) as u32
+        share.clamp(INITIAL_WINDOW_BYTES.into(), MAX_WINDOW_BYTES.into()) as u32
     }
 
-    /// Returns a connection's equal share of the limit; at least one stream.
+    /// Returns a connection's equal share of the total limit: at least one stream.
     fn equal_share(&self) -> u32 {
         (self.current_limit() / self.connections.max(1)).max(1)
     }
--- a/crates/heathspur-streams/tests/model.rs
+++ b/crates/heathspur-streams/tests/model.rs
@@ -1,8 +1,9 @@
-//! A model of streams, connections, one keyed request, its run and the drain, explored exhaustively with
-//! the crate's own state machines. The event loop and admission are modelled by the rules they keep.
+//! Exhaustive model check of streams, connections, one request with an idempotency key, its run and the
+//! drain. Streams and connections are the crate's own state machines; the event loop and admission are
+//! modelled by the rules that they follow.
 //!
 //! Every step of a client, the network, admission or the clock can occur in any order. Each rule is an
-//! invariant; each mutant violates one and must be found.
+//! invariant. Each mutant is a deliberate fault that the checker has to detect as a violated rule.
 
 use heathspur_streams::connection_drain::{ConnectionDrain, DrainStage, DrainStep};
 use heathspur_streams::stream_lifecycle::{
@@ -11,147 +12,163 @@
 use heathspur_streams::Time;
 use stateright::{Checker, Model, Property};
 
-/// Which connection each stream is on: two on the first, one on the second; all carry the same key.
-const ON: [usize; 3] = [0, 0, 1];
-const STREAMS: usize = ON.len();
+/// The connection of each stream: two streams are on the first, one is on the second. All requests
+/// carry the same idempotency key.
+const CONNECTION_OF: [usize; 3] = [0, 0, 1];
+const STREAMS: usize = CONNECTION_OF.len();
 const CONNECTIONS: usize = 2;
-const BODY: u32 = 4;
+const MAX_BODY_BYTES: u32 = 4;
 
-/// What the event loop knows of a request.
+/// State of a stream's request in the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Work {
-    /// Never submitted.
-    Unknown,
-    Held,
+enum RequestState {
+    NotSubmitted,
+    Queued,
     Running,
-    /// Waits for the result of the attempt that runs.
+    /// Waits for the result of another attempt, which runs.
     Waiting,
-    /// Released.
+    /// Answered, or discarded without an answer.
     Done,
 }
 
+/// The run of the request with the shared key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Run {
     None,
-    Going(usize),
+    /// In progress, for the request of this stream.
+    Running(usize),
     Ended,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Stream {
-    life: Option<StreamLifecycle>,
-    work: Work,
-    /// Final responses that the event loop gave it.
-    answers: u8,
-    /// It began after its connection's last stream was fixed.
-    past: bool,
+    /// `None` until the stream is opened.
+    lifecycle: Option<StreamLifecycle>,
+    request: RequestState,
+    /// Number of final responses that the stream got from the event loop.
+    responses: u8,
+    /// Whether the stream was opened after its connection had sent the final GOAWAY.
+    is_after_last: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Conn {
+struct Connection {
     drain: ConnectionDrain,
-    alive: bool,
+    is_open: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Server {
     streams: [Stream; STREAMS],
-    conns: [Conn; CONNECTIONS],
+    connections: [Connection; CONNECTIONS],
     run: Run,
     runs: u8,
-    leaving: bool,
-    shut: bool,
-    /// An attempt was rejected although its key had run.
-    refused_after_run: bool,
-    /// A request ran that arrived after its connection's last stream.
-    ran_past: bool,
+    draining: bool,
+    accepting_stopped: bool,
+    /// Whether an attempt was rejected after a request with its key had run.
+    rejected_after_run: bool,
+    /// Whether a request ran whose stream was opened after the final GOAWAY.
+    ran_after_last: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Move {
-    Open(usize),
-    Body(usize),
-    Reset(usize),
-    Window(usize),
-    NoWindow(usize),
-    Late(usize),
-    MemoryReclaimed(usize),
-    Lose(usize),
-    Pong(usize),
-    Timeout(usize),
-    Start(usize),
-    Refuse(usize),
+enum Step {
+    /// The client opens this stream.
+    OpenStream(usize),
+    /// The client sends the complete body.
+    SendBody(usize),
+    ResetStream(usize),
+    /// The client grants one byte of flow-control window.
+    GrantWindow(usize),
+    /// The client's flow-control window is used up.
+    ExhaustWindow(usize),
+    TimeOut(usize),
+    ReclaimMemory(usize),
+    /// This connection ends.
+    LoseConnection(usize),
+    AcknowledgePing(usize),
+    /// The round trip of this connection's shutdown times out.
+    RoundTripTimeout(usize),
+    /// Admission starts the request of this stream.
+    StartRequest(usize),
+    /// Admission rejects the request of this stream.
+    RejectRequest(usize),
     EndRun,
-    Notice,
-    Shut,
+    BeginDrain,
+    StopAccepting,
 }
 
-/// Deliberate faults, each of which violates a rule.
+/// Deliberate faults in the modelled server, each of which violates a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// The result is lost with the stream that started the run.
+    /// The result of a run is lost when the stream that started it is reset.
     ResultDroppedAtReset,
-    /// Streams after the last one are accepted.
-    AcceptsPastLast,
-    /// Retries that wait are not answered when the run ends.
+    /// Streams are accepted after the final GOAWAY.
+    AcceptsAfterLast,
+    /// Retries that wait for the result are not answered when the run ends.
     WaitingRetryForgotten,
-    /// A reset is not reported, and the client's request stays.
+    /// A retry is rejected although a request with its key runs or has run.
     RejectsAfterRun,
     /// A submitted request is dropped without a response in a drain.
     DroppedInDrain,
-    /// A reset stream is answered, and answered again.
+    /// A stream that was answered is answered again when the client resets it.
     AnsweredTwice,
 }
 
-struct Front {
+struct ServerModel {
     mutant: Mutant,
 }
 
 impl Server {
-    /// Gives a stream its one final response.
-    fn answer(&mut self, at: usize) {
-        let stream = &mut self.streams[at];
-        if stream.work == Work::Done {
+    /// Sends a stream its final response, unless its request is done.
+    fn answer(&mut self, index: usize) {
+        let stream = &mut self.streams[index];
+        if stream.request == RequestState::Done {
             return;
         }
-        stream.work = Work::Done;
-        let Some(life) = &mut stream.life else { return };
-        if life.handle(StreamEvent::Response { bytes: 2 }) == StreamAction::SendHeaders {
-            stream.answers += 1;
+        stream.request = RequestState::Done;
+        let Some(lifecycle) = &mut stream.lifecycle else {
+            return;
+        };
+        if lifecycle.handle(StreamEvent::Response { bytes: 2 }) == StreamAction::SendHeaders {
+            stream.responses += 1;
         }
     }
 
-    /// The event loop learns that a stream's client has client_gone.
-    fn client_gone(&mut self, at: usize, mutant: Mutant) {
-        match self.streams[at].work {
-            // The run continues, and its result is retained.
-            Work::Running => {
+    /// Handles the report that the client of a stream has disconnected.
+    fn client_disconnected(&mut self, index: usize, mutant: Mutant) {
+        match self.streams[index].request {
+            // The run continues, and its result is retained for retries.
+            RequestState::Running => {
                 if mutant == Mutant::ResultDroppedAtReset {
                     self.run = Run::None;
-                    self.streams[at].work = Work::Done;
+                    self.streams[index].request = RequestState::Done;
                 }
             }
-            Work::Held | Work::Waiting => self.streams[at].work = Work::Done,
-            Work::Unknown | Work::Done => {}
+            RequestState::Queued | RequestState::Waiting => {
+                self.streams[index].request = RequestState::Done
+            }
+            RequestState::NotSubmitted | RequestState::Done => {}
         }
     }
 
-    fn deliver(&mut self, at: usize, event: StreamEvent, mutant: Mutant) {
-        let Some(life) = &mut self.streams[at].life else {
+    /// Passes an event to a stream and carries out the action that it causes.
+    fn deliver(&mut self, index: usize, event: StreamEvent, mutant: Mutant) {
+        let Some(lifecycle) = &mut self.streams[index].lifecycle else {
             return;
         };
-        match life.handle(event) {
-            StreamAction::ReportDisconnect => self.client_gone(at, mutant),
+        match lifecycle.handle(event) {
+            StreamAction::ReportDisconnect => self.client_disconnected(index, mutant),
             StreamAction::SubmitRequest => {
-                // A retry of a request that ran gets its result at once, or waits for it.
+                // A retry gets the result of the run at once, or waits for it.
                 match self.run {
                     Run::Ended => {
-                        self.streams[at].work = Work::Waiting;
-                        self.answer(at);
+                        self.streams[index].request = RequestState::Waiting;
+                        self.answer(index);
                     }
-                    Run::Going(_) => self.streams[at].work = Work::Waiting,
-                    Run::None => self.streams[at].work = Work::Held,
+                    Run::Running(_) => self.streams[index].request = RequestState::Waiting,
+                    Run::None => self.streams[index].request = RequestState::Queued,
                 }
             }
             _ => {}
@@ -159,177 +176,189 @@
     }
 }
 
-impl Model for Front {
+impl Model for ServerModel {
     type State = Server;
-    type Action = Move;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<Server> {
         let stream = Stream {
-            life: None,
-            work: Work::Unknown,
-            answers: 0,
-            past: false,
+            lifecycle: None,
+            request: RequestState::NotSubmitted,
+            responses: 0,
+            is_after_last: false,
         };
-        let conn = Conn {
+        let connection = Connection {
             drain: ConnectionDrain::new(1),
-            alive: true,
+            is_open: true,
         };
         vec![Server {
             streams: std::array::from_fn(|_| stream.clone()),
-            conns: std::array::from_fn(|_| conn.clone()),
+            connections: std::array::from_fn(|_| connection.clone()),
             run: Run::None,
             runs: 0,
-            leaving: false,
-            shut: false,
-            refused_after_run: false,
-            ran_past: false,
+            draining: false,
+            accepting_stopped: false,
+            rejected_after_run: false,
+            ran_after_last: false,
         }]
     }
 
-    fn actions(&self, state: &Server, moves: &mut Vec<Move>) {
-        for (at, stream) in state.streams.iter().enumerate() {
-            let alive = state.conns[ON[at]].alive;
-            match stream.life.as_ref().map(StreamLifecycle::state) {
-                None if alive => moves.push(Move::Open(at)),
-                Some(StreamState::ReceivingBody { .. }) if alive => {
-                    moves.extend([Move::Body(at), Move::Reset(at), Move::Late(at)])
-                }
-                Some(StreamState::Submitted) if alive => moves.push(Move::Reset(at)),
+    fn actions(&self, state: &Server, steps: &mut Vec<Step>) {
+        for (index, stream) in state.streams.iter().enumerate() {
+            let is_open = state.connections[CONNECTION_OF[index]].is_open;
+            match stream.lifecycle.as_ref().map(StreamLifecycle::state) {
+                None if is_open => steps.push(Step::OpenStream(index)),
+                Some(StreamState::ReceivingBody { .. }) if is_open => steps.extend([
+                    Step::SendBody(index),
+                    Step::ResetStream(index),
+                    Step::TimeOut(index),
+                ]),
+                Some(StreamState::Submitted) if is_open => steps.push(Step::ResetStream(index)),
                 Some(StreamState::SendingResponse { .. } | StreamState::FlowBlocked { .. })
-                    if alive =>
+                    if is_open =>
                 {
-                    moves.extend([
-                        Move::Window(at),
-                        Move::NoWindow(at),
-                        Move::Late(at),
-                        Move::MemoryReclaimed(at),
-                        Move::Reset(at),
+                    steps.extend([
+                        Step::GrantWindow(index),
+                        Step::ExhaustWindow(index),
+                        Step::TimeOut(index),
+                        Step::ReclaimMemory(index),
+                        Step::ResetStream(index),
                     ])
                 }
                 _ => {}
             }
-            if stream.work == Work::Held {
-                moves.extend([Move::Start(at), Move::Refuse(at)]);
+            if stream.request == RequestState::Queued {
+                steps.extend([Step::StartRequest(index), Step::RejectRequest(index)]);
             }
         }
-        if matches!(state.run, Run::Going(_)) {
-            moves.push(Move::EndRun);
+        if matches!(state.run, Run::Running(_)) {
+            steps.push(Step::EndRun);
         }
-        for (at, conn) in state
-            .conns
+        for (index, connection) in state
+            .connections
             .iter()
             .enumerate()
-            .filter(|(_, conn)| conn.alive)
+            .filter(|(_, connection)| connection.is_open)
         {
-            moves.push(Move::Lose(at));
-            if matches!(conn.drain.stage(), DrainStage::GoingAway(_)) {
-                moves.extend([Move::Pong(at), Move::Timeout(at)]);
+            steps.push(Step::LoseConnection(index));
+            if matches!(connection.drain.stage(), DrainStage::GoingAway(_)) {
+                steps.extend([Step::AcknowledgePing(index), Step::RoundTripTimeout(index)]);
             }
         }
-        if !state.leaving {
-            moves.push(Move::Notice);
-        } else if !state.shut {
-            moves.push(Move::Shut);
+        if !state.draining {
+            steps.push(Step::BeginDrain);
+        } else if !state.accepting_stopped {
+            steps.push(Step::StopAccepting);
         }
     }
 
-    fn next_state(&self, before: &Server, step: Move) -> Option<Server> {
+    fn next_state(&self, before: &Server, step: Step) -> Option<Server> {
         let mut state = before.clone();
         let mutant = self.mutant;
         match step {
-            Move::Open(at) => {
-                let drain = &state.conns[ON[at]].drain;
-                let (takes, past) = (
-                    drain.accepts_streams() || mutant == Mutant::AcceptsPastLast,
+            Step::OpenStream(index) => {
+                let drain = &state.connections[CONNECTION_OF[index]].drain;
+                let (accepts, is_after_last) = (
+                    drain.accepts_streams() || mutant == Mutant::AcceptsAfterLast,
                     !drain.accepts_streams(),
                 );
-                let mut life = StreamLifecycle::new(BODY);
-                if !takes && life.handle(StreamEvent::StopReading) != StreamAction::RefuseStream {
+                let mut lifecycle = StreamLifecycle::new(MAX_BODY_BYTES);
+                if !accepts
+                    && lifecycle.handle(StreamEvent::StopReading) != StreamAction::RefuseStream
+                {
                     return None;
                 }
-                let stream = &mut state.streams[at];
-                (stream.life, stream.past) = (Some(life), past);
+                let stream = &mut state.streams[index];
+                (stream.lifecycle, stream.is_after_last) = (Some(lifecycle), is_after_last);
             }
-            Move::Body(at) => state.deliver(
-                at,
+            Step::SendBody(index) => state.deliver(
+                index,
                 StreamEvent::Data {
                     bytes: 1,
                     end: true,
                 },
                 mutant,
             ),
-            Move::Reset(at) => {
-                state.deliver(at, StreamEvent::Reset, mutant);
-                if mutant == Mutant::AnsweredTwice && state.streams[at].answers > 0 {
-                    state.streams[at].answers += 1;
+            Step::ResetStream(index) => {
+                state.deliver(index, StreamEvent::Reset, mutant);
+                if mutant == Mutant::AnsweredTwice && state.streams[index].responses > 0 {
+                    state.streams[index].responses += 1;
                 }
             }
-            Move::Window(at) => state.deliver(at, StreamEvent::FlowWindow { bytes: 1 }, mutant),
-            Move::NoWindow(at) => state.deliver(at, StreamEvent::FlowWindow { bytes: 0 }, mutant),
-            Move::Late(at) => state.deliver(at, StreamEvent::TimedOut, mutant),
-            Move::MemoryReclaimed(at) => state.deliver(at, StreamEvent::MemoryReclaimed, mutant),
-            Move::Lose(conn) => {
-                state.conns[conn].alive = false;
-                for at in (0..STREAMS).filter(|&at| ON[at] == conn) {
-                    state.deliver(at, StreamEvent::ConnectionLost, mutant);
+            Step::GrantWindow(index) => {
+                state.deliver(index, StreamEvent::FlowWindow { bytes: 1 }, mutant)
+            }
+            Step::ExhaustWindow(index) => {
+                state.deliver(index, StreamEvent::FlowWindow { bytes: 0 }, mutant)
+            }
+            Step::TimeOut(index) => state.deliver(index, StreamEvent::TimedOut, mutant),
+            Step::ReclaimMemory(index) => {
+                state.deliver(index, StreamEvent::MemoryReclaimed, mutant)
+            }
+            Step::LoseConnection(connection) => {
+                state.connections[connection].is_open = false;
+                for index in (0..STREAMS).filter(|&index| CONNECTION_OF[index] == connection) {
+                    state.deliver(index, StreamEvent::ConnectionLost, mutant);
                 }
             }
-            Move::Pong(conn) => assert_eq!(
-                state.conns[conn].drain.on_ping_acknowledged(),
-                DrainStep::FixLastStream
+            Step::AcknowledgePing(connection) => assert_eq!(
+                state.connections[connection].drain.on_ping_acknowledged(),
+                DrainStep::SendFinalGoAway
             ),
-            Move::Timeout(conn) => assert_eq!(
-                state.conns[conn].drain.on_time(Time(9)),
-                DrainStep::FixLastStream
+            Step::RoundTripTimeout(connection) => assert_eq!(
+                state.connections[connection].drain.check_timeout(Time(9)),
+                DrainStep::SendFinalGoAway
             ),
-            Move::Start(at) => match state.run {
+            Step::StartRequest(index) => match state.run {
                 Run::None => {
-                    state.run = Run::Going(at);
+                    state.run = Run::Running(index);
                     state.runs += 1;
-                    state.streams[at].work = Work::Running;
-                    state.ran_past |= state.streams[at].past;
+                    state.streams[index].request = RequestState::Running;
+                    state.ran_after_last |= state.streams[index].is_after_last;
                 }
-                // It repeats an attempt that runs or has run.
-                Run::Going(_) => state.streams[at].work = Work::Waiting,
-                Run::Ended => state.answer(at),
+                // The request is a retry: another attempt runs or has run.
+                Run::Running(_) => state.streams[index].request = RequestState::Waiting,
+                Run::Ended => state.answer(index),
             },
-            Move::Refuse(at) => {
-                let ran = state.run != Run::None;
-                if ran && mutant != Mutant::RejectsAfterRun {
+            Step::RejectRequest(index) => {
+                let has_run = state.run != Run::None;
+                if has_run && mutant != Mutant::RejectsAfterRun {
                     return None;
                 }
-                state.refused_after_run |= ran;
-                state.answer(at);
+                state.rejected_after_run |= has_run;
+                state.answer(index);
             }
-            Move::EndRun => {
-                let Run::Going(runner) = state.run else {
+            Step::EndRun => {
+                let Run::Running(runner) = state.run else {
                     return None;
                 };
                 state.run = Run::Ended;
                 state.answer(runner);
-                for at in 0..STREAMS {
-                    if state.streams[at].work == Work::Waiting
+                for index in 0..STREAMS {
+                    if state.streams[index].request == RequestState::Waiting
                         && mutant != Mutant::WaitingRetryForgotten
                     {
-                        state.answer(at);
+                        state.answer(index);
                     }
                 }
             }
-            Move::Notice => {
-                state.leaving = true;
-                for conn in &mut state.conns {
-                    conn.drain.begin(Time(0));
+            Step::BeginDrain => {
+                state.draining = true;
+                for connection in &mut state.connections {
+                    connection.drain.begin(Time(0));
                 }
             }
-            Move::Shut => {
-                state.shut = true;
-                for conn in &mut state.conns {
-                    conn.drain.stop_accepting();
+            Step::StopAccepting => {
+                state.accepting_stopped = true;
+                for connection in &mut state.connections {
+                    connection.drain.stop_accepting();
                 }
-                for at in 0..STREAMS {
-                    state.deliver(at, StreamEvent::StopReading, mutant);
-                    if mutant == Mutant::DroppedInDrain && state.streams[at].work == Work::Held {
-                        state.streams[at].work = Work::Done;
+                for index in 0..STREAMS {
+                    state.deliver(index, StreamEvent::StopReading, mutant);
+                    if mutant == Mutant::DroppedInDrain
+                        && state.streams[index].request == RequestState::Queued
+                    {
+                        state.streams[index].request = RequestState::Done;
                     }
                 }
             }
@@ -340,72 +369,85 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "rule 1: whoever was handed in is owed by somebody, until answered once",
-                |_, s: &Server| {
-                    s.streams.iter().all(|stream| {
-                        let given = stream
-                            .life
+                "rule 1: each submitted request has an owner until it is answered, once",
+                |_, server: &Server| {
+                    server.streams.iter().all(|stream| {
+                        let is_submitted = stream
+                            .lifecycle
                             .as_ref()
-                            .is_some_and(|life| life.state() == StreamState::Submitted);
-                        let owed = match stream.work {
-                            Work::Held | Work::Running => true,
-                            Work::Waiting => matches!(s.run, Run::Going(_)),
-                            Work::Unknown | Work::Done => false,
+                            .is_some_and(|lifecycle| lifecycle.state() == StreamState::Submitted);
+                        let has_owner = match stream.request {
+                            RequestState::Queued | RequestState::Running => true,
+                            RequestState::Waiting => matches!(server.run, Run::Running(_)),
+                            RequestState::NotSubmitted | RequestState::Done => false,
                         };
-                        (!given || owed) && stream.answers <= 1
+                        (!is_submitted || has_owner) && stream.responses <= 1
                     })
                 },
             ),
             Property::always(
-                "rule 1: what is over was answered, unless its caller went or let it lie",
-                |_, s: &Server| {
-                    s.streams
+                "rule 1: a completed stream was answered, and a refused one was not submitted",
+                |_, server: &Server| {
+                    server
+                        .streams
                         .iter()
-                        .filter_map(|stream| Some((stream, stream.life.as_ref()?)))
-                        .all(|(stream, life)| match life.state() {
+                        .filter_map(|stream| Some((stream, stream.lifecycle.as_ref()?)))
+                        .all(|(stream, lifecycle)| match lifecycle.state() {
                             StreamState::Closed(StreamEnd::Completed) => {
-                                stream.answers == 1 || stream.work == Work::Unknown
+                                stream.responses == 1
+                                    || stream.request == RequestState::NotSubmitted
+                            }
+                            StreamState::Closed(StreamEnd::Refused) => {
+                                stream.request == RequestState::NotSubmitted
                             }
-                            StreamState::Closed(StreamEnd::Refused) => stream.work == Work::Unknown,
                             _ => true,
                         })
                 },
             ),
             Property::always(
-                "rule 2: the key runs once, and is not refused once it ran",
-                |_, s: &Server| s.runs <= 1 && !s.refused_after_run,
+                "rule 2: a key runs index most once, and is not rejected after it ran",
+                |_, server: &Server| server.runs <= 1 && !server.rejected_after_run,
             ),
             Property::always(
-                "rule 3: nothing runs that came past the last stream",
-                |_, s: &Server| !s.ran_past,
+                "rule 3: no request runs whose stream was opened after the final GOAWAY",
+                |_, server: &Server| !server.ran_after_last,
             ),
             Property::sometimes(
-                "a repeat on another connection has the result of a stream that was reset",
-                |_, s: &Server| {
-                    s.runs == 1
-                        && s.streams[0]
-                            .life
+                "a retry on another connection gets the result of a stream that was reset",
+                |_, server: &Server| {
+                    server.runs == 1
+                        && server.streams[0]
+                            .lifecycle
                             .as_ref()
-                            .is_some_and(|l| l.state() == StreamState::Closed(StreamEnd::Reset))
-                        && s.streams[0].work == Work::Done
-                        && s.streams[2].answers == 1
-                        && s.run == Run::Ended
+                            .is_some_and(|lifecycle| {
+                                lifecycle.state() == StreamState::Closed(StreamEnd::Reset)
+                            })
+                        && server.streams[0].request == RequestState::Done
+                        && server.streams[2].responses == 1
+                        && server.run == Run::Ended
                 },
             ),
             Property::sometimes(
-                "all that was read is answered at the drain",
-                |_, s: &Server| s.shut && s.streams.iter().all(|stream| stream.answers == 1),
+                "all submitted requests are answered in a drain",
+                |_, server: &Server| {
+                    server.accepting_stopped
+                        && server.streams.iter().all(|stream| stream.responses == 1)
+                },
             ),
         ]
     }
 }
 
-fn check(mutant: Mutant) -> impl Checker<Front> {
-    Front { mutant }.checker().threads(4).spawn_bfs().join()
+fn check(mutant: Mutant) -> impl Checker<ServerModel> {
+    ServerModel { mutant }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join()
 }
 
 #[test]
-fn the_rules_hold_in_every_order_of_events() {
+fn rules_hold_in_every_order_of_events() {
     let checker = check(Mutant::None);
     checker.assert_properties();
     assert!(checker.is_done());
@@ -413,10 +455,10 @@
 }
 
 #[test]
-fn each_mutant_is_found() {
+fn each_mutant_violates_a_rule() {
     for mutant in [
         Mutant::ResultDroppedAtReset,
-        Mutant::AcceptsPastLast,
+        Mutant::AcceptsAfterLast,
         Mutant::WaitingRetryForgotten,
         Mutant::RejectsAfterRun,
         Mutant::DroppedInDrain,
--- a/crates/heathspur-streams/tests/stream_lifecycle.rs
+++ b/crates/heathspur-streams/tests/stream_lifecycle.rs
@@ -1,11 +1,12 @@
-//! Every event in every state has its listed outcome, and no order of events breaks a stream.
+//! Tests of the stream lifecycle: the outcome of every event in every state, and invariants under any
+//! order of events.
 
 use heathspur_streams::stream_lifecycle::{
     StreamAction, StreamEnd, StreamEvent, StreamLifecycle, StreamState,
 };
 use proptest::prelude::*;
 
-const MOST: u32 = 10;
+const MAX_BODY_BYTES: u32 = 10;
 
 const EVENTS: [StreamEvent; 12] = [
     StreamEvent::Data {
@@ -32,8 +33,8 @@
 ];
 
 /// Returns a stream in the given state.
-fn at(state: StreamState) -> StreamLifecycle {
-    let mut life = StreamLifecycle::new(MOST);
+fn stream_in(state: StreamState) -> StreamLifecycle {
+    let mut stream = StreamLifecycle::new(MAX_BODY_BYTES);
     let path: &[StreamEvent] = match state {
         StreamState::ReceivingBody { received: 0 } => &[],
         StreamState::Submitted => &[StreamEvent::Data {
@@ -56,28 +57,32 @@
             StreamEvent::FlowWindow { bytes: 0 },
         ],
         StreamState::Closed(StreamEnd::Reset) => &[StreamEvent::Reset],
-        other => panic!("{other:?}"),
+        other => panic!("no path to {other:?}"),
     };
     for &event in path {
-        life.handle(event);
+        stream.handle(event);
     }
-    assert_eq!(life.state(), state);
-    life
+    assert_eq!(stream.state(), state);
+    stream
 }
 
 #[test]
 fn each_event_in_each_state_has_its_listed_outcome() {
     use StreamAction as A;
     use StreamState as S;
-    let over = S::Closed;
-    let (body, given) = (S::ReceivingBody { received: 0 }, S::Submitted);
-    let (answering, blocked) = (
+    let (receiving, submitted) = (S::ReceivingBody { received: 0 }, S::Submitted);
+    let (sending, blocked) = (
         S::SendingResponse { remaining: 6 },
         S::FlowBlocked { remaining: 6 },
     );
-    let gone = over(StreamEnd::Reset);
-    let stays = |state: StreamState| (state, A::None);
-    let said = |status| (over(StreamEnd::Completed), A::RespondWithStatus { status });
+    let reset = S::Closed(StreamEnd::Reset);
+    let no_action = |state: StreamState| (state, A::None);
+    let responded = |status| {
+        (
+            S::Closed(StreamEnd::Completed),
+            A::RespondWithStatus { status },
+        )
+    };
     let sent = (
         S::SendingResponse { remaining: 2 },
         A::SendData {
@@ -85,85 +90,85 @@
             end: false,
         },
     );
-    let dropped = (over(StreamEnd::ResponseDropped), A::DropResponse);
-    // In the order of EVENTS.
+    let dropped = (S::Closed(StreamEnd::ResponseDropped), A::DropResponse);
+    // For each state, the outcomes in the order of `EVENTS`.
     let table: [(StreamState, [(StreamState, StreamAction); 12]); 5] = [
         (
-            body,
+            receiving,
             [
                 (S::ReceivingBody { received: 4 }, A::BufferData),
-                (given, A::SubmitRequest),
-                said(413),
-                said(400),
-                said(408),
-                stays(over(StreamEnd::Reset)),
-                stays(over(StreamEnd::ConnectionLost)),
-                stays(body),
-                stays(body),
-                stays(body),
-                stays(body),
-                (over(StreamEnd::Refused), A::RefuseStream),
+                (submitted, A::SubmitRequest),
+                responded(413),
+                responded(400),
+                responded(408),
+                no_action(S::Closed(StreamEnd::Reset)),
+                no_action(S::Closed(StreamEnd::ConnectionLost)),
+                no_action(receiving),
+                no_action(receiving),
+                no_action(receiving),
+                no_action(receiving),
+                (S::Closed(StreamEnd::Refused), A::RefuseStream),
             ],
         ),
         (
-            given,
+            submitted,
             [
-                stays(given),
-                stays(given),
-                stays(given),
-                stays(given),
-                stays(given),
-                (over(StreamEnd::Reset), A::ReportDisconnect),
-                (over(StreamEnd::ConnectionLost), A::ReportDisconnect),
-                (answering, A::SendHeaders),
-                stays(given),
-                stays(given),
-                stays(given),
-                stays(given),
+                no_action(submitted),
+                no_action(submitted),
+                no_action(submitted),
+                no_action(submitted),
+                no_action(submitted),
+                (S::Closed(StreamEnd::Reset), A::ReportDisconnect),
+                (S::Closed(StreamEnd::ConnectionLost), A::ReportDisconnect),
+                (sending, A::SendHeaders),
+                no_action(submitted),
+                no_action(submitted),
+                no_action(submitted),
+                no_action(submitted),
             ],
         ),
         (
-            answering,
+            sending,
             [
-                stays(answering),
-                stays(answering),
-                stays(answering),
-                stays(answering),
+                no_action(sending),
+                no_action(sending),
+                no_action(sending),
+                no_action(sending),
                 dropped,
-                stays(over(StreamEnd::Reset)),
-                stays(over(StreamEnd::ConnectionLost)),
-                stays(answering),
+                no_action(S::Closed(StreamEnd::Reset)),
+                no_action(S::Closed(StreamEnd::ConnectionLost)),
+                no_action(sending),
                 sent,
-                stays(blocked),
+                no_action(blocked),
                 dropped,
-                stays(answering),
+                no_action(sending),
             ],
         ),
         (
             blocked,
             [
-                stays(blocked),
-                stays(blocked),
-                stays(blocked),
-                stays(blocked),
+                no_action(blocked),
+                no_action(blocked),
+                no_action(blocked),
+                no_action(blocked),
                 dropped,
-                stays(over(StreamEnd::Reset)),
-                stays(over(StreamEnd::ConnectionLost)),
-                stays(blocked),
+                no_action(S::Closed(StreamEnd::Reset)),
+                no_action(S::Closed(StreamEnd::ConnectionLost)),
+                no_action(blocked),
                 sent,
-                stays(blocked),
+                no_action(blocked),
                 dropped,
-                stays(blocked),
+                no_action(blocked),
             ],
         ),
-        (gone, [stays(gone); 12]),
+        (reset, [no_action(reset); 12]),
     ];
     for (state, outcomes) in table {
         for (event, (after, action)) in EVENTS.into_iter().zip(outcomes) {
-            let mut life = at(state);
-            let got = life.handle(event);
+            let mut stream = stream_in(state);
+            let returned = stream.handle(event);
             assert_eq!(
-                (life.state(), got),
+                (stream.state(), returned),
                 (after, action),
                 "{event:?} in {state:?}"
             );
@@ -172,34 +177,34 @@
 }
 
 #[test]
-fn a_body_may_arrive_in_pieces_up_to_its_limit() {
-    let mut life = StreamLifecycle::new(MOST);
-    for _ in 0..MOST {
+fn body_is_accepted_in_pieces_up_to_limit() {
+    let mut stream = StreamLifecycle::new(MAX_BODY_BYTES);
+    for _ in 0..MAX_BODY_BYTES {
         assert_eq!(
-            life.handle(StreamEvent::Data {
+            stream.handle(StreamEvent::Data {
                 bytes: 1,
                 end: false
             }),
             StreamAction::BufferData
         );
     }
-    let mut longer = life.clone();
+    let mut too_long = stream.clone();
     assert_eq!(
-        life.handle(StreamEvent::Data {
+        stream.handle(StreamEvent::Data {
             bytes: 0,
             end: true
         }),
         StreamAction::SubmitRequest
     );
     assert_eq!(
-        longer.handle(StreamEvent::Data {
+        too_long.handle(StreamEvent::Data {
             bytes: 1,
             end: true
         }),
         StreamAction::RespondWithStatus { status: 413 }
     );
     assert_eq!(
-        StreamLifecycle::new(MOST).handle(StreamEvent::Data {
+        StreamLifecycle::new(MAX_BODY_BYTES).handle(StreamEvent::Data {
             bytes: u32::MAX,
             end: false
         }),
@@ -215,7 +220,7 @@
         1 => Just(StreamEvent::Reset),
         1 => Just(StreamEvent::ConnectionLost),
         2 => (0..40u32).prop_map(|bytes| StreamEvent::Response { bytes }),
-        4 => (0..9u32).prop_map(|room| StreamEvent::FlowWindow { bytes: room }),
+        4 => (0..9u32).prop_map(|bytes| StreamEvent::FlowWindow { bytes }),
         1 => Just(StreamEvent::MemoryReclaimed),
         1 => Just(StreamEvent::StopReading),
     ]
@@ -223,43 +228,43 @@
 
 proptest! {
     #[test]
-    fn a_stream_is_submitted_once_and_answered_once_under_any_events(
+    fn stream_is_submitted_and_answered_at_most_once_under_any_events(
         events in prop::collection::vec(any_event(), 0..40)
     ) {
-        let mut life = StreamLifecycle::new(MOST);
-        let (mut handed, mut heads, mut kept, mut owed, mut ends) = (0, 0, 0, 0, 0);
+        let mut stream = StreamLifecycle::new(MAX_BODY_BYTES);
+        let (mut submissions, mut headers_sent, mut buffered, mut unsent, mut ends) = (0, 0, 0, 0, 0);
         for event in events {
-            let before = life.state();
-            match life.handle(event) {
-                StreamAction::SubmitRequest => handed += 1,
-                StreamAction::BufferData => if let StreamEvent::Data { bytes, .. } = event { kept += bytes },
+            let before = stream.state();
+            match stream.handle(event) {
+                StreamAction::SubmitRequest => submissions += 1,
+                StreamAction::BufferData => if let StreamEvent::Data { bytes, .. } = event { buffered += bytes },
                 StreamAction::SendHeaders => {
-                    heads += 1;
-                    if let StreamEvent::Response { bytes } = event { owed = bytes }
-                    ends += u32::from(owed == 0);
+                    headers_sent += 1;
+                    if let StreamEvent::Response { bytes } = event { unsent = bytes }
+                    ends += u32::from(unsent == 0);
                 }
                 StreamAction::SendData { bytes, end } => {
-                    prop_assert!(bytes > 0 && bytes <= owed);
-                    owed -= bytes;
-                    prop_assert_eq!(end, owed == 0);
+                    prop_assert!(bytes > 0 && bytes <= unsent);
+                    unsent -= bytes;
+                    prop_assert_eq!(end, unsent == 0);
                     ends += u32::from(end);
                 }
                 StreamAction::RespondWithStatus { .. } => {
-                    // This server answers by itself only what was not submitted.
-                    prop_assert_eq!(handed, 0);
+                    // Only a request that was not submitted is answered by this server itself.
+                    prop_assert_eq!(submissions, 0);
                     ends += 1;
                 }
-                StreamAction::RefuseStream => prop_assert_eq!(handed, 0),
-                StreamAction::ReportDisconnect => prop_assert!(handed == 1 && heads == 0),
-                StreamAction::DropResponse => prop_assert!(heads == 1 && owed > 0),
+                StreamAction::RefuseStream => prop_assert_eq!(submissions, 0),
+                StreamAction::ReportDisconnect => prop_assert!(submissions == 1 && headers_sent == 0),
+                StreamAction::DropResponse => prop_assert!(headers_sent == 1 && unsent > 0),
                 StreamAction::None => {}
             }
-            prop_assert!(kept <= MOST);
-            prop_assert!(handed <= 1 && heads <= handed && ends <= 1);
+            prop_assert!(buffered <= MAX_BODY_BYTES);
+            prop_assert!(submissions <= 1 && headers_sent <= submissions && ends <= 1);
             if matches!(before, StreamState::Closed(_)) {
-                prop_assert_eq!(before, life.state());
+                prop_assert_eq!(before, stream.state());
             }
-            if life.state() == StreamState::Closed(StreamEnd::Completed) {
+            if stream.state() == StreamState::Closed(StreamEnd::Completed) {
                 prop_assert_eq!(ends, 1);
             }
         }
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -237,7 +237,7 @@
         let step = if pongs > self.pongs {
             self.drain.on_ping_acknowledged()
         } else {
-            self.drain.on_time(self.state.monitor.now())
+            self.drain.check_timeout(self.state.monitor.now())
         };
         self.pongs = pongs;
         step
