--- a/crates/heathspur-server-core/src/connection_permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -1,81 +1,81 @@
-//! The permits of connections from load balancers: how many connections there may be, and which one is evicted when
-//! another needs its permit.
+//! Permits for connections from load balancers: the limit on open connections, and the choice of the connection that is
+//! evicted when another one needs its permit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Permits kept free for new connections.
 const MAX_RESERVED_PERMITS: usize = 16;
-/// At most this part of all permits is reserved: a quarter.
-const RESERVED_PART: usize = 4;
-/// A new connection without a complete request after this time loses its protection from eviction: a first request
-/// immediately follows its connection, in one segment or two.
+/// At most one in so many permits is reserved.
+const PERMITS_PER_RESERVED: usize = 4;
+/// Time after which a new connection without a complete request loses its protection from eviction. Clients send the
+/// first request immediately after they connect, in one or two TCP segments.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What a connection was doing when it was evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// It was idle. A request that has arrived since is a reason to stay.
+    /// It was idle. It may stay open if a request has arrived since the decision.
     Idle,
     /// A part of a request had arrived.
     ReadingRequest,
-    /// It was lingering before its close.
+    /// Its write side was shut down, and it was reading until the client closes.
     Lingering,
 }
 
 /// A connection to evict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Eviction<T> {
-    /// The handle passed with the connection.
+    /// The handle that was passed for the connection.
     pub handle: T,
     /// What the connection was doing.
     pub phase: ConnectionPhase,
 }
 
-/// All permits, and the connections that can be evicted, each with a handle `T` to notify it. Only connections that
-/// wait for a request (idle) or linger before their close can be evicted.
+/// All permits, and the connections that can be evicted, each with a handle `T` by which the caller notifies it. Only
+/// connections that wait for a request (idle) or linger before they are closed can be evicted.
 #[derive(Debug)]
 pub struct Permits<T> {
     acquired: usize,
     limit: usize,
     next_token: u64,
-    /// The token grows with the time at which the connection became idle: the longest idle is first.
+    /// Idle connections by token. Tokens ascend, so the connection that has been idle for longest is first.
     idle: BTreeMap<u64, IdleConnection<T>>,
-    /// Connections that shut down their write side and drain what still arrives; the longest lingering is first. They
-    /// end by themselves.
+    /// Connections by token whose write side is shut down and whose remaining input is discarded; the one that has
+    /// lingered for longest is first. They end by themselves, at the latest after a timeout.
     lingering: BTreeMap<u64, T>,
 }
 
 #[derive(Debug)]
 struct IdleConnection<T> {
-    /// A complete request arrived earlier.
+    /// Whether a complete request arrived earlier.
     served_request: bool,
-    /// A part of a request has arrived.
+    /// Whether a part of the next request has arrived.
     reading_request: bool,
-    since: Duration,
+    idle_since: Duration,
     handle: T,
 }
 
-/// The order in which idle connections are evicted.
+/// The order in which idle connections are evicted, first to last.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
-    /// Nothing arrived before the first request's timeout.
-    SilentPastTimeout,
-    /// Only a part of a request arrived before the first request's timeout.
-    SlowPastTimeout,
+    /// New, and [`FIRST_REQUEST_TIMEOUT`] has passed without any input.
+    TimedOutWithoutInput,
+    /// New, and [`FIRST_REQUEST_TIMEOUT`] has passed with only a part of a request.
+    TimedOutInRequest,
     /// Between requests, or new.
     Idle,
-    /// In the middle of a request: evicted only if no permit is left.
+    /// A part of a request has arrived. Evicted only if no permit is left.
     ReadingRequest,
 }
 
 impl<T> IdleConnection<T> {
     fn eviction_order(&self, now: Duration) -> EvictionOrder {
-        let waiting = now.saturating_sub(self.since);
-        let past_timeout = !self.served_request && waiting >= FIRST_REQUEST_TIMEOUT;
-        match (past_timeout, self.reading_request) {
-            (true, false) => EvictionOrder::SilentPastTimeout,
-            (true, true) => EvictionOrder::SlowPastTimeout,
+        let waiting = now.saturating_sub(self.idle_since);
+        let timed_out = !self.served_request && waiting >= FIRST_REQUEST_TIMEOUT;
+        match (timed_out, self.reading_request) {
+            (true, false) => EvictionOrder::TimedOutWithoutInput,
+            (true, true) => EvictionOrder::TimedOutInRequest,
             (false, false) => EvictionOrder::Idle,
             (false, true) => EvictionOrder::ReadingRequest,
         }
@@ -95,7 +95,7 @@
 }
 
 impl<T> Permits<T> {
-    /// Creates so many permits, at least one.
+    /// Creates `limit` permits, at least one.
     pub fn new(limit: usize) -> Permits<T> {
         Permits {
             acquired: 0,
@@ -106,12 +106,12 @@
         }
     }
 
-    /// The number of permits in use.
+    /// Returns the number of permits in use.
     pub fn acquired(&self) -> usize {
         self.acquired
     }
 
-    /// Acquires a permit if one is free.
+    /// Acquires a permit if one is free, and returns whether it did.
     pub fn try_acquire(&mut self) -> bool {
         let is_free = self.acquired < self.limit;
         self.acquired += usize::from(is_free);
@@ -123,7 +123,8 @@
         self.acquired = self.acquired.saturating_sub(1);
     }
 
-    /// Registers a connection as idle, after a complete request or as a new one. Returns its token while it is idle.
+    /// Registers a connection as idle: one that is new, or (`served_request`) one that has received a complete request.
+    /// Returns a token that is valid while the connection is idle.
     pub fn mark_idle(&mut self, now: Duration, served_request: bool, handle: T) -> u64 {
         let token = self.allocate_token();
         self.idle.insert(
@@ -131,44 +132,45 @@
             IdleConnection {
                 served_request,
                 reading_request: false,
-                since: now,
+                idle_since: now,
                 handle,
             },
         );
         token
     }
 
-    /// Records that a part of a request has arrived on the idle connection.
+    /// Records that a part of a request has arrived on an idle connection. Does nothing if it was evicted.
     pub fn mark_reading(&mut self, token: u64) {
         if let Some(connection) = self.idle.get_mut(&token) {
             connection.reading_request = true;
         }
     }
 
-    /// Removes a connection that is no longer idle; no effect if it was evicted already.
+    /// Removes a connection that is no longer idle. Does nothing if it was evicted.
     pub fn remove_idle(&mut self, token: u64) {
         self.idle.remove(&token);
     }
 
-    /// Registers a connection as lingering before its close. Returns its token until it has ended.
+    /// Registers a connection as lingering before it is closed. Returns a token that is valid until it has ended.
     pub fn mark_lingering(&mut self, handle: T) -> u64 {
         let token = self.allocate_token();
         self.lingering.insert(token, handle);
         token
     }
 
-    /// Removes a lingering connection that has ended; no effect if it was evicted already.
+    /// Removes a lingering connection that has ended. Does nothing if it was evicted.
     pub fn remove_lingering(&mut self, token: u64) {
         self.lingering.remove(&token);
     }
 
-    /// Whether fewer permits are free than are reserved for new connections.
+    /// Returns whether fewer permits are free than are reserved for new connections.
     pub fn is_scarce(&self) -> bool {
-        self.free() < self.reserve()
+        self.free() < self.reserved()
     }
 
-    /// Selects the connections to evict, in order, if permits are scarce or about to be: a lingering one if no permit
-    /// is free, and an idle one. A connection is selected once only.
+    /// Selects connections to evict. The first is a lingering one, if no permit is free; the second is an idle one, if
+    /// too few permits will be free even once all other lingering connections have ended. Each connection is selected
+    /// at most once.
     pub fn evict(&mut self, now: Duration) -> [Option<Eviction<T>>; 2] {
         let lingering = if self.free() == 0 {
             self.evict_lingering()
@@ -176,7 +178,7 @@
             None
         };
         let soon_free = self.free() + self.lingering.len();
-        if soon_free >= self.reserve() {
+        if soon_free >= self.reserved() {
             return [lingering, None];
         }
         [lingering, self.evict_idle(now, soon_free == 0)]
@@ -186,8 +188,8 @@
         self.limit - self.acquired
     }
 
-    fn reserve(&self) -> usize {
-        MAX_RESERVED_PERMITS.min(self.limit / RESERVED_PART)
+    fn reserved(&self) -> usize {
+        MAX_RESERVED_PERMITS.min(self.limit / PERMITS_PER_RESERVED)
     }
 
     fn evict_lingering(&mut self) -> Option<Eviction<T>> {
@@ -198,7 +200,8 @@
         })
     }
 
-    /// Evicts the first idle connection in eviction order; one in the middle of a request only if `must_evict`.
+    /// Evicts the first idle connection in eviction order. One that is [`EvictionOrder::ReadingRequest`] is evicted only
+    /// if `must_evict`.
     fn evict_idle(&mut self, now: Duration, must_evict: bool) -> Option<Eviction<T>> {
         let (order, token) = self
             .idle
--- a/crates/heathspur-server-core/src/registration/connections.rs
+++ b/crates/heathspur-server-core/src/registration/connections.rs
@@ -1,13 +1,13 @@
-//! The connections to the registration service: which there are, and what each is used for.
+//! The open connections to the registration service and the state of each.
 
 use super::{CONNECT_TIMEOUT, HEDGED_CONNECT_TIMEOUT, MAX_CONNECTIONS, RESPONSE_TIMEOUT};
 use std::time::Duration;
 
-/// A connection to the service, from its connection attempt on. Identifiers are never reused.
+/// Identifies a connection to the service, from the connection attempt on. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(u64);
 
-/// What a connection is used for.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum ConnectionState {
     Connecting,
@@ -19,27 +19,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Report {
     pub ready: bool,
-    /// The report carries the current readiness, and no earlier report can overwrite it, except outdated ones that
-    /// are still in flight.
+    /// Whether the report carries the current readiness and the service will accept no earlier report after it, other
+    /// than outdated ones that are still in flight.
     pub current: bool,
 }
 
 /// A report that ended.
 pub(super) struct FinishedReport {
     pub report: Report,
-    /// Its connection carried an earlier report: the service may have closed it meanwhile.
+    /// Whether its connection had carried an earlier report, so that the service may have closed it in between.
     pub reused: bool,
 }
 
+/// An open connection or a connection attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Connection {
     id: ConnectionId,
     pub state: ConnectionState,
     /// When the connection entered its state.
     pub since: Duration,
-    /// When the state times out.
+    /// When the state times out, if it does.
     deadline: Option<Duration>,
-    /// The connection has carried a report.
+    /// Whether the connection has carried a report.
     pub reused: bool,
 }
 
@@ -55,7 +56,7 @@
         self.entries.len() >= MAX_CONNECTIONS
     }
 
-    /// The connection that has been in its state for longest.
+    /// Returns the connection that has been in its state for longest.
     pub fn oldest(&self) -> Option<&Connection> {
         self.entries.first()
     }
@@ -64,7 +65,7 @@
         self.find(|connection| connection.state == ConnectionState::Idle)
     }
 
-    /// A connection whose state has timed out.
+    /// Returns a connection whose state has timed out.
     pub fn expired(&self, now: Duration) -> Option<ConnectionId> {
         self.find(|connection| connection.deadline.is_some_and(|deadline| deadline <= now))
     }
@@ -76,7 +77,7 @@
             .min()
     }
 
-    /// Adds a connection that is being established.
+    /// Adds a connection attempt.
     pub fn add_connecting(&mut self, now: Duration) -> ConnectionId {
         let is_hedge = self
             .find(|connection| connection.state == ConnectionState::Connecting)
@@ -138,24 +139,24 @@
         })
     }
 
-    /// Removes all connections.
+    /// Removes all connections and returns them.
     pub fn remove_all(&mut self) -> Vec<ConnectionId> {
         let removed = std::mem::take(&mut self.entries);
         removed.iter().map(|connection| connection.id).collect()
     }
 
-    /// Removes all connections that carry no report.
+    /// Removes all connections without a report in flight and returns them.
     pub fn remove_all_but_reporting(&mut self) -> Vec<ConnectionId> {
-        let (kept, removed) = std::mem::take(&mut self.entries)
+        let (reporting, removed) = std::mem::take(&mut self.entries)
             .into_iter()
             .partition(|connection| matches!(connection.state, ConnectionState::Reporting(_)));
-        self.entries = kept;
+        self.entries = reporting;
         let removed: Vec<Connection> = removed;
         removed.iter().map(|connection| connection.id).collect()
     }
 
     /// Marks every report in flight as outdated.
-    pub fn outdate_reports(&mut self) {
+    pub fn mark_reports_outdated(&mut self) {
         for connection in &mut self.entries {
             if let ConnectionState::Reporting(report) = &mut connection.state {
                 report.current = false;
--- a/crates/heathspur-server-core/src/registration/mod.rs
+++ b/crates/heathspur-server-core/src/registration/mod.rs
@@ -1,12 +1,14 @@
-//! The schedule of reports to the registration service: one per interval, immediately on a change, and again soon
-//! after a failure.
+//! The schedule of reports of this server's readiness to the registration service: one per interval, immediately after a
+//! change, and after a short delay following a failure.
 //!
-//! The service drops an entry 3 s after the last accepted report, so no single fault may delay reports for that long.
-//! A report without an answer and a pending connection attempt are not aborted early: they are hedged on a second
-//! connection. The service may accept reports on two connections in either order. A report is therefore current only
-//! if it was sent after the last change, and after the end of each report with other content. Until a current
-//! report is in flight the next one is due immediately, regardless of the others. A report that timed out can still
-//! be accepted late: the next report, at most one interval later, corrects that.
+//! The service removes an entry 3 s after the last accepted report, so no single fault may delay reports for that long.
+//! A report without an answer and a pending connection attempt are therefore not aborted early but hedged on a second
+//! connection.
+//!
+//! The service may accept reports on two connections in either order. A report counts as current only if it was sent
+//! after the last change, and after every report with another readiness had ended. While no current report is in flight,
+//! the next one is due immediately, regardless of outdated reports in flight. A report that timed out can still be
+//! accepted late; the next report, at most one interval later, corrects that.
 
 mod connections;
 
@@ -22,23 +24,25 @@
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A report or connection attempt that takes longer is hedged on another connection.
 const HEDGE_DELAY: Duration = Duration::from_millis(300);
-/// The longest wait for an answer to a report.
+/// Timeout of the answer to a report.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest wait for a connection.
+/// Timeout of a connection attempt.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest wait for a connection beside another attempt: the kernel resends a lost SYN after 1 s.
+/// Timeout of a hedged connection attempt. It is longer than 1 s, after which the kernel resends a lost SYN.
 const HEDGED_CONNECT_TIMEOUT: Duration = Duration::from_millis(1250);
-/// Connections at once, including attempts.
+/// Maximum number of connections, including connection attempts.
 const MAX_CONNECTIONS: usize = 2;
-/// The answer's status to an accepted report.
+/// Status of the answer to an accepted report.
 const STATUS_NO_CONTENT: u16 = 204;
 
-/// An input of the schedule. Events of a connection that is closed, or that don't fit its state, are ignored.
+/// An input of the schedule. Events of a closed connection, and events that do not match the state of their connection,
+/// are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The readiness to report from now on.
+    /// Sets the readiness to report from now on.
     Ready(bool),
-    /// The service's address changed: everything starts anew there.
+    /// The service's address changed. All connections are closed and the schedule is reset; [`Event::Ready`] has to
+    /// follow.
     AddressChanged,
     /// A connection attempt succeeded.
     Connected(ConnectionId),
@@ -46,7 +50,7 @@
     Failed {
         /// The connection.
         connection: ConnectionId,
-        /// The attempt or the report timed out.
+        /// Whether the attempt or the report timed out.
         timed_out: bool,
     },
     /// The report requested by [`Action::SendReport`] was sent.
@@ -59,7 +63,7 @@
         connection: ConnectionId,
         /// The status of the answer.
         status: u16,
-        /// The connection stays open, and no further bytes arrived on it.
+        /// Whether the connection stays open and no further bytes arrived on it.
         reusable: bool,
     },
 }
@@ -67,10 +71,10 @@
 /// An output of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Connect to the service.
+    /// Start a connection attempt to the service.
     Connect(ConnectionId),
-    /// Send a report on an idle connection, then pass [`Event::ReportSent`], or [`Event::Closed`] if the connection
-    /// is unusable.
+    /// Send a report on an idle connection, then pass [`Event::ReportSent`], or [`Event::Closed`] if the connection is
+    /// unusable.
     SendReport {
         /// The connection.
         connection: ConnectionId,
@@ -86,30 +90,32 @@
 /// Why a report or a connection attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// It timed out in the schedule.
+    /// The schedule's timeout passed.
     TimedOut,
-    /// The connection failed, as the last [`Event::Failed`] reported.
+    /// The connection or the attempt failed, as reported by the last [`Event::Failed`].
     ConnectionFailed,
-    /// The peer closed a new connection, or sent unexpected bytes.
+    /// The peer closed a new connection or sent unexpected bytes on it.
     ConnectionClosed,
     /// The status of the answer was not 204.
     UnexpectedStatus(u16),
 }
 
-/// The schedule. After each [`handle`](Schedule::handle), call [`poll`](Schedule::poll) until it returns `None`, and
-/// again at the time returned by [`next_wakeup`](Schedule::next_wakeup).
+/// The schedule of reports.
+///
+/// After each [`handle`](Schedule::handle), and at the time returned by [`next_wakeup`](Schedule::next_wakeup), call
+/// [`poll`](Schedule::poll) until it returns `None`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Schedule {
     connections: Connections,
-    /// The readiness to report, once known.
+    /// The readiness to report; `None` until the first [`Event::Ready`].
     ready: Option<bool>,
     /// When the next report is due.
     report_due: Duration,
-    /// No connection attempt before this time.
+    /// Earliest time of the next connection attempt.
     connect_not_before: Duration,
-    /// How long the last successful connection attempt took.
+    /// Duration of the last successful connection attempt.
     connect_latency: Duration,
-    /// Actions that follow from events, not polled yet.
+    /// Actions that events have caused and that were not polled yet.
     actions: VecDeque<Action>,
 }
 
@@ -126,7 +132,7 @@
         }
     }
 
-    /// Processes an event.
+    /// Handles an event.
     pub fn handle(&mut self, now: Duration, event: Event) {
         match event {
             Event::Ready(ready) => self.on_ready(now, ready),
@@ -146,7 +152,8 @@
         }
     }
 
-    /// Returns the next action: aborts what timed out, reports, connects.
+    /// Returns the next action. Actions caused by events come first, then the closing of connections whose state timed
+    /// out, then a report, then a connection attempt.
     pub fn poll(&mut self, now: Duration) -> Option<Action> {
         if let Some(action) = self.actions.pop_front() {
             return Some(action);
@@ -165,7 +172,7 @@
         connect_due.then(|| Action::Connect(self.connections.add_connecting(now)))
     }
 
-    /// When to poll again without an event. The time may be in the past.
+    /// Returns when to poll again if no event occurs before. The time may be in the past.
     pub fn next_wakeup(&self) -> Option<Duration> {
         self.ready?;
         let report = self.connections.idle().map(|_| self.report_due);
@@ -179,8 +186,9 @@
         .min()
     }
 
-    /// When the next connection attempt is due, if any: early enough to have the connection when the report is
-    /// due, and as a hedge when the other connection exceeds the hedge delay or its report is outdated.
+    /// Returns when the next connection attempt is due, if any: early enough for the connection to be established when
+    /// the next report is due. Beside another connection, it is due only once that one exceeds the hedge delay or its
+    /// report is outdated.
     fn next_connect(&self) -> Option<Duration> {
         if self.connections.is_full() || self.connections.idle().is_some() {
             return None;
@@ -203,7 +211,8 @@
         }
     }
 
-    /// Resets everything but the connection identifiers and the pending actions.
+    /// Closes all connections and resets the schedule, except for the next connection identifier and the actions that
+    /// were not polled yet.
     fn on_address_changed(&mut self, now: Duration) {
         let closed = self.connections.remove_all();
         self.close(closed);
@@ -221,7 +230,7 @@
         }
     }
 
-    /// A connection attempt or a report failed.
+    /// Handles the failure of a connection attempt or a report.
     fn on_failed(&mut self, now: Duration, id: ConnectionId, timed_out: bool, failure: Failure) {
         if let Some(finished) = self.connections.remove_reporting(id) {
             self.on_report_failed(now, finished, timed_out, failure);
@@ -237,7 +246,8 @@
         timed_out: bool,
         failure: Failure,
     ) {
-        // The service may close a reused connection at any time: no failure, a new connection reports at once.
+        // The service may close a reused connection at any time. This is no failure; the report is repeated at once on a
+        // new connection.
         let closed_between_reports = finished.reused && !timed_out;
         let next_due = if closed_between_reports {
             now
@@ -263,7 +273,7 @@
 
     fn on_closed(&mut self, now: Duration, id: ConnectionId) {
         let removed = self.connections.remove_idle(id);
-        // The service may close a reused connection at any time.
+        // The service may close a reused connection at any time. This is no failure.
         if removed.is_some_and(|connection| !connection.reused) {
             self.record_failure(now, Failure::ConnectionClosed);
         }
@@ -273,8 +283,8 @@
         let Some(finished) = self.connections.remove_reporting(id) else {
             return;
         };
-        // One connection is enough from now on, unless another report is due at once and has no other connection.
-        // Reports in flight may end.
+        // One connection is enough now. The others are closed, except those with a report in flight. If this connection
+        // is not reusable and its report was outdated, the next report is due at once and needs one of the others.
         if reusable || finished.report.current {
             let closed = self.connections.remove_all_but_reporting();
             self.close(closed);
@@ -291,22 +301,23 @@
         self.finish_report(now, finished.report, next_due);
     }
 
-    /// Sets the time of the next report after one has ended.
+    /// Schedules the next report after `report` has ended; it is due at `next_due` if `report` was current.
     fn finish_report(&mut self, now: Duration, report: Report, next_due: Duration) {
-        // An outdated report delays nothing: the next one is due at once, or a current one has set its time.
+        // After an outdated report, the next one keeps its time: it is due at once, or a current report has set its
+        // time.
         if report.current {
             self.report_due = next_due;
         }
-        // The service may have accepted the outdated report last.
+        // The service may have accepted this outdated report after the current one, so the readiness is reported again.
         if self.ready != Some(report.ready) {
             self.report_immediately(now);
         }
     }
 
-    /// Makes a report due now, and outdates all reports in flight.
+    /// Makes a report due now, and marks all reports in flight as outdated.
     fn report_immediately(&mut self, now: Duration) {
         self.report_due = now;
-        self.connections.outdate_reports();
+        self.connections.mark_reports_outdated();
     }
 
     fn record_failure(&mut self, now: Duration, failure: Failure) {
--- a/crates/heathspur-server-core/src/reload.rs
+++ b/crates/heathspur-server-core/src/reload.rs
@@ -1,48 +1,52 @@
-//! Checks of a reloaded configuration: whether it belongs to this server at all, and which of its fields need a
-//! restart. The caller has read both configurations; nothing is read here.
+//! Checks of a reloaded configuration: whether it belongs to this server, and which of its changed fields need a
+//! restart. The caller reads both configurations.
 
 use heathspur::Settings;
 use std::fmt::Debug;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The parts of a configuration that a reload compares. The peers' addresses, which a reload may change, and the seed,
-/// which differs with each start, are not among them.
+/// The parts of a configuration that a reload compares. The addresses of peers are left out because a reload may change
+/// them, and the seed because it differs with each start.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigView<'a> {
     /// The server's name in the registration service.
     pub name: &'a str,
     /// The address for connections from load balancers.
     pub listen: SocketAddr,
-    /// The address of the next tier, for all tiers but the last. Only its presence identifies the server.
+    /// The address of the next tier; `None` for the last tier. Only its presence is part of the server's identity.
     pub store: Option<SocketAddr>,
-    /// Time from the signal to drain to the end of the process.
+    /// Time from the drain signal to the end of the process.
     pub stop_timeout: Duration,
     /// Memory limit of the process, in bytes.
     pub memory_bytes: usize,
-    /// Limit of file descriptors of the process.
+    /// Limit on open file descriptors of the process.
     pub file_descriptors: usize,
-    /// The settings of admission.
+    /// Settings of admission.
     pub settings: &'a Settings,
-    /// The classes' names, in the order of the settings.
+    /// Names of the classes, in the order of the settings.
     pub classes: &'a [String],
-    /// The tenants' names, in the order of the settings.
+    /// Names of the tenants, in the order of the settings.
     pub tenants: &'a [String],
 }
 
-/// A field by which a configuration belongs to another server or customer.
+/// The error of a configuration that belongs to another server or customer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct ForeignConfigError {
-    /// The path of the field.
+    /// Path of the field that differs.
     pub field: String,
-    /// Both values.
+    /// Message with both values.
     pub reason: String,
 }
 
-/// Checks that another configuration belongs to this server: it has the same name, address and tier, and its classes
-/// and tenants have the same names and idempotency. Everything else may change in a reload. The error names the
-/// first field that differs, in the order of [`ConfigView`].
+/// Checks that another configuration belongs to this server: it has the same name, address and tier, classes with the
+/// same names, idempotency and deduplication windows, and tenants with the same names. A reload may change everything
+/// else.
+///
+/// # Errors
+///
+/// Returns the first of these fields that differs, in the order of [`ConfigView`].
 pub fn check_identity(
     own: &ConfigView<'_>,
     other: &ConfigView<'_>,
@@ -52,8 +56,8 @@
     check_tenants(own, other)
 }
 
-/// Returns the fields that take effect only at a start, and in which another configuration of this server differs.
-/// Settings that describe the moment of a start are ignored: they differ with each one.
+/// Returns the fields that differ in another configuration of this server and take effect only after a restart.
+/// Settings that describe the circumstances of a start are ignored, because they differ with each start.
 pub fn restart_required_fields(own: &ConfigView<'_>, other: &ConfigView<'_>) -> Vec<&'static str> {
     let settings_differ = without_start_state(own.settings) != without_start_state(other.settings);
     let fields = [
@@ -135,7 +139,7 @@
     })
 }
 
-/// The settings without those that describe the moment of a start.
+/// Returns the settings with fixed values for those that describe the circumstances of a start.
 fn without_start_state(settings: &Settings) -> Settings {
     Settings {
         servers: 0,
--- a/crates/heathspur-server-core/tests/unit/registration.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -1,22 +1,22 @@
-//! Tests of `src/registration/mod.rs`, which includes this file as its test module: the schedule against a simulated
-//! service whose connection attempts and answers follow a generated plan, in any order.
+//! Tests of `src/registration/mod.rs`, which includes this file as its test module: the schedule runs against a
+//! simulated service, whose connection attempts and answers follow a generated plan.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// How long the service keeps an entry after its last accepted report, in ms.
-const ENTRY_LIFETIME: u64 = 3000;
-/// The longest connection attempt to a healthy service, in ms.
-const HEALTHY_CONNECT: u64 = 250;
-/// Length of a run, in ms.
-const END: u64 = 40_000;
+/// Time for which the service keeps an entry after the last accepted report.
+const ENTRY_LIFETIME_MS: u64 = 3000;
+/// Longest duration of a connection attempt to a healthy service.
+const MAX_HEALTHY_CONNECT_MS: u64 = 250;
+/// Length of a simulation.
+const END_MS: u64 = 40_000;
 
 fn ms(time: Duration) -> u64 {
     time.as_millis() as u64
 }
 
-/// How a connection attempt ends, and after how many ms.
+/// How a connection attempt ends, and after how many milliseconds.
 #[derive(Clone, Copy, Debug)]
 enum ConnectOutcome {
     Succeeds(u64),
@@ -24,21 +24,22 @@
     Hangs,
 }
 
-/// What happens to a report.
+/// What happens to a report. Times are in milliseconds from the sending of the report.
 #[derive(Clone, Copy, Debug)]
 struct ReportOutcome {
-    /// The connection turns out to be closed before the report.
+    /// Whether the connection turns out to be closed before the report is sent.
     closed: bool,
-    /// A reused connection breaks during this report after so long.
-    breaks: Option<u64>,
+    /// When the connection fails, if it carried an earlier report.
+    reused_fails_after: Option<u64>,
     /// When the service accepts the report, if at all.
-    accepted: Option<u64>,
-    /// When the report is answered, or its connection breaks if it has no status; `None`: never.
-    ends: Option<u64>,
+    accepted_after: Option<u64>,
+    /// When the report is answered, or its connection fails if there is no `status`. `None` means never.
+    ends_after: Option<u64>,
     status: Option<u16>,
-    /// The connection stays open, and for how long it is idle.
-    open: bool,
-    idle: u64,
+    /// Whether the connection stays open after the answer.
+    stays_open: bool,
+    /// Time from the answer until the service closes the connection, if it stays open.
+    idle_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -47,15 +48,18 @@
     AddressChanged,
 }
 
+/// A generated plan of a simulation.
 #[derive(Clone, Debug)]
 struct Plan {
-    /// Used in turn, then from the first again.
+    /// Outcomes of the connection attempts, used cyclically.
     connects: Vec<ConnectOutcome>,
+    /// Outcomes of the reports, used cyclically.
     reports: Vec<ReportOutcome>,
-    /// With the time since the last one.
+    /// Each change with the time since the last one, in milliseconds.
     changes: Vec<(u64, Change)>,
 }
 
+/// A simulated event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Occurrence {
     Connected(ConnectionId),
@@ -64,13 +68,14 @@
     Answer {
         connection: ConnectionId,
         status: u16,
-        open: bool,
+        stays_open: bool,
         reported: bool,
     },
     Accepted {
         reported: bool,
         epoch: u32,
     },
+    /// The change with this index in the plan.
     Change(usize),
 }
 
@@ -86,7 +91,7 @@
     }
 }
 
-/// The simulated service and clock, with a record of the run.
+/// The simulated service and clock, with a record of what happened. Times are in milliseconds.
 struct Simulation {
     plan: Plan,
     schedule: Schedule,
@@ -95,27 +100,32 @@
     /// Number of address changes so far.
     epoch: u32,
     upcoming: Vec<(u64, Occurrence)>,
+    /// Open connections and connection attempts.
     open: Vec<ConnectionId>,
-    /// Connections that carried a report.
+    /// Connections that have carried a report.
     reused: Vec<ConnectionId>,
+    /// Number of connection attempts so far.
     connects: usize,
+    /// Number of reports so far, including those on closed connections.
     reports_started: usize,
+    /// When reports were sent, with the readiness in them.
     sent: Vec<(u64, bool)>,
+    /// When the service accepted reports, with the readiness in them.
     accepted: Vec<(u64, bool)>,
-    /// Changes of the readiness, and how many reports were in flight then.
+    /// Changes of the readiness, with the number of reports in flight at that time.
     changed: Vec<(u64, bool, usize)>,
-    /// The reports in flight.
+    /// Reports in flight, with the readiness in them.
     in_flight: Vec<(ConnectionId, bool)>,
-    /// When outdated reports ended, with the readiness and the number of reports sent until then.
+    /// When outdated reports ended, with the current readiness and the number of reports sent until then.
     outdated: Vec<(u64, bool, usize)>,
 }
 
 impl Simulation {
     fn run(plan: &Plan) -> Simulation {
         let (mut upcoming, mut at) = (Vec::new(), 0);
-        for (i, (gap, _)) in plan.changes.iter().enumerate() {
+        for (index, (gap, _)) in plan.changes.iter().enumerate() {
             at += gap;
-            upcoming.push((at, Occurrence::Change(i)));
+            upcoming.push((at, Occurrence::Change(index)));
         }
         let mut simulation = Simulation {
             plan: plan.clone(),
@@ -135,8 +145,8 @@
             outdated: Vec::new(),
         };
         simulation.handle(Event::Ready(true));
-        simulation.act();
-        while simulation.now < END {
+        simulation.carry_out_actions();
+        while simulation.now < END_MS {
             simulation.advance();
         }
         simulation
@@ -146,39 +156,39 @@
         self.schedule.handle(Duration::from_millis(self.now), event);
     }
 
-    fn after(&mut self, wait: u64, occurrence: Occurrence) {
-        self.upcoming.push((self.now + wait, occurrence));
+    fn after(&mut self, wait_ms: u64, occurrence: Occurrence) {
+        self.upcoming.push((self.now + wait_ms, occurrence));
     }
 
-    /// Advances to the next occurrence or wake-up.
+    /// Advances the clock to the next occurrence or wake-up and handles it.
     fn advance(&mut self) {
         let next = (0..self.upcoming.len()).min_by_key(|&i| self.upcoming[i].0);
         let wake = self
             .schedule
             .next_wakeup()
-            .map_or(END, ms)
-            .clamp(self.now, END);
+            .map_or(END_MS, ms)
+            .clamp(self.now, END_MS);
         match next.filter(|&i| self.upcoming[i].0 <= wake) {
             Some(i) => {
                 let (at, occurrence) = self.upcoming.remove(i);
                 self.now = at;
-                self.occur(occurrence);
+                self.apply(occurrence);
             }
             None => self.now = wake,
         }
         let before = (self.now, self.connects, self.reports_started);
-        self.act();
-        let busy = self
+        self.carry_out_actions();
+        let wakes_again = self
             .schedule
             .next_wakeup()
             .is_some_and(|at| ms(at) <= self.now);
         assert!(
-            !busy || before != (self.now, self.connects, self.reports_started),
-            "a wake-up without an action"
+            !wakes_again || before != (self.now, self.connects, self.reports_started),
+            "a wake-up caused no action"
         );
     }
 
-    fn occur(&mut self, occurrence: Occurrence) {
+    fn apply(&mut self, occurrence: Occurrence) {
         match occurrence {
             Occurrence::Connected(connection) => self.handle(Event::Connected(connection)),
             Occurrence::Failed(connection) => {
@@ -195,31 +205,31 @@
             Occurrence::Answer {
                 connection,
                 status,
-                open,
+                stays_open,
                 reported,
             } => {
                 self.report_ended(connection);
-                if !open {
+                if !stays_open {
                     self.remove(connection);
                 }
-                let idle =
-                    self.plan.reports[(self.reports_started - 1) % self.plan.reports.len()].idle;
-                if open {
-                    self.after(idle, Occurrence::Closed(connection));
+                let idle_ms =
+                    self.plan.reports[(self.reports_started - 1) % self.plan.reports.len()].idle_ms;
+                if stays_open {
+                    self.after(idle_ms, Occurrence::Closed(connection));
                 }
                 let sent = self.sent.len();
                 self.handle(Event::ReportAnswered {
                     connection,
                     status,
-                    reusable: open,
+                    reusable: stays_open,
                 });
-                self.act();
-                // The outdated report may have been accepted last: the readiness is reported again, at once on a connection.
-                if open && reported != self.ready && self.open.contains(&connection) {
+                self.carry_out_actions();
+                // The outdated report may have been accepted last, so the readiness is reported again at once.
+                if stays_open && reported != self.ready && self.open.contains(&connection) {
                     assert_eq!(
                         self.sent[sent..],
                         [(self.now, self.ready)],
-                        "the last accepted report was {reported}"
+                        "an outdated report of {reported} was not followed by a current one"
                     );
                 }
             }
@@ -262,11 +272,11 @@
             .retain(|(_, occurrence)| occurrence.connection() != Some(connection));
     }
 
-    fn act(&mut self) {
+    fn carry_out_actions(&mut self) {
         let mut actions = 0;
         while let Some(action) = self.schedule.poll(Duration::from_millis(self.now)) {
             actions += 1;
-            assert!(actions < 32, "endless actions");
+            assert!(actions < 32, "endless sequence of actions");
             match action {
                 Action::Connect(connection) => {
                     self.open.push(connection);
@@ -282,7 +292,7 @@
                     }
                     self.connects += 1;
                 }
-                Action::SendReport { connection, ready } => self.report(connection, ready),
+                Action::SendReport { connection, ready } => self.send_report(connection, ready),
                 Action::Close(connection) => {
                     assert!(self.open.contains(&connection));
                     self.remove(connection);
@@ -292,7 +302,7 @@
         }
     }
 
-    fn report(&mut self, connection: ConnectionId, ready: bool) {
+    fn send_report(&mut self, connection: ConnectionId, ready: bool) {
         assert!(
             self.open.contains(&connection)
                 && self.in_flight.iter().all(|(other, _)| *other != connection)
@@ -308,12 +318,15 @@
         }
         self.sent.push((self.now, ready));
         self.in_flight.push((connection, ready));
-        if let Some(wait) = outcome.breaks.filter(|_| self.reused.contains(&connection)) {
+        if let Some(wait) = outcome
+            .reused_fails_after
+            .filter(|_| self.reused.contains(&connection))
+        {
             self.after(wait, Occurrence::Failed(connection));
             return self.handle(Event::ReportSent(connection));
         }
         self.reused.push(connection);
-        if let Some(wait) = outcome.accepted {
+        if let Some(wait) = outcome.accepted_after {
             self.after(
                 wait,
                 Occurrence::Accepted {
@@ -322,14 +335,14 @@
                 },
             );
         }
-        match (outcome.ends, outcome.status) {
+        match (outcome.ends_after, outcome.status) {
             (Some(wait), Some(status)) => {
                 self.after(
                     wait,
                     Occurrence::Answer {
                         connection,
                         status,
-                        open: outcome.open,
+                        stays_open: outcome.stays_open,
                         reported: ready,
                     },
                 );
@@ -340,16 +353,17 @@
         self.handle(Event::ReportSent(connection));
     }
 
-    /// The longest time between two sent reports, and between two accepted ones, including the time to the end.
-    fn gaps(&self) -> (u64, u64) {
+    /// Returns the longest time between two sent reports and between two accepted reports, both including the time from
+    /// the last one to the end of the simulation.
+    fn longest_gaps(&self) -> (u64, u64) {
         let longest = |times: &[(u64, bool)]| {
-            let ends = times.iter().skip(1).map(|(at, _)| *at).chain([END]);
+            let ends = times.iter().skip(1).map(|(at, _)| *at).chain([END_MS]);
             times
                 .iter()
                 .zip(ends)
                 .map(|((at, _), next)| next - at)
                 .max()
-                .unwrap_or(END)
+                .unwrap_or(END_MS)
         };
         (longest(&self.sent), longest(&self.accepted))
     }
@@ -363,55 +377,64 @@
     ]
 }
 
-fn breaks() -> impl Strategy<Value = Option<u64>> {
+fn reused_failure() -> impl Strategy<Value = Option<u64>> {
     prop_oneof![5 => Just(None), 1 => (0..50u64).prop_map(Some)]
 }
 
 fn any_report() -> impl Strategy<Value = ReportOutcome> {
     let status = prop_oneof![6 => Just(Some(204)), 1 => Just(Some(500)), 1 => Just(None)];
-    let ends = prop_oneof![3 => (0..400u64).prop_map(Some), 2 => (0..2500u64).prop_map(Some), 1 => Just(None)];
+    let ends_after = prop_oneof![3 => (0..400u64).prop_map(Some), 2 => (0..2500u64).prop_map(Some), 1 => Just(None)];
     let rest = (
         prop::option::of(0..2500u64),
-        ends,
+        ends_after,
         status,
         0..8u8,
         0..1500u64,
     );
-    (0..10u8, breaks(), rest).prop_map(|(closed, breaks, (accepted, ends, status, open, idle))| {
-        ReportOutcome {
-            closed: closed == 0,
-            breaks,
-            accepted,
-            ends,
-            status,
-            open: open > 0,
-            idle,
-        }
-    })
+    (0..10u8, reused_failure(), rest).prop_map(
+        |(closed, reused_fails_after, (accepted_after, ends_after, status, open, idle_ms))| {
+            ReportOutcome {
+                closed: closed == 0,
+                reused_fails_after,
+                accepted_after,
+                ends_after,
+                status,
+                stays_open: open > 0,
+                idle_ms,
+            }
+        },
+    )
 }
 
-/// A report that is accepted and answered within the limit; the connection may end at any time behind it.
-fn accepted_report(limit: u64) -> impl Strategy<Value = ReportOutcome> {
-    (breaks(), 0..=limit, 0..=limit, 0..6u8, 0..4000u64).prop_map(
-        |(breaks, one, other, open, idle)| ReportOutcome {
-            closed: false,
-            breaks,
-            accepted: Some(one.min(other)),
-            ends: Some(one.max(other)),
-            status: Some(204),
-            open: open > 0,
-            idle,
-        },
+/// Generates reports that are accepted and answered within `limit_ms`. The connection may end at any time afterwards.
+fn accepted_report(limit_ms: u64) -> impl Strategy<Value = ReportOutcome> {
+    (
+        reused_failure(),
+        0..=limit_ms,
+        0..=limit_ms,
+        0..6u8,
+        0..4000u64,
     )
+        .prop_map(
+            |(reused_fails_after, one, other, open, idle_ms)| ReportOutcome {
+                closed: false,
+                reused_fails_after,
+                accepted_after: Some(one.min(other)),
+                ends_after: Some(one.max(other)),
+                status: Some(204),
+                stays_open: open > 0,
+                idle_ms,
+            },
+        )
 }
 
-fn changes(moves: bool) -> impl Strategy<Value = Vec<(u64, Change)>> {
+fn changes(with_address_changes: bool) -> impl Strategy<Value = Vec<(u64, Change)>> {
     let change = (0..8u8, any::<bool>()).prop_map(move |(kind, ready)| match kind {
-        0 if moves => Change::AddressChanged,
+        0 if with_address_changes => Change::AddressChanged,
         _ => Change::Ready(ready),
     });
-    // Also a change and its reversal during one connection attempt or report.
-    let gap = prop_oneof![0..3000u64, 0..HEALTHY_CONNECT];
+    // Short gaps produce a change and its reversal during one connection attempt or report.
+    let gap = prop_oneof![0..3000u64, 0..MAX_HEALTHY_CONNECT_MS];
     prop::collection::vec((gap, change), 0..10)
 }
 
@@ -431,10 +454,10 @@
     })
 }
 
-fn healthy_service(limit: u64) -> impl Strategy<Value = Plan> {
+fn healthy_service(limit_ms: u64) -> impl Strategy<Value = Plan> {
     plan(
-        (0..=HEALTHY_CONNECT).prop_map(ConnectOutcome::Succeeds),
-        accepted_report(limit),
+        (0..=MAX_HEALTHY_CONNECT_MS).prop_map(ConnectOutcome::Succeeds),
+        accepted_report(limit_ms),
         changes(false),
     )
 }
@@ -447,89 +470,90 @@
         ..Config::default()
     })]
 
-    /// The simulation itself checks that at most `MAX_CONNECTIONS` connections are open, that each report uses an idle
-    /// connection and carries the readiness, and that an outdated report that ends is followed by a current one.
+    /// The simulation itself asserts that at most `MAX_CONNECTIONS` connections are open, that each report uses an idle
+    /// connection and carries the current readiness, and that the end of an outdated report is followed by a current
+    /// report.
     #[test]
-    fn connections_are_bounded_and_an_outdated_report_is_followed_by_a_current_one(
+    fn connections_are_bounded_and_outdated_report_is_followed_by_current_one(
         plan in plan(any_connect(), any_report(), changes(true))
     ) {
         Simulation::run(&plan);
     }
 
-    /// Each connection may carry one report immediately after another; then the retry delay applies. A change is
-    /// reported immediately, and so is the readiness after the end of each outdated report.
+    /// Each connection may carry one report immediately after another; then the retry delay applies. Changes, and the
+    /// ends of outdated reports, cause further immediate reports.
     #[test]
-    fn the_rate_of_reports_is_bounded(plan in plan(any_connect(), any_report(), changes(true))) {
+    fn rate_of_reports_is_bounded(plan in plan(any_connect(), any_report(), changes(true))) {
         let simulation = Simulation::run(&plan);
-        for (i, (from, _)) in simulation.sent.iter().enumerate() {
-            let within = simulation.sent[i..].iter().filter(|(at, _)| *at < from + 1000).count();
+        for (index, (from, _)) in simulation.sent.iter().enumerate() {
+            let in_one_second = simulation.sent[index..].iter().filter(|(at, _)| *at < from + 1000).count();
             let changes = simulation.changed.iter().filter(|(at, ..)| at + ms(RESPONSE_TIMEOUT) >= *from && *at < from + 1000);
-            let moves = simulation.plan.changes.iter().filter(|(_, change)| matches!(change, Change::AddressChanged)).count();
-            let most = 2 * (1000 / ms(RETRY_DELAY)) as usize + (1 + MAX_CONNECTIONS) * changes.count() + moves;
-            prop_assert!(within <= most, "{within} reports from {from} on, not {most}");
+            let address_changes = simulation.plan.changes.iter().filter(|(_, change)| matches!(change, Change::AddressChanged)).count();
+            let limit = 2 * (1000 / ms(RETRY_DELAY)) as usize + (1 + MAX_CONNECTIONS) * changes.count() + address_changes;
+            prop_assert!(in_one_second <= limit, "{in_one_second} reports in the second from {from} ms on, limit {limit}");
         }
     }
 
     #[test]
-    fn a_healthy_service_gets_a_report_each_interval(plan in healthy_service(ms(HEDGE_DELAY))) {
-        let (sent, accepted) = Simulation::run(&plan).gaps();
-        // An answer, the interval, and a connection attempt that takes longer than the last one.
-        prop_assert!(sent <= ms(REPORT_INTERVAL + HEDGE_DELAY) + HEALTHY_CONNECT + 1, "{sent}");
-        prop_assert!(accepted < ENTRY_LIFETIME, "{accepted}");
+    fn healthy_service_gets_report_each_interval(plan in healthy_service(ms(HEDGE_DELAY))) {
+        let (sent, accepted) = Simulation::run(&plan).longest_gaps();
+        // A gap consists of an answer, the interval, and a connection attempt that takes longer than the last one.
+        prop_assert!(sent <= ms(REPORT_INTERVAL + HEDGE_DELAY) + MAX_HEALTHY_CONNECT_MS + 1, "{sent}");
+        prop_assert!(accepted < ENTRY_LIFETIME_MS, "{accepted}");
     }
 
     #[test]
-    fn a_service_that_answers_within_the_timeout_gets_reports(plan in healthy_service(ms(RESPONSE_TIMEOUT) - 1)) {
-        let (sent, _) = Simulation::run(&plan).gaps();
-        prop_assert!(sent <= ms(REPORT_INTERVAL + RESPONSE_TIMEOUT) + HEALTHY_CONNECT + 1, "{sent}");
+    fn service_that_answers_within_timeout_gets_reports(plan in healthy_service(ms(RESPONSE_TIMEOUT) - 1)) {
+        let (sent, _) = Simulation::run(&plan).longest_gaps();
+        prop_assert!(sent <= ms(REPORT_INTERVAL + RESPONSE_TIMEOUT) + MAX_HEALTHY_CONNECT_MS + 1, "{sent}");
     }
 
     #[test]
-    fn one_hanging_connection_attempt_or_report_does_not_delay_reports(
-        plan in healthy_service(ms(HEDGE_DELAY)), connect in any::<bool>(), which in 0..6usize
+    fn hanging_connection_attempt_or_report_does_not_delay_reports(
+        plan in healthy_service(ms(HEDGE_DELAY)), is_connect in any::<bool>(), index in 0..6usize
     ) {
         let mut plan = plan;
-        // So many that none hangs a second time.
+        // The plans are long enough that the hanging entry is not used a second time.
         plan.connects = plan.connects.iter().copied().cycle().take(200).collect();
         plan.reports = plan.reports.iter().copied().cycle().take(200).collect();
-        if connect {
-            plan.connects[which] = ConnectOutcome::Hangs;
+        if is_connect {
+            plan.connects[index] = ConnectOutcome::Hangs;
         } else {
-            plan.reports[which] = ReportOutcome { breaks: None, accepted: None, ends: None, ..plan.reports[which] };
+            plan.reports[index] = ReportOutcome { reused_fails_after: None, accepted_after: None, ends_after: None, ..plan.reports[index] };
         }
         let simulation = Simulation::run(&plan);
-        let (sent, accepted) = simulation.gaps();
-        // The first one may hang from the start.
-        prop_assert!(simulation.accepted[0].0 < ENTRY_LIFETIME);
-        prop_assert!(sent <= ms(REPORT_INTERVAL + HEDGE_DELAY + HEDGE_DELAY) + 2 * HEALTHY_CONNECT + 1, "{sent}");
-        prop_assert!(accepted < ENTRY_LIFETIME, "{accepted}");
+        let (sent, accepted) = simulation.longest_gaps();
+        // The first connection attempt or report may be the one that hangs.
+        prop_assert!(simulation.accepted[0].0 < ENTRY_LIFETIME_MS);
+        prop_assert!(sent <= ms(REPORT_INTERVAL + HEDGE_DELAY + HEDGE_DELAY) + 2 * MAX_HEALTHY_CONNECT_MS + 1, "{sent}");
+        prop_assert!(accepted < ENTRY_LIFETIME_MS, "{accepted}");
     }
 
     #[test]
-    fn a_change_is_reported_immediately_and_accepted_last(plan in healthy_service(ms(RESPONSE_TIMEOUT) - 1)) {
+    fn change_is_reported_immediately_and_accepted_last(plan in healthy_service(ms(RESPONSE_TIMEOUT) - 1)) {
         let simulation = Simulation::run(&plan);
-        for (i, (at, ready, in_flight)) in simulation.changed.iter().enumerate() {
+        for (index, (at, ready, in_flight)) in simulation.changed.iter().enumerate() {
             let (at, ready) = (*at, *ready);
-            let next = simulation.changed.get(i + 1).map_or(END, |(at, ..)| *at);
-            // With capacity for a connection the change needs an attempt, at most two if an answer ends the first; without,
-            // one of the reports in flight has to end.
+            let next = simulation.changed.get(index + 1).map_or(END_MS, |(at, ..)| *at);
+            // If another connection is allowed, the report of the change needs one connection attempt, or two if an answer
+            // ends the first. Otherwise, one of the reports in flight has to end before.
             let wait = if *in_flight < MAX_CONNECTIONS { 0 } else { ms(RESPONSE_TIMEOUT) };
-            let deadline = at + wait + ms(RETRY_DELAY) + 2 * HEALTHY_CONNECT + 1;
+            let deadline = at + wait + ms(RETRY_DELAY) + 2 * MAX_HEALTHY_CONNECT_MS + 1;
             let first_sent = simulation.sent.iter().find(|(sent, reported)| *sent >= at && *reported == ready).map(|(sent, _)| *sent);
             prop_assert!(next <= deadline || first_sent.is_some_and(|first| first <= deadline), "{at} {first_sent:?}");
-            // All reports until the next change carry it.
+            // All reports until the next change carry the new readiness.
             prop_assert!(simulation.sent.iter().all(|(sent, reported)| *sent <= at || *sent >= next || *reported == ready));
-            // Reports in flight may be accepted until their timeout, and the ones that follow need as long.
-            let settled = at + 2 * ms(RESPONSE_TIMEOUT) + ms(RETRY_DELAY) + 2 * HEALTHY_CONNECT + 1;
+            // Reports in flight may be accepted until their timeout, and the reports that follow may take as long.
+            let settled = at + 2 * ms(RESPONSE_TIMEOUT) + ms(RETRY_DELAY) + 2 * MAX_HEALTHY_CONNECT_MS + 1;
             let late = simulation.accepted.iter().find(|(accepted, reported)| (settled..next).contains(accepted) && *reported != ready);
             prop_assert!(late.is_none(), "{at} {late:?}");
             let last = simulation.accepted.iter().rfind(|(accepted, _)| *accepted < next);
             prop_assert!(next < settled || last.is_some_and(|(_, reported)| *reported == ready), "{at} {last:?}");
         }
-        // An outdated report may have been accepted last: once it has ended, the readiness is sent again.
+        // An outdated report may have been accepted last, so the readiness is sent again once it has ended.
         for (at, ready, sent) in &simulation.outdated {
-            let next = simulation.changed.iter().map(|(next, ..)| *next).find(|next| next > at).unwrap_or(END);
-            let deadline = at + ms(RETRY_DELAY) + 2 * HEALTHY_CONNECT + 1;
+            let next = simulation.changed.iter().map(|(next, ..)| *next).find(|next| next > at).unwrap_or(END_MS);
+            let deadline = at + ms(RETRY_DELAY) + 2 * MAX_HEALTHY_CONNECT_MS + 1;
             let again = simulation.sent[*sent..].first();
             prop_assert!(next <= deadline || again.is_some_and(|again| again.0 <= deadline && again.1 == *ready));
         }
--- a/crates/heathspur-server-core/tests/unit/registration_model.rs
+++ b/crates/heathspur-server-core/tests/unit/registration_model.rs
@@ -1,15 +1,16 @@
-//! A model check of `src/registration/mod.rs`, which includes this file as a module: a service that accepts and answers
-//! reports of two connections in any order; connection attempts that succeed, fail or hang; connections that fail
-//! while idle or with a report in flight; readiness that changes, also back again; clock ticks of 100 ms.
+//! Model check of `src/registration/mod.rs`, which includes this file as a module.
 //!
-//! Each mutant breaks one part of the schedule; the model check must find every one.
+//! In the model, the service accepts and answers the reports of two connections in any order, connection attempts
+//! succeed, fail or hang, connections fail while idle or with a report in flight, the readiness changes and changes
+//! back, and the clock advances by ticks of 100 ms. Each mutant breaks one part of the schedule, and the model check
+//! has to detect it as a violated rule.
 
 use super::*;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-/// The clock's tick.
+/// Duration of a tick of the model's clock.
 const TICK: Duration = Duration::from_millis(100);
-/// Failures of connections and connection attempts.
+/// Maximum number of failures of connections and connection attempts in one sequence of steps.
 const MAX_FAILURES: u8 = 1;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,18 +20,19 @@
     Reporting { ready: bool, accepted: bool },
 }
 
+/// State of the model: the schedule, the connections on the side of the service, and observations.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     schedule: Schedule,
     ticks: u32,
     ready: bool,
     connections: Vec<(ConnectionId, Stage)>,
-    /// The readiness that the service has registered.
+    /// The readiness in the service's entry for this server.
     registered: Option<bool>,
     changes: u8,
-    /// The current readiness was not sent since the change, or since the end of an outdated report.
+    /// Whether the current readiness has not been sent since it changed, or since an outdated report ended.
     report_pending: bool,
-    /// An older report was accepted after a later one.
+    /// Whether an outdated report was accepted after a current one.
     reordered: bool,
     failures: u8,
 }
@@ -43,33 +45,33 @@
     Failed(ConnectionId),
     Accepted(ConnectionId),
     Answered(ConnectionId),
-    /// Answered, and the connection closed.
+    /// The report was answered, and the connection was closed.
     AnsweredAndClosed(ConnectionId),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// The readiness is not reported again after an outdated report.
+    /// The readiness is not reported again after the end of an outdated report.
     NoRepeat,
-    /// A change is reported with the next report of the interval.
+    /// A change is only reported when the next report of the interval is due.
     DelayedChange,
-    /// Connections to be closed stay open.
+    /// Connections that the schedule closes stay open.
     NoClose,
 }
 
 struct RegistrationModel {
     mutant: Mutant,
-    /// Ticks of the clock.
+    /// Maximum number of clock ticks.
     ticks: u32,
-    /// Changes of the readiness.
+    /// Maximum number of changes of the readiness.
     changes: u8,
-    /// Connections also fail with a report in flight, or close after its answer.
+    /// Whether connections also fail with a report in flight, or close after its answer.
     failures_in_reports: bool,
 }
 
 impl RegistrationModel {
-    /// One change, over more than an interval and a hedge delay.
+    /// Returns a model with one change, over more than a report interval and a hedge delay.
     fn one_change(mutant: Mutant) -> RegistrationModel {
         RegistrationModel {
             mutant,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// A change and its reversal, over more than the hedge delay.
+    /// Returns a model with a change and its reversal, over more than the hedge delay.
     fn reversed_change(mutant: Mutant) -> RegistrationModel {
         RegistrationModel {
             mutant,
@@ -133,7 +135,7 @@
             .map(|(_, stage)| stage)
     }
 
-    /// A connection ends, and with it any report in flight.
+    /// Ends a connection and the report in flight on it, if any.
     fn remove(&mut self, connection: ConnectionId) {
         self.report_pending |= matches!(self.stage(connection), Some(Stage::Reporting { ready, .. }) if *ready != self.ready);
         self.connections.retain(|(other, _)| *other != connection);
@@ -199,7 +201,7 @@
         match step {
             Step::Tick => {
                 world.ticks += 1;
-                // No change: only time has passed.
+                // An event that changes nothing lets the schedule act on the passed time.
                 let ready = world.schedule.ready?;
                 world.handle(Event::Ready(ready), mutant);
             }
@@ -291,49 +293,59 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("rule: two connections at most", |_, w: &World| {
-                w.connections.len() <= MAX_CONNECTIONS
-            }),
+            Property::always(
+                "rule: at most two connections are open",
+                |_, world: &World| world.connections.len() <= MAX_CONNECTIONS,
+            ),
             Property::always(
                 "rule: a wrong registration is being corrected",
-                |_, w: &World| {
-                    // A report is in flight, or due as soon as there is a connection, after a failure's retry delay if any.
-                    let retry_delay = RETRY_DELAY * u32::from(w.failures);
-                    w.registered.is_none_or(|registered| registered == w.ready)
-                        || w.is_reporting()
-                        || w.schedule.report_due <= w.now() + retry_delay
+                |_, world: &World| {
+                    // A report is in flight, or it is due: at once, or after the retry delay of a failure.
+                    let retry_delay = RETRY_DELAY * u32::from(world.failures);
+                    world
+                        .registered
+                        .is_none_or(|registered| registered == world.ready)
+                        || world.is_reporting()
+                        || world.schedule.report_due <= world.now() + retry_delay
                 },
             ),
             Property::always(
                 "rule: a change is reported as soon as there is a connection",
-                |_, w: &World| {
-                    let idle = w.connections.iter().any(|(_, stage)| *stage == Stage::Idle);
-                    !w.report_pending || !idle && w.schedule.report_due <= w.now()
+                |_, world: &World| {
+                    let idle = world
+                        .connections
+                        .iter()
+                        .any(|(_, stage)| *stage == Stage::Idle);
+                    !world.report_pending || !idle && world.schedule.report_due <= world.now()
                 },
             ),
             Property::always(
-                "rule: a pending report has a connection, or an attempt after the retry delay",
-                |_, w: &World| {
-                    let connecting = w
+                "rule: a pending report has a connection, or an attempt within the retry delay",
+                |_, world: &World| {
+                    let has_connection = world
                         .connections
                         .iter()
                         .any(|(_, stage)| *stage == Stage::Connecting)
-                        || w.connections.len() == MAX_CONNECTIONS;
-                    !w.report_pending
-                        || connecting
-                        || w.schedule
+                        || world.connections.len() == MAX_CONNECTIONS;
+                    !world.report_pending
+                        || has_connection
+                        || world
+                            .schedule
                             .next_wakeup()
-                            .is_some_and(|at| at <= w.now() + RETRY_DELAY)
+                            .is_some_and(|at| at <= world.now() + RETRY_DELAY)
                 },
             ),
-            Property::sometimes("an older report is accepted last", |_, w: &World| {
-                w.reordered
-            }),
-            Property::sometimes("and is corrected", |_, w: &World| {
-                w.reordered && w.registered == Some(w.ready)
-            }),
-            Property::sometimes("a hedged connection attempt", |_, w: &World| {
-                w.connections
+            Property::sometimes(
+                "an outdated report is accepted after a current one",
+                |_, world: &World| world.reordered,
+            ),
+            Property::sometimes(
+                "a registration by an outdated report is corrected",
+                |_, world: &World| world.reordered && world.registered == Some(world.ready),
+            ),
+            Property::sometimes("a connection attempt is hedged", |_, world: &World| {
+                world
+                    .connections
                     .iter()
                     .filter(|(_, stage)| *stage == Stage::Connecting)
                     .count()
@@ -351,17 +363,17 @@
 }
 
 #[test]
-fn a_change_is_registered_last_in_every_order_of_events() {
+fn change_is_registered_last_in_every_order_of_events() {
     check(RegistrationModel::one_change(Mutant::None));
 }
 
 #[test]
-fn a_reversed_change_is_reported_in_every_order_of_events() {
+fn reversed_change_is_reported_in_every_order_of_events() {
     check(RegistrationModel::reversed_change(Mutant::None));
 }
 
 #[test]
-fn each_mutant_is_found() {
+fn each_mutant_violates_a_rule() {
     for mutant in [Mutant::NoRepeat, Mutant::DelayedChange, Mutant::NoClose] {
         let checker = RegistrationModel::one_change(mutant)
             .checker()
--- a/crates/heathspur-server-core/tests/unit/reload.rs
+++ b/crates/heathspur-server-core/tests/unit/reload.rs
@@ -1,12 +1,12 @@
-//! Tests of `src/reload.rs`, which includes this file as its test module. `heathspurd`'s tests of its configuration
-//! check the fields against a configuration file.
+//! Tests of `src/reload.rs`, which includes this file as its test module. The configuration tests of `heathspurd` check
+//! the field names against a configuration file.
 
 use super::*;
 use heathspur::{Class, Idempotency, Span};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// A configuration with few possible values, so that two often agree in a field.
+/// A configuration with few possible values per field, so that two generated ones often agree in a field.
 #[derive(Clone, Debug)]
 struct SmallConfig {
     name: &'static str,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Mostly the usual value, so that configurations often differ in one field only.
+/// Generates mostly the usual value, so that two configurations often differ in a single field.
 fn mostly<T: Clone + std::fmt::Debug + 'static>(usual: T, unusual: T) -> impl Strategy<Value = T> {
     prop_oneof![14 => Just(usual), 1 => Just(unusual)]
 }
@@ -71,7 +71,7 @@
     let classes = mostly(2usize, 1).prop_flat_map(move |n| prop::collection::vec(class(), n));
     let tenants = mostly(2usize, 0).prop_flat_map(|n| prop::collection::vec(mostly("t", "u"), n));
     let store = prop_oneof![7 => Just(Some(1)), 7 => Just(Some(2)), 1 => Just(None)];
-    let own = (mostly("n1", "n2"), mostly(1u16, 2), store, classes, tenants);
+    let identity = (mostly("n1", "n2"), mostly(1u16, 2), store, classes, tenants);
     let start = (
         mostly(1u64, 2),
         mostly(1usize, 2),
@@ -80,10 +80,10 @@
         0..3u64,
         any::<bool>(),
     );
-    (own, start).prop_map(
+    (identity, start).prop_map(
         |(
             (name, listen, store, classes, tenants),
-            (stop, memory_bytes, file_descriptors, servers, callers, cold),
+            (stop, memory_bytes, file_descriptors, servers, callers, cold_start),
         )| SmallConfig {
             name,
             listen: address(listen),
@@ -100,7 +100,7 @@
                     .collect(),
                 servers,
                 callers,
-                cold_start: cold,
+                cold_start,
                 ..Settings::default()
             },
             classes: classes.iter().map(|(name, ..)| name.to_string()).collect(),
@@ -109,7 +109,7 @@
     )
 }
 
-/// The fields that identify a server, with their values.
+/// Returns the fields that identify a server, with their values.
 fn identity(config: &SmallConfig) -> Vec<(String, String)> {
     let mut fields = vec![
         ("name".to_string(), config.name.to_string()),
@@ -120,19 +120,19 @@
             config.classes.len().to_string(),
         ),
     ];
-    for (i, (name, class)) in config
+    for (index, (name, class)) in config
         .classes
         .iter()
         .zip(&config.settings.classes)
         .enumerate()
     {
-        fields.push((format!("settings.services[{i}].name"), name.clone()));
+        fields.push((format!("settings.services[{index}].name"), name.clone()));
         fields.push((
-            format!("settings.services[{i}].effect"),
+            format!("settings.services[{index}].effect"),
             format!("{:?}", class.idempotency),
         ));
         fields.push((
-            format!("settings.services[{i}].dedup-window-s"),
+            format!("settings.services[{index}].dedup-window-s"),
             class.dedup_window.0.to_string(),
         ));
     }
@@ -141,7 +141,9 @@
         config.tenants.len().to_string(),
     ));
     let realms = config.tenants.iter().enumerate();
-    fields.extend(realms.map(|(i, name)| (format!("settings.realms[{i}].name"), name.clone())));
+    fields.extend(
+        realms.map(|(index, name)| (format!("settings.realms[{index}].name"), name.clone())),
+    );
     fields
 }
 
@@ -154,16 +156,16 @@
     })]
 
     #[test]
-    fn a_foreign_configuration_is_reported_by_its_first_differing_identity_field(own in any_config(), other in any_config()) {
+    fn configuration_of_another_server_is_rejected_with_first_differing_field(own in any_config(), other in any_config()) {
         let fields = identity(&own).into_iter().zip(identity(&other));
-        let first = fields.filter(|(own, other)| own != other).map(|(own, _)| own.0).next();
-        let found = check_identity(&own.view(), &other.view()).err().map(|error| error.field);
-        prop_assert_eq!(found, first);
+        let expected = fields.filter(|(own, other)| own != other).map(|(own, _)| own.0).next();
+        let reported = check_identity(&own.view(), &other.view()).err().map(|error| error.field);
+        prop_assert_eq!(reported, expected);
         prop_assert_eq!(check_identity(&own.view(), &own.view()), Ok(()));
     }
 
     #[test]
-    fn fields_that_need_a_restart_are_listed_and_start_state_is_ignored(own in any_config(), other in any_config()) {
+    fn changed_fields_that_need_restart_are_listed_without_start_state(own in any_config(), other in any_config()) {
         let mut expected = Vec::new();
         expected.extend((own.stop_timeout != other.stop_timeout).then_some("stop_ms"));
         expected.extend((own.memory_bytes != other.memory_bytes).then_some("limits.memory_mb"));
