--- a/crates/heathspur-server-core/src/reload.rs
+++ b/crates/heathspur-server-core/src/reload.rs
@@ -33,7 +33,7 @@
 /// The error of a configuration that belongs to another server or customer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
-pub struct ForeignConfigError {
+pub struct IdentityMismatchError {
     /// Path of the field that differs.
     pub field: String,
     /// Message with both values.
@@ -50,7 +50,7 @@
 pub fn check_identity(
     own: &ConfigView<'_>,
     other: &ConfigView<'_>,
-) -> Result<(), ForeignConfigError> {
+) -> Result<(), IdentityMismatchError> {
     check_server(own, other)?;
     check_classes(own, other)?;
     check_tenants(own, other)
@@ -76,7 +76,7 @@
         .collect()
 }
 
-fn check_server(own: &ConfigView<'_>, other: &ConfigView<'_>) -> Result<(), ForeignConfigError> {
+fn check_server(own: &ConfigView<'_>, other: &ConfigView<'_>) -> Result<(), IdentityMismatchError> {
     check_equal("name", &own.name, &other.name)?;
     check_equal("listen", &own.listen, &other.listen)?;
     let is_same_tier = own.store.is_some() == other.store.is_some();
@@ -86,7 +86,10 @@
     Ok(())
 }
 
-fn check_classes(own: &ConfigView<'_>, other: &ConfigView<'_>) -> Result<(), ForeignConfigError> {
+fn check_classes(
+    own: &ConfigView<'_>,
+    other: &ConfigView<'_>,
+) -> Result<(), IdentityMismatchError> {
     check_equal(
         "settings.services",
         &own.classes.len(),
@@ -113,7 +116,10 @@
     Ok(())
 }
 
-fn check_tenants(own: &ConfigView<'_>, other: &ConfigView<'_>) -> Result<(), ForeignConfigError> {
+fn check_tenants(
+    own: &ConfigView<'_>,
+    other: &ConfigView<'_>,
+) -> Result<(), IdentityMismatchError> {
     check_equal("settings.realms", &own.tenants.len(), &other.tenants.len())?;
     for (index, (own_name, other_name)) in own.tenants.iter().zip(other.tenants).enumerate() {
         check_equal(
@@ -129,11 +135,11 @@
     field: &str,
     own: &T,
     other: &T,
-) -> Result<(), ForeignConfigError> {
+) -> Result<(), IdentityMismatchError> {
     if own == other {
         return Ok(());
     }
-    Err(ForeignConfigError {
+    Err(IdentityMismatchError {
         field: field.to_string(),
         reason: format!("it is of another server or customer: {other:?}, not {own:?}"),
     })
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration file: where the server listens, its peers, its limits and its settings.
 
 use heathspur::Settings;
-use heathspur_server_core::reload::{self, ConfigView, ForeignConfigError};
+use heathspur_server_core::reload::{self, ConfigView, IdentityMismatchError};
 use heathspur_settings::{ServerSettings, WireNames, WireSettings};
 use serde::{Deserialize, Deserializer};
 use std::ffi::OsString;
@@ -170,7 +170,7 @@
     pub fn check_own(&self, other: Config) -> Result<Config, ConfigError> {
         match reload::check_identity(&self.view(), &other.view()) {
             Ok(()) => Ok(other),
-            Err(ForeignConfigError { field, reason }) => Err(ConfigError::Invalid {
+            Err(IdentityMismatchError { field, reason }) => Err(ConfigError::Invalid {
                 file: other.file.unwrap_or_default(),
                 invalid: InvalidField { field, reason },
             }),
