--- a/crates/heathspur-streams/src/stream_limits.rs
+++ b/crates/heathspur-streams/src/stream_limits.rs
@@ -133,7 +133,7 @@
     }
 
     /// Records that a request had to wait before it could be submitted. Decreases the limit, at most
-    /// once per [`DECREASE_INTERVAL_US`].
+    /// once per `DECREASE_INTERVAL_US`.
     pub fn on_backpressure(&mut self, now: Time) {
         let may_decrease = self
             .decreased_at
