--- a/crates/heathspur-server-core/src/reload.rs
+++ b/crates/heathspur-server-core/src/reload.rs
@@ -141,7 +141,7 @@
     }
     Err(IdentityMismatchError {
         field: field.to_string(),
-        reason: format!("it is of another server or customer: {other:?}, not {own:?}"),
+        reason: format!("belongs to another server or customer: {other:?}, expected {own:?}"),
     })
 }
 
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -262,14 +262,14 @@
             c["name"] = json!("n4");
             whole(c)
         },
-        ": name: it is of another server or customer: \"n4\", not \"n3\"",
+        ": name: belongs to another server or customer: \"n4\", expected \"n3\"",
     );
     holds_nothing_of(
         |c| {
             c["settings"]["services"][1]["name"] = json!("book");
             whole(c)
         },
-        ": settings.services[1].name: it is of another server or customer: \"book\", not \"pay\"",
+        ": settings.services[1].name: belongs to another server or customer: \"book\", expected \"pay\"",
     );
 }
 
