--- a/crates/heathspurd/src/frontend/accept.rs
+++ b/crates/heathspurd/src/frontend/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections for any frontend, within the connection pool's permits.
+//! Accepts connections for a frontend, within the permits of the connection pool.
 
 use crate::frontend::connection_pool::Permit;
 use crate::frontend::FrontendContext;
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Delay before the next attempt where permits or file descriptors have run out.
+/// Delay before the next attempt after permits or file descriptors have run out.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections and has each served by `serve`, until no new requests are accepted and the listener's backlog
-/// is empty. Closes the listener then.
+/// Accepts connections and passes each to `serve`, until no new requests are accepted and the listener's backlog is
+/// empty. Then closes the listener.
 pub(crate) async fn accept(
     listener: Async<TcpListener>,
     context: Rc<FrontendContext>,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Serves the connections that the system has established already, as permits become free. Closing the listener
-/// would reset them, and a request that has arrived on one would be lost.
+/// Accepts the connections that the kernel has already established, as permits become free. Closing the listener would
+/// reset them, and requests that have arrived on them would be lost.
 async fn accept_backlog(
     listener: &Async<TcpListener>,
     context: &FrontendContext,
@@ -75,11 +75,12 @@
     }
 }
 
-/// A permit for the next connection; `None` where the caller has to try again.
+/// Acquires a permit for the next connection. Returns `None` after a wait if none was free; the caller has to retry.
 async fn acquire_permit(context: &FrontendContext) -> Option<Permit> {
     let connections = &context.connections;
     if connections.is_scarce() {
-        // Lets the connections accepted last register as idle; otherwise older ones would be closed in their place.
+        // Lets the tasks of the latest connections run, so that these count as idle too. Otherwise only older connections
+        // could be evicted.
         future::yield_now().await;
         connections.reclaim_permits();
     }
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Permits for connections from load balancers, and the requests to leave that free one for another connection.
+//! Permits for connections from load balancers, and the eviction of connections whose permits are needed.
 //!
-//! Which connection has to leave is decided by [`heathspur_server_core::permits`]; this module delivers the decision to
-//! the connection's task.
+//! Which connection is evicted is decided by [`heathspur_server_core::connection_permits`]; this module notifies the
+//! connection's task.
 
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
@@ -12,17 +12,19 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-pub(crate) use heathspur_server_core::connection_permits::ConnectionPhase as LeaveRequest;
+pub(crate) use heathspur_server_core::connection_permits::ConnectionPhase;
 
-type SharedPermits = RefCell<Permits<Sender<LeaveRequest>>>;
+/// Permits, with a channel to notify a connection of its eviction.
+type SharedPermits = RefCell<Permits<Sender<ConnectionPhase>>>;
 
 /// The connections of all frontends.
 pub(crate) struct ConnectionPool {
     permits: SharedPermits,
-    /// The origin of the permits' time.
+    /// Origin of the times that are passed to `permits`.
     start: Instant,
+    /// Notified when a permit was released or is about to be.
     freed: Notify,
-    /// Notified of each connection that closes, once the event loop waits for the last one.
+    /// Receives a notification for each connection that closes, once the event loop waits for that.
     closed: RefCell<Option<Sender<()>>>,
 }
 
@@ -36,131 +38,129 @@
         }
     }
 
-    /// Notifies `closed` of each connection that closes from now on. A full channel already holds a notification.
+    /// Sends a notification to `closed` for each connection that closes from now on, unless the channel is full.
     pub fn notify_closed(&self, closed: Sender<()>) {
         self.closed.replace(Some(closed));
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.permits.borrow().acquired()
     }
 
-    /// Whether few permits are free.
+    /// Returns whether fewer permits are free than are reserved for new connections.
     pub fn is_scarce(&self) -> bool {
         self.permits.borrow().is_scarce()
     }
 
-    /// Requests connections to leave where few permits are free or about to be freed.
+    /// Notifies connections of their eviction if too few permits are free or about to be released.
     pub fn reclaim_permits(&self) {
         let now = self.start.elapsed();
-        let leaving = self.permits.borrow_mut().evict(now);
-        for eviction in leaving.into_iter().flatten() {
-            // A full channel already holds a request.
+        let evictions = self.permits.borrow_mut().evict(now);
+        for eviction in evictions.into_iter().flatten() {
+            // If the channel is full, the connection has a notification already.
             let _ = eviction.handle.try_send(eviction.phase);
         }
     }
 
-    /// Waits until a permit was returned or is about to be.
+    /// Waits until a permit was released or is about to be.
     pub async fn permit_freed(&self) {
         self.freed.notified().await;
     }
 }
 
-/// One connection's permit; returned when it is dropped.
+/// The permit of one connection. Dropping it releases the permit.
 pub(crate) struct Permit {
     pool: Rc<ConnectionPool>,
     has_received_request: Cell<bool>,
-    /// Its latest entry among the idle connections.
-    idle_entry: Cell<u64>,
-    leave: Sender<LeaveRequest>,
-    leave_requests: Receiver<LeaveRequest>,
+    /// Token of the connection when it was last idle.
+    idle_token: Cell<u64>,
+    evict: Sender<ConnectionPhase>,
+    evictions: Receiver<ConnectionPhase>,
 }
 
 impl Permit {
-    /// `None` where all permits are in use.
+    /// Acquires a permit. Returns `None` if all are in use.
     pub fn acquire(pool: &Rc<ConnectionPool>) -> Option<Permit> {
         pool.permits.borrow_mut().try_acquire().then(|| {
-            let (leave, leave_requests) = async_channel::bounded(1);
+            let (evict, evictions) = async_channel::bounded(1);
             Permit {
                 pool: pool.clone(),
                 has_received_request: Cell::new(false),
-                idle_entry: Cell::new(0),
-                leave,
-                leave_requests,
+                idle_token: Cell::new(0),
+                evict,
+                evictions,
             }
         })
     }
 
-    /// Whether a complete request has arrived on this connection.
+    /// Returns whether a complete request has arrived on this connection.
     pub fn has_received_request(&self) -> bool {
         self.has_received_request.get()
     }
 
-    /// Notes that a complete request has arrived.
+    /// Records that a complete request has arrived.
     pub fn request_received(&self) {
         self.has_received_request.set(true);
     }
 
-    /// Notes that a part of a request has arrived while the connection was idle.
+    /// Records that a part of a request has arrived while the connection was idle.
     pub fn request_begun(&self) {
         self.pool
             .permits
             .borrow_mut()
-            .mark_reading(self.idle_entry.get());
+            .mark_reading(self.idle_token.get());
     }
 
-    /// Runs `work` while the connection counts as idle; fails where the connection is requested to leave meanwhile.
-    pub async fn idle<T>(&self, work: impl Future<Output = T>) -> Result<T, LeaveRequest> {
+    /// Runs `work` while the connection counts as idle.
+    ///
+    /// # Errors
+    ///
+    /// Returns the connection's phase if the connection is evicted before `work` is complete.
+    pub async fn idle<T>(&self, work: impl Future<Output = T>) -> Result<T, ConnectionPhase> {
         let now = self.pool.start.elapsed();
-        let leave = self.leave.clone();
-        let entry =
+        let evict = self.evict.clone();
+        let token =
             self.pool
                 .permits
                 .borrow_mut()
-                .mark_idle(now, self.has_received_request.get(), leave);
-        self.idle_entry.set(entry);
-        let _entry = PermitEntry {
+                .mark_idle(now, self.has_received_request.get(), evict);
+        self.idle_token.set(token);
+        let _registration = PhaseRegistration {
             permits: &self.pool.permits,
             remove: Permits::remove_idle,
-            entry,
+            token,
         };
-        self.until_leave_requested(work).await
+        self.until_evicted(work).await
     }
 
-    /// Runs the connection's last `work` while it counts as about to end; cut short where no other permit is left.
+    /// Runs `work`, the connection's last, while the connection counts as lingering. Stops early if the connection is
+    /// evicted, which happens when no permit is free.
     pub async fn linger(&self, work: impl Future<Output = ()>) {
-        let entry = self
+        let token = self
             .pool
             .permits
             .borrow_mut()
-            .mark_lingering(self.leave.clone());
-        // A connection that waits for a permit may get this one.
+            .mark_lingering(self.evict.clone());
+        // Wakes a task that waits for a permit, which may evict this connection.
         self.pool.freed.notify();
-        let _entry = PermitEntry {
+        let _registration = PhaseRegistration {
             permits: &self.pool.permits,
             remove: Permits::remove_lingering,
-            entry,
+            token,
         };
-        // The connection ends either way.
-        let _ = self.until_leave_requested(work).await;
+        // Evicted or not, the connection is closed next.
+        let _ = self.until_evicted(work).await;
     }
 
-    async fn until_leave_requested<T>(
-        &self,
-        work: impl Future<Output = T>,
-    ) -> Result<T, LeaveRequest> {
-        // A request from before applied to an earlier state.
-        let _ = self.leave_requests.try_recv();
-        let leave_requested = async {
-            // The permit owns a sender, so the channel is never closed.
-            Err(self
-                .leave_requests
-                .recv()
-                .await
-                .unwrap_or(LeaveRequest::Idle))
+    async fn until_evicted<T>(&self, work: impl Future<Output = T>) -> Result<T, ConnectionPhase> {
+        // Discards a notification that was sent while the connection was in an earlier phase.
+        let _ = self.evictions.try_recv();
+        let evicted = async {
+            // The permit itself owns a sender, so the channel is never closed.
+            Err(self.evictions.recv().await.unwrap_or(ConnectionPhase::Idle))
         };
-        future::or(async { Ok(work.await) }, leave_requested).await
+        future::or(async { Ok(work.await) }, evicted).await
     }
 }
 
@@ -174,16 +174,17 @@
     }
 }
 
-/// An entry among the idle or lingering connections; removed when it is dropped.
-struct PermitEntry<'a, F: Fn(&mut Permits<Sender<LeaveRequest>>, u64)> {
+/// A connection's registration as idle or lingering. Dropping it removes the registration.
+struct PhaseRegistration<'a, F: Fn(&mut Permits<Sender<ConnectionPhase>>, u64)> {
     permits: &'a SharedPermits,
+    /// Removes the registration with a token.
     remove: F,
-    entry: u64,
+    token: u64,
 }
 
-impl<F: Fn(&mut Permits<Sender<LeaveRequest>>, u64)> Drop for PermitEntry<'_, F> {
+impl<F: Fn(&mut Permits<Sender<ConnectionPhase>>, u64)> Drop for PhaseRegistration<'_, F> {
     fn drop(&mut self) {
-        (self.remove)(&mut self.permits.borrow_mut(), self.entry);
+        (self.remove)(&mut self.permits.borrow_mut(), self.token);
     }
 }
 
--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -1,4 +1,4 @@
-//! The state that all frontends share with the event loop.
+//! State that all frontends share with the event loop.
 
 use crate::frontend::connection_pool::ConnectionPool;
 use crate::frontend::response_buffer::ResponseBudget;
@@ -12,29 +12,30 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Shared between the frontends and the event loop. The event loop sets the cells; the frontends only read them.
+/// State shared between the frontends and the event loop. The event loop writes the public cells; the frontends only
+/// read them.
 pub(crate) struct FrontendContext {
     pub names: WireNames,
-    /// Per class: whether its requests carry an idempotency key (and reads no subject).
+    /// For each class, whether its requests carry an idempotency key; they carry no subject then.
     pub keyed_classes: Vec<bool>,
     next_id: Cell<u64>,
-    /// What health checks report.
+    /// Whether health checks succeed.
     pub healthy: Cell<bool>,
-    /// Idle connections are closed after this time.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Cell<Span>,
-    /// The load signal that answers and health checks carry, once it is set.
+    /// The load signal to send with answers and health checks, once it is set.
     pub load_signal: Cell<Option<f64>>,
-    /// Every answer is the last one on its connection.
+    /// Whether the server drains: connections are closed after the answers to the requests received on them.
     pub draining: Cell<bool>,
-    /// When frontends drop answers that clients do not read, once no new requests are accepted.
+    /// When frontends drop answers that clients do not read. Applies only once no new requests are accepted.
     pub abandon_responses_at: Cell<Option<Instant>>,
-    /// Closed once no new requests are accepted; nothing is ever sent on it.
+    /// This channel is closed once no new requests are accepted. Nothing is ever sent on it.
     pub stop_accepting: Receiver<()>,
-    /// Records traffic, where that is enabled.
+    /// Records traffic, if that is enabled.
     pub recorder: Option<Rc<RecorderHandle>>,
     /// The connections of all frontends.
     pub connections: Rc<ConnectionPool>,
-    /// The memory budget for answers that wait for their readers, where the frontends share one.
+    /// The memory budget for answers that clients have not read yet, if the frontends share one.
     pub response_budget: Option<Rc<ResponseBudget>>,
 }
 
@@ -64,14 +65,14 @@
         }
     }
 
-    /// A request id that was not used before.
+    /// Returns a request identifier that was not used before.
     pub fn next_id(&self) -> RequestId {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         RequestId(id)
     }
 
-    /// Waits until no new requests are accepted and answers that clients do not read are to be dropped.
+    /// Waits until no new requests are accepted and answers that clients do not read have to be dropped.
     pub async fn responses_abandoned(&self) {
         self.accepting_stopped().await;
         match self.abandon_responses_at.get() {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether [`responses_abandoned`](Self::responses_abandoned) would return at once.
+    /// Returns whether [`responses_abandoned`](Self::responses_abandoned) would return at once.
     pub fn are_responses_abandoned(&self) -> bool {
         let abandon_at = self.abandon_responses_at.get();
         self.stop_accepting.is_closed() && abandon_at.is_some_and(|at| at <= Instant::now())
--- a/crates/heathspurd/src/frontend/header.rs
+++ b/crates/heathspurd/src/frontend/header.rs
@@ -1,30 +1,30 @@
-//! Names of the platform's HTTP header fields, mapped here to the terms of the code.
+//! Maps the names of the platform's HTTP header fields to the terms of the code.
 
 /// A header field of requests that the server evaluates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestHeader {
     AttemptId,
-    /// Unix milliseconds at which the request reached the machine.
+    /// When the request reached the machine, in milliseconds since the Unix epoch.
     ReceivedAt,
     /// Kilobytes of memory that the request occupies.
     MemoryKb,
-    /// The request's shedding rank, below 1. Required, but not evaluated further.
+    /// Rank of the request for load shedding, below 1. The field is required; its value is only validated.
     ShedRank,
-    /// The number of the router that forwarded the request. Required, but not evaluated further.
+    /// Number of the router that forwarded the request. The field is required; its value is only validated.
     Router,
     Tenant,
     IsRetry,
     IdempotencyKey,
-    /// Milliseconds that the client still waits.
+    /// How long the client still waits, in milliseconds.
     ClientTimeout,
-    /// Estimated milliseconds of work.
+    /// Estimated work of the request, in milliseconds.
     CostHint,
-    /// What a read is about.
+    /// Identifies what a read request reads. Requests of classes without an idempotency key may carry it.
     Subject,
 }
 
 impl RequestHeader {
-    /// The field with this name, compared without case; `None` for fields that are ignored.
+    /// Returns the field with this name, compared case-insensitively, or `None` for a field that the server ignores.
     pub fn from_name(name: &[u8]) -> Option<RequestHeader> {
         let is = |known: &str| name.eq_ignore_ascii_case(known.as_bytes());
         match name {
@@ -44,9 +44,9 @@
     }
 }
 
-/// Retry-After advice of a rejection, in milliseconds.
+/// Field of a rejection: delay after which the client should retry, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: &str = "X-Throttle-Ms";
-/// Set to 1 where a rejected request should not be retried at all.
+/// Field of a rejection: 1 if the client should not retry at all.
 pub(crate) const NO_RETRY: &str = "X-Give-Up";
-/// The server's load signal.
+/// Field of answers and health checks: the server's load signal.
 pub(crate) const LOAD_SIGNAL: &str = "X-Capacity";
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -12,24 +12,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time within which a client has to accept a response.
+/// Timeout of writing a response to a client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes reserved for a response's head.
+/// Initial buffer capacity for the head of a response, in bytes.
 const HEAD_CAPACITY_BYTES: usize = 256;
 
-/// Writes a response; after an error the connection cannot be used any more.
+/// Writes a response. After an error the connection must not be used any more.
 pub(crate) async fn write(
     stream: &Stream,
     context: &FrontendContext,
     response: &Response,
-    last: ConnectionOption,
+    option: ConnectionOption,
 ) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + response.body.len());
     http::write_response(
         &mut bytes,
         response.status,
         &response.fields,
-        last,
+        option,
         &response.body,
     );
     match &context.response_budget {
@@ -38,11 +38,11 @@
     }
 }
 
-/// Answers an invalid request and ends its connection.
+/// Answers an invalid request and closes the connection.
 pub(crate) async fn reject(stream: &Stream, status: u16) {
     let mut bytes = Vec::new();
     http::write_response(&mut bytes, status, &[], ConnectionOption::Close, b"");
-    // The connection ends either way.
+    // A failure needs no handling: the connection is closed in any case.
     let _ = write_all(stream, &bytes).await;
     lingering_close::close(stream).await;
 }
@@ -51,8 +51,8 @@
     within(WRITE_TIMEOUT, stream.write_all(bytes)).await
 }
 
-/// Writes under a memory budget shared with other frontends. What a slow reader does not accept at once is reserved
-/// in the budget; the connection is given up where others need the memory.
+/// Writes under the memory budget shared with other frontends. Bytes that the client does not accept at once are reserved
+/// in the budget; the connection is aborted if the memory is needed for other responses.
 async fn write_within_budget(
     mut stream: &Stream,
     budget: &Rc<ResponseBudget>,
@@ -65,7 +65,7 @@
     if written == bytes.len() {
         return Ok(());
     }
-    let reservation = budget.reserve(budget.new_holder(), bytes.len() - written);
+    let reservation = budget.reserve(budget.new_connection_key(), bytes.len() - written);
     let evicted = async {
         reservation.evicted().await;
         Err(io::ErrorKind::TimedOut.into())
--- a/crates/heathspurd/src/frontend/http1/input.rs
+++ b/crates/heathspurd/src/frontend/http1/input.rs
@@ -1,4 +1,4 @@
-//! The receiving side of an HTTP/1.1 connection: the bytes that have arrived and the messages found in them.
+//! The receiving side of an HTTP/1.1 connection: buffers received bytes and parses messages from them.
 
 use super::CloseReason;
 use crate::frontend::connection_pool::Permit;
@@ -14,27 +14,27 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// Bounds on a request, in bytes.
+/// Limits on the size of a request, in bytes.
 const REQUEST_LIMITS: http::Limits = http::Limits {
     head: 8 * 1024,
     body: 2 * 1024,
 };
-/// Bytes received by one read.
+/// Maximum number of bytes received by one read.
 const READ_CHUNK_BYTES: usize = 4 * 1024;
-/// Bytes buffered of the requests that follow the one in progress.
+/// Maximum number of bytes buffered of pipelined requests, which follow the one in progress.
 const MAX_PIPELINED_BYTES: usize = 16 * 1024;
-/// Time for a new connection to begin its first request, and for a request to be complete from its first byte.
+/// Timeout of the first byte on a new connection, and of the rest of a request after its first byte.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest wait of an idle connection before it evaluates the idle timeout again, which may have changed.
+/// Maximum time after which an idle connection checks the idle timeout again, which may have changed.
 const MAX_IDLE_WAIT: Duration = Duration::from_millis(500);
 
 thread_local! {
-    /// Receives the bytes of a read until they are appended to the connection's buffer. Space in that buffer itself
-    /// would have to be cleared for each read, and is many times what a request needs.
+    /// Receives the bytes of a read before they are appended to the connection's buffer. Reading directly into that
+    /// buffer would require zeroing many times the space that a request needs, for each read.
     static READ_CHUNK: RefCell<[u8; READ_CHUNK_BYTES]> = const { RefCell::new([0; READ_CHUNK_BYTES]) };
 }
 
-/// Owns the connection's stream, the bytes received but not consumed, and the parser's progress in them.
+/// The connection's stream, the bytes that were received but not consumed, and the parser's progress in them.
 pub(super) struct Input {
     stream: Stream,
     buffer: BytesMut,
@@ -58,7 +58,7 @@
         self.buffer.is_empty()
     }
 
-    /// Received bytes that were not consumed.
+    /// Returns the received bytes that were not consumed.
     pub fn bytes(&self) -> &[u8] {
         &self.buffer
     }
@@ -68,12 +68,16 @@
         self.buffer.split_to(message.body.end).freeze()
     }
 
-    /// Whether a complete message has arrived.
+    /// Returns whether a complete message has arrived.
     pub fn has_message(&mut self) -> bool {
         matches!(self.reader.read(&self.buffer), Ok(Some(_)))
     }
 
-    /// Receives until the buffer starts with a complete message.
+    /// Receives bytes until the buffer starts with a complete message.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the connection has to be closed instead.
     pub async fn next_message(
         &mut self,
         context: &FrontendContext,
@@ -85,25 +89,25 @@
             if let Some(message) = self.parse_message()? {
                 return Ok(message);
             }
-            let is_begun = !self.buffer.is_empty();
-            if is_begun {
+            let has_partial_request = !self.buffer.is_empty();
+            if has_partial_request {
                 permit.request_begun();
             }
-            let wait = match is_begun {
+            let wait = match has_partial_request {
                 true => request_time_left(waiting_since)?,
                 false => idle_wait(context, permit, waiting_since)?,
             };
-            let wait_over = async {
-                if is_begun {
+            let waited = async {
+                if has_partial_request {
                     Timer::after(wait).await;
                 } else {
                     stopped_or_elapsed(context, wait).await;
                 }
                 Ok(None)
             };
-            match future::or(async { self.read().await.map(Some) }, wait_over).await {
+            match future::or(async { self.read().await.map(Some) }, waited).await {
                 Ok(Some(0)) | Err(_) => return Err(CloseReason::ClosedByClient),
-                Ok(Some(_)) if !is_begun => waiting_since = Instant::now(),
+                Ok(Some(_)) if !has_partial_request => waiting_since = Instant::now(),
                 Ok(_) => {}
             }
         }
@@ -122,7 +126,8 @@
             .map_err(|fault| CloseReason::InvalidRequest(fault.status()))
     }
 
-    /// Waits until the client has disconnected, buffering what it sends meanwhile up to a bound.
+    /// Waits until the client has disconnected. Input that arrives meanwhile is buffered; once the buffer is full, a
+    /// disconnect is no longer detected.
     pub async fn client_disconnected(&mut self) {
         while self.buffer.len() < MAX_PIPELINED_BYTES {
             match self.read().await {
@@ -143,8 +148,8 @@
         }
     }
 
-    /// Appends what has arrived already; `None` where nothing has. Never waits, so it cannot be cancelled half-way and
-    /// leave bytes in the buffer that were not received.
+    /// Appends the bytes that have already arrived. Returns `None` if there are none. Never waits, so it cannot be
+    /// cancelled between receiving bytes and appending them.
     pub async fn try_read(&mut self) -> Option<io::Result<usize>> {
         let (mut stream, buffer) = (&self.stream, &mut self.buffer);
         let read = future::poll_fn(|cx| {
@@ -164,14 +169,14 @@
     }
 }
 
-/// The time left to complete a request that began at `since`.
+/// Returns the time left to complete a request whose first byte arrived at `since`.
 fn request_time_left(since: Instant) -> Result<Duration, CloseReason> {
     REQUEST_TIMEOUT
         .checked_sub(since.elapsed())
         .ok_or(CloseReason::InvalidRequest(408))
 }
 
-/// How long a connection that is idle since then may wait before its timeout is evaluated again.
+/// Returns how long a connection that has been idle since `since` may wait before its timeout is checked again.
 fn idle_wait(
     context: &FrontendContext,
     permit: &Permit,
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -1,12 +1,12 @@
-//! The HTTP/1.1 frontend. Each connection has a task, so that a slow client stalls only itself.
+//! The HTTP/1.1 frontend. Each connection is served by its own task, so that a slow client delays only itself.
 //!
-//! The `input` module receives requests, the `answer` module writes responses; this module carries a connection from one request to the
-//! next and decides when it closes.
+//! The `input` module receives requests and the `answer` module writes responses. This module serves the requests of a
+//! connection one after another and decides when the connection is closed.
 
 mod answer;
 mod input;
 
-use crate::frontend::connection_pool::{LeaveRequest, Permit};
+use crate::frontend::connection_pool::{ConnectionPhase, Permit};
 use crate::frontend::lingering_close;
 use crate::frontend::request::{RequestDraft, RequestTarget};
 use crate::frontend::response::Response;
@@ -21,28 +21,28 @@
 use input::Input;
 use std::rc::Rc;
 
-/// Why a connection takes no further request.
+/// Why a connection is closed.
 enum CloseReason {
-    /// The client closed it, or it failed.
+    /// The client closed the connection, or the connection failed.
     ClosedByClient,
-    /// It was idle for too long, or no more requests are accepted on it: the server closes it.
+    /// The server closes the connection: it was idle for too long, or no further requests are accepted on it.
     NoMoreRequests,
-    /// What arrived is not a valid request; the status says why.
+    /// The received bytes are not a valid request. The status of the response.
     InvalidRequest(u16),
 }
 
-/// What a complete message asks for.
+/// The content of a complete message.
 enum ParsedMessage {
     HealthCheck,
     Request(Box<IncomingRequest>, Receiver<Answer>),
-    /// Not a valid request; the status says why.
+    /// Not a valid request. The status of the response.
     Invalid(u16),
 }
 
-/// A complete message, and whether the client expects its answer to be the last one on the connection.
+/// A complete message, and whether the client wants the connection to be closed after the answer.
 struct ReceivedMessage {
     content: ParsedMessage,
-    last: ConnectionOption,
+    option: ConnectionOption,
 }
 
 /// Returns the function that serves a connection of this frontend.
@@ -75,7 +75,7 @@
 impl Connection {
     /// Serves the connection to its end.
     async fn run(&mut self) {
-        // Fails on a connection that is gone, which the first read reports.
+        // Fails only if the connection has failed, which the first read reports.
         let _ = self.input.stream().get_ref().set_nodelay(true);
         let reason = loop {
             if let Err(reason) = self.serve_next().await {
@@ -92,7 +92,11 @@
         }
     }
 
-    /// Serves the next request, or finds out why there is none.
+    /// Serves the next request.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the connection has to be closed.
     async fn serve_next(&mut self) -> Result<(), CloseReason> {
         let next = self
             .input
@@ -104,11 +108,11 @@
             }
             Ok(Err(CloseReason::NoMoreRequests)) => self.close_unless_received().await,
             Ok(Err(reason)) => Err(reason),
-            Err(request) => self.leave(request).await,
+            Err(phase) => self.on_eviction(phase).await,
         }
     }
 
-    /// Closes the connection unless something has arrived meanwhile.
+    /// Closes the connection unless bytes have arrived meanwhile.
     async fn close_unless_received(&mut self) -> Result<(), CloseReason> {
         match self.input.try_read().await {
             Some(Ok(1..)) => Ok(()),
@@ -117,13 +121,13 @@
         }
     }
 
-    /// Closes the connection for one that needs its permit, unless a request has arrived meanwhile. A request that is
-    /// complete by now has to be answered; an incomplete one has not been received.
-    async fn leave(&mut self, request: LeaveRequest) -> Result<(), CloseReason> {
+    /// Closes an evicted connection, unless a request has arrived meanwhile. A request that is complete by now has to be
+    /// answered. An incomplete one is rejected, unless it began only after the connection was selected as idle.
+    async fn on_eviction(&mut self, phase: ConnectionPhase) -> Result<(), CloseReason> {
         match self.input.try_read().await {
             Some(Ok(0) | Err(_)) => Err(CloseReason::ClosedByClient),
             None if self.input.is_empty() => Err(CloseReason::NoMoreRequests),
-            _ if request == LeaveRequest::Idle || self.input.has_message() => Ok(()),
+            _ if phase == ConnectionPhase::Idle || self.input.has_message() => Ok(()),
             _ => Err(CloseReason::InvalidRequest(408)),
         }
     }
@@ -131,18 +135,21 @@
     /// Takes a complete message from the input.
     fn take_message(&mut self, message: &Message) -> ReceivedMessage {
         let fields = Fields::over(&self.input.bytes()[message.fields.clone()]);
-        let last = match http::has_close_option(fields) {
+        let option = match http::has_close_option(fields) {
             true => ConnectionOption::Close,
             false => ConnectionOption::KeepAlive,
         };
         let bytes = self.input.take_message(message);
         let content = parse(&bytes, message, &self.frontend.context);
-        ReceivedMessage { content, last }
+        ReceivedMessage { content, option }
     }
 
     /// Answers a complete message.
     async fn serve_message(&mut self, message: ReceivedMessage) -> Result<(), CloseReason> {
-        let ReceivedMessage { content, mut last } = message;
+        let ReceivedMessage {
+            content,
+            mut option,
+        } = message;
         let response = match content {
             ParsedMessage::Invalid(status) => return Err(CloseReason::InvalidRequest(status)),
             ParsedMessage::HealthCheck => {
@@ -153,29 +160,29 @@
                 self.permit.request_received();
                 let answer = self.obtain_answer(request, answers).await?;
                 if self.frontend.context.draining.get() && !self.has_next_request().await {
-                    last = ConnectionOption::Close;
+                    option = ConnectionOption::Close;
                 }
                 Response::of(&answer, &self.frontend.context)
             }
         };
         let stream = self.input.stream();
-        answer::write(stream, &self.frontend.context, &response, last)
+        answer::write(stream, &self.frontend.context, &response, option)
             .await
             .map_err(|_| CloseReason::ClosedByClient)?;
-        match last {
+        match option {
             ConnectionOption::KeepAlive => Ok(()),
             ConnectionOption::Close => Err(CloseReason::NoMoreRequests),
         }
     }
 
-    /// Submits a request and waits for its answer, or until the client has disconnected.
+    /// Submits a request and waits for its answer. If the client disconnects before, reports that to the event loop.
     async fn obtain_answer(
         &mut self,
         request: Box<IncomingRequest>,
         answers: Receiver<Answer>,
     ) -> Result<Answer, CloseReason> {
         let id = request.id;
-        // The event loop outlives all connections; once it has ended, no answer is owed.
+        // Fails only once the event loop has ended. That is after all connections, so no answer is required then.
         let submitted = self.frontend.requests.send(*request).await;
         submitted.map_err(|_| CloseReason::ClosedByClient)?;
         let answered = async { answers.recv().await.ok() };
@@ -193,13 +200,13 @@
         }
     }
 
-    /// Whether something has arrived after the current request, which is owed an answer too.
+    /// Returns whether bytes have arrived after the current request. They may be a request that has to be answered too.
     async fn has_next_request(&mut self) -> bool {
         !self.input.is_empty() || matches!(self.input.try_read().await, Some(Ok(1..)))
     }
 }
 
-/// Parses a message; `bytes` holds the message and nothing else.
+/// Parses a message. `bytes` consists of exactly this message.
 fn parse(bytes: &Bytes, message: &Message, context: &FrontendContext) -> ParsedMessage {
     let Ok((method, target)) = http::request_line(&bytes[message.start_line.clone()]) else {
         return ParsedMessage::Invalid(400);
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -1,5 +1,5 @@
-//! The task of one HTTP/2 connection: it accepts streams and ends the connection when it drains, is idle, or exceeds its
-//! limits.
+//! The task of one HTTP/2 connection. It accepts streams, and closes the connection when the server drains, when the
+//! connection is idle for too long or evicted, or when it exceeds its limits.
 
 use super::transport::{Transport, TransportMonitor};
 use super::{stream, Http2Frontend, FINAL_SEND_TIMEOUT};
@@ -22,16 +22,16 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// The longest sleep of a connection before it evaluates settings and clocks again.
+/// Maximum time after which a connection checks settings and timeouts again.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// One connection, as its streams see it.
+/// State of a connection that is shared with the tasks of its streams.
 pub(super) struct ConnectionState {
     pub frontend: Rc<Http2Frontend>,
     pub monitor: Rc<TransportMonitor>,
     /// Identifies the connection in the response budget.
-    pub holder: ConnectionKey,
-    /// Streams that have a task.
+    pub budget_key: ConnectionKey,
+    /// Number of streams that are served by a task.
     open_streams: Cell<u32>,
     idle_since: Cell<Instant>,
 }
@@ -39,7 +39,7 @@
 impl ConnectionState {
     pub fn new(frontend: Rc<Http2Frontend>, monitor: Rc<TransportMonitor>) -> ConnectionState {
         ConnectionState {
-            holder: frontend.response_budget.new_holder(),
+            budget_key: frontend.response_budget.new_connection_key(),
             monitor,
             open_streams: Cell::new(0),
             idle_since: Cell::new(Instant::now()),
@@ -51,20 +51,20 @@
         &self.frontend.handle.context
     }
 
-    /// Whether it has had no stream for longer than the idle timeout.
+    /// Returns whether the connection has had no open stream for longer than the idle timeout.
     fn is_idle_too_long(&self) -> bool {
         let timeout = Duration::from_micros(self.context().idle_timeout.get().0);
         self.open_streams.get() == 0 && self.idle_since.get().elapsed() >= timeout
     }
 }
 
-/// A stream's slot in the stream quota; returned when it is dropped.
+/// A stream's slot in the stream quota. Dropping it releases the slot.
 pub(super) struct StreamSlot {
     connection: Rc<ConnectionState>,
 }
 
 impl StreamSlot {
-    /// `None` where the quota is used up.
+    /// Acquires a slot. Returns `None` if the quota is used up.
     fn acquire(connection: &Rc<ConnectionState>) -> Option<StreamSlot> {
         let open_streams = connection.open_streams.get();
         let mut quota = connection.frontend.stream_quota.borrow_mut();
@@ -91,7 +91,7 @@
     }
 }
 
-/// Accepts a connection's streams until it ends.
+/// Accepts a connection's streams until the connection ends.
 pub(super) async fn drive(
     h2: &mut Connection<Transport, Bytes>,
     state: &Rc<ConnectionState>,
@@ -104,7 +104,7 @@
         permit,
         drain: ConnectionDrain::new(round_trip.as_micros() as u64),
         accepting_stopped: false,
-        pongs: 0,
+        seen_ping_acks: 0,
     };
     if let ConnectionEnd::GoAway(reason) = driver.run().await {
         go_away(h2, reason).await;
@@ -113,35 +113,39 @@
 
 /// How a connection ends.
 enum ConnectionEnd {
-    /// The library or the client has ended it, or the client reads nothing, not even a GOAWAY.
+    /// Without a GOAWAY frame: the library or the client has ended it, or the client reads nothing.
     Close,
-    /// The server ends it with a GOAWAY frame for this reason.
+    /// With a GOAWAY frame from the server, with this reason.
     GoAway(Reason),
 }
 
-/// What a connection's task wakes for.
+/// Why a connection's task wakes up.
 enum Wakeup {
+    /// The client has opened a stream.
     Stream(Box<NewStream>),
-    /// The library has ended the connection, or the client has.
+    /// The library or the client has ended the connection.
     Ended,
-    /// No new requests are accepted any more, or answers that clients do not read are to be dropped.
+    /// No new requests are accepted any more, or answers that clients do not read have to be dropped.
     AcceptingStopped,
-    /// The connection's permit is needed for another one.
-    LeaveRequested,
-    /// Time has passed, or a limit is exceeded.
+    /// The connection's permit is needed by another connection.
+    Evicted,
+    /// Timeouts and limits have to be checked.
     Tick,
 }
 
+/// A new stream's request, and the handle for its response.
 type NewStream = (Request<RecvStream>, SendResponse<Bytes>);
 
+/// Runs a connection's task.
 struct Driver<'a> {
     h2: &'a mut Connection<Transport, Bytes>,
     state: &'a Rc<ConnectionState>,
     permit: &'a Permit,
     drain: ConnectionDrain,
+    /// Whether the drain has handled that no new requests are accepted.
     accepting_stopped: bool,
-    /// PING acknowledgements that were seen.
-    pongs: u64,
+    /// Number of PING acknowledgements that the drain has handled.
+    seen_ping_acks: u64,
 }
 
 impl Driver<'_> {
@@ -151,7 +155,7 @@
             let Some(step) = self.handle(wakeup) else {
                 return ConnectionEnd::Close;
             };
-            let steps = [step, self.leave_if_draining(), self.advance_drain()];
+            let steps = [step, self.begin_drain_if_requested(), self.advance_drain()];
             if steps.iter().any(|step| *step != DrainStep::None) {
                 self.h2.graceful_shutdown();
             }
@@ -173,13 +177,10 @@
         if self.state.open_streams.get() > 0 {
             return wakeup.await;
         }
-        self.permit
-            .idle(wakeup)
-            .await
-            .unwrap_or(Wakeup::LeaveRequested)
+        self.permit.idle(wakeup).await.unwrap_or(Wakeup::Evicted)
     }
 
-    /// Handles a wakeup and returns the drain's next step; `None` once the connection has ended.
+    /// Handles a wakeup. Returns the resulting step of the drain, or `None` if the connection has ended.
     fn handle(&mut self, wakeup: Wakeup) -> Option<DrainStep> {
         let now = self.state.monitor.now();
         match wakeup {
@@ -193,13 +194,14 @@
                 self.accepting_stopped = true;
                 Some(self.drain.stop_accepting())
             }
-            Wakeup::LeaveRequested => Some(self.drain.begin(now)),
+            Wakeup::Evicted => Some(self.drain.begin(now)),
             Wakeup::Tick if self.state.is_idle_too_long() => Some(self.drain.begin(now)),
             Wakeup::Tick => Some(DrainStep::None),
         }
     }
 
-    /// Serves a stream, or refuses it: nothing of it is submitted then, and the client may repeat it at once.
+    /// Starts the task of a stream, or refuses the stream. A refused stream is not submitted, and the client may retry at
+    /// once.
     fn accept(&mut self, (request, mut responder): NewStream) {
         let slot = match self.drain.accepts_streams() {
             true => StreamSlot::acquire(self.state),
@@ -224,48 +226,50 @@
         self.h2.set_target_window_size(window);
     }
 
-    fn leave_if_draining(&mut self) -> DrainStep {
+    /// Begins the drain of the connection if the server drains.
+    fn begin_drain_if_requested(&mut self) -> DrainStep {
         match self.state.context().draining.get() {
             true => self.drain.begin(self.state.monitor.now()),
             false => DrainStep::None,
         }
     }
 
-    /// Advances the drain by the PING acknowledgements and the time.
+    /// Advances the drain by new PING acknowledgements, or by the time.
     fn advance_drain(&mut self) -> DrainStep {
-        let pongs = self.state.monitor.meter.borrow().counts().ping_acks;
-        let step = if pongs > self.pongs {
+        let ping_acks = self.state.monitor.meter.borrow().counts().ping_acks;
+        let step = if ping_acks > self.seen_ping_acks {
             self.drain.on_ping_acknowledged()
         } else {
             self.drain.check_timeout(self.state.monitor.now())
         };
-        self.pongs = pongs;
+        self.seen_ping_acks = ping_acks;
         step
     }
 
-    /// How the connection has to end, if it has to.
+    /// Returns how the connection has to end, if it has to.
     fn end(&self) -> Option<ConnectionEnd> {
         if self.state.monitor.meter.borrow().is_exhausted() {
             let counts = self.state.monitor.meter.borrow().counts();
             warn!(
                 frames = counts.frames,
                 resets = counts.resets,
-                "an HTTP/2 connection was closed: it exceeded its frame budget"
+                "closing HTTP/2 connection: client exceeded the frame cost limit"
             );
             return Some(ConnectionEnd::GoAway(Reason::ENHANCE_YOUR_CALM));
         }
-        if self.is_unread() {
-            debug!("an HTTP/2 connection was closed: its client reads nothing");
+        if self.is_stalled() {
+            debug!("closing HTTP/2 connection: client does not read");
             return Some(ConnectionEnd::Close);
         }
-        // Without the drain's round trip the library would accept streams for ever.
+        // The server itself ends a drained connection. The library would accept streams until its PING is acknowledged,
+        // which may never happen.
         let is_drained =
             self.drain.is_complete(self.state.open_streams.get()) && !self.h2.has_streams();
         is_drained.then_some(ConnectionEnd::GoAway(Reason::NO_ERROR))
     }
 
-    /// Whether the client has read nothing for too long.
-    fn is_unread(&self) -> bool {
+    /// Returns whether the client has read nothing for too long.
+    fn is_stalled(&self) -> bool {
         let monitor = &self.state.monitor;
         let timeout = self.state.frontend.settings.client_timeouts.stalled.0;
         monitor.blocked_for() >= timeout
@@ -273,7 +277,7 @@
     }
 }
 
-/// Waits for what happens next on a connection.
+/// Waits for the next wakeup of a connection's task.
 async fn wait(
     h2: &mut Connection<Transport, Bytes>,
     state: &ConnectionState,
@@ -288,14 +292,15 @@
         Timer::after(sleep).await;
         Wakeup::Tick
     };
-    // Once the budget is used up nothing more is read, and the task has to end the connection.
-    let budget_used_up = future::poll_fn(|_| match state.monitor.meter.borrow().is_exhausted() {
-        true => Poll::Ready(Wakeup::Tick),
-        false => Poll::Pending,
-    });
+    // Once the frame cost balance is exhausted nothing more is read, and the task has to close the connection.
+    let balance_exhausted =
+        future::poll_fn(|_| match state.monitor.meter.borrow().is_exhausted() {
+            true => Poll::Ready(Wakeup::Tick),
+            false => Poll::Pending,
+        });
     let stream = next_stream(h2, state);
     future::or(
-        future::or(stream, budget_used_up),
+        future::or(stream, balance_exhausted),
         future::or(stopped, slept),
     )
     .await
@@ -304,7 +309,7 @@
 async fn next_stream(h2: &mut Connection<Transport, Bytes>, state: &ConnectionState) -> Wakeup {
     let mut accept = pin!(h2.accept());
     future::poll_fn(|cx| {
-        state.monitor.begin_turn();
+        state.monitor.begin_poll();
         let polled = accept.as_mut().poll(cx);
         state.monitor.set_has_waiting_streams(polled.is_ready());
         polled.map(|accepted| match accepted {
@@ -315,8 +320,8 @@
     .await
 }
 
-/// Waits until no new requests are accepted; after that, until unread answers are to be dropped. Later on only the
-/// clock matters.
+/// Waits until no new requests are accepted. If that has been handled, waits until unread answers have to be dropped. If
+/// that has happened as well, never returns.
 async fn stop_signal(context: &FrontendContext, accepting_stopped: bool) {
     match accepting_stopped {
         false => context.accepting_stopped().await,
@@ -325,11 +330,11 @@
     }
 }
 
-/// Ends a connection with a GOAWAY frame, if the client reads it in time.
+/// Sends a GOAWAY frame that ends the connection, and waits a limited time for the client to read it.
 async fn go_away(h2: &mut Connection<Transport, Bytes>, reason: Reason) {
     h2.abrupt_shutdown(reason);
     let flushed = async {
-        // Polls the connection until it ends; streams that arrive meanwhile are dropped.
+        // Polls the connection until it ends. Streams that arrive meanwhile are dropped.
         while let Some(Ok(_)) = h2.accept().await {}
         Ok(())
     };
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -1,8 +1,8 @@
-//! The frontend for HTTP/2 without TLS, by prior knowledge (RFC 9113, section 3.3), on a port of its own.
+//! The frontend for HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3), on a separate port.
 //!
-//! Frames and header compression are the `h2` crate's. Which streams are accepted, how each proceeds, what exceeds the
-//! limits and how a connection ends is decided by `heathspur-streams`; this frontend connects those decisions to sockets
-//! and clocks. Each connection has a task, and each of its streams another one that ends with the stream.
+//! The `h2` crate implements framing and header compression. `heathspur-streams` decides which streams are accepted, how
+//! each proceeds, which limits apply and how a connection ends. This frontend connects those decisions to sockets and
+//! clocks. Each connection is served by a task, and so is each of its streams.
 
 mod connection;
 mod receive;
@@ -32,21 +32,22 @@
 
 /// The client's connection preface (RFC 9113, section 3.4).
 const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Bytes received by one read of the preface.
+/// Maximum number of bytes received by one read of the preface.
 const PREFACE_READ_BYTES: usize = 256;
-/// Time limit on sending the last frames, or the last response, of a connection.
+/// Timeout of sending the last frames, or the last response, of a connection.
 const FINAL_SEND_TIMEOUT: Duration = Duration::from_millis(200);
-/// The body of the response to a client of another protocol version.
+/// Body of the response to a client that uses another protocol version.
 const WRONG_VERSION_BODY: &[u8] = b"This port speaks HTTP/2 by prior knowledge only.\n";
 
-/// What all connections of this frontend share.
+/// State that all connections of this frontend share.
 struct Http2Frontend {
     executor: Rc<LocalExecutor<'static>>,
     handle: FrontendHandle,
     settings: Http2,
-    /// Distributes streams and receive windows among the connections.
+    /// Limits the open streams and assigns the connections their receive windows.
     stream_quota: RefCell<StreamLimits>,
     response_budget: Rc<ResponseBudget>,
+    /// Origin of the times that are passed to `stream_quota`.
     start: Instant,
 }
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// A connection's registration with the stream quota; removed when it is dropped.
+/// A connection's registration with the stream quota. Dropping it removes the registration.
 struct QuotaRegistration(Rc<Http2Frontend>);
 
 impl QuotaRegistration {
@@ -101,7 +102,7 @@
 
 /// Serves one connection to its end.
 async fn serve_connection(stream: Stream, frontend: Rc<Http2Frontend>, permit: Permit) {
-    // Fails on a connection that is gone, which the first read reports.
+    // Fails only if the connection has failed, which the first read reports.
     let _ = stream.get_ref().set_nodelay(true);
     let Some(received) = receive_preface(&stream, &frontend, &permit).await else {
         return;
@@ -129,14 +130,14 @@
     builder
         .max_concurrent_streams(quota.advertised_limit())
         .max_header_list_size(to_u32(settings.request.header_list.0))
-        // One byte more than a body may have, so that a longer one is noticed.
+        // One byte more than the limit on a body, so that a body that is too long is detected.
         .initial_window_size(to_u32(settings.request.body.0 + 1))
         .initial_connection_window_size(quota.connection_window())
         .max_send_buffer_size(settings.memory.stream.0 as usize);
     builder
 }
 
-/// Receives the preface and returns all bytes read; `None` where the connection has ended instead.
+/// Receives the preface and returns all bytes read. Returns `None` if the connection was closed instead.
 async fn receive_preface(
     stream: &Stream,
     frontend: &Http2Frontend,
@@ -153,7 +154,11 @@
     }
 }
 
-/// Reads the preface and returns all bytes read; the error for other bytes is `InvalidData`.
+/// Reads the preface and returns all bytes read.
+///
+/// # Errors
+///
+/// Fails with `InvalidData` if the bytes are not the preface, or with the error of the read.
 async fn read_preface(mut stream: &Stream) -> io::Result<Bytes> {
     let mut received = BytesMut::new();
     loop {
@@ -172,7 +177,7 @@
     }
 }
 
-/// Responds in HTTP/1.1, which a client of another version can read, and closes the connection.
+/// Responds in HTTP/1.1, which a client of another version can parse, and closes the connection.
 async fn reject_version(mut stream: &Stream, permit: &Permit) {
     let mut response = Vec::new();
     write_response(
@@ -182,7 +187,7 @@
         ConnectionOption::Close,
         WRONG_VERSION_BODY,
     );
-    // The connection ends either way.
+    // A failure needs no handling: the connection is closed in any case.
     let _ = within(FINAL_SEND_TIMEOUT, stream.write_all(&response)).await;
     permit.linger(lingering_close::close(stream)).await;
 }
--- a/crates/heathspurd/src/frontend/http2/receive.rs
+++ b/crates/heathspurd/src/frontend/http2/receive.rs
@@ -1,4 +1,4 @@
-//! The receiving half of a stream: the request's header fields and body.
+//! The receiving side of a stream: the request's header fields and body.
 
 use crate::frontend::request::{RequestDraft, RequestTarget};
 use crate::frontend::{Answer, FrontendContext, IncomingRequest};
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Request};
 use std::time::{Duration, Instant};
 
-/// Owns the parts of the request until it is complete.
+/// Collects the parts of a request until it is complete.
 pub(super) struct RequestReceiver {
     target: RequestTarget,
     headers: HeaderMap,
@@ -43,11 +43,11 @@
         &self.target
     }
 
-    /// Waits for the next bytes of the body.
+    /// Waits for the next bytes of the body, the request's timeout, or the end of accepting requests.
     pub async fn next_event(&mut self, context: &FrontendContext) -> StreamEvent {
         let deadline = self.deadline;
         let data = self.receive_data();
-        let late = async {
+        let timed_out = async {
             Timer::at(deadline).await;
             StreamEvent::TimedOut
         };
@@ -55,14 +55,14 @@
             context.accepting_stopped().await;
             StreamEvent::StopReading
         };
-        future::or(data, future::or(late, accepting_stopped)).await
+        future::or(data, future::or(timed_out, accepting_stopped)).await
     }
 
     async fn receive_data(&mut self) -> StreamEvent {
         match self.body.data().await {
             Some(Ok(bytes)) => self.store(&bytes),
-            Some(Err(e)) => super::stream::failure(&e),
-            // Trailers may follow, which are ignored.
+            Some(Err(e)) => super::stream::failure_event(&e),
+            // Trailers may follow; they are ignored.
             None => StreamEvent::Data {
                 bytes: 0,
                 end: true,
@@ -71,7 +71,7 @@
     }
 
     fn store(&mut self, bytes: &Bytes) -> StreamEvent {
-        // The stream's state machine bounds the body: past its limit nothing more is read.
+        // The stream's state machine limits the body: nothing more is read once it is too long.
         self.received_body.extend_from_slice(bytes);
         let count = bytes.len();
         let _ = self.body.flow_control().release_capacity(count);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Builds the request, once its body is complete; `None` where it is invalid.
+    /// Builds the request once its body is complete. Returns `None` if the request is invalid.
     pub fn finish(
         &mut self,
         class: ClassId,
@@ -93,7 +93,7 @@
         }
         let body = std::mem::take(&mut self.received_body).freeze();
         let request = draft.finish(class, body);
-        // The header fields may be large, and the request may wait for long.
+        // Frees the header fields, which may be large, because the request may be queued for a long time.
         self.headers = HeaderMap::new();
         request
     }
--- a/crates/heathspurd/src/frontend/http2/send.rs
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -1,7 +1,7 @@
-//! The sending half of a stream: the response's head, and its body as far as windows and buffers allow.
+//! The sending side of a stream: the response's head, and its body as far as flow-control windows and buffers allow.
 
 use super::connection::ConnectionState;
-use super::stream::failure;
+use super::stream::failure_event;
 use super::transport::TransportMonitor;
 use crate::frontend::response::Response;
 use crate::frontend::response_buffer::Reservation;
@@ -16,20 +16,21 @@
 use std::task::Poll;
 use std::time::Instant;
 
-/// Estimated bytes of a response's head among the bytes that wait to be sent.
+/// Estimated size of a response's head, in bytes, counted among the bytes that wait to be sent.
 const HEAD_BYTES: usize = 64;
 
-/// Owns the response and what of it waits to be sent.
+/// Sends the response of one stream.
 pub(super) struct ResponseSender {
     connection: Rc<ConnectionState>,
     responder: SendResponse<Bytes>,
     response: Option<Response>,
-    /// Takes the body, once the head is sent.
+    /// Sends the body; set once the head was sent.
     body: Option<SendStream<Bytes>>,
+    /// Bytes of the body that were passed to the library.
     sent_bytes: usize,
-    /// Memory for the part of the body that waits.
+    /// Memory reserved for the part of the body that waits to be sent.
     reservation: Option<Reservation>,
-    /// When the client has to have read the response; set with its head.
+    /// Time limit for the client to read the response; set when the head is sent.
     deadline: Option<Instant>,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sets the response to send; returns the event that announces it.
+    /// Sets the response to send, and returns the event that reports it to the stream's state machine.
     pub fn set_response(&mut self, response: Response) -> StreamEvent {
         let bytes = response.body.len() as u32;
         self.response = Some(response);
@@ -63,7 +64,7 @@
         .await
     }
 
-    /// Sends the head of the response that was set; the event is what it failed with.
+    /// Sends the head of the response that was set. Returns an event if that fails.
     pub fn send_response_head(&mut self) -> Option<StreamEvent> {
         let response = self.response.take()?;
         let frontend = self.connection.frontend.clone();
@@ -77,7 +78,7 @@
         failed
     }
 
-    /// Sends a response without a body; the event is what it failed with.
+    /// Sends a response without a body. Returns an event if that fails.
     pub fn send_without_body(&mut self, response: &Response) -> Option<StreamEvent> {
         self.send_head(response, true).err()
     }
@@ -87,12 +88,12 @@
         let body = self
             .responder
             .send_response(response_head(response), is_end)
-            .map_err(|e| failure(&e))?;
+            .map_err(|e| failure_event(&e))?;
         self.body = (!is_end).then_some(body);
         Ok(())
     }
 
-    /// Sends the next bytes of the body; the event is what it failed with.
+    /// Sends the next bytes of the body. Returns an event if that fails.
     pub fn send_body(&mut self, bytes: usize, is_end: bool) -> Option<StreamEvent> {
         let (response, body) = (self.response.as_ref()?, self.body.as_mut()?);
         let end = self.sent_bytes + bytes;
@@ -100,10 +101,12 @@
         self.sent_bytes = end;
         self.reservation = None;
         self.connection.monitor.add_queued(part.len());
-        body.send_data(part, is_end).err().map(|e| failure(&e))
+        body.send_data(part, is_end)
+            .err()
+            .map(|e| failure_event(&e))
     }
 
-    /// Refuses the stream, which proves to the client that nothing of it ran (RFC 9113, section 8.7).
+    /// Refuses the stream, which guarantees to the client that the request was not processed (RFC 9113, section 8.7).
     pub fn refuse(&mut self) {
         self.responder.send_reset(Reason::REFUSED_STREAM);
     }
@@ -117,7 +120,10 @@
         }
     }
 
-    /// Waits until some of the remaining bytes may be sent: the client's window and the connection's buffers allow it.
+    /// Waits until some of the `remaining` bytes can be sent, or until the response has to be dropped.
+    ///
+    /// At first, if the client's window or the connection's buffers are used up, reserves memory for the remaining bytes
+    /// and returns immediately.
     pub async fn next_event(&mut self, remaining: usize) -> StreamEvent {
         let (Some(body), Some(deadline)) = (&mut self.body, self.deadline) else {
             return StreamEvent::ConnectionLost;
@@ -132,26 +138,27 @@
         }
         let Some(reservation) = &self.reservation else {
             let budget = &connection.frontend.response_budget;
-            self.reservation = Some(budget.reserve(connection.holder, remaining));
+            self.reservation = Some(budget.reserve(connection.budget_key, remaining));
             return StreamEvent::FlowWindow { bytes: 0 };
         };
         let sendable = wait_for_capacity(body, &connection.monitor);
-        let late = async {
-            let timed_out = async {
+        let timed_out = async {
+            let deadline_passed = async {
                 Timer::at(deadline).await;
             };
-            future::or(timed_out, connection.context().responses_abandoned()).await;
+            future::or(deadline_passed, connection.context().responses_abandoned()).await;
             StreamEvent::TimedOut
         };
         let evicted = async {
             reservation.evicted().await;
             StreamEvent::MemoryReclaimed
         };
-        future::or(sendable, future::or(late, evicted)).await
+        future::or(sendable, future::or(timed_out, evicted)).await
     }
 }
 
-/// Waits until the client's window and the connection's buffers allow to send.
+/// Waits until the client's window and the connection's buffers have capacity, and returns the number of bytes that can be
+/// sent, or until the stream fails.
 async fn wait_for_capacity(
     body: &mut SendStream<Bytes>,
     monitor: &TransportMonitor,
@@ -171,7 +178,7 @@
     }
 }
 
-/// Waits until the client's window allows to send; the event is what happened instead.
+/// Waits until the client's window has capacity. Returns an event if the stream ends before.
 async fn wait_for_window(body: &mut SendStream<Bytes>) -> Option<StreamEvent> {
     future::poll_fn(|cx| {
         if let Poll::Ready(reset) = body.poll_reset(cx) {
@@ -182,14 +189,14 @@
         }
         body.poll_capacity(cx).map(|capacity| match capacity {
             Some(Ok(_)) => None,
-            Some(Err(e)) => Some(failure(&e)),
+            Some(Err(e)) => Some(failure_event(&e)),
             None => Some(StreamEvent::ConnectionLost),
         })
     })
     .await
 }
 
-/// Waits until the connection's buffers allow to send; the event is what happened instead.
+/// Waits until the connection's buffers have capacity. Returns an event if the stream is reset before.
 async fn wait_for_buffers(
     body: &mut SendStream<Bytes>,
     monitor: &TransportMonitor,
@@ -220,6 +227,6 @@
 fn reset_event(reset: &Result<Reason, h2::Error>) -> StreamEvent {
     match reset {
         Ok(_) => StreamEvent::Reset,
-        Err(error) => failure(error),
+        Err(error) => failure_event(error),
     }
 }
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -1,5 +1,5 @@
-//! The task of one stream. Events from the library, the event loop and the clock go to the stream's state machine
-//! ([`Life`]), and the task carries out the actions that it returns.
+//! The task of one stream. It passes events from the library, the event loop and the clock to the stream's state machine
+//! ([`StreamLifecycle`]) and carries out the actions that it returns.
 
 use super::connection::{ConnectionState, StreamSlot};
 use super::receive::RequestReceiver;
@@ -25,15 +25,17 @@
     answers: Receiver<Answer>,
 }
 
+/// State of a stream's task.
 struct StreamTask {
     connection: Rc<ConnectionState>,
-    life: StreamLifecycle,
+    lifecycle: StreamLifecycle,
     receiver: RequestReceiver,
     sender: ResponseSender,
+    /// Set once the request was submitted.
     submitted: Option<SubmittedRequest>,
 }
 
-/// Serves a stream to its end. The slot is occupied for as long as the library keeps something of the stream.
+/// Serves a stream to its end. The slot stays occupied for as long as the library buffers frames of the stream.
 pub(super) async fn serve(
     request: Request<RecvStream>,
     responder: SendResponse<Bytes>,
@@ -43,7 +45,7 @@
     let limits = &connection.frontend.settings.request;
     let max_body_bytes = limits.body.0 as u32;
     let mut task = StreamTask {
-        life: StreamLifecycle::new(max_body_bytes),
+        lifecycle: StreamLifecycle::new(max_body_bytes),
         receiver: RequestReceiver::new(request, limits.receive_timeout.0, connection.context()),
         sender: ResponseSender::new(connection.clone(), responder),
         submitted: None,
@@ -59,27 +61,27 @@
             RequestTarget::Invalid(status) => Some(StreamEvent::InvalidRequest { status: *status }),
             RequestTarget::Service(_) => None,
         };
-        while !matches!(self.life.state(), StreamState::Closed(_)) {
+        while !matches!(self.lifecycle.state(), StreamState::Closed(_)) {
             let event = match pending_event.take() {
                 Some(event) => event,
                 None => self.next_event().await,
             };
-            let action = self.life.handle(event);
+            let action = self.lifecycle.handle(event);
             pending_event = self.carry_out(action).await;
         }
         self.connection.monitor.unblocked().await;
     }
 
-    /// Answers a health check, of which nothing more needs to be read.
+    /// Answers a health check. The body of its request, if any, is not read.
     fn answer_health_check(&mut self) {
         self.connection.monitor.meter.borrow_mut().credit_request();
         let response = Response::of_health(self.connection.context());
         let _ = self.sender.send_without_body(&response);
     }
 
-    /// Waits for what happens next.
+    /// Waits for the next event in the current state.
     async fn next_event(&mut self) -> StreamEvent {
-        match self.life.state() {
+        match self.lifecycle.state() {
             StreamState::ReceivingBody { .. } => {
                 self.receiver.next_event(self.connection.context()).await
             }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Waits for the event loop's answer, or until the client gives up.
+    /// Waits for the event loop's answer, or until the client resets the stream.
     async fn answer_or_reset(&mut self) -> StreamEvent {
         let Some(submitted) = &self.submitted else {
             return StreamEvent::ConnectionLost;
@@ -99,7 +101,7 @@
         let answered = async {
             match submitted.answers.recv().await {
                 Ok(answer) => Ok(answer),
-                // The event loop answers every request unless its client has disconnected.
+                // The event loop drops a request without an answer only if the client has disconnected.
                 Err(_) => future::pending().await,
             }
         };
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Carries out an action; returns an event where it causes one at once.
+    /// Carries out an action. Returns the event that it causes immediately, if any.
     async fn carry_out(&mut self, action: StreamAction) -> Option<StreamEvent> {
         match action {
             StreamAction::None | StreamAction::BufferData => None,
@@ -138,7 +140,8 @@
         }
     }
 
-    /// Submits the request to the event loop; the event is this frontend's own answer where the request is invalid.
+    /// Submits the request to the event loop. If the request is invalid, returns the event of this frontend's own response
+    /// instead.
     async fn submit(&mut self) -> Option<StreamEvent> {
         let RequestTarget::Service(class) = *self.receiver.target() else {
             return None;
@@ -154,7 +157,7 @@
         if let Err(full) = frontend.handle.requests.try_send(request) {
             let now = frontend.now();
             frontend.stream_quota.borrow_mut().on_backpressure(now);
-            // The event loop outlives all connections; once it has ended, no answer is owed.
+            // Fails only once the event loop has ended. That is after all connections, so no answer is required then.
             let _ = frontend.handle.requests.send(full.into_inner()).await;
         }
         None
@@ -163,14 +166,14 @@
     async fn report_disconnect(&mut self) {
         if let Some(SubmittedRequest { id, answers }) = self.submitted.take() {
             answers.close();
-            // The event loop outlives all connections; once it has ended, no answer is owed.
+            // Fails only once the event loop has ended. That is after all connections, so no answer is required then.
             let _ = self.connection.frontend.handle.disconnected.send(id).await;
         }
     }
 }
 
-/// The event that an error of the library stands for: a reset by the client, or the end of the connection.
-pub(super) fn failure(error: &h2::Error) -> StreamEvent {
+/// Returns the event for an error of the library: a reset by the client, or the end of the connection.
+pub(super) fn failure_event(error: &h2::Error) -> StreamEvent {
     match error.is_reset() {
         true => StreamEvent::Reset,
         false => StreamEvent::ConnectionLost,
--- a/crates/heathspurd/src/frontend/http2/transport.rs
+++ b/crates/heathspurd/src/frontend/http2/transport.rs
@@ -1,5 +1,5 @@
-//! The transport that the `h2` crate reads and writes: tokio's I/O traits over the server's stream, with incoming
-//! frames metered and outgoing bytes tracked.
+//! The transport that the `h2` crate reads and writes. It implements tokio's I/O traits over the server's stream, counts
+//! the cost of incoming frames and tracks outgoing bytes.
 
 use crate::notify::Notify;
 use crate::recording::recorded_stream::Stream;
@@ -15,23 +15,24 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes read from one connection before other connections have their turn.
-const MAX_BYTES_PER_TURN: usize = 16 * 1024;
-/// Bytes of answers that may lie in the library's buffers, per connection.
+/// Maximum number of bytes read from a connection in one poll, so that other connections are served too.
+const MAX_BYTES_PER_POLL: usize = 16 * 1024;
+/// Maximum number of bytes of answers in the library's buffers, per connection.
 const MAX_QUEUED_BYTES: usize = 32 * 1024;
 
-/// What is known of a connection's transport, shared between the transport, the connection's task and its streams.
+/// State of a connection's transport, shared between the transport, the connection's task and its streams' tasks.
 pub(crate) struct TransportMonitor {
     start: Instant,
     pub meter: RefCell<FrameCostMeter>,
-    bytes_read_this_turn: Cell<usize>,
-    /// Streams that were received may still wait to be accepted.
+    bytes_read_this_poll: Cell<usize>,
+    /// Whether the library may have received streams that wait to be accepted.
     has_waiting_streams: Cell<bool>,
-    /// When the socket stopped accepting bytes, while there are some to send.
+    /// Since when there have been bytes to send that the socket does not accept.
     blocked_since: Cell<Option<Instant>>,
-    /// Bytes of answers passed to the library and not written to the socket yet. An estimate: the library's own frames
-    /// are few and count as answers.
+    /// Estimated bytes of answers that were passed to the library and not written to the socket yet. The library's own
+    /// frames are not distinguished from answers; they are few.
     queued_bytes: Cell<usize>,
+    /// Notified when bytes were written or the connection has ended.
     progress: Notify,
     closed: Cell<bool>,
 }
@@ -41,7 +42,7 @@
         Rc::new(TransportMonitor {
             start: Instant::now(),
             meter: RefCell::new(FrameCostMeter::new(Time(0))),
-            bytes_read_this_turn: Cell::new(0),
+            bytes_read_this_poll: Cell::new(0),
             has_waiting_streams: Cell::new(false),
             blocked_since: Cell::new(None),
             queued_bytes: Cell::new(0),
@@ -50,32 +51,32 @@
         })
     }
 
-    /// Time since the connection began.
+    /// Returns the time since the connection began.
     pub fn now(&self) -> Time {
         Time(self.start.elapsed().as_micros() as u64)
     }
 
-    /// Begins a new turn of this connection. Nothing is read in it while received streams wait to be accepted: the
-    /// library would buffer all of them, with their complete heads.
-    pub fn begin_turn(&self) {
+    /// Begins a new poll of this connection. Nothing is read in it while received streams may wait to be accepted,
+    /// because the library would buffer further streams with their complete heads.
+    pub fn begin_poll(&self) {
         let bytes_read = match self.has_waiting_streams.get() {
-            true => MAX_BYTES_PER_TURN,
+            true => MAX_BYTES_PER_POLL,
             false => 0,
         };
-        self.bytes_read_this_turn.set(bytes_read);
+        self.bytes_read_this_poll.set(bytes_read);
     }
 
-    /// Notes whether the library had a stream to accept, since there may be more then.
+    /// Records whether the library had a stream to accept. If so, more streams may be waiting.
     pub fn set_has_waiting_streams(&self, has_waiting_streams: bool) {
         self.has_waiting_streams.set(has_waiting_streams);
     }
 
-    /// Whether the socket accepts no bytes at present.
+    /// Returns whether there are bytes to send that the socket does not accept.
     pub fn is_blocked(&self) -> bool {
         self.blocked_since.get().is_some()
     }
 
-    /// How long the socket has accepted no bytes.
+    /// Returns for how long the socket has accepted no bytes, or zero if it accepts them.
     pub fn blocked_for(&self) -> Duration {
         self.blocked_since
             .get()
@@ -83,12 +84,12 @@
             .unwrap_or_default()
     }
 
-    /// Bytes that may be passed to the library now.
+    /// Returns the number of bytes that may be passed to the library now.
     pub fn send_capacity(&self) -> usize {
         MAX_QUEUED_BYTES.saturating_sub(self.queued_bytes.get())
     }
 
-    /// Notes that bytes were passed to the library.
+    /// Records that bytes were passed to the library.
     pub fn add_queued(&self, bytes: usize) {
         self.queued_bytes.set(self.queued_bytes.get() + bytes);
     }
@@ -98,8 +99,8 @@
         self.wait_until(|monitor| monitor.send_capacity() > 0).await;
     }
 
-    /// Waits until the socket accepts bytes, or the connection ends. The library keeps what a stream has left behind
-    /// until then.
+    /// Waits until the socket accepts bytes, or the connection ends. Until then, the library buffers the last frames of
+    /// streams that have ended.
     pub async fn unblocked(&self) {
         self.wait_until(|monitor| !monitor.is_blocked()).await;
     }
@@ -115,21 +116,22 @@
         self.progress.notify();
     }
 
-    /// Notes that the connection has ended and wakes everything that waits for it.
+    /// Records that the connection has ended and wakes all waiting tasks.
     pub fn close(&self) {
         self.closed.set(true);
         self.progress.notify();
     }
 
-    /// Whether nothing may be read now, although bytes may have arrived; the connection's task wakes as needed.
+    /// Returns whether reading has to wait although bytes may have arrived. Ensures that the connection's task is woken
+    /// when needed.
     fn defers_reading(&self, cx: &Context<'_>) -> bool {
-        if self.bytes_read_this_turn.get() >= MAX_BYTES_PER_TURN {
+        if self.bytes_read_this_poll.get() >= MAX_BYTES_PER_POLL {
             cx.waker().wake_by_ref();
             return true;
         }
         if self.is_blocked() {
-            // A client that reads nothing is not read either, since each of its frames may queue a reply. The library
-            // is polled again once the socket accepts bytes.
+            // Frames of a client that does not read are not read either, since each may queue a reply. The library is
+            // polled again once the socket accepts bytes.
             return true;
         }
         if self.meter.borrow().is_exhausted() {
@@ -140,42 +142,43 @@
         false
     }
 
-    fn bytes_read(&self, bytes: &[u8]) {
-        self.bytes_read_this_turn
-            .set(self.bytes_read_this_turn.get() + bytes.len());
+    fn record_read(&self, bytes: &[u8]) {
+        self.bytes_read_this_poll
+            .set(self.bytes_read_this_poll.get() + bytes.len());
         self.meter.borrow_mut().record_bytes(bytes, self.now());
     }
 
-    fn write_blocked(&self) {
+    fn record_write_blocked(&self) {
         let since = self.blocked_since.get().unwrap_or_else(Instant::now);
         self.blocked_since.set(Some(since));
     }
 
-    fn bytes_written(&self, count: usize) {
+    fn record_written(&self, count: usize) {
         self.blocked_since.set(None);
         self.queued_bytes
             .set(self.queued_bytes.get().saturating_sub(count));
         self.progress.notify();
     }
 
-    /// Notes that all that was queued has been written. Frames of streams that were reset never reach the socket, so
-    /// the count alone would stay too high.
-    fn all_written(&self) {
+    /// Records that everything that was queued has been written. Frames of reset streams are never written, so the count
+    /// would otherwise stay too high.
+    fn record_all_written(&self) {
         self.queued_bytes.set(0);
         self.progress.notify();
     }
 }
 
-/// The two directions of a connection.
+/// The transport of one connection.
 pub(crate) struct Transport {
     stream: Rc<Stream>,
-    /// Bytes that were read before the library took over.
+    /// Bytes that were read before the library was started and that it has not read yet.
     received: Bytes,
     monitor: Rc<TransportMonitor>,
 }
 
 impl Transport {
-    /// `received` was read already and starts with the connection preface of `preface_len` bytes.
+    /// Creates a transport. `received` has been read from `stream` already and starts with the connection preface of
+    /// `preface_len` bytes.
     pub fn new(
         stream: Rc<Stream>,
         received: Bytes,
@@ -214,7 +217,7 @@
         polled.map_ok(|count| {
             let start = buffer.filled().len();
             buffer.advance(count);
-            self.monitor.bytes_read(&buffer.filled()[start..]);
+            self.monitor.record_read(&buffer.filled()[start..]);
         })
     }
 }
@@ -227,16 +230,16 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut &*self.stream).poll_write(cx, bytes);
         match &polled {
-            Poll::Pending => self.monitor.write_blocked(),
-            Poll::Ready(Ok(count)) => self.monitor.bytes_written(*count),
+            Poll::Pending => self.monitor.record_write_blocked(),
+            Poll::Ready(Ok(count)) => self.monitor.record_written(*count),
             Poll::Ready(Err(_)) => {}
         }
         polled
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The library flushes only once it has written everything.
-        self.monitor.all_written();
+        // The library flushes only after it has written everything.
+        self.monitor.record_all_written();
         Pin::new(&mut &*self.stream).poll_flush(cx)
     }
 
--- a/crates/heathspurd/src/frontend/mod.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -1,10 +1,10 @@
-//! The seam between the protocol frontends and the event loop.
+//! The protocol frontends and their interface to the event loop.
 //!
-//! A frontend speaks one protocol with clients. It submits checked requests, each with a channel for its answer,
-//! reports clients that have disconnected, and sends exactly one final answer to each request. The event loop knows no
-//! protocol.
+//! A frontend implements one protocol towards clients. It submits validated requests to the event loop, each with a
+//! channel for its answer, reports clients that have disconnected, and sends exactly one final answer per request. The
+//! event loop is independent of the protocols.
 //!
-//! A request's cost in memory travels with it (`queued_memory_kb`); its connection occupies a permit of the
+//! Each request carries its estimated memory (`queued_memory_kb`), and each connection occupies a permit of the
 //! [`ConnectionPool`](connection_pool::ConnectionPool).
 
 pub(crate) mod accept;
@@ -26,12 +26,12 @@
 use heathspur::{ClassId, RequestId, Span, TenantId};
 use std::rc::Rc;
 
-/// The client's id of one attempt: 16 hexadecimal digits.
+/// The client's identifier of one attempt: 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AttemptId([u8; 16]);
 
 impl AttemptId {
-    /// Parses an id; `None` where the text is not one.
+    /// Parses an identifier. Returns `None` if the text is not 16 hexadecimal digits.
     pub fn read(text: &[u8]) -> Option<AttemptId> {
         let digits: [u8; 16] = text.try_into().ok()?;
         digits
@@ -45,51 +45,55 @@
     }
 }
 
-/// A request as it was read from a connection.
+/// A validated request that was received on a connection.
 #[derive(Debug)]
 pub(crate) struct IncomingRequest {
     pub id: RequestId,
     pub attempt: AttemptId,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
-    /// Unix microseconds at which it reached the machine.
+    /// When the request reached the machine, in microseconds since the Unix epoch.
     pub received_unix_micros: u64,
-    /// Identifies its repetitions: the idempotency key, or the subject of a read.
+    /// Identifies retries of the same request: the idempotency key, or the subject of a read.
     pub idempotency_key: Option<Bytes>,
+    /// Whether the request carries a subject, which is then its `idempotency_key`.
     pub has_subject: bool,
     pub is_retry: bool,
-    /// How long the client waits from `received_unix_micros` on, where the request says so.
+    /// How long the client waits, counted from `received_unix_micros`, if the request specifies it.
     pub client_timeout: Option<Span>,
-    /// Its estimated work in seconds, where the request says so.
+    /// Estimated work in seconds, if the request specifies it.
     pub cost_hint: Option<f64>,
+    /// Memory that the request occupies while it is queued, in kilobytes.
     pub queued_memory_kb: f64,
     pub body: Bytes,
-    /// Receives the answer; closed once the client has disconnected.
+    /// Channel for the answer. It is closed once the client has disconnected.
     pub reply: Sender<Answer>,
 }
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Answer {
-    /// The result of a run.
+    /// The run succeeded with this result.
     Success(Bytes),
-    /// The attempt never ran.
+    /// The attempt was rejected without having run.
     Rejected {
+        /// Delay after which the client should retry.
         retry_after: Option<Span>,
+        /// Whether the client should not retry at all.
         no_retry: bool,
     },
     /// The run failed.
     Failed,
-    /// Its deadline passed before it completed.
+    /// The deadline passed before the request completed.
     DeadlineExceeded,
-    /// A request with this attempt id is in progress already.
+    /// A request with the same attempt identifier is in progress.
     Conflict,
-    /// Its idempotency key was used with another body.
+    /// The idempotency key was used before with another body.
     KeyReused,
 }
 
-/// One frontend's channels to the event loop. Each frontend has a request queue of its own, and the event loop takes
-/// from the queues in turn.
+/// One frontend's channels to the event loop. Each frontend has its own request queue; the event loop takes requests
+/// from the queues round-robin.
 #[derive(Clone)]
 pub(crate) struct FrontendHandle {
     pub context: Rc<FrontendContext>,
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -1,5 +1,5 @@
-//! Builds a request from a protocol's message: the target and the header fields are checked here, independent of the
-//! HTTP version.
+//! Validates the target and the header fields of a message and builds a request from them, independent of the HTTP
+//! version.
 
 use crate::clock;
 use crate::frontend::header::RequestHeader;
@@ -8,25 +8,27 @@
 use heathspur::{ClassId, Span, TenantId};
 use heathspur_wire::http;
 
-/// Path prefix of requests; the rest of the path is the class.
+/// Path prefix of requests. The rest of the path is the name of the class.
 const SERVICE_PATH_PREFIX: &[u8] = b"/svc/";
 const HEALTH_CHECK_PATH: &[u8] = b"/status/live";
-/// How far ahead of the local clock a request's timestamp may lie.
+/// How far a request's timestamp may be ahead of the local clock.
 const MAX_CLOCK_SKEW_MICROS: u64 = 60_000_000;
-/// Kilobytes of memory that a request may declare, exclusive.
+/// Exclusive upper bound of the memory that a request may declare, in kilobytes.
 const MAX_MEMORY_KB: f64 = 2000.0;
-/// Length of an idempotency key or subject in bytes.
+/// Maximum length of an idempotency key or subject, in bytes.
 const MAX_KEY_BYTES: usize = 64;
 
-/// What a method and a path address.
+/// What a request is directed to, by its method and path.
 pub(crate) enum RequestTarget {
     HealthCheck,
+    /// A service request of this class.
     Service(ClassId),
-    /// Nothing that this server has; answered with this status.
+    /// No resource of this server, or a method that is not allowed. The status of the response.
     Invalid(u16),
 }
 
 impl RequestTarget {
+    /// Determines the target from a method and a request target with an optional query.
     pub fn of(method: &[u8], target: &[u8], context: &FrontendContext) -> RequestTarget {
         let path = target.split(|&b| b == b'?').next().unwrap_or(target);
         if path == HEALTH_CHECK_PATH {
@@ -46,7 +48,7 @@
     }
 }
 
-/// The header fields of a request as far as they were read.
+/// The header fields of a request that were read so far.
 #[derive(Default)]
 struct HeaderValues {
     attempt: Option<AttemptId>,
@@ -62,11 +64,12 @@
     router: Option<u64>,
 }
 
-/// A request whose header fields are being read. `to_bytes` turns a field's value into bytes that outlive the message.
+/// A request whose header fields are being read.
 pub(crate) struct RequestDraft<'a, F> {
     context: &'a FrontendContext,
+    /// Returns a field's value as bytes that outlive the message.
     to_bytes: F,
-    /// The latest timestamp that a request may bear, in Unix microseconds.
+    /// The latest timestamp that is accepted, in microseconds since the Unix epoch.
     latest_unix_micros: u64,
     values: HeaderValues,
 }
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Reads a header field; `None` where its value is invalid or it was read before. Unknown fields are ignored.
+    /// Adds a header field. Returns `None` if its value is invalid or the field occurred before. Unknown fields are
+    /// ignored.
     pub fn add_header(&mut self, name: &[u8], value: &[u8]) -> Option<()> {
         let Some(header) = RequestHeader::from_name(name) else {
             return Some(());
@@ -90,7 +94,7 @@
         (!is_duplicate).then_some(())
     }
 
-    /// Sets a field's value; `Some(true)` where it had one before.
+    /// Sets the value of a field. Returns whether it replaced an earlier value, or `None` if the value is invalid.
     fn set(&mut self, header: RequestHeader, value: &[u8]) -> Option<bool> {
         let is_duplicate = match header {
             RequestHeader::AttemptId => {
@@ -141,21 +145,23 @@
         Some(is_duplicate)
     }
 
-    /// Unix microseconds from a timestamp in milliseconds.
+    /// Parses a timestamp in milliseconds and returns it in microseconds. Returns `None` if it is too far ahead of the
+    /// clock.
     fn timestamp(&self, value: &[u8]) -> Option<u64> {
         http::parse_decimal(value)?
             .checked_mul(1000)
             .filter(|&micros| micros <= self.latest_unix_micros)
     }
 
+    /// Returns an idempotency key or subject, or `None` if its length is invalid.
     fn key(&self, value: &[u8]) -> Option<Bytes> {
         (1..=MAX_KEY_BYTES)
             .contains(&value.len())
             .then(|| (self.to_bytes)(value))
     }
 
-    /// Completes the request with its body and a channel for its answer; `None` where a required field is missing or
-    /// one does not belong to the class.
+    /// Builds the request from the fields and the body, with a channel for its answer. Returns `None` if a required field
+    /// is missing or a field does not belong to the class.
     pub fn finish(
         self,
         class: ClassId,
@@ -187,8 +193,9 @@
         Some((request, answers))
     }
 
-    /// Whether the fields fit the class. A key belongs to keyed classes, a subject to the others, and a tenant to
-    /// every request where the settings have tenants.
+    /// Returns whether the fields are complete and match the class. An idempotency key is required in keyed classes and
+    /// not allowed in others; a subject is not allowed in keyed classes. A tenant is required if the settings have
+    /// tenants, and not allowed otherwise.
     fn has_required_fields(&self, class: ClassId) -> bool {
         let values = &self.values;
         let is_keyed = self.context.keyed_classes[class.0];
@@ -201,12 +208,12 @@
     }
 }
 
-/// The index of a name.
+/// Returns the index of a name.
 fn position(names: &[String], name: &[u8]) -> Option<usize> {
     names.iter().position(|known| known.as_bytes() == name)
 }
 
-/// A finite number of decimal digits with at most one decimal point.
+/// Parses a number of decimal digits with at most one decimal point. Returns `None` if it is not finite.
 fn decimal(text: &[u8]) -> Option<f64> {
     let text = std::str::from_utf8(text).ok()?;
     let is_plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
--- a/crates/heathspurd/src/frontend/request_queue.rs
+++ b/crates/heathspurd/src/frontend/request_queue.rs
@@ -1,4 +1,4 @@
-//! The frontends' request queues, served round-robin so that a flood on one frontend cannot starve another.
+//! The request queues of all frontends, served round-robin so that a flood on one frontend cannot starve another.
 
 use async_channel::{Receiver, Recv};
 use futures_lite::future;
@@ -6,9 +6,10 @@
 use std::pin::Pin;
 use std::task::Poll;
 
-/// The queues, and the index of the one to serve first.
+/// One queue per frontend, served round-robin.
 pub(crate) struct RequestQueues<T> {
     queues: Vec<Receiver<T>>,
+    /// Index of the queue to try first.
     next_queue: usize,
 }
 
@@ -20,7 +21,7 @@
         }
     }
 
-    /// The next queued item, if there is one.
+    /// Returns the next queued item, if there is one.
     pub fn try_next(&mut self) -> Option<T> {
         let count = self.queues.len();
         for offset in 0..count {
@@ -33,7 +34,7 @@
         None
     }
 
-    /// Waits for the next item.
+    /// Waits for the next item. Never returns once all queues are closed.
     pub async fn next(&mut self) -> T {
         if let [only] = &self.queues[..] {
             return match only.recv().await {
@@ -49,7 +50,7 @@
         item
     }
 
-    /// Waits on all queues; returns the index of the queue with its item.
+    /// Waits for an item from any queue and returns it with the index of its queue.
     async fn first_received(&self) -> (usize, T) {
         let mut receives: Vec<Pin<Box<Recv<'_, T>>>> = self
             .queues
@@ -58,7 +59,7 @@
             .collect();
         future::poll_fn(|cx| {
             for (index, receive) in receives.iter_mut().enumerate() {
-                // A closed queue belongs to a frontend that has ended.
+                // A queue is closed once its frontend has ended; it is ignored.
                 if let Poll::Ready(Ok(item)) = receive.as_mut().poll(cx) {
                     return Poll::Ready((index, item));
                 }
--- a/crates/heathspurd/src/frontend/response.rs
+++ b/crates/heathspurd/src/frontend/response.rs
@@ -1,17 +1,18 @@
-//! The content of a response, independent of the HTTP version: status, header fields and body.
+//! Status, header fields and body of a response, independent of the HTTP version.
 
 use crate::frontend::{header, Answer, FrontendContext};
 use bytes::Bytes;
 
-/// A response to write in any version of HTTP.
+/// A response that can be sent in any HTTP version.
 pub(crate) struct Response {
     pub status: u16,
+    /// Header fields; all of their values are numbers.
     pub fields: Vec<(&'static str, f64)>,
     pub body: Bytes,
 }
 
 impl Response {
-    /// The response that carries a request's final answer.
+    /// Creates the response for a request's final answer.
     pub fn of(answer: &Answer, context: &FrontendContext) -> Response {
         let mut fields = common_fields(context);
         let (status, body) = match answer {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The response to a health check.
+    /// Creates the response to a health check.
     pub fn of_health(context: &FrontendContext) -> Response {
         let status = if context.healthy.get() { 200 } else { 503 };
         Response {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// A response that consists of its status alone.
+    /// Creates a response that consists of a status only.
     pub fn of_status(status: u16) -> Response {
         Response {
             status,
@@ -61,7 +62,7 @@
     }
 }
 
-/// The fields of every answer and health check: the load signal once it is set.
+/// Returns the fields of every answer and health check: the load signal, once it is set.
 fn common_fields(context: &FrontendContext) -> Vec<(&'static str, f64)> {
     context
         .load_signal
--- a/crates/heathspurd/src/frontend/response_buffer.rs
+++ b/crates/heathspurd/src/frontend/response_buffer.rs
@@ -1,6 +1,6 @@
-//! The memory budget for answers that wait for slow readers, shared by all frontends.
+//! The memory budget for responses that clients have not read yet, shared by all frontends.
 //!
-//! The ledger decides which answers have to be dropped; this module delivers the decision to those that hold them.
+//! [`ResponseMemory`] decides which responses have to be dropped; this module notifies the tasks that send them.
 
 use async_channel::{Receiver, Sender};
 use heathspur_streams::response_memory::{
@@ -10,48 +10,58 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The budget. Owns the ledger and a channel to each reservation in it.
+/// The memory budget, with a channel to notify each reservation of its eviction.
 pub(crate) struct ResponseBudget {
-    ledger: RefCell<ResponseMemory>,
-    /// Notifies a reservation of its eviction; one entry for each that the ledger holds.
+    memory: RefCell<ResponseMemory>,
+    /// Notifies a reservation of its eviction. Has an entry for each response in `memory`.
     evictions: RefCell<HashMap<(ConnectionKey, ResponseKey), Sender<()>>>,
-    next_number: Cell<u64>,
+    /// The next key of a connection or response.
+    next_key: Cell<u64>,
 }
 
 impl ResponseBudget {
-    pub fn new(bounds: MemoryLimits) -> Rc<ResponseBudget> {
+    pub fn new(limits: MemoryLimits) -> Rc<ResponseBudget> {
         Rc::new(ResponseBudget {
-            ledger: RefCell::new(ResponseMemory::new(bounds)),
+            memory: RefCell::new(ResponseMemory::new(limits)),
             evictions: RefCell::default(),
-            next_number: Cell::new(1),
+            next_key: Cell::new(1),
         })
     }
 
-    fn next_number(&self) -> u64 {
-        let number = self.next_number.get();
-        self.next_number.set(number + 1);
-        number
+    fn next_key(&self) -> u64 {
+        let key = self.next_key.get();
+        self.next_key.set(key + 1);
+        key
     }
 
-    /// Identifies a connection in the ledger.
-    pub fn new_holder(&self) -> ConnectionKey {
-        ConnectionKey(self.next_number())
+    /// Returns a key that identifies a connection in the budget.
+    pub fn new_connection_key(&self) -> ConnectionKey {
+        ConnectionKey(self.next_key())
     }
 
-    /// Reserves memory for bytes of a connection that wait to be read. Other reservations, or this one, may be evicted
-    /// for it.
-    pub fn reserve(self: &Rc<ResponseBudget>, holder: ConnectionKey, bytes: usize) -> Reservation {
-        let part = ResponseKey(self.next_number());
+    /// Reserves memory for a response of which `bytes` bytes wait to be read. Other reservations, or this one, may be
+    /// evicted to stay within the limits.
+    pub fn reserve(
+        self: &Rc<ResponseBudget>,
+        connection: ConnectionKey,
+        bytes: usize,
+    ) -> Reservation {
+        let response = ResponseKey(self.next_key());
         let (evict, evicted) = async_channel::bounded(1);
-        self.evictions.borrow_mut().insert((holder, part), evict);
-        let evictions = self.ledger.borrow_mut().reserve(holder, part, bytes as u64);
-        for reservation in evictions {
+        self.evictions
+            .borrow_mut()
+            .insert((connection, response), evict);
+        let dropped = self
+            .memory
+            .borrow_mut()
+            .reserve(connection, response, bytes as u64);
+        for reservation in dropped {
             self.evict(reservation);
         }
         Reservation {
             budget: self.clone(),
-            holder,
-            part,
+            connection,
+            response,
             evicted,
         }
     }
@@ -64,30 +74,30 @@
     }
 }
 
-/// Memory reserved for waiting bytes; released when it is dropped.
+/// Memory reserved for the unread bytes of a response. Dropping it releases the memory.
 pub(crate) struct Reservation {
     budget: Rc<ResponseBudget>,
-    holder: ConnectionKey,
-    part: ResponseKey,
+    connection: ConnectionKey,
+    response: ResponseKey,
     evicted: Receiver<()>,
 }
 
 impl Reservation {
-    /// Waits until the bytes have to be dropped.
+    /// Waits until the response has to be dropped.
     pub async fn evicted(&self) {
-        // The sender exists until a notification was sent or the reservation is dropped.
+        // The sender exists until it has sent the notification, so an error also means that the response was dropped.
         let _ = self.evicted.recv().await;
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let key = (self.holder, self.part);
+        let key = (self.connection, self.response);
         self.budget.evictions.borrow_mut().remove(&key);
         self.budget
-            .ledger
+            .memory
             .borrow_mut()
-            .release(self.holder, self.part);
+            .release(self.connection, self.response);
     }
 }
 
--- a/crates/heathspurd/tests/unit/connection_pool.rs
+++ b/crates/heathspurd/tests/unit/connection_pool.rs
@@ -1,55 +1,56 @@
-//! Unit tests of `src/frontend/connection_pool.rs`, which names this file as its module of tests.
+//! Tests of `src/frontend/connection_pool.rs`, which includes this file as its test module.
 
 use super::*;
 use std::future::pending;
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
 
-fn polled<T>(future: std::pin::Pin<&mut impl Future<Output = T>>) -> Poll<T> {
+/// Polls a future once.
+fn poll_once<T>(future: std::pin::Pin<&mut impl Future<Output = T>>) -> Poll<T> {
     future.poll(&mut Context::from_waker(Waker::noop()))
 }
 
 #[test]
-fn a_new_connection_stays_where_others_have_been_idle_for_longer() {
+fn longest_idle_connection_is_evicted_before_new_one() {
     let pool = Rc::new(ConnectionPool::new(8));
-    let mut busy: Vec<Permit> = std::iter::from_fn(|| Permit::acquire(&pool)).collect();
-    let (old, new) = (busy.pop().unwrap(), busy.pop().unwrap());
+    let mut permits: Vec<Permit> = std::iter::from_fn(|| Permit::acquire(&pool)).collect();
+    let (old, new) = (permits.pop().unwrap(), permits.pop().unwrap());
     old.request_received();
-    let mut idle_for_long = pin!(old.idle(pending::<()>()));
-    assert!(polled(idle_for_long.as_mut()).is_pending());
-    let mut fresh = pin!(new.idle(pending::<()>()));
-    assert!(polled(fresh.as_mut()).is_pending());
+    let mut longest_idle = pin!(old.idle(pending::<()>()));
+    assert!(poll_once(longest_idle.as_mut()).is_pending());
+    let mut new_idle = pin!(new.idle(pending::<()>()));
+    assert!(poll_once(new_idle.as_mut()).is_pending());
     pool.reclaim_permits();
     assert_eq!(
-        polled(idle_for_long.as_mut()),
-        Poll::Ready(Err(LeaveRequest::Idle))
+        poll_once(longest_idle.as_mut()),
+        Poll::Ready(Err(ConnectionPhase::Idle))
     );
-    assert!(polled(fresh.as_mut()).is_pending());
-    // The one left has begun a request, and leaves only where no permit is left.
+    assert!(poll_once(new_idle.as_mut()).is_pending());
+    // The remaining idle connection has received a part of a request, and is evicted only if no permit is free.
     new.request_begun();
-    drop(busy.pop());
+    drop(permits.pop());
     pool.reclaim_permits();
-    assert!(polled(fresh.as_mut()).is_pending());
-    busy.push(Permit::acquire(&pool).unwrap());
+    assert!(poll_once(new_idle.as_mut()).is_pending());
+    permits.push(Permit::acquire(&pool).unwrap());
     pool.reclaim_permits();
     assert_eq!(
-        polled(fresh.as_mut()),
-        Poll::Ready(Err(LeaveRequest::ReadingRequest))
+        poll_once(new_idle.as_mut()),
+        Poll::Ready(Err(ConnectionPhase::ReadingRequest))
     );
 }
 
 #[test]
-fn lingering_connections_count_as_leaving_and_end_where_no_permit_is_left() {
+fn lingering_and_idle_connections_are_evicted_if_no_permit_is_free() {
     let pool = Rc::new(ConnectionPool::new(8));
     let permits: Vec<Permit> = std::iter::from_fn(|| Permit::acquire(&pool)).collect();
     assert_eq!(permits.len(), 8);
     let mut first = pin!(permits[0].linger(pending()));
     let mut second = pin!(permits[1].linger(pending()));
     let mut idle = pin!(permits[2].idle(pending::<()>()));
-    assert!(polled(first.as_mut()).is_pending() && polled(second.as_mut()).is_pending());
-    assert!(polled(idle.as_mut()).is_pending());
+    assert!(poll_once(first.as_mut()).is_pending() && poll_once(second.as_mut()).is_pending());
+    assert!(poll_once(idle.as_mut()).is_pending());
     pool.reclaim_permits();
-    assert!(polled(first.as_mut()).is_ready() && polled(second.as_mut()).is_pending());
-    // One is about to leave where two are to be free: so one of the idle is asked too.
-    assert!(polled(idle.as_mut()).is_ready());
+    assert!(poll_once(first.as_mut()).is_ready() && poll_once(second.as_mut()).is_pending());
+    // The second lingering connection frees one permit soon, but two are reserved: the idle connection is evicted too.
+    assert!(poll_once(idle.as_mut()).is_ready());
 }
--- a/crates/heathspurd/tests/unit/request_queue.rs
+++ b/crates/heathspurd/tests/unit/request_queue.rs
@@ -1,39 +1,41 @@
-//! Unit tests of `src/frontend/request_queue.rs`, which names this file as its module of tests.
+//! Tests of `src/frontend/request_queue.rs`, which includes this file as its test module.
 
 use super::*;
 
 #[test]
-fn a_flooded_queue_leaves_every_other_turn_to_the_others() {
-    let ((flood, a), (few, b)) = (async_channel::bounded(256), async_channel::bounded(256));
-    let mut queues = RequestQueues::new(vec![a, b]);
+fn flooded_queue_and_other_queue_alternate() {
+    let ((flooded, flooded_items), (other, other_items)) =
+        (async_channel::bounded(256), async_channel::bounded(256));
+    let mut queues = RequestQueues::new(vec![flooded_items, other_items]);
     for n in 0..200 {
-        flood.try_send(('a', n)).unwrap();
+        flooded.try_send(("flooded", n)).unwrap();
     }
     for n in 0..3 {
-        few.try_send(('b', n)).unwrap();
+        other.try_send(("other", n)).unwrap();
     }
     let taken: Vec<_> = (0..64).filter_map(|_| queues.try_next()).collect();
-    let places: Vec<_> = (0..64).filter(|&at| taken[at].0 == 'b').collect();
-    assert_eq!(places, [1, 3, 5]);
+    let other_positions: Vec<_> = (0..64).filter(|&at| taken[at].0 == "other").collect();
+    assert_eq!(other_positions, [1, 3, 5]);
     assert_eq!(taken.len(), 64);
-    // Each queue keeps its own order.
-    let firsts: Vec<_> = taken
+    // Items of one queue stay in order.
+    let flooded_order: Vec<_> = taken
         .iter()
-        .filter(|(of, _)| *of == 'a')
+        .filter(|(queue, _)| *queue == "flooded")
         .map(|(_, n)| *n)
         .collect();
-    assert!(firsts.is_sorted());
+    assert!(flooded_order.is_sorted());
 }
 
 #[test]
-fn an_item_in_any_queue_wakes_the_wait_over_all() {
-    let ((_a, first), (b, second)) = (async_channel::bounded::<u8>(4), async_channel::bounded(4));
+fn item_in_any_queue_wakes_waiting_consumer() {
+    let ((_first_sender, first), (second_sender, second)) =
+        (async_channel::bounded::<u8>(4), async_channel::bounded(4));
     let mut queues = RequestQueues::new(vec![first, second]);
-    let got = async_io::block_on(future::zip(queues.next(), async {
+    let received = async_io::block_on(future::zip(queues.next(), async {
         future::yield_now().await;
-        b.send(7).await.unwrap();
+        second_sender.send(7).await.unwrap();
     }));
-    assert_eq!(got.0, 7);
-    b.try_send(8).unwrap();
+    assert_eq!(received.0, 7);
+    second_sender.try_send(8).unwrap();
     assert_eq!((queues.try_next(), queues.try_next()), (Some(8), None));
 }
