--- a/crates/heathspur-server-core/src/connection_permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Permits kept free for new connections.
+/// Maximum number of permits reserved for new connections.
 const MAX_RESERVED_PERMITS: usize = 16;
 /// At most one in so many permits is reserved.
 const PERMITS_PER_RESERVED: usize = 4;
@@ -200,8 +200,8 @@
         })
     }
 
-    /// Evicts the first idle connection in eviction order. One that is [`EvictionOrder::ReadingRequest`] is evicted only
-    /// if `must_evict`.
+    /// Evicts the first idle connection in eviction order. One that is [`EvictionOrder::ReadingRequest`] is evicted
+    /// only if `must_evict`.
     fn evict_idle(&mut self, now: Duration, must_evict: bool) -> Option<Eviction<T>> {
         let (order, token) = self
             .idle
--- a/crates/heathspur-server-core/src/registration/mod.rs
+++ b/crates/heathspur-server-core/src/registration/mod.rs
@@ -1,14 +1,14 @@
-//! The schedule of reports of this server's readiness to the registration service: one per interval, immediately after a
-//! change, and after a short delay following a failure.
+//! The schedule of reports of this server's readiness to the registration service: one per interval, immediately after
+//! a change, and after a short delay following a failure.
 //!
 //! The service removes an entry 3 s after the last accepted report, so no single fault may delay reports for that long.
 //! A report without an answer and a pending connection attempt are therefore not aborted early but hedged on a second
 //! connection.
 //!
 //! The service may accept reports on two connections in either order. A report counts as current only if it was sent
-//! after the last change, and after every report with another readiness had ended. While no current report is in flight,
-//! the next one is due immediately, regardless of outdated reports in flight. A report that timed out can still be
-//! accepted late; the next report, at most one interval later, corrects that.
+//! after the last change, and after every report with another readiness had ended. After a change, the next report is
+//! due immediately until a current one is in flight, regardless of outdated reports in flight. A report that timed out
+//! can still be accepted late; the next report, at most one interval later, corrects that.
 
 mod connections;
 
@@ -246,8 +246,8 @@
         timed_out: bool,
         failure: Failure,
     ) {
-        // The service may close a reused connection at any time. This is no failure; the report is repeated at once on a
-        // new connection.
+        // The service may close a reused connection at any time. This is no failure; the report is repeated at once on
+        // a new connection.
         let closed_between_reports = finished.reused && !timed_out;
         let next_due = if closed_between_reports {
             now
@@ -303,8 +303,8 @@
 
     /// Schedules the next report after `report` has ended; it is due at `next_due` if `report` was current.
     fn finish_report(&mut self, now: Duration, report: Report, next_due: Duration) {
-        // After an outdated report, the next one keeps its time: it is due at once, or a current report has set its
-        // time.
+        // The end of an outdated report does not delay the next one, which is due at once or at the time set by a
+        // current report.
         if report.current {
             self.report_due = next_due;
         }
--- a/crates/heathspur-server-core/tests/unit/registration.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Time for which the service keeps an entry after the last accepted report.
+/// Lifetime of the service's entry after the last accepted report.
 const ENTRY_LIFETIME_MS: u64 = 3000;
 /// Longest duration of a connection attempt to a healthy service.
 const MAX_HEALTHY_CONNECT_MS: u64 = 250;
@@ -535,8 +535,8 @@
         for (index, (at, ready, in_flight)) in simulation.changed.iter().enumerate() {
             let (at, ready) = (*at, *ready);
             let next = simulation.changed.get(index + 1).map_or(END_MS, |(at, ..)| *at);
-            // If another connection is allowed, the report of the change needs one connection attempt, or two if an answer
-            // ends the first. Otherwise, one of the reports in flight has to end before.
+            // If another connection is allowed, the report of the change needs one connection attempt, or two if an
+            // answer ends the first. Otherwise, one of the reports in flight has to end before.
             let wait = if *in_flight < MAX_CONNECTIONS { 0 } else { ms(RESPONSE_TIMEOUT) };
             let deadline = at + wait + ms(RETRY_DELAY) + 2 * MAX_HEALTHY_CONNECT_MS + 1;
             let first_sent = simulation.sent.iter().find(|(sent, reported)| *sent >= at && *reported == ready).map(|(sent, _)| *sent);
--- a/crates/heathspur-streams/src/connection_drain.rs
+++ b/crates/heathspur-streams/src/connection_drain.rs
@@ -11,8 +11,8 @@
 pub enum DrainStage {
     /// No GOAWAY has been sent. Streams are accepted.
     Open,
-    /// The first GOAWAY has been sent. Streams are accepted until the PING is acknowledged, or until
-    /// this time.
+    /// The first GOAWAY has been sent. Streams are accepted until the PING is acknowledged, or
+    /// until this time.
     GoingAway(Time),
     /// The final GOAWAY has been sent. Later streams are refused, earlier ones are answered.
     Final,
@@ -51,8 +51,8 @@
         self.stage
     }
 
-    /// Begins the shutdown, if it has not begun: the server drains, or the connection is idle, or its
-    /// permit is needed by another connection.
+    /// Begins the shutdown, if it has not begun: the server drains, or the connection is idle, or
+    /// its permit is needed by another connection.
     pub fn begin(&mut self, now: Time) -> DrainStep {
         match self.stage {
             DrainStage::Open => {
--- a/crates/heathspur-streams/src/frame_cost.rs
+++ b/crates/heathspur-streams/src/frame_cost.rs
@@ -1,9 +1,9 @@
 //! Detects floods of frames on a connection by a balance of points.
 //!
-//! Frames are counted as their bytes arrive, so that frames which an HTTP/2 library answers by itself
-//! count too. Each frame costs points by its type; submitted requests, responses that the client read
-//! and elapsed time add points. A connection whose balance is exhausted has to be closed with
-//! `ENHANCE_YOUR_CALM`.
+//! Frames are counted as their bytes arrive, so that frames which an HTTP/2 library answers by
+//! itself count too. Each frame costs points by its type; submitted requests, responses that the
+//! client read and elapsed time add points. A connection whose balance is exhausted has to be
+//! closed with `ENHANCE_YOUR_CALM`.
 
 use crate::Time;
 
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Records bytes received on the connection and charges for each frame whose header is complete.
-    /// The bytes may be split anywhere.
+    /// Records bytes received on the connection and charges for each frame whose header is
+    /// complete. The bytes may be split anywhere.
     pub fn record_bytes(&mut self, mut bytes: &[u8], now: Time) {
         self.credit_elapsed_time(now);
         while !bytes.is_empty() {
@@ -161,8 +161,8 @@
         self.balance = (self.balance + points).min(MAX_BALANCE);
     }
 
-    /// Adds a whole number of points for the time since the last credit. Time that is worth less than
-    /// a point stays uncredited until the next call.
+    /// Adds a whole number of points for the time since the last credit. Time that is worth less
+    /// than a point stays uncredited until the next call.
     fn credit_elapsed_time(&mut self, now: Time) {
         let elapsed_us = now.since(self.credited_until);
         let points = elapsed_us.saturating_mul(POINTS_PER_SECOND) / MICROS_PER_SECOND;
--- a/crates/heathspur-streams/src/lib.rs
+++ b/crates/heathspur-streams/src/lib.rs
@@ -1,14 +1,16 @@
-//! Decisions of an HTTP/2 server (RFC 9113) about its streams and connections, without I/O or clocks.
+//! Decisions of an HTTP/2 server (RFC 9113) about its streams and connections, without I/O or
+//! clocks.
 //!
-//! The state machines take events and return actions; the caller performs the I/O. Whether a request
-//! is admitted is decided by `heathspur`: a stream that is refused here was never submitted to it.
+//! The state machines take events and return actions; the caller performs the I/O. Whether a
+//! request is admitted is decided by `heathspur`: a stream that is refused here was never submitted
+//! to it.
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | [`stream_lifecycle`] | how a stream's state changes with each event, and what has to be sent |
 //! | [`connection_drain`] | the steps of a connection's graceful shutdown (GOAWAY) |
 //! | [`stream_limits`] | how many streams may be open, and how large the flow-control windows are |
-//! | [`response_memory`] | which response is dropped when unread responses exceed their memory limit |
+//! | [`response_memory`] | which response is dropped when unread responses exceed their limit |
 //! | [`frame_cost`] | when a connection's frames count as abuse |
 #![forbid(unsafe_code)]
 
--- a/crates/heathspur-streams/src/response_memory.rs
+++ b/crates/heathspur-streams/src/response_memory.rs
@@ -59,7 +59,8 @@
     }
 
     /// Adds a response and returns the responses that have to be dropped to stay within the limits,
-    /// in the order of dropping. They are already released here. The new response can be among them.
+    /// in the order of dropping. They are already released here. The new response can be among
+    /// them.
     pub fn reserve(
         &mut self,
         connection: ConnectionKey,
@@ -110,7 +111,8 @@
         dropped
     }
 
-    /// Applies a change to a connection's usage and updates the total and the order by usage with it.
+    /// Applies a change to a connection's usage and updates the total and the order by usage with
+    /// it.
     fn update(&mut self, connection: ConnectionKey, change: impl FnOnce(&mut ConnectionUsage)) {
         let usage = self.connections.entry(connection).or_default();
         let bytes_before = usage.bytes;
--- a/crates/heathspur-streams/src/stream_lifecycle.rs
+++ b/crates/heathspur-streams/src/stream_lifecycle.rs
@@ -2,8 +2,8 @@
 //!
 //! A stream begins when its header block is complete. This module has no information on whether a
 //! submitted request runs: the stream stays [`StreamState::Submitted`] until its one final response
-//! arrives. The result of a request with an idempotency key is retained elsewhere, under that key, no
-//! matter how the stream ends.
+//! arrives. The result of a request with an idempotency key is retained elsewhere, under that key,
+//! no matter how the stream ends.
 
 const STATUS_REQUEST_TIMEOUT: u16 = 408;
 const STATUS_CONTENT_TOO_LARGE: u16 = 413;
@@ -35,7 +35,8 @@
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamEnd {
-    /// The final response was sent, whether it came from admission or from this server's own checks.
+    /// The final response was sent, whether it came from admission or from this server's own
+    /// checks.
     Completed,
     /// The stream was refused before its request was submitted; the client may retry at once.
     Refused,
@@ -124,8 +125,8 @@
 }
 
 impl StreamLifecycle {
-    /// Creates a stream whose header block is complete. A request body of more than `max_body_bytes`
-    /// bytes is rejected.
+    /// Creates a stream whose header block is complete. A request body of more than
+    /// `max_body_bytes` bytes is rejected.
     pub fn new(max_body_bytes: u32) -> StreamLifecycle {
         StreamLifecycle {
             state: StreamState::ReceivingBody { received: 0 },
--- a/crates/heathspur-streams/src/stream_limits.rs
+++ b/crates/heathspur-streams/src/stream_limits.rs
@@ -1,9 +1,10 @@
 //! Limits on open streams, per connection and in total, and the flow-control windows.
 //!
 //! The total limit adapts to the load that the server can handle: it is reduced by a quarter when a
-//! request had to wait before it could be submitted, and grows with each response. It is never below
-//! the number of open streams. While fewer than three quarters of the total limit are in use, a
-//! connection may open streams up to its own limit; beyond that, each connection has an equal share.
+//! request had to wait before it could be submitted, and grows with each response. It is never
+//! below the number of open streams. While fewer than three quarters of the total limit are in use,
+//! a connection may open streams up to its own limit; beyond that, each connection has an equal
+//! share.
 
 use crate::Time;
 
@@ -21,8 +22,8 @@
 
 /// Initial and smallest flow-control window of a connection, in bytes (RFC 9113, section 6.9.2).
 pub const INITIAL_WINDOW_BYTES: u32 = 65_535;
-/// Largest flow-control window of a connection, in bytes. Requests are small, so that a larger window
-/// has no use.
+/// Largest flow-control window of a connection, in bytes. Requests are small, so that a larger
+/// window has no use.
 const MAX_WINDOW_BYTES: u32 = 1 << 20;
 /// Minimum time between two decreases of the limit, in microseconds. A burst of waiting requests
 /// decreases it once.
@@ -132,8 +133,8 @@
         self.open_streams = self.open_streams.saturating_sub(1);
     }
 
-    /// Records that a request had to wait before it could be submitted. Decreases the limit, at most
-    /// once per `DECREASE_INTERVAL_US`.
+    /// Records that a request had to wait before it could be submitted. Decreases the limit, at
+    /// most once per `DECREASE_INTERVAL_US`.
     pub fn on_backpressure(&mut self, now: Time) {
         let may_decrease = self
             .decreased_at
--- a/crates/heathspur-streams/tests/limits.rs
+++ b/crates/heathspur-streams/tests/limits.rs
@@ -1,5 +1,6 @@
 //! Tests of the limits on streams, flow-control windows, response memory and frames, and of the
-//! connection drain: the limits hold under any order of events, are shared fairly, and are released.
+//! connection drain: the limits hold under any order of events, are shared fairly, and are
+//! released.
 
 use heathspur_streams::connection_drain::{ConnectionDrain, DrainStage, DrainStep};
 use heathspur_streams::frame_cost::FrameCostMeter;
--- a/crates/heathspur-streams/tests/model.rs
+++ b/crates/heathspur-streams/tests/model.rs
@@ -1,9 +1,10 @@
-//! Exhaustive model check of streams, connections, one request with an idempotency key, its run and the
-//! drain. Streams and connections are the crate's own state machines; the event loop and admission are
-//! modelled by the rules that they follow.
+//! Exhaustive model check of streams, connections, one request with an idempotency key, its run and
+//! the drain. Streams and connections are the crate's own state machines; the event loop and
+//! admission are modelled by the rules that they follow.
 //!
-//! Every step of a client, the network, admission or the clock can occur in any order. Each rule is an
-//! invariant. Each mutant is a deliberate fault that the checker has to detect as a violated rule.
+//! Every step of a client, the network, admission or the clock can occur in any order. Each rule is
+//! an invariant. Each mutant is a deliberate fault that the checker has to detect as a violated
+//! rule.
 
 use heathspur_streams::connection_drain::{ConnectionDrain, DrainStage, DrainStep};
 use heathspur_streams::stream_lifecycle::{
--- a/crates/heathspur-streams/tests/stream_lifecycle.rs
+++ b/crates/heathspur-streams/tests/stream_lifecycle.rs
@@ -1,5 +1,5 @@
-//! Tests of the stream lifecycle: the outcome of every event in every state, and invariants under any
-//! order of events.
+//! Tests of the stream lifecycle: the outcome of every event in every state, and invariants under
+//! any order of events.
 
 use heathspur_streams::stream_lifecycle::{
     StreamAction, StreamEnd, StreamEvent, StreamLifecycle, StreamState,
--- a/crates/heathspurd/src/frontend/accept.rs
+++ b/crates/heathspurd/src/frontend/accept.rs
@@ -79,8 +79,8 @@
 async fn acquire_permit(context: &FrontendContext) -> Option<Permit> {
     let connections = &context.connections;
     if connections.is_scarce() {
-        // Lets the tasks of the latest connections run, so that these count as idle too. Otherwise only older connections
-        // could be evicted.
+        // Lets the tasks of the latest connections run, so that these count as idle too. Otherwise only older
+        // connections could be evicted.
         future::yield_now().await;
         connections.reclaim_permits();
     }
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Sends a notification to `closed` for each connection that closes from now on, unless the channel is full.
+    /// Sends a notification to `closed` for each connection that closes from now on, unless the channel
+    /// contains one already.
     pub fn notify_closed(&self, closed: Sender<()>) {
         self.closed.replace(Some(closed));
     }
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/answer.rs
@@ -22,14 +22,14 @@
     stream: &Stream,
     context: &FrontendContext,
     response: &Response,
-    option: ConnectionOption,
+    connection_option: ConnectionOption,
 ) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(HEAD_CAPACITY_BYTES + response.body.len());
     http::write_response(
         &mut bytes,
         response.status,
         &response.fields,
-        option,
+        connection_option,
         &response.body,
     );
     match &context.response_budget {
@@ -51,8 +51,8 @@
     within(WRITE_TIMEOUT, stream.write_all(bytes)).await
 }
 
-/// Writes under the memory budget shared with other frontends. Bytes that the client does not accept at once are reserved
-/// in the budget; the connection is aborted if the memory is needed for other responses.
+/// Writes under the memory budget shared with other frontends. Bytes that the client does not accept at once are
+/// reserved in the budget; the connection is aborted if the memory is needed for other responses.
 async fn write_within_budget(
     mut stream: &Stream,
     budget: &Rc<ResponseBudget>,
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -42,7 +42,7 @@
 /// A complete message, and whether the client wants the connection to be closed after the answer.
 struct ReceivedMessage {
     content: ParsedMessage,
-    option: ConnectionOption,
+    connection_option: ConnectionOption,
 }
 
 /// Returns the function that serves a connection of this frontend.
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Closes an evicted connection, unless a request has arrived meanwhile. A request that is complete by now has to be
-    /// answered. An incomplete one is rejected, unless it began only after the connection was selected as idle.
+    /// Closes an evicted connection, unless a request has arrived meanwhile. A request that is complete by now has to
+    /// be answered. An incomplete one is rejected, unless it began only after the connection was selected as idle.
     async fn on_eviction(&mut self, phase: ConnectionPhase) -> Result<(), CloseReason> {
         match self.input.try_read().await {
             Some(Ok(0) | Err(_)) => Err(CloseReason::ClosedByClient),
@@ -135,20 +135,23 @@
     /// Takes a complete message from the input.
     fn take_message(&mut self, message: &Message) -> ReceivedMessage {
         let fields = Fields::over(&self.input.bytes()[message.fields.clone()]);
-        let option = match http::has_close_option(fields) {
+        let connection_option = match http::has_close_option(fields) {
             true => ConnectionOption::Close,
             false => ConnectionOption::KeepAlive,
         };
         let bytes = self.input.take_message(message);
         let content = parse(&bytes, message, &self.frontend.context);
-        ReceivedMessage { content, option }
+        ReceivedMessage {
+            content,
+            connection_option,
+        }
     }
 
     /// Answers a complete message.
     async fn serve_message(&mut self, message: ReceivedMessage) -> Result<(), CloseReason> {
         let ReceivedMessage {
             content,
-            mut option,
+            mut connection_option,
         } = message;
         let response = match content {
             ParsedMessage::Invalid(status) => return Err(CloseReason::InvalidRequest(status)),
@@ -160,16 +163,16 @@
                 self.permit.request_received();
                 let answer = self.obtain_answer(request, answers).await?;
                 if self.frontend.context.draining.get() && !self.has_next_request().await {
-                    option = ConnectionOption::Close;
+                    connection_option = ConnectionOption::Close;
                 }
                 Response::of(&answer, &self.frontend.context)
             }
         };
         let stream = self.input.stream();
-        answer::write(stream, &self.frontend.context, &response, option)
+        answer::write(stream, &self.frontend.context, &response, connection_option)
             .await
             .map_err(|_| CloseReason::ClosedByClient)?;
-        match option {
+        match connection_option {
             ConnectionOption::KeepAlive => Ok(()),
             ConnectionOption::Close => Err(CloseReason::NoMoreRequests),
         }
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Starts the task of a stream, or refuses the stream. A refused stream is not submitted, and the client may retry at
-    /// once.
+    /// Starts the task of a stream, or refuses the stream. A refused stream is not submitted, and the client may retry
+    /// at once.
     fn accept(&mut self, (request, mut responder): NewStream) {
         let slot = match self.drain.accepts_streams() {
             true => StreamSlot::acquire(self.state),
@@ -320,8 +320,8 @@
     .await
 }
 
-/// Waits until no new requests are accepted. If that has been handled, waits until unread answers have to be dropped. If
-/// that has happened as well, never returns.
+/// Waits until no new requests are accepted. If that has been handled, waits until unread answers have to be dropped.
+/// If that has happened as well, never returns.
 async fn stop_signal(context: &FrontendContext, accepting_stopped: bool) {
     match accepting_stopped {
         false => context.accepting_stopped().await,
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -1,8 +1,8 @@
 //! The frontend for HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3), on a separate port.
 //!
-//! The `h2` crate implements framing and header compression. `heathspur-streams` decides which streams are accepted, how
-//! each proceeds, which limits apply and how a connection ends. This frontend connects those decisions to sockets and
-//! clocks. Each connection is served by a task, and so is each of its streams.
+//! The `h2` crate implements framing and header compression. `heathspur-streams` decides which streams are accepted,
+//! how each proceeds, which limits apply and how a connection ends. This frontend connects those decisions to sockets
+//! and clocks. Each connection is served by a task, and so is each of its streams.
 
 mod connection;
 mod receive;
--- a/crates/heathspurd/src/frontend/http2/send.rs
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -122,8 +122,8 @@
 
     /// Waits until some of the `remaining` bytes can be sent, or until the response has to be dropped.
     ///
-    /// At first, if the client's window or the connection's buffers are used up, reserves memory for the remaining bytes
-    /// and returns immediately.
+    /// At first, if the client's window or the connection's buffers are used up, reserves memory for the remaining
+    /// bytes and returns immediately.
     pub async fn next_event(&mut self, remaining: usize) -> StreamEvent {
         let (Some(body), Some(deadline)) = (&mut self.body, self.deadline) else {
             return StreamEvent::ConnectionLost;
@@ -157,8 +157,8 @@
     }
 }
 
-/// Waits until the client's window and the connection's buffers have capacity, and returns the number of bytes that can be
-/// sent, or until the stream fails.
+/// Waits until the client's window and the connection's buffers have capacity, and returns the event with the number of
+/// bytes that can be sent. Returns another event if the stream ends before.
 async fn wait_for_capacity(
     body: &mut SendStream<Bytes>,
     monitor: &TransportMonitor,
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -1,5 +1,5 @@
-//! The task of one stream. It passes events from the library, the event loop and the clock to the stream's state machine
-//! ([`StreamLifecycle`]) and carries out the actions that it returns.
+//! The task of one stream. It passes events from the library, the event loop and the clock to the stream's state
+//! machine ([`StreamLifecycle`]) and carries out the actions that it returns.
 
 use super::connection::{ConnectionState, StreamSlot};
 use super::receive::RequestReceiver;
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Submits the request to the event loop. If the request is invalid, returns the event of this frontend's own response
-    /// instead.
+    /// Submits the request to the event loop. If the request is invalid, returns the event of this frontend's own
+    /// response instead.
     async fn submit(&mut self) -> Option<StreamEvent> {
         let RequestTarget::Service(class) = *self.receiver.target() else {
             return None;
--- a/crates/heathspurd/src/frontend/http2/transport.rs
+++ b/crates/heathspurd/src/frontend/http2/transport.rs
@@ -1,5 +1,5 @@
-//! The transport that the `h2` crate reads and writes. It implements tokio's I/O traits over the server's stream, counts
-//! the cost of incoming frames and tracks outgoing bytes.
+//! The transport that the `h2` crate reads and writes. It implements tokio's I/O traits over the server's stream,
+//! counts the cost of incoming frames and tracks outgoing bytes.
 
 use crate::notify::Notify;
 use crate::recording::recorded_stream::Stream;
@@ -160,8 +160,8 @@
         self.progress.notify();
     }
 
-    /// Records that everything that was queued has been written. Frames of reset streams are never written, so the count
-    /// would otherwise stay too high.
+    /// Records that everything that was queued has been written. Frames of reset streams are never written, so the
+    /// count would otherwise stay too high.
     fn record_all_written(&self) {
         self.queued_bytes.set(0);
         self.progress.notify();
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -160,8 +160,8 @@
             .then(|| (self.to_bytes)(value))
     }
 
-    /// Builds the request from the fields and the body, with a channel for its answer. Returns `None` if a required field
-    /// is missing or a field does not belong to the class.
+    /// Builds the request from the fields and the body, with a channel for its answer. Returns `None` if a required
+    /// field is missing or a field does not belong to the class.
     pub fn finish(
         self,
         class: ClassId,
--- a/crates/heathspurd/src/frontend/request_queue.rs
+++ b/crates/heathspurd/src/frontend/request_queue.rs
@@ -9,7 +9,7 @@
 /// One queue per frontend, served round-robin.
 pub(crate) struct RequestQueues<T> {
     queues: Vec<Receiver<T>>,
-    /// Index of the queue to try first.
+    /// Index of the queue to receive from first.
     next_queue: usize,
 }
 
