--- a/crates/heathspur-bench/src/daemon.rs
+++ b/crates/heathspur-bench/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon under measurement, with stand-ins that answer by themselves.
 
+use heathspur_testkit::auto_stubs::{self, Manner, Runs};
 use heathspur_testkit::prelude::{config, local, Running};
-use heathspur_testkit::swift::{self, Manner, Runs};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -36,8 +36,8 @@
         edit(&mut settings);
         let file = folder.join("config.json");
         std::fs::write(&file, settings.to_string()).expect("the configuration is written");
-        let runs = swift::slower(vm, manner);
-        swift::announce(announce);
+        let runs = auto_stubs::slower(vm, manner);
+        auto_stubs::announce(announce);
         command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
         let mut further = false;
         if let Some(operator) = operator {
--- a/crates/heathspur-bench/src/http2/abuse.rs
+++ b/crates/heathspur-bench/src/http2/abuse.rs
@@ -3,8 +3,8 @@
 use super::start;
 use crate::table::Table;
 use hdrhistogram::Histogram;
+use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::http2::*;
-use heathspur_testkit::swift::Manner;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/heathspur-bench/src/http2/cost.rs
+++ b/crates/heathspur-bench/src/http2/cost.rs
@@ -3,9 +3,9 @@
 use super::start;
 use crate::cost::{instructions, load};
 use crate::table::Table;
+use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::http2::Caller;
 use heathspur_testkit::prelude::built;
-use heathspur_testkit::swift::Manner;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
--- a/crates/heathspur-bench/src/http2/mod.rs
+++ b/crates/heathspur-bench/src/http2/mod.rs
@@ -8,8 +8,8 @@
 
 use crate::daemon::Daemon;
 use crate::table::Table;
+use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::prelude::built;
-use heathspur_testkit::swift::Manner;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -2,9 +2,9 @@
 
 use super::start;
 use crate::table::Table;
+use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::http2::{Caller, Ended, CANCEL};
 use heathspur_testkit::prelude::{request, Client};
-use heathspur_testkit::swift::Manner;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
--- a/crates/heathspur-bench/src/http2/stalled.rs
+++ b/crates/heathspur-bench/src/http2/stalled.rs
@@ -2,8 +2,8 @@
 
 use super::{start, MEMORY_MB};
 use crate::table::Table;
+use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::http2::{Caller, INITIAL_WINDOW};
-use heathspur_testkit::swift::Manner;
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -4,7 +4,7 @@
 use heathspur_capture::{write, Side, Stamp};
 use heathspur_testkit::capture::{answer, Script, MS, START};
 use heathspur_testkit::prelude::built;
-use heathspur_testkit::sink::{Manner, Received, Sink};
+use heathspur_testkit::recording_server::{Manner, Received, Sink};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
--- a/crates/heathspur-testkit/src/lib.rs
+++ b/crates/heathspur-testkit/src/lib.rs
@@ -6,8 +6,10 @@
 #![forbid(unsafe_code)]
 #![allow(missing_docs)]
 
+pub mod auto_stubs;
 pub mod capture;
 pub mod config;
+pub mod example_peers;
 pub mod fleet;
 pub mod http1;
 pub mod http2;
@@ -18,9 +20,7 @@
 pub mod prelude;
 pub mod process;
 pub mod proxy;
+pub mod recording_server;
 pub mod relay;
 pub mod replica;
 pub mod server_fixture;
-pub mod sink;
-pub mod swift;
-pub mod toy;
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -1,8 +1,8 @@
 //! Load by a plan, as a process, to a server that speaks both protocols.
 
+use heathspur_testkit::auto_stubs;
 use heathspur_testkit::prelude::{Rig, Running};
-use heathspur_testkit::sink::{Manner, Sink};
-use heathspur_testkit::swift;
+use heathspur_testkit::recording_server::{Manner, Sink};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -46,7 +46,7 @@
         c["settings"]["family-info"]["calls-by-class"] = serde_json::json!([false, false]);
     });
     let (http1, http2) = (rig.address, rig.further());
-    let runs = swift::interpreter(rig.vm.try_clone().unwrap());
+    let runs = auto_stubs::interpreter(rig.vm.try_clone().unwrap());
     let targets = format!(
         "<target protocol=\"http1\" address=\"{http1}\"/><target protocol=\"http2\" address=\"{http2}\" connections=\"2\"/>"
     );
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -3,7 +3,7 @@
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
 use heathspur_testkit::proxy::{self, Faults};
-use heathspur_testkit::sink::{Manner, Sink};
+use heathspur_testkit::recording_server::{Manner, Sink};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -1,10 +1,10 @@
 //! Three zones of three servers in two regions, a replica of the dependency in each zone: replicas killed, slowed,
 //! made to flap, members cut off. Tests wait on logs and counts; figures belong to a measurement.
 
+use heathspur_testkit::auto_stubs::{self, Manner, Runs};
 use heathspur_testkit::fleet::Fleet;
 use heathspur_testkit::prelude::{request, Client};
 use heathspur_testkit::replica::Replica;
-use heathspur_testkit::swift::{self, Manner, Runs};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
@@ -49,7 +49,7 @@
             ..Manner::default()
         };
         let runs = (0..SERVERS)
-            .map(|i| swift::slower(fleet.rig(i).vm.try_clone().unwrap(), manner))
+            .map(|i| auto_stubs::slower(fleet.rig(i).vm.try_clone().unwrap(), manner))
             .collect();
         fleet.until("all see all", Fleet::one_view);
         Zones {
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -4,8 +4,8 @@
 //!
 //! `HEATHSPUR_PROGRAMS` names the folder of the programs under test; without it they are those just built.
 
+use heathspur_testkit::auto_stubs;
 use heathspur_testkit::prelude::*;
-use heathspur_testkit::swift;
 use object::read::elf::{Dyn, ElfFile64, FileHeader, ProgramHeader};
 use object::{elf, Endianness};
 use procfs::net::{TcpState, UnixState};
@@ -75,8 +75,8 @@
         let mut config = config(at(&vm), at(&announce), at(&store));
         config["limits"]["sockets"] = 4096.into();
         edit(&mut config);
-        swift::interpreter(vm);
-        swift::announce(announce);
+        auto_stubs::interpreter(vm);
+        auto_stubs::announce(announce);
         let folders =
             std::env::temp_dir().join(format!("heathspur-terms-{}-{name}", std::process::id()));
         for folder in ["here", "home"] {
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,9 +1,9 @@
-//! A toy of all that one server talks to: `toy CONFIG`. See `heathspur_testkit::toy`.
+//! A toy of all that one server talks to: `toy CONFIG`. See `heathspur_testkit::example_peers`.
 #![forbid(unsafe_code)]
 
 use std::path::Path;
 
-fn main() -> heathspur_testkit::toy::Outcome {
+fn main() -> heathspur_testkit::example_peers::Outcome {
     let file = std::env::args().nth(1).ok_or("usage: toy CONFIG")?;
-    heathspur_testkit::toy::run(Path::new(&file))
+    heathspur_testkit::example_peers::run(Path::new(&file))
 }
