--- a/crates/heathspur-testkit/src/fleet.rs
+++ b/crates/heathspur-testkit/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Several servers behind a fault relay: started, killed, paused, restarted; what each logs of the others.
 
 use crate::relay::Relay;
-use crate::server_fixture::Rig;
+use crate::server_fixture::ServerFixture;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -25,7 +25,7 @@
 
 pub struct Server {
     /// `None` while it is down.
-    pub rig: Option<Rig>,
+    pub rig: Option<ServerFixture>,
     file: PathBuf,
     /// What this server holds of each other: state and incarnation, from its log.
     pub view: BTreeMap<String, (String, u64)>,
@@ -99,14 +99,17 @@
     pub fn run(&mut self, i: usize) {
         let server = &mut self.servers[i];
         // Room for the keys of some minutes: what is measured or tested here is not what a full table turns away.
-        server.rig = Some(Rig::operated_with(&server.file, |c| {
-            c["settings"]["family-info"]["mem-limit-kb"] = 150_000.0.into();
-            c["settings"]["realms"][0]["quota-per-s"] = 1e6.into();
-        }));
+        server.rig = Some(ServerFixture::start_with_operator_file_and_config(
+            &server.file,
+            |c| {
+                c["settings"]["family-info"]["mem-limit-kb"] = 150_000.0.into();
+                c["settings"]["realms"][0]["quota-per-s"] = 1e6.into();
+            },
+        ));
         server.view.clear();
     }
 
-    pub fn rig(&self, i: usize) -> &Rig {
+    pub fn rig(&self, i: usize) -> &ServerFixture {
         self.servers[i].rig.as_ref().expect("it runs")
     }
 
@@ -125,8 +128,8 @@
     pub fn read(&mut self) {
         for server in &mut self.servers {
             let Some(rig) = &mut server.rig else { continue };
-            let early = std::mem::take(&mut rig.early);
-            for line in early.into_iter().chain(rig.lines.try_iter()) {
+            let early = std::mem::take(&mut rig.startup_lines);
+            for line in early.into_iter().chain(rig.log_lines.try_iter()) {
                 server.dropped += line.contains("datagrams or updates dropped") as usize;
                 if let Some(said) = line.split("failover: ").nth(1) {
                     server.failover.push((Instant::now(), said.to_string()));
--- a/crates/heathspur-testkit/src/mock_registration.rs
+++ b/crates/heathspur-testkit/src/mock_registration.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 /// An announce service there, and what is reported to it.
-pub fn announce_at(announce: TcpListener) -> Receiver<Value> {
+pub fn mock_registration(announce: TcpListener) -> Receiver<Value> {
     let (report, reports) = mpsc::channel();
     thread::spawn(move || {
         for stream in announce.incoming().flatten() {
--- a/crates/heathspur-testkit/src/mock_store.rs
+++ b/crates/heathspur-testkit/src/mock_store.rs
@@ -1,7 +1,7 @@
 //! The scripted store.
 
 use crate::loopback::accept;
-use crate::server_fixture::Rig;
+use crate::server_fixture::ServerFixture;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
@@ -19,8 +19,8 @@
         self.say(format!("{txn:016x} OK {}\r\n{body}\r\n", body.len()).as_bytes());
     }
 
-    pub fn accept(rig: &Rig) -> Store {
-        Store(accept(&rig.store))
+    pub fn accept(rig: &ServerFixture) -> Store {
+        Store(accept(&rig.store_listener))
     }
 
     pub fn say(&mut self, bytes: &[u8]) {
--- a/crates/heathspur-testkit/src/server_fixture.rs
+++ b/crates/heathspur-testkit/src/server_fixture.rs
@@ -4,7 +4,7 @@
 use crate::http1::Client;
 use crate::loopback::{accept, bind_loopback, EVENT_TIMEOUT};
 use crate::mock_interpreter::Vm;
-use crate::mock_registration::announce_at;
+use crate::mock_registration::mock_registration;
 use crate::process::{server_command, ProcessGuard};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -15,47 +15,50 @@
 use std::time::Instant;
 
 /// The program under test with its stand-ins.
-pub struct Rig {
+pub struct ServerFixture {
     pub process: ProcessGuard,
     pub address: SocketAddr,
-    pub vm: TcpListener,
-    pub store: TcpListener,
+    pub interpreter_listener: TcpListener,
+    pub store_listener: TcpListener,
     /// Reports that reached the announce service.
-    pub reports: Receiver<Value>,
+    pub registration_reports: Receiver<Value>,
     /// Lines of the log before the one that says where it listens.
-    pub early: Vec<String>,
-    pub lines: Receiver<String>,
+    pub startup_lines: Vec<String>,
+    pub log_lines: Receiver<String>,
     pub config: Value,
     /// The configuration's file.
-    pub file: PathBuf,
+    pub config_file: PathBuf,
 }
 
-impl Drop for Rig {
+impl Drop for ServerFixture {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
     }
 }
 
-impl Rig {
-    pub fn start() -> Rig {
-        Rig::with(|_| {})
+impl ServerFixture {
+    pub fn start() -> ServerFixture {
+        ServerFixture::start_with_config(|_| {})
     }
 
-    pub fn with(edit: impl FnOnce(&mut Value)) -> Rig {
-        Rig::run(edit, None)
+    pub fn start_with_config(edit: impl FnOnce(&mut Value)) -> ServerFixture {
+        ServerFixture::run(edit, None)
     }
 
     /// With an operator's file.
-    pub fn operated(operator: &std::path::Path) -> Rig {
-        Rig::run(|_| {}, Some(operator))
+    pub fn start_with_operator_file(operator: &std::path::Path) -> ServerFixture {
+        ServerFixture::run(|_| {}, Some(operator))
     }
 
     /// With both.
-    pub fn operated_with(operator: &std::path::Path, edit: impl FnOnce(&mut Value)) -> Rig {
-        Rig::run(edit, Some(operator))
+    pub fn start_with_operator_file_and_config(
+        operator: &std::path::Path,
+        edit: impl FnOnce(&mut Value),
+    ) -> ServerFixture {
+        ServerFixture::run(edit, Some(operator))
     }
 
-    fn run(edit: impl FnOnce(&mut Value), operator: Option<&std::path::Path>) -> Rig {
+    fn run(edit: impl FnOnce(&mut Value), operator: Option<&std::path::Path>) -> ServerFixture {
         let (vm, store, announce) = (bind_loopback(), bind_loopback(), bind_loopback());
         let at = |l: &TcpListener| l.local_addr().unwrap();
         let mut config = server_config(at(&vm), at(&announce), at(&store));
@@ -73,7 +76,7 @@
                 let _ = line.send(text);
             }
         });
-        let reports = announce_at(announce);
+        let reports = mock_registration(announce);
         let process = ProcessGuard(child);
         // Where membership is on, its first lines may come before.
         let mut early = Vec::new();
@@ -87,39 +90,39 @@
             early.push(line);
         };
         let address = said.rsplit(' ').next().unwrap().parse().expect(&said);
-        Rig {
+        ServerFixture {
             process,
             address,
-            vm,
-            store,
-            reports,
-            early,
-            lines,
+            interpreter_listener: vm,
+            store_listener: store,
+            registration_reports: reports,
+            startup_lines: early,
+            log_lines: lines,
             config,
-            file,
+            config_file: file,
         }
     }
 
     /// New addresses for all peers: the configuration's file is replaced and the program told so.
-    pub fn move_peers(&mut self) -> Receiver<Value> {
+    pub fn replace_peer_addresses(&mut self) -> Receiver<Value> {
         let announce = bind_loopback();
-        (self.vm, self.store) = (bind_loopback(), bind_loopback());
-        self.config["vm"] = json!(self.vm.local_addr().unwrap());
-        self.config["store"] = json!(self.store.local_addr().unwrap());
+        (self.interpreter_listener, self.store_listener) = (bind_loopback(), bind_loopback());
+        self.config["vm"] = json!(self.interpreter_listener.local_addr().unwrap());
+        self.config["store"] = json!(self.store_listener.local_addr().unwrap());
         self.config["announce"] = json!(announce.local_addr().unwrap());
-        self.replace_config();
-        announce_at(announce)
+        self.reload_config();
+        mock_registration(announce)
     }
 
     /// The configuration's file is replaced and the program told so.
-    pub fn replace_config(&self) {
-        std::fs::write(&self.file, self.config.to_string()).unwrap();
+    pub fn reload_config(&self) {
+        std::fs::write(&self.config_file, self.config.to_string()).unwrap();
         self.process.signal("HUP");
     }
 
     /// Where it listens for another protocol, as it says next.
-    pub fn further(&self) -> SocketAddr {
-        self.logs("listening for")
+    pub fn wait_for_listen_address(&self) -> SocketAddr {
+        self.wait_for_log("listening for")
             .rsplit(' ')
             .next()
             .unwrap()
@@ -128,10 +131,10 @@
     }
 
     /// Waits for a line of the log that holds these words, and gives it.
-    pub fn logs(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         let start = Instant::now();
         loop {
-            let line = self.lines.recv_timeout(EVENT_TIMEOUT).expect(words);
+            let line = self.log_lines.recv_timeout(EVENT_TIMEOUT).expect(words);
             // Others may come for ever.
             assert!(start.elapsed() < EVENT_TIMEOUT, "no line holds {words:?}");
             if line.contains(words) {
@@ -141,15 +144,15 @@
     }
 
     /// The interpreter's end of a link that is up.
-    pub fn link(&self) -> Vm {
-        let mut vm = self.open_link();
+    pub fn accept_link(&self) -> Vm {
+        let mut vm = self.accept_link_before_banner();
         vm.say(json!({"verb": "BANNER", "outcome": "hot", "spent": 5}));
         vm
     }
 
     /// The same before `BANNER`.
-    pub fn open_link(&self) -> Vm {
-        let stream = accept(&self.vm);
+    pub fn accept_link_before_banner(&self) -> Vm {
+        let stream = accept(&self.interpreter_listener);
         let mut vm = Vm {
             reader: BufReader::new(stream),
             resumed_at: 0,
@@ -162,7 +165,7 @@
         vm
     }
 
-    pub fn client(&self) -> Client {
+    pub fn connect_client(&self) -> Client {
         Client::to(self.address)
     }
 }
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -1,7 +1,7 @@
 //! Load by a plan, as a process, to a server that speaks both protocols.
 
 use heathspur_testkit::auto_stubs;
-use heathspur_testkit::prelude::{ProcessGuard, Rig};
+use heathspur_testkit::prelude::{ProcessGuard, ServerFixture};
 use heathspur_testkit::recording_server::{Manner, Sink};
 use serde_json::Value;
 use std::path::PathBuf;
@@ -41,12 +41,12 @@
     let text =
         "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\"/></operator>";
     std::fs::write(&operator, text).unwrap();
-    let rig = Rig::operated_with(&operator, |c| {
+    let rig = ServerFixture::start_with_operator_file_and_config(&operator, |c| {
         c["settings"]["realms"][0]["quota-per-s"] = 1e6.into();
         c["settings"]["family-info"]["calls-by-class"] = serde_json::json!([false, false]);
     });
-    let (http1, http2) = (rig.address, rig.further());
-    let runs = auto_stubs::interpreter(rig.vm.try_clone().unwrap());
+    let (http1, http2) = (rig.address, rig.wait_for_listen_address());
+    let runs = auto_stubs::interpreter(rig.interpreter_listener.try_clone().unwrap());
     let targets = format!(
         "<target protocol=\"http1\" address=\"{http1}\"/><target protocol=\"http2\" address=\"{http2}\" connections=\"2\"/>"
     );
--- a/crates/heathspurctl/tests/members.rs
+++ b/crates/heathspurctl/tests/members.rs
@@ -50,8 +50,8 @@
     let mut fleet = Fleet::start(3);
     fleet.until("all see all", Fleet::one_view);
     let asked = fleet.relay.real[0];
-    let mut vm = fleet.rig(1).link();
-    let mut client = fleet.rig(1).client();
+    let mut vm = fleet.rig(1).accept_link();
+    let mut client = fleet.rig(1).connect_client();
     client.send(&request(1, None, b"abc"));
     let (task, _, body) = vm.apply();
     assert_eq!(body, b"abc");
--- a/crates/heathspurd/tests/close.rs
+++ b/crates/heathspurd/tests/close.rs
@@ -18,8 +18,8 @@
     format!("{txn:016x}")
 }
 
-fn small() -> Rig {
-    Rig::with(|config| config["limits"]["sockets"] = json!(SOCKETS))
+fn small() -> ServerFixture {
+    ServerFixture::start_with_config(|config| config["limits"]["sockets"] = json!(SOCKETS))
 }
 
 /// The same request, which says that it is the last.
@@ -38,13 +38,13 @@
     }
 }
 
-fn stopped(rig: &Rig) {
+fn stopped(rig: &ServerFixture) {
     rig.process.signal("STOP");
     let process = Process::new(rig.process.0.id() as i32).unwrap();
     until("it stands still", || process.stat().unwrap().state == 'T');
 }
 
-fn descriptors(rig: &Rig) -> usize {
+fn descriptors(rig: &ServerFixture) -> usize {
     Process::new(rig.process.0.id() as i32)
         .unwrap()
         .fd_count()
@@ -52,7 +52,7 @@
 }
 
 /// Connections that send nothing, or the first words of a request.
-fn flood(rig: &Rig, count: usize, words: &[u8]) -> Vec<TcpStream> {
+fn flood(rig: &ServerFixture, count: usize, words: &[u8]) -> Vec<TcpStream> {
     let join = |_| {
         let mut stream = TcpStream::connect(rig.address).unwrap();
         stream.write_all(words).unwrap();
@@ -63,10 +63,10 @@
 
 #[test]
 fn an_answer_that_is_the_last_reaches_a_caller_that_goes_on_sending() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     for txn in 1..4 {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&last_request(txn));
         assert_eq!(vm.apply().0, task(txn));
         // More than the server reads ahead lies unread when it closes: a close at once would be a reset.
@@ -80,9 +80,9 @@
 
 #[test]
 fn what_comes_behind_our_end_is_read_off_and_never_sent_on() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&last_request(1));
     assert_eq!(vm.apply().0, task(1));
     vm.value(&task(1), "complete", b"done");
@@ -90,21 +90,23 @@
     client.closed();
     // Our side is shut, theirs is open still.
     client.send(&request(2, None, b"abc"));
-    let mut other = rig.client();
+    let mut other = rig.connect_client();
     other.send(&request(3, None, b"abc"));
     assert_eq!(vm.apply().0, task(3));
 }
 
 #[test]
 fn a_caller_that_never_closes_keeps_no_descriptor_and_no_drain() {
-    let mut rig = Rig::start();
-    let mut vm = rig.link();
+    let mut rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     // From then on all links are up.
-    rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap();
+    rig.registration_reports
+        .recv_timeout(EVENT_TIMEOUT)
+        .unwrap();
     let before = descriptors(&rig);
     let mut stay: Vec<Client> = Vec::new();
     for txn in 1..20 {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&last_request(txn));
         assert_eq!(vm.apply().0, task(txn));
         vm.value(&task(txn), "complete", b"done");
@@ -117,8 +119,8 @@
 }
 
 /// A connection whose request is in the server's hands, and behind a health check so that it is known to be open.
-fn asked(rig: &Rig, txn: u64) -> Client {
-    let mut client = rig.client();
+fn asked(rig: &ServerFixture, txn: u64) -> Client {
+    let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     client.answer();
     client.send(&request(txn, None, b"abc"));
@@ -136,16 +138,16 @@
 #[test]
 fn connections_behind_a_full_pool_are_answered_though_the_grace_passes_meanwhile() {
     let grace = Duration::from_millis(300);
-    let mut rig = Rig::with(|config| {
+    let mut rig = ServerFixture::start_with_config(|config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["settings"]["guarantees"]["drain-grace-s"] = json!(grace.as_secs_f64());
         config["stop_ms"] = json!(10_000);
         // So many that all may run at once, and that what runs here is too little to count as stalled.
         config["settings"]["family-info"]["n-cores"] = json!(200);
     });
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     let ask = |txn| {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(txn, None, b"abc"));
         client
     };
@@ -156,7 +158,12 @@
     rig.process.signal("CONT");
     let (first, ..) = vm.apply();
     rig.process.terminate();
-    while rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
+    while rig
+        .registration_reports
+        .recv_timeout(EVENT_TIMEOUT)
+        .unwrap()
+        != json!({"accepting": "false"})
+    {}
     // The front is shut when the grace is over, which nothing shows while all connections are busy.
     thread::sleep(grace + Duration::from_millis(200));
     clients.extend((201..204).map(ask));
@@ -173,12 +180,17 @@
 
 #[test]
 fn a_server_that_got_no_time_until_its_end_answers_before_it_leaves() {
-    let mut rig = Rig::with(|config| config["stop_ms"] = json!(3000));
-    let mut vm = rig.link();
+    let mut rig = ServerFixture::start_with_config(|config| config["stop_ms"] = json!(3000));
+    let mut vm = rig.accept_link();
     let mut clients: Vec<Client> = (1..=8).map(|txn| asked(&rig, txn)).collect();
     assert_eq!(vm.apply().0, task(1));
     rig.process.terminate();
-    while rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
+    while rig
+        .registration_reports
+        .recv_timeout(EVENT_TIMEOUT)
+        .unwrap()
+        != json!({"accepting": "false"})
+    {}
     stopped(&rig);
     thread::sleep(Duration::from_millis(3100));
     rig.process.signal("CONT");
@@ -193,9 +205,9 @@
 fn a_request_that_has_begun_stays_when_idle_connections_fill_the_pool() {
     for _ in 0..10 {
         let rig = small();
-        let mut vm = rig.link();
+        let mut vm = rig.accept_link();
         let whole = request(1, None, b"abc");
-        let mut begun = rig.client();
+        let mut begun = rig.connect_client();
         begun.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         begun.answer();
         begun.send(&whole[..40]);
@@ -220,8 +232,8 @@
 #[test]
 fn a_request_that_is_whole_when_its_connection_has_to_leave_is_answered() {
     let rig = small();
-    let vm = rig.link();
-    let mut first: Vec<Client> = (0..POOL as u64 / 2).map(|_| rig.client()).collect();
+    let vm = rig.accept_link();
+    let mut first: Vec<Client> = (0..POOL as u64 / 2).map(|_| rig.connect_client()).collect();
     // Nothing of them is read while the process stands still, and room for all who come is asked of them then.
     stopped(&rig);
     for (client, txn) in first.iter_mut().zip(1..) {
@@ -237,8 +249,8 @@
 }
 
 /// Work on a new connection is served, with its call below, whoever else holds connections.
-fn serves_with_a_call(rig: &Rig, vm: &mut Vm, txn: u64) {
-    let mut client = rig.client();
+fn serves_with_a_call(rig: &ServerFixture, vm: &mut Vm, txn: u64) {
+    let mut client = rig.connect_client();
     // Of a class whose call is neither left out nor made again, however slow this machine is.
     client.send(&request(txn, Some(&task(txn)), b"abc"));
     assert_eq!(vm.apply().0, task(txn));
@@ -254,11 +266,11 @@
 #[test]
 fn floods_of_silent_and_slow_callers_leave_links_and_new_work_their_descriptors() {
     // Nobody listens where a listener was dropped: no report gets through meanwhile.
-    let rig = Rig::with(|config| {
+    let rig = ServerFixture::start_with_config(|config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["announce"] = json!(bind_loopback().local_addr().unwrap());
     });
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     serves_with_a_call(&rig, &mut vm, 1);
     let before = descriptors(&rig);
     for (words, txn) in [
@@ -270,7 +282,7 @@
         serves_with_a_call(&rig, &mut vm, txn);
         // The interpreter's link can break and come back in it.
         drop(vm);
-        vm = rig.link();
+        vm = rig.accept_link();
         serves_with_a_call(&rig, &mut vm, 10 + txn);
         assert!(
             descriptors(&rig) <= SOCKETS,
@@ -285,8 +297,10 @@
 
 #[test]
 fn a_connection_that_idles_out_ends_without_a_reset_whatever_was_sent_of_a_next_request() {
-    let rig = Rig::with(|config| config["settings"]["family-info"]["idle-s"] = json!(0.5));
-    let mut vm = rig.link();
+    let rig = ServerFixture::start_with_config(|config| {
+        config["settings"]["family-info"]["idle-s"] = json!(0.5)
+    });
+    let mut vm = rig.accept_link();
     for txn in 1..10 {
         let mut client = asked(&rig, txn);
         assert_eq!(vm.apply().0, task(txn));
@@ -297,7 +311,7 @@
         let told = Instant::now();
         client.send(b"POST /svc/lo");
         // Had that met a closed socket, this would meet the reset that it brought.
-        let mut check = rig.client();
+        let mut check = rig.connect_client();
         check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         check.answer();
         client.send(b"ok HTTP/1.1\r\n");
--- a/crates/heathspurd/tests/cold.rs
+++ b/crates/heathspurd/tests/cold.rs
@@ -15,14 +15,14 @@
 /// A server whose interpreter comes up so, and to which all requests come at once. All of its runs wait at a call that
 /// is never answered, so that their cores are free for others.
 struct Crowd {
-    _rig: Rig,
+    _rig: ServerFixture,
     vm: Vm,
     clients: Vec<Client>,
 }
 
 impl Crowd {
     fn come(state: &str) -> Crowd {
-        let rig = Rig::with(|config| {
+        let rig = ServerFixture::start_with_config(|config| {
             config["settings"]["family-info"]["cold"] = json!(state == "chilly");
             // It stays as cold as it starts while the test lasts.
             config["settings"]["guarantees"]["warm-up-s"] = json!(100.0);
@@ -30,13 +30,15 @@
             config["settings"]["services"][1]["slo-s"] = json!(2.0);
             config["settings"]["services"][1]["give-up-s"] = json!(3.0);
         });
-        let mut vm = rig.open_link();
+        let mut vm = rig.accept_link_before_banner();
         vm.say(json!({"verb": "BANNER", "outcome": state, "spent": 0}));
         assert_eq!(
-            rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
+            rig.registration_reports
+                .recv_timeout(EVENT_TIMEOUT)
+                .unwrap(),
             json!({"accepting": "true"})
         );
-        let mut clients: Vec<Client> = (0..REQUESTS).map(|_| rig.client()).collect();
+        let mut clients: Vec<Client> = (0..REQUESTS).map(|_| rig.connect_client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
         }
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -49,7 +49,12 @@
             ..Manner::default()
         };
         let runs = (0..SERVERS)
-            .map(|i| auto_stubs::slower(fleet.rig(i).vm.try_clone().unwrap(), manner))
+            .map(|i| {
+                auto_stubs::slower(
+                    fleet.rig(i).interpreter_listener.try_clone().unwrap(),
+                    manner,
+                )
+            })
             .collect();
         fleet.until("all see all", Fleet::one_view);
         Zones {
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn descriptors(rig: &Rig) -> usize {
+fn descriptors(rig: &ServerFixture) -> usize {
     Process::new(rig.process.0.id() as i32)
         .unwrap()
         .fd_count()
@@ -36,7 +36,7 @@
 }
 
 /// So many more that rest: with nothing said, with half a line, or behind an answer.
-fn rest(rig: &Rig, crowd: &mut Vec<TcpStream>, count: usize) {
+fn rest(rig: &ServerFixture, crowd: &mut Vec<TcpStream>, count: usize) {
     let words = [
         &b""[..],
         b"POST /svc/lo",
@@ -67,8 +67,8 @@
 }
 
 /// Work on a new connection is served, with its call below, and no descriptor too many is held.
-fn serves_with_a_call(rig: &Rig, vm: &mut Vm, txn: u64) {
-    let (mut client, task) = (rig.client(), format!("{txn:016x}"));
+fn serves_with_a_call(rig: &ServerFixture, vm: &mut Vm, txn: u64) {
+    let (mut client, task) = (rig.connect_client(), format!("{txn:016x}"));
     client.send(&request(txn, Some(&task), b"abc"));
     assert_eq!(vm.apply().0, task);
     vm.awaits(&task, b"ask");
@@ -88,11 +88,11 @@
 #[test]
 fn who_rests_while_discovery_is_down_keeps_no_descriptor_from_links_reports_calls_and_new_work() {
     let service = refusing();
-    let rig = Rig::with(|config| {
+    let rig = ServerFixture::start_with_config(|config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["announce"] = json!(service.local_addr().unwrap());
     });
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     serves_with_a_call(&rig, &mut vm, 1);
     let (before, mut crowd) = (descriptors(&rig), Vec::new());
     // To half of the limit, which balancers may take, and far beyond.
@@ -104,18 +104,18 @@
         serves_with_a_call(&rig, &mut vm, txn);
         // The interpreter's link breaks and is made again meanwhile.
         drop(vm);
-        vm = rig.link();
+        vm = rig.accept_link();
         serves_with_a_call(&rig, &mut vm, txn + 1);
     }
     until("most of the crowd have left", || {
         left(&mut crowd) >= crowd.len() - POOL
     });
-    let _: Vec<_> = rig.lines.try_iter().collect();
+    let _: Vec<_> = rig.log_lines.try_iter().collect();
     for _ in 0..FAILURES {
-        rig.logs("the announce service did not take a report");
+        rig.wait_for_log("the announce service did not take a report");
     }
     rest(&rig, &mut crowd, SOCKETS);
-    let reports = announce_at(up(service));
+    let reports = mock_registration(up(service));
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
@@ -124,7 +124,7 @@
     drop(crowd);
     // One more than before: reports have a connection now.
     until("descriptors as before", || descriptors(&rig) <= before + 1);
-    let mut fresh: Vec<Client> = (0..POOL - FREE).map(|_| rig.client()).collect();
+    let mut fresh: Vec<Client> = (0..POOL - FREE).map(|_| rig.connect_client()).collect();
     for client in &mut fresh {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         assert_eq!(client.answer().0, 200);
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -1,7 +1,7 @@
 //! HTTP/2 as the process speaks it, against scripted stand-ins: the four rules, each limit, each abuse.
 
 use heathspur_testkit::http2::*;
-use heathspur_testkit::prelude::{request, Client, Fields, Rig, Vm, EVENT_TIMEOUT};
+use heathspur_testkit::prelude::{request, Client, Fields, ServerFixture, Vm, EVENT_TIMEOUT};
 use serde_json::json;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -29,16 +29,16 @@
 }
 
 /// A server with the port on, and where that is.
-fn start(name: &str, inner: &str) -> (Rig, Vm, SocketAddr) {
+fn start(name: &str, inner: &str) -> (ServerFixture, Vm, SocketAddr) {
     let file = operator(name, inner);
-    let rig = Rig::operated_with(&file.0, |c| {
+    let rig = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
         if name == "fair" {
             // Room for 600 bodies at once: what a full memory turns away is not what is tested there.
             c["settings"]["family-info"]["mem-limit-kb"] = 90_000.0.into();
         }
     });
-    let address = rig.further();
-    let vm = rig.link();
+    let address = rig.wait_for_listen_address();
+    let vm = rig.accept_link();
     (rig, vm, address)
 }
 
@@ -95,15 +95,15 @@
 #[test]
 fn a_refusal_says_the_same_as_over_http1() {
     let file = operator("refusal", "");
-    let rig = Rig::operated_with(&file.0, |c| {
+    let rig = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
         c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0)
     });
-    let address = rig.further();
-    let _vm = rig.link();
+    let address = rig.wait_for_listen_address();
+    let _vm = rig.accept_link();
     let mut caller = Caller::to(address);
     let id = caller.ask(1, None, b"abc");
     let (status, fields, _) = caller.answer(id);
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(2, None, b"abc"));
     let (other, its, _) = client.answer();
     assert_eq!((status, other), (503, 503));
@@ -129,7 +129,7 @@
     let second = caller.ask(2, Some("k1"), b"pay");
     let mut other = Caller::to(address);
     let third = other.ask(3, Some("k1"), b"pay");
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(4, Some("k1"), b"pay"));
     let marker = other.ask(5, Some("k2"), b"pay");
     assert_eq!(vm.apply().0, task(5), "no repeat runs");
@@ -546,7 +546,7 @@
         bytes.extend(caller.request_bytes(id, txn, None, b"flood"));
     }
     caller.raw(&bytes);
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k1"), b"pay"));
     // The capture is worth more and is taken in among the first, so it runs long before the flood has.
     let mut before = 0;
--- a/crates/heathspurd/tests/members.rs
+++ b/crates/heathspurd/tests/members.rs
@@ -85,8 +85,8 @@
     assert!(fleet.one_view());
     assert_eq!(fleet.all_deaths(), 0);
     // It still serves: a request is read and goes to the interpreter.
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&heathspur_testkit::prelude::request(1, None, b"abc"));
     assert_eq!(vm.apply().2, b"abc");
 }
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -69,12 +69,12 @@
 }
 
 /// A server that reports to this listener, linked to its interpreter.
-fn reporting_to(listener: &TcpListener) -> (Rig, Vm) {
-    let rig = Rig::with(|c| {
+fn reporting_to(listener: &TcpListener) -> (ServerFixture, Vm) {
+    let rig = ServerFixture::start_with_config(|c| {
         c["announce"] = at(listener);
         c["stop_ms"] = json!(30_000);
     });
-    let vm = rig.link();
+    let vm = rig.accept_link();
     (rig, vm)
 }
 
@@ -116,7 +116,7 @@
         let (rig, mut vm) = reporting_to(&service);
         let mut slow = Announce::accept(&service).0;
         // What runs keeps the server from leaving at once.
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(1, None, b"abc"));
         vm.apply();
         rig.process.terminate();
@@ -141,22 +141,22 @@
 fn a_change_there_and_back_is_told_once_an_older_report_has_ended() {
     in_one_of_five(|| {
         let service = bind_loopback();
-        let rig = Rig::with(|c| {
+        let rig = ServerFixture::start_with_config(|c| {
             c["announce"] = at(&service);
             // So few that one request counts as stalled when it doesn't end.
             c["settings"]["family-info"]["n-cores"] = json!(2);
         });
-        let mut vm = rig.link();
+        let mut vm = rig.accept_link();
         let mut slow = Announce::accept(&service).0;
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(1, None, b"abc"));
         let (task, _, _) = vm.apply();
         slow.taken()?;
         (slow.next()? == "true").then_some(())?;
         // It is held while the server is not ready, and is again.
-        rig.logs("work has stalled");
+        rig.wait_for_log("work has stalled");
         vm.value(&task, "complete", b"one");
-        rig.logs("work has resumed");
+        rig.wait_for_log("work has resumed");
         // However the request fared.
         client.answer();
         // The reports hear of the change in a turn of their own: before this answer at the latest.
@@ -226,15 +226,15 @@
 #[test]
 fn a_store_that_is_slow_to_take_connections_is_called() {
     let store = Full::new();
-    let mut rig = Rig::with(|c| c["store"] = at(&store.listener));
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let mut rig = ServerFixture::start_with_config(|c| c["store"] = at(&store.listener));
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
     let (task, _, _) = vm.apply();
     let asked = Instant::now();
     vm.awaits(&task, b"ask");
-    rig.store = store.let_in();
-    let mut stream = BufReader::new(accept(&rig.store));
+    rig.store_listener = store.let_in();
+    let mut stream = BufReader::new(accept(&rig.store_listener));
     let (id, limit) = call(&mut stream);
     // The longest patience is 15 s, and what the dial took is gone of it.
     assert!(
@@ -254,10 +254,10 @@
 #[test]
 fn an_interpreter_that_is_slow_to_take_connections_is_linked_to() {
     let interpreter = Full::new();
-    let mut rig = Rig::with(|c| c["vm"] = at(&interpreter.listener));
-    rig.vm = interpreter.let_in();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let mut rig = ServerFixture::start_with_config(|c| c["vm"] = at(&interpreter.listener));
+    rig.interpreter_listener = interpreter.let_in();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     assert_eq!(vm.apply().2, b"abc");
 }
@@ -268,17 +268,17 @@
         let (interpreter, service) = (Full::new(), Full::new());
         let nobody = bind_loopback().local_addr().unwrap();
         let began = Instant::now();
-        let mut rig = Rig::with(|c| {
+        let mut rig = ServerFixture::start_with_config(|c| {
             c["vm"] = at(&interpreter.listener);
             c["announce"] = at(&service.listener);
             c["store"] = json!(nobody);
         });
-        rig.vm = interpreter.let_in();
-        let _vm = rig.link();
+        rig.interpreter_listener = interpreter.let_in();
+        let _vm = rig.accept_link();
         let (mut connection, told) = Announce::accept(&service.let_in());
         assert_eq!(told, "true");
         connection.taken()?;
-        let mut check = rig.client();
+        let mut check = rig.connect_client();
         check.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(check.answer().0, 200);
         (began.elapsed() < Duration::from_secs(10)).then_some(())
@@ -287,13 +287,13 @@
 
 #[test]
 fn a_notice_whose_request_cannot_be_read_comes_again_on_the_next_link() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
     let (task, _, _) = vm.apply();
     vm.value("9b1f", "complete", b"one");
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.resumed_at, 0);
     vm.value(&task, "complete", b"one");
     assert_eq!(client.answer().2, b"one");
@@ -301,14 +301,14 @@
 
 /// A server whose one keyed request was told on a link that broke. The interpreter is slow: on the new link
 /// its gauges do not come in the time that they are waited for, nor does what was missed before them.
-fn late_link() -> (Rig, Vm, Client, Value) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+fn late_link() -> (ServerFixture, Vm, Client, Value) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
     vm.apply();
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.line()["verb"], "TOP");
     // Timers ask again once the first question is no longer waited for.
     let next = vm.line();
--- a/crates/heathspurd/tests/ramp.rs
+++ b/crates/heathspurd/tests/ramp.rs
@@ -133,7 +133,7 @@
 /// One life of the fleet: processes that are linked, and wait for their interpreters to come up.
 struct Fleet {
     life: u64,
-    rigs: Vec<Rig>,
+    rigs: Vec<ServerFixture>,
     links: Vec<Vm>,
     over: Arc<AtomicBool>,
 }
@@ -141,7 +141,7 @@
 impl Fleet {
     fn start(life: u64, store: SocketAddr) -> Fleet {
         let rig = |i| {
-            Rig::with(|config| {
+            ServerFixture::start_with_config(|config| {
                 config["store"] = json!(store);
                 config["seed"] = json!(format!(
                     "{:016x}",
@@ -156,8 +156,11 @@
                 config["settings"]["servers"] = json!(PROCESSES);
             })
         };
-        let rigs: Vec<Rig> = (0..PROCESSES).map(rig).collect();
-        let links = rigs.iter().map(Rig::open_link).collect();
+        let rigs: Vec<ServerFixture> = (0..PROCESSES).map(rig).collect();
+        let links = rigs
+            .iter()
+            .map(ServerFixture::accept_link_before_banner)
+            .collect();
         Fleet {
             life,
             rigs,
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -45,13 +45,13 @@
     }
 
     /// Comes up once the process has met it as it is, which its log says in these words where it is refused.
-    fn comes_up(self, rig: &Rig, words: &str) -> TcpListener {
+    fn comes_up(self, rig: &ServerFixture, words: &str) -> TcpListener {
         match self {
             Peer::Up(listener) => listener,
             Peer::Refusing(listener) => {
                 let since = Instant::now();
                 for _ in 0..FAILURES {
-                    rig.logs(words);
+                    rig.wait_for_log(words);
                     assert!(since.elapsed() < READY, "it is seldom tried");
                 }
                 up(listener)
@@ -67,15 +67,15 @@
     }
 }
 
-fn health(rig: &Rig) -> u16 {
-    let mut client = rig.client();
+fn health(rig: &ServerFixture) -> u16 {
+    let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
     client.answer().0
 }
 
 /// A started process, and its peers.
 struct Started {
-    rig: Rig,
+    rig: ServerFixture,
     registry: Peer,
     interpreter: Peer,
     store: TcpListener,
@@ -100,7 +100,7 @@
             bind_loopback()
         };
         let address = |l: &TcpListener| json!(l.local_addr().unwrap());
-        let rig = Rig::with(|config| {
+        let rig = ServerFixture::start_with_config(|config| {
             config["announce"] = address(registry.listener());
             config["vm"] = address(interpreter.listener());
             config["store"] = address(&store);
@@ -115,7 +115,7 @@
 
     /// Waits until the process is ready; what is down comes up meanwhile, but for the store. Gives its interpreter's
     /// end of the link.
-    fn gets_ready(self) -> (Rig, Vm) {
+    fn gets_ready(self) -> (ServerFixture, Vm) {
         let Started {
             mut rig,
             registry,
@@ -123,21 +123,22 @@
             store,
         } = self;
         assert_eq!(health(&rig), 503);
-        rig.vm = interpreter.comes_up(&rig, "no link to the interpreter");
-        let vm = rig.link();
-        let reports =
-            announce_at(registry.comes_up(&rig, "the announce service did not take a report"));
+        rig.interpreter_listener = interpreter.comes_up(&rig, "no link to the interpreter");
+        let vm = rig.accept_link();
+        let reports = mock_registration(
+            registry.comes_up(&rig, "the announce service did not take a report"),
+        );
         assert_eq!(
             reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
             json!({"accepting": "true"})
         );
         assert_eq!(health(&rig), 200);
-        rig.store = store;
+        rig.store_listener = store;
         (rig, vm)
     }
 }
 
-fn is_ready_in_time(at: At) -> (Rig, Vm) {
+fn is_ready_in_time(at: At) -> (ServerFixture, Vm) {
     let since = Instant::now();
     let ready = Started::new(at).gets_ready();
     assert!(since.elapsed() < READY, "{at:?}: {:?}", since.elapsed());
@@ -163,7 +164,7 @@
 fn it_is_ready_in_time_without_the_store_and_calls_it_once_it_is_up() {
     let (rig, mut vm) = is_ready_in_time(At::Store);
     let asks = |vm: &mut Vm, txn: u64| {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
         let (task, ..) = vm.apply();
         vm.awaits(&task, b"ask");
@@ -173,7 +174,7 @@
     // Its call gets nowhere, and the caller has an answer.
     assert_ne!(client.answer().0, 200);
     vm.value(&task, "cancelled", b"");
-    rustix::net::listen(&rig.store, 64).unwrap();
+    rustix::net::listen(&rig.store_listener, 64).unwrap();
     let (mut client, task) = asks(&mut vm, 2);
     let mut store = Store::accept(&rig);
     store.call();
@@ -185,9 +186,9 @@
 
 #[test]
 fn of_ten_processes_that_start_again_together_nine_are_ready_in_time() {
-    let first: Vec<_> = (0..10).map(|_| Rig::start()).collect();
+    let first: Vec<_> = (0..10).map(|_| ServerFixture::start()).collect();
     for rig in &first {
-        drop(rig.link());
+        drop(rig.accept_link());
     }
     for mut rig in first {
         rig.process.0.kill().unwrap();
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -78,15 +78,15 @@
     }
 }
 
-fn recording(operator: &Path) -> (Rig, Vm) {
-    let rig = Rig::operated(operator);
-    let vm = rig.link();
+fn recording(operator: &Path) -> (ServerFixture, Vm) {
+    let rig = ServerFixture::start_with_operator_file(operator);
+    let vm = rig.accept_link();
     (rig, vm)
 }
 
 /// Serves requests on one connection; what was sent.
-fn serve(rig: &Rig, vm: &mut Vm, txns: std::ops::Range<u64>) -> Vec<Vec<u8>> {
-    let mut client = rig.client();
+fn serve(rig: &ServerFixture, vm: &mut Vm, txns: std::ops::Range<u64>) -> Vec<Vec<u8>> {
+    let mut client = rig.connect_client();
     let mut sent = Vec::new();
     for txn in txns {
         let bytes = request(txn, Some(&format!("key-{txn}")), b"4929001234567890");
@@ -157,11 +157,11 @@
 fn the_links_are_recorded_beside_where_that_is_switched_on() {
     let folder = Folder::new("links");
     let (rig, mut vm) = recording(&folder.operator("contents=\"full\" links=\"true\"", ""));
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
     vm.apply();
     vm.awaits("0000000000000001", b"may I");
-    let mut store = accept(&rig.store);
+    let mut store = accept(&rig.store_listener);
     let mut call = [0; 4];
     std::io::Read::read_exact(&mut store, &mut call).unwrap();
     assert_eq!(&call, b"CALL");
@@ -199,7 +199,7 @@
     std::fs::remove_dir_all(&folder.0).unwrap();
     let (rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
     serve(&rig, &mut vm, 1..20);
-    rig.logs("recording has stopped");
+    rig.wait_for_log("recording has stopped");
     std::fs::create_dir_all(&folder.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
@@ -208,7 +208,9 @@
         serve(&rig, &mut vm, txn..txn + 1);
         txn += 1;
     }
-    assert!(rig.logs("recording").contains("recording goes on in n3-"));
+    assert!(rig
+        .wait_for_log("recording")
+        .contains("recording goes on in n3-"));
 }
 
 #[test]
@@ -219,7 +221,7 @@
     folder.holds(2);
     std::fs::remove_dir_all(&folder.0).unwrap();
     serve(&rig, &mut vm, 10..12);
-    rig.logs("recording has stopped");
+    rig.wait_for_log("recording has stopped");
     std::fs::create_dir_all(&folder.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
@@ -252,7 +254,7 @@
     let folder = Folder::new("rotate");
     let (rig, mut vm) =
         recording(&folder.operator("contents=\"full\"", "<files size=\"64 KiB\" keep=\"2\"/>"));
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     for txn in 1..120 {
         client.send(&request(txn, None, &[b'a'; 1900]));
         vm.apply();
--- a/crates/heathspurd/tests/relink.rs
+++ b/crates/heathspurd/tests/relink.rs
@@ -20,10 +20,10 @@
 }
 
 /// A keyed run that has taken the reply to its first call.
-fn resolved() -> (Rig, Vm, Client, Store) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+fn resolved() -> (ServerFixture, Vm, Client, Store) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
     vm.apply();
     vm.awaits(&task(1), b"one");
@@ -44,7 +44,7 @@
     // A question behind the reply is answered, so the reply was taken.
     top(&mut vm);
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     top(&mut vm);
     // The next call's notice is on its way; a reply told now would be taken for this call's.
     vm.awaits(&task(1), b"two");
@@ -64,7 +64,7 @@
 fn a_reply_that_may_be_lost_is_told_again() {
     let (rig, vm, mut client, _store) = resolved();
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     top(&mut vm);
     let reply = vm.until_command();
     assert_eq!(
@@ -79,7 +79,7 @@
 fn a_run_that_took_a_repeated_reply_for_its_next_call_gets_its_later_replies_right() {
     let (rig, vm, mut client, _store) = resolved();
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     top(&mut vm);
     // The first link's reply was taken, and the run waits for its next call when the same comes again.
     vm.awaits(&task(1), b"two");
@@ -102,9 +102,9 @@
 
 #[test]
 fn a_run_that_has_its_reply_and_is_stopped_while_the_link_is_down_is_told_of_the_stop_alone() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     vm.awaits(&task(1), b"one");
@@ -114,39 +114,39 @@
     assert_eq!(vm.command()["verb"], "RESOLVE");
     top(&mut vm);
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     drop(client);
     top(&mut vm);
     assert_eq!(vm.command()["verb"], "BREAK");
     vm.value(&task(1), "cancelled", b"");
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(2, None, b"def"));
     assert_eq!(vm.apply().0, task(2));
 }
 
 #[test]
 fn a_stopped_run_that_ended_while_the_link_was_down_is_told_nothing() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     drop(client);
     assert_eq!(vm.command()["verb"], "BREAK");
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     vm.value(&task(1), "cancelled", b"");
     top(&mut vm);
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(2, None, b"def"));
     assert_eq!(vm.apply().0, task(2));
 }
 
 #[test]
 fn a_stopped_run_whose_call_crosses_the_stop_leaves_its_place() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     drop(client);
@@ -159,23 +159,23 @@
     vm.awaits(&task(1), b"one");
     vm.value(&task(1), "cancelled", b"");
     // The next request has its place, and no call was made for it.
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(2, None, b"def"));
     assert_eq!(vm.apply().0, task(2));
     vm.value(&task(2), "complete", b"two");
     assert_eq!(client.answer().2, b"two");
-    rig.store.set_nonblocking(true).unwrap();
+    rig.store_listener.set_nonblocking(true).unwrap();
     assert!(rig
-        .store
+        .store_listener
         .accept()
         .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
 }
 
 /// Two requests that run, `look` and then `pay`.
-fn two_running() -> (Rig, Vm, [Client; 2]) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut clients = [rig.client(), rig.client()];
+fn two_running() -> (ServerFixture, Vm, [Client; 2]) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut clients = [rig.connect_client(), rig.connect_client()];
     for (client, key) in clients.iter_mut().zip([None, Some("k")]) {
         client.send(&request(1 + u64::from(key.is_some()), key, b"abc"));
         vm.apply();
@@ -188,7 +188,7 @@
     let (rig, mut vm, [mut first, mut second]) = two_running();
     vm.index = 900;
     vm.value(&task(1), "complete", b"one");
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.resumed_at, 0);
     vm.value(&task(1), "complete", b"one");
     vm.value(&task(2), "complete", b"two");
@@ -203,7 +203,7 @@
     let (rig, mut vm, [mut first, mut second]) = two_running();
     vm.index = 9;
     vm.value(&task(1), "complete", b"one");
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.resumed_at, 0);
     vm.index = 9;
     vm.value(&task(1), "complete", b"one");
@@ -220,10 +220,10 @@
     let (rig, vm, [mut first, mut second]) = two_running();
     drop(vm);
     // More was missed than is kept: two links begin with the same notice far ahead.
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     vm.index = 4_100;
     vm.value(&task(3), "complete", b"");
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.resumed_at, 0);
     vm.index = 4_100;
     vm.value(&task(3), "complete", b"");
@@ -250,7 +250,7 @@
     for index in [90_000, 80_000, 70_000] {
         vm.index = index;
         vm.value(&task(1), "complete", b"one");
-        vm = rig.link();
+        vm = rig.accept_link();
         assert_eq!(vm.resumed_at, 0);
     }
     vm.index = 60_000;
--- a/crates/heathspurd/tests/repeats.rs
+++ b/crates/heathspurd/tests/repeats.rs
@@ -11,8 +11,10 @@
 const WINDOW: u128 = 50;
 
 /// A server whose keys hold for so long.
-fn with_window(ms: u128) -> Rig {
-    Rig::with(|c| c["settings"]["services"][1]["dedup-window-s"] = json!(ms as f64 / 1000.0))
+fn with_window(ms: u128) -> ServerFixture {
+    ServerFixture::start_with_config(|c| {
+        c["settings"]["services"][1]["dedup-window-s"] = json!(ms as f64 / 1000.0)
+    })
 }
 
 /// A keyed request stamped with that time.
@@ -35,8 +37,8 @@
 fn the_window_counts_from_the_stamp_of_the_try_that_ran_also_where_it_lies_ahead() {
     for window in [0, 1, WINDOW] {
         let rig = with_window(window);
-        let mut vm = rig.link();
-        let mut client = rig.client();
+        let mut vm = rig.accept_link();
+        let mut client = rig.connect_client();
         let ahead = unix_ms() + 30_000;
         first_try(&mut vm, &mut client, ahead);
         for (txn, after) in [(2, 0), (3, window)] {
@@ -56,14 +58,14 @@
 #[test]
 fn a_window_that_passes_while_the_try_runs_ends_with_the_run() {
     let rig = with_window(0);
-    let mut vm = rig.link();
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let mut vm = rig.accept_link();
+    let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     let stamp = unix_ms();
     first.send(&stamped(1, "k", stamp));
     assert_eq!(vm.apply().0, task(1));
     second.send(&stamped(2, "k", stamp + 1000));
     // What comes behind it runs: the repeat was taken in before, and did not.
-    let mut other = rig.client();
+    let mut other = rig.connect_client();
     other.send(&stamped(3, "other", stamp));
     assert_eq!(vm.apply().0, task(3));
     vm.value(&task(1), "complete", b"done");
@@ -75,20 +77,24 @@
 
 #[test]
 fn a_repeat_waits_through_a_link_that_breaks_and_the_run_is_told_again_once() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let (mut first, mut second, mut third) = (rig.client(), rig.client(), rig.client());
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let (mut first, mut second, mut third) = (
+        rig.connect_client(),
+        rig.connect_client(),
+        rig.connect_client(),
+    );
     first.send(&request(1, Some("k"), b"pay"));
     assert_eq!(vm.apply().0, task(1));
     second.send(&request(2, Some("k"), b"pay"));
-    let mut other = rig.client();
+    let mut other = rig.connect_client();
     other.send(&request(3, Some("other"), b"pay"));
     assert_eq!(vm.apply().0, task(3));
     // The first caller is gone and the link breaks; one more try comes while it is down.
     drop(first);
     drop(vm);
     third.send(&request(4, Some("k"), b"pay"));
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     let mut told = [vm.apply().0, vm.apply().0];
     told.sort();
     assert_eq!(told, [task(1), task(3)]);
@@ -107,13 +113,13 @@
 #[test]
 fn repeats_of_a_run_that_was_never_begun_fail_and_do_not_run() {
     for end in ["VALUE", "ERROR"] {
-        let rig = Rig::start();
-        let mut vm = rig.link();
-        let (mut first, mut second) = (rig.client(), rig.client());
+        let rig = ServerFixture::start();
+        let mut vm = rig.accept_link();
+        let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
         first.send(&request(1, Some("k"), b"pay"));
         assert_eq!(vm.apply().0, task(1));
         second.send(&request(2, Some("k"), b"pay"));
-        let mut other = rig.client();
+        let mut other = rig.connect_client();
         other.send(&request(3, Some("other"), b"pay"));
         assert_eq!(vm.apply().0, task(3));
         match end {
@@ -130,14 +136,14 @@
 
 #[test]
 fn a_repeat_of_a_try_whose_caller_left_while_it_was_held_runs() {
-    let rig = Rig::start();
+    let rig = ServerFixture::start();
     // No interpreter yet: it is held.
-    let mut first = rig.client();
+    let mut first = rig.connect_client();
     first.send(&request(1, Some("k"), b"pay"));
-    let mut second = rig.client();
+    let mut second = rig.connect_client();
     second.send(&request(2, Some("k"), b"pay"));
     drop(first);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     let ran = vm.apply().0;
     vm.value(&ran, "complete", b"done");
     assert_eq!(second.answer().2, b"done");
@@ -149,9 +155,9 @@
 
 #[test]
 fn a_name_that_comes_twice_is_a_conflict_while_open_and_new_once_it_is_answered() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     first.send(&request(1, None, b"abc"));
     assert_eq!(vm.apply().0, task(1));
     second.send(&request(1, None, b"abc"));
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -10,10 +10,10 @@
 }
 
 /// A server whose one request, of that key, runs.
-fn one_running(key: Option<&str>) -> (Rig, Vm, Client) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+fn one_running(key: Option<&str>) -> (ServerFixture, Vm, Client) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, key, b"abc"));
     assert_eq!(vm.apply().2, b"abc");
     (rig, vm, client)
@@ -21,9 +21,9 @@
 
 #[test]
 fn a_request_is_served_with_its_bytes_unchanged_on_a_connection_that_stays() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     let body: Vec<u8> = (0..=255).chain([13, 10, 13, 10]).collect();
     for txn in 1..4 {
         client.send(&request(txn, None, &body));
@@ -37,9 +37,9 @@
 
 #[test]
 fn a_request_in_single_bytes_and_one_behind_another_are_served() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     for byte in request(1, None, b"abc") {
         client.send(&[byte]);
     }
@@ -54,9 +54,11 @@
 
 #[test]
 fn what_no_memory_can_hold_is_refused_and_says_when_to_come_back() {
-    let rig = Rig::with(|c| c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0));
-    let _vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start_with_config(|c| {
+        c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0)
+    });
+    let _vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     let (status, fields, _) = client.answer();
     assert_eq!(status, 503);
@@ -65,14 +67,18 @@
 
 #[test]
 fn tries_of_one_keyed_request_run_once_and_share_the_result() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let (mut first, mut second, mut third) = (rig.client(), rig.client(), rig.client());
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let (mut first, mut second, mut third) = (
+        rig.connect_client(),
+        rig.connect_client(),
+        rig.connect_client(),
+    );
     first.send(&request(1, Some("k1"), b"pay"));
     assert_eq!(vm.apply().0, task(1));
     second.send(&request(2, Some("k1"), b"pay"));
     // Work of another key that comes after it shows that the repeat was taken in and not run.
-    let mut other = rig.client();
+    let mut other = rig.connect_client();
     other.send(&request(3, Some("k2"), b"pay"));
     assert_eq!(vm.apply().0, task(3));
     vm.value(&task(1), "complete", b"\0done");
@@ -86,13 +92,13 @@
 
 #[test]
 fn a_keyed_run_goes_on_without_its_caller_and_its_result_is_kept() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut first = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut first = rig.connect_client();
     first.send(&request(1, Some("k1"), b"pay"));
     assert_eq!(vm.apply().0, task(1));
     drop(first);
-    let mut second = rig.client();
+    let mut second = rig.connect_client();
     second.send(&request(2, Some("k1"), b"pay"));
     vm.value(&task(1), "complete", b"done");
     assert_eq!(second.answer().2, b"done");
@@ -100,10 +106,10 @@
 
 #[test]
 fn the_run_of_a_caller_that_goes_away_is_stopped_and_its_place_used_again() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     for txn in 1..40 {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(txn, None, b"abc"));
         assert_eq!(vm.apply().0, task(txn));
         drop(client);
@@ -118,10 +124,10 @@
 
 #[test]
 fn runs_that_the_interpreter_never_began_leave_their_places() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     for txn in 1..80 {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(txn, None, b"abc"));
         assert_eq!(vm.apply().0, task(txn));
         vm.value(&task(txn), "unknown", b"");
@@ -131,9 +137,9 @@
 
 #[test]
 fn a_broken_link_resumes_at_the_last_notice_and_tells_runs_again() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     first.send(&request(1, None, b"abc"));
     vm.apply();
     second.send(&request(2, None, b"def"));
@@ -141,7 +147,7 @@
     vm.value(&task(2), "complete", b"two");
     assert_eq!(second.answer().2, b"two");
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.resumed_at, 1);
     // A notice that was taken before is not taken again.
     vm.index = 0;
@@ -155,7 +161,7 @@
 fn a_notice_missed_while_the_link_was_down_spares_the_second_run() {
     let (rig, vm, mut client) = one_running(Some("k"));
     drop(vm);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     vm.value(&task(1), "complete", b"one");
     assert_eq!(client.answer().2, b"one");
     client.send(&request(2, None, b"def"));
@@ -164,12 +170,12 @@
 
 #[test]
 fn a_line_that_makes_no_sense_has_the_link_made_again() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     vm.raw(b"{\"verb\":\"VALUE\"}\n");
-    rig.logs("is not a valid notice");
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    rig.wait_for_log("is not a valid notice");
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     vm.value(&task(1), "complete", b"one");
@@ -237,9 +243,11 @@
 
 #[test]
 fn a_store_that_refuses_connections_has_calls_left_out_where_that_is_allowed() {
-    let rig = Rig::with(|c| c["store"] = json!(bind_loopback().local_addr().unwrap()));
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start_with_config(|c| {
+        c["store"] = json!(bind_loopback().local_addr().unwrap())
+    });
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     let index = vm.awaits(&task(1), b"ask");
@@ -261,17 +269,17 @@
     drop(client);
     store.closed();
     vm.value(&task(1), "cancelled", b"");
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(2, None, b"abc"));
     assert_eq!(vm.apply().0, task(2));
 }
 
 /// A server where two requests run and stand at their calls: one that may be made again, one that may not.
-fn two_calls() -> (Rig, Vm, [(Client, Store); 2]) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+fn two_calls() -> (ServerFixture, Vm, [(Client, Store); 2]) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     let calls = [(1, None), (2, Some("k"))].map(|(txn, key)| {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(txn, key, b"abc"));
         assert_eq!(vm.apply().0, task(txn));
         vm.awaits(&task(txn), b"ask");
@@ -346,12 +354,12 @@
 #[test]
 fn a_new_configuration_moves_the_links_and_loses_nothing() {
     let (mut rig, mut vm, [(mut safe, mut first), (mut keyed, mut second)]) = two_calls();
-    let mut running = rig.client();
+    let mut running = rig.connect_client();
     running.send(&request(3, None, b"abc"));
     assert_eq!(vm.apply().0, task(3));
     let index = vm.index;
-    let reports = rig.move_peers();
-    let mut vm = rig.link();
+    let reports = rig.replace_peer_addresses();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.resumed_at, index);
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
@@ -384,25 +392,25 @@
 
 #[test]
 fn a_new_configuration_that_differs_in_more_than_peers_moves_the_links_and_says_so() {
-    let mut rig = Rig::start();
-    let _old = rig.link();
+    let mut rig = ServerFixture::start();
+    let _old = rig.accept_link();
     rig.config["limits"]["sockets"] = json!(512);
-    let _reports = rig.move_peers();
-    rig.logs("it differs in more");
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let _reports = rig.replace_peer_addresses();
+    rig.wait_for_log("it differs in more");
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     assert_eq!(vm.apply().0, task(1));
 }
 
 #[test]
 fn a_configuration_that_turned_bad_changes_nothing() {
-    let mut rig = Rig::start();
-    let mut vm = rig.link();
+    let mut rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     rig.config["vm"] = json!("nowhere");
-    rig.replace_config();
-    rig.logs("stays as it was");
-    let mut client = rig.client();
+    rig.reload_config();
+    rig.wait_for_log("stays as it was");
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     assert_eq!(vm.apply().0, task(1));
     vm.value(&task(1), "complete", b"one");
@@ -413,12 +421,19 @@
 fn a_drain_answers_what_is_in_hand_and_ends_the_process() {
     let (mut rig, mut vm, mut client) = one_running(None);
     assert_eq!(
-        rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
+        rig.registration_reports
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap(),
         json!({"accepting": "true"})
     );
     rig.process.terminate();
-    while rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
-    let mut check = rig.client();
+    while rig
+        .registration_reports
+        .recv_timeout(EVENT_TIMEOUT)
+        .unwrap()
+        != json!({"accepting": "false"})
+    {}
+    let mut check = rig.connect_client();
     check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(check.answer().0, 503);
     vm.value(&task(1), "complete", b"one");
@@ -438,9 +453,9 @@
 
 #[test]
 fn a_told_patience_ends_one_request_and_leaves_the_other() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let (mut patient, mut hasty) = (rig.client(), rig.client());
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let (mut patient, mut hasty) = (rig.connect_client(), rig.connect_client());
     patient.send(&request(1, None, b"abc"));
     vm.apply();
     let text = String::from_utf8(request(2, None, b"abc")).unwrap();
@@ -460,13 +475,19 @@
 
 #[test]
 fn the_free_value_stands_in_answers_and_checks() {
-    let rig = Rig::with(|c| c["settings"]["family-info"]["say"] = json!("level"));
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig =
+        ServerFixture::start_with_config(|c| c["settings"]["family-info"]["say"] = json!("level"));
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     rig.process.terminate();
-    while rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
+    while rig
+        .registration_reports
+        .recv_timeout(EVENT_TIMEOUT)
+        .unwrap()
+        != json!({"accepting": "false"})
+    {}
     vm.value(&task(1), "complete", b"one");
     let (_, fields, _) = client.answer();
     assert_eq!(fields["x-capacity"], "1");
@@ -474,14 +495,16 @@
 
 #[test]
 fn health_is_bad_until_the_interpreter_is_up_and_good_after_that() {
-    let rig = Rig::start();
-    let mut vm = rig.open_link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link_before_banner();
+    let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer().0, 503);
     vm.say(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
     assert_eq!(
-        rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
+        rig.registration_reports
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap(),
         json!({"accepting": "true"})
     );
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -490,11 +513,13 @@
 
 #[test]
 fn reports_go_on_while_nothing_changes() {
-    let rig = Rig::start();
-    let _vm = rig.link();
+    let rig = ServerFixture::start();
+    let _vm = rig.accept_link();
     for _ in 0..3 {
         assert_eq!(
-            rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
+            rig.registration_reports
+                .recv_timeout(EVENT_TIMEOUT)
+                .unwrap(),
             json!({"accepting": "true"})
         );
     }
@@ -502,10 +527,10 @@
 
 #[test]
 fn timers_go_on_without_an_answer_about_the_gauges() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     vm.tops(1);
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     // Nothing but the program's own clock answers this one: no run ends, and no gauge is told.
     let (status, _, _) = client.answer();
@@ -514,8 +539,8 @@
 
 #[test]
 fn what_is_no_request_is_answered_and_reaches_nobody() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
     let whole = String::from_utf8(request(1, None, b"abc")).unwrap();
     let keyed = String::from_utf8(request(1, Some("k"), b"abc")).unwrap();
     let cases = [
@@ -601,7 +626,7 @@
         (400, whole.replace("X-Ingress-Time: ", "X-Ingress-Time: 9")),
     ];
     for (expected, text) in cases {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(text.as_bytes());
         let (status, fields, _) = client.answer();
         assert_eq!(
@@ -610,20 +635,20 @@
             "{text}"
         );
     }
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(2, None, b"abc"));
     assert_eq!(vm.apply().0, task(2));
 }
 
 #[test]
 fn an_answer_to_what_is_too_large_is_not_lost_with_the_bytes_left_unread() {
-    let rig = Rig::start();
-    let _vm = rig.link();
+    let rig = ServerFixture::start();
+    let _vm = rig.accept_link();
     let head = String::from_utf8(request(1, None, b"")).unwrap();
     let body = vec![b'x'; 8_000_000];
     let text = head.replace("Content-Length: 0", "Content-Length: 8000000");
     for _ in 0..20 {
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&[text.as_bytes(), &body].concat());
         assert_eq!(client.answer().0, 413);
     }
@@ -631,9 +656,9 @@
 
 #[test]
 fn a_second_request_of_the_same_name_is_not_taken_while_the_first_is_open() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let (mut first, mut second) = (rig.client(), rig.client());
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     first.send(&request(1, None, b"abc"));
     vm.apply();
     second.send(&request(1, None, b"abc"));
@@ -644,17 +669,17 @@
 
 #[test]
 fn connections_that_say_nothing_leave_once_the_room_is_needed() {
-    let rig = Rig::with(|c| c["limits"]["sockets"] = json!(52));
-    let mut vm = rig.link();
-    let mut served = rig.client();
+    let rig = ServerFixture::start_with_config(|c| c["limits"]["sockets"] = json!(52));
+    let mut vm = rig.accept_link();
+    let mut served = rig.connect_client();
     served.send(&request(1, Some("k"), b"abc"));
     vm.apply();
     vm.awaits(&task(1), b"ask");
     let mut store = Store::accept(&rig);
     store.call();
     // Far more than there is room for; what is in hand, and what asks, has its place all the same.
-    let silent: Vec<_> = (0..100).map(|_| rig.client()).collect();
-    let mut last = rig.client();
+    let silent: Vec<_> = (0..100).map(|_| rig.connect_client()).collect();
+    let mut last = rig.connect_client();
     last.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(last.answer().0, 200);
     vm.value(&task(1), "complete", b"one");
@@ -666,13 +691,19 @@
 
 #[test]
 fn a_connection_that_never_says_anything_is_closed_and_half_a_request_is_answered() {
-    let rig = Rig::start();
-    let _vm = rig.link();
+    let rig = ServerFixture::start();
+    let _vm = rig.accept_link();
     assert_eq!(
-        rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
+        rig.registration_reports
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap(),
         json!({"accepting": "true"})
     );
-    let (mut silent, mut half, mut idle) = (rig.client(), rig.client(), rig.client());
+    let (mut silent, mut half, mut idle) = (
+        rig.connect_client(),
+        rig.connect_client(),
+        rig.connect_client(),
+    );
     idle.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(idle.answer().0, 200);
     half.send(&request(1, None, b"abc")[..40]);
@@ -687,7 +718,7 @@
 fn a_key_that_comes_with_another_body_is_not_served_with_the_result() {
     let (rig, mut vm, mut client) = one_running(Some("k"));
     let other = |txn| {
-        let mut other = rig.client();
+        let mut other = rig.connect_client();
         other.send(&request(txn, Some("k"), b"abd"));
         assert_eq!(other.answer().0, 422);
     };
@@ -747,9 +778,9 @@
 fn what_ended_while_the_process_stood_still_comes_before_its_late_timers() {
     // Whether a timer waits for its gauges at that moment is chance, so many are stopped.
     let stop_one = || {
-        let rig = Rig::start();
-        let mut vm = rig.link();
-        let mut clients: Vec<_> = (0..4).map(|_| rig.client()).collect();
+        let rig = ServerFixture::start();
+        let mut vm = rig.accept_link();
+        let mut clients: Vec<_> = (0..4).map(|_| rig.connect_client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, None, b"abc"));
             vm.apply();
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -27,8 +27,8 @@
     while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
 }
 
-fn health(rig: &Rig) -> u16 {
-    let mut check = rig.client();
+fn health(rig: &ServerFixture) -> u16 {
+    let mut check = rig.connect_client();
     check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     check.answer().0
 }
@@ -52,14 +52,14 @@
 }
 
 /// A server that leaves while a request runs.
-fn leaving() -> (Rig, Vm, Client) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+fn leaving() -> (ServerFixture, Vm, Client) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     vm.apply();
     rig.process.terminate();
-    rig.logs(LEAVES);
+    rig.wait_for_log(LEAVES);
     (rig, vm, client)
 }
 
@@ -67,15 +67,15 @@
 fn a_notice_to_leave_is_heard_while_a_bad_configuration_is_read_again_and_again() {
     // On a machine so busy that the notice is sent too late nothing is forced: then once more.
     loop {
-        let rig = Rig::with(|c| {
+        let rig = ServerFixture::start_with_config(|c| {
             // Long enough for all that is looked at.
             c["stop_ms"] = json!(20_000);
             c["settings"]["guarantees"]["drain-grace-s"] = json!(15.0);
         });
-        let _vm = rig.link();
-        std::fs::write(&rig.file, "{\"name\":\"n3\",").unwrap();
+        let _vm = rig.accept_link();
+        std::fs::write(&rig.config_file, "{\"name\":\"n3\",").unwrap();
         rig.process.signal("HUP");
-        rig.logs(STAYS);
+        rig.wait_for_log(STAYS);
         let first = Instant::now();
         rig.process.terminate();
         // All tries take 0.9 s.
@@ -84,14 +84,14 @@
         }
         let mut tries = 1;
         loop {
-            let line = rig.lines.recv_timeout(EVENT_TIMEOUT).expect(LEAVES);
+            let line = rig.log_lines.recv_timeout(EVENT_TIMEOUT).expect(LEAVES);
             if line.contains(LEAVES) {
                 break;
             }
             tries += usize::from(line.contains(STAYS));
         }
         assert!(tries < TRIES, "it left only after all {TRIES} tries");
-        reports_that_it_leaves(&rig.reports);
+        reports_that_it_leaves(&rig.registration_reports);
         assert_eq!(health(&rig), 503);
         return;
     }
@@ -99,9 +99,9 @@
 
 #[test]
 fn a_flood_of_notices_from_the_interpreter_does_not_keep_it_from_leaving() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     serves(&mut client, &mut vm, 1);
     let over = Arc::new(AtomicBool::new(false));
     let flood = {
@@ -115,9 +115,9 @@
             while !over.load(Ordering::Relaxed) && vm.try_raw(lines.as_bytes()) {}
         })
     };
-    rig.logs("did not carry out");
+    rig.wait_for_log("did not carry out");
     rig.process.terminate();
-    reports_that_it_leaves(&rig.reports);
+    reports_that_it_leaves(&rig.registration_reports);
     over.store(true, Ordering::Relaxed);
     drop(rig);
     flood.join().unwrap();
@@ -128,12 +128,12 @@
     let (mut rig, mut vm, mut client) = leaving();
     rig.process.terminate();
     rig.process.signal("INT");
-    reports_that_it_leaves(&rig.reports);
+    reports_that_it_leaves(&rig.registration_reports);
     vm.value(&task(1), "complete", b"one");
     assert_eq!(client.answer().2, b"one");
     assert_eq!(rig.process.wait().code(), Some(0));
     assert_eq!(
-        rig.lines
+        rig.log_lines
             .iter()
             .filter(|line| line.contains(LEAVES))
             .count(),
@@ -144,16 +144,16 @@
 #[test]
 fn it_leaves_before_the_interpreter_is_up_and_answers_what_it_read() {
     for (linked, asked) in [(false, false), (false, true), (true, true)] {
-        let mut rig = Rig::start();
+        let mut rig = ServerFixture::start();
         // The link is there, but `BANNER` waits until the interpreter is up.
-        let _vm = linked.then(|| rig.open_link());
-        let mut client = rig.client();
+        let _vm = linked.then(|| rig.accept_link_before_banner());
+        let mut client = rig.connect_client();
         if asked {
             client.send(&request(1, Some("k"), b"abc"));
         }
         rig.process.terminate();
-        rig.logs(LEAVES);
-        reports_that_it_leaves(&rig.reports);
+        rig.wait_for_log(LEAVES);
+        reports_that_it_leaves(&rig.registration_reports);
         if asked {
             assert!([503, 504].contains(&client.answer().0));
         }
@@ -164,9 +164,9 @@
 #[test]
 fn a_new_configuration_holds_while_it_leaves() {
     let (mut rig, _old, mut client) = leaving();
-    let reports = rig.move_peers();
+    let reports = rig.replace_peer_addresses();
     reports_that_it_leaves(&reports);
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     assert_eq!(vm.apply().0, task(1));
     vm.value(&task(1), "complete", b"one");
     assert_eq!(client.answer().2, b"one");
@@ -175,20 +175,20 @@
 
 #[test]
 fn of_many_new_configurations_the_last_one_holds() {
-    let mut rig = Rig::start();
-    let _vm = rig.link();
+    let mut rig = ServerFixture::start();
+    let _vm = rig.accept_link();
     // Not more: the log has a bound.
     for _ in 0..3 {
-        rig.move_peers();
+        rig.replace_peer_addresses();
     }
     // The last is asked for while one that can't be used is read again.
-    std::fs::write(&rig.file, "").unwrap();
+    std::fs::write(&rig.config_file, "").unwrap();
     rig.process.signal("HUP");
-    rig.logs(STAYS);
+    rig.wait_for_log(STAYS);
     rig.process.signal("HUP");
-    let _reports = rig.move_peers();
-    let mut vm = rig.link();
-    serves(&mut rig.client(), &mut vm, 1);
+    let _reports = rig.replace_peer_addresses();
+    let mut vm = rig.accept_link();
+    serves(&mut rig.connect_client(), &mut vm, 1);
 }
 
 #[test]
@@ -225,21 +225,21 @@
 
 /// A file that is none of this server's is told of with these words, and nothing of it holds.
 fn holds_nothing_of(text: impl FnOnce(&mut Value) -> Option<String>, words: &str) {
-    let mut rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let mut rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     serves(&mut client, &mut vm, 1);
     let [other, announce, store] = [(); 3].map(|()| bind_loopback());
     for (field, listener) in [("vm", &other), ("announce", &announce), ("store", &store)] {
         rig.config[field] = address(listener);
     }
     match text(&mut rig.config) {
-        Some(text) => std::fs::write(&rig.file, text).unwrap(),
-        None => std::fs::remove_file(&rig.file).unwrap(),
+        Some(text) => std::fs::write(&rig.config_file, text).unwrap(),
+        None => std::fs::remove_file(&rig.config_file).unwrap(),
     }
     rig.process.signal("HUP");
     for _ in 0..TRIES {
-        let line = rig.logs(STAYS);
+        let line = rig.wait_for_log(STAYS);
         assert!(line.contains(words), "{line}");
     }
     serves(&mut client, &mut vm, 2);
@@ -247,7 +247,7 @@
     vm.apply();
     vm.awaits(&task(3), b"ask");
     let mut call = String::new();
-    BufReader::new(accept(&rig.store))
+    BufReader::new(accept(&rig.store_listener))
         .read_line(&mut call)
         .unwrap();
     assert!(call.starts_with(&format!("CALL {} ", task(3))), "{call}");
@@ -290,35 +290,35 @@
 
 #[test]
 fn a_configuration_that_another_start_would_get_moves_the_links_without_a_word() {
-    let mut rig = Rig::start();
-    let _old = rig.link();
+    let mut rig = ServerFixture::start();
+    let _old = rig.accept_link();
     rig.config["seed"] = json!("1");
     rig.config["settings"]["servers"] = json!(7);
     rig.config["settings"]["me"] = json!(3);
     rig.config["settings"]["family-info"]["cold"] = json!(true);
     rig.config["settings"]["family-info"]["upstreams"] = json!(9);
-    let _reports = rig.move_peers();
-    let mut vm = rig.link();
-    serves(&mut rig.client(), &mut vm, 1);
+    let _reports = rig.replace_peer_addresses();
+    let mut vm = rig.accept_link();
+    serves(&mut rig.connect_client(), &mut vm, 1);
     assert!(rig
-        .lines
+        .log_lines
         .try_iter()
         .all(|line| !line.contains("differs") && !line.contains(STAYS)));
 }
 
 #[test]
 fn a_configuration_that_differs_in_what_a_start_is_needed_for_says_where() {
-    let mut rig = Rig::start();
-    let _old = rig.link();
+    let mut rig = ServerFixture::start();
+    let _old = rig.accept_link();
     rig.config["stop_ms"] = json!(9000);
     rig.config["limits"]["memory_mb"] = json!(64);
     rig.config["settings"]["realms"][0]["quota-per-s"] = json!(7.0);
-    let _reports = rig.move_peers();
-    let line = rig.logs("it differs in more");
+    let _reports = rig.replace_peer_addresses();
+    let line = rig.wait_for_log("it differs in more");
     assert!(
         line.ends_with(": stop_ms, limits.memory_mb, settings"),
         "{line}"
     );
-    let mut vm = rig.link();
-    serves(&mut rig.client(), &mut vm, 1);
+    let mut vm = rig.accept_link();
+    serves(&mut rig.connect_client(), &mut vm, 1);
 }
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -380,7 +380,7 @@
 
 /// A drain of a server whose runs the test ends, with that grace; the process has this long from the notice.
 struct Drain {
-    rig: Rig,
+    rig: ServerFixture,
     vm: Vm,
     stop: Duration,
     told: Option<Instant>,
@@ -389,11 +389,11 @@
 impl Drain {
     fn with_grace(grace: Duration) -> Drain {
         let stop = grace + Duration::from_secs(3);
-        let rig = Rig::with(|config| {
+        let rig = ServerFixture::start_with_config(|config| {
             config["settings"]["guarantees"]["drain-grace-s"] = json!(grace.as_secs_f64());
             config["stop_ms"] = json!(stop.as_millis() as u64);
         });
-        let vm = rig.link();
+        let vm = rig.accept_link();
         Drain {
             rig,
             vm,
@@ -413,7 +413,7 @@
 
     /// A connection whose request runs.
     fn running(&mut self, txn: u64) -> Client {
-        let mut client = self.rig.client();
+        let mut client = self.rig.connect_client();
         client.send(&request(txn, None, b"abc"));
         self.runs(txn);
         client
@@ -432,9 +432,13 @@
     fn tell(&mut self) {
         self.rig.process.terminate();
         self.told = Some(Instant::now());
-        while self.rig.reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"})
-        {
-        }
+        while self
+            .rig
+            .registration_reports
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap()
+            != json!({"accepting": "false"})
+        {}
     }
 
     /// It leaves by itself with nothing wrong, before it would be killed, and starts no run that the test has not
@@ -484,7 +488,7 @@
     assert_eq!(answered(&mut two), (200, true));
     two.closed();
     // What its rules refuse is answered as well: no memory holds this one.
-    let mut large = drain.rig.client();
+    let mut large = drain.rig.connect_client();
     let text = String::from_utf8(request(5, None, b"abc")).unwrap();
     large.send(text.replace("Set-Kb: 24.5", "Set-Kb: 1999").as_bytes());
     assert_eq!(answered(&mut large), (503, true));
@@ -525,7 +529,7 @@
         drain.told.unwrap().elapsed() > grace * 5 / 4
     });
     kept.send(&request(2, None, b"abc"));
-    let mut crowd: Vec<Client> = (3..8).map(|_| drain.rig.client()).collect();
+    let mut crowd: Vec<Client> = (3..8).map(|_| drain.rig.connect_client()).collect();
     for (client, txn) in crowd.iter_mut().zip(3..) {
         client.send(&request(txn, None, b"abc"));
     }
@@ -564,7 +568,7 @@
 fn idle_connections_are_closed_cleanly_in_a_drain_and_it_leaves_in_time() {
     let mut drain = Drain::with_grace(Duration::from_millis(500));
     let mut kept: Vec<Client> = (1..5).map(|txn| drain.kept(txn)).collect();
-    let mut silent = drain.rig.client();
+    let mut silent = drain.rig.connect_client();
     drain.tell();
     // A check still has its answer, on a connection that stays open for it.
     kept[0].send(b"GET /status/live HTTP/1.1\r\n\r\n");
