--- a/crates/heathspur-bench/src/cost.rs
+++ b/crates/heathspur-bench/src/cost.rs
@@ -6,7 +6,7 @@
 use heathspur_capture::Options;
 use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::capture::read;
-use heathspur_testkit::prelude::{program_path, request, Client};
+use heathspur_testkit::prelude::{program_path, request, Http1Client};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -54,12 +54,12 @@
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
             thread::spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Http1Client::connect(address);
                 let each = requests / CALLERS;
                 let txns = from + caller * each..from + (caller + 1) * each;
                 txns.filter(|txn| {
                     client.send(&request(*txn, None, b"4929001234567890"));
-                    client.answer().0 == 200
+                    client.read_response().0 == 200
                 })
                 .count() as u64
             })
@@ -73,7 +73,7 @@
 
 /// 2,000 keyed requests of 500 keys, one after another; each key has a body of its own.
 fn keyed(address: SocketAddr) {
-    let mut client = Client::to(address);
+    let mut client = Http1Client::connect(address);
     for n in 0..2_000_u64 {
         let key = n % 500;
         client.send(&request(
@@ -81,7 +81,7 @@
             Some(&format!("key-{key}")),
             format!("pay-{key}").as_bytes(),
         ));
-        client.answer();
+        client.read_response();
     }
 }
 
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -4,7 +4,7 @@
 use crate::table::Table;
 use heathspur_testkit::auto_stubs::Manner;
 use heathspur_testkit::http2::{Caller, Ended, CANCEL};
-use heathspur_testkit::prelude::{request, Client};
+use heathspur_testkit::prelude::{request, Http1Client};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
 
 fn caller(http2: SocketAddr, http1: SocketAddr, caller: u64) -> Counts {
     let mut rng = StdRng::seed_from_u64(caller);
-    let (mut streams, mut client) = (Caller::to(http2), Client::to(http1));
+    let (mut streams, mut client) = (Caller::to(http2), Http1Client::connect(http1));
     let mut counts = Counts::default();
     let mut results: HashMap<u64, Vec<u8>> = HashMap::new();
     for n in 0..REQUESTS / CALLERS {
@@ -48,7 +48,7 @@
         );
         let (status, result) = if rng.random_bool(0.4) {
             client.send(&request(txn, Some(&key), body.as_bytes()));
-            let (status, _, result) = client.answer();
+            let (status, _, result) = client.read_response();
             (status, result)
         } else {
             let id = streams.ask(txn, Some(&key), body.as_bytes());
--- a/crates/heathspur-testkit/src/http1.rs
+++ b/crates/heathspur-testkit/src/http1.rs
@@ -7,23 +7,23 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// A balancer's connection.
-pub struct Client(pub(crate) BufReader<TcpStream>);
+pub struct Http1Client(pub(crate) BufReader<TcpStream>);
 
 pub type Fields = BTreeMap<String, String>;
 
-impl Client {
-    pub fn to(address: SocketAddr) -> Client {
+impl Http1Client {
+    pub fn connect(address: SocketAddr) -> Http1Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Client(BufReader::new(stream))
+        Http1Client(BufReader::new(stream))
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).unwrap();
     }
 
-    pub fn message(&mut self) -> Option<(String, Fields, Vec<u8>)> {
+    pub fn read_message(&mut self) -> Option<(String, Fields, Vec<u8>)> {
         let (mut first, mut fields) = (String::new(), Fields::new());
         self.0.read_line(&mut first).ok().filter(|n| *n > 0)?;
         loop {
@@ -43,8 +43,8 @@
     }
 
     /// Status, fields and body of the next answer.
-    pub fn answer(&mut self) -> (u16, Fields, Vec<u8>) {
-        let (first, fields, body) = self.message().expect("an answer");
+    pub fn read_response(&mut self) -> (u16, Fields, Vec<u8>) {
+        let (first, fields, body) = self.read_message().expect("an answer");
         let status = first.strip_prefix("HTTP/1.1 ").unwrap()[..3]
             .parse()
             .unwrap();
@@ -57,7 +57,7 @@
     }
 
     /// The other side closes with nothing more to say.
-    pub fn closed(&mut self) {
+    pub fn assert_closed(&mut self) {
         let mut rest = Vec::new();
         assert_eq!(self.0.read_to_end(&mut rest).unwrap(), 0, "{rest:?}");
     }
--- a/crates/heathspur-testkit/src/mock_registration.rs
+++ b/crates/heathspur-testkit/src/mock_registration.rs
@@ -1,6 +1,6 @@
 //! An announce service that passes on what is reported to it.
 
-use crate::http1::Client;
+use crate::http1::Http1Client;
 use serde_json::Value;
 use std::io::BufReader;
 use std::net::{TcpListener, TcpStream};
@@ -20,8 +20,8 @@
 }
 
 fn take_reports(stream: TcpStream, report: mpsc::Sender<Value>) {
-    let mut client = Client(BufReader::new(stream));
-    while let Some((first, _, body)) = client.message() {
+    let mut client = Http1Client(BufReader::new(stream));
+    while let Some((first, _, body)) = client.read_message() {
         assert!(first.starts_with("PUT /announce/n3 HTTP/1.1"), "{first}");
         let _ = report.send(serde_json::from_slice(&body).unwrap());
         client.send(b"HTTP/1.1 204 No Content\r\n\r\n");
--- a/crates/heathspur-testkit/src/mock_store.rs
+++ b/crates/heathspur-testkit/src/mock_store.rs
@@ -6,24 +6,24 @@
 use std::net::TcpStream;
 
 /// The store's end of a connection.
-pub struct Store(TcpStream);
+pub struct MockStore(TcpStream);
 
-impl Store {
+impl MockStore {
     /// The other side closes with nothing more to say.
-    pub fn closed(&mut self) {
+    pub fn assert_closed(&mut self) {
         assert_eq!(self.0.read(&mut [0]).unwrap(), 0);
     }
 
     /// A good reply to a request's call.
-    pub fn ok(&mut self, txn: u64, body: &str) {
-        self.say(format!("{txn:016x} OK {}\r\n{body}\r\n", body.len()).as_bytes());
+    pub fn send_ok(&mut self, txn: u64, body: &str) {
+        self.send(format!("{txn:016x} OK {}\r\n{body}\r\n", body.len()).as_bytes());
     }
 
-    pub fn accept(rig: &ServerFixture) -> Store {
-        Store(accept(&rig.store_listener))
+    pub fn accept(rig: &ServerFixture) -> MockStore {
+        MockStore(accept(&rig.store_listener))
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
+    pub fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).unwrap();
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// The next call: its id and body.
-    pub fn call(&mut self) -> (String, Vec<u8>) {
+    pub fn read_call(&mut self) -> (String, Vec<u8>) {
         let line = self.line();
         let words: Vec<_> = line.split(' ').collect();
         assert_eq!(words[0], "CALL", "{line}");
--- a/crates/heathspur-testkit/src/prelude.rs
+++ b/crates/heathspur-testkit/src/prelude.rs
@@ -1,10 +1,10 @@
 //! The names of the server's fixture and of its scripted stand-ins, for one glob import.
 
 pub use crate::config::{default_settings, server_config, write_config_file};
-pub use crate::http1::{request, unix_ms, Client, Fields};
+pub use crate::http1::{request, unix_ms, Fields, Http1Client};
 pub use crate::loopback::{accept, bind_loopback, EVENT_TIMEOUT};
-pub use crate::mock_interpreter::Vm;
+pub use crate::mock_interpreter::MockInterpreter;
 pub use crate::mock_registration::mock_registration;
-pub use crate::mock_store::Store;
+pub use crate::mock_store::MockStore;
 pub use crate::process::{program_path, server_command, ProcessGuard};
 pub use crate::server_fixture::ServerFixture;
--- a/crates/heathspur-testkit/src/server_fixture.rs
+++ b/crates/heathspur-testkit/src/server_fixture.rs
@@ -1,9 +1,9 @@
 //! The program under test with its stand-ins.
 
 use crate::config::{server_config, write_config_file};
-use crate::http1::Client;
+use crate::http1::Http1Client;
 use crate::loopback::{accept, bind_loopback, EVENT_TIMEOUT};
-use crate::mock_interpreter::Vm;
+use crate::mock_interpreter::MockInterpreter;
 use crate::mock_registration::mock_registration;
 use crate::process::{server_command, ProcessGuard};
 use serde_json::{json, Value};
@@ -144,28 +144,28 @@
     }
 
     /// The interpreter's end of a link that is up.
-    pub fn accept_link(&self) -> Vm {
+    pub fn accept_link(&self) -> MockInterpreter {
         let mut vm = self.accept_link_before_banner();
-        vm.say(json!({"verb": "BANNER", "outcome": "hot", "spent": 5}));
+        vm.send(json!({"verb": "BANNER", "outcome": "hot", "spent": 5}));
         vm
     }
 
     /// The same before `BANNER`.
-    pub fn accept_link_before_banner(&self) -> Vm {
+    pub fn accept_link_before_banner(&self) -> MockInterpreter {
         let stream = accept(&self.interpreter_listener);
-        let mut vm = Vm {
+        let mut vm = MockInterpreter {
             reader: BufReader::new(stream),
-            resumed_at: 0,
-            index: 0,
+            resume_index: 0,
+            last_index: 0,
         };
-        let hello = vm.line();
+        let hello = vm.read_any_command();
         assert_eq!(hello["verb"], "CONNECT");
-        vm.resumed_at = hello["index"].as_u64().unwrap();
-        vm.index = vm.resumed_at;
+        vm.resume_index = hello["index"].as_u64().unwrap();
+        vm.last_index = vm.resume_index;
         vm
     }
 
-    pub fn connect_client(&self) -> Client {
-        Client::to(self.address)
+    pub fn connect_client(&self) -> Http1Client {
+        Http1Client::connect(self.address)
     }
 }
--- a/crates/heathspurctl/tests/members.rs
+++ b/crates/heathspurctl/tests/members.rs
@@ -53,7 +53,7 @@
     let mut vm = fleet.rig(1).accept_link();
     let mut client = fleet.rig(1).connect_client();
     client.send(&request(1, None, b"abc"));
-    let (task, _, body) = vm.apply();
+    let (task, _, body) = vm.read_apply();
     assert_eq!(body, b"abc");
     until(asked, "m1", "one request in flight", |row| {
         row["in_flight"] == 1 && row["cap"].as_u64() > Some(0)
@@ -70,8 +70,8 @@
     );
     fleet.signal(1, "TERM");
     until(asked, "m1", "left", |row| row["state"] == "left");
-    vm.value(&task, "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    vm.send_value(&task, "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
     let mut rig = fleet.servers[1].rig.take().unwrap();
     assert!(rig.process.wait().success());
     fleet.wait(Duration::from_secs(1));
--- a/crates/heathspurd/tests/close.rs
+++ b/crates/heathspurd/tests/close.rs
@@ -68,13 +68,13 @@
     for txn in 1..4 {
         let mut client = rig.connect_client();
         client.send(&last_request(txn));
-        assert_eq!(vm.apply().0, task(txn));
+        assert_eq!(vm.read_apply().0, task(txn));
         // More than the server reads ahead lies unread when it closes: a close at once would be a reset.
         client.send(&[b'x'; 96 * 1024]);
-        vm.value(&task(txn), "complete", b"done");
-        let (status, _, body) = client.answer();
+        vm.send_value(&task(txn), "complete", b"done");
+        let (status, _, body) = client.read_response();
         assert_eq!((status, &body[..]), (200, &b"done"[..]));
-        client.closed();
+        client.assert_closed();
     }
 }
 
@@ -84,15 +84,15 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&last_request(1));
-    assert_eq!(vm.apply().0, task(1));
-    vm.value(&task(1), "complete", b"done");
-    assert_eq!(client.answer().0, 200);
-    client.closed();
+    assert_eq!(vm.read_apply().0, task(1));
+    vm.send_value(&task(1), "complete", b"done");
+    assert_eq!(client.read_response().0, 200);
+    client.assert_closed();
     // Our side is shut, theirs is open still.
     client.send(&request(2, None, b"abc"));
     let mut other = rig.connect_client();
     other.send(&request(3, None, b"abc"));
-    assert_eq!(vm.apply().0, task(3));
+    assert_eq!(vm.read_apply().0, task(3));
 }
 
 #[test]
@@ -104,13 +104,13 @@
         .recv_timeout(EVENT_TIMEOUT)
         .unwrap();
     let before = descriptors(&rig);
-    let mut stay: Vec<Client> = Vec::new();
+    let mut stay: Vec<Http1Client> = Vec::new();
     for txn in 1..20 {
         let mut client = rig.connect_client();
         client.send(&last_request(txn));
-        assert_eq!(vm.apply().0, task(txn));
-        vm.value(&task(txn), "complete", b"done");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(vm.read_apply().0, task(txn));
+        vm.send_value(&task(txn), "complete", b"done");
+        assert_eq!(client.read_response().0, 200);
         stay.push(client);
     }
     until("descriptors as before", || descriptors(&rig) <= before);
@@ -119,20 +119,20 @@
 }
 
 /// A connection whose request is in the server's hands, and behind a health check so that it is known to be open.
-fn asked(rig: &ServerFixture, txn: u64) -> Client {
+fn asked(rig: &ServerFixture, txn: u64) -> Http1Client {
     let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    client.answer();
+    client.read_response();
     client.send(&request(txn, None, b"abc"));
     client
 }
 
 /// It is answered, and its connection ends with that.
-fn answered_and_closed(client: &mut Client) {
-    let (status, fields, _) = client.answer();
+fn answered_and_closed(client: &mut Http1Client) {
+    let (status, fields, _) = client.read_response();
     assert!(status == 200 || status == 503, "{status}");
     assert_eq!(fields["connection"], "close");
-    client.closed();
+    client.assert_closed();
 }
 
 #[test]
@@ -154,9 +154,9 @@
     // With the process standing still all are there with their requests at once, so that none of them is idle: the
     // server takes as many as it has permits for, and the machine has accepted the others.
     stopped(&rig);
-    let mut clients: Vec<Client> = (1..POOL as u64 + 6).map(ask).collect();
+    let mut clients: Vec<Http1Client> = (1..POOL as u64 + 6).map(ask).collect();
     rig.process.signal("CONT");
-    let (first, ..) = vm.apply();
+    let (first, ..) = vm.read_apply();
     rig.process.terminate();
     while rig
         .registration_reports
@@ -167,8 +167,8 @@
     // The front is shut when the grace is over, which nothing shows while all connections are busy.
     thread::sleep(grace + Duration::from_millis(200));
     clients.extend((201..204).map(ask));
-    vm.value(&first, "complete", b"done");
-    let vm = vm.complete_all();
+    vm.send_value(&first, "complete", b"done");
+    let vm = vm.complete_all_runs();
     clients.iter_mut().for_each(answered_and_closed);
     assert_eq!(rig.process.wait().code(), Some(0));
     let started = vm.join().unwrap();
@@ -182,8 +182,8 @@
 fn a_server_that_got_no_time_until_its_end_answers_before_it_leaves() {
     let mut rig = ServerFixture::start_with_config(|config| config["stop_ms"] = json!(3000));
     let mut vm = rig.accept_link();
-    let mut clients: Vec<Client> = (1..=8).map(|txn| asked(&rig, txn)).collect();
-    assert_eq!(vm.apply().0, task(1));
+    let mut clients: Vec<Http1Client> = (1..=8).map(|txn| asked(&rig, txn)).collect();
+    assert_eq!(vm.read_apply().0, task(1));
     rig.process.terminate();
     while rig
         .registration_reports
@@ -195,7 +195,7 @@
     thread::sleep(Duration::from_millis(3100));
     rig.process.signal("CONT");
     for client in &mut clients {
-        let (status, _, _) = client.answer();
+        let (status, _, _) = client.read_response();
         assert!(status >= 500, "{status}");
     }
     assert_eq!(rig.process.wait().code(), Some(0));
@@ -209,20 +209,20 @@
         let whole = request(1, None, b"abc");
         let mut begun = rig.connect_client();
         begun.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        begun.answer();
+        begun.read_response();
         begun.send(&whole[..40]);
         let since = Instant::now();
         // All of these were heard as well, and rest for less long.
         let _idle = flood(&rig, POOL + 4, b"GET /status/live HTTP/1.1\r\n\r\n");
         // One that comes last is heard, so all before it were looked at.
         let _last = asked(&rig, 2);
-        assert_eq!(vm.apply().0, task(2));
+        assert_eq!(vm.read_apply().0, task(2));
         begun.send(&whole[40..]);
         // A request has two seconds to be whole; only a machine without time for this test takes so long.
         if since.elapsed() < Duration::from_millis(1500) {
-            assert_eq!(vm.apply().0, task(1));
-            vm.value(&task(1), "complete", b"done");
-            assert_eq!(begun.answer().0, 200);
+            assert_eq!(vm.read_apply().0, task(1));
+            vm.send_value(&task(1), "complete", b"done");
+            assert_eq!(begun.read_response().0, 200);
             return;
         }
     }
@@ -233,7 +233,7 @@
 fn a_request_that_is_whole_when_its_connection_has_to_leave_is_answered() {
     let rig = small();
     let vm = rig.accept_link();
-    let mut first: Vec<Client> = (0..POOL as u64 / 2).map(|_| rig.connect_client()).collect();
+    let mut first: Vec<Http1Client> = (0..POOL as u64 / 2).map(|_| rig.connect_client()).collect();
     // Nothing of them is read while the process stands still, and room for all who come is asked of them then.
     stopped(&rig);
     for (client, txn) in first.iter_mut().zip(1..) {
@@ -241,26 +241,26 @@
     }
     let _idle = flood(&rig, 2 * POOL, b"");
     rig.process.signal("CONT");
-    let _vm = vm.complete_all();
+    let _vm = vm.complete_all_runs();
     for client in &mut first {
-        let status = client.answer().0;
+        let status = client.read_response().0;
         assert!(status == 200 || status == 503, "{status}");
     }
 }
 
 /// Work on a new connection is served, with its call below, whoever else holds connections.
-fn serves_with_a_call(rig: &ServerFixture, vm: &mut Vm, txn: u64) {
+fn serves_with_a_call(rig: &ServerFixture, vm: &mut MockInterpreter, txn: u64) {
     let mut client = rig.connect_client();
     // Of a class whose call is neither left out nor made again, however slow this machine is.
     client.send(&request(txn, Some(&task(txn)), b"abc"));
-    assert_eq!(vm.apply().0, task(txn));
-    vm.awaits(&task(txn), b"ask");
-    let mut store = Store::accept(rig);
-    assert_eq!(store.call().0, task(txn));
-    store.ok(txn, "fine");
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task(txn), "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    assert_eq!(vm.read_apply().0, task(txn));
+    vm.send_await(&task(txn), b"ask");
+    let mut store = MockStore::accept(rig);
+    assert_eq!(store.read_call().0, task(txn));
+    store.send_ok(txn, "fine");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task(txn), "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
@@ -303,9 +303,9 @@
     let mut vm = rig.accept_link();
     for txn in 1..10 {
         let mut client = asked(&rig, txn);
-        assert_eq!(vm.apply().0, task(txn));
-        vm.value(&task(txn), "complete", b"done");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(vm.read_apply().0, task(txn));
+        vm.send_value(&task(txn), "complete", b"done");
+        assert_eq!(client.read_response().0, 200);
         // It is told of our end first, and sends half a line across it.
         assert_eq!(client.peek(&mut [0; 1]), 0);
         let told = Instant::now();
@@ -313,11 +313,11 @@
         // Had that met a closed socket, this would meet the reset that it brought.
         let mut check = rig.connect_client();
         check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        check.answer();
+        check.read_response();
         client.send(b"ok HTTP/1.1\r\n");
         // What comes later than that is read off no more; only a machine without time for this test sends it so late.
         if told.elapsed() < Duration::from_millis(500) {
-            return client.closed();
+            return client.assert_closed();
         }
     }
     panic!("this machine gives the test no time");
--- a/crates/heathspurd/tests/cold.rs
+++ b/crates/heathspurd/tests/cold.rs
@@ -16,8 +16,8 @@
 /// is never answered, so that their cores are free for others.
 struct Crowd {
     _rig: ServerFixture,
-    vm: Vm,
-    clients: Vec<Client>,
+    vm: MockInterpreter,
+    clients: Vec<Http1Client>,
 }
 
 impl Crowd {
@@ -31,14 +31,14 @@
             config["settings"]["services"][1]["give-up-s"] = json!(3.0);
         });
         let mut vm = rig.accept_link_before_banner();
-        vm.say(json!({"verb": "BANNER", "outcome": state, "spent": 0}));
+        vm.send(json!({"verb": "BANNER", "outcome": state, "spent": 0}));
         assert_eq!(
             rig.registration_reports
                 .recv_timeout(EVENT_TIMEOUT)
                 .unwrap(),
             json!({"accepting": "true"})
         );
-        let mut clients: Vec<Client> = (0..REQUESTS).map(|_| rig.connect_client()).collect();
+        let mut clients: Vec<Http1Client> = (0..REQUESTS).map(|_| rig.connect_client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
         }
@@ -53,8 +53,8 @@
     fn answered(mut self) -> (usize, Vec<(u16, Option<u64>)>) {
         let clients = std::mem::take(&mut self.clients);
         let answers = thread::spawn(move || {
-            let answer = |mut client: Client| {
-                let (status, fields, _) = client.answer();
+            let answer = |mut client: Http1Client| {
+                let (status, fields, _) = client.read_response();
                 (
                     status,
                     fields.get("x-throttle-ms").map(|ms| ms.parse().unwrap()),
@@ -64,21 +64,21 @@
         });
         let (mut runs, mut most) = (HashSet::new(), 0);
         while !answers.is_finished() {
-            let command = self.vm.line();
+            let command = self.vm.read_any_command();
             let task = command["task"].as_str().unwrap_or_default().to_string();
             match command["verb"].as_str() {
                 Some("APPLY") => {
-                    self.vm.awaits(&task, b"ask");
+                    self.vm.send_await(&task, b"ask");
                     runs.insert(task);
                 }
                 Some("BREAK") => {
                     runs.remove(&task);
-                    self.vm.value(&task, "cancelled", b"");
+                    self.vm.send_value(&task, "cancelled", b"");
                 }
                 _ => {
                     let nonce = &command["nonce"];
                     self.vm
-                        .say(json!({"verb": "TOPS", "nonce": nonce, "readings": [1.0, runs.len(), 0.1, 2]}));
+                        .send(json!({"verb": "TOPS", "nonce": nonce, "readings": [1.0, runs.len(), 0.1, 2]}));
                 }
             }
             most = most.max(runs.len());
--- a/crates/heathspurd/tests/example.rs
+++ b/crates/heathspurd/tests/example.rs
@@ -39,7 +39,7 @@
         .unwrap();
     let address = first.rsplit(' ').next().unwrap().parse().expect(&first);
     assert!(said.any(|line| line.contains("announced")));
-    let mut client = Client::to(address);
+    let mut client = Http1Client::connect(address);
     for (class, key) in [("look-up", ""), ("pay", "X-Txn-Key: 5c0f\r\n")] {
         client.send(
             format!(
@@ -50,7 +50,7 @@
             )
             .as_bytes(),
         );
-        let (status, _, body) = client.answer();
+        let (status, _, body) = client.read_response();
         assert_eq!((status, &body[..]), (200, &b"HELLO"[..]));
     }
     server.terminate();
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -3,7 +3,7 @@
 
 use heathspur_testkit::auto_stubs::{self, Manner, Runs};
 use heathspur_testkit::fleet::Fleet;
-use heathspur_testkit::prelude::{request, Client};
+use heathspur_testkit::prelude::{request, Http1Client};
 use heathspur_testkit::replica::Replica;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -115,7 +115,7 @@
                 let address = zones.fleet.rig(i).address;
                 let (over, answers) = (over.clone(), answers.clone());
                 thread::spawn(move || {
-                    let mut client = Client::to(address);
+                    let mut client = Http1Client::connect(address);
                     for n in 0.. {
                         if over.load(Ordering::Relaxed) {
                             return;
@@ -124,10 +124,10 @@
                         let key = format!("{number:032x}");
                         client.send(&request(number, Some(&key), key.as_bytes()));
                         // None is left without its answer: reading waits for it.
-                        let (status, fields, _) = client.answer();
+                        let (status, fields, _) = client.read_response();
                         answers.lock().unwrap().push((i, status));
                         if fields.get("connection").is_some_and(|c| c == "close") {
-                            client = Client::to(address);
+                            client = Http1Client::connect(address);
                         }
                         thread::sleep(pause);
                     }
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -67,17 +67,17 @@
 }
 
 /// Work on a new connection is served, with its call below, and no descriptor too many is held.
-fn serves_with_a_call(rig: &ServerFixture, vm: &mut Vm, txn: u64) {
+fn serves_with_a_call(rig: &ServerFixture, vm: &mut MockInterpreter, txn: u64) {
     let (mut client, task) = (rig.connect_client(), format!("{txn:016x}"));
     client.send(&request(txn, Some(&task), b"abc"));
-    assert_eq!(vm.apply().0, task);
-    vm.awaits(&task, b"ask");
-    let mut store = Store::accept(rig);
-    assert_eq!(store.call().0, task);
-    store.ok(txn, "fine");
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task, "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    assert_eq!(vm.read_apply().0, task);
+    vm.send_await(&task, b"ask");
+    let mut store = MockStore::accept(rig);
+    assert_eq!(store.read_call().0, task);
+    store.send_ok(txn, "fine");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task, "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
     assert!(
         descriptors(rig) <= SOCKETS,
         "{} descriptors",
@@ -124,10 +124,10 @@
     drop(crowd);
     // One more than before: reports have a connection now.
     until("descriptors as before", || descriptors(&rig) <= before + 1);
-    let mut fresh: Vec<Client> = (0..POOL - FREE).map(|_| rig.connect_client()).collect();
+    let mut fresh: Vec<Http1Client> = (0..POOL - FREE).map(|_| rig.connect_client()).collect();
     for client in &mut fresh {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(client.read_response().0, 200);
     }
     serves_with_a_call(&rig, &mut vm, 7);
     assert_eq!(
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -1,7 +1,9 @@
 //! HTTP/2 as the process speaks it, against scripted stand-ins: the four rules, each limit, each abuse.
 
 use heathspur_testkit::http2::*;
-use heathspur_testkit::prelude::{request, Client, Fields, ServerFixture, Vm, EVENT_TIMEOUT};
+use heathspur_testkit::prelude::{
+    request, Fields, Http1Client, MockInterpreter, ServerFixture, EVENT_TIMEOUT,
+};
 use serde_json::json;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -29,7 +31,7 @@
 }
 
 /// A server with the port on, and where that is.
-fn start(name: &str, inner: &str) -> (ServerFixture, Vm, SocketAddr) {
+fn start(name: &str, inner: &str) -> (ServerFixture, MockInterpreter, SocketAddr) {
     let file = operator(name, inner);
     let rig = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
         if name == "fair" {
@@ -47,11 +49,11 @@
 }
 
 /// Requests of another connection are still answered.
-fn serves(address: SocketAddr, vm: &mut Vm, txn: u64) {
+fn serves(address: SocketAddr, vm: &mut MockInterpreter, txn: u64) {
     let mut caller = Caller::to(address);
     let id = caller.ask(txn, None, b"good");
-    assert_eq!(vm.apply().0, task(txn));
-    vm.value(&task(txn), "complete", b"fine");
+    assert_eq!(vm.read_apply().0, task(txn));
+    vm.send_value(&task(txn), "complete", b"fine");
     let (status, _, body) = caller.answer(id);
     assert_eq!((status, &body[..]), (200, &b"fine"[..]));
 }
@@ -62,13 +64,13 @@
     let mut caller = Caller::to(address);
     let body: Vec<u8> = (0..=255).collect();
     let ids: Vec<u32> = (1..6).map(|txn| caller.ask(txn, None, &body)).collect();
-    let mut applied: Vec<_> = (1..6).map(|_| vm.apply()).collect();
+    let mut applied: Vec<_> = (1..6).map(|_| vm.read_apply()).collect();
     applied.sort();
     assert!(applied
         .iter()
         .all(|(_, class, bytes)| class == "look" && *bytes == body));
     for txn in (1..6).rev() {
-        vm.value(&task(txn), "complete", &body[txn as usize..]);
+        vm.send_value(&task(txn), "complete", &body[txn as usize..]);
     }
     for (txn, id) in (1..6).zip(ids) {
         let (status, fields, result) = caller.answer(id);
@@ -87,8 +89,11 @@
     for byte in bytes {
         caller.raw(&[byte]);
     }
-    assert_eq!(vm.apply(), (task(1), "pay".to_string(), b"abc".to_vec()));
-    vm.value(&task(1), "complete", b"");
+    assert_eq!(
+        vm.read_apply(),
+        (task(1), "pay".to_string(), b"abc".to_vec())
+    );
+    vm.send_value(&task(1), "complete", b"");
     assert_eq!(caller.answer(id).0, 200);
 }
 
@@ -105,7 +110,7 @@
     let (status, fields, _) = caller.answer(id);
     let mut client = rig.connect_client();
     client.send(&request(2, None, b"abc"));
-    let (other, its, _) = client.answer();
+    let (other, its, _) = client.read_response();
     assert_eq!((status, other), (503, 503));
     let names = |fields: &Fields| {
         fields
@@ -123,7 +128,7 @@
     let (rig, mut vm, address) = start("reset", "");
     let mut caller = Caller::to(address);
     let first = caller.ask(1, Some("k1"), b"pay");
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
     caller.reset(first, CANCEL);
     // Another stream, another connection, another protocol: all wait for the one run.
     let second = caller.ask(2, Some("k1"), b"pay");
@@ -132,15 +137,15 @@
     let mut client = rig.connect_client();
     client.send(&request(4, Some("k1"), b"pay"));
     let marker = other.ask(5, Some("k2"), b"pay");
-    assert_eq!(vm.apply().0, task(5), "no repeat runs");
-    vm.value(&task(1), "complete", b"done");
+    assert_eq!(vm.read_apply().0, task(5), "no repeat runs");
+    vm.send_value(&task(1), "complete", b"done");
     assert_eq!(caller.answer(second).2, b"done");
     assert_eq!(other.answer(third).2, b"done");
-    assert_eq!(client.answer().2, b"done");
+    assert_eq!(client.read_response().2, b"done");
     // And after it has ended.
     let late = other.ask(6, Some("k1"), b"pay");
     assert_eq!(other.answer(late).2, b"done");
-    vm.value(&task(5), "complete", b"other");
+    vm.send_value(&task(5), "complete", b"other");
     assert_eq!(other.answer(marker).2, b"other");
     // The key goes with one body whatever the protocol.
     let wrong = other.ask(7, Some("k1"), b"another");
@@ -153,17 +158,17 @@
     for txn in 1..40 {
         let mut caller = Caller::to(address);
         let id = caller.ask(txn, None, b"abc");
-        assert_eq!(vm.apply().0, task(txn));
+        assert_eq!(vm.read_apply().0, task(txn));
         match txn % 2 {
             0 => caller.reset(id, CANCEL),
             _ => drop(caller),
         }
-        let stop = vm.command();
+        let stop = vm.read_command();
         assert_eq!(
             (&stop["verb"], &stop["task"]),
             (&json!("BREAK"), &json!(task(txn)))
         );
-        vm.value(&task(txn), "cancelled", b"");
+        vm.send_value(&task(txn), "cancelled", b"");
     }
 }
 
@@ -201,8 +206,8 @@
     assert!(caller.answer(id).2.is_empty());
     serves(address, &mut vm, 1);
     let id = caller.ask(2, None, b"x");
-    vm.apply();
-    vm.value(&task(2), "complete", b"y");
+    vm.read_apply();
+    vm.send_value(&task(2), "complete", b"y");
     assert_eq!(caller.answer(id).2, b"y");
 }
 
@@ -228,20 +233,20 @@
     caller.raw(&open);
     let block = caller.block(&[("x-note", "end")]);
     caller.raw(&frame(HEADERS, END_HEADERS | END_STREAM, id, &block));
-    assert_eq!(vm.apply().2, b"abc");
-    vm.value(&task(1), "complete", b"y");
+    assert_eq!(vm.read_apply().2, b"abc");
+    vm.send_value(&task(1), "complete", b"y");
     assert_eq!(caller.answer(id).2, b"y");
 }
 
 #[test]
 fn another_version_is_told_so_in_words_it_can_read_and_silence_is_ended() {
     let (_rig, mut vm, address) = start("version", "<request whole=\"200 ms\"/>");
-    let mut client = Client::to(address);
+    let mut client = Http1Client::connect(address);
     client.send(&request(1, None, b"abc"));
-    let (status, fields, body) = client.answer();
+    let (status, fields, body) = client.read_response();
     assert_eq!((status, fields["connection"].as_str()), (505, "close"));
     assert!(String::from_utf8(body).unwrap().contains("HTTP/2"));
-    client.closed();
+    client.assert_closed();
     let silent = Caller::silent(address);
     assert_eq!(silent.socket().read(&mut [0; 9]).unwrap(), 0);
     let mut half = Caller::silent(address);
@@ -256,24 +261,24 @@
     let (_rig, mut vm, address) = start("limit", "<streams connection=\"2\" all=\"4\"/>");
     let mut caller = Caller::to(address);
     let ids: Vec<u32> = (1..3).map(|txn| caller.ask(txn, None, b"abc")).collect();
-    (1..3).for_each(|_| drop(vm.apply()));
+    (1..3).for_each(|_| drop(vm.read_apply()));
     // It was told so, and has acknowledged it.
     let id = caller.ask(9, None, b"abc");
     assert_eq!(caller.ended(id), Ended::Reset(REFUSED_STREAM));
     assert_eq!(caller.settings[&3], 2);
     let mut second = Caller::to(address);
     let more: Vec<u32> = (20..22).map(|txn| second.ask(txn, None, b"abc")).collect();
-    (20..22).for_each(|_| drop(vm.apply()));
+    (20..22).for_each(|_| drop(vm.read_apply()));
     let mut third = Caller::to(address);
     let id = third.ask(30, None, b"abc");
     assert_eq!(third.ended(id), Ended::Reset(REFUSED_STREAM));
     for (txn, id) in (1..3).zip(ids) {
-        vm.value(&task(txn), "complete", b"x");
+        vm.send_value(&task(txn), "complete", b"x");
         assert_eq!(caller.answer(id).0, 200);
     }
     let id = third.ask(31, None, b"abc");
-    assert_eq!(vm.apply().0, task(31));
-    vm.value(&task(31), "complete", b"x");
+    assert_eq!(vm.read_apply().0, task(31));
+    vm.send_value(&task(31), "complete", b"x");
     assert_eq!(third.answer(id).0, 200);
     drop((second, more));
 }
@@ -287,8 +292,8 @@
         .map(|txn| caller.ask(txn, Some(&format!("k{txn}")), b"pay"))
         .collect();
     for _ in 1..6 {
-        let (task, ..) = vm.apply();
-        vm.value(&task, "complete", b"receipt");
+        let (task, ..) = vm.read_apply();
+        vm.send_value(&task, "complete", b"receipt");
     }
     for id in ids {
         assert_eq!(caller.ended(id), Ended::Reset(ENHANCE_YOUR_CALM));
@@ -306,8 +311,8 @@
     let answer = vec![7; 6000];
     let ids: Vec<u32> = (1..21).map(|txn| stalled.ask(txn, None, b"x")).collect();
     for _ in 1..21 {
-        let (task, ..) = vm.apply();
-        vm.value(&task, "complete", &answer);
+        let (task, ..) = vm.read_apply();
+        vm.send_value(&task, "complete", &answer);
     }
     // 10 of 6,000 bytes have room; the oldest ten gave way.
     for id in &ids[..10] {
@@ -316,8 +321,8 @@
     // Another one that is slow as well pays only once it holds more.
     let mut modest = Caller::with(address, &[(INITIAL_WINDOW, 0)]);
     let id = modest.ask(40, None, b"x");
-    vm.apply();
-    vm.value(&task(40), "complete", &answer);
+    vm.read_apply();
+    vm.send_value(&task(40), "complete", &answer);
     assert_eq!(stalled.ended(ids[10]), Ended::Reset(ENHANCE_YOUR_CALM));
     modest.raw(&frame(WINDOW_UPDATE, 0, id, &6000u32.to_be_bytes()));
     assert_eq!(modest.answer(id).2.len(), 6000);
@@ -439,8 +444,8 @@
         Ended::Answer(431, ..) | Ended::Reset(_)
     ));
     let id = caller.ask(1, None, b"x");
-    vm.apply();
-    vm.value(&task(1), "complete", b"y");
+    vm.read_apply();
+    vm.send_value(&task(1), "complete", b"y");
     assert_eq!(caller.answer(id).0, 200, "the connection stays");
     let broken: [Vec<u8>; 5] = [
         // A window that overflows.
@@ -465,13 +470,13 @@
     let (mut rig, mut vm, address) = start("drain", "");
     let mut caller = Caller::to(address);
     let first = caller.ask(1, Some("k1"), b"pay");
-    vm.apply();
+    vm.read_apply();
     caller.mannered = false;
     rig.process.terminate();
     assert_eq!(caller.goaway(), Some((0x7fff_ffff, NO_ERROR)));
     // What was on its way is read still, until the round trip is over.
     let second = caller.ask(2, Some("k2"), b"pay");
-    assert_eq!(vm.apply().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
     caller.mannered = true;
     let ping = caller.frame().expect("a PING");
     assert_eq!((ping.kind, ping.flags), (PING, 0));
@@ -479,8 +484,8 @@
     assert_eq!(caller.goaway(), Some((second, NO_ERROR)));
     // Whoever ignores that gets nothing run.
     let third = caller.ask(3, Some("k3"), b"pay");
-    vm.value(&task(1), "complete", b"one");
-    vm.value(&task(2), "complete", b"two");
+    vm.send_value(&task(1), "complete", b"one");
+    vm.send_value(&task(2), "complete", b"two");
     assert_eq!(
         (caller.answer(first).2, caller.answer(second).2),
         (b"one".to_vec(), b"two".to_vec())
@@ -494,14 +499,14 @@
     let (mut rig, mut vm, address) = start("no-pong", "<patience round-trip=\"100 ms\"/>");
     let mut caller = Caller::to(address);
     let first = caller.ask(1, None, b"x");
-    vm.apply();
+    vm.read_apply();
     caller.mannered = false;
     rig.process.terminate();
     assert_eq!(caller.goaway(), Some((0x7fff_ffff, NO_ERROR)));
     std::thread::sleep(std::time::Duration::from_millis(700));
     let second = caller.ask(2, None, b"x");
     assert_eq!(caller.ended(second), Ended::Reset(REFUSED_STREAM));
-    vm.value(&task(1), "complete", b"one");
+    vm.send_value(&task(1), "complete", b"one");
     assert_eq!(caller.answer(first).2, b"one");
     // The last stream is told before the end.
     assert_eq!(caller.closed().map(|(_, reason)| reason), Some(NO_ERROR));
@@ -516,9 +521,9 @@
     let ids: Vec<u32> = (1..200).map(|txn| caller.ask(txn, None, b"x")).collect();
     // It serves for as long as there is a link.
     std::thread::spawn(move || loop {
-        let command = vm.command();
+        let command = vm.read_command();
         if command["verb"] == "APPLY" {
-            vm.value(command["task"].as_str().unwrap(), "complete", b"answer");
+            vm.send_value(command["task"].as_str().unwrap(), "complete", b"answer");
         }
     });
     while caller.begun() < ids.len() {
@@ -551,18 +556,18 @@
     // The capture is worth more and is taken in among the first, so it runs long before the flood has.
     let mut before = 0;
     loop {
-        let command = vm.command();
+        let command = vm.read_command();
         if command["verb"] != "APPLY" {
             continue;
         }
         let name = command["task"].as_str().unwrap().to_string();
         if name == task(1) {
-            vm.value(&name, "complete", b"done");
+            vm.send_value(&name, "complete", b"done");
             break;
         }
         before += 1;
-        vm.value(&name, "complete", b"x");
+        vm.send_value(&name, "complete", b"x");
     }
     assert!(before < 300, "{before} of the flood ran first");
-    assert_eq!(client.answer().2, b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
--- a/crates/heathspurd/tests/members.rs
+++ b/crates/heathspurd/tests/members.rs
@@ -88,7 +88,7 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&heathspur_testkit::prelude::request(1, None, b"abc"));
-    assert_eq!(vm.apply().2, b"abc");
+    assert_eq!(vm.read_apply().2, b"abc");
 }
 
 #[test]
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -69,7 +69,7 @@
 }
 
 /// A server that reports to this listener, linked to its interpreter.
-fn reporting_to(listener: &TcpListener) -> (ServerFixture, Vm) {
+fn reporting_to(listener: &TcpListener) -> (ServerFixture, MockInterpreter) {
     let rig = ServerFixture::start_with_config(|c| {
         c["announce"] = at(listener);
         c["stop_ms"] = json!(30_000);
@@ -118,7 +118,7 @@
         // What runs keeps the server from leaving at once.
         let mut client = rig.connect_client();
         client.send(&request(1, None, b"abc"));
-        vm.apply();
+        vm.read_apply();
         rig.process.terminate();
         let (mut other, mut told) = Announce::accept(&service);
         while told != "false" {
@@ -150,18 +150,18 @@
         let mut slow = Announce::accept(&service).0;
         let mut client = rig.connect_client();
         client.send(&request(1, None, b"abc"));
-        let (task, _, _) = vm.apply();
+        let (task, _, _) = vm.read_apply();
         slow.taken()?;
         (slow.next()? == "true").then_some(())?;
         // It is held while the server is not ready, and is again.
         rig.wait_for_log("work has stalled");
-        vm.value(&task, "complete", b"one");
+        vm.send_value(&task, "complete", b"one");
         rig.wait_for_log("work has resumed");
         // However the request fared.
-        client.answer();
+        client.read_response();
         // The reports hear of the change in a turn of their own: before this answer at the latest.
         client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(client.read_response().0, 200);
         slow.is_open()?;
         let answered = Instant::now();
         slow.taken()?;
@@ -230,9 +230,9 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    let (task, _, _) = vm.apply();
+    let (task, _, _) = vm.read_apply();
     let asked = Instant::now();
-    vm.awaits(&task, b"ask");
+    vm.send_await(&task, b"ask");
     rig.store_listener = store.let_in();
     let mut stream = BufReader::new(accept(&rig.store_listener));
     let (id, limit) = call(&mut stream);
@@ -246,9 +246,9 @@
         .get_mut()
         .write_all(format!("{id} OK 2\r\nok\r\n").as_bytes())
         .unwrap();
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task, "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task, "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
@@ -259,7 +259,7 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.apply().2, b"abc");
+    assert_eq!(vm.read_apply().2, b"abc");
 }
 
 #[test]
@@ -280,7 +280,7 @@
         connection.taken()?;
         let mut check = rig.connect_client();
         check.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(check.answer().0, 200);
+        assert_eq!(check.read_response().0, 200);
         (began.elapsed() < Duration::from_secs(10)).then_some(())
     });
 }
@@ -291,27 +291,27 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    let (task, _, _) = vm.apply();
-    vm.value("9b1f", "complete", b"one");
+    let (task, _, _) = vm.read_apply();
+    vm.send_value("9b1f", "complete", b"one");
     let mut vm = rig.accept_link();
-    assert_eq!(vm.resumed_at, 0);
-    vm.value(&task, "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(vm.resume_index, 0);
+    vm.send_value(&task, "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 /// A server whose one keyed request was told on a link that broke. The interpreter is slow: on the new link
 /// its gauges do not come in the time that they are waited for, nor does what was missed before them.
-fn late_link() -> (ServerFixture, Vm, Client, Value) {
+fn late_link() -> (ServerFixture, MockInterpreter, Http1Client, Value) {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.apply();
+    vm.read_apply();
     drop(vm);
     let mut vm = rig.accept_link();
-    assert_eq!(vm.line()["verb"], "TOP");
+    assert_eq!(vm.read_any_command()["verb"], "TOP");
     // Timers ask again once the first question is no longer waited for.
-    let next = vm.line();
+    let next = vm.read_any_command();
     assert_eq!(next["verb"], "TOP", "{next}");
     (rig, vm, client, next["nonce"].clone())
 }
@@ -319,19 +319,19 @@
 #[test]
 fn a_run_that_may_have_ended_is_not_told_again_while_missed_notices_may_come() {
     let (_rig, mut vm, mut client, _) = late_link();
-    vm.value("0000000000000001", "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value("0000000000000001", "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
 fn a_run_is_told_again_once_late_gauges_show_that_no_notice_was_missed() {
     let (_rig, mut vm, mut client, nonce) = late_link();
-    vm.say(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
-    let again = vm.until_command();
+    vm.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
+    let again = vm.read_command_ignoring_gauges();
     assert_eq!(
         (again["verb"].as_str(), again["task"].as_str()),
         (Some("APPLY"), Some("0000000000000001"))
     );
-    vm.value("0000000000000001", "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value("0000000000000001", "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
--- a/crates/heathspurd/tests/ramp.rs
+++ b/crates/heathspurd/tests/ramp.rs
@@ -134,7 +134,7 @@
 struct Fleet {
     life: u64,
     rigs: Vec<ServerFixture>,
-    links: Vec<Vm>,
+    links: Vec<MockInterpreter>,
     over: Arc<AtomicBool>,
 }
 
@@ -172,9 +172,11 @@
     /// All interpreters are up in the same moment, cold, and callers come.
     fn up(&mut self) {
         for vm in &mut self.links {
-            vm.say(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
+            vm.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
         }
-        self.links.drain(..).for_each(Vm::call_all);
+        self.links
+            .drain(..)
+            .for_each(MockInterpreter::complete_all_runs_after_call);
         for (rig, process) in self.rigs.iter().zip(0..) {
             for caller in 0..CALLERS {
                 let (address, life, over) = (rig.address, self.life, self.over.clone());
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -70,7 +70,7 @@
 fn health(rig: &ServerFixture) -> u16 {
     let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-    client.answer().0
+    client.read_response().0
 }
 
 /// A started process, and its peers.
@@ -115,7 +115,7 @@
 
     /// Waits until the process is ready; what is down comes up meanwhile, but for the store. Gives its interpreter's
     /// end of the link.
-    fn gets_ready(self) -> (ServerFixture, Vm) {
+    fn gets_ready(self) -> (ServerFixture, MockInterpreter) {
         let Started {
             mut rig,
             registry,
@@ -138,7 +138,7 @@
     }
 }
 
-fn is_ready_in_time(at: At) -> (ServerFixture, Vm) {
+fn is_ready_in_time(at: At) -> (ServerFixture, MockInterpreter) {
     let since = Instant::now();
     let ready = Started::new(at).gets_ready();
     assert!(since.elapsed() < READY, "{at:?}: {:?}", since.elapsed());
@@ -163,25 +163,25 @@
 #[test]
 fn it_is_ready_in_time_without_the_store_and_calls_it_once_it_is_up() {
     let (rig, mut vm) = is_ready_in_time(At::Store);
-    let asks = |vm: &mut Vm, txn: u64| {
+    let asks = |vm: &mut MockInterpreter, txn: u64| {
         let mut client = rig.connect_client();
         client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
-        let (task, ..) = vm.apply();
-        vm.awaits(&task, b"ask");
+        let (task, ..) = vm.read_apply();
+        vm.send_await(&task, b"ask");
         (client, task)
     };
     let (mut client, task) = asks(&mut vm, 1);
     // Its call gets nowhere, and the caller has an answer.
-    assert_ne!(client.answer().0, 200);
-    vm.value(&task, "cancelled", b"");
+    assert_ne!(client.read_response().0, 200);
+    vm.send_value(&task, "cancelled", b"");
     rustix::net::listen(&rig.store_listener, 64).unwrap();
     let (mut client, task) = asks(&mut vm, 2);
-    let mut store = Store::accept(&rig);
-    store.call();
-    store.ok(2, "fine");
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task, "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
+    store.send_ok(2, "fine");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task, "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -78,22 +78,26 @@
     }
 }
 
-fn recording(operator: &Path) -> (ServerFixture, Vm) {
+fn recording(operator: &Path) -> (ServerFixture, MockInterpreter) {
     let rig = ServerFixture::start_with_operator_file(operator);
     let vm = rig.accept_link();
     (rig, vm)
 }
 
 /// Serves requests on one connection; what was sent.
-fn serve(rig: &ServerFixture, vm: &mut Vm, txns: std::ops::Range<u64>) -> Vec<Vec<u8>> {
+fn serve(
+    rig: &ServerFixture,
+    vm: &mut MockInterpreter,
+    txns: std::ops::Range<u64>,
+) -> Vec<Vec<u8>> {
     let mut client = rig.connect_client();
     let mut sent = Vec::new();
     for txn in txns {
         let bytes = request(txn, Some(&format!("key-{txn}")), b"4929001234567890");
         client.send(&bytes);
-        assert_eq!(vm.apply().2, b"4929001234567890");
-        vm.value(&format!("{txn:016x}"), "complete", b"approved");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(vm.read_apply().2, b"4929001234567890");
+        vm.send_value(&format!("{txn:016x}"), "complete", b"approved");
+        assert_eq!(client.read_response().0, 200);
         sent.push(bytes);
     }
     sent
@@ -159,8 +163,8 @@
     let (rig, mut vm) = recording(&folder.operator("contents=\"full\" links=\"true\"", ""));
     let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.apply();
-    vm.awaits("0000000000000001", b"may I");
+    vm.read_apply();
+    vm.send_await("0000000000000001", b"may I");
     let mut store = accept(&rig.store_listener);
     let mut call = [0; 4];
     std::io::Read::read_exact(&mut store, &mut call).unwrap();
@@ -257,9 +261,9 @@
     let mut client = rig.connect_client();
     for txn in 1..120 {
         client.send(&request(txn, None, &[b'a'; 1900]));
-        vm.apply();
-        vm.value(&format!("{txn:016x}"), "complete", b"x");
-        assert_eq!(client.answer().0, 200);
+        vm.read_apply();
+        vm.send_value(&format!("{txn:016x}"), "complete", b"x");
+        assert_eq!(client.read_response().0, 200);
         // Blocks are written together after a moment at the latest, and sizes are looked at then.
         if txn % 20 == 0 {
             std::thread::sleep(std::time::Duration::from_millis(250));
--- a/crates/heathspurd/tests/relink.rs
+++ b/crates/heathspurd/tests/relink.rs
@@ -8,29 +8,29 @@
     format!("{txn:016x}")
 }
 
-fn answer_top(vm: &mut Vm, nonce: &Value) {
-    vm.say(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
+fn answer_top(vm: &mut MockInterpreter, nonce: &Value) {
+    vm.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
 }
 
 /// The next line, which asks for the gauges; it is answered.
-fn top(vm: &mut Vm) {
-    let line = vm.line();
+fn top(vm: &mut MockInterpreter) {
+    let line = vm.read_any_command();
     assert_eq!(line["verb"], "TOP", "{line}");
     answer_top(vm, &line["nonce"]);
 }
 
 /// A keyed run that has taken the reply to its first call.
-fn resolved() -> (ServerFixture, Vm, Client, Store) {
+fn resolved() -> (ServerFixture, MockInterpreter, Http1Client, MockStore) {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.apply();
-    vm.awaits(&task(1), b"one");
-    let mut store = Store::accept(&rig);
-    assert_eq!(store.call().1, b"one");
-    store.ok(1, "first");
-    let reply = vm.command();
+    vm.read_apply();
+    vm.send_await(&task(1), b"one");
+    let mut store = MockStore::accept(&rig);
+    assert_eq!(store.read_call().1, b"one");
+    store.send_ok(1, "first");
+    let reply = vm.read_command();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
         (&json!("RESOLVE"), &json!("Zmlyc3Q="))
@@ -47,17 +47,17 @@
     let mut vm = rig.accept_link();
     top(&mut vm);
     // The next call's notice is on its way; a reply told now would be taken for this call's.
-    vm.awaits(&task(1), b"two");
-    let mut store = Store::accept(&rig);
-    assert_eq!(store.call().1, b"two");
-    store.ok(1, "second");
-    let reply = vm.command();
+    vm.send_await(&task(1), b"two");
+    let mut store = MockStore::accept(&rig);
+    assert_eq!(store.read_call().1, b"two");
+    store.send_ok(1, "second");
+    let reply = vm.read_command();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
         (&json!("RESOLVE"), &json!("c2Vjb25k"))
     );
-    vm.value(&task(1), "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    vm.send_value(&task(1), "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
@@ -66,13 +66,13 @@
     drop(vm);
     let mut vm = rig.accept_link();
     top(&mut vm);
-    let reply = vm.until_command();
+    let reply = vm.read_command_ignoring_gauges();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
         (&json!("RESOLVE"), &json!("Zmlyc3Q="))
     );
-    vm.value(&task(1), "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    vm.send_value(&task(1), "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
@@ -82,22 +82,22 @@
     let mut vm = rig.accept_link();
     top(&mut vm);
     // The first link's reply was taken, and the run waits for its next call when the same comes again.
-    vm.awaits(&task(1), b"two");
-    let mut second = Store::accept(&rig);
-    assert_eq!(second.call().1, b"two");
-    assert_eq!(vm.until_command()["verb"], "RESOLVE");
-    vm.awaits(&task(1), b"three");
-    let mut third = Store::accept(&rig);
-    assert_eq!(third.call().1, b"three");
-    second.closed();
-    third.ok(1, "third");
-    let reply = vm.command();
+    vm.send_await(&task(1), b"two");
+    let mut second = MockStore::accept(&rig);
+    assert_eq!(second.read_call().1, b"two");
+    assert_eq!(vm.read_command_ignoring_gauges()["verb"], "RESOLVE");
+    vm.send_await(&task(1), b"three");
+    let mut third = MockStore::accept(&rig);
+    assert_eq!(third.read_call().1, b"three");
+    second.assert_closed();
+    third.send_ok(1, "third");
+    let reply = vm.read_command();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
         (&json!("RESOLVE"), &json!("dGhpcmQ="))
     );
-    vm.value(&task(1), "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    vm.send_value(&task(1), "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
@@ -106,22 +106,22 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
-    vm.awaits(&task(1), b"one");
-    let mut store = Store::accept(&rig);
-    store.call();
-    store.ok(1, "first");
-    assert_eq!(vm.command()["verb"], "RESOLVE");
+    vm.read_apply();
+    vm.send_await(&task(1), b"one");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
+    store.send_ok(1, "first");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
     top(&mut vm);
     drop(vm);
     let mut vm = rig.accept_link();
     drop(client);
     top(&mut vm);
-    assert_eq!(vm.command()["verb"], "BREAK");
-    vm.value(&task(1), "cancelled", b"");
+    assert_eq!(vm.read_command()["verb"], "BREAK");
+    vm.send_value(&task(1), "cancelled", b"");
     let mut client = rig.connect_client();
     client.send(&request(2, None, b"def"));
-    assert_eq!(vm.apply().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
 }
 
 #[test]
@@ -130,16 +130,16 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     drop(client);
-    assert_eq!(vm.command()["verb"], "BREAK");
+    assert_eq!(vm.read_command()["verb"], "BREAK");
     drop(vm);
     let mut vm = rig.accept_link();
-    vm.value(&task(1), "cancelled", b"");
+    vm.send_value(&task(1), "cancelled", b"");
     top(&mut vm);
     let mut client = rig.connect_client();
     client.send(&request(2, None, b"def"));
-    assert_eq!(vm.apply().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
 }
 
 #[test]
@@ -148,22 +148,22 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     drop(client);
-    let stop = vm.command();
+    let stop = vm.read_command();
     assert_eq!(
         (&stop["verb"], &stop["task"]),
         (&json!("BREAK"), &json!(task(1)))
     );
     // The notice was made before the stop arrived.
-    vm.awaits(&task(1), b"one");
-    vm.value(&task(1), "cancelled", b"");
+    vm.send_await(&task(1), b"one");
+    vm.send_value(&task(1), "cancelled", b"");
     // The next request has its place, and no call was made for it.
     let mut client = rig.connect_client();
     client.send(&request(2, None, b"def"));
-    assert_eq!(vm.apply().0, task(2));
-    vm.value(&task(2), "complete", b"two");
-    assert_eq!(client.answer().2, b"two");
+    assert_eq!(vm.read_apply().0, task(2));
+    vm.send_value(&task(2), "complete", b"two");
+    assert_eq!(client.read_response().2, b"two");
     rig.store_listener.set_nonblocking(true).unwrap();
     assert!(rig
         .store_listener
@@ -172,13 +172,13 @@
 }
 
 /// Two requests that run, `look` and then `pay`.
-fn two_running() -> (ServerFixture, Vm, [Client; 2]) {
+fn two_running() -> (ServerFixture, MockInterpreter, [Http1Client; 2]) {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
     let mut clients = [rig.connect_client(), rig.connect_client()];
     for (client, key) in clients.iter_mut().zip([None, Some("k")]) {
         client.send(&request(1 + u64::from(key.is_some()), key, b"abc"));
-        vm.apply();
+        vm.read_apply();
     }
     (rig, vm, clients)
 }
@@ -186,14 +186,14 @@
 #[test]
 fn a_notice_whose_number_is_spoilt_upwards_hides_none_behind_it() {
     let (rig, mut vm, [mut first, mut second]) = two_running();
-    vm.index = 900;
-    vm.value(&task(1), "complete", b"one");
+    vm.last_index = 900;
+    vm.send_value(&task(1), "complete", b"one");
     let mut vm = rig.accept_link();
-    assert_eq!(vm.resumed_at, 0);
-    vm.value(&task(1), "complete", b"one");
-    vm.value(&task(2), "complete", b"two");
+    assert_eq!(vm.resume_index, 0);
+    vm.send_value(&task(1), "complete", b"one");
+    vm.send_value(&task(2), "complete", b"two");
     assert_eq!(
-        (first.answer().2, second.answer().2),
+        (first.read_response().2, second.read_response().2),
         (b"one".to_vec(), b"two".to_vec())
     );
 }
@@ -201,16 +201,16 @@
 #[test]
 fn a_peer_that_leaves_numbers_out_costs_one_link() {
     let (rig, mut vm, [mut first, mut second]) = two_running();
-    vm.index = 9;
-    vm.value(&task(1), "complete", b"one");
+    vm.last_index = 9;
+    vm.send_value(&task(1), "complete", b"one");
     let mut vm = rig.accept_link();
-    assert_eq!(vm.resumed_at, 0);
-    vm.index = 9;
-    vm.value(&task(1), "complete", b"one");
-    vm.index = 19;
-    vm.value(&task(2), "complete", b"two");
+    assert_eq!(vm.resume_index, 0);
+    vm.last_index = 9;
+    vm.send_value(&task(1), "complete", b"one");
+    vm.last_index = 19;
+    vm.send_value(&task(2), "complete", b"two");
     assert_eq!(
-        (first.answer().2, second.answer().2),
+        (first.read_response().2, second.read_response().2),
         (b"one".to_vec(), b"two".to_vec())
     );
 }
@@ -221,39 +221,39 @@
     drop(vm);
     // More was missed than is kept: two links begin with the same notice far ahead.
     let mut vm = rig.accept_link();
-    vm.index = 4_100;
-    vm.value(&task(3), "complete", b"");
+    vm.last_index = 4_100;
+    vm.send_value(&task(3), "complete", b"");
     let mut vm = rig.accept_link();
-    assert_eq!(vm.resumed_at, 0);
-    vm.index = 4_100;
-    vm.value(&task(3), "complete", b"");
+    assert_eq!(vm.resume_index, 0);
+    vm.last_index = 4_100;
+    vm.send_value(&task(3), "complete", b"");
     top(&mut vm);
     // Nothing is told of the second, and a read does no harm.
-    assert_eq!(second.answer().0, 500);
-    let again = vm.until_command();
+    assert_eq!(second.read_response().0, 500);
+    let again = vm.read_command_ignoring_gauges();
     assert_eq!(
         (&again["verb"], &again["task"]),
         (&json!("APPLY"), &json!(task(1)))
     );
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(first.answer().2, b"one");
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(first.read_response().2, b"one");
     // Repeats are not run either.
     second.send(&request(4, Some("k"), b"abc"));
-    assert_eq!(second.answer().0, 500);
+    assert_eq!(second.read_response().0, 500);
     first.send(&request(5, None, b"def"));
-    assert_eq!(vm.apply().0, task(5));
+    assert_eq!(vm.read_apply().0, task(5));
 }
 
 #[test]
 fn a_peer_whose_numbers_are_never_right_is_served_on_the_fourth_link() {
     let (rig, mut vm, [mut first, _second]) = two_running();
     for index in [90_000, 80_000, 70_000] {
-        vm.index = index;
-        vm.value(&task(1), "complete", b"one");
+        vm.last_index = index;
+        vm.send_value(&task(1), "complete", b"one");
         vm = rig.accept_link();
-        assert_eq!(vm.resumed_at, 0);
+        assert_eq!(vm.resume_index, 0);
     }
-    vm.index = 60_000;
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(first.answer().2, b"one");
+    vm.last_index = 60_000;
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(first.read_response().2, b"one");
 }
--- a/crates/heathspurd/tests/repeats.rs
+++ b/crates/heathspurd/tests/repeats.rs
@@ -26,11 +26,11 @@
 }
 
 /// The first try of a key runs to its end.
-fn first_try(vm: &mut Vm, client: &mut Client, ingress: u128) {
+fn first_try(vm: &mut MockInterpreter, client: &mut Http1Client, ingress: u128) {
     client.send(&stamped(1, "k", ingress));
-    assert_eq!(vm.apply().0, task(1));
-    vm.value(&task(1), "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    assert_eq!(vm.read_apply().0, task(1));
+    vm.send_value(&task(1), "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
@@ -43,7 +43,7 @@
         first_try(&mut vm, &mut client, ahead);
         for (txn, after) in [(2, 0), (3, window)] {
             client.send(&stamped(txn, "k", ahead + after));
-            let (status, _, body) = client.answer();
+            let (status, _, body) = client.read_response();
             assert_eq!(
                 (status, &body[..]),
                 (200, &b"done"[..]),
@@ -51,7 +51,7 @@
             );
         }
         client.send(&stamped(4, "k", ahead + window + 1));
-        assert_eq!(vm.apply().0, task(4), "past its window it is new");
+        assert_eq!(vm.read_apply().0, task(4), "past its window it is new");
     }
 }
 
@@ -62,15 +62,15 @@
     let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     let stamp = unix_ms();
     first.send(&stamped(1, "k", stamp));
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
     second.send(&stamped(2, "k", stamp + 1000));
     // What comes behind it runs: the repeat was taken in before, and did not.
     let mut other = rig.connect_client();
     other.send(&stamped(3, "other", stamp));
-    assert_eq!(vm.apply().0, task(3));
-    vm.value(&task(1), "complete", b"done");
+    assert_eq!(vm.read_apply().0, task(3));
+    vm.send_value(&task(1), "complete", b"done");
     assert_eq!(
-        (first.answer().2, second.answer().2),
+        (first.read_response().2, second.read_response().2),
         (b"done".to_vec(), b"done".to_vec())
     );
 }
@@ -85,29 +85,29 @@
         rig.connect_client(),
     );
     first.send(&request(1, Some("k"), b"pay"));
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
     second.send(&request(2, Some("k"), b"pay"));
     let mut other = rig.connect_client();
     other.send(&request(3, Some("other"), b"pay"));
-    assert_eq!(vm.apply().0, task(3));
+    assert_eq!(vm.read_apply().0, task(3));
     // The first caller is gone and the link breaks; one more try comes while it is down.
     drop(first);
     drop(vm);
     third.send(&request(4, Some("k"), b"pay"));
     let mut vm = rig.accept_link();
-    let mut told = [vm.apply().0, vm.apply().0];
+    let mut told = [vm.read_apply().0, vm.read_apply().0];
     told.sort();
     assert_eq!(told, [task(1), task(3)]);
-    vm.value(&task(1), "complete", b"done");
+    vm.send_value(&task(1), "complete", b"done");
     assert_eq!(
-        (second.answer().2, third.answer().2),
+        (second.read_response().2, third.read_response().2),
         (b"done".to_vec(), b"done".to_vec())
     );
-    vm.value(&task(3), "complete", b"other");
-    assert_eq!(other.answer().2, b"other");
+    vm.send_value(&task(3), "complete", b"other");
+    assert_eq!(other.read_response().2, b"other");
     // Nothing else was run.
     second.send(&request(5, None, b"look"));
-    assert_eq!(vm.apply().0, task(5));
+    assert_eq!(vm.read_apply().0, task(5));
 }
 
 #[test]
@@ -117,20 +117,23 @@
         let mut vm = rig.accept_link();
         let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
         first.send(&request(1, Some("k"), b"pay"));
-        assert_eq!(vm.apply().0, task(1));
+        assert_eq!(vm.read_apply().0, task(1));
         second.send(&request(2, Some("k"), b"pay"));
         let mut other = rig.connect_client();
         other.send(&request(3, Some("other"), b"pay"));
-        assert_eq!(vm.apply().0, task(3));
+        assert_eq!(vm.read_apply().0, task(3));
         match end {
-            "VALUE" => vm.value(&task(1), "unknown", b""),
-            _ => vm.say(json!({"verb": "ERROR", "outcome": "APPLY", "task": task(1)})),
+            "VALUE" => vm.send_value(&task(1), "unknown", b""),
+            _ => vm.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": task(1)})),
         }
-        assert_eq!((first.answer().0, second.answer().0), (500, 500));
+        assert_eq!(
+            (first.read_response().0, second.read_response().0),
+            (500, 500)
+        );
         first.send(&request(4, Some("k"), b"pay"));
-        assert_eq!(first.answer().0, 500);
+        assert_eq!(first.read_response().0, 500);
         first.send(&request(5, None, b"look"));
-        assert_eq!(vm.apply().0, task(5));
+        assert_eq!(vm.read_apply().0, task(5));
     }
 }
 
@@ -144,13 +147,13 @@
     second.send(&request(2, Some("k"), b"pay"));
     drop(first);
     let mut vm = rig.accept_link();
-    let ran = vm.apply().0;
-    vm.value(&ran, "complete", b"done");
-    assert_eq!(second.answer().2, b"done");
+    let ran = vm.read_apply().0;
+    vm.send_value(&ran, "complete", b"done");
+    assert_eq!(second.read_response().2, b"done");
     second.send(&request(3, Some("k"), b"pay"));
-    assert_eq!(second.answer().2, b"done");
+    assert_eq!(second.read_response().2, b"done");
     second.send(&request(4, None, b"look"));
-    assert_eq!(vm.apply().0, task(4));
+    assert_eq!(vm.read_apply().0, task(4));
 }
 
 #[test]
@@ -159,13 +162,13 @@
     let mut vm = rig.accept_link();
     let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     first.send(&request(1, None, b"abc"));
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
     second.send(&request(1, None, b"abc"));
-    assert_eq!(second.answer().0, 409);
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(first.answer().2, b"one");
+    assert_eq!(second.read_response().0, 409);
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(first.read_response().2, b"one");
     second.send(&request(1, None, b"abc"));
-    assert_eq!(vm.apply().0, task(1));
-    vm.value(&task(1), "complete", b"two");
-    assert_eq!(second.answer().2, b"two");
+    assert_eq!(vm.read_apply().0, task(1));
+    vm.send_value(&task(1), "complete", b"two");
+    assert_eq!(second.read_response().2, b"two");
 }
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -10,12 +10,12 @@
 }
 
 /// A server whose one request, of that key, runs.
-fn one_running(key: Option<&str>) -> (ServerFixture, Vm, Client) {
+fn one_running(key: Option<&str>) -> (ServerFixture, MockInterpreter, Http1Client) {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, key, b"abc"));
-    assert_eq!(vm.apply().2, b"abc");
+    assert_eq!(vm.read_apply().2, b"abc");
     (rig, vm, client)
 }
 
@@ -27,9 +27,12 @@
     let body: Vec<u8> = (0..=255).chain([13, 10, 13, 10]).collect();
     for txn in 1..4 {
         client.send(&request(txn, None, &body));
-        assert_eq!(vm.apply(), (task(txn), "look".to_string(), body.clone()));
-        vm.value(&task(txn), "complete", &body[100..]);
-        let (status, fields, result) = client.answer();
+        assert_eq!(
+            vm.read_apply(),
+            (task(txn), "look".to_string(), body.clone())
+        );
+        vm.send_value(&task(txn), "complete", &body[100..]);
+        let (status, fields, result) = client.read_response();
         assert_eq!((status, &result[..]), (200, &body[100..]));
         assert!(!fields.contains_key("connection"));
     }
@@ -43,13 +46,13 @@
     for byte in request(1, None, b"abc") {
         client.send(&[byte]);
     }
-    assert_eq!(vm.apply().2, b"abc");
+    assert_eq!(vm.read_apply().2, b"abc");
     client.send(&request(2, None, b"def"));
-    vm.value(&task(1), "complete", b"x");
-    assert_eq!(client.answer().0, 200);
-    assert_eq!(vm.apply().2, b"def");
-    vm.value(&task(2), "error", b"");
-    assert_eq!(client.answer().0, 500);
+    vm.send_value(&task(1), "complete", b"x");
+    assert_eq!(client.read_response().0, 200);
+    assert_eq!(vm.read_apply().2, b"def");
+    vm.send_value(&task(2), "error", b"");
+    assert_eq!(client.read_response().0, 500);
 }
 
 #[test]
@@ -60,7 +63,7 @@
     let _vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    let (status, fields, _) = client.answer();
+    let (status, fields, _) = client.read_response();
     assert_eq!(status, 503);
     assert!(fields["x-throttle-ms"].parse::<u64>().unwrap() > 0);
 }
@@ -75,19 +78,19 @@
         rig.connect_client(),
     );
     first.send(&request(1, Some("k1"), b"pay"));
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
     second.send(&request(2, Some("k1"), b"pay"));
     // Work of another key that comes after it shows that the repeat was taken in and not run.
     let mut other = rig.connect_client();
     other.send(&request(3, Some("k2"), b"pay"));
-    assert_eq!(vm.apply().0, task(3));
-    vm.value(&task(1), "complete", b"\0done");
-    assert_eq!(first.answer(), second.answer());
+    assert_eq!(vm.read_apply().0, task(3));
+    vm.send_value(&task(1), "complete", b"\0done");
+    assert_eq!(first.read_response(), second.read_response());
     third.send(&request(4, Some("k1"), b"pay"));
-    let (status, _, body) = third.answer();
+    let (status, _, body) = third.read_response();
     assert_eq!((status, &body[..]), (200, &b"\0done"[..]));
-    vm.value(&task(3), "complete", b"other");
-    assert_eq!(other.answer().2, b"other");
+    vm.send_value(&task(3), "complete", b"other");
+    assert_eq!(other.read_response().2, b"other");
 }
 
 #[test]
@@ -96,12 +99,12 @@
     let mut vm = rig.accept_link();
     let mut first = rig.connect_client();
     first.send(&request(1, Some("k1"), b"pay"));
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
     drop(first);
     let mut second = rig.connect_client();
     second.send(&request(2, Some("k1"), b"pay"));
-    vm.value(&task(1), "complete", b"done");
-    assert_eq!(second.answer().2, b"done");
+    vm.send_value(&task(1), "complete", b"done");
+    assert_eq!(second.read_response().2, b"done");
 }
 
 #[test]
@@ -111,14 +114,14 @@
     for txn in 1..40 {
         let mut client = rig.connect_client();
         client.send(&request(txn, None, b"abc"));
-        assert_eq!(vm.apply().0, task(txn));
+        assert_eq!(vm.read_apply().0, task(txn));
         drop(client);
-        let stop = vm.command();
+        let stop = vm.read_command();
         assert_eq!(
             (&stop["verb"], &stop["task"]),
             (&json!("BREAK"), &json!(task(txn)))
         );
-        vm.value(&task(txn), "cancelled", b"");
+        vm.send_value(&task(txn), "cancelled", b"");
     }
 }
 
@@ -129,9 +132,9 @@
     for txn in 1..80 {
         let mut client = rig.connect_client();
         client.send(&request(txn, None, b"abc"));
-        assert_eq!(vm.apply().0, task(txn));
-        vm.value(&task(txn), "unknown", b"");
-        assert_eq!(client.answer().0, 500);
+        assert_eq!(vm.read_apply().0, task(txn));
+        vm.send_value(&task(txn), "unknown", b"");
+        assert_eq!(client.read_response().0, 500);
     }
 }
 
@@ -141,20 +144,23 @@
     let mut vm = rig.accept_link();
     let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     first.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     second.send(&request(2, None, b"def"));
-    vm.apply();
-    vm.value(&task(2), "complete", b"two");
-    assert_eq!(second.answer().2, b"two");
+    vm.read_apply();
+    vm.send_value(&task(2), "complete", b"two");
+    assert_eq!(second.read_response().2, b"two");
     drop(vm);
     let mut vm = rig.accept_link();
-    assert_eq!(vm.resumed_at, 1);
+    assert_eq!(vm.resume_index, 1);
     // A notice that was taken before is not taken again.
-    vm.index = 0;
-    vm.value(&task(1), "error", b"");
-    assert_eq!(vm.apply(), (task(1), "look".to_string(), b"abc".to_vec()));
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(first.answer().2, b"one");
+    vm.last_index = 0;
+    vm.send_value(&task(1), "error", b"");
+    assert_eq!(
+        vm.read_apply(),
+        (task(1), "look".to_string(), b"abc".to_vec())
+    );
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(first.read_response().2, b"one");
 }
 
 #[test]
@@ -162,43 +168,43 @@
     let (rig, vm, mut client) = one_running(Some("k"));
     drop(vm);
     let mut vm = rig.accept_link();
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
     client.send(&request(2, None, b"def"));
-    assert_eq!(vm.apply().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
 }
 
 #[test]
 fn a_line_that_makes_no_sense_has_the_link_made_again() {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
-    vm.raw(b"{\"verb\":\"VALUE\"}\n");
+    vm.send_raw(b"{\"verb\":\"VALUE\"}\n");
     rig.wait_for_log("is not a valid notice");
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().0, 200);
+    vm.read_apply();
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().0, 200);
 }
 
 #[test]
 fn a_command_that_was_not_carried_out_fails_its_request() {
     let (_rig, mut vm, mut client) = one_running(None);
-    vm.say(json!({"verb": "ERROR", "outcome": "APPLY", "task": task(1)}));
-    assert_eq!(client.answer().0, 500);
+    vm.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": task(1)}));
+    assert_eq!(client.read_response().0, 500);
 }
 
 #[test]
 fn a_call_and_its_reply_pass_unchanged() {
     let (rig, mut vm, mut client) = one_running(Some("k"));
-    vm.awaits(&task(1), b"\r\n\0ask");
-    let mut store = Store::accept(&rig);
-    let (id, body) = store.call();
+    vm.send_await(&task(1), b"\r\n\0ask");
+    let mut store = MockStore::accept(&rig);
+    let (id, body) = store.read_call();
     assert_eq!((id, &body[..]), (task(1), &b"\r\n\0ask"[..]));
-    store.say(b"0000000000000009 OK 1\r\nx\r\n");
-    store.say(format!("{} OK 4\r\n\r\n\0!\r\n", task(1)).as_bytes());
-    let command = vm.command();
+    store.send(b"0000000000000009 OK 1\r\nx\r\n");
+    store.send(format!("{} OK 4\r\n\r\n\0!\r\n", task(1)).as_bytes());
+    let command = vm.read_command();
     assert_eq!(
         (&command["verb"], &command["task"]),
         (&json!("RESOLVE"), &json!(task(1)))
@@ -207,38 +213,38 @@
         STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
         b"\r\n\0!"
     );
-    vm.value(&task(1), "complete", b"paid");
-    assert_eq!(client.answer().2, b"paid");
+    vm.send_value(&task(1), "complete", b"paid");
+    assert_eq!(client.read_response().2, b"paid");
 }
 
 #[test]
 fn a_call_that_was_turned_away_is_made_again() {
     let (rig, mut vm, _client) = one_running(Some("k"));
-    vm.awaits(&task(1), b"ask");
-    let mut store = Store::accept(&rig);
-    store.call();
-    store.say(format!("{} BUSY\r\n", task(1)).as_bytes());
-    let mut store = Store::accept(&rig);
-    assert_eq!(store.call().1, b"ask");
-    store.say(format!("{} OK 0\r\n\r\n", task(1)).as_bytes());
-    assert_eq!(vm.command()["verb"], "RESOLVE");
+    vm.send_await(&task(1), b"ask");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
+    store.send(format!("{} BUSY\r\n", task(1)).as_bytes());
+    let mut store = MockStore::accept(&rig);
+    assert_eq!(store.read_call().1, b"ask");
+    store.send(format!("{} OK 0\r\n\r\n", task(1)).as_bytes());
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
 }
 
 #[test]
 fn a_connection_that_breaks_under_a_keyed_call_proves_nothing_so_it_is_not_made_again() {
     let (rig, mut vm, mut client) = one_running(Some("k"));
-    vm.awaits(&task(1), b"ask");
-    let mut store = Store::accept(&rig);
-    store.call();
+    vm.send_await(&task(1), b"ask");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
     drop(store);
-    let (status, _, _) = client.answer();
+    let (status, _, _) = client.read_response();
     assert!(status >= 500 && status != 503, "{status}");
-    vm.value(&task(1), "cancelled", b"");
+    vm.send_value(&task(1), "cancelled", b"");
     // The next call on the next connection is another request's.
     client.send(&request(2, Some("k2"), b"abc"));
-    assert_eq!(vm.apply().0, task(2));
-    vm.awaits(&task(2), b"ask");
-    assert_eq!(Store::accept(&rig).call().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
+    vm.send_await(&task(2), b"ask");
+    assert_eq!(MockStore::accept(&rig).read_call().0, task(2));
 }
 
 #[test]
@@ -249,50 +255,54 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
-    let index = vm.awaits(&task(1), b"ask");
-    let command = vm.command();
+    vm.read_apply();
+    let index = vm.send_await(&task(1), b"ask");
+    let command = vm.read_command();
     assert_eq!(
         (&command["verb"], &command["index"]),
         (&json!("STUB"), &json!(index))
     );
-    vm.value(&task(1), "complete", b"less");
-    assert_eq!(client.answer().2, b"less");
+    vm.send_value(&task(1), "complete", b"less");
+    assert_eq!(client.read_response().2, b"less");
 }
 
 #[test]
 fn the_call_of_a_caller_that_goes_away_is_given_up() {
     let (rig, mut vm, client) = one_running(None);
-    vm.awaits(&task(1), b"ask");
-    let mut store = Store::accept(&rig);
-    store.call();
+    vm.send_await(&task(1), b"ask");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
     drop(client);
-    store.closed();
-    vm.value(&task(1), "cancelled", b"");
+    store.assert_closed();
+    vm.send_value(&task(1), "cancelled", b"");
     let mut client = rig.connect_client();
     client.send(&request(2, None, b"abc"));
-    assert_eq!(vm.apply().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
 }
 
 /// A server where two requests run and stand at their calls: one that may be made again, one that may not.
-fn two_calls() -> (ServerFixture, Vm, [(Client, Store); 2]) {
+fn two_calls() -> (
+    ServerFixture,
+    MockInterpreter,
+    [(Http1Client, MockStore); 2],
+) {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
     let calls = [(1, None), (2, Some("k"))].map(|(txn, key)| {
         let mut client = rig.connect_client();
         client.send(&request(txn, key, b"abc"));
-        assert_eq!(vm.apply().0, task(txn));
-        vm.awaits(&task(txn), b"ask");
-        let mut store = Store::accept(&rig);
-        assert_eq!(store.call().0, task(txn));
+        assert_eq!(vm.read_apply().0, task(txn));
+        vm.send_await(&task(txn), b"ask");
+        let mut store = MockStore::accept(&rig);
+        assert_eq!(store.read_call().0, task(txn));
         (client, store)
     });
     (rig, vm, calls)
 }
 
 /// The next command goes on with that request, with this reply.
-fn resolved(vm: &mut Vm, txn: u64, reply: &str) {
-    let command = vm.command();
+fn resolved(vm: &mut MockInterpreter, txn: u64, reply: &str) {
+    let command = vm.read_command();
     assert_eq!(
         (&command["verb"], &command["task"]),
         (&json!("RESOLVE"), &json!(task(txn)))
@@ -311,16 +321,16 @@
         "0000000000000001 OK 2\r\nxxx\r\n",
     ] {
         let (rig, mut vm, [(_client, mut safe), (_other, mut keyed)]) = two_calls();
-        safe.say(spoilt.as_bytes());
-        safe.closed();
+        safe.send(spoilt.as_bytes());
+        safe.assert_closed();
         // With what nobody asked for the connection is not used again.
-        keyed.ok(9, "unasked");
-        keyed.ok(2, "fine");
+        keyed.send_ok(9, "unasked");
+        keyed.send_ok(2, "fine");
         resolved(&mut vm, 2, "fine");
         // What may be repeated is called again elsewhere.
-        let mut again = Store::accept(&rig);
-        assert_eq!(again.call().0, task(1));
-        again.ok(1, "late");
+        let mut again = MockStore::accept(&rig);
+        assert_eq!(again.read_call().0, task(1));
+        again.send_ok(1, "late");
         resolved(&mut vm, 1, "late");
     }
 }
@@ -328,26 +338,26 @@
 #[test]
 fn a_connection_is_used_again_only_when_it_brought_its_reply_and_nothing_else() {
     let (rig, mut vm, [(mut client, mut safe), (_other, mut keyed)]) = two_calls();
-    safe.say(format!("{0} OK 1\r\na\r\n{0} OK 1\r\nb\r\n", task(1)).as_bytes());
+    safe.send(format!("{0} OK 1\r\na\r\n{0} OK 1\r\nb\r\n", task(1)).as_bytes());
     resolved(&mut vm, 1, "a");
-    safe.closed();
-    keyed.ok(9, "ahead");
-    keyed.ok(2, "fine");
+    safe.assert_closed();
+    keyed.send_ok(9, "ahead");
+    keyed.send_ok(2, "fine");
     resolved(&mut vm, 2, "fine");
-    keyed.closed();
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    keyed.assert_closed();
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
     for txn in 3..6 {
         client.send(&request(txn, None, b"abc"));
-        vm.apply();
-        vm.awaits(&task(txn), b"ask");
-        let mut store = Store::accept(&rig);
-        assert_eq!(store.call().0, task(txn));
-        store.ok(9, "unasked");
-        store.ok(txn, "fine");
+        vm.read_apply();
+        vm.send_await(&task(txn), b"ask");
+        let mut store = MockStore::accept(&rig);
+        assert_eq!(store.read_call().0, task(txn));
+        store.send_ok(9, "unasked");
+        store.send_ok(txn, "fine");
         resolved(&mut vm, txn, "fine");
-        vm.value(&task(txn), "complete", b"one");
-        assert_eq!(client.answer().2, b"one");
+        vm.send_value(&task(txn), "complete", b"one");
+        assert_eq!(client.read_response().2, b"one");
     }
 }
 
@@ -356,21 +366,21 @@
     let (mut rig, mut vm, [(mut safe, mut first), (mut keyed, mut second)]) = two_calls();
     let mut running = rig.connect_client();
     running.send(&request(3, None, b"abc"));
-    assert_eq!(vm.apply().0, task(3));
-    let index = vm.index;
+    assert_eq!(vm.read_apply().0, task(3));
+    let index = vm.last_index;
     let reports = rig.replace_peer_addresses();
     let mut vm = rig.accept_link();
-    assert_eq!(vm.resumed_at, index);
+    assert_eq!(vm.resume_index, index);
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
     // Calls in hand stay where they were made.
-    first.ok(1, "a");
-    second.ok(2, "b");
+    first.send_ok(1, "a");
+    second.send_ok(2, "b");
     // The run is told again on the new link.
     let mut told: Vec<_> = (0..3)
-        .map(|_| vm.command())
+        .map(|_| vm.read_command())
         .map(|c| (c["verb"].clone(), c["task"].clone()))
         .collect();
     told.sort_by_key(|(_, task)| task.to_string());
@@ -380,14 +390,14 @@
         expected.map(|(verb, txn)| (json!(verb), json!(task(txn))))
     );
     for (client, txn) in [(&mut safe, 1), (&mut keyed, 2), (&mut running, 3)] {
-        vm.value(&task(txn), "complete", b"done");
-        assert_eq!(client.answer().2, b"done");
+        vm.send_value(&task(txn), "complete", b"done");
+        assert_eq!(client.read_response().2, b"done");
     }
     // New ones go to the new place.
     safe.send(&request(4, None, b"abc"));
-    assert_eq!(vm.apply().0, task(4));
-    vm.awaits(&task(4), b"ask");
-    assert_eq!(Store::accept(&rig).call().0, task(4));
+    assert_eq!(vm.read_apply().0, task(4));
+    vm.send_await(&task(4), b"ask");
+    assert_eq!(MockStore::accept(&rig).read_call().0, task(4));
 }
 
 #[test]
@@ -400,7 +410,7 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.apply().0, task(1));
+    assert_eq!(vm.read_apply().0, task(1));
 }
 
 #[test]
@@ -412,9 +422,9 @@
     rig.wait_for_log("stays as it was");
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.apply().0, task(1));
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(vm.read_apply().0, task(1));
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
@@ -435,11 +445,11 @@
     {}
     let mut check = rig.connect_client();
     check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    assert_eq!(check.answer().0, 503);
-    vm.value(&task(1), "complete", b"one");
-    let (status, fields, _) = client.answer();
+    assert_eq!(check.read_response().0, 503);
+    vm.send_value(&task(1), "complete", b"one");
+    let (status, fields, _) = client.read_response();
     assert_eq!((status, fields["connection"].as_str()), (200, "close"));
-    client.closed();
+    client.assert_closed();
     assert_eq!(rig.process.wait().code(), Some(0));
 }
 
@@ -447,7 +457,7 @@
 fn work_that_does_not_end_is_answered_before_the_stop() {
     let (mut rig, _vm, mut client) = one_running(Some("k"));
     rig.process.terminate();
-    assert_eq!(client.answer().0, 504);
+    assert_eq!(client.read_response().0, 504);
     assert_eq!(rig.process.wait().code(), Some(0));
 }
 
@@ -457,7 +467,7 @@
     let mut vm = rig.accept_link();
     let (mut patient, mut hasty) = (rig.connect_client(), rig.connect_client());
     patient.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     let text = String::from_utf8(request(2, None, b"abc")).unwrap();
     hasty.send(
         text.replace(
@@ -466,11 +476,11 @@
         )
         .as_bytes(),
     );
-    vm.apply();
-    let (status, _, _) = hasty.answer();
+    vm.read_apply();
+    let (status, _, _) = hasty.read_response();
     assert!(status == 503 || status == 504, "{status}");
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(patient.answer().2, b"one");
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(patient.read_response().2, b"one");
 }
 
 #[test]
@@ -480,7 +490,7 @@
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     rig.process.terminate();
     while rig
         .registration_reports
@@ -488,8 +498,8 @@
         .unwrap()
         != json!({"accepting": "false"})
     {}
-    vm.value(&task(1), "complete", b"one");
-    let (_, fields, _) = client.answer();
+    vm.send_value(&task(1), "complete", b"one");
+    let (_, fields, _) = client.read_response();
     assert_eq!(fields["x-capacity"], "1");
 }
 
@@ -499,8 +509,8 @@
     let mut vm = rig.accept_link_before_banner();
     let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(client.answer().0, 503);
-    vm.say(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
+    assert_eq!(client.read_response().0, 503);
+    vm.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
     assert_eq!(
         rig.registration_reports
             .recv_timeout(EVENT_TIMEOUT)
@@ -508,7 +518,7 @@
         json!({"accepting": "true"})
     );
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(client.answer().0, 200);
+    assert_eq!(client.read_response().0, 200);
 }
 
 #[test]
@@ -529,11 +539,11 @@
 fn timers_go_on_without_an_answer_about_the_gauges() {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
-    vm.tops(1);
+    vm.answer_gauge_queries(1);
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
     // Nothing but the program's own clock answers this one: no run ends, and no gauge is told.
-    let (status, _, _) = client.answer();
+    let (status, _, _) = client.read_response();
     assert!(status == 503 || status == 504, "{status}");
 }
 
@@ -628,7 +638,7 @@
     for (expected, text) in cases {
         let mut client = rig.connect_client();
         client.send(text.as_bytes());
-        let (status, fields, _) = client.answer();
+        let (status, fields, _) = client.read_response();
         assert_eq!(
             (status, fields["connection"].as_str()),
             (expected, "close"),
@@ -637,7 +647,7 @@
     }
     let mut client = rig.connect_client();
     client.send(&request(2, None, b"abc"));
-    assert_eq!(vm.apply().0, task(2));
+    assert_eq!(vm.read_apply().0, task(2));
 }
 
 #[test]
@@ -650,7 +660,7 @@
     for _ in 0..20 {
         let mut client = rig.connect_client();
         client.send(&[text.as_bytes(), &body].concat());
-        assert_eq!(client.answer().0, 413);
+        assert_eq!(client.read_response().0, 413);
     }
 }
 
@@ -660,11 +670,11 @@
     let mut vm = rig.accept_link();
     let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
     first.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     second.send(&request(1, None, b"abc"));
-    assert_eq!(second.answer().0, 409);
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(first.answer().2, b"one");
+    assert_eq!(second.read_response().0, 409);
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(first.read_response().2, b"one");
 }
 
 #[test]
@@ -673,19 +683,19 @@
     let mut vm = rig.accept_link();
     let mut served = rig.connect_client();
     served.send(&request(1, Some("k"), b"abc"));
-    vm.apply();
-    vm.awaits(&task(1), b"ask");
-    let mut store = Store::accept(&rig);
-    store.call();
+    vm.read_apply();
+    vm.send_await(&task(1), b"ask");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
     // Far more than there is room for; what is in hand, and what asks, has its place all the same.
     let silent: Vec<_> = (0..100).map(|_| rig.connect_client()).collect();
     let mut last = rig.connect_client();
     last.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    assert_eq!(last.answer().0, 200);
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(served.answer().0, 200);
+    assert_eq!(last.read_response().0, 200);
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(served.read_response().0, 200);
     for mut client in silent {
-        client.closed();
+        client.assert_closed();
     }
 }
 
@@ -705,13 +715,13 @@
         rig.connect_client(),
     );
     idle.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    assert_eq!(idle.answer().0, 200);
+    assert_eq!(idle.read_response().0, 200);
     half.send(&request(1, None, b"abc")[..40]);
-    silent.closed();
-    assert_eq!(half.answer().0, 408);
+    silent.assert_closed();
+    assert_eq!(half.read_response().0, 408);
     // What has asked something stays.
     idle.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    assert_eq!(idle.answer().0, 200);
+    assert_eq!(idle.read_response().0, 200);
 }
 
 #[test]
@@ -720,14 +730,14 @@
     let other = |txn| {
         let mut other = rig.connect_client();
         other.send(&request(txn, Some("k"), b"abd"));
-        assert_eq!(other.answer().0, 422);
+        assert_eq!(other.read_response().0, 422);
     };
     other(2);
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
     other(3);
     client.send(&request(4, Some("k"), b"abc"));
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
@@ -783,15 +793,19 @@
         let mut clients: Vec<_> = (0..4).map(|_| rig.connect_client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, None, b"abc"));
-            vm.apply();
+            vm.read_apply();
         }
         rig.process.signal("STOP");
-        vm.value(&task(1), "complete", b"x");
+        vm.send_value(&task(1), "complete", b"x");
         std::thread::sleep(std::time::Duration::from_millis(1300));
         rig.process.signal("CONT");
-        assert_eq!(clients[0].answer().0, 200);
+        assert_eq!(clients[0].read_response().0, 200);
         clients[0].send(&request(5, None, b"abc"));
-        assert_eq!(vm.until_command()["verb"], "APPLY", "no run was given up");
+        assert_eq!(
+            vm.read_command_ignoring_gauges()["verb"],
+            "APPLY",
+            "no run was given up"
+        );
     };
     for _ in 0..3 {
         std::thread::scope(|scope| {
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -30,7 +30,7 @@
 fn health(rig: &ServerFixture) -> u16 {
     let mut check = rig.connect_client();
     check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    check.answer().0
+    check.read_response().0
 }
 
 fn address(listener: &TcpListener) -> Value {
@@ -44,20 +44,20 @@
 }
 
 /// A request is served over that link to the interpreter.
-fn serves(client: &mut Client, vm: &mut Vm, txn: u64) {
+fn serves(client: &mut Http1Client, vm: &mut MockInterpreter, txn: u64) {
     client.send(&request(txn, None, b"abc"));
-    assert_eq!(vm.apply().0, task(txn));
-    vm.value(&task(txn), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(vm.read_apply().0, task(txn));
+    vm.send_value(&task(txn), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 /// A server that leaves while a request runs.
-fn leaving() -> (ServerFixture, Vm, Client) {
+fn leaving() -> (ServerFixture, MockInterpreter, Http1Client) {
     let rig = ServerFixture::start();
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.apply();
+    vm.read_apply();
     rig.process.terminate();
     rig.wait_for_log(LEAVES);
     (rig, vm, client)
@@ -112,7 +112,7 @@
         );
         thread::spawn(move || {
             let lines = line.repeat(4096);
-            while !over.load(Ordering::Relaxed) && vm.try_raw(lines.as_bytes()) {}
+            while !over.load(Ordering::Relaxed) && vm.try_send_raw(lines.as_bytes()) {}
         })
     };
     rig.wait_for_log("did not carry out");
@@ -129,8 +129,8 @@
     rig.process.terminate();
     rig.process.signal("INT");
     reports_that_it_leaves(&rig.registration_reports);
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
     assert_eq!(rig.process.wait().code(), Some(0));
     assert_eq!(
         rig.log_lines
@@ -155,7 +155,7 @@
         rig.wait_for_log(LEAVES);
         reports_that_it_leaves(&rig.registration_reports);
         if asked {
-            assert!([503, 504].contains(&client.answer().0));
+            assert!([503, 504].contains(&client.read_response().0));
         }
         assert_eq!(rig.process.wait().code(), Some(0));
     }
@@ -167,9 +167,9 @@
     let reports = rig.replace_peer_addresses();
     reports_that_it_leaves(&reports);
     let mut vm = rig.accept_link();
-    assert_eq!(vm.apply().0, task(1));
-    vm.value(&task(1), "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(vm.read_apply().0, task(1));
+    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
     assert_eq!(rig.process.wait().code(), Some(0));
 }
 
@@ -244,8 +244,8 @@
     }
     serves(&mut client, &mut vm, 2);
     client.send(&request(3, None, b"abc"));
-    vm.apply();
-    vm.awaits(&task(3), b"ask");
+    vm.read_apply();
+    vm.send_await(&task(3), b"ask");
     let mut call = String::new();
     BufReader::new(accept(&rig.store_listener))
         .read_line(&mut call)
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -127,9 +127,9 @@
 
     /// Has one request answered.
     fn serve(&self, txn: u64) {
-        let mut client = Client::to(self.address);
+        let mut client = Http1Client::connect(self.address);
         client.send(&request(txn, None, b"abc"));
-        let status = client.answer().0;
+        let status = client.read_response().0;
         assert!(status == 200 || status == 503, "{status}");
     }
 
@@ -264,7 +264,7 @@
     started.serve(2);
     started.holds_the_terms("after a reload");
     // One that stands in the middle of a request keeps the drain from ending at once.
-    let mut slow = Client::to(started.address);
+    let mut slow = Http1Client::connect(started.address);
     slow.send(b"POST /svc/look HTTP/1.1\r\n");
     started.process.terminate();
     let told = Instant::now();
@@ -326,16 +326,16 @@
     for round in 0..3u64 {
         // Each speaks as soon as it is there: silent ones are closed in time. A few have work done.
         let join = |n: u64| {
-            let mut client = Client::to(started.address);
+            let mut client = Http1Client::connect(started.address);
             match n % 20 {
                 0 => client.send(&request(10 + round * 1000 + n, None, b"abc")),
                 _ => client.send(b"GET /status/live HTTP/1.1\r\n\r\n"),
             }
             client
         };
-        let mut crowd: Vec<Client> = (0..1000).map(join).collect();
+        let mut crowd: Vec<Http1Client> = (0..1000).map(join).collect();
         for client in &mut crowd {
-            let status = client.answer().0;
+            let status = client.read_response().0;
             assert!(status == 200 || status == 503, "{status}");
         }
         assert!(held() > 1000, "the crowd is there: {}", held());
@@ -361,10 +361,10 @@
         config["announce"] = nobody();
         config["store"] = nobody();
     });
-    let mut client = Client::to(started.address);
+    let mut client = Http1Client::connect(started.address);
     loop {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        if client.answer().0 == 200 {
+        if client.read_response().0 == 200 {
             break;
         }
         assert!(started.since.elapsed() < READY, "it is not ready");
@@ -381,7 +381,7 @@
 /// A drain of a server whose runs the test ends, with that grace; the process has this long from the notice.
 struct Drain {
     rig: ServerFixture,
-    vm: Vm,
+    vm: MockInterpreter,
     stop: Duration,
     told: Option<Instant>,
 }
@@ -403,16 +403,16 @@
     }
 
     /// A kept connection that had an answer.
-    fn kept(&mut self, txn: u64) -> Client {
+    fn kept(&mut self, txn: u64) -> Http1Client {
         let mut client = self.running(txn);
         self.ends(txn);
-        let (status, fields, _) = client.answer();
+        let (status, fields, _) = client.read_response();
         assert_eq!((status, fields.get("connection")), (200, None));
         client
     }
 
     /// A connection whose request runs.
-    fn running(&mut self, txn: u64) -> Client {
+    fn running(&mut self, txn: u64) -> Http1Client {
         let mut client = self.rig.connect_client();
         client.send(&request(txn, None, b"abc"));
         self.runs(txn);
@@ -421,11 +421,12 @@
 
     /// The next command starts the run of that request.
     fn runs(&mut self, txn: u64) {
-        assert_eq!(self.vm.apply().0, format!("{txn:016x}"));
+        assert_eq!(self.vm.read_apply().0, format!("{txn:016x}"));
     }
 
     fn ends(&mut self, txn: u64) {
-        self.vm.value(&format!("{txn:016x}"), "complete", b"done");
+        self.vm
+            .send_value(&format!("{txn:016x}"), "complete", b"done");
     }
 
     /// Tells it to drain; it has heard so when its report says so.
@@ -450,7 +451,7 @@
             stop,
             told,
         } = self;
-        let rest = vm.rest();
+        let rest = vm.read_remaining_commands();
         assert_eq!(rig.process.wait().code(), Some(0));
         let took = told.unwrap().elapsed();
         assert!(took < stop, "it took {took:?} of {stop:?}");
@@ -462,8 +463,8 @@
 }
 
 /// An answer, and whether it is the last on its connection.
-fn answered(client: &mut Client) -> (u16, bool) {
-    let (status, fields, _) = client.answer();
+fn answered(client: &mut Http1Client) -> (u16, bool) {
+    let (status, fields, _) = client.read_response();
     (
         status,
         fields.get("connection").is_some_and(|word| word == "close"),
@@ -481,12 +482,12 @@
     drain.runs(3);
     drain.ends(3);
     assert_eq!(answered(&mut one), (200, true));
-    one.closed();
+    one.assert_closed();
     two.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
     drain.runs(4);
     drain.ends(4);
     assert_eq!(answered(&mut two), (200, true));
-    two.closed();
+    two.assert_closed();
     // What its rules refuse is answered as well: no memory holds this one.
     let mut large = drain.rig.connect_client();
     let text = String::from_utf8(request(5, None, b"abc")).unwrap();
@@ -503,16 +504,16 @@
     drain.tell();
     begun.send(b"POST /svc/look ");
     // That nothing new is taken shows in the end of what has nothing open.
-    idle.closed();
+    idle.assert_closed();
     thread::sleep(SLACK);
     begun.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
     assert_eq!(answered(&mut begun), (503, true));
-    begun.closed();
+    begun.assert_closed();
     busy.send(&request(5, None, b"abc"));
     drain.ends(3);
     assert_eq!(answered(&mut busy).0, 200);
     assert_eq!(answered(&mut busy), (503, true));
-    busy.closed();
+    busy.assert_closed();
     drain.leaves();
 }
 
@@ -529,14 +530,14 @@
         drain.told.unwrap().elapsed() > grace * 5 / 4
     });
     kept.send(&request(2, None, b"abc"));
-    let mut crowd: Vec<Client> = (3..8).map(|_| drain.rig.connect_client()).collect();
+    let mut crowd: Vec<Http1Client> = (3..8).map(|_| drain.rig.connect_client()).collect();
     for (client, txn) in crowd.iter_mut().zip(3..) {
         client.send(&request(txn, None, b"abc"));
     }
     drain.rig.process.signal("CONT");
     for client in [&mut kept].into_iter().chain(&mut crowd) {
         assert_eq!(answered(client), (503, true));
-        client.closed();
+        client.assert_closed();
     }
     drain.leaves();
 }
@@ -559,7 +560,7 @@
         drain.runs(2);
         drain.ends(2);
         assert_eq!(answered(&mut client), (200, true));
-        client.closed();
+        client.assert_closed();
         drain.leaves();
     }
 }
@@ -567,7 +568,7 @@
 #[test]
 fn idle_connections_are_closed_cleanly_in_a_drain_and_it_leaves_in_time() {
     let mut drain = Drain::with_grace(Duration::from_millis(500));
-    let mut kept: Vec<Client> = (1..5).map(|txn| drain.kept(txn)).collect();
+    let mut kept: Vec<Http1Client> = (1..5).map(|txn| drain.kept(txn)).collect();
     let mut silent = drain.rig.connect_client();
     drain.tell();
     // A check still has its answer, on a connection that stays open for it.
@@ -575,7 +576,7 @@
     assert_eq!(answered(&mut kept[0]).0, 503);
     // An end without a byte and without a reset; the balancers close nothing themselves.
     for client in kept.iter_mut().chain([&mut silent]) {
-        client.closed();
+        client.assert_closed();
     }
     drain.leaves();
 }
