--- a/crates/heathspur-bench/src/http2/abuse.rs
+++ b/crates/heathspur-bench/src/http2/abuse.rs
@@ -20,9 +20,9 @@
 /// Good requests on one connection at their intended times: the share answered with 200, and p99 in ms from the
 /// intended time.
 fn good(address: SocketAddr) -> (f64, f64) {
-    let mut caller = Caller::to(address);
-    let mut reader = caller.reader();
-    reader.mannered = false;
+    let mut caller = Http2Client::connect(address);
+    let mut reader = caller.split_reader();
+    reader.auto_reply = false;
     let count = RATE * PLAY.as_secs();
     let start = Instant::now() + Duration::from_millis(20);
     let at = move |n: u64| start + Duration::from_micros(n * 1_000_000 / RATE);
@@ -30,7 +30,10 @@
         let mut times = Histogram::<u64>::new(3).expect("a histogram");
         let mut served = 0;
         for n in 0..count {
-            if matches!(reader.ended(2 * n as u32 + 1), Ended::Answer(200, ..)) {
+            if matches!(
+                reader.wait_for_outcome(2 * n as u32 + 1),
+                StreamOutcome::Response(200, ..)
+            ) {
                 served += 1;
                 let late = Instant::now().saturating_duration_since(at(n));
                 let _ = times.record(late.as_micros() as u64);
@@ -43,9 +46,9 @@
     });
     for n in 0..count {
         thread::sleep(at(n).saturating_duration_since(Instant::now()));
-        let id = caller.new_stream();
-        let bytes = caller.request_bytes(id, 1 << 50 | n, None, b"good");
-        if !caller.try_raw(&bytes) {
+        let id = caller.allocate_stream_id();
+        let bytes = caller.encode_request(id, 1 << 50 | n, None, b"good");
+        if !caller.try_send_raw(&bytes) {
             break;
         }
     }
@@ -59,17 +62,17 @@
     address: SocketAddr,
     stop: &AtomicBool,
     ended: &AtomicU64,
-    prepare: impl Fn(&mut Caller),
-    each: impl Fn(&mut Caller) -> Vec<u8>,
+    prepare: impl Fn(&mut Http2Client),
+    each: impl Fn(&mut Http2Client) -> Vec<u8>,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        let mut caller = Caller::to(address);
+        let mut caller = Http2Client::connect(address);
         prepare(&mut caller);
-        let mut reader = caller.reader();
-        let read = thread::spawn(move || reader.closed());
+        let mut reader = caller.split_reader();
+        let read = thread::spawn(move || reader.read_until_closed());
         loop {
             let bytes = each(&mut caller);
-            if stop.load(Ordering::Relaxed) || !caller.try_raw(&bytes) {
+            if stop.load(Ordering::Relaxed) || !caller.try_send_raw(&bytes) {
                 break;
             }
         }
@@ -88,9 +91,11 @@
 ];
 
 /// Connections that do something once and then hold still, again and again until the stop.
-fn hold(address: SocketAddr, stop: &AtomicBool, count: usize, each: impl Fn(&mut Caller)) {
+fn hold(address: SocketAddr, stop: &AtomicBool, count: usize, each: impl Fn(&mut Http2Client)) {
     while !stop.load(Ordering::Relaxed) {
-        let mut callers: Vec<Caller> = (0..count).map(|_| Caller::silent(address)).collect();
+        let mut callers: Vec<Http2Client> = (0..count)
+            .map(|_| Http2Client::connect_without_preface(address))
+            .collect();
         callers.iter_mut().for_each(&each);
         for _ in 0..10 {
             if !stop.load(Ordering::Relaxed) {
@@ -103,11 +108,17 @@
 const ABUSES: [(&str, Abuse); 14] = [
     ("1,000 streams and no reading", |address, stop, _| {
         hold(address, stop, 1, |caller| {
-            caller.raw(&[PREFACE, &settings(&[(INITIAL_WINDOW, 0)])].concat());
+            caller.send_raw(
+                &[
+                    PREFACE,
+                    &settings_frame(&[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]),
+                ]
+                .concat(),
+            );
             for n in 0..1_000 {
-                let id = caller.new_stream();
-                let bytes = caller.request_bytes(id, 2 << 50 | n, None, b"x");
-                if !caller.try_raw(&bytes) {
+                let id = caller.allocate_stream_id();
+                let bytes = caller.encode_request(id, 2 << 50 | n, None, b"x");
+                if !caller.try_send_raw(&bytes) {
                     break;
                 }
             }
@@ -120,23 +131,33 @@
             ended,
             |_| {},
             |caller| {
-                let id = caller.new_stream();
-                let asked = caller.request_bytes(id, 3 << 50 | u64::from(id), None, b"x");
-                [asked, frame(RST_STREAM, 0, id, &CANCEL.to_be_bytes())].concat()
+                let id = caller.allocate_stream_id();
+                let asked = caller.encode_request(id, 3 << 50 | u64::from(id), None, b"x");
+                [
+                    asked,
+                    encode_frame(RST_STREAM, 0, id, &CANCEL.to_be_bytes()),
+                ]
+                .concat()
             },
         )
     }),
     ("CONTINUATION without end", |address, stop, ended| {
-        let open = |caller: &mut Caller| {
-            let block = caller.block(&HEAD);
-            caller.raw(&frame(HEADERS, 0, 1, &block));
+        let open = |caller: &mut Http2Client| {
+            let block = caller.encode_headers(&HEAD);
+            caller.send_raw(&encode_frame(HEADERS, 0, 1, &block));
         };
         flood(address, stop, ended, open, |_| {
-            frame(CONTINUATION, 0, 1, &[]).repeat(100)
+            encode_frame(CONTINUATION, 0, 1, &[]).repeat(100)
         })
     }),
     ("SETTINGS", |address, stop, ended| {
-        flood(address, stop, ended, |_| {}, |_| settings(&[]).repeat(100))
+        flood(
+            address,
+            stop,
+            ended,
+            |_| {},
+            |_| settings_frame(&[]).repeat(100),
+        )
     }),
     ("PING", |address, stop, ended| {
         flood(
@@ -144,7 +165,7 @@
             stop,
             ended,
             |_| {},
-            |_| frame(PING, 0, 0, &[0; 8]).repeat(100),
+            |_| encode_frame(PING, 0, 0, &[0; 8]).repeat(100),
         )
     }),
     ("PRIORITY", |address, stop, ended| {
@@ -153,13 +174,13 @@
             stop,
             ended,
             |_| {},
-            |_| frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(100),
+            |_| encode_frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(100),
         )
     }),
     ("empty DATA", |address, stop, ended| {
-        let open = |caller: &mut Caller| assert_eq!(caller.open(&HEAD, false), 1);
+        let open = |caller: &mut Http2Client| assert_eq!(caller.open_stream(&HEAD, false), 1);
         flood(address, stop, ended, open, |_| {
-            frame(DATA, 0, 1, &[]).repeat(100)
+            encode_frame(DATA, 0, 1, &[]).repeat(100)
         })
     }),
     ("windows of 1", |address, stop, ended| {
@@ -168,7 +189,7 @@
             stop,
             ended,
             |_| {},
-            |_| frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(100),
+            |_| encode_frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(100),
         )
     }),
     ("HPACK tables up and down", |address, stop, ended| {
@@ -178,7 +199,7 @@
             ended,
             |_| {},
             |_| {
-                [settings(&[(1, 0)]), settings(&[(1, 1 << 16)])]
+                [settings_frame(&[(1, 0)]), settings_frame(&[(1, 1 << 16)])]
                     .concat()
                     .repeat(50)
             },
@@ -193,10 +214,10 @@
             |_| {},
             |caller| {
                 let (id, block) = (
-                    caller.new_stream(),
-                    caller.block(&[&HEAD[..], &[("x-large", &large)]].concat()),
+                    caller.allocate_stream_id(),
+                    caller.encode_headers(&[&HEAD[..], &[("x-large", &large)]].concat()),
                 );
-                frame(HEADERS, END_HEADERS | END_STREAM, id, &block)
+                encode_frame(HEADERS, END_HEADERS | END_STREAM, id, &block)
             },
         )
     }),
@@ -206,15 +227,15 @@
             stop,
             ended,
             |_| {},
-            |_| frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
+            |_| encode_frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
         )
     }),
     ("requests that stop half way", |address, stop, _| {
         hold(address, stop, 50, |caller| {
-            caller.raw(&[PREFACE, &settings(&[])].concat());
+            caller.send_raw(&[PREFACE, &settings_frame(&[])].concat());
             for _ in 0..20 {
-                let id = caller.open(&HEAD, false);
-                caller.data(id, b"half", false);
+                let id = caller.open_stream(&HEAD, false);
+                caller.send_data(id, b"half", false);
             }
         })
     }),
@@ -227,7 +248,7 @@
                     .local_addr()
                     .is_ok_and(|address| address.port() % 2 == 0)
                 {
-                    let _ = caller.try_raw(b"GET / HTTP/1.1\r\n\r\n");
+                    let _ = caller.try_send_raw(b"GET / HTTP/1.1\r\n\r\n");
                 }
             })
         },
@@ -238,7 +259,7 @@
             stop,
             ended,
             |_| {},
-            |_| frame(HEADERS, END_HEADERS, 1, &[0xff; 40]),
+            |_| encode_frame(HEADERS, END_HEADERS, 1, &[0xff; 40]),
         )
     }),
 ];
--- a/crates/heathspur-bench/src/http2/cost.rs
+++ b/crates/heathspur-bench/src/http2/cost.rs
@@ -4,7 +4,7 @@
 use crate::cost::{instructions, load};
 use crate::table::Table;
 use heathspur_testkit::auto_stubs::Manner;
-use heathspur_testkit::http2::Caller;
+use heathspur_testkit::http2::Http2Client;
 use heathspur_testkit::prelude::program_path;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,15 +14,15 @@
 
 /// One request after another on one connection; how many were served.
 fn streams(address: SocketAddr, requests: u64, from: u64, at_once: u64) -> u64 {
-    let mut caller = Caller::to(address);
+    let mut caller = Http2Client::connect(address);
     let mut good = 0;
     for first in (0..requests).step_by(at_once as usize) {
         let ids: Vec<u32> = (first..first + at_once)
-            .map(|n| caller.ask(from + n, None, b"4929001234567890"))
+            .map(|n| caller.send_request(from + n, None, b"4929001234567890"))
             .collect();
         good += ids
             .into_iter()
-            .filter(|id| caller.answer(*id).0 == 200)
+            .filter(|id| caller.read_response(*id).0 == 200)
             .count() as u64;
     }
     good
--- a/crates/heathspur-bench/src/http2/drain.rs
+++ b/crates/heathspur-bench/src/http2/drain.rs
@@ -5,7 +5,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use heathspur_testkit::auto_stubs::Manner;
-use heathspur_testkit::http2::{Caller, Ended, CANCEL, INITIAL_WINDOW};
+use heathspur_testkit::http2::{Http2Client, StreamOutcome, CANCEL, SETTINGS_INITIAL_WINDOW_SIZE};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -47,33 +47,42 @@
 ) -> Played {
     let mut rng = StdRng::seed_from_u64(seed << 16 | connection);
     let stalled = rng.random_bool(0.1);
-    let mut caller = Caller::with(address, if stalled { &[(INITIAL_WINDOW, 0)] } else { &[] });
+    let mut caller = Http2Client::connect_with_settings(
+        address,
+        if stalled {
+            &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]
+        } else {
+            &[]
+        },
+    );
     let mut streams = Vec::new();
     for n in 0..STREAMS {
         if n == STREAMS / 2 {
             half.wait();
         }
         thread::sleep(Duration::from_micros(rng.random_range(0..4_000)));
-        let id = caller.new_stream();
+        let id = caller.allocate_stream_id();
         let (txn, body) = (connection << 16 | n, body(connection, n));
         let key = rng.random_bool(0.5).then(|| body.clone());
-        let bytes = caller.request_bytes(id, txn, key.as_deref(), body.as_bytes());
-        if !caller.try_raw(&bytes) {
+        let bytes = caller.encode_request(id, txn, key.as_deref(), body.as_bytes());
+        if !caller.try_send_raw(&bytes) {
             break;
         }
         let gone = rng.random_bool(0.05);
         if gone {
-            caller.reset(id, CANCEL);
+            caller.send_reset(id, CANCEL);
         }
         streams.push((id, gone, body));
         sent.fetch_add(1, Ordering::Relaxed);
     }
-    let last = caller.closed().map_or(u32::MAX, |(last, _)| last);
+    let last = caller
+        .read_until_closed()
+        .map_or(u32::MAX, |(last, _)| last);
     let mut played = Played::default();
     for (id, gone, body) in streams {
-        match caller.came_of(id) {
-            Some(Ended::Answer(..)) => played.answered += 1,
-            Some(Ended::Reset(heathspur_testkit::http2::REFUSED_STREAM)) => {
+        match caller.stream_outcome(id) {
+            Some(StreamOutcome::Response(..)) => played.answered += 1,
+            Some(StreamOutcome::Reset(heathspur_testkit::http2::REFUSED_STREAM)) => {
                 played.refused += 1;
                 played.past.push(body);
             }
@@ -81,7 +90,7 @@
             None if gone => played.reset += 1,
             None if id > last => played.past.push(body),
             // Its window is shut: that its answer was there shows in the head.
-            None if caller.has_begun(id) => played.begun += 1,
+            None if caller.response_in_progress(id) => played.begun += 1,
             None => played.lost += 1,
         }
     }
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -3,7 +3,7 @@
 use super::start;
 use crate::table::Table;
 use heathspur_testkit::auto_stubs::Manner;
-use heathspur_testkit::http2::{Caller, Ended, CANCEL};
+use heathspur_testkit::http2::{Http2Client, StreamOutcome, CANCEL};
 use heathspur_testkit::prelude::{request, Http1Client};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
 
 fn caller(http2: SocketAddr, http1: SocketAddr, caller: u64) -> Counts {
     let mut rng = StdRng::seed_from_u64(caller);
-    let (mut streams, mut client) = (Caller::to(http2), Http1Client::connect(http1));
+    let (mut streams, mut client) = (Http2Client::connect(http2), Http1Client::connect(http1));
     let mut counts = Counts::default();
     let mut results: HashMap<u64, Vec<u8>> = HashMap::new();
     for n in 0..REQUESTS / CALLERS {
@@ -51,22 +51,22 @@
             let (status, _, result) = client.read_response();
             (status, result)
         } else {
-            let id = streams.ask(txn, Some(&key), body.as_bytes());
+            let id = streams.send_request(txn, Some(&key), body.as_bytes());
             if rng.random_bool(0.3) {
                 thread::sleep(Duration::from_micros(rng.random_range(0..300)));
-                streams.reset(id, CANCEL);
+                streams.send_reset(id, CANCEL);
                 counts.reset += 1;
                 continue;
             }
-            match streams.ended(id) {
-                Ended::Answer(status, _, result) => (status, result),
-                Ended::Reset(_) => {
+            match streams.wait_for_outcome(id) {
+                StreamOutcome::Response(status, _, result) => (status, result),
+                StreamOutcome::Reset(_) => {
                     counts.refused += 1;
                     continue;
                 }
-                Ended::Closed => {
+                StreamOutcome::ConnectionClosed => {
                     counts.unanswered += 1;
-                    streams = Caller::to(http2);
+                    streams = Http2Client::connect(http2);
                     continue;
                 }
             }
--- a/crates/heathspur-bench/src/http2/stalled.rs
+++ b/crates/heathspur-bench/src/http2/stalled.rs
@@ -3,7 +3,7 @@
 use super::{start, MEMORY_MB};
 use crate::table::Table;
 use heathspur_testkit::auto_stubs::Manner;
-use heathspur_testkit::http2::{Caller, INITIAL_WINDOW};
+use heathspur_testkit::http2::{Http2Client, SETTINGS_INITIAL_WINDOW_SIZE};
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -36,9 +36,12 @@
             .map(|connection: u64| {
                 thread::spawn(move || {
                     let window = if small_windows { 0 } else { 1 << 30 };
-                    let mut caller = Caller::with(address, &[(INITIAL_WINDOW, window)]);
+                    let mut caller = Http2Client::connect_with_settings(
+                        address,
+                        &[(SETTINGS_INITIAL_WINDOW_SIZE, window)],
+                    );
                     if !small_windows {
-                        caller.raw(&heathspur_testkit::http2::frame(
+                        caller.send_raw(&heathspur_testkit::http2::encode_frame(
                             8,
                             0,
                             0,
@@ -50,9 +53,9 @@
                         .socket()
                         .set_write_timeout(Some(Duration::from_secs(2)));
                     for n in 0..STREAMS {
-                        let id = caller.new_stream();
-                        let bytes = caller.request_bytes(id, connection << 16 | n, None, b"x");
-                        if !caller.try_raw(&bytes) {
+                        let id = caller.allocate_stream_id();
+                        let bytes = caller.encode_request(id, connection << 16 | n, None, b"x");
+                        if !caller.try_send_raw(&bytes) {
                             break;
                         }
                     }
@@ -72,9 +75,9 @@
         let third = seen.len() / 3;
         let most = |part: &[u64]| part.iter().copied().max().unwrap_or(0);
         let (first, last, peak) = (most(&seen[..third]), most(&seen[2 * third..]), most(&seen));
-        let mut good = Caller::to(address);
-        let id = good.ask(1 << 60, None, b"good");
-        let served = good.answer(id).0;
+        let mut good = Http2Client::connect(address);
+        let id = good.send_request(1 << 60, None, b"good");
+        let served = good.read_response(id).0;
         table.row(
             &format!("memory against {name}, {STREAMS} streams each"),
             format!(
--- a/crates/heathspur-testkit/src/http2.rs
+++ b/crates/heathspur-testkit/src/http2.rs
@@ -29,7 +29,7 @@
 pub const ENHANCE_YOUR_CALM: u32 = 11;
 
 /// Settings by number.
-pub const INITIAL_WINDOW: u16 = 4;
+pub const SETTINGS_INITIAL_WINDOW_SIZE: u16 = 4;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
@@ -41,25 +41,25 @@
 
 /// How a stream ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Answer(u16, Fields, Vec<u8>),
+pub enum StreamOutcome {
+    Response(u16, Fields, Vec<u8>),
     Reset(u32),
     /// The connection ended first; with what GOAWAY said last, if one came.
-    Closed,
+    ConnectionClosed,
 }
 
-pub fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+pub fn encode_frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let [_, a, b, c] = (payload.len() as u32).to_be_bytes();
     let [d, e, f, g] = stream.to_be_bytes();
     [&[a, b, c, kind, flags, d, e, f, g], payload].concat()
 }
 
-pub fn settings(values: &[(u16, u32)]) -> Vec<u8> {
+pub fn settings_frame(values: &[(u16, u32)]) -> Vec<u8> {
     let payload: Vec<u8> = values
         .iter()
         .flat_map(|(id, value)| [&id.to_be_bytes()[..], &value.to_be_bytes()].concat())
         .collect();
-    frame(SETTINGS, 0, 0, &payload)
+    encode_frame(SETTINGS, 0, 0, &payload)
 }
 
 #[derive(Default)]
@@ -69,44 +69,44 @@
 }
 
 /// One connection.
-pub struct Caller {
+pub struct Http2Client {
     stream: TcpStream,
     buffer: Vec<u8>,
     encoder: Encoder<'static>,
     decoder: Decoder<'static>,
     next_id: u32,
     coming: BTreeMap<u32, Coming>,
-    ended: BTreeMap<u32, Ended>,
+    ended: BTreeMap<u32, StreamOutcome>,
     /// SETTINGS and PING are acknowledged, and windows granted for what came.
-    pub mannered: bool,
+    pub auto_reply: bool,
     /// What GOAWAY frames said: the last stream and the reason.
     pub goaways: Vec<(u32, u32)>,
     /// Settings of the server.
-    pub settings: BTreeMap<u16, u32>,
+    pub peer_settings: BTreeMap<u16, u32>,
 }
 
-impl Caller {
+impl Http2Client {
     /// With these settings of its own.
-    pub fn with(address: SocketAddr, own: &[(u16, u32)]) -> Caller {
-        let mut caller = Caller::silent(address);
-        caller.raw(&[PREFACE, &settings(own)].concat());
+    pub fn connect_with_settings(address: SocketAddr, own: &[(u16, u32)]) -> Http2Client {
+        let mut caller = Http2Client::connect_without_preface(address);
+        caller.send_raw(&[PREFACE, &settings_frame(own)].concat());
         caller
     }
 
-    pub fn to(address: SocketAddr) -> Caller {
-        Caller::with(address, &[])
+    pub fn connect(address: SocketAddr) -> Http2Client {
+        Http2Client::connect_with_settings(address, &[])
     }
 
     /// One that has said nothing yet.
-    pub fn silent(address: SocketAddr) -> Caller {
+    pub fn connect_without_preface(address: SocketAddr) -> Http2Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Caller::over(stream)
+        Http2Client::over(stream)
     }
 
-    fn over(stream: TcpStream) -> Caller {
-        Caller {
+    fn over(stream: TcpStream) -> Http2Client {
+        Http2Client {
             stream,
             buffer: Vec::new(),
             encoder: Encoder::new(),
@@ -114,18 +114,18 @@
             next_id: 1,
             coming: BTreeMap::new(),
             ended: BTreeMap::new(),
-            mannered: true,
+            auto_reply: true,
             goaways: Vec::new(),
-            settings: BTreeMap::new(),
+            peer_settings: BTreeMap::new(),
         }
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_raw(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
     /// The same where the other side may have closed; false then.
-    pub fn try_raw(&mut self, bytes: &[u8]) -> bool {
+    pub fn try_send_raw(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
@@ -134,14 +134,14 @@
     }
 
     /// The other half of its connection: whoever has it reads, and says nothing.
-    pub fn reader(&self) -> Caller {
-        Caller {
-            mannered: false,
-            ..Caller::over(self.stream.try_clone().unwrap())
+    pub fn split_reader(&self) -> Http2Client {
+        Http2Client {
+            auto_reply: false,
+            ..Http2Client::over(self.stream.try_clone().unwrap())
         }
     }
 
-    pub fn block(&mut self, fields: &[(&str, &str)]) -> Vec<u8> {
+    pub fn encode_headers(&mut self, fields: &[(&str, &str)]) -> Vec<u8> {
         self.encoder.encode(
             fields
                 .iter()
@@ -150,28 +150,33 @@
     }
 
     /// A number for a stream that was not used yet.
-    pub fn new_stream(&mut self) -> u32 {
+    pub fn allocate_stream_id(&mut self) -> u32 {
         self.next_id += 2;
         self.next_id - 2
     }
 
     /// Opens a stream with these fields.
-    pub fn open(&mut self, fields: &[(&str, &str)], end: bool) -> u32 {
-        let (id, block) = (self.new_stream(), self.block(fields));
-        self.raw(&frame(HEADERS, END_HEADERS | u8::from(end), id, &block));
+    pub fn open_stream(&mut self, fields: &[(&str, &str)], end: bool) -> u32 {
+        let (id, block) = (self.allocate_stream_id(), self.encode_headers(fields));
+        self.send_raw(&encode_frame(
+            HEADERS,
+            END_HEADERS | u8::from(end),
+            id,
+            &block,
+        ));
         id
     }
 
-    pub fn data(&mut self, id: u32, bytes: &[u8], end: bool) {
-        self.raw(&frame(DATA, u8::from(end), id, bytes));
+    pub fn send_data(&mut self, id: u32, bytes: &[u8], end: bool) {
+        self.send_raw(&encode_frame(DATA, u8::from(end), id, bytes));
     }
 
-    pub fn reset(&mut self, id: u32, reason: u32) {
-        self.try_raw(&frame(RST_STREAM, 0, id, &reason.to_be_bytes()));
+    pub fn send_reset(&mut self, id: u32, reason: u32) {
+        self.try_send_raw(&encode_frame(RST_STREAM, 0, id, &reason.to_be_bytes()));
     }
 
     /// A request to `look`, or to `pay` where it has a key; its bytes, for a stream of that number.
-    pub fn request_bytes(&mut self, id: u32, txn: u64, key: Option<&str>, body: &[u8]) -> Vec<u8> {
+    pub fn encode_request(&mut self, id: u32, txn: u64, key: Option<&str>, body: &[u8]) -> Vec<u8> {
         let (txn, now) = (format!("{txn:016x}"), unix_ms().to_string());
         let mut fields = vec![
             (":method", "POST"),
@@ -195,29 +200,29 @@
         if let Some(key) = key {
             fields.push(("x-txn-key", key));
         }
-        let head = frame(HEADERS, END_HEADERS, id, &self.block(&fields));
-        [head, frame(DATA, END_STREAM, id, body)].concat()
+        let head = encode_frame(HEADERS, END_HEADERS, id, &self.encode_headers(&fields));
+        [head, encode_frame(DATA, END_STREAM, id, body)].concat()
     }
 
-    pub fn ask(&mut self, txn: u64, key: Option<&str>, body: &[u8]) -> u32 {
-        let id = self.new_stream();
-        let bytes = self.request_bytes(id, txn, key, body);
-        self.raw(&bytes);
+    pub fn send_request(&mut self, txn: u64, key: Option<&str>, body: &[u8]) -> u32 {
+        let id = self.allocate_stream_id();
+        let bytes = self.encode_request(id, txn, key, body);
+        self.send_raw(&bytes);
         id
     }
 
-    pub fn get(&mut self, path: &str) -> u32 {
+    pub fn send_get(&mut self, path: &str) -> u32 {
         let fields = [
             (":method", "GET"),
             (":scheme", "http"),
             (":path", path),
             (":authority", "backend.local"),
         ];
-        self.open(&fields, true)
+        self.open_stream(&fields, true)
     }
 
     /// The next frame as it comes; none at the end.
-    pub fn frame(&mut self) -> Option<Frame> {
+    pub fn read_frame(&mut self) -> Option<Frame> {
         loop {
             if let [a, b, c, kind, flags, d, e, f, g, rest @ ..] = &self.buffer[..] {
                 let length = u32::from_be_bytes([0, *a, *b, *c]) as usize;
@@ -244,13 +249,13 @@
     }
 
     /// Takes one frame in; false at the end.
-    pub fn take(&mut self) -> bool {
+    pub fn process_frame(&mut self) -> bool {
         let Some(Frame {
             kind,
             flags,
             stream,
             payload,
-        }) = self.frame()
+        }) = self.read_frame()
         else {
             return false;
         };
@@ -259,20 +264,22 @@
             SETTINGS if flags & ACK == 0 => {
                 for entry in payload.chunks(6) {
                     let id = u16::from_be_bytes([entry[0], entry[1]]);
-                    self.settings
+                    self.peer_settings
                         .insert(id, u32::from_be_bytes(entry[2..6].try_into().unwrap()));
                 }
-                if self.mannered {
-                    self.try_raw(&frame(SETTINGS, ACK, 0, &[]));
+                if self.auto_reply {
+                    self.try_send_raw(&encode_frame(SETTINGS, ACK, 0, &[]));
                 }
             }
-            PING if flags & ACK == 0 && self.mannered => {
-                self.try_raw(&frame(PING, ACK, 0, &payload));
+            PING if flags & ACK == 0 && self.auto_reply => {
+                self.try_send_raw(&encode_frame(PING, ACK, 0, &payload));
             }
             GOAWAY => self.goaways.push((word(0), word(4))),
             RST_STREAM => {
                 // After a whole answer it only says that the rest of the request is not wanted.
-                self.ended.entry(stream).or_insert(Ended::Reset(word(0)));
+                self.ended
+                    .entry(stream)
+                    .or_insert(StreamOutcome::Reset(word(0)));
             }
             HEADERS | DATA => {
                 if kind == HEADERS {
@@ -283,9 +290,9 @@
                         .map(|(name, value)| (text(name), text(value)));
                     self.coming.entry(stream).or_default().fields.extend(fields);
                 } else {
-                    if self.mannered && !payload.is_empty() {
+                    if self.auto_reply && !payload.is_empty() {
                         let grant = (payload.len() as u32).to_be_bytes();
-                        self.try_raw(&frame(WINDOW_UPDATE, 0, 0, &grant));
+                        self.try_send_raw(&encode_frame(WINDOW_UPDATE, 0, 0, &grant));
                     }
                     self.coming.entry(stream).or_default().body.extend(payload);
                 }
@@ -294,7 +301,7 @@
                     let fields: Fields = coming.fields.into_iter().collect();
                     let status = fields[":status"].parse().unwrap();
                     self.ended
-                        .insert(stream, Ended::Answer(status, fields, coming.body));
+                        .insert(stream, StreamOutcome::Response(status, fields, coming.body));
                 }
             }
             _ => {}
@@ -303,50 +310,50 @@
     }
 
     /// Streams whose answers have begun, as far as they were not asked for.
-    pub fn begun(&self) -> usize {
+    pub fn started_response_count(&self) -> usize {
         self.coming.len() + self.ended.len()
     }
 
     /// What came of a stream so far.
-    pub fn came_of(&self, id: u32) -> Option<Ended> {
+    pub fn stream_outcome(&self, id: u32) -> Option<StreamOutcome> {
         self.ended.get(&id).cloned()
     }
 
     /// Whether a stream's answer has begun, and no more.
-    pub fn has_begun(&self, id: u32) -> bool {
+    pub fn response_in_progress(&self, id: u32) -> bool {
         self.coming.contains_key(&id)
     }
 
     /// Waits for the end of a stream.
-    pub fn ended(&mut self, id: u32) -> Ended {
+    pub fn wait_for_outcome(&mut self, id: u32) -> StreamOutcome {
         loop {
             if let Some(ended) = self.ended.remove(&id) {
                 return ended;
             }
-            if !self.take() {
-                return Ended::Closed;
+            if !self.process_frame() {
+                return StreamOutcome::ConnectionClosed;
             }
         }
     }
 
     /// Status, fields and body of a stream's answer.
-    pub fn answer(&mut self, id: u32) -> (u16, Fields, Vec<u8>) {
-        match self.ended(id) {
-            Ended::Answer(status, fields, body) => (status, fields, body),
+    pub fn read_response(&mut self, id: u32) -> (u16, Fields, Vec<u8>) {
+        match self.wait_for_outcome(id) {
+            StreamOutcome::Response(status, fields, body) => (status, fields, body),
             other => panic!("{other:?}, goaways {:?}", self.goaways),
         }
     }
 
     /// Reads to the end; what GOAWAY said last.
-    pub fn closed(&mut self) -> Option<(u32, u32)> {
-        while self.take() {}
+    pub fn read_until_closed(&mut self) -> Option<(u32, u32)> {
+        while self.process_frame() {}
         self.goaways.last().copied()
     }
 
     /// Reads until a GOAWAY comes, or the end.
-    pub fn goaway(&mut self) -> Option<(u32, u32)> {
+    pub fn wait_for_goaway(&mut self) -> Option<(u32, u32)> {
         let known = self.goaways.len();
-        while self.goaways.len() == known && self.take() {}
+        while self.goaways.len() == known && self.process_frame() {}
         self.goaways.get(known).copied()
     }
 }
