--- a/crates/heathspur-bench/src/cost.rs
+++ b/crates/heathspur-bench/src/cost.rs
@@ -4,7 +4,7 @@
 use crate::large::peak_kib;
 use crate::table::Table;
 use heathspur_capture::Options;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::capture::read;
 use heathspur_testkit::prelude::{program_path, request, Http1Client};
 use std::net::SocketAddr;
@@ -29,7 +29,13 @@
 }
 
 fn start(command: Command, folder: &Path, operator: Option<&Path>) -> Daemon {
-    Daemon::start(command, folder, operator, Manner::default(), |_| {})
+    Daemon::start(
+        command,
+        folder,
+        operator,
+        InterpreterOptions::default(),
+        |_| {},
+    )
 }
 
 fn play(program: &Path, folder: &Path, operator: Option<&Path>) -> Play {
--- a/crates/heathspur-bench/src/daemon.rs
+++ b/crates/heathspur-bench/src/daemon.rs
@@ -1,6 +1,6 @@
 //! The daemon under measurement, with stand-ins that answer by themselves.
 
-use heathspur_testkit::auto_stubs::{self, Manner, Runs};
+use heathspur_testkit::auto_stubs::{self, InterpreterOptions, RunCounts};
 use heathspur_testkit::prelude::{bind_loopback, server_config, ProcessGuard};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -15,7 +15,7 @@
     pub address: SocketAddr,
     /// And for HTTP/2, where that is on.
     pub http2: Option<SocketAddr>,
-    pub runs: Runs,
+    pub runs: RunCounts,
 }
 
 impl Daemon {
@@ -24,7 +24,7 @@
         mut command: Command,
         folder: &Path,
         operator: Option<&Path>,
-        manner: Manner,
+        manner: InterpreterOptions,
         edit: impl FnOnce(&mut Value),
     ) -> Daemon {
         let (vm, store, announce) = (bind_loopback(), bind_loopback(), bind_loopback());
@@ -36,8 +36,8 @@
         edit(&mut settings);
         let file = folder.join("config.json");
         std::fs::write(&file, settings.to_string()).expect("the configuration is written");
-        let runs = auto_stubs::slower(vm, manner);
-        auto_stubs::announce(announce);
+        let runs = auto_stubs::interpreter_with(vm, manner);
+        auto_stubs::registration(announce);
         command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
         let mut further = false;
         if let Some(operator) = operator {
--- a/crates/heathspur-bench/src/http2/abuse.rs
+++ b/crates/heathspur-bench/src/http2/abuse.rs
@@ -3,7 +3,7 @@
 use super::start;
 use crate::table::Table;
 use hdrhistogram::Histogram;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::http2::*;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -265,7 +265,7 @@
 ];
 
 pub fn measure(folder: &Path, table: &mut Table) {
-    let (daemon, address) = start(folder, "abuse", "", Manner::default());
+    let (daemon, address) = start(folder, "abuse", "", InterpreterOptions::default());
     // The module has to see the machine first.
     good(address);
     let (alone, alone_p99) = good(address);
--- a/crates/heathspur-bench/src/http2/cost.rs
+++ b/crates/heathspur-bench/src/http2/cost.rs
@@ -3,7 +3,7 @@
 use super::start;
 use crate::cost::{instructions, load};
 use crate::table::Table;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::http2::Http2Client;
 use heathspur_testkit::prelude::program_path;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 }
 
 pub fn measure(folder: &Path, baseline: &Path, table: &mut Table) {
-    let (daemon, address) = start(folder, "cost", "", Manner::default());
+    let (daemon, address) = start(folder, "cost", "", InterpreterOptions::default());
     let mut each = |name: &str, from: u64, drive: &dyn Fn(u64, u64) -> u64| {
         drive(2_000, from);
         let (before, start) = (daemon.cpu_nanos(), Instant::now());
--- a/crates/heathspur-bench/src/http2/drain.rs
+++ b/crates/heathspur-bench/src/http2/drain.rs
@@ -4,7 +4,7 @@
 use crate::table::Table;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::http2::{Http2Client, StreamOutcome, CANCEL, SETTINGS_INITIAL_WINDOW_SIZE};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -102,10 +102,10 @@
     let (mut answered, mut refused, mut reset, mut begun, mut past, mut codes) = (0, 0, 0, 0, 0, 0);
     for seed in 1..=drains {
         let bounds = "<streams connection=\"128\" all=\"6000\"/><patience stalled=\"60 s\"/>";
-        let manner = Manner {
-            work: Duration::from_millis(60),
-            result: None,
-            calls: false,
+        let manner = InterpreterOptions {
+            run_duration: Duration::from_millis(60),
+            result_len: None,
+            calls_dependency: false,
         };
         let (mut daemon, address) = start(folder, "drain", bounds, manner);
         let (half, sent) = (
--- a/crates/heathspur-bench/src/http2/mod.rs
+++ b/crates/heathspur-bench/src/http2/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::daemon::Daemon;
 use crate::table::Table;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::prelude::program_path;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -35,7 +35,12 @@
 }
 
 /// A daemon with the port on; its address there.
-fn start(folder: &Path, name: &str, inner: &str, manner: Manner) -> (Daemon, std::net::SocketAddr) {
+fn start(
+    folder: &Path,
+    name: &str,
+    inner: &str,
+    manner: InterpreterOptions,
+) -> (Daemon, std::net::SocketAddr) {
     let operator = operator(folder, name, inner);
     let edit = |settings: &mut Value| {
         settings["limits"]["memory_mb"] = json!(MEMORY_MB);
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -2,7 +2,7 @@
 
 use super::start;
 use crate::table::Table;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::http2::{Http2Client, StreamOutcome, CANCEL};
 use heathspur_testkit::prelude::{request, Http1Client};
 use rand::rngs::StdRng;
@@ -85,10 +85,10 @@
 }
 
 pub fn measure(folder: &Path, table: &mut Table) {
-    let manner = Manner {
-        work: Duration::from_millis(1),
-        result: None,
-        calls: false,
+    let manner = InterpreterOptions {
+        run_duration: Duration::from_millis(1),
+        result_len: None,
+        calls_dependency: false,
     };
     let (daemon, address) = start(folder, "repeats", "", manner);
     let http1 = daemon.address;
--- a/crates/heathspur-bench/src/http2/stalled.rs
+++ b/crates/heathspur-bench/src/http2/stalled.rs
@@ -2,7 +2,7 @@
 
 use super::{start, MEMORY_MB};
 use crate::table::Table;
-use heathspur_testkit::auto_stubs::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
 use heathspur_testkit::http2::{Http2Client, SETTINGS_INITIAL_WINDOW_SIZE};
 use std::path::Path;
 use std::thread;
@@ -25,10 +25,10 @@
         ("50 connections that grant all and read nothing", 50, false),
     ] {
         let bounds = "<streams connection=\"1000\" all=\"4000\"/><patience stalled=\"60 s\"/>";
-        let manner = Manner {
-            work: Duration::ZERO,
-            result: Some(ANSWER),
-            calls: false,
+        let manner = InterpreterOptions {
+            run_duration: Duration::ZERO,
+            result_len: Some(ANSWER),
+            calls_dependency: false,
         };
         let (daemon, address) = start(folder, "stalled", bounds, manner);
         let before = daemon.resident_kib();
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -4,7 +4,7 @@
 use heathspur_capture::{write, Side, Stamp};
 use heathspur_testkit::capture::{answer, Script, MS, START};
 use heathspur_testkit::prelude::program_path;
-use heathspur_testkit::recording_server::{Manner, Received, Sink};
+use heathspur_testkit::recording_server::{ReceivedRequest, RecordingServer, ResponseOptions};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
@@ -157,8 +157,8 @@
     u64::from_str_radix(id, 16).unwrap_or(u64::MAX)
 }
 
-fn replay(storm: &Storm, speed: &str, report: &Path) -> (Vec<Received>, Value) {
-    let sink = Sink::start(Manner::default());
+fn replay(storm: &Storm, speed: &str, report: &Path) -> (Vec<ReceivedRequest>, Value) {
+    let sink = RecordingServer::start(ResponseOptions::default());
     let run = Command::new(program_path("heathspurctl"))
         .args(["pcap", "replay"])
         .arg(&storm.file)
--- a/crates/heathspur-testkit/src/auto_stubs.rs
+++ b/crates/heathspur-testkit/src/auto_stubs.rs
@@ -11,32 +11,32 @@
 use std::time::{Duration, Instant};
 
 /// How often each body ran, as it came in base64.
-pub type Runs = Arc<Mutex<HashMap<String, u64>>>;
+pub type RunCounts = Arc<Mutex<HashMap<String, u64>>>;
 
 /// An interpreter that ends each run at once with the request's own body, and counts runs of each.
-pub fn interpreter(listener: TcpListener) -> Runs {
-    slower(listener, Manner::default())
+pub fn interpreter(listener: TcpListener) -> RunCounts {
+    interpreter_with(listener, InterpreterOptions::default())
 }
 
 /// How an interpreter answers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Manner {
+pub struct InterpreterOptions {
     /// Each run takes this long.
-    pub work: Duration,
+    pub run_duration: Duration,
     /// Bytes of each result; none for the request's own body.
-    pub result: Option<usize>,
+    pub result_len: Option<usize>,
     /// Each run calls the dependency once, with the request's own body, and ends with the reply. Not with `work`.
-    pub calls: bool,
+    pub calls_dependency: bool,
 }
 
 /// The same, in this manner.
-pub fn slower(listener: TcpListener, manner: Manner) -> Runs {
-    let runs = Runs::default();
+pub fn interpreter_with(listener: TcpListener, manner: InterpreterOptions) -> RunCounts {
+    let runs = RunCounts::default();
     let counted = runs.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let runs = runs.clone();
-            thread::spawn(move || match manner.work.is_zero() {
+            thread::spawn(move || match manner.run_duration.is_zero() {
                 true => link(stream, &runs, manner),
                 false => late(stream, &runs, manner),
             });
@@ -46,7 +46,7 @@
 }
 
 /// Runs that take their time, one behind the other in the order of their ends.
-fn late(stream: TcpStream, runs: &Runs, manner: Manner) -> Option<()> {
+fn late(stream: TcpStream, runs: &RunCounts, manner: InterpreterOptions) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let (due, ends) = mpsc::channel::<(Instant, Value)>();
     let out = Arc::new(Mutex::new(stream.try_clone().ok()?));
@@ -71,7 +71,7 @@
         let reply = match command["verb"].as_str()? {
             "APPLY" => {
                 due.send((
-                    Instant::now() + manner.work,
+                    Instant::now() + manner.run_duration,
                     ended(&command, runs, manner, 0)?,
                 ))
                 .ok()?;
@@ -97,13 +97,18 @@
 }
 
 /// The end of a run, which is counted.
-fn ended(command: &Value, runs: &Runs, manner: Manner, index: u64) -> Option<Value> {
+fn ended(
+    command: &Value,
+    runs: &RunCounts,
+    manner: InterpreterOptions,
+    index: u64,
+) -> Option<Value> {
     *runs
         .lock()
         .ok()?
         .entry(command["bytes"].as_str()?.to_string())
         .or_default() += 1;
-    let bytes = match manner.result {
+    let bytes = match manner.result_len {
         None => command["bytes"].clone(),
         Some(count) => json!(STANDARD.encode(vec![b'r'; count])),
     };
@@ -113,7 +118,7 @@
     )
 }
 
-fn link(stream: TcpStream, runs: &Runs, manner: Manner) -> Option<()> {
+fn link(stream: TcpStream, runs: &RunCounts, manner: InterpreterOptions) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
     let (mut line, mut index, mut out) = (String::new(), 0, Vec::new());
@@ -124,7 +129,7 @@
         }
         let command: Value = serde_json::from_str(&line).ok()?;
         let reply = match command["verb"].as_str()? {
-            "APPLY" if manner.calls => {
+            "APPLY" if manner.calls_dependency => {
                 index += 1;
                 // Counted as run; it ends when the call has come back.
                 ended(&command, runs, manner, index)?;
@@ -158,7 +163,7 @@
 }
 
 /// An announce service that takes every report.
-pub fn announce(listener: TcpListener) {
+pub fn registration(listener: TcpListener) {
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
--- a/crates/heathspur-testkit/src/example_peers.rs
+++ b/crates/heathspur-testkit/src/example_peers.rs
@@ -14,13 +14,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub type Outcome = Result<(), Box<dyn Error + Send + Sync>>;
+pub type PeerResult = Result<(), Box<dyn Error + Send + Sync>>;
 
 /// The time that a request runs.
 const WORK: Duration = Duration::from_millis(50);
 
 /// Serves what this configuration names, for ever.
-pub fn run(file: &Path) -> Outcome {
+pub fn run(file: &Path) -> PeerResult {
     let config: Value = serde_json::from_slice(&std::fs::read(file)?)?;
     let listen = |what: &str| -> Result<TcpListener, Box<dyn Error + Send + Sync>> {
         let address = config[what]
@@ -31,10 +31,14 @@
     let calls = Arc::new(calling_classes(&config["settings"]));
     let links = listen("vm")?;
     let parts = [
-        (listen("store")?, store as fn(TcpStream) -> Outcome, "store"),
+        (
+            listen("store")?,
+            store as fn(TcpStream) -> PeerResult,
+            "store",
+        ),
         (
             listen("announce")?,
-            announce as fn(TcpStream) -> Outcome,
+            announce as fn(TcpStream) -> PeerResult,
             "announce",
         ),
     ];
@@ -52,7 +56,7 @@
 fn each(
     listener: TcpListener,
     name: &'static str,
-    serve: impl Fn(TcpStream) -> Outcome + Send + Clone + 'static,
+    serve: impl Fn(TcpStream) -> PeerResult + Send + Clone + 'static,
 ) {
     for stream in listener.incoming().flatten() {
         let serve = serve.clone();
@@ -84,16 +88,16 @@
 }
 
 /// One line to the server, with the number of a notice where it is one.
-fn say(mut stream: &TcpStream, line: Value) -> Outcome {
+fn say(mut stream: &TcpStream, line: Value) -> PeerResult {
     Ok(stream.write_all(format!("{line}\n").as_bytes())?)
 }
 
-fn interpreter(stream: TcpStream, calls: &[String]) -> Outcome {
+fn interpreter(stream: TcpStream, calls: &[String]) -> PeerResult {
     let start = Instant::now();
     // Ends of runs reach the one writer of notices, which numbers them.
     let (notices, to_number) = mpsc::channel::<Value>();
     let writer = stream.try_clone()?;
-    thread::spawn(move || -> Outcome {
+    thread::spawn(move || -> PeerResult {
         for (number, mut notice) in to_number.into_iter().enumerate() {
             notice["index"] = json!(number + 1);
             say(&writer, notice)?;
@@ -134,7 +138,7 @@
                     }
                 );
                 let notices = notices.clone();
-                thread::spawn(move || -> Outcome {
+                thread::spawn(move || -> PeerResult {
                     thread::sleep(WORK);
                     let result = STANDARD.encode(STANDARD.decode(bytes)?.to_ascii_uppercase());
                     let spent = WORK.as_millis() as u64;
@@ -154,7 +158,7 @@
 }
 
 /// Agrees to every call with the call's own body.
-fn store(stream: TcpStream) -> Outcome {
+fn store(stream: TcpStream) -> PeerResult {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut line = String::new();
     while reader.read_line(&mut line)? > 0 {
@@ -172,7 +176,7 @@
 }
 
 /// Takes every report.
-fn announce(stream: TcpStream) -> Outcome {
+fn announce(stream: TcpStream) -> PeerResult {
     let mut reader = BufReader::new(stream.try_clone()?);
     let (mut line, mut length, mut last) = (String::new(), 0, String::new());
     while reader.read_line(&mut line)? > 0 {
--- a/crates/heathspur-testkit/src/recording_server.rs
+++ b/crates/heathspur-testkit/src/recording_server.rs
@@ -10,42 +10,42 @@
 
 /// A request as it came.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub struct ReceivedRequest {
     /// The connection, in the order in which they were accepted.
     pub connection: usize,
     /// When its last byte was read.
-    pub at: Instant,
+    pub received_at: Instant,
     pub bytes: Vec<u8>,
 }
 
 /// How it answers.
 #[derive(Clone, Debug)]
-pub struct Manner {
+pub struct ResponseOptions {
     /// Each request is answered after this.
-    pub work: Duration,
+    pub delay: Duration,
     /// After so many requests a connection is broken instead of answered; 0 for never.
-    pub break_after: usize,
+    pub disconnect_after: usize,
     /// Every answer is the last on its connection.
-    pub close: bool,
+    pub close_after_response: bool,
 }
 
-impl Default for Manner {
-    fn default() -> Manner {
-        Manner {
-            work: Duration::ZERO,
-            break_after: 0,
-            close: false,
+impl Default for ResponseOptions {
+    fn default() -> ResponseOptions {
+        ResponseOptions {
+            delay: Duration::ZERO,
+            disconnect_after: 0,
+            close_after_response: false,
         }
     }
 }
 
-pub struct Sink {
+pub struct RecordingServer {
     pub address: SocketAddr,
-    received: Arc<Mutex<Vec<Received>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl Sink {
-    pub fn start(manner: Manner) -> Sink {
+impl RecordingServer {
+    pub fn start(manner: ResponseOptions) -> RecordingServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let received = Arc::new(Mutex::new(Vec::new()));
@@ -64,39 +64,44 @@
                 }
             }
         });
-        Sink { address, received }
+        RecordingServer { address, received }
     }
 
-    pub fn received(&self) -> Vec<Received> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.received.lock().unwrap().clone()
     }
 }
 
-fn serve(mut stream: TcpStream, connection: usize, manner: &Manner, all: &Mutex<Vec<Received>>) {
+fn serve(
+    mut stream: TcpStream,
+    connection: usize,
+    manner: &ResponseOptions,
+    all: &Mutex<Vec<ReceivedRequest>>,
+) {
     let _ = stream.set_nodelay(true);
     let (mut buffer, mut chunk, mut count) = (Vec::new(), vec![0; 16 * 1024], 0);
     loop {
         while let Some(end) = whole(&buffer) {
             let bytes: Vec<u8> = buffer.drain(..end).collect();
             let to_head = bytes.starts_with(b"HEAD ");
-            all.lock().unwrap().push(Received {
+            all.lock().unwrap().push(ReceivedRequest {
                 connection,
-                at: Instant::now(),
+                received_at: Instant::now(),
                 bytes,
             });
             count += 1;
-            if manner.break_after > 0 && count % manner.break_after == 0 {
+            if manner.disconnect_after > 0 && count % manner.disconnect_after == 0 {
                 return;
             }
-            thread::sleep(manner.work);
-            let close = if manner.close {
+            thread::sleep(manner.delay);
+            let close = if manner.close_after_response {
                 "Connection: close\r\n"
             } else {
                 ""
             };
             let body = if to_head { "" } else { "done" };
             let answer = format!("HTTP/1.1 200 OK\r\n{close}Content-Length: 4\r\n\r\n{body}");
-            if stream.write_all(answer.as_bytes()).is_err() || manner.close {
+            if stream.write_all(answer.as_bytes()).is_err() || manner.close_after_response {
                 return;
             }
         }
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -2,7 +2,7 @@
 
 use heathspur_testkit::auto_stubs;
 use heathspur_testkit::prelude::{ProcessGuard, ServerFixture};
-use heathspur_testkit::recording_server::{Manner, Sink};
+use heathspur_testkit::recording_server::{RecordingServer, ResponseOptions};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -82,9 +82,9 @@
 
 #[test]
 fn answers_that_never_come_show_in_the_exit_code() {
-    let sink = Sink::start(Manner {
-        break_after: 3,
-        ..Manner::default()
+    let sink = RecordingServer::start(ResponseOptions {
+        disconnect_after: 3,
+        ..ResponseOptions::default()
     });
     let target = format!("<target protocol=\"http1\" address=\"{}\"/>", sink.address);
     let (output, report) = load("broken", &target, "<class name=\"look\"/>");
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -3,7 +3,7 @@
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
 use heathspur_testkit::proxy::{self, Faults};
-use heathspur_testkit::recording_server::{Manner, Sink};
+use heathspur_testkit::recording_server::{RecordingServer, ResponseOptions};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -63,7 +63,7 @@
     (file, sent)
 }
 
-fn replay(file: &std::path::Path, sink: &Sink, more: &[&str]) -> Output {
+fn replay(file: &std::path::Path, sink: &RecordingServer, more: &[&str]) -> Output {
     let address = sink.address.to_string();
     let file = file.to_str().unwrap();
     run(&[&["pcap", "replay", file, "--to-server", &address][..], more].concat())
@@ -187,7 +187,7 @@
 #[test]
 fn a_replay_sends_the_same_bytes_in_the_recorded_order_and_reports() {
     let (file, sent) = capture("replay.pcap");
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     let report = temporary("report");
     let output = replay(&file, &sink, &["--report", report.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
@@ -235,7 +235,7 @@
     packets.sort_by_key(|(at, _)| *at);
     let file = temporary("burst.pcap");
     std::fs::write(&file, pcap(&packets)).unwrap();
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     let output = replay(&file, &sink, &["--speed", "100"]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
     assert_eq!(sink.received().len(), 360);
@@ -244,7 +244,7 @@
 #[test]
 fn fresh_ids_are_asked_for_where_requests_are_sent_more_than_once() {
     let (file, sent) = capture("renew.pcap");
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     for more in [&["--loop", "2"][..], &["--scale-load", "2"]] {
         assert_eq!(replay(&file, &sink, more).status.code(), Some(2));
     }
@@ -292,9 +292,9 @@
 #[test]
 fn what_a_breaking_or_absent_target_costs_is_counted_and_shows_in_the_exit_code() {
     let (file, _) = capture("broken.pcap");
-    let sink = Sink::start(Manner {
-        break_after: 3,
-        ..Manner::default()
+    let sink = RecordingServer::start(ResponseOptions {
+        disconnect_after: 3,
+        ..ResponseOptions::default()
     });
     let output = replay(&file, &sink, &[]);
     let text = said(&output);
@@ -327,9 +327,9 @@
         "{}",
         said(&output)
     );
-    let closes = Sink::start(Manner {
-        close: true,
-        ..Manner::default()
+    let closes = RecordingServer::start(ResponseOptions {
+        close_after_response: true,
+        ..ResponseOptions::default()
     });
     assert_eq!(replay(&file, &closes, &[]).status.code(), Some(0));
 }
@@ -418,7 +418,7 @@
 /// The audit of a replay through a proxy, and how often each request was received.
 fn through(name: &str, faults: Faults, more: &[&str]) -> (Output, Value, Vec<usize>) {
     let (file, sent) = capture(&format!("{name}.pcap"));
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     let (proxy, _) = proxy::start(sink.address, faults, 11);
     let report = temporary(&format!("{name}-report"));
     let (file, proxy) = (file.to_str().unwrap(), proxy.to_string());
@@ -506,9 +506,9 @@
     std::fs::write(&file, pcap(&script.packets)).unwrap();
     for (more, one_by_one) in [(&["--causal"][..], true), (&[][..], false)] {
         // Far slower than the recording, in which an answer took a millisecond.
-        let sink = Sink::start(Manner {
-            work: std::time::Duration::from_millis(60),
-            ..Manner::default()
+        let sink = RecordingServer::start(ResponseOptions {
+            delay: std::time::Duration::from_millis(60),
+            ..ResponseOptions::default()
         });
         let report = temporary("causal-report");
         let output = replay(
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -1,7 +1,7 @@
 //! Three zones of three servers in two regions, a replica of the dependency in each zone: replicas killed, slowed,
 //! made to flap, members cut off. Tests wait on logs and counts; figures belong to a measurement.
 
-use heathspur_testkit::auto_stubs::{self, Manner, Runs};
+use heathspur_testkit::auto_stubs::{self, InterpreterOptions, RunCounts};
 use heathspur_testkit::fleet::Fleet;
 use heathspur_testkit::prelude::{request, Http1Client};
 use heathspur_testkit::replica::Replica;
@@ -23,7 +23,7 @@
 struct Zones {
     fleet: Fleet,
     replicas: Vec<Replica>,
-    runs: Vec<Runs>,
+    runs: Vec<RunCounts>,
     _place: MutexGuard<'static, ()>,
 }
 
@@ -44,13 +44,13 @@
         );
         let region = |i| if i % ZONES == 2 { "east" } else { "west" };
         let mut fleet = Fleet::of(SERVERS, SETTINGS, region, &failover);
-        let manner = Manner {
-            calls: true,
-            ..Manner::default()
+        let manner = InterpreterOptions {
+            calls_dependency: true,
+            ..InterpreterOptions::default()
         };
         let runs = (0..SERVERS)
             .map(|i| {
-                auto_stubs::slower(
+                auto_stubs::interpreter_with(
                     fleet.rig(i).interpreter_listener.try_clone().unwrap(),
                     manner,
                 )
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -76,7 +76,7 @@
         config["limits"]["sockets"] = 4096.into();
         edit(&mut config);
         auto_stubs::interpreter(vm);
-        auto_stubs::announce(announce);
+        auto_stubs::registration(announce);
         let folders =
             std::env::temp_dir().join(format!("heathspur-terms-{}-{name}", std::process::id()));
         for folder in ["here", "home"] {
