--- a/crates/heathspur-bench/src/members.rs
+++ b/crates/heathspur-bench/src/members.rs
@@ -69,9 +69,9 @@
 
 /// The processes: crashes known, traffic, a partition healed.
 fn processes(count: usize, table: &mut Table) {
-    let mut fleet = Fleet::with(count, PROCESSES);
+    let mut fleet = Fleet::start_with_attributes(count, PROCESSES);
     let start = Instant::now();
-    let joined = fleet.comes(LONG, Fleet::one_view);
+    let joined = fleet.wait_until(LONG, Fleet::all_views_alive);
     table.row(
         &format!("{count} processes: all join through one, one view after"),
         format!("{:.2} s", start.elapsed().as_secs_f64()),
@@ -84,17 +84,19 @@
         fleet.kill(victim);
         let start = Instant::now();
         let since = |came: bool| came.then(|| start.elapsed().as_millis() as u64);
-        first.push(since(fleet.comes(LONG, |f| f.know_dead(victim) > 0)));
-        most.push(since(
-            fleet.comes(LONG, |f| f.know_dead(victim) * 100 >= (count - 1) * 99),
+        first.push(since(
+            fleet.wait_until(LONG, |f| f.count_viewing_dead(victim) > 0),
         ));
+        most.push(since(fleet.wait_until(LONG, |f| {
+            f.count_viewing_dead(victim) * 100 >= (count - 1) * 99
+        })));
         all.push(since(
-            fleet.comes(LONG, |f| f.know_dead(victim) == count - 1),
+            fleet.wait_until(LONG, |f| f.count_viewing_dead(victim) == count - 1),
         ));
-        fleet.run(victim);
+        fleet.start_member(victim);
         let start = Instant::now();
         let since = |came: bool| came.then(|| start.elapsed().as_millis() as u64);
-        back.push(since(fleet.comes(LONG, Fleet::one_view)));
+        back.push(since(fleet.wait_until(LONG, Fleet::all_views_alive)));
     }
     let known = all.iter().all(Option::is_some) && back.iter().all(Option::is_some);
     let spread = |mut times: Vec<Option<u64>>| {
@@ -114,11 +116,14 @@
     let expected = CRASHES * (count - 1);
     table.row(
         &format!("{count} processes: deaths of processes that ran"),
-        (fleet.all_deaths().saturating_sub(expected)).to_string(),
+        (fleet.total_logged_deaths().saturating_sub(expected)).to_string(),
         "0",
-        fleet.all_deaths() == expected,
+        fleet.total_logged_deaths() == expected,
+    );
+    let (datagrams, bytes) = (
+        &fleet.relay.received_totals.0,
+        &fleet.relay.received_totals.1,
     );
-    let (datagrams, bytes) = (&fleet.relay.came.0, &fleet.relay.came.1);
     let before = (
         datagrams.load(Ordering::Relaxed),
         bytes.load(Ordering::Relaxed),
@@ -136,15 +141,15 @@
     if count == 15 {
         fleet
             .relay
-            .set(|r| r.sides = (0..count).map(|i| (i >= 5) as u8).collect());
-        fleet.wait(Duration::from_secs(10));
-        fleet.relay.set(|r| r.sides.clear());
+            .update_rules(|r| r.partitions = (0..count).map(|i| (i >= 5) as u8).collect());
+        fleet.read_logs_for(Duration::from_secs(10));
+        fleet.relay.update_rules(|r| r.partitions.clear());
         let start = Instant::now();
-        let healed = fleet.comes(LONG, Fleet::one_view);
+        let healed = fleet.wait_until(LONG, Fleet::all_views_alive);
         let took = start.elapsed().as_secs_f64();
-        let deaths = fleet.all_deaths();
-        fleet.wait(Duration::from_secs(5));
-        let flapped = fleet.all_deaths() - deaths;
+        let deaths = fleet.total_logged_deaths();
+        fleet.read_logs_for(Duration::from_secs(5));
+        let flapped = fleet.total_logged_deaths() - deaths;
         table.row(
             "15 processes, 5 cut off for 10 s: one view after the heal; deaths after that",
             format!("{took:.2} s; {flapped}"),
--- a/crates/heathspur-testkit/src/proxy.rs
+++ b/crates/heathspur-testkit/src/proxy.rs
@@ -14,31 +14,31 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Writes are split into pieces of 1 to this many bytes; 0 leaves them whole.
-    pub split: usize,
+    pub max_piece_len: usize,
     /// Each piece waits up to this.
-    pub delay: Duration,
+    pub max_delay: Duration,
     /// Of a thousand connections, so many break at a byte of the client's, below `within`.
     pub cut_per_mille: u32,
     /// Of a thousand connections, so many go silent at such a byte, and stay open.
     pub silent_per_mille: u32,
     /// Bytes of a client within which faults lie. They are drawn before anything passes, so that how the bytes
     /// come in pieces changes no fate.
-    pub within: usize,
+    pub fault_window_bytes: usize,
 }
 
 /// What it did.
 #[derive(Debug, Default)]
-pub struct Done {
+pub struct FaultCounts {
     pub connections: AtomicU64,
     pub cut: AtomicU64,
-    pub silent: AtomicU64,
+    pub silenced: AtomicU64,
 }
 
 /// Passes connections on to a target until the process ends.
-pub fn start(target: SocketAddr, faults: Faults, seed: u64) -> (SocketAddr, Arc<Done>) {
+pub fn start(target: SocketAddr, faults: Faults, seed: u64) -> (SocketAddr, Arc<FaultCounts>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let done = Arc::new(Done::default());
+    let done = Arc::new(FaultCounts::default());
     let counts = done.clone();
     thread::spawn(move || {
         for (number, front) in listener.incoming().flatten().enumerate() {
@@ -48,7 +48,7 @@
             };
             let mut lots = StdRng::seed_from_u64(seed ^ (number as u64) << 20);
             let fate = lots.random_range(0..1000);
-            let at = lots.random_range(0..faults.within.max(1));
+            let at = lots.random_range(0..faults.fault_window_bytes.max(1));
             let fate = match fate {
                 n if n < faults.cut_per_mille => Fate::Cut(at),
                 n if n < faults.cut_per_mille + faults.silent_per_mille => Fate::Silent(at),
@@ -80,7 +80,7 @@
     faults: Faults,
     fate: Fate,
     mut lots: StdRng,
-    done: &Done,
+    done: &FaultCounts,
 ) {
     let _ = to.set_nodelay(true);
     let mut left = match fate {
@@ -97,20 +97,20 @@
         let over = read > left;
         left -= rest.len();
         while !rest.is_empty() {
-            let most = if faults.split == 0 {
+            let most = if faults.max_piece_len == 0 {
                 rest.len()
             } else {
-                faults.split.min(rest.len())
+                faults.max_piece_len.min(rest.len())
             };
-            let size = if faults.split == 0 {
+            let size = if faults.max_piece_len == 0 {
                 most
             } else {
                 lots.random_range(1..=most)
             };
             let (piece, after) = rest.split_at(size);
             rest = after;
-            if !faults.delay.is_zero() {
-                thread::sleep(faults.delay.mul_f64(lots.random::<f64>()));
+            if !faults.max_delay.is_zero() {
+                thread::sleep(faults.max_delay.mul_f64(lots.random::<f64>()));
             }
             if to.write_all(piece).is_err() {
                 let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
@@ -125,7 +125,7 @@
             }
             Fate::Silent(_) if over => {
                 // It reads on, passes nothing, and closes nothing while the client stays.
-                done.silent.fetch_add(1, Ordering::Relaxed);
+                done.silenced.fetch_add(1, Ordering::Relaxed);
                 while matches!(from.read(&mut chunk), Ok(n) if n > 0) {}
                 return;
             }
--- a/crates/heathspur-testkit/src/relay.rs
+++ b/crates/heathspur-testkit/src/relay.rs
@@ -19,17 +19,17 @@
     /// The share delivered twice.
     pub duplicate: f64,
     /// Every datagram from or to member `i` waits `slow[i]` more.
-    pub slow: Vec<Duration>,
+    pub extra_delay: Vec<Duration>,
     /// A side for each member; between different sides nothing passes.
-    pub sides: Vec<u8>,
+    pub partitions: Vec<u8>,
     /// Links cut one way, (from, to).
-    pub cut: HashSet<(usize, usize)>,
+    pub blocked_links: HashSet<(usize, usize)>,
 }
 
 impl Rules {
     fn passes(&self, from: usize, to: usize) -> bool {
-        !self.cut.contains(&(from, to))
-            && match (self.sides.get(from), self.sides.get(to)) {
+        !self.blocked_links.contains(&(from, to))
+            && match (self.partitions.get(from), self.partitions.get(to)) {
                 (Some(a), Some(b)) => a == b,
                 _ => true,
             }
@@ -39,13 +39,13 @@
 /// The relay: member `i` listens on `real[i]` and is told to others as `ports[i]`.
 pub struct Relay {
     /// Where members are reached through the relay.
-    pub ports: Vec<SocketAddr>,
+    pub relay_addresses: Vec<SocketAddr>,
     /// Where members really listen.
-    pub real: Vec<SocketAddr>,
+    pub member_addresses: Vec<SocketAddr>,
     /// Its rules, changed by the test.
     pub rules: Arc<Mutex<Rules>>,
     /// Datagrams and bytes that came to it so far, from all members.
-    pub came: Arc<(AtomicU64, AtomicU64)>,
+    pub received_totals: Arc<(AtomicU64, AtomicU64)>,
 }
 
 /// Datagrams held back for delay at once.
@@ -72,7 +72,7 @@
         let real: Vec<SocketAddr> = free.iter().map(|s| s.local_addr().unwrap()).collect();
         drop(free);
         let rules = Arc::new(Mutex::new(Rules {
-            slow: vec![Duration::ZERO; members],
+            extra_delay: vec![Duration::ZERO; members],
             ..Rules::default()
         }));
         let sockets: Arc<Vec<UdpSocket>> = Arc::new(sockets);
@@ -89,15 +89,15 @@
             thread::spawn(move || forward(to, sockets, rules, real, later, came));
         }
         Relay {
-            ports,
-            real,
+            relay_addresses: ports,
+            member_addresses: real,
             rules,
-            came,
+            received_totals: came,
         }
     }
 
     /// Changes the rules.
-    pub fn set(&self, change: impl FnOnce(&mut Rules)) {
+    pub fn update_rules(&self, change: impl FnOnce(&mut Rules)) {
         change(&mut self.rules.lock().unwrap());
     }
 }
@@ -128,7 +128,7 @@
             continue;
         }
         let copies = if chance() < rules.duplicate { 2 } else { 1 };
-        let wait = rules.slow[from] + rules.slow[to];
+        let wait = rules.extra_delay[from] + rules.extra_delay[to];
         for _ in 0..copies {
             let bytes = buffer[..len].to_vec();
             if wait.is_zero() {
--- a/crates/heathspur-testkit/src/replica.rs
+++ b/crates/heathspur-testkit/src/replica.rs
@@ -16,17 +16,17 @@
     most: AtomicU64,
 }
 
-pub struct Replica {
+pub struct StubReplica {
     pub address: SocketAddr,
     state: Arc<State>,
     accepts: Option<JoinHandle<()>>,
 }
 
-impl Replica {
-    pub fn start() -> Replica {
+impl StubReplica {
+    pub fn start() -> StubReplica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let mut replica = Replica {
+        let mut replica = StubReplica {
             address,
             state: Arc::new(State::default()),
             accepts: None,
@@ -61,30 +61,30 @@
     }
 
     /// It is there again.
-    pub fn revive(&mut self) {
+    pub fn restart(&mut self) {
         let listener = TcpListener::bind(self.address).unwrap();
         self.accept(listener);
     }
 
     /// Each call takes so long from now on.
-    pub fn slow(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.state
             .delay_ms
             .store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// Calls that it agreed to so far.
-    pub fn calls(&self) -> u64 {
+    pub fn completed_calls(&self) -> u64 {
         self.state.calls.load(Ordering::SeqCst)
     }
 
     /// The most calls that it ever had in hand at once.
-    pub fn most(&self) -> u64 {
+    pub fn max_in_flight(&self) -> u64 {
         self.state.most.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Replica {
+impl Drop for StubReplica {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/heathspurctl/tests/members.rs
+++ b/crates/heathspurctl/tests/members.rs
@@ -48,10 +48,10 @@
 #[test]
 fn load_is_told_and_a_drain_is_told_as_leaving_while_it_still_owes_an_answer() {
     let mut fleet = Fleet::start(3);
-    fleet.until("all see all", Fleet::one_view);
-    let asked = fleet.relay.real[0];
-    let mut vm = fleet.rig(1).accept_link();
-    let mut client = fleet.rig(1).connect_client();
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    let asked = fleet.relay.member_addresses[0];
+    let mut vm = fleet.fixture(1).accept_link();
+    let mut client = fleet.fixture(1).connect_client();
     client.send(&request(1, None, b"abc"));
     let (task, _, body) = vm.read_apply();
     assert_eq!(body, b"abc");
@@ -72,17 +72,21 @@
     until(asked, "m1", "left", |row| row["state"] == "left");
     vm.send_value(&task, "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
-    let mut rig = fleet.servers[1].rig.take().unwrap();
+    let mut rig = fleet.members[1].fixture.take().unwrap();
     assert!(rig.process.wait().success());
-    fleet.wait(Duration::from_secs(1));
-    assert_eq!(fleet.all_deaths(), 0, "who left was taken for dead");
+    fleet.read_logs_for(Duration::from_secs(1));
+    assert_eq!(
+        fleet.total_logged_deaths(),
+        0,
+        "who left was taken for dead"
+    );
 }
 
 #[test]
 fn a_table_for_people_and_a_plain_word_where_nobody_answers() {
     let mut fleet = Fleet::start(2);
-    fleet.until("all see all", Fleet::one_view);
-    let output = members(fleet.relay.real[1], &[]);
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    let output = members(fleet.relay.member_addresses[1], &[]);
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(
         text.starts_with("view ") && text.contains("of m1: 2 members"),
@@ -93,7 +97,7 @@
         "{text}"
     );
     fleet.kill(1);
-    let output = members(fleet.relay.real[1], &["--wait", "20"]);
+    let output = members(fleet.relay.member_addresses[1], &["--wait", "20"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&output.stderr).contains("does not tell its view"));
 }
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -446,7 +446,7 @@
 #[test]
 fn bytes_that_pass_in_small_pieces_are_the_same_bytes() {
     let faults = Faults {
-        split: 3,
+        max_piece_len: 3,
         ..Faults::default()
     };
     let (output, audit, times) = through("split", faults, &[]);
@@ -464,9 +464,9 @@
 #[test]
 fn connections_that_break_anywhere_cost_requests_and_never_double_one() {
     let faults = Faults {
-        split: 40,
+        max_piece_len: 40,
         cut_per_mille: 500,
-        within: 500,
+        fault_window_bytes: 500,
         ..Faults::default()
     };
     let (output, audit, times) = through("cut", faults, &[]);
@@ -485,7 +485,7 @@
 fn connections_that_go_silent_are_given_up() {
     let faults = Faults {
         silent_per_mille: 1000,
-        within: 500,
+        fault_window_bytes: 500,
         ..Faults::default()
     };
     let (output, audit, times) = through("silent", faults, &["--patience", "0.3"]);
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -4,7 +4,7 @@
 use heathspur_testkit::auto_stubs::{self, InterpreterOptions, RunCounts};
 use heathspur_testkit::fleet::Fleet;
 use heathspur_testkit::prelude::{request, Http1Client};
-use heathspur_testkit::replica::Replica;
+use heathspur_testkit::replica::StubReplica;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{self, JoinHandle};
@@ -22,7 +22,7 @@
 
 struct Zones {
     fleet: Fleet,
-    replicas: Vec<Replica>,
+    replicas: Vec<StubReplica>,
     runs: Vec<RunCounts>,
     _place: MutexGuard<'static, ()>,
 }
@@ -32,7 +32,7 @@
     fn start(place: usize) -> Zones {
         // A test that failed has left it poisoned, and nothing behind it.
         let taken = PLACES[place].lock().unwrap_or_else(PoisonError::into_inner);
-        let replicas: Vec<Replica> = (0..ZONES).map(|_| Replica::start()).collect();
+        let replicas: Vec<StubReplica> = (0..ZONES).map(|_| StubReplica::start()).collect();
         let listed: String = replicas
             .iter()
             .enumerate()
@@ -43,7 +43,7 @@
             DWELL.as_secs()
         );
         let region = |i| if i % ZONES == 2 { "east" } else { "west" };
-        let mut fleet = Fleet::of(SERVERS, SETTINGS, region, &failover);
+        let mut fleet = Fleet::start_with_regions(SERVERS, SETTINGS, region, &failover);
         let manner = InterpreterOptions {
             calls_dependency: true,
             ..InterpreterOptions::default()
@@ -51,12 +51,12 @@
         let runs = (0..SERVERS)
             .map(|i| {
                 auto_stubs::interpreter_with(
-                    fleet.rig(i).interpreter_listener.try_clone().unwrap(),
+                    fleet.fixture(i).interpreter_listener.try_clone().unwrap(),
                     manner,
                 )
             })
             .collect();
-        fleet.until("all see all", Fleet::one_view);
+        fleet.assert_eventually("all see all", Fleet::all_views_alive);
         Zones {
             fleet,
             replicas,
@@ -71,19 +71,23 @@
 
     /// Calls that each replica has agreed to, in a span from now on.
     fn calls_in(&mut self, span: Duration) -> Vec<u64> {
-        let before: Vec<u64> = self.replicas.iter().map(Replica::calls).collect();
-        self.fleet.wait(span);
+        let before: Vec<u64> = self
+            .replicas
+            .iter()
+            .map(StubReplica::completed_calls)
+            .collect();
+        self.fleet.read_logs_for(span);
         self.replicas
             .iter()
             .zip(before)
-            .map(|(r, before)| r.calls() - before)
+            .map(|(r, before)| r.completed_calls() - before)
             .collect()
     }
 
     /// The levels of the decisions that a server logged, in order.
     fn levels(fleet: &Fleet, i: usize) -> Vec<u8> {
-        let said = fleet.servers[i]
-            .failover
+        let said = fleet.members[i]
+            .failover_log
             .iter()
             .filter(|(_, said)| said.contains("accepted decision of epoch"));
         // "accepted decision of epoch 1: 0 tenths of the traffic stay local"
@@ -112,7 +116,7 @@
         );
         let threads = servers
             .map(|i| {
-                let address = zones.fleet.rig(i).address;
+                let address = zones.fleet.fixture(i).address;
                 let (over, answers) = (over.clone(), answers.clone());
                 thread::spawn(move || {
                     let mut client = Http1Client::connect(address);
@@ -152,7 +156,7 @@
                 .count()
         };
         let before: Vec<(usize, usize)> = servers.map(|i| (i, count(i))).collect();
-        fleet.until("two more answers of each", |_| {
+        fleet.assert_eventually("two more answers of each", |_| {
             before.iter().all(|(i, had)| count(*i) >= had + 2)
         });
     }
@@ -189,7 +193,7 @@
     zones.replicas[0].kill();
     zones
         .fleet
-        .until("all of z0 hold that nothing stays near", |f| {
+        .assert_eventually("all of z0 hold that nothing stays near", |f| {
             Zones::zone_holds(f, 0, 0)
         });
     callers.rounds(&mut zones.fleet, Zones::members(0));
@@ -198,10 +202,10 @@
         away[1] > 30 && away[2] == 0,
         "calls after the move, by replica: {away:?}"
     );
-    zones.replicas[0].revive();
+    zones.replicas[0].restart();
     zones
         .fleet
-        .until("all of z0 hold that all is near again", |f| {
+        .assert_eventually("all of z0 hold that all is near again", |f| {
             Zones::zone_holds(f, 0, 10)
         });
     // A call that went the old way may still be under way when its server says so.
@@ -224,14 +228,14 @@
     let mut zones = Zones::start(1);
     let callers = Callers::start(&zones, Zones::members(0), PAUSE);
     let start = Instant::now();
-    zones.fleet.wait(Duration::from_secs(1));
+    zones.fleet.read_logs_for(Duration::from_secs(1));
     while start.elapsed() < Duration::from_secs(14) {
         zones.replicas[0].kill();
-        zones.fleet.wait(Duration::from_millis(1_500));
-        zones.replicas[0].revive();
-        zones.fleet.wait(Duration::from_millis(500));
+        zones.fleet.read_logs_for(Duration::from_millis(1_500));
+        zones.replicas[0].restart();
+        zones.fleet.read_logs_for(Duration::from_millis(500));
     }
-    zones.fleet.read();
+    zones.fleet.read_logs();
     let most = 1 + (start.elapsed().as_millis() / DWELL.as_millis()) as usize;
     for i in Zones::members(0) {
         let levels = Zones::levels(&zones.fleet, i);
@@ -251,10 +255,12 @@
     zones
         .fleet
         .relay
-        .set(|r| r.sides = (0..SERVERS).map(|i| (i % ZONES == 0) as u8).collect());
-    zones.fleet.until("z0 holds the others dead", |f| {
-        Zones::members(0).all(|i| f.holds(i, 1, "dead"))
-    });
+        .update_rules(|r| r.partitions = (0..SERVERS).map(|i| (i % ZONES == 0) as u8).collect());
+    zones
+        .fleet
+        .assert_eventually("z0 holds the others dead", |f| {
+            Zones::members(0).all(|i| f.view_shows(i, 1, "dead"))
+        });
     let cut = zones.calls_in(Duration::from_secs(2));
     assert!(
         cut.iter().all(|calls| *calls > 60),
@@ -263,14 +269,16 @@
     zones
         .fleet
         .relay
-        .set(|r| r.sides = (0..SERVERS).map(|i| (i == 4) as u8).collect());
+        .update_rules(|r| r.partitions = (0..SERVERS).map(|i| (i == 4) as u8).collect());
     let alone = |f: &Fleet| {
-        f.servers[4]
-            .failover
+        f.members[4]
+            .failover_log
             .iter()
             .any(|(_, said)| said.contains("no quorum"))
     };
-    zones.fleet.until("m4 says that it hears no quorum", alone);
+    zones
+        .fleet
+        .assert_eventually("m4 says that it hears no quorum", alone);
     let cut = zones.calls_in(Duration::from_secs(2));
     assert!(
         cut.iter().all(|calls| *calls > 60),
@@ -292,11 +300,11 @@
     zones
         .replicas
         .iter()
-        .for_each(|r| r.slow(Duration::from_millis(10)));
+        .for_each(|r| r.set_delay(Duration::from_millis(10)));
     let callers = Callers::start(&zones, 0..SERVERS, PAUSE);
-    zones.fleet.wait(Duration::from_secs(3));
+    zones.fleet.read_logs_for(Duration::from_secs(3));
     // Five times as slow: some four tenths of its speed count.
-    zones.replicas[0].slow(Duration::from_millis(50));
+    zones.replicas[0].set_delay(Duration::from_millis(50));
     let partly = |f: &Fleet| {
         Zones::members(0).all(|i| {
             Zones::levels(f, i)
@@ -306,7 +314,7 @@
     };
     zones
         .fleet
-        .until("all of z0 hold that a part stays near", partly);
+        .assert_eventually("all of z0 hold that a part stays near", partly);
     let split = zones.calls_in(Duration::from_secs(2));
     assert!(
         split[0] > 10 && split[1] > split[2],
@@ -318,7 +326,7 @@
     let gone = |f: &Fleet| Zones::zone_holds(f, 0, 0) && Zones::zone_holds(f, 1, 0);
     zones
         .fleet
-        .until("z0 and z1 hold that nothing stays near", gone);
+        .assert_eventually("z0 and z1 hold that nothing stays near", gone);
     let crossed = zones.calls_in(Duration::from_secs(2));
     assert!(
         crossed[0] + crossed[1] == 0 && crossed[2] > split[2] * 3 / 2,
--- a/crates/heathspurd/tests/members.rs
+++ b/crates/heathspurd/tests/members.rs
@@ -10,62 +10,73 @@
 #[test]
 fn seven_join_through_one_seed_then_a_crash_is_known_and_the_restart_rejoins_higher() {
     let mut fleet = Fleet::start(7);
-    fleet.until("all see all", Fleet::one_view);
-    let before = fleet.servers[1].view["m4"].1;
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    let before = fleet.members[1].view["m4"].1;
     fleet.kill(4);
-    fleet.until("all others hold m4 dead", |f| f.know_dead(4) == 6);
-    fleet.run(4);
-    fleet.until("m4 back in every view", Fleet::one_view);
-    let after = fleet.servers[1].view["m4"].1;
+    fleet.assert_eventually("all others hold m4 dead", |f| f.count_viewing_dead(4) == 6);
+    fleet.start_member(4);
+    fleet.assert_eventually("m4 back in every view", Fleet::all_views_alive);
+    let after = fleet.members[1].view["m4"].1;
     assert!(after > before, "incarnation {after} is not above {before}");
     // Nobody but the one killed was taken for dead.
-    assert_eq!(fleet.all_deaths(), fleet.deaths(4));
+    assert_eq!(fleet.total_logged_deaths(), fleet.logged_deaths(4));
 }
 
 #[test]
 fn a_partition_of_three_and_four_heals_into_one_view_without_flapping() {
-    let mut fleet = Fleet::with(7, "period=\"500 ms\" probe-timeout=\"200 ms\"");
-    fleet.until("all see all", Fleet::one_view);
-    fleet.relay.set(|r| r.sides = vec![0, 0, 0, 1, 1, 1, 1]);
-    fleet.until("each side holds the other dead", |f| {
-        f.holds(0, 5, "dead") && f.holds(5, 0, "dead")
+    let mut fleet = Fleet::start_with_attributes(7, "period=\"500 ms\" probe-timeout=\"200 ms\"");
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    fleet
+        .relay
+        .update_rules(|r| r.partitions = vec![0, 0, 0, 1, 1, 1, 1]);
+    fleet.assert_eventually("each side holds the other dead", |f| {
+        f.view_shows(0, 5, "dead") && f.view_shows(5, 0, "dead")
     });
-    fleet.wait(Duration::from_secs(4));
-    fleet.relay.set(|r| r.sides.clear());
-    fleet.until("one view after the heal", Fleet::one_view);
-    let deaths: Vec<usize> = (0..7).map(|i| fleet.deaths(i)).collect();
-    fleet.wait(Duration::from_secs(5));
-    fleet.read();
+    fleet.read_logs_for(Duration::from_secs(4));
+    fleet.relay.update_rules(|r| r.partitions.clear());
+    fleet.assert_eventually("one view after the heal", Fleet::all_views_alive);
+    let deaths: Vec<usize> = (0..7).map(|i| fleet.logged_deaths(i)).collect();
+    fleet.read_logs_for(Duration::from_secs(5));
+    fleet.read_logs();
     // Once healed, nobody is taken for dead again.
-    assert_eq!(deaths, (0..7).map(|i| fleet.deaths(i)).collect::<Vec<_>>());
-    assert!(fleet.one_view());
+    assert_eq!(
+        deaths,
+        (0..7).map(|i| fleet.logged_deaths(i)).collect::<Vec<_>>()
+    );
+    assert!(fleet.all_views_alive());
 }
 
 #[test]
 fn a_pause_a_slow_member_and_loss_kill_nobody() {
     let mut fleet = Fleet::start(5);
-    fleet.until("all see all", Fleet::one_view);
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
     fleet.signal(2, "STOP");
     std::thread::sleep(Duration::from_secs(3));
     fleet.signal(2, "CONT");
-    fleet.relay.set(|r| r.slow[3] = Duration::from_millis(500));
-    fleet.wait(Duration::from_secs(8));
-    fleet.relay.set(|r| {
-        r.slow[3] = Duration::ZERO;
+    fleet
+        .relay
+        .update_rules(|r| r.extra_delay[3] = Duration::from_millis(500));
+    fleet.read_logs_for(Duration::from_secs(8));
+    fleet.relay.update_rules(|r| {
+        r.extra_delay[3] = Duration::ZERO;
         r.loss = 0.20;
     });
-    fleet.wait(Duration::from_secs(10));
-    assert_eq!(fleet.all_deaths(), 0, "healthy members were taken for dead");
-    fleet.relay.set(|r| r.loss = 0.0);
-    fleet.until("one view", Fleet::one_view);
+    fleet.read_logs_for(Duration::from_secs(10));
+    assert_eq!(
+        fleet.total_logged_deaths(),
+        0,
+        "healthy members were taken for dead"
+    );
+    fleet.relay.update_rules(|r| r.loss = 0.0);
+    fleet.assert_eventually("one view", Fleet::all_views_alive);
 }
 
 #[test]
 fn a_flood_of_garbage_harms_neither_the_view_nor_serving() {
     let mut fleet = Fleet::start(3);
-    fleet.until("all see all", Fleet::one_view);
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
     let flood = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let target = fleet.relay.real[1];
+    let target = fleet.relay.member_addresses[1];
     for i in 0..20_000u32 {
         let mut bytes = i.to_le_bytes().repeat(1 + (i % 400) as usize);
         if i % 3 == 0 {
@@ -73,17 +84,19 @@
         }
         let _ = flood.send_to(&bytes, target);
     }
-    fleet.until("the flood told in the log", |f| f.servers[1].dropped > 0);
-    fleet.wait(Duration::from_secs(3));
+    fleet.assert_eventually("the flood told in the log", |f| {
+        f.members[1].drop_log_lines > 0
+    });
+    fleet.read_logs_for(Duration::from_secs(3));
     // Told once a period, not once a datagram.
     assert!(
-        fleet.servers[1].dropped <= 6,
+        fleet.members[1].drop_log_lines <= 6,
         "{} lines",
-        fleet.servers[1].dropped
+        fleet.members[1].drop_log_lines
     );
-    let rig = fleet.rig(1);
-    assert!(fleet.one_view());
-    assert_eq!(fleet.all_deaths(), 0);
+    let rig = fleet.fixture(1);
+    assert!(fleet.all_views_alive());
+    assert_eq!(fleet.total_logged_deaths(), 0);
     // It still serves: a request is read and goes to the interpreter.
     let mut vm = rig.accept_link();
     let mut client = rig.connect_client();
@@ -94,8 +107,11 @@
 #[test]
 fn a_flood_that_leaves_no_pause_stops_neither_the_clock_nor_the_word_of_a_death() {
     let mut fleet = Fleet::start(3);
-    fleet.until("all see all", Fleet::one_view);
-    let (target, over) = (fleet.relay.real[1], Arc::new(AtomicBool::new(false)));
+    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    let (target, over) = (
+        fleet.relay.member_addresses[1],
+        Arc::new(AtomicBool::new(false)),
+    );
     let flood = || {
         let over = over.clone();
         std::thread::spawn(move || {
@@ -107,16 +123,16 @@
     };
     let floods = [flood(), flood(), flood()];
     // It says so itself, by its own clock, while more comes than it can read.
-    fleet.until("the flood told in the log of who suffers it", |f| {
-        f.servers[1].dropped > 1
+    fleet.assert_eventually("the flood told in the log of who suffers it", |f| {
+        f.members[1].drop_log_lines > 1
     });
     over.store(true, Ordering::Relaxed);
     for flood in floods {
         flood.join().unwrap();
     }
     fleet.kill(2);
-    fleet.until("both others hold the killed one dead", |f| {
-        f.know_dead(2) == 2
+    fleet.assert_eventually("both others hold the killed one dead", |f| {
+        f.count_viewing_dead(2) == 2
     });
-    fleet.until("the two that live see each other", Fleet::one_view);
+    fleet.assert_eventually("the two that live see each other", Fleet::all_views_alive);
 }
