--- a/crates/heathspur-bench/src/cost.rs
+++ b/crates/heathspur-bench/src/cost.rs
@@ -5,7 +5,7 @@
 use crate::table::Table;
 use heathspur_capture::Options;
 use heathspur_testkit::auto_stubs::InterpreterOptions;
-use heathspur_testkit::capture::read;
+use heathspur_testkit::capture::parse_capture;
 use heathspur_testkit::prelude::{program_path, request, Http1Client};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -142,7 +142,7 @@
             .iter()
             .flat_map(|file| std::fs::read(file).unwrap_or_default())
             .collect::<Vec<_>>();
-        let read = read(
+        let read = parse_capture(
             &bytes,
             Options {
                 checksums: true,
--- a/crates/heathspur-bench/src/large.rs
+++ b/crates/heathspur-bench/src/large.rs
@@ -2,7 +2,9 @@
 
 use crate::table::Table;
 use heathspur_capture::{write, Side, Stamp};
-use heathspur_testkit::capture::{answer, client, request, server, MS, START};
+use heathspur_testkit::capture::{
+    client_address, request, response, server_address, CAPTURE_START_NANOS, NANOS_PER_MS,
+};
 use heathspur_testkit::prelude::program_path;
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -17,11 +19,21 @@
     let mut out = BufWriter::with_capacity(1 << 20, File::create(file)?);
     let mut written = out.write(&write::pcap_header(write::RAW_IP, 0))? as u64;
     let mut talks: Vec<_> = (0..CONNECTIONS)
-        .map(|n| write::TcpConversation::new(client(10_000 + n), server(), [u32::from(n), 7]))
+        .map(|n| {
+            write::TcpConversation::new(
+                client_address(10_000 + n),
+                server_address(),
+                [u32::from(n), 7],
+            )
+        })
         .collect();
     let (mut now, mut requests) = (0, 0);
     let put = |out: &mut BufWriter<File>, packet: &[u8], now: u64| -> std::io::Result<u64> {
-        let record = write::pcap_record(Stamp(START + now), packet, packet.len() as u32);
+        let record = write::pcap_record(
+            Stamp(CAPTURE_START_NANOS + now),
+            packet,
+            packet.len() as u32,
+        );
         out.write_all(&record)?;
         Ok(record.len() as u64)
     };
@@ -30,10 +42,10 @@
             written += put(&mut out, &packet, now)?;
         }
     }
-    let (body, reply) = ([b'a'; 1300], answer(200, &[b'b'; 1200]));
+    let (body, reply) = ([b'a'; 1300], response(200, &[b'b'; 1200]));
     while written < size {
         for talk in &mut talks {
-            now += MS / 50;
+            now += NANOS_PER_MS / 50;
             requests += 1;
             for (side, bytes) in [
                 (Side::Client, &request(requests, &body)),
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -2,7 +2,7 @@
 
 use crate::table::Table;
 use heathspur_capture::{write, Side, Stamp};
-use heathspur_testkit::capture::{answer, Script, MS, START};
+use heathspur_testkit::capture::{response, CaptureBuilder, CAPTURE_START_NANOS, NANOS_PER_MS};
 use heathspur_testkit::prelude::program_path;
 use heathspur_testkit::recording_server::{ReceivedRequest, RecordingServer, ResponseOptions};
 use rand::rngs::StdRng;
@@ -47,14 +47,16 @@
     let mut lots = StdRng::seed_from_u64(seed);
     let (mut requests, mut packets) = (BTreeMap::<u64, Vec<Vec<u8>>>::new(), Vec::new());
     for connection in 0..CONNECTIONS {
-        let mut script = Script::open(10_000 + connection as u16);
-        script.now += connection * SECONDS * 1000 * MS / CONNECTIONS / EACH;
-        let offset = script.now;
+        let mut script = CaptureBuilder::open(10_000 + connection as u16);
+        script.elapsed_nanos += connection * SECONDS * 1000 * NANOS_PER_MS / CONNECTIONS / EACH;
+        let offset = script.elapsed_nanos;
         let mut parts: Vec<Option<Part>> = script.packets.iter().map(|_| None).collect();
         for n in 0..EACH {
             let bytes = request(connection, n, &mut lots);
-            script.now = script.now.max(offset + n * SECONDS * 1000 * MS / EACH);
-            script.say(Side::Client, &bytes, 700);
+            script.elapsed_nanos = script
+                .elapsed_nanos
+                .max(offset + n * SECONDS * 1000 * NANOS_PER_MS / EACH);
+            script.send(Side::Client, &bytes, 700);
             let index = requests.entry(connection).or_default().len();
             parts.resize_with(script.packets.len(), || {
                 Some(Part {
@@ -63,7 +65,7 @@
                 })
             });
             requests.entry(connection).or_default().push(bytes);
-            script.say(Side::Server, &answer(200, b"done"), 1400);
+            script.send(Side::Server, &response(200, b"done"), 1400);
             parts.resize_with(script.packets.len(), || None);
         }
         script.close();
@@ -81,7 +83,7 @@
         };
         let whole = packet.len();
         let slip = if client && fate % 10 == 0 {
-            lots.random_range(0..4) * MS
+            lots.random_range(0..4) * NANOS_PER_MS
         } else {
             0
         };
@@ -96,7 +98,7 @@
             )),
             4..40 => {
                 timed.push((at + slip, packet.clone(), whole, id));
-                timed.push((at + slip + 3 * MS, packet.clone(), whole, id));
+                timed.push((at + slip + 3 * NANOS_PER_MS, packet.clone(), whole, id));
             }
             _ => timed.push((at + slip, packet.clone(), whole, id)),
         }
@@ -105,7 +107,11 @@
     let mut file = write::pcap_header(write::RAW_IP, 0);
     let mut ends = Vec::new();
     for (at, data, whole, _) in &timed {
-        file.extend(write::pcap_record(Stamp(START + at), data, *whole as u32));
+        file.extend(write::pcap_record(
+            Stamp(CAPTURE_START_NANOS + at),
+            data,
+            *whole as u32,
+        ));
         ends.push(file.len());
     }
     let cut = file.len() - 100_000;
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -17,18 +17,18 @@
 }
 
 /// Conversations side by side, with request bodies of these lengths.
-fn conversations(bodies: &[Vec<u16>], segment: usize) -> (Vec<Timed>, Vec<Vec<Vec<u8>>>) {
+fn conversations(bodies: &[Vec<u16>], segment: usize) -> (Vec<TimedPacket>, Vec<Vec<Vec<u8>>>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
     for (n, bodies) in bodies.iter().enumerate() {
-        let mut script = Script::open(4000 + n as u16);
+        let mut script = CaptureBuilder::open(4000 + n as u16);
         let mut bytes = Vec::new();
         for (i, &length) in bodies.iter().enumerate() {
             let body: Vec<u8> = (0..length)
                 .map(|b| (usize::from(b) * 7 + i + n) as u8)
                 .collect();
             let request = request(i as u64, &body);
-            script.say(Side::Client, &request, segment);
-            script.say(Side::Server, &answer(200, b"ok"), 1000);
+            script.send(Side::Client, &request, segment);
+            script.send(Side::Server, &response(200, b"ok"), 1000);
             bytes.push(request);
         }
         script.close();
@@ -39,7 +39,7 @@
     (packets, sent)
 }
 
-fn requests_by_connection(read: &Read) -> Vec<Vec<Vec<u8>>> {
+fn requests_by_connection(read: &ParsedCapture) -> Vec<Vec<Vec<u8>>> {
     let mut by_port: std::collections::BTreeMap<_, Vec<Vec<u8>>> = Default::default();
     let mut ports = std::collections::BTreeMap::new();
     for item in &read.connections {
@@ -75,18 +75,22 @@
                 for (at, (time, packet)) in packets.into_iter().enumerate() {
                     let (slip, copy) = slips[at % slips.len()];
                     // A handshake out of order is another test's matter.
-                    let slip = if time <= 3 * MS { 0 } else { slip * MS };
+                    let slip = if time <= 3 * NANOS_PER_MS {
+                        0
+                    } else {
+                        slip * NANOS_PER_MS
+                    };
                     if copy {
-                        scrambled.push((time + slip + 20 * MS, packet.clone()));
+                        scrambled.push((time + slip + 20 * NANOS_PER_MS, packet.clone()));
                     }
                     scrambled.push((time + slip, packet));
                 }
                 scrambled.sort_by_key(|(at, _)| *at);
-                let read = read(&pcap(&scrambled), Options::default(), 333);
+                let read = parse_capture(&pcap_file(&scrambled), Options::default(), 333);
                 prop_assert_eq!(requests_by_connection(&read), sent);
                 prop_assert_eq!(read.tally.holes, 0);
                 prop_assert_eq!(read.tally.tcp.odd.conflicting, 0);
-                prop_assert!(read.answers.iter().all(|(_, to, _)| to.is_some()));
+                prop_assert!(read.responses.iter().all(|(_, to, _)| to.is_some()));
                 Ok(())
             },
         )
@@ -100,15 +104,16 @@
     seeded(150)
         .run(&(bodies, 50_usize..400, lost), |(bodies, segment, lost)| {
             let (packets, sent) = conversations(&bodies, segment);
-            let keep =
-                |(at, (time, _)): &(usize, Timed)| *time <= 3 * MS || !lost.contains(&(at % 200));
-            let kept: Vec<Timed> = packets
+            let keep = |(at, (time, _)): &(usize, TimedPacket)| {
+                *time <= 3 * NANOS_PER_MS || !lost.contains(&(at % 200))
+            };
+            let kept: Vec<TimedPacket> = packets
                 .into_iter()
                 .enumerate()
                 .filter(keep)
                 .map(|(_, p)| p)
                 .collect();
-            let read = read(&pcap(&kept), Options::default(), 1 << 16);
+            let read = parse_capture(&pcap_file(&kept), Options::default(), 1 << 16);
             for (found, sent) in requests_by_connection(&read).iter().zip(&sent) {
                 // What comes out is a part of what went in, in its order, and never made up.
                 let mut rest = sent.iter();
@@ -153,8 +158,8 @@
     ]);
     seeded(400)
         .run(&(heads, bytes, 1_usize..300), |(head, bytes, piece)| {
-            let read = read(&[head, bytes].concat(), tight(), piece);
-            prop_assert!(read.most_held <= 16_000);
+            let read = parse_capture(&[head, bytes].concat(), tight(), piece);
+            prop_assert!(read.max_buffered_bytes <= 16_000);
             Ok(())
         })
         .unwrap();
@@ -172,11 +177,13 @@
                 let mut file = if ng {
                     heathspur_capture::write::ng_start(&["a"])
                 } else {
-                    pcap(&[])
+                    pcap_file(&[])
                 };
                 for (at, packet) in &packets {
-                    let (time, length) =
-                        (heathspur_capture::Stamp(START + at), packet.len() as u32);
+                    let (time, length) = (
+                        heathspur_capture::Stamp(CAPTURE_START_NANOS + at),
+                        packet.len() as u32,
+                    );
                     file.extend(match ng {
                         true => heathspur_capture::write::ng_packet(0, time, packet, length, ""),
                         false => heathspur_capture::write::pcap_record(time, packet, length),
@@ -186,8 +193,12 @@
                     let at = at.index(file.len());
                     file[at] = byte;
                 }
-                let read = read(&file, tight(), 700);
-                prop_assert!(read.most_held <= 16_000, "{}", read.most_held);
+                let read = parse_capture(&file, tight(), 700);
+                prop_assert!(
+                    read.max_buffered_bytes <= 16_000,
+                    "{}",
+                    read.max_buffered_bytes
+                );
                 Ok(())
             },
         )
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -248,9 +248,9 @@
 
 #[test]
 fn a_file_cut_at_any_byte_gives_all_packets_that_are_whole() {
-    let mut script = Script::open(4000);
-    script.say(heathspur_capture::Side::Client, &request(1, b"abc"), 20);
-    let whole = pcap(&script.packets);
+    let mut script = CaptureBuilder::open(4000);
+    script.send(heathspur_capture::Side::Client, &request(1, b"abc"), 20);
+    let whole = pcap_file(&script.packets);
     let ends: Vec<usize> = script
         .packets
         .iter()
@@ -264,7 +264,7 @@
     for (at, packet) in &script.packets {
         ng.extend(write::ng_packet(
             0,
-            heathspur_capture::Stamp(START + at),
+            heathspur_capture::Stamp(CAPTURE_START_NANOS + at),
             packet,
             packet.len() as u32,
             "x",
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -9,8 +9,8 @@
 
 fn ip(payload: &[u8]) -> Vec<u8> {
     segment(
-        client(4000),
-        server(),
+        client_address(4000),
+        server_address(),
         (1, Some(2)),
         Flags::default(),
         payload,
@@ -19,7 +19,7 @@
 
 fn packet(link: Link, data: &[u8]) -> Packet<'_> {
     Packet {
-        time: Stamp(START),
+        time: Stamp(CAPTURE_START_NANOS),
         link,
         data,
         wire_len: data.len() as u32,
@@ -50,7 +50,7 @@
         let segment = found(&mut Frames::new(true), link, &data).unwrap();
         assert_eq!(
             (segment.from, segment.to),
-            (client(4000), server()),
+            (client_address(4000), server_address()),
             "{link:?}"
         );
         assert_eq!(
@@ -166,7 +166,7 @@
     }
     assert_eq!(frames.given_up(), 1000 - 64);
     let late = Packet {
-        time: Stamp(START + 16_000_000_000),
+        time: Stamp(CAPTURE_START_NANOS + 16_000_000_000),
         ..packet(Link::Ip, &whole)
     };
     assert!(frames.segment(&late).is_ok());
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -6,7 +6,9 @@
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
 use heathspur_record::rotation::{FileAction, FileRotation, Limits, StatusChange};
-use heathspur_testkit::capture::{answer, read, request, MS, START};
+use heathspur_testkit::capture::{
+    parse_capture, request, response, CAPTURE_START_NANOS, NANOS_PER_MS,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -23,7 +25,7 @@
 fn event(number: u64, ms: u64, kind: EventKind) -> Event {
     Event {
         connection: connection(number),
-        time: Stamp(START + ms * MS),
+        time: Stamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
         kind,
     }
 }
@@ -42,7 +44,7 @@
     for event in events {
         file.extend(recorder.encode(event));
     }
-    file.extend(recorder.final_statistics(Stamp(START)));
+    file.extend(recorder.final_statistics(Stamp(CAPTURE_START_NANOS)));
     file
 }
 
@@ -53,9 +55,9 @@
         event(1, 0, EventKind::Opened),
         event(1, 5, said(Side::Client, &first[..30])),
         event(1, 9, said(Side::Client, &first[30..])),
-        event(1, 20, said(Side::Server, &answer(200, b"approved"))),
+        event(1, 20, said(Side::Server, &response(200, b"approved"))),
         event(1, 30, said(Side::Client, &second)),
-        event(1, 31, said(Side::Server, &answer(503, b""))),
+        event(1, 31, said(Side::Server, &response(503, b""))),
         event(
             1,
             40,
@@ -69,7 +71,7 @@
 
 #[test]
 fn what_was_said_comes_back_byte_for_byte_with_its_times_and_its_end() {
-    let read = read(
+    let read = parse_capture(
         &recorded(RedactionPolicy::default(), &conversation()),
         Options {
             checksums: true,
@@ -85,11 +87,14 @@
     assert_eq!(requests, [request(1, b"4929001234567890"), request(2, b"")]);
     let first = &read.requests[0].2;
     assert_eq!(
-        (first.first.0 - START, first.last.0 - START),
-        (5 * MS, 9 * MS)
+        (
+            first.first.0 - CAPTURE_START_NANOS,
+            first.last.0 - CAPTURE_START_NANOS
+        ),
+        (5 * NANOS_PER_MS, 9 * NANOS_PER_MS)
     );
     let answers: Vec<_> = read
-        .answers
+        .responses
         .iter()
         .map(|(_, to, m)| (*to, m.status(), m.body().to_vec()))
         .collect();
@@ -131,7 +136,7 @@
             reset: true,
         },
     );
-    let read = read(
+    let read = parse_capture(
         &recorded(RedactionPolicy::default(), &events),
         Options::default(),
         1000,
@@ -152,7 +157,7 @@
         .flat_map(|n| request(n, b"4929001234567890"))
         .collect();
     let reply: Vec<u8> = (0..3)
-        .flat_map(|_| answer(200, b"4929001234567890"))
+        .flat_map(|_| response(200, b"4929001234567890"))
         .collect();
     let policy = RedactionPolicy {
         bodies: true,
@@ -178,15 +183,22 @@
         ));
         let file = recorded(policy.clone(), &events);
         assert!(!file.windows(4).any(|four| four == b"4929"), "{piece}");
-        let read = read(&file, Options::default(), 1000);
-        assert_eq!((read.requests.len(), read.answers.len()), (3, 3), "{piece}");
+        let read = parse_capture(&file, Options::default(), 1000);
+        assert_eq!(
+            (read.requests.len(), read.responses.len()),
+            (3, 3),
+            "{piece}"
+        );
         for (_, _, message) in &read.requests {
             assert_eq!(message.body(), b"xxxxxxxxxxxxxxxx");
             assert_eq!(message.field("X-Txn").unwrap(), b"xxxxxxxxxxxxxxxx");
             assert_eq!(message.bytes.len(), request(0, b"4929001234567890").len());
         }
         // Held back or not, a byte keeps the time at which it came.
-        assert_eq!(read.requests[0].2.first.0, START + MS);
+        assert_eq!(
+            read.requests[0].2.first.0,
+            CAPTURE_START_NANOS + NANOS_PER_MS
+        );
     }
 }
 
@@ -231,7 +243,7 @@
     assert!(file
         .windows(24)
         .any(|text| text == b"70 bytes before this pac"));
-    let read = read(&file, Options::default(), 1000);
+    let read = parse_capture(&file, Options::default(), 1000);
     assert_eq!((read.requests.len(), read.tally.missing_bytes), (0, 70));
 }
 
@@ -241,7 +253,12 @@
     let quiet = recorder.encode(&event(1, 0, EventKind::Opened)).len();
     recorder.add_dropped(Leg::Front, 7);
     let marked = recorder.encode(&event(2, 1, EventKind::Opened));
-    let statistics = heathspur_capture::write::ng_statistics(0, Stamp(START + MS), 3 + 7, 7);
+    let statistics = heathspur_capture::write::ng_statistics(
+        0,
+        Stamp(CAPTURE_START_NANOS + NANOS_PER_MS),
+        3 + 7,
+        7,
+    );
     assert!(marked.starts_with(&statistics));
     assert_eq!(marked.len(), quiet + statistics.len());
     assert_eq!(
@@ -262,7 +279,7 @@
     let piece = (any::<bool>(), prop::collection::vec(any::<u8>(), 1..80));
     let start = prop::sample::select(vec![
         request(1, b"abc"),
-        answer(200, b"abc"),
+        response(200, b"abc"),
         b"GET / ".to_vec(),
         Vec::new(),
     ]);
--- a/crates/heathspur-record/tests/stored_format.rs
+++ b/crates/heathspur-record/tests/stored_format.rs
@@ -5,7 +5,7 @@
 use heathspur_capture::{Side, Stamp};
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
-use heathspur_testkit::capture::{answer, request, MS, START};
+use heathspur_testkit::capture::{request, response, CAPTURE_START_NANOS, NANOS_PER_MS};
 
 /// 64-bit FNV-1a, which is short and the same on all platforms.
 fn fnv1a(bytes: &[u8]) -> u64 {
@@ -26,7 +26,7 @@
             client: client.parse().unwrap(),
             server: server.parse().unwrap(),
         },
-        time: Stamp(START + ms * MS),
+        time: Stamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
         kind,
     }
 }
@@ -47,7 +47,12 @@
         event(1, Leg::Front, 0, EventKind::Opened),
         event(1, Leg::Front, 1, data(Side::Client, &first[..30], 0)),
         event(1, Leg::Front, 2, data(Side::Client, &first[30..], 0)),
-        event(1, Leg::Front, 3, data(Side::Server, &answer(200, b"ok"), 0)),
+        event(
+            1,
+            Leg::Front,
+            3,
+            data(Side::Server, &response(200, b"ok"), 0),
+        ),
         event(2, Leg::Store, 4, EventKind::Opened),
         event(2, Leg::Store, 5, data(Side::Client, b"GET 4929\n", 0)),
         event(1, Leg::Front, 6, data(Side::Client, &long, 0)),
@@ -68,7 +73,7 @@
         }
         file.extend(recorder.encode(event));
     }
-    file.extend(recorder.final_statistics(Stamp(START + 12 * MS)));
+    file.extend(recorder.final_statistics(Stamp(CAPTURE_START_NANOS + 12 * NANOS_PER_MS)));
     file
 }
 
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -38,20 +38,20 @@
 fn capture(name: &str) -> (PathBuf, Vec<(u64, Vec<u8>)>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
     for conn in 0..3_u64 {
-        let mut script = Script::open(4000 + conn as u16);
-        script.now += conn * 7 * MS;
+        let mut script = CaptureBuilder::open(4000 + conn as u16);
+        script.elapsed_nanos += conn * 7 * NANOS_PER_MS;
         for n in 0..4 {
             let class = if conn == 1 { "pay" } else { "look" };
             let bytes = keyed(
                 conn * 10 + n,
                 class,
                 &format!("{:032x}", conn * 4 + n / 2),
-                START / MS,
+                CAPTURE_START_NANOS / NANOS_PER_MS,
             );
-            script.now += 20 * MS;
-            script.say(Side::Client, &bytes, 90);
-            sent.push((script.now, bytes));
-            script.say(Side::Server, &answer(200, b"done"), 100);
+            script.elapsed_nanos += 20 * NANOS_PER_MS;
+            script.send(Side::Client, &bytes, 90);
+            sent.push((script.elapsed_nanos, bytes));
+            script.send(Side::Server, &response(200, b"done"), 100);
         }
         script.close();
         packets.extend(script.packets);
@@ -59,7 +59,7 @@
     packets.sort_by_key(|(at, _)| *at);
     sent.sort_by_key(|(at, _)| *at);
     let file = temporary(name);
-    std::fs::write(&file, pcap(&packets)).unwrap();
+    std::fs::write(&file, pcap_file(&packets)).unwrap();
     (file, sent)
 }
 
@@ -220,21 +220,26 @@
     let mut packets = Vec::new();
     // Fewer than a listener of the standard library lets wait.
     for conn in 0..120 {
-        let mut script = Script::open(10_000 + conn);
+        let mut script = CaptureBuilder::open(10_000 + conn);
         for n in 0..3 {
-            script.say(
+            script.send(
                 Side::Client,
-                &keyed(u64::from(conn) * 3 + n, "look", "k", START / MS),
+                &keyed(
+                    u64::from(conn) * 3 + n,
+                    "look",
+                    "k",
+                    CAPTURE_START_NANOS / NANOS_PER_MS,
+                ),
                 1000,
             );
-            script.say(Side::Server, &answer(200, b"done"), 100);
+            script.send(Side::Server, &response(200, b"done"), 100);
         }
         script.close();
         packets.extend(script.packets);
     }
     packets.sort_by_key(|(at, _)| *at);
     let file = temporary("burst.pcap");
-    std::fs::write(&file, pcap(&packets)).unwrap();
+    std::fs::write(&file, pcap_file(&packets)).unwrap();
     let sink = RecordingServer::start(ResponseOptions::default());
     let output = replay(&file, &sink, &["--speed", "100"]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
@@ -286,7 +291,7 @@
     let stamp: u64 = field(&received[0].bytes, "X-Ingress-Time: ")
         .parse()
         .unwrap();
-    assert!(stamp > START / MS - 10_000_000_000);
+    assert!(stamp > CAPTURE_START_NANOS / NANOS_PER_MS - 10_000_000_000);
 }
 
 #[test]
@@ -336,9 +341,9 @@
 
 #[test]
 fn a_file_of_two_link_types_is_cut_with_an_interface_for_each() {
-    let mut script = Script::open(4000);
-    script.say(Side::Client, &request(1, b"abc"), 60);
-    script.say(Side::Server, &answer(200, b"ok"), 60);
+    let mut script = CaptureBuilder::open(4000);
+    script.send(Side::Client, &request(1, b"abc"), 60);
+    script.send(Side::Server, &response(200, b"ok"), 60);
     script.close();
     use heathspur_capture::write;
     let mut file = [
@@ -355,7 +360,7 @@
         };
         file.extend(write::ng_packet(
             n as u32 % 2,
-            Stamp(START + at),
+            Stamp(CAPTURE_START_NANOS + at),
             &data,
             data.len() as u32,
             "",
@@ -496,14 +501,18 @@
 
 #[test]
 fn a_client_that_waited_waits_again_where_that_is_asked_for() {
-    let mut script = Script::open(4000);
+    let mut script = CaptureBuilder::open(4000);
     for n in 0..6 {
-        script.say(Side::Client, &keyed(n, "look", "k", START / MS), 1000);
-        script.say(Side::Server, &answer(200, b"done"), 100);
+        script.send(
+            Side::Client,
+            &keyed(n, "look", "k", CAPTURE_START_NANOS / NANOS_PER_MS),
+            1000,
+        );
+        script.send(Side::Server, &response(200, b"done"), 100);
     }
     script.close();
     let file = temporary("causal.pcap");
-    std::fs::write(&file, pcap(&script.packets)).unwrap();
+    std::fs::write(&file, pcap_file(&script.packets)).unwrap();
     for (more, one_by_one) in [(&["--causal"][..], true), (&[][..], false)] {
         // Far slower than the recording, in which an answer took a millisecond.
         let sink = RecordingServer::start(ResponseOptions {
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -2,7 +2,7 @@
 
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{Item, Leg, Options};
-use heathspur_testkit::capture::{read, Read};
+use heathspur_testkit::capture::{parse_capture, ParsedCapture};
 use heathspur_testkit::prelude::*;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -42,8 +42,8 @@
             .collect()
     }
 
-    fn read(&self) -> Read {
-        read(
+    fn read(&self) -> ParsedCapture {
+        parse_capture(
             &self.bytes(),
             Options {
                 checksums: true,
@@ -54,7 +54,7 @@
     }
 
     /// Waits until as many requests are in the files.
-    fn holds(&self, requests: usize) -> Read {
+    fn holds(&self, requests: usize) -> ParsedCapture {
         let start = Instant::now();
         loop {
             let read = self.read();
@@ -118,11 +118,11 @@
         .collect();
     assert_eq!(got, sent);
     assert!(read
-        .answers
+        .responses
         .iter()
         .all(|(_, to, m)| to.is_some() && m.status() == Some(200) && m.body() == b"approved"));
     assert_eq!(
-        (read.answers.len(), read.tally.holes, read.tally.damage),
+        (read.responses.len(), read.tally.holes, read.tally.damage),
         (8, 0, None)
     );
     let ends = read
@@ -192,7 +192,11 @@
         .values()
         .all(|(packets, bytes)| *packets > 0 && *bytes > 0));
     assert_eq!(
-        (read.passed, read.requests.len(), read.tally.tcp.connections),
+        (
+            read.skipped,
+            read.requests.len(),
+            read.tally.tcp.connections
+        ),
         (Vec::new(), 1, 1)
     );
 }
