--- a/crates/heathspur-bench/src/http2/cost.rs
+++ b/crates/heathspur-bench/src/http2/cost.rs
@@ -3,9 +3,9 @@
 use super::start;
 use crate::cost::{instructions, load};
 use crate::table::Table;
-use heathspur_testkit::http2::Caller;
-use heathspur_testkit::scripted::built;
-use heathspur_testkit::swift::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
+use heathspur_testkit::http2::Http2Client;
+use heathspur_testkit::prelude::program_path;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
@@ -14,22 +14,22 @@
 
 /// One request after another on one connection; how many were served.
 fn streams(address: SocketAddr, requests: u64, from: u64, at_once: u64) -> u64 {
-    let mut caller = Caller::to(address);
+    let mut caller = Http2Client::connect(address);
     let mut good = 0;
     for first in (0..requests).step_by(at_once as usize) {
         let ids: Vec<u32> = (first..first + at_once)
-            .map(|n| caller.ask(from + n, None, b"4929001234567890"))
+            .map(|n| caller.send_request(from + n, None, b"4929001234567890"))
             .collect();
         good += ids
             .into_iter()
-            .filter(|id| caller.answer(*id).0 == 200)
+            .filter(|id| caller.read_response(*id).0 == 200)
             .count() as u64;
     }
     good
 }
 
 pub fn measure(folder: &Path, baseline: &Path, table: &mut Table) {
-    let (daemon, address) = start(folder, "cost", "", Manner::default());
+    let (daemon, address) = start(folder, "cost", "", InterpreterOptions::default());
     let mut each = |name: &str, from: u64, drive: &dyn Fn(u64, u64) -> u64| {
         drive(2_000, from);
         let (before, start) = (daemon.cpu_nanos(), Instant::now());
@@ -58,7 +58,7 @@
     });
     let (before, now) = (
         instructions(baseline, folder),
-        instructions(&built("heathspurd"), folder),
+        instructions(&program_path("heathspurd"), folder),
     );
     let ratio = now / before;
     table.row(
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -2,9 +2,9 @@
 
 use super::start;
 use crate::table::Table;
-use heathspur_testkit::http2::{Caller, Ended, CANCEL};
-use heathspur_testkit::scripted::{request, Client};
-use heathspur_testkit::swift::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
+use heathspur_testkit::http2::{Http2Client, StreamOutcome, CANCEL};
+use heathspur_testkit::prelude::{request, Http1Client};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
 
 fn caller(http2: SocketAddr, http1: SocketAddr, caller: u64) -> Counts {
     let mut rng = StdRng::seed_from_u64(caller);
-    let (mut streams, mut client) = (Caller::to(http2), Client::to(http1));
+    let (mut streams, mut client) = (Http2Client::connect(http2), Http1Client::connect(http1));
     let mut counts = Counts::default();
     let mut results: HashMap<u64, Vec<u8>> = HashMap::new();
     for n in 0..REQUESTS / CALLERS {
@@ -48,25 +48,25 @@
         );
         let (status, result) = if rng.random_bool(0.4) {
             client.send(&request(txn, Some(&key), body.as_bytes()));
-            let (status, _, result) = client.answer();
+            let (status, _, result) = client.read_response();
             (status, result)
         } else {
-            let id = streams.ask(txn, Some(&key), body.as_bytes());
+            let id = streams.send_request(txn, Some(&key), body.as_bytes());
             if rng.random_bool(0.3) {
                 thread::sleep(Duration::from_micros(rng.random_range(0..300)));
-                streams.reset(id, CANCEL);
+                streams.send_reset(id, CANCEL);
                 counts.reset += 1;
                 continue;
             }
-            match streams.ended(id) {
-                Ended::Answer(status, _, result) => (status, result),
-                Ended::Reset(_) => {
+            match streams.wait_for_outcome(id) {
+                StreamOutcome::Response(status, _, result) => (status, result),
+                StreamOutcome::Reset(_) => {
                     counts.refused += 1;
                     continue;
                 }
-                Ended::Closed => {
+                StreamOutcome::ConnectionClosed => {
                     counts.unanswered += 1;
-                    streams = Caller::to(http2);
+                    streams = Http2Client::connect(http2);
                     continue;
                 }
             }
@@ -85,10 +85,10 @@
 }
 
 pub fn measure(folder: &Path, table: &mut Table) {
-    let manner = Manner {
-        work: Duration::from_millis(1),
-        result: None,
-        calls: false,
+    let manner = InterpreterOptions {
+        run_duration: Duration::from_millis(1),
+        result_len: None,
+        calls_dependency: false,
     };
     let (daemon, address) = start(folder, "repeats", "", manner);
     let http1 = daemon.address;
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -3,7 +3,7 @@
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
 use heathspur_testkit::proxy::{self, Faults};
-use heathspur_testkit::sink::{Manner, Sink};
+use heathspur_testkit::recording_server::{RecordingServer, ResponseOptions};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -38,20 +38,20 @@
 fn capture(name: &str) -> (PathBuf, Vec<(u64, Vec<u8>)>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
     for conn in 0..3_u64 {
-        let mut script = Script::open(4000 + conn as u16);
-        script.now += conn * 7 * MS;
+        let mut script = CaptureBuilder::open(4000 + conn as u16);
+        script.elapsed_nanos += conn * 7 * NANOS_PER_MS;
         for n in 0..4 {
             let class = if conn == 1 { "pay" } else { "look" };
             let bytes = keyed(
                 conn * 10 + n,
                 class,
                 &format!("{:032x}", conn * 4 + n / 2),
-                START / MS,
+                CAPTURE_START_NANOS / NANOS_PER_MS,
             );
-            script.now += 20 * MS;
-            script.say(Side::Client, &bytes, 90);
-            sent.push((script.now, bytes));
-            script.say(Side::Server, &answer(200, b"done"), 100);
+            script.elapsed_nanos += 20 * NANOS_PER_MS;
+            script.send(Side::Client, &bytes, 90);
+            sent.push((script.elapsed_nanos, bytes));
+            script.send(Side::Server, &response(200, b"done"), 100);
         }
         script.close();
         packets.extend(script.packets);
@@ -59,11 +59,11 @@
     packets.sort_by_key(|(at, _)| *at);
     sent.sort_by_key(|(at, _)| *at);
     let file = temporary(name);
-    std::fs::write(&file, pcap(&packets)).unwrap();
+    std::fs::write(&file, pcap_file(&packets)).unwrap();
     (file, sent)
 }
 
-fn replay(file: &std::path::Path, sink: &Sink, more: &[&str]) -> Output {
+fn replay(file: &std::path::Path, sink: &RecordingServer, more: &[&str]) -> Output {
     let address = sink.address.to_string();
     let file = file.to_str().unwrap();
     run(&[&["pcap", "replay", file, "--to-server", &address][..], more].concat())
@@ -187,7 +187,7 @@
 #[test]
 fn a_replay_sends_the_same_bytes_in_the_recorded_order_and_reports() {
     let (file, sent) = capture("replay.pcap");
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     let report = temporary("report");
     let output = replay(&file, &sink, &["--report", report.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
@@ -220,22 +220,27 @@
     let mut packets = Vec::new();
     // Fewer than a listener of the standard library lets wait.
     for conn in 0..120 {
-        let mut script = Script::open(10_000 + conn);
+        let mut script = CaptureBuilder::open(10_000 + conn);
         for n in 0..3 {
-            script.say(
+            script.send(
                 Side::Client,
-                &keyed(u64::from(conn) * 3 + n, "look", "k", START / MS),
+                &keyed(
+                    u64::from(conn) * 3 + n,
+                    "look",
+                    "k",
+                    CAPTURE_START_NANOS / NANOS_PER_MS,
+                ),
                 1000,
             );
-            script.say(Side::Server, &answer(200, b"done"), 100);
+            script.send(Side::Server, &response(200, b"done"), 100);
         }
         script.close();
         packets.extend(script.packets);
     }
     packets.sort_by_key(|(at, _)| *at);
     let file = temporary("burst.pcap");
-    std::fs::write(&file, pcap(&packets)).unwrap();
-    let sink = Sink::start(Manner::default());
+    std::fs::write(&file, pcap_file(&packets)).unwrap();
+    let sink = RecordingServer::start(ResponseOptions::default());
     let output = replay(&file, &sink, &["--speed", "100"]);
     assert_eq!(output.status.code(), Some(0), "{}", said(&output));
     assert_eq!(sink.received().len(), 360);
@@ -244,7 +249,7 @@
 #[test]
 fn fresh_ids_are_asked_for_where_requests_are_sent_more_than_once() {
     let (file, sent) = capture("renew.pcap");
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     for more in [&["--loop", "2"][..], &["--scale-load", "2"]] {
         assert_eq!(replay(&file, &sink, more).status.code(), Some(2));
     }
@@ -286,15 +291,15 @@
     let stamp: u64 = field(&received[0].bytes, "X-Ingress-Time: ")
         .parse()
         .unwrap();
-    assert!(stamp > START / MS - 10_000_000_000);
+    assert!(stamp > CAPTURE_START_NANOS / NANOS_PER_MS - 10_000_000_000);
 }
 
 #[test]
 fn what_a_breaking_or_absent_target_costs_is_counted_and_shows_in_the_exit_code() {
     let (file, _) = capture("broken.pcap");
-    let sink = Sink::start(Manner {
-        break_after: 3,
-        ..Manner::default()
+    let sink = RecordingServer::start(ResponseOptions {
+        disconnect_after: 3,
+        ..ResponseOptions::default()
     });
     let output = replay(&file, &sink, &[]);
     let text = said(&output);
@@ -327,18 +332,18 @@
         "{}",
         said(&output)
     );
-    let closes = Sink::start(Manner {
-        close: true,
-        ..Manner::default()
+    let closes = RecordingServer::start(ResponseOptions {
+        close_after_response: true,
+        ..ResponseOptions::default()
     });
     assert_eq!(replay(&file, &closes, &[]).status.code(), Some(0));
 }
 
 #[test]
 fn a_file_of_two_link_types_is_cut_with_an_interface_for_each() {
-    let mut script = Script::open(4000);
-    script.say(Side::Client, &request(1, b"abc"), 60);
-    script.say(Side::Server, &answer(200, b"ok"), 60);
+    let mut script = CaptureBuilder::open(4000);
+    script.send(Side::Client, &request(1, b"abc"), 60);
+    script.send(Side::Server, &response(200, b"ok"), 60);
     script.close();
     use heathspur_capture::write;
     let mut file = [
@@ -355,7 +360,7 @@
         };
         file.extend(write::ng_packet(
             n as u32 % 2,
-            Stamp(START + at),
+            Stamp(CAPTURE_START_NANOS + at),
             &data,
             data.len() as u32,
             "",
@@ -418,7 +423,7 @@
 /// The audit of a replay through a proxy, and how often each request was received.
 fn through(name: &str, faults: Faults, more: &[&str]) -> (Output, Value, Vec<usize>) {
     let (file, sent) = capture(&format!("{name}.pcap"));
-    let sink = Sink::start(Manner::default());
+    let sink = RecordingServer::start(ResponseOptions::default());
     let (proxy, _) = proxy::start(sink.address, faults, 11);
     let report = temporary(&format!("{name}-report"));
     let (file, proxy) = (file.to_str().unwrap(), proxy.to_string());
@@ -446,7 +451,7 @@
 #[test]
 fn bytes_that_pass_in_small_pieces_are_the_same_bytes() {
     let faults = Faults {
-        split: 3,
+        max_piece_len: 3,
         ..Faults::default()
     };
     let (output, audit, times) = through("split", faults, &[]);
@@ -464,9 +469,9 @@
 #[test]
 fn connections_that_break_anywhere_cost_requests_and_never_double_one() {
     let faults = Faults {
-        split: 40,
+        max_piece_len: 40,
         cut_per_mille: 500,
-        within: 500,
+        fault_window_bytes: 500,
         ..Faults::default()
     };
     let (output, audit, times) = through("cut", faults, &[]);
@@ -485,7 +490,7 @@
 fn connections_that_go_silent_are_given_up() {
     let faults = Faults {
         silent_per_mille: 1000,
-        within: 500,
+        fault_window_bytes: 500,
         ..Faults::default()
     };
     let (output, audit, times) = through("silent", faults, &["--patience", "0.3"]);
@@ -496,19 +501,23 @@
 
 #[test]
 fn a_client_that_waited_waits_again_where_that_is_asked_for() {
-    let mut script = Script::open(4000);
+    let mut script = CaptureBuilder::open(4000);
     for n in 0..6 {
-        script.say(Side::Client, &keyed(n, "look", "k", START / MS), 1000);
-        script.say(Side::Server, &answer(200, b"done"), 100);
+        script.send(
+            Side::Client,
+            &keyed(n, "look", "k", CAPTURE_START_NANOS / NANOS_PER_MS),
+            1000,
+        );
+        script.send(Side::Server, &response(200, b"done"), 100);
     }
     script.close();
     let file = temporary("causal.pcap");
-    std::fs::write(&file, pcap(&script.packets)).unwrap();
+    std::fs::write(&file, pcap_file(&script.packets)).unwrap();
     for (more, one_by_one) in [(&["--causal"][..], true), (&[][..], false)] {
         // Far slower than the recording, in which an answer took a millisecond.
-        let sink = Sink::start(Manner {
-            work: std::time::Duration::from_millis(60),
-            ..Manner::default()
+        let sink = RecordingServer::start(ResponseOptions {
+            delay: std::time::Duration::from_millis(60),
+            ..ResponseOptions::default()
         });
         let report = temporary("causal-report");
         let output = replay(
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{refusing, up};
-use heathspur_testkit::scripted::*;
+use heathspur_testkit::prelude::*;
 use procfs::process::Process;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
@@ -23,12 +23,12 @@
 fn until(what: &str, mut test: impl FnMut() -> bool) {
     let start = Instant::now();
     while !test() {
-        assert!(start.elapsed() < NEVER, "never came: {what}");
+        assert!(start.elapsed() < EVENT_TIMEOUT, "never came: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn descriptors(rig: &Rig) -> usize {
+fn descriptors(rig: &ServerFixture) -> usize {
     Process::new(rig.process.0.id() as i32)
         .unwrap()
         .fd_count()
@@ -36,7 +36,7 @@
 }
 
 /// So many more that rest: with nothing said, with half a line, or behind an answer.
-fn rest(rig: &Rig, crowd: &mut Vec<TcpStream>, count: usize) {
+fn rest(rig: &ServerFixture, crowd: &mut Vec<TcpStream>, count: usize) {
     let words = [
         &b""[..],
         b"POST /svc/lo",
@@ -67,17 +67,17 @@
 }
 
 /// Work on a new connection is served, with its call below, and no descriptor too many is held.
-fn serves_with_a_call(rig: &Rig, vm: &mut Vm, txn: u64) {
-    let (mut client, task) = (rig.client(), format!("{txn:016x}"));
+fn serves_with_a_call(rig: &ServerFixture, vm: &mut MockInterpreter, txn: u64) {
+    let (mut client, task) = (rig.connect_client(), format!("{txn:016x}"));
     client.send(&request(txn, Some(&task), b"abc"));
-    assert_eq!(vm.apply().0, task);
-    vm.awaits(&task, b"ask");
-    let mut store = Store::accept(rig);
-    assert_eq!(store.call().0, task);
-    store.ok(txn, "fine");
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task, "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    assert_eq!(vm.read_apply().0, task);
+    vm.send_await(&task, b"ask");
+    let mut store = MockStore::accept(rig);
+    assert_eq!(store.read_call().0, task);
+    store.send_ok(txn, "fine");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task, "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
     assert!(
         descriptors(rig) <= SOCKETS,
         "{} descriptors",
@@ -88,11 +88,11 @@
 #[test]
 fn who_rests_while_discovery_is_down_keeps_no_descriptor_from_links_reports_calls_and_new_work() {
     let service = refusing();
-    let rig = Rig::with(|config| {
+    let rig = ServerFixture::start_with_config(|config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["announce"] = json!(service.local_addr().unwrap());
     });
-    let mut vm = rig.link();
+    let mut vm = rig.accept_link();
     serves_with_a_call(&rig, &mut vm, 1);
     let (before, mut crowd) = (descriptors(&rig), Vec::new());
     // To half of the limit, which balancers may take, and far beyond.
@@ -104,34 +104,34 @@
         serves_with_a_call(&rig, &mut vm, txn);
         // The interpreter's link breaks and is made again meanwhile.
         drop(vm);
-        vm = rig.link();
+        vm = rig.accept_link();
         serves_with_a_call(&rig, &mut vm, txn + 1);
     }
     until("most of the crowd have left", || {
         left(&mut crowd) >= crowd.len() - POOL
     });
-    let _: Vec<_> = rig.lines.try_iter().collect();
+    let _: Vec<_> = rig.log_lines.try_iter().collect();
     for _ in 0..FAILURES {
-        rig.logs("cannot report readiness to the registration service at ");
+        rig.wait_for_log("cannot report readiness to the registration service at ");
     }
     rest(&rig, &mut crowd, SOCKETS);
-    let reports = announce_at(up(service));
+    let reports = mock_registration(up(service));
     assert_eq!(
-        reports.recv_timeout(NEVER).unwrap(),
+        reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
     serves_with_a_call(&rig, &mut vm, 6);
     drop(crowd);
     // One more than before: reports have a connection now.
     until("descriptors as before", || descriptors(&rig) <= before + 1);
-    let mut fresh: Vec<Client> = (0..POOL - FREE).map(|_| rig.client()).collect();
+    let mut fresh: Vec<Http1Client> = (0..POOL - FREE).map(|_| rig.connect_client()).collect();
     for client in &mut fresh {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(client.read_response().0, 200);
     }
     serves_with_a_call(&rig, &mut vm, 7);
     assert_eq!(
-        reports.recv_timeout(NEVER).unwrap(),
+        reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
 }
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Full, SLOW};
-use heathspur_testkit::scripted::*;
+use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -69,12 +69,12 @@
 }
 
 /// A server that reports to this listener, linked to its interpreter.
-fn reporting_to(listener: &TcpListener) -> (Rig, Vm) {
-    let rig = Rig::with(|c| {
+fn reporting_to(listener: &TcpListener) -> (ServerFixture, MockInterpreter) {
+    let rig = ServerFixture::start_with_config(|c| {
         c["announce"] = at(listener);
         c["stop_ms"] = json!(30_000);
     });
-    let vm = rig.link();
+    let vm = rig.accept_link();
     (rig, vm)
 }
 
@@ -97,7 +97,7 @@
 #[test]
 fn a_report_that_is_answered_late_keeps_its_connection_while_another_one_is_tried() {
     in_one_of_five(|| {
-        let service = local();
+        let service = bind_loopback();
         let (_rig, _vm) = reporting_to(&service);
         let mut slow = Announce::accept(&service).0;
         // Nothing is heard of the first, so another connection tells; the first is not broken off for it.
@@ -112,13 +112,13 @@
 #[test]
 fn a_drain_is_told_again_after_an_older_report_has_ended() {
     in_one_of_five(|| {
-        let service = local();
+        let service = bind_loopback();
         let (rig, mut vm) = reporting_to(&service);
         let mut slow = Announce::accept(&service).0;
         // What runs keeps the server from leaving at once.
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(1, None, b"abc"));
-        vm.apply();
+        vm.read_apply();
         rig.process.terminate();
         let (mut other, mut told) = Announce::accept(&service);
         while told != "false" {
@@ -140,28 +140,28 @@
 #[test]
 fn a_change_there_and_back_is_told_once_an_older_report_has_ended() {
     in_one_of_five(|| {
-        let service = local();
-        let rig = Rig::with(|c| {
+        let service = bind_loopback();
+        let rig = ServerFixture::start_with_config(|c| {
             c["announce"] = at(&service);
             // So few that one request counts as stalled when it doesn't end.
             c["settings"]["family-info"]["n-cores"] = json!(2);
         });
-        let mut vm = rig.link();
+        let mut vm = rig.accept_link();
         let mut slow = Announce::accept(&service).0;
-        let mut client = rig.client();
+        let mut client = rig.connect_client();
         client.send(&request(1, None, b"abc"));
-        let (task, _, _) = vm.apply();
+        let (task, _, _) = vm.read_apply();
         slow.taken()?;
         (slow.next()? == "true").then_some(())?;
         // It is held while the server is not ready, and is again.
-        rig.logs("work has stalled");
-        vm.value(&task, "complete", b"one");
-        rig.logs("work has resumed");
+        rig.wait_for_log("work has stalled");
+        vm.send_value(&task, "complete", b"one");
+        rig.wait_for_log("work has resumed");
         // However the request fared.
-        client.answer();
+        client.read_response();
         // The reports hear of the change in a turn of their own: before this answer at the latest.
         client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(client.read_response().0, 200);
         slow.is_open()?;
         let answered = Instant::now();
         slow.taken()?;
@@ -173,7 +173,7 @@
 #[test]
 fn a_report_that_was_not_taken_is_made_again_on_its_connection() {
     in_one_of_five(|| {
-        let service = local();
+        let service = bind_loopback();
         let (_rig, _vm) = reporting_to(&service);
         let mut connection = Announce::accept(&service).0;
         for _ in 0..3 {
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_second_answer_to_one_report_does_not_count_for_the_next() {
-    let service = local();
+    let service = bind_loopback();
     let (_rig, _vm) = reporting_to(&service);
     let (mut connection, _) = Announce::accept(&service);
     let twice = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_service_that_closes_each_connection_at_once_is_not_stormed() {
-    let service = local();
+    let service = bind_loopback();
     let (_rig, _vm) = reporting_to(&service);
     let began = Instant::now();
     for _ in 0..11 {
@@ -226,15 +226,15 @@
 #[test]
 fn a_store_that_is_slow_to_take_connections_is_called() {
     let store = Full::new();
-    let mut rig = Rig::with(|c| c["store"] = at(&store.listener));
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let mut rig = ServerFixture::start_with_config(|c| c["store"] = at(&store.listener));
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    let (task, _, _) = vm.apply();
+    let (task, _, _) = vm.read_apply();
     let asked = Instant::now();
-    vm.awaits(&task, b"ask");
-    rig.store = store.let_in();
-    let mut stream = BufReader::new(accept(&rig.store));
+    vm.send_await(&task, b"ask");
+    rig.store_listener = store.let_in();
+    let mut stream = BufReader::new(accept(&rig.store_listener));
     let (id, limit) = call(&mut stream);
     // The longest patience is 15 s, and what the dial took is gone of it.
     assert!(
@@ -246,72 +246,72 @@
         .get_mut()
         .write_all(format!("{id} OK 2\r\nok\r\n").as_bytes())
         .unwrap();
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task, "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task, "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
 fn an_interpreter_that_is_slow_to_take_connections_is_linked_to() {
     let interpreter = Full::new();
-    let mut rig = Rig::with(|c| c["vm"] = at(&interpreter.listener));
-    rig.vm = interpreter.let_in();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let mut rig = ServerFixture::start_with_config(|c| c["vm"] = at(&interpreter.listener));
+    rig.interpreter_listener = interpreter.let_in();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.apply().2, b"abc");
+    assert_eq!(vm.read_apply().2, b"abc");
 }
 
 #[test]
 fn it_is_ready_in_time_with_slow_peers_and_no_store() {
     in_one_of_five(|| {
         let (interpreter, service) = (Full::new(), Full::new());
-        let nobody = local().local_addr().unwrap();
+        let nobody = bind_loopback().local_addr().unwrap();
         let began = Instant::now();
-        let mut rig = Rig::with(|c| {
+        let mut rig = ServerFixture::start_with_config(|c| {
             c["vm"] = at(&interpreter.listener);
             c["announce"] = at(&service.listener);
             c["store"] = json!(nobody);
         });
-        rig.vm = interpreter.let_in();
-        let _vm = rig.link();
+        rig.interpreter_listener = interpreter.let_in();
+        let _vm = rig.accept_link();
         let (mut connection, told) = Announce::accept(&service.let_in());
         assert_eq!(told, "true");
         connection.taken()?;
-        let mut check = rig.client();
+        let mut check = rig.connect_client();
         check.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(check.answer().0, 200);
+        assert_eq!(check.read_response().0, 200);
         (began.elapsed() < Duration::from_secs(10)).then_some(())
     });
 }
 
 #[test]
 fn a_notice_whose_request_cannot_be_read_comes_again_on_the_next_link() {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    let (task, _, _) = vm.apply();
-    vm.value("9b1f", "complete", b"one");
-    let mut vm = rig.link();
-    assert_eq!(vm.resumed_at, 0);
-    vm.value(&task, "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    let (task, _, _) = vm.read_apply();
+    vm.send_value("9b1f", "complete", b"one");
+    let mut vm = rig.accept_link();
+    assert_eq!(vm.resume_index, 0);
+    vm.send_value(&task, "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 /// A server whose one keyed request was told on a link that broke. The interpreter is slow: on the new link
 /// its gauges do not come in the time that they are waited for, nor does what was missed before them.
-fn late_link() -> (Rig, Vm, Client, Value) {
-    let rig = Rig::start();
-    let mut vm = rig.link();
-    let mut client = rig.client();
+fn late_link() -> (ServerFixture, MockInterpreter, Http1Client, Value) {
+    let rig = ServerFixture::start();
+    let mut vm = rig.accept_link();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.apply();
+    vm.read_apply();
     drop(vm);
-    let mut vm = rig.link();
-    assert_eq!(vm.line()["verb"], "TOP");
+    let mut vm = rig.accept_link();
+    assert_eq!(vm.read_any_command()["verb"], "TOP");
     // Timers ask again once the first question is no longer waited for.
-    let next = vm.line();
+    let next = vm.read_any_command();
     assert_eq!(next["verb"], "TOP", "{next}");
     (rig, vm, client, next["nonce"].clone())
 }
@@ -319,19 +319,19 @@
 #[test]
 fn a_run_that_may_have_ended_is_not_told_again_while_missed_notices_may_come() {
     let (_rig, mut vm, mut client, _) = late_link();
-    vm.value("0000000000000001", "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value("0000000000000001", "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
 fn a_run_is_told_again_once_late_gauges_show_that_no_notice_was_missed() {
     let (_rig, mut vm, mut client, nonce) = late_link();
-    vm.say(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
-    let again = vm.until_command();
+    vm.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
+    let again = vm.read_command_ignoring_gauges();
     assert_eq!(
         (again["verb"].as_str(), again["task"].as_str()),
         (Some("APPLY"), Some("0000000000000001"))
     );
-    vm.value("0000000000000001", "complete", b"one");
-    assert_eq!(client.answer().2, b"one");
+    vm.send_value("0000000000000001", "complete", b"one");
+    assert_eq!(client.read_response().2, b"one");
 }
--- a/crates/heathspurd/tests/unit/config.rs
+++ b/crates/heathspurd/tests/unit/config.rs
@@ -6,7 +6,7 @@
 /// Returns the testkit's configuration after an edit.
 fn edited_config(edit: impl FnOnce(&mut Value)) -> Config {
     let peer = "127.0.0.1:9".parse().unwrap();
-    let mut config = heathspur_testkit::scripted::config(peer, peer, peer);
+    let mut config = heathspur_testkit::prelude::server_config(peer, peer, peer);
     edit(&mut config);
     Config::parse(config.to_string().as_bytes()).unwrap()
 }
