--- a/crates/heathspur-wire/src/framing.rs
+++ b/crates/heathspur-wire/src/framing.rs
@@ -1,14 +1,15 @@
-//! The extent of HTTP/1.1 messages, for readers of recorded traffic and for clients: `Content-Length`, chunked bodies
-//! and bodies that extend to the end of the connection (RFC 9112, section 6).
+//! Determines where HTTP/1.1 messages end, for readers of recorded traffic and for clients. Supports
+//! `Content-Length`, chunked bodies and bodies that extend to the end of the connection (RFC 9112, section 6).
 //!
-//! The server itself accepts `Content-Length` only; see [`crate::http`].
+//! The server itself accepts only `Content-Length`; see [`crate::http`].
 
 use crate::http::{has_close_option, parse_decimal, Error, Fields};
 use std::ops::Range;
 
-/// The longest line of a chunk's size with its extensions, and the longest trailer section, in bytes.
+/// The longest line with a chunk's size and extensions, and the longest trailer section, in bytes.
 const MAX_CHUNK_LINE_BYTES: usize = 4096;
-/// The longest chunk size: each one of so many hexadecimal digits fits into a `u64`, with its line.
+/// The most hexadecimal digits of a chunk size. Every size with this many digits, added to the position of its chunk,
+/// fits into a `u64`.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
@@ -16,18 +17,18 @@
 /// How the length of a message's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
-    /// So many bytes.
+    /// The body has this many bytes.
     Bytes(u64),
-    /// By its chunks.
+    /// The body is chunked and ends with its last chunk and trailers.
     Chunked,
-    /// By the end of the connection.
+    /// The body extends to the end of the connection.
     UntilClose,
 }
 
 /// The head of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The first line, without its end.
+    /// The first line, without its line end.
     pub start_line: Range<usize>,
     /// The fields, including line ends.
     pub fields: Range<usize>,
@@ -42,22 +43,23 @@
 /// The kind of a message, as far as it determines the length of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A request: without a length it has no body.
+    /// A request. Without a stated length it has no body.
     Request,
-    /// A response: without a length its body extends to the end of the connection, if it may have one.
+    /// A response. Without a stated length its body, if it may have one, extends to the end of the connection.
     Response {
         /// The status.
         status: u16,
-        /// Whether the request was a HEAD.
+        /// Whether the method of the request was HEAD.
         to_head: bool,
     },
 }
 
-/// Parses the head at the front of `bytes` once it is complete. `limit` is its largest size in bytes; `kind` classifies
-/// the message by its first line.
+/// Parses the head at the front of `bytes` once it is complete. `limit` is the largest size of the head in bytes;
+/// `kind` classifies the message by its first line.
 ///
 /// # Errors
-/// A head past its limit, a first line that `kind` rejects, malformed fields, or contradicting lengths.
+/// Returns an error if the head exceeds its limit, if `kind` rejects the first line, if a field is malformed, or if
+/// the stated lengths contradict each other.
 pub fn parse_head(
     bytes: &[u8],
     limit: usize,
@@ -116,7 +118,8 @@
     fn add_content_length(&mut self, value: &[u8]) -> Result<(), Error> {
         let length = parse_decimal(value).ok_or(Error::InvalidLength)?;
         let previous = self.content_length.replace(length);
-        // The same length twice is a copy; two lengths allow request smuggling (RFC 9112, section 6.3).
+        // A repeated field with the same length is harmless; different lengths allow request smuggling (RFC 9112,
+        // section 6.3).
         if previous.is_some_and(|previous| previous != length) {
             return Err(Error::InvalidLength);
         }
@@ -140,7 +143,7 @@
     }
 }
 
-/// Whether the last transfer coding is `chunked`.
+/// Returns whether the last transfer coding is `chunked`.
 fn is_chunked(value: &[u8]) -> bool {
     let last = value
         .rsplit(|&byte| byte == b',')
@@ -150,16 +153,17 @@
     last.eq_ignore_ascii_case(b"chunked")
 }
 
-/// Finds the end of a chunked body that arrives in parts, without reading the chunks' data.
+/// An incremental scanner that finds the end of a chunked body without reading the chunks' data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunks {
+    /// The position of the next chunk's line.
     next_chunk: usize,
     /// The start of the trailer section, once all chunks are read.
     trailers: Option<usize>,
 }
 
 impl Chunks {
-    /// Creates a scanner of a body that begins at this position in the buffer.
+    /// Creates a scanner for a body that begins at this position in the buffer.
     pub fn new(start: usize) -> Chunks {
         Chunks {
             next_chunk: start,
@@ -170,7 +174,7 @@
     /// Returns the end of the message once it is complete.
     ///
     /// # Errors
-    /// An invalid chunk size, or a line or trailer section past its limit of 4 KiB.
+    /// Returns an error if a chunk size is invalid, or if a line or the trailer section exceeds its limit of 4 KiB.
     pub fn end(&mut self, bytes: &[u8]) -> Result<Option<usize>, Error> {
         loop {
             if let Some(start) = self.trailers {
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Skips one chunk, or the last chunk's line; false if its line is not complete.
+    /// Skips one chunk, or the last chunk's line. Returns false if the line is not complete.
     fn read_chunk(&mut self, bytes: &[u8]) -> Result<bool, Error> {
         let Some(rest) = bytes.get(self.next_chunk..) else {
             return Ok(false);
@@ -206,7 +210,7 @@
     }
 }
 
-/// The end of a chunk, including the line end after its data.
+/// Returns the end of a chunk, including the line end after its data.
 fn chunk_end(bytes: &[u8], data_start: usize, size: u64) -> Result<usize, Error> {
     let data_end = data_start as u64 + size;
     let end = usize::try_from(data_end + LINE_END.len() as u64).map_err(|_| Error::BodyTooLarge)?;
--- a/crates/heathspur-wire/src/http/fields.rs
+++ b/crates/heathspur-wire/src/http/fields.rs
@@ -2,18 +2,18 @@
 
 use super::Error;
 
-/// The longest decimal number: each one of so many digits fits into a `u64`.
+/// The most digits of a decimal number. Every number with this many digits fits into a `u64`.
 const MAX_DIGITS: usize = 18;
 const DELETE: u8 = 127;
 
-/// Iterates over the fields of a head as names and values; a malformed line is an error.
+/// An iterator over the names and values of a head's fields. A malformed line yields an error.
 #[derive(Clone, Debug)]
 pub struct Fields<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
-    /// Iterates over the bytes of [`Message::fields`](super::Message::fields).
+    /// Creates an iterator over the bytes of [`Message::fields`](super::Message::fields).
     pub fn over(bytes: &'a [u8]) -> Fields<'a> {
         Fields { rest: bytes }
     }
@@ -45,7 +45,7 @@
     byte == b'\t' || byte >= b' ' && byte != DELETE
 }
 
-/// Whether the bytes are a token, as methods and field names are (RFC 9110, section 5.6.2).
+/// Returns whether the bytes are a token, as methods and field names are (RFC 9110, section 5.6.2).
 pub(super) fn is_token(bytes: &[u8]) -> bool {
     !bytes.is_empty()
         && bytes
@@ -53,7 +53,7 @@
             .all(|byte| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte))
 }
 
-/// Parses a number of decimal digits only.
+/// Parses a number of 1 to 18 decimal digits, without sign or white space.
 pub fn parse_decimal(digits: &[u8]) -> Option<u64> {
     let is_number =
         !digits.is_empty() && digits.len() <= MAX_DIGITS && digits.iter().all(u8::is_ascii_digit);
@@ -64,7 +64,7 @@
     })
 }
 
-/// Whether the fields contain the connection option `close`: their message is the last on its connection.
+/// Returns whether the fields contain the connection option `close`, which marks the last message on its connection.
 pub fn has_close_option(fields: Fields<'_>) -> bool {
     fields.filter_map(Result::ok).any(|(name, value)| {
         name.eq_ignore_ascii_case(b"connection")
--- a/crates/heathspur-wire/src/http/mod.rs
+++ b/crates/heathspur-wire/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages with `Content-Length` bodies: requests and responses are read and written.
+//! Reading and writing of HTTP/1.1 requests and responses with `Content-Length` bodies.
 
 mod fields;
 mod reader;
@@ -10,7 +10,7 @@
 pub use start_line::{request_line, status_line};
 pub use writer::{write_request, write_response, ConnectionOption};
 
-/// Why bytes are not an acceptable message.
+/// The reason why bytes are not an acceptable message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The bytes are not HTTP/1.1.
@@ -31,7 +31,7 @@
 }
 
 impl Error {
-    /// The status of the response to such a request.
+    /// Returns the status code with which the server answers a request that has this error.
     pub fn status(self) -> u16 {
         match self {
             Error::Malformed | Error::InvalidLength | Error::UnsupportedTransferCoding => 400,
--- a/crates/heathspur-wire/src/http/reader.rs
+++ b/crates/heathspur-wire/src/http/reader.rs
@@ -18,22 +18,22 @@
 /// The ranges of a complete message in the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// The first line, without its end.
+    /// The first line, without its line end.
     pub start_line: Range<usize>,
     /// The fields, including line ends.
     pub fields: Range<usize>,
-    /// The body; the message ends with it.
+    /// The body, which ends the message.
     pub body: Range<usize>,
 }
 
 /// Reads one message after another from the front of a growing buffer.
 ///
-/// The reader remembers the bytes it has searched, so bytes that arrive one by one are not searched repeatedly.
+/// The reader remembers how many bytes it has searched, so that bytes that arrive one by one are searched once.
 #[derive(Debug)]
 pub struct Reader {
     limits: Limits,
     searched: usize,
-    /// The message whose head is complete, until its body is.
+    /// The message whose head is complete and whose body is not.
     pending: Option<Message>,
 }
 
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Returns the message at the front of `bytes` once it is complete. The reader then expects the next message, which
-    /// starts at the end of this message's body.
+    /// Returns the message at the front of `bytes` once it is complete. The next call then expects the bytes after
+    /// this message's body.
     pub fn read(&mut self, bytes: &[u8]) -> Result<Option<Message>, Error> {
         if self.pending.is_none() {
             let Some(head_end) = self.find_head_end(bytes)? else {
@@ -68,7 +68,7 @@
     /// Finds the end of the head, including its empty line.
     fn find_head_end(&mut self, bytes: &[u8]) -> Result<Option<usize>, Error> {
         let within_limit = &bytes[..bytes.len().min(self.limits.head)];
-        // A part of the end may have been searched already.
+        // The end of the head may begin in bytes that were searched before.
         let start = self
             .searched
             .saturating_sub(HEAD_END.len() - 1)
@@ -97,7 +97,7 @@
     })
 }
 
-/// The length of the body; 0 without the field.
+/// Returns the length of the body; 0 if the field is missing.
 fn content_length(fields: Fields<'_>) -> Result<u64, Error> {
     let mut length = None;
     for field in fields {
--- a/crates/heathspur-wire/src/http/writer.rs
+++ b/crates/heathspur-wire/src/http/writer.rs
@@ -5,7 +5,7 @@
 pub enum ConnectionOption {
     /// The connection stays open.
     KeepAlive,
-    /// The response is the last on its connection: `Connection: close`.
+    /// The response is the last on its connection and has the field `Connection: close`.
     Close,
 }
 
--- a/crates/heathspur-wire/src/interpreter/command.rs
+++ b/crates/heathspur-wire/src/interpreter/command.rs
@@ -7,7 +7,7 @@
 /// A message to the interpreter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command<'a> {
-    /// Opens a link; the number is that of the last notice processed.
+    /// Opens a link. The number is the index of the last notice that was processed.
     Connect(u64),
     /// Runs a request.
     Run {
@@ -22,7 +22,7 @@
     Stop(&'a str),
     /// Resumes a paused run.
     Resume(&'a str),
-    /// Passes the reply of the call that a run waits for.
+    /// Resumes a run with the reply to the call that it waits for.
     CompleteCall {
         /// The request.
         request_id: &'a str,
@@ -33,7 +33,7 @@
     SkipCall {
         /// The request.
         request_id: &'a str,
-        /// The number of the [`Notice::CallNeeded`](super::Notice::CallNeeded).
+        /// The index of the [`Notice::CallNeeded`](super::Notice::CallNeeded).
         index: u64,
     },
     /// Queries the gauges, with a nonce.
@@ -80,7 +80,7 @@
     out.extend_from_slice(text.to_string().as_bytes());
 }
 
-/// Appends a command that has a request only.
+/// Appends a command whose only argument is a request.
 fn write_request_command(out: &mut Vec<u8>, verb: &str, request_id: &str) {
     write_format(out, format_args!(r#"{{"verb":"{verb}","task":"#));
     write_string(out, request_id);
--- a/crates/heathspur-wire/src/interpreter/mod.rs
+++ b/crates/heathspur-wire/src/interpreter/mod.rs
@@ -1,4 +1,6 @@
-//! The interpreter's protocol: one JSON object a line, bodies in base64. The names of the wire are mapped here.
+//! The interpreter's protocol: one JSON object per line, with bodies in base64.
+//!
+//! This module maps the protocol's names to the names used in the code.
 
 mod command;
 mod notice;
--- a/crates/heathspur-wire/src/interpreter/notice.rs
+++ b/crates/heathspur-wire/src/interpreter/notice.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Characters of an unknown verb in an error.
-const MAX_VERB_IN_ERROR: usize = 40;
+/// The most characters of an unknown verb that an error contains.
+const MAX_VERB_CHARS_IN_ERROR: usize = 40;
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,29 +15,29 @@
     Succeeded,
     /// The run failed.
     Failed,
-    /// The run was stopped, or ended at a call because its request was over.
+    /// The run was stopped, or ended at a call because its request was already finished.
     Cancelled,
-    /// The run was not started because its request was over.
+    /// The run was not started because its request was already finished.
     NotStarted,
 }
 
 /// Whether the interpreter was warm when it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Warmth {
-    /// Slow at first.
+    /// The interpreter started cold and is slow at first.
     Cold,
-    /// At full speed.
+    /// The interpreter started warm and runs at full speed.
     Warm,
 }
 
 /// A message from the interpreter. Strings are slices of the line; bodies are decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice<'a> {
-    /// The answer to [`Command::Connect`](super::Command::Connect).
+    /// The reply to [`Command::Connect`](super::Command::Connect).
     Connected {
         /// Whether the interpreter started warm.
         warmth: Warmth,
-        /// Milliseconds since that start.
+        /// The time since the interpreter started, in milliseconds.
         uptime_ms: f64,
     },
     /// A run has ended.
@@ -81,16 +81,16 @@
     },
 }
 
-/// Why a line is not a notice.
+/// The reason why a line is not a notice.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The line is not a JSON object of the expected types.
+    /// The line is not a JSON object, or a field has an unexpected type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The verb is unknown.
     #[error("unknown verb {verb:?}")]
     UnknownVerb {
-        /// The start of the verb.
+        /// The first characters of the verb.
         verb: String,
     },
     /// A field of the notice is missing or has an unknown value.
@@ -106,7 +106,7 @@
     Body(#[from] base64::DecodeError),
 }
 
-/// A notice with the names of the wire.
+/// A notice with the field names of the protocol.
 #[derive(Deserialize)]
 struct WireNotice<'a> {
     #[serde(borrow)]
@@ -127,7 +127,7 @@
     readings: Vec<f64>,
 }
 
-/// Parses one line, without its end.
+/// Parses one line, without its line end.
 pub fn parse_notice(line: &[u8]) -> Result<Notice<'_>, Error> {
     let notice: WireNotice<'_> = serde_json::from_slice(line)?;
     match &*notice.verb {
@@ -138,7 +138,7 @@
         "ERROR" => Ok(notice.into_command_rejected()),
         "TRACE" => notice.into_log(),
         unknown => Err(Error::UnknownVerb {
-            verb: unknown.chars().take(MAX_VERB_IN_ERROR).collect(),
+            verb: unknown.chars().take(MAX_VERB_CHARS_IN_ERROR).collect(),
         }),
     }
 }
--- a/crates/heathspur-wire/src/store.rs
+++ b/crates/heathspur-wire/src/store.rs
@@ -1,4 +1,4 @@
-//! The store's protocol: lines that end in CR LF, followed by bodies whose length the line states.
+//! The store's protocol: lines that end in CR LF. A line that states a length is followed by a body of that length.
 
 use crate::http::parse_decimal;
 use std::ops::Range;
@@ -37,7 +37,7 @@
     pub end: usize,
 }
 
-/// The bytes are not a reply; the bytes after them can't be trusted.
+/// An error for bytes that are not a reply. The start of the next reply is then unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a reply line")]
 pub struct Error;
@@ -46,7 +46,7 @@
 struct ReplyLine {
     request_id: Range<usize>,
     status: CallStatus,
-    /// The length of the body, if the status has one.
+    /// The length of the body, if replies with this status have one.
     body_length: Option<usize>,
 }
 
--- a/crates/heathspur-wire/tests/http.rs
+++ b/crates/heathspur-wire/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: in every split, at their limits, and invalid ones.
+//! Tests of HTTP/1.1 messages: split at every position, at their limits, and invalid.
 
 use heathspur_wire::http::*;
 
@@ -15,29 +15,30 @@
     read(bytes).unwrap_err()
 }
 
-const TWO: &[u8] =
+const TWO_REQUESTS: &[u8] =
     b"POST /svc/look HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 5\r\nX-Txn:  a b \r\n\r\nab\r\nc\
     GET /status/live HTTP/1.1\r\n\r\n";
 
 #[test]
-fn two_requests_are_read_alike_in_every_split() {
-    for split in 1..TWO.len() {
+fn pipelined_requests_split_anywhere_are_read_completely() {
+    for split in 1..TWO_REQUESTS.len() {
         let (mut reader, mut buffer, mut found) = (Reader::new(LIMITS), Vec::new(), Vec::new());
-        for part in [&TWO[..split], &TWO[split..]] {
+        for part in [&TWO_REQUESTS[..split], &TWO_REQUESTS[split..]] {
             buffer.extend_from_slice(part);
-            while let Some(m) = reader.read(&buffer).unwrap() {
-                let fields: Vec<_> = Fields::over(&buffer[m.fields.clone()])
-                    .map(|f| {
-                        f.map(|(n, v)| (n.to_ascii_lowercase(), v.to_vec()))
+            while let Some(message) = reader.read(&buffer).unwrap() {
+                let fields: Vec<_> = Fields::over(&buffer[message.fields.clone()])
+                    .map(|field| {
+                        field
+                            .map(|(name, value)| (name.to_ascii_lowercase(), value.to_vec()))
                             .unwrap()
                     })
                     .collect();
                 found.push((
-                    buffer[m.start_line.clone()].to_vec(),
+                    buffer[message.start_line.clone()].to_vec(),
                     fields,
-                    buffer[m.body.clone()].to_vec(),
+                    buffer[message.body.clone()].to_vec(),
                 ));
-                buffer.drain(..m.body.end);
+                buffer.drain(..message.body.end);
             }
         }
         assert!(buffer.is_empty(), "split at {split}");
@@ -58,12 +59,12 @@
 }
 
 #[test]
-fn requests_are_read_alike_byte_by_byte() {
+fn pipelined_requests_fed_byte_by_byte_are_read_completely() {
     let (mut reader, mut buffer, mut count) = (Reader::new(LIMITS), Vec::new(), 0);
-    for &byte in TWO {
+    for &byte in TWO_REQUESTS {
         buffer.push(byte);
-        if let Some(m) = reader.read(&buffer).unwrap() {
-            buffer.drain(..m.body.end);
+        if let Some(message) = reader.read(&buffer).unwrap() {
+            buffer.drain(..message.body.end);
             count += 1;
         }
     }
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_head_at_its_limit_is_accepted_and_a_larger_one_is_not() {
+fn head_at_limit_is_accepted_and_larger_head_is_rejected() {
     let head = |size: usize| {
         let start = "GET / HTTP/1.1\r\nA: ";
         format!("{start}{}\r\n\r\n", "x".repeat(size - start.len() - 4)).into_bytes()
@@ -84,21 +85,22 @@
 }
 
 #[test]
-fn a_body_at_its_limit_is_accepted_and_a_larger_one_is_not() {
-    let with = |n: usize| {
+fn body_at_limit_is_accepted_and_larger_body_is_rejected() {
+    let request_with_body = |length: usize| {
         format!(
-            "POST / HTTP/1.1\r\nContent-Length: {n}\r\n\r\n{}",
-            "b".repeat(n)
+            "POST / HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{}",
+            "b".repeat(length)
         )
         .into_bytes()
     };
-    assert_eq!(read(&with(64)).unwrap().unwrap().body.len(), 64);
-    assert_eq!(error(&with(65)), Error::BodyTooLarge);
+    let at_limit = read(&request_with_body(64)).unwrap().unwrap();
+    assert_eq!(at_limit.body.len(), 64);
+    assert_eq!(error(&request_with_body(65)), Error::BodyTooLarge);
     assert_eq!(Error::BodyTooLarge.status(), 413);
 }
 
 #[test]
-fn a_length_must_be_one_number() {
+fn invalid_or_repeated_content_length_is_rejected() {
     for bad in [
         "x",
         "-1",
@@ -170,7 +172,7 @@
 }
 
 #[test]
-fn the_close_option_is_found_among_others() {
+fn close_option_is_found_among_other_options() {
     assert!(has_close_option(Fields::over(
         b"connection: Keep-Alive , CLOSE\r\n"
     )));
@@ -189,13 +191,18 @@
         ConnectionOption::Close,
         b"\0\xff",
     );
-    let m = read(&out).unwrap().unwrap();
-    assert_eq!(status_line(&out[m.start_line.clone()]), Ok(503));
-    assert!(has_close_option(Fields::over(&out[m.fields.clone()])));
-    assert!(Fields::over(&out[m.fields.clone()]).any(|f| f == Ok((b"X-Throttle-Ms", b"250"))));
-    assert!(Fields::over(&out[m.fields.clone()]).any(|f| f == Ok((b"X-Capacity", b"0.125"))));
+    let response = read(&out).unwrap().unwrap();
+    assert_eq!(status_line(&out[response.start_line.clone()]), Ok(503));
+    let fields = Fields::over(&out[response.fields.clone()]);
+    assert!(has_close_option(fields.clone()));
+    assert!(fields
+        .clone()
+        .any(|field| field == Ok((b"X-Throttle-Ms", b"250"))));
+    assert!(fields
+        .clone()
+        .any(|field| field == Ok((b"X-Capacity", b"0.125"))));
     assert_eq!(
-        (&out[m.body.clone()], m.body.end),
+        (&out[response.body.clone()], response.body.end),
         (&b"\0\xff"[..], out.len())
     );
     out.clear();
@@ -206,17 +213,17 @@
         "host",
         br#"{"accepting":"true"}"#,
     );
-    let m = read(&out).unwrap().unwrap();
+    let request = read(&out).unwrap().unwrap();
     assert_eq!(
-        request_line(&out[m.start_line]),
+        request_line(&out[request.start_line]),
         Ok((&b"PUT"[..], &b"/announce/n3"[..]))
     );
-    assert_eq!(m.body.len(), 20);
+    assert_eq!(request.body.len(), 20);
 }
 
 #[test]
-fn random_bytes_never_panic_nor_wait_past_the_limits() {
-    let pieces: [&[u8]; 12] = [
+fn random_bytes_never_panic_or_exceed_limits() {
+    let tokens: [&[u8]; 12] = [
         b"POST ",
         b"/svc/x ",
         b"HTTP/1.1",
@@ -231,7 +238,7 @@
         b"a",
     ];
     let mut state = 7u64;
-    let mut draw = move || {
+    let mut next_random = move || {
         state = state
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
@@ -239,16 +246,17 @@
     };
     for _ in 0..20_000 {
         let (mut reader, mut buffer) = (Reader::new(LIMITS), Vec::new());
-        for _ in 0..draw() % 40 {
-            buffer.extend_from_slice(pieces[draw() % pieces.len()]);
+        for _ in 0..next_random() % 40 {
+            buffer.extend_from_slice(tokens[next_random() % tokens.len()]);
             match reader.read(&buffer) {
                 Err(_) => break,
                 Ok(None) => assert!(buffer.len() < LIMITS.head + LIMITS.body),
-                Ok(Some(m)) => {
-                    assert!(m.body.end <= buffer.len());
-                    let _ = request_line(&buffer[m.start_line.clone()]);
-                    assert!(Fields::over(&buffer[m.fields.clone()]).all(|f| f.is_ok()));
-                    buffer.drain(..m.body.end);
+                Ok(Some(message)) => {
+                    assert!(message.body.end <= buffer.len());
+                    let _ = request_line(&buffer[message.start_line.clone()]);
+                    let mut fields = Fields::over(&buffer[message.fields.clone()]);
+                    assert!(fields.all(|field| field.is_ok()));
+                    buffer.drain(..message.body.end);
                 }
             }
         }
--- a/crates/heathspur-wire/tests/links.rs
+++ b/crates/heathspur-wire/tests/links.rs
@@ -1,4 +1,4 @@
-//! The interpreter's messages and the store's lines: their form, limits, partial reads and invalid input.
+//! Tests of the interpreter's messages and the store's lines: format, limits, partial reads and invalid input.
 
 use heathspur_wire::interpreter::{self, Command, Notice, RunOutcome, Warmth};
 use heathspur_wire::store::{self, CallStatus};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn commands_have_the_form_of_the_protocol() {
+fn commands_are_written_in_protocol_format() {
     for (command, line) in [
         (Command::Connect(17), r#"{"verb":"CONNECT","index":17}"#),
         (
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn notices_are_parsed_from_the_form_of_the_protocol() {
+fn notices_are_parsed_from_protocol_format() {
     let read = |line: &'static str| interpreter::parse_notice(line.as_bytes()).unwrap();
     assert_eq!(
         read(r#"{"verb":"BANNER","outcome":"chilly","spent":12}"#),
@@ -167,31 +167,31 @@
     b"9b1f OK 4\r\n\r\n\0x\r\n77 BUSY\r\na ERR\r\nb LATE\r\nc VOID\r\nd OK 0\r\n\r\n";
 
 #[test]
-fn replies_are_parsed_alike_in_every_split() {
+fn replies_split_anywhere_are_parsed_completely() {
     for split in 0..=REPLIES.len() {
         let (mut buffer, mut found) = (Vec::new(), Vec::new());
         for part in [&REPLIES[..split], &REPLIES[split..]] {
             buffer.extend_from_slice(part);
-            while let Some(r) = store::parse_reply(&buffer).unwrap() {
+            while let Some(reply) = store::parse_reply(&buffer).unwrap() {
                 found.push((
-                    buffer[r.request_id.clone()].to_vec(),
-                    r.status,
-                    buffer[r.body.clone()].to_vec(),
+                    buffer[reply.request_id.clone()].to_vec(),
+                    reply.status,
+                    buffer[reply.body.clone()].to_vec(),
                 ));
-                buffer.drain(..r.end);
+                buffer.drain(..reply.end);
             }
         }
         assert!(buffer.is_empty(), "split at {split}");
-        let none = Vec::new;
+        let no_body = Vec::new;
         assert_eq!(
             found,
             vec![
                 (b"9b1f".to_vec(), CallStatus::Ok, b"\r\n\0x".to_vec()),
-                (b"77".to_vec(), CallStatus::Rejected, none()),
-                (b"a".to_vec(), CallStatus::Failed, none()),
-                (b"b".to_vec(), CallStatus::TimedOut, none()),
-                (b"c".to_vec(), CallStatus::NoRun, none()),
-                (b"d".to_vec(), CallStatus::Ok, none()),
+                (b"77".to_vec(), CallStatus::Rejected, no_body()),
+                (b"a".to_vec(), CallStatus::Failed, no_body()),
+                (b"b".to_vec(), CallStatus::TimedOut, no_body()),
+                (b"c".to_vec(), CallStatus::NoRun, no_body()),
+                (b"d".to_vec(), CallStatus::Ok, no_body()),
             ]
         );
     }
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn calls_have_the_form_of_the_protocol() {
+fn calls_are_written_in_protocol_format() {
     let mut out = Vec::new();
     store::write_call(&mut out, "9b1f", 250, b"\r\n\0");
     store::write_cancel(&mut out, "9b1f");
