--- a/crates/heathspur-record/src/conversation.rs
+++ b/crates/heathspur-record/src/conversation.rs
@@ -6,7 +6,7 @@
 use heathspur_capture::write::TcpConversation;
 use heathspur_capture::{Side, Stamp};
 
-/// Spreads connection ids over the sequence numbers: 2^32 divided by the golden ratio.
+/// Multiplier that spreads connection ids over the sequence numbers: 2^32 divided by the golden ratio.
 const SEQUENCE_MULTIPLIER: u32 = 0x9e37_79b9;
 
 /// A packet to be recorded.
@@ -15,7 +15,7 @@
     pub time: Stamp,
     /// The packet from its IP header on.
     pub bytes: Vec<u8>,
-    /// Empty for most packets.
+    /// The packet's comment in the file; empty for none.
     pub comment: String,
 }
 
@@ -33,16 +33,16 @@
 #[derive(Debug)]
 pub(crate) struct Conversation {
     tcp: TcpConversation,
-    /// The client's, then the server's.
+    /// The redactors of the client's and of the server's bytes, in this order.
     redactors: [Redactor; 2],
     /// The time of the latest event.
     pub last_event: Stamp,
 }
 
 impl Conversation {
-    /// A conversation at its start.
+    /// Creates a conversation at its start.
     pub fn new(connection: &ConnectionInfo, time: Stamp) -> Conversation {
-        // Different initial sequence numbers separate connections that use the same ports one after another.
+        // Different initial sequence numbers distinguish successive connections that use the same ports.
         let client_sequence = (connection.id as u32).wrapping_mul(SEQUENCE_MULTIPLIER);
         let sequences = [client_sequence, !client_sequence];
         Conversation {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// A conversation whose start was not recorded, and with it the position in the current messages.
+    /// Creates a conversation whose start was not recorded. The positions in the current messages are unknown, so all
+    /// bytes are overwritten if anything is redacted.
     pub fn without_start(connection: &ConnectionInfo, time: Stamp) -> Conversation {
         let mut conversation = Conversation::new(connection, time);
         for redactor in &mut conversation.redactors {
@@ -61,7 +62,7 @@
         conversation
     }
 
-    /// The packets that an event adds, in order.
+    /// Returns the packets that an event adds, in order.
     pub fn packets(&mut self, policy: &RedactionPolicy, event: &Event) -> Vec<Packet> {
         let time = event.time;
         self.last_event = self.last_event.max(time);
@@ -96,7 +97,8 @@
         self.segments(side, &released)
     }
 
-    /// Advances past bytes that were not recorded. What is buffered before them cannot be completed any more.
+    /// Advances past bytes that were not recorded. A message head that is buffered before them can't be completed, so
+    /// it is released now.
     fn skip(&mut self, side: Side, count: u64) -> Vec<Packet> {
         if count == 0 {
             return Vec::new();
@@ -120,7 +122,7 @@
         packets
     }
 
-    /// Releases what the redactor of a side has buffered.
+    /// Releases the bytes that the redactor of a side has buffered.
     fn flush(&mut self, side: Side) -> Vec<Packet> {
         let mut released = Vec::new();
         self.redactors[index(side)].lose_position(&mut released);
--- a/crates/heathspur-record/src/lib.rs
+++ b/crates/heathspur-record/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of traffic recording, without I/O and clocks.
+//! The logic of traffic recording, without I/O and clocks.
 //!
-//! [`recorder`] turns the bytes of connections into pcapng blocks, [`redaction`] overwrites bodies and named
-//! header fields before that, and [`rotation`] decides which file is written, which files are deleted and how
-//! recording resumes after a disk error.
+//! [`recorder`] encodes the bytes of connections as pcapng blocks, after [`redaction`] has overwritten bodies and
+//! named header fields. [`rotation`] decides which file is written, which files are deleted and how recording resumes
+//! after a disk error.
 #![forbid(unsafe_code)]
 
 pub mod recorder;
--- a/crates/heathspur-record/src/recorder.rs
+++ b/crates/heathspur-record/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Turns the events of connections into pcapng blocks.
+//! Encodes the events of connections as pcapng blocks.
 //!
 //! Each connection is written as a synthesised TCP conversation around the bytes that its peers exchanged.
 
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Connections that are tracked at once; beyond this the one idle for longest is evicted.
+/// The most connections that are tracked at once. Another one evicts the connection that was idle for longest.
 const MAX_CONNECTIONS: usize = 4096;
 
 /// Identity and addresses of a recorded connection.
@@ -21,13 +21,13 @@
     pub id: u64,
     /// The part of the server that the connection belongs to.
     pub leg: Leg,
-    /// Address of the peer that connected.
+    /// The address of the peer that opened the connection.
     pub client: SocketAddr,
-    /// Address that was connected to.
+    /// The address of the peer that accepted the connection.
     pub server: SocketAddr,
 }
 
-/// What happened on a connection.
+/// The kind of an event on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EventKind {
     /// The connection was established.
@@ -36,9 +36,9 @@
     Data {
         /// The sender.
         side: Side,
-        /// What it sent.
+        /// The bytes that it sent.
         bytes: Bytes,
-        /// Number of bytes that the sender sent before these and that were not recorded.
+        /// The number of bytes sent directly before these that were not recorded.
         skipped: u64,
     },
     /// The connection ended.
@@ -55,14 +55,14 @@
 pub struct Event {
     /// The connection.
     pub connection: ConnectionInfo,
-    /// When it happened.
+    /// The time of the event.
     pub time: Stamp,
-    /// What happened.
+    /// The kind of the event.
     pub kind: EventKind,
 }
 
 impl Event {
-    /// Approximate memory that the event occupies while it is queued, in bytes.
+    /// Returns the approximate memory that the event occupies while it is queued, in bytes.
     pub fn weight(&self) -> usize {
         let payload = match &self.kind {
             EventKind::Data { bytes, .. } => bytes.len(),
@@ -72,12 +72,12 @@
     }
 }
 
-/// Packet counts of one leg, as its interface statistics state them.
+/// Counters of one leg, which its interface statistics report.
 #[derive(Clone, Copy, Debug, Default)]
 struct LegCounters {
     recorded_packets: u64,
     dropped_events: u64,
-    /// The `dropped_events` of the last statistics block written because of drops.
+    /// The value of `dropped_events` in the last statistics block that was written because of drops.
     reported_drops: u64,
 }
 
@@ -87,12 +87,12 @@
     policy: RedactionPolicy,
     conversations: BTreeMap<u64, Conversation>,
     counters: [LegCounters; Leg::ALL.len()],
-    /// Number of connections evicted because too many were tracked.
+    /// The number of connections that were evicted because too many were tracked.
     pub evicted: u64,
 }
 
 impl Recorder {
-    /// Creates a recorder that has seen no connection.
+    /// Creates a recorder without connections.
     pub fn new(policy: RedactionPolicy) -> Recorder {
         Recorder {
             policy,
@@ -102,18 +102,18 @@
         }
     }
 
-    /// The blocks at the start of each file.
+    /// Returns the blocks at the start of each file.
     pub fn file_header(&self) -> Vec<u8> {
         write::ng_start(&Leg::ALL.map(Leg::name))
     }
 
-    /// Counts events of a leg that were dropped before they reached the recorder.
+    /// Adds to the number of events of a leg that were dropped before they reached the recorder.
     pub fn add_dropped(&mut self, leg: Leg, events: u64) {
         self.counters[leg as usize].dropped_events += events;
     }
 
-    /// Encodes an event as blocks, in order. Losses are marked by interface statistics, and by a comment on the
-    /// first packet after them.
+    /// Encodes an event as blocks, in order. Dropped events are reported in interface statistics, and bytes that were
+    /// not recorded in a comment on the first packet after them.
     pub fn encode(&mut self, event: &Event) -> Vec<u8> {
         let leg = event.connection.leg;
         let mut blocks = self.unreported_drops(leg, event.time);
@@ -124,7 +124,7 @@
         blocks
     }
 
-    /// The statistics of all legs, which end a file.
+    /// Returns the interface statistics of all legs, which end a file.
     pub fn final_statistics(&self, time: Stamp) -> Vec<u8> {
         Leg::ALL
             .into_iter()
@@ -132,7 +132,7 @@
             .collect()
     }
 
-    /// The statistics of a leg if events were dropped since they were last written.
+    /// Returns the statistics of a leg if events were dropped since the last report of drops.
     fn unreported_drops(&mut self, leg: Leg, time: Stamp) -> Vec<u8> {
         let counters = &mut self.counters[leg as usize];
         if counters.dropped_events <= counters.reported_drops {
@@ -170,8 +170,8 @@
         packets
     }
 
-    /// Makes room for one more connection. The linear search is rare: the limit on descriptors usually keeps
-    /// the server below [`MAX_CONNECTIONS`].
+    /// Evicts the least recently used connection if the table is full. The linear search is rare: the limit on file
+    /// descriptors usually keeps the server below [`MAX_CONNECTIONS`].
     fn evict_if_full(&mut self) {
         if self.conversations.len() < MAX_CONNECTIONS {
             return;
--- a/crates/heathspur-record/src/redaction.rs
+++ b/crates/heathspur-record/src/redaction.rs
@@ -1,8 +1,8 @@
 //! Overwrites message bodies and header fields that must not be recorded.
 //!
-//! Bytes are overwritten in place, so that lengths, and with them sequence numbers and times, stay the same.
-//! Truncated packets would be shorter, but readers would see gaps and lose the messages around them. Bytes
-//! that cannot be parsed as HTTP/1.1 are overwritten entirely, because they may contain anything.
+//! Bytes are overwritten in place, which preserves lengths, sequence numbers and times. Truncating packets would make
+//! recordings smaller, but readers would find gaps and lose the messages around them. Bytes that can't be parsed as
+//! HTTP/1.1 are all overwritten, because they may contain anything.
 
 use bytes::{Bytes, BytesMut};
 use heathspur_capture::Stamp;
@@ -13,20 +13,20 @@
 
 /// The longest message head that is buffered, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Replaces each redacted byte.
+/// The byte that replaces each redacted byte.
 const FILLER: u8 = b'x';
 
-/// What is overwritten in a recording.
+/// The parts of messages that are overwritten in a recording.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RedactionPolicy {
     /// Whether message bodies are overwritten.
     pub bodies: bool,
-    /// Names of the header fields whose values are overwritten, in any case.
+    /// Names of the header fields whose values are overwritten; not case-sensitive.
     pub fields: Vec<String>,
 }
 
 impl RedactionPolicy {
-    /// Whether nothing is overwritten.
+    /// Returns whether nothing is overwritten.
     pub fn is_empty(&self) -> bool {
         !self.bodies && self.fields.is_empty()
     }
@@ -38,12 +38,12 @@
     }
 }
 
-/// Bytes that may be recorded, and when they arrived.
+/// Redacted bytes with their arrival time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedBytes {
-    /// When they arrived.
+    /// The time at which the bytes arrived.
     pub time: Stamp,
-    /// The bytes, redacted.
+    /// The redacted bytes.
     pub bytes: Bytes,
 }
 
@@ -63,8 +63,8 @@
 pub struct Redactor {
     position: Position,
     buffer: BytesMut,
-    /// Lengths and arrival times of the pieces in the buffer.
-    pieces: VecDeque<(usize, Stamp)>,
+    /// The length and arrival time of each chunk in the buffer.
+    chunks: VecDeque<(usize, Stamp)>,
 }
 
 impl Default for Redactor {
@@ -72,13 +72,13 @@
         Redactor {
             position: Position::Head,
             buffer: BytesMut::new(),
-            pieces: VecDeque::new(),
+            chunks: VecDeque::new(),
         }
     }
 }
 
 impl Redactor {
-    /// Takes the next bytes and appends those that may be recorded now to `out`.
+    /// Processes the next bytes. Appends the bytes that are ready to be recorded to `out`.
     pub fn redact(
         &mut self,
         policy: &RedactionPolicy,
@@ -92,7 +92,7 @@
             return;
         }
         self.buffer.extend_from_slice(bytes);
-        self.pieces.push_back((bytes.len(), time));
+        self.chunks.push_back((bytes.len(), time));
         while !self.buffer.is_empty() {
             match self.position {
                 Position::Unknown => self.overwrite_buffer(out),
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Overwrites and releases the buffered bytes. Called where bytes are missing or none follow: from here on
-    /// the start of a message cannot be recognised.
+    /// Overwrites and releases the buffered bytes. Must be called where bytes are missing, and at the end of the
+    /// direction. All later bytes are overwritten, because the start of a message can't be recognised any more.
     pub fn lose_position(&mut self, out: &mut Vec<TimedBytes>) {
         self.overwrite_buffer(out);
         self.position = Position::Unknown;
@@ -151,18 +151,18 @@
         }
     }
 
-    /// Moves the first `count` buffered bytes to `out`, in the pieces in which they arrived.
+    /// Moves the first `count` buffered bytes to `out`, split as they arrived.
     fn release(&mut self, count: usize, out: &mut Vec<TimedBytes>) {
         let mut remaining = count;
         while remaining > 0 {
-            let Some((length, time)) = self.pieces.front_mut() else {
+            let Some((length, time)) = self.chunks.front_mut() else {
                 return;
             };
             let part = remaining.min(*length);
             let time = *time;
             *length -= part;
             if *length == 0 {
-                self.pieces.pop_front();
+                self.chunks.pop_front();
             }
             remaining -= part;
             let bytes = self.buffer.split_to(part).freeze();
@@ -178,8 +178,10 @@
     }
 }
 
-/// Parses a request or response head; `None` while it is incomplete. The server never writes responses whose
-/// body is chunked or ends with the connection, nor ones to HEAD requests.
+/// Parses the head of a request or response. Returns `None` while the head is incomplete.
+///
+/// No response is taken for one to a HEAD request. The server writes no responses to HEAD requests, and none whose body
+/// is chunked or ends with the connection.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, http::Error> {
     framing::parse_head(bytes, MAX_HEAD_BYTES, |line| {
         if line.starts_with(b"HTTP/1.") {
--- a/crates/heathspur-record/src/rotation.rs
+++ b/crates/heathspur-record/src/rotation.rs
@@ -1,54 +1,54 @@
-//! Rotation of recording files: which file is written, which are deleted, and the backoff after a disk error.
+//! Rotation of recording files: which file is written, which files are deleted, and the backoff after a disk error.
 //!
-//! Time is a monotonic number of milliseconds. File names carry the wall clock, so that they sort by age.
+//! Times are milliseconds of a monotonic clock. File names contain the wall clock time, so that they sort by age.
 
 use std::collections::BTreeSet;
 
-/// Delay before the first retry after a disk error; it doubles with each further error.
+/// The delay before the first retry after a disk error. It doubles with each further error.
 const INITIAL_BACKOFF_MS: u64 = 500;
-/// Upper bound on the delay between retries.
+/// The upper bound on the delay between retries.
 const MAX_BACKOFF_MS: u64 = 30_000;
 /// The extension of recording files.
 const EXTENSION: &str = ".pcapng";
-/// Length of the part of a file name between prefix and extension: 13 digits, a dash and 6 digits.
+/// The length of the part of a file name between prefix and extension: 13 digits, a dash and 6 digits.
 const TIME_AND_NUMBER_LEN: usize = 20;
-/// File numbers start again at 0 behind this many files, as names have six digits for them.
-const FILE_NUMBERS: u64 = 1_000_000;
+/// File numbers start again at 0 after this many files, because names have six digits for them.
+const FILE_NUMBER_COUNT: u64 = 1_000_000;
 
 /// Bounds on the size, age and number of files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes after which a file is closed; the block that reaches this size is still written to it.
+    /// The size after which a file is closed, in bytes. The block that reaches this size is still written to it.
     pub size: u64,
-    /// Age after which a file is closed, in milliseconds.
+    /// The age after which a file is closed, in milliseconds.
     pub age_ms: u64,
-    /// Number of files that are retained, including the open one.
+    /// The number of files that are retained, including the open one.
     pub keep: usize,
 }
 
-/// What the caller must do with the blocks that are ready to be written.
+/// The action that the caller must take with the blocks that are ready to be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileAction {
-    /// Write them to the open file.
+    /// Write the blocks to the open file.
     Write,
     /// Close the open file, delete the listed files, create a new one and report the outcome with
     /// [`FileRotation::file_created`] or [`FileRotation::write_failed`].
     Rotate {
-        /// Name of the file to create.
+        /// The name of the file to create.
         create: String,
-        /// Names of the files to delete, the oldest first.
+        /// The names of the files to delete, the oldest first.
         delete: Vec<String>,
     },
-    /// Drop them: there is no file while a retry is pending.
+    /// Drop the blocks: no file is open until the next retry.
     Drop,
 }
 
-/// A change that the operator's log should mention.
+/// A change of the recording's status that the caller should log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusChange {
     /// Recording has stopped because of a disk error.
     Stopped,
-    /// Recording has resumed; the number counts how often blocks were dropped meanwhile.
+    /// Recording has resumed. The number counts how many times blocks were dropped meanwhile.
     Resumed(u64),
 }
 
@@ -72,16 +72,17 @@
     prefix: String,
     limits: Limits,
     state: State,
-    /// Names of the recording's files in the directory, which sort by age.
+    /// The names of the recording's files in the directory. They sort by age.
     names: BTreeSet<String>,
     next_number: u64,
-    /// The latest wall clock time in a name: names sort by age even if the clock is set back.
+    /// The latest wall clock time in a name. No new name has an earlier one, so that names sort by age even if the
+    /// clock is set back.
     latest_unix_ms: u64,
 }
 
 impl FileRotation {
-    /// Starts without an open file. `prefix` distinguishes the files of this server from those of others;
-    /// `existing` are the names in the directory.
+    /// Creates the state without an open file. `prefix` distinguishes the files of this server from those of others;
+    /// `existing` are the names of all files in the directory.
     pub fn new(
         prefix: &str,
         limits: Limits,
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Decides what to do with blocks that are ready at `now_ms`. `unix_ms` goes into the name of a new file.
+    /// Decides what to do with blocks that are ready at `now_ms`. `unix_ms` is the wall clock time for the name of a
+    /// new file.
     pub fn next_action(&mut self, now_ms: u64, unix_ms: u64) -> FileAction {
         match &mut self.state {
             State::Open { since_ms, bytes }
@@ -141,10 +143,11 @@
         FileAction::Rotate { create, delete }
     }
 
-    /// The time has thirteen digits until the year 2286; the number separates files of one millisecond.
+    /// Returns the name of the next file. The time has thirteen digits until the year 2286; the number distinguishes
+    /// files of the same millisecond.
     fn next_name(&mut self) -> String {
         let unix_ms = self.latest_unix_ms;
-        let number = self.next_number % FILE_NUMBERS;
+        let number = self.next_number % FILE_NUMBER_COUNT;
         self.next_number += 1;
         format!("{}{unix_ms:013}-{number:06}{EXTENSION}", self.prefix)
     }
@@ -175,8 +178,8 @@
         }
     }
 
-    /// Reports that creating or writing a file failed. The file is not written to again, because its last
-    /// block may be incomplete.
+    /// Reports that creating or writing a file failed. The file is not written to again, because its last block may be
+    /// incomplete.
     pub fn write_failed(&mut self, now_ms: u64) -> Option<StatusChange> {
         let (backoff_ms, dropped, is_first) = match self.state {
             State::Failed {
@@ -195,7 +198,7 @@
     }
 }
 
-/// Whether a file name is one that [`FileRotation`] makes with this prefix.
+/// Returns whether [`FileRotation`] makes file names of this form with this prefix.
 fn is_recording(prefix: &str, name: &str) -> bool {
     let time_and_number = name
         .strip_prefix(prefix)
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -1,4 +1,5 @@
-//! Recordings read back: what was said comes out as it was said, or overwritten, and losses are marked.
+//! Tests that write recordings and read them back: bytes are recorded unchanged or redacted, and losses are marked.
+//! Also tests the rotation of files.
 
 use bytes::Bytes;
 use heathspur_capture::reassembly::{End, Event as Read, Start};
@@ -28,7 +29,7 @@
     }
 }
 
-fn said(side: Side, bytes: &[u8]) -> EventKind {
+fn data(side: Side, bytes: &[u8]) -> EventKind {
     EventKind::Data {
         side,
         bytes: Bytes::copy_from_slice(bytes),
@@ -46,16 +47,17 @@
     file
 }
 
-/// A connection with a request in pieces, its answer, another request, and its end.
+/// Returns the events of a connection with a split request, its response, another request with its response, and a
+/// close.
 fn conversation() -> Vec<Event> {
     let (first, second) = (request(1, b"4929001234567890"), request(2, b""));
     vec![
         event(1, 0, EventKind::Opened),
-        event(1, 5, said(Side::Client, &first[..30])),
-        event(1, 9, said(Side::Client, &first[30..])),
-        event(1, 20, said(Side::Server, &answer(200, b"approved"))),
-        event(1, 30, said(Side::Client, &second)),
-        event(1, 31, said(Side::Server, &answer(503, b""))),
+        event(1, 5, data(Side::Client, &first[..30])),
+        event(1, 9, data(Side::Client, &first[30..])),
+        event(1, 20, data(Side::Server, &answer(200, b"approved"))),
+        event(1, 30, data(Side::Client, &second)),
+        event(1, 31, data(Side::Server, &answer(503, b""))),
         event(
             1,
             40,
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn what_was_said_comes_back_byte_for_byte_with_its_times_and_its_end() {
+fn unredacted_recording_reads_back_with_same_bytes_times_and_end() {
     let read = read(
         &recorded(RedactionPolicy::default(), &conversation()),
         Options {
@@ -80,7 +82,7 @@
     let requests: Vec<_> = read
         .requests
         .iter()
-        .map(|(_, _, m)| m.bytes.to_vec())
+        .map(|(_, _, message)| message.bytes.to_vec())
         .collect();
     assert_eq!(requests, [request(1, b"4929001234567890"), request(2, b"")]);
     let first = &read.requests[0].2;
@@ -88,13 +90,13 @@
         (first.first.0 - START, first.last.0 - START),
         (5 * MS, 9 * MS)
     );
-    let answers: Vec<_> = read
+    let responses: Vec<_> = read
         .answers
         .iter()
-        .map(|(_, to, m)| (*to, m.status(), m.body().to_vec()))
+        .map(|(_, to, message)| (*to, message.status(), message.body().to_vec()))
         .collect();
     assert_eq!(
-        answers,
+        responses,
         [
             (Some(0), Some(200), b"approved".to_vec()),
             (Some(1), Some(503), Vec::new())
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn a_reset_comes_back_as_one() {
+fn recorded_reset_reads_back_as_reset() {
     let mut events = conversation();
     *events.last_mut().unwrap() = event(
         1,
@@ -147,26 +149,26 @@
 }
 
 #[test]
-fn bodies_and_named_fields_are_overwritten_however_the_bytes_came() {
-    let whole: Vec<u8> = (0..3)
-        .flat_map(|n| request(n, b"4929001234567890"))
+fn bodies_and_named_fields_are_redacted_for_any_split() {
+    let requests: Vec<u8> = (0..3)
+        .flat_map(|number| request(number, b"4929001234567890"))
         .collect();
-    let reply: Vec<u8> = (0..3)
+    let responses: Vec<u8> = (0..3)
         .flat_map(|_| answer(200, b"4929001234567890"))
         .collect();
     let policy = RedactionPolicy {
         bodies: true,
         fields: vec!["x-TXN".into()],
     };
-    for piece in [1, 7, 60, 1000] {
+    for chunk_size in [1, 7, 60, 1000] {
         let mut events = vec![event(1, 0, EventKind::Opened)];
-        for (n, part) in whole.chunks(piece).enumerate() {
-            events.push(event(1, 1 + n as u64, said(Side::Client, part)));
+        for (position, part) in requests.chunks(chunk_size).enumerate() {
+            events.push(event(1, 1 + position as u64, data(Side::Client, part)));
         }
         events.extend(
-            reply
-                .chunks(piece)
-                .map(|part| event(1, 900, said(Side::Server, part))),
+            responses
+                .chunks(chunk_size)
+                .map(|part| event(1, 900, data(Side::Server, part))),
         );
         events.push(event(
             1,
@@ -177,33 +179,40 @@
             },
         ));
         let file = recorded(policy.clone(), &events);
-        assert!(!file.windows(4).any(|four| four == b"4929"), "{piece}");
+        assert!(
+            !file.windows(4).any(|bytes| bytes == b"4929"),
+            "{chunk_size}"
+        );
         let read = read(&file, Options::default(), 1000);
-        assert_eq!((read.requests.len(), read.answers.len()), (3, 3), "{piece}");
+        assert_eq!(
+            (read.requests.len(), read.answers.len()),
+            (3, 3),
+            "{chunk_size}"
+        );
         for (_, _, message) in &read.requests {
             assert_eq!(message.body(), b"xxxxxxxxxxxxxxxx");
             assert_eq!(message.field("X-Txn").unwrap(), b"xxxxxxxxxxxxxxxx");
             assert_eq!(message.bytes.len(), request(0, b"4929001234567890").len());
         }
-        // Held back or not, a byte keeps the time at which it came.
+        // A byte keeps its arrival time even if it was buffered.
         assert_eq!(read.requests[0].2.first.0, START + MS);
     }
 }
 
 #[test]
-fn what_is_no_http_is_overwritten_whole_and_so_is_what_follows_a_loss() {
+fn non_http_bytes_and_bytes_after_loss_are_all_redacted() {
     let policy = RedactionPolicy {
         bodies: true,
         fields: Vec::new(),
     };
     let secret = b"PAN=4929001234567890 and more of the like\r\n\r\n";
-    let mut after = event(2, 3, said(Side::Client, b"4929001234567890"));
-    if let EventKind::Data { skipped, .. } = &mut after.kind {
+    let mut after_loss = event(2, 3, data(Side::Client, b"4929001234567890"));
+    if let EventKind::Data { skipped, .. } = &mut after_loss.kind {
         *skipped = 70;
     }
     let events = [
         event(1, 0, EventKind::Opened),
-        event(1, 1, said(Side::Client, secret)),
+        event(1, 1, data(Side::Client, secret)),
         event(
             1,
             2,
@@ -213,8 +222,8 @@
             },
         ),
         event(2, 0, EventKind::Opened),
-        event(2, 1, said(Side::Client, &request(1, b"")[..40])),
-        after,
+        event(2, 1, data(Side::Client, &request(1, b"")[..40])),
+        after_loss,
         event(
             2,
             4,
@@ -223,11 +232,11 @@
                 reset: false,
             },
         ),
-        // The start of this one was left out.
-        event(3, 5, said(Side::Server, b"4929001234567890 HTTP/1.1")),
+        // The start of this connection was not recorded.
+        event(3, 5, data(Side::Server, b"4929001234567890 HTTP/1.1")),
     ];
     let file = recorded(policy, &events);
-    assert!(!file.windows(4).any(|four| four == b"4929"));
+    assert!(!file.windows(4).any(|bytes| bytes == b"4929"));
     assert!(file
         .windows(24)
         .any(|text| text == b"70 bytes before this pac"));
@@ -236,22 +245,22 @@
 }
 
 #[test]
-fn losses_stand_in_the_statistics_of_their_interface() {
+fn dropped_events_are_reported_once_in_interface_statistics() {
     let mut recorder = Recorder::new(RedactionPolicy::default());
-    let quiet = recorder.encode(&event(1, 0, EventKind::Opened)).len();
+    let len_without_drops = recorder.encode(&event(1, 0, EventKind::Opened)).len();
     recorder.add_dropped(Leg::Front, 7);
-    let marked = recorder.encode(&event(2, 1, EventKind::Opened));
+    let after_drops = recorder.encode(&event(2, 1, EventKind::Opened));
     let statistics = heathspur_capture::write::ng_statistics(0, Stamp(START + MS), 3 + 7, 7);
-    assert!(marked.starts_with(&statistics));
-    assert_eq!(marked.len(), quiet + statistics.len());
+    assert!(after_drops.starts_with(&statistics));
+    assert_eq!(after_drops.len(), len_without_drops + statistics.len());
     assert_eq!(
         recorder.encode(&event(3, 2, EventKind::Opened)).len(),
-        quiet
+        len_without_drops
     );
 }
 
 #[test]
-fn any_bytes_in_any_pieces_come_back_as_they_went_in_or_as_long() {
+fn random_bytes_read_back_unchanged_or_redacted_to_same_length() {
     let config = Config {
         cases: 200,
         failure_persistence: None,
@@ -259,7 +268,8 @@
     };
     let mut cases =
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]));
-    let piece = (any::<bool>(), prop::collection::vec(any::<u8>(), 1..80));
+    // The sender of a chunk, which is the client if true, and its bytes.
+    let chunk = (any::<bool>(), prop::collection::vec(any::<u8>(), 1..80));
     let start = prop::sample::select(vec![
         request(1, b"abc"),
         answer(200, b"abc"),
@@ -268,17 +278,21 @@
     ]);
     cases
         .run(
-            &(start, prop::collection::vec(piece, 0..30), any::<bool>()),
-            |(start, pieces, bodies)| {
+            &(start, prop::collection::vec(chunk, 0..30), any::<bool>()),
+            |(start, chunks, redact_bodies)| {
                 let mut events = vec![event(1, 0, EventKind::Opened)];
                 if !start.is_empty() {
-                    events.push(event(1, 0, said(Side::Client, &start)));
+                    events.push(event(1, 0, data(Side::Client, &start)));
                 }
                 let mut sent = [start.clone(), Vec::new()];
-                for (n, (client, bytes)) in pieces.iter().enumerate() {
-                    let side = if *client { Side::Client } else { Side::Server };
-                    sent[usize::from(!client)].extend(bytes);
-                    events.push(event(1, n as u64, said(side, bytes)));
+                for (position, (from_client, bytes)) in chunks.iter().enumerate() {
+                    let side = if *from_client {
+                        Side::Client
+                    } else {
+                        Side::Server
+                    };
+                    sent[usize::from(!from_client)].extend(bytes);
+                    events.push(event(1, position as u64, data(side, bytes)));
                 }
                 events.push(event(
                     1,
@@ -290,7 +304,7 @@
                 ));
                 let file = recorded(
                     RedactionPolicy {
-                        bodies,
+                        bodies: redact_bodies,
                         fields: Vec::new(),
                     },
                     &events,
@@ -304,20 +318,20 @@
                     assembler.segment(&frames.segment(&packet).unwrap());
                 }
                 assembler.finish();
-                let mut got = [Vec::new(), Vec::new()];
-                while let Some(found) = assembler.take() {
-                    prop_assert!(!matches!(found, Read::Hole { .. }), "a hole");
-                    if let Read::Bytes { side, bytes, .. } = found {
-                        got[usize::from(side == Side::Server)].extend_from_slice(&bytes);
+                let mut recorded = [Vec::new(), Vec::new()];
+                while let Some(event) = assembler.take() {
+                    prop_assert!(!matches!(event, Read::Hole { .. }), "a hole");
+                    if let Read::Bytes { side, bytes, .. } = event {
+                        recorded[usize::from(side == Side::Server)].extend_from_slice(&bytes);
                     }
                 }
-                for (got, sent) in got.iter().zip(&sent) {
-                    prop_assert_eq!(got.len(), sent.len());
-                    prop_assert!(bodies || got == sent);
-                    prop_assert!(got
+                for (recorded, sent) in recorded.iter().zip(&sent) {
+                    prop_assert_eq!(recorded.len(), sent.len());
+                    prop_assert!(redact_bodies || recorded == sent);
+                    prop_assert!(recorded
                         .iter()
                         .zip(sent)
-                        .all(|(got, sent)| got == sent || *got == b'x'));
+                        .all(|(recorded, sent)| recorded == sent || *recorded == b'x'));
                 }
                 Ok(())
             },
@@ -331,23 +345,23 @@
     keep: 3,
 };
 
-fn make(step: FileAction) -> (String, Vec<String>) {
-    match step {
+fn expect_rotation(action: FileAction) -> (String, Vec<String>) {
+    match action {
         FileAction::Rotate { create, delete } => (create, delete),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn files_change_by_size_and_by_age_and_the_oldest_go() {
-    let there = [
+fn files_rotate_by_size_and_age_and_oldest_are_deleted() {
+    let existing = [
         "n1-0000000000005-000000.pcapng",
         "n1-0000000000004-000000.pcapng",
         "n1-notes.txt",
         "n2-0000000000001-000000.pcapng",
     ];
-    let mut files = FileRotation::new("n1", LIMITS, there.map(String::from));
-    let (first, delete) = make(files.next_action(0, 100));
+    let mut files = FileRotation::new("n1", LIMITS, existing.map(String::from));
+    let (first, delete) = expect_rotation(files.next_action(0, 100));
     assert_eq!(
         (&first[..], delete.len()),
         ("n1-0000000000100-000000.pcapng", 0)
@@ -355,49 +369,49 @@
     assert_eq!(files.file_created(0, &first, 300), None);
     assert_eq!(files.next_action(10, 110), FileAction::Write);
     files.bytes_written(700);
-    // Full by size: the oldest of three others goes.
-    let (second, delete) = make(files.next_action(20, 120));
+    // The file has reached its size. With the new file there are four, so the oldest is deleted.
+    let (second, delete) = expect_rotation(files.next_action(20, 120));
     assert_eq!(delete, ["n1-0000000000004-000000.pcapng"]);
     files.file_deleted(&delete[0]);
     files.file_created(20, &second, 300);
     assert_eq!(files.next_action(5019, 5119), FileAction::Write);
-    // Old; and the wall clock went back an hour, which makes the new one no older.
-    let (third, delete) = make(files.next_action(5020, 50));
+    // The file has reached its age. The wall clock was set back, but the new name still sorts last.
+    let (third, delete) = expect_rotation(files.next_action(5020, 50));
     assert_eq!(delete, ["n1-0000000000005-000000.pcapng"]);
     assert!(third > second, "{third} {second}");
 }
 
 #[test]
-fn a_failing_disk_stops_recording_and_it_resumes_by_itself_with_one_line_each() {
+fn disk_error_stops_recording_until_retry_succeeds_with_one_report_each() {
     let mut files = FileRotation::new("n1", LIMITS, []);
-    make(files.next_action(0, 0));
+    expect_rotation(files.next_action(0, 0));
     assert_eq!(files.write_failed(0), Some(StatusChange::Stopped));
-    let (mut now, mut retries, mut left_out) = (0, 0, 0);
+    let (mut now, mut retries, mut dropped) = (0, 0, 0);
     while now < 100_000 {
         now += 100;
         match files.next_action(now, now) {
-            FileAction::Drop => left_out += 1,
+            FileAction::Drop => dropped += 1,
             FileAction::Rotate { .. } => {
                 retries += 1;
                 assert_eq!(files.write_failed(now), None, "only the first is reported");
             }
-            FileAction::Write => panic!("nothing is open"),
+            FileAction::Write => panic!("no file is open"),
         }
     }
-    // 0.5, 1, 2, 4, 8, 16 and then every 30 s.
+    // The delays are 0.5, 1, 2, 4, 8 and 16 s, and 30 s from then on.
     assert!((7..=9).contains(&retries), "{retries}");
     let name = loop {
         now += 100;
         match files.next_action(now, now) {
-            FileAction::Drop => left_out += 1,
-            step => break make(step).0,
+            FileAction::Drop => dropped += 1,
+            action => break expect_rotation(action).0,
         }
     };
     assert_eq!(
         files.file_created(now, &name, 10),
-        Some(StatusChange::Resumed(left_out + retries + 1))
+        Some(StatusChange::Resumed(dropped + retries + 1))
     );
-    // A write that fails in the middle closes the file; the next retry is soon again.
+    // A failed write closes the file, and the backoff starts again at its initial delay.
     assert_eq!(files.write_failed(now), Some(StatusChange::Stopped));
     assert!(matches!(
         files.next_action(now + 500, now),
--- a/crates/heathspur-record/tests/stored_format.rs
+++ b/crates/heathspur-record/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of a recording are a stored format: tools read files of earlier versions, so a fixed conversation
-//! must give exactly the same bytes as before.
+//! Guards the stored format of recordings: tools also read files of earlier versions, so a fixed conversation must
+//! always be encoded as the same bytes.
 
 use bytes::Bytes;
 use heathspur_capture::{Side, Stamp};
@@ -7,7 +7,7 @@
 use heathspur_record::redaction::RedactionPolicy;
 use heathspur_testkit::capture::{answer, request, MS, START};
 
-/// 64-bit FNV-1a, which is short and the same on all platforms.
+/// Returns the 64-bit FNV-1a hash, which is short to implement and the same on all platforms.
 fn fnv1a(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -39,7 +39,8 @@
     }
 }
 
-/// Opened, pieces of messages, a long body, lost bytes, both kinds of end, and a connection without a start.
+/// Returns events of three connections: split messages, a long body, lost bytes, a close, a reset, and a connection
+/// whose start was not recorded.
 fn conversation() -> Vec<Event> {
     let (first, long) = (request(1, b"4929001234567890"), request(2, &[b'7'; 40_000]));
     let closed = |by, reset| EventKind::Closed { by, reset };
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn recordings_without_redaction_keep_their_bytes() {
+fn recording_without_redaction_has_unchanged_bytes() {
     let file = recording(RedactionPolicy::default());
     assert_eq!(
         (file.len(), fnv1a(&file)),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn redacted_recordings_keep_their_bytes() {
+fn redacted_recording_has_unchanged_bytes() {
     let file = recording(RedactionPolicy {
         bodies: true,
         fields: vec!["x-TXN".into()],
