--- a/crates/heathspur-config/src/error.rs
+++ b/crates/heathspur-config/src/error.rs
@@ -1,9 +1,9 @@
-//! Errors in a file.
+//! Errors of configuration files.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a file can't be used.
+/// The reason why a file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -23,7 +23,7 @@
         line: usize,
         /// The element, or its attribute as `element@attribute`.
         element: String,
-        /// The invalid value, and the expected one.
+        /// What is wrong, and the expected value.
         reason: String,
     },
 }
@@ -33,7 +33,7 @@
 pub struct InvalidValue {
     /// The path of the element or attribute, such as `record.mask[1].@header`; empty for the root.
     pub path: String,
-    /// The expected value.
+    /// What is wrong, and the expected value.
     pub reason: String,
 }
 
--- a/crates/heathspur-config/src/failover.rs
+++ b/crates/heathspur-config/src/failover.rs
@@ -1,4 +1,4 @@
-//! Failover between zones: the dependency's replicas, and the hysteresis of a zone's decisions.
+//! Configuration of failover between zones: the dependency's replicas, and the hysteresis of a zone's decisions.
 
 use crate::members::MAX_NAME_BYTES;
 use crate::units::Span;
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Calls go to the own zone's replica while that is safe, and fail over together with the zone. Off if the element is
-/// missing; requires `members`.
+/// Failover of calls to the dependency between zones. Calls go to the replica of the server's own zone while that is
+/// safe; the servers of a zone fail over together. Off if the element is missing; requires `members`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Failover {
-    /// The minimum time that a decision holds; 1 s to 10 min.
+    /// The minimum time for which a decision stays in force; 1 s to 10 min.
     #[serde(rename = "@dwell", default = "default_minimum_hold")]
     pub minimum_hold: Span,
     /// How long a worse level must be observed before a failover; 100 ms to 1 min.
@@ -21,10 +21,10 @@
     /// How long a better level must be observed before a recovery; 100 ms to 10 min.
     #[serde(rename = "@back", default = "default_recovery_delay")]
     pub recovery_delay: Span,
-    /// The interval of health checks, by a connection, of a replica without calls; 100 ms to 1 min.
+    /// The interval of health checks of a replica without calls, each of which opens a connection; 100 ms to 1 min.
     #[serde(rename = "@check", default = "default_health_check_interval")]
     pub health_check_interval: Span,
-    /// The dependency's replicas, one a zone; 2 to 32. They replace the platform's `store`.
+    /// The dependency's replicas, one per zone; 2 to 32. They replace the store from the platform's settings.
     #[serde(default)]
     pub replica: Vec<Replica>,
 }
@@ -36,7 +36,7 @@
     /// The zone of the replica.
     #[serde(rename = "@zone")]
     pub zone: String,
-    /// Its address (IPv4).
+    /// The replica's address (IPv4).
     #[serde(rename = "@address")]
     pub address: SocketAddr,
 }
@@ -58,7 +58,7 @@
 }
 
 impl Failover {
-    /// The index of the zone's replica.
+    /// Returns the index of the zone's replica.
     pub fn replica_of(&self, zone: &str) -> Option<usize> {
         self.replica.iter().position(|replica| replica.zone == zone)
     }
@@ -67,7 +67,7 @@
         let Some(members) = members else {
             return invalid(
                 "",
-                "an element `members` is expected beside it: zones decide by the fleet's view",
+                "an element `members` is expected with it, because zones decide by the members' view of the fleet",
             );
         };
         if !(2..=32).contains(&self.replica.len()) {
@@ -80,7 +80,7 @@
             let zone = &members.zone;
             return invalid(
                 "",
-                &format!("a replica of the own zone, `{zone}`, is expected"),
+                &format!("a replica of the server's own zone, `{zone}`, is expected"),
             );
         }
         self.check_delays()
@@ -93,7 +93,7 @@
             return invalid(&path("zone"), "1 to 48 bytes are expected");
         }
         if self.replica_of(&replica.zone) != Some(index) {
-            return invalid(&path("zone"), "one replica a zone is expected");
+            return invalid(&path("zone"), "one replica per zone is expected");
         }
         if !replica.address.is_ipv4() {
             return invalid(&path("address"), "an IPv4 address is expected");
--- a/crates/heathspur-config/src/http2.rs
+++ b/crates/heathspur-config/src/http2.rs
@@ -1,4 +1,4 @@
-//! The port for HTTP/2.
+//! Configuration of the HTTP/2 port.
 
 use crate::units::{Size, Span, GIB, KIB, MIB};
 use crate::InvalidValue;
@@ -7,16 +7,16 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Memory of an open request besides its body: its place in the tables.
+/// The memory that an open request uses in addition to its body: its entries in the server's tables.
 const REQUEST_OVERHEAD_BYTES: u64 = 1024;
-/// HTTP/2 uses at most this part of the process's memory: a half.
-const PART_OF_PROCESS_MEMORY: u64 = 2;
+/// HTTP/2 uses at most the process's memory divided by this number.
+const PROCESS_TO_HTTP2_MEMORY_RATIO: u64 = 2;
 
-/// HTTP/2 without TLS on a port of its own.
+/// HTTP/2 without TLS on a separate port. Off if the element is missing.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Http2 {
-    /// The address for connections.
+    /// The address on which the server accepts connections.
     #[serde(rename = "@listen")]
     pub listen: SocketAddr,
     /// Limits on concurrent streams.
@@ -28,7 +28,7 @@
     /// Limits on buffers.
     #[serde(default)]
     pub memory: Memory,
-    /// Timeouts of clients.
+    /// Timeouts for slow clients.
     #[serde(rename = "patience", default)]
     pub client_timeouts: ClientTimeouts,
 }
@@ -37,10 +37,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Streams {
-    /// Streams of one connection; 1 to 10,000, and no more than `all`.
+    /// The maximum number of streams of one connection; 1 to 10,000, and at most `all`.
     #[serde(rename = "@connection")]
     pub connection: u32,
-    /// Streams of all connections; 1 to 10,000.
+    /// The maximum number of streams of all connections; 1 to 10,000.
     #[serde(rename = "@all")]
     pub all: u32,
 }
@@ -58,13 +58,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Request {
-    /// The size of the field section as HTTP/2 counts it (RFC 9113, section 6.5.2); 1 KiB to 64 KiB.
+    /// The maximum size of the field section as HTTP/2 counts it (RFC 9113, section 6.5.2); 1 KiB to 64 KiB.
     #[serde(rename = "@header-list")]
     pub header_list: Size,
-    /// The size of the body; 1 KiB to 64 KiB.
+    /// The maximum size of the body; 1 KiB to 64 KiB.
     #[serde(rename = "@body")]
     pub body: Size,
-    /// The timeout to receive a complete request, and the preface of a new connection; 100 ms to 60 s.
+    /// The timeout for a complete request, and for the preface of a new connection; 100 ms to 60 s.
     #[serde(rename = "@whole")]
     pub receive_timeout: Span,
 }
@@ -86,7 +86,7 @@
     /// Unread responses of all connections, including those of HTTP/1.1; 64 KiB to 1 GiB.
     #[serde(rename = "@answers")]
     pub responses: Size,
-    /// Unread responses of one connection; 16 KiB or more, and no more than of all.
+    /// Unread responses of one connection; 16 KiB to 1 GiB, and at most `responses`.
     #[serde(rename = "@connection")]
     pub connection: Size,
     /// The protocol's send buffer of one stream; 16 KiB to 1 MiB.
@@ -108,11 +108,11 @@
     }
 }
 
-/// Timeouts of clients.
+/// Timeouts for slow clients.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientTimeouts {
-    /// How long a response may stay unread, and a connection make no progress; 100 ms to 60 s.
+    /// The time for which a response may stay unread, and a connection may make no progress; 100 ms to 60 s.
     #[serde(rename = "@stalled")]
     pub stalled: Span,
     /// The time allowed for a round trip when a connection drains; 10 ms to 10 s.
@@ -130,7 +130,7 @@
 }
 
 impl Http2 {
-    /// The most memory that HTTP/2 can use, in bytes: unread responses, receive windows and open requests.
+    /// Returns the maximum memory that HTTP/2 can use, in bytes: unread responses, receive windows and open requests.
     pub fn max_memory(&self) -> u64 {
         let request = self.request.body.0 + REQUEST_OVERHEAD_BYTES;
         let open_requests = u64::from(self.streams.all).saturating_mul(request);
@@ -168,14 +168,14 @@
             return Ok(());
         };
         let used = Size(self.max_memory());
-        let limit = Size(process_memory / PART_OF_PROCESS_MEMORY);
+        let limit = Size(process_memory / PROCESS_TO_HTTP2_MEMORY_RATIO);
         if used <= limit {
             return Ok(());
         }
         invalid(
             "memory",
             format!(
-                "{used} in all, with the streams, where {limit} at most is expected, half of the process's memory"
+                "{used} in total, including streams, where at most {limit} is expected, half of the process's memory"
             ),
         )
     }
@@ -195,7 +195,7 @@
             let all = self.all;
             return invalid(
                 "streams.@connection",
-                format!("{all} at most is expected, as many as of all"),
+                format!("at most {all} streams of one connection are expected, the value of streams@all"),
             );
         }
         Ok(())
@@ -235,7 +235,9 @@
             let (connection, all) = (self.connection, self.responses);
             return invalid(
                 "memory.@connection",
-                format!("{connection} of one connection, where {all} at most is expected, as much as of all"),
+                format!(
+                    "{connection} of one connection where at most {all} is expected, the value of memory@answers"
+                ),
             );
         }
         Ok(())
@@ -245,7 +247,7 @@
 /// The accepted sizes of an attribute.
 struct SizeRange {
     range: RangeInclusive<u64>,
-    /// The range as errors show it.
+    /// The range as shown in errors.
     text: &'static str,
 }
 
--- a/crates/heathspur-config/src/lib.rs
+++ b/crates/heathspur-config/src/lib.rs
@@ -4,7 +4,7 @@
 //! and attributes are rejected, and every error names the file, the line, the element and the expected value. The
 //! platform's own settings are JSON and are not read here.
 //!
-//! [`parse`] and [`read_text`] also serve other files of the same form.
+//! [`parse`] and [`read_text`] also read other XML files in the same way.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/heathspur-config/src/locations/mod.rs
+++ b/crates/heathspur-config/src/locations/mod.rs
@@ -1,4 +1,5 @@
-//! The lines of elements and attributes, for errors that name only a path.
+//! The line of each element and attribute. Errors of deserialization and validation have only a path, from which the
+//! line is looked up.
 
 mod scanner;
 
@@ -7,12 +8,12 @@
 use scanner::Scanner;
 use std::collections::BTreeMap;
 
-/// The place of an error in the text.
+/// The location of an error in the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Location {
-    /// From 1.
+    /// The line, from 1.
     pub line: usize,
-    /// `element` or `element@attribute`.
+    /// The name of the element, or of the attribute as `element@attribute`.
     pub element: String,
 }
 
@@ -35,15 +36,15 @@
     }
 }
 
-/// The line of each element and attribute by its path below the root: `record.mask[1].@header`. The first element of a
-/// name has no index.
+/// The line of each element and attribute by its path below the root, such as `record.mask[1].@header`. The first of
+/// several siblings with the same name has no index.
 pub(crate) struct Locations {
     lines: BTreeMap<String, usize>,
     root: &'static str,
 }
 
 impl Locations {
-    /// Scans the text and checks its structure.
+    /// Scans the text and validates its structure.
     pub fn scan(text: &str, root: &'static str) -> Result<Locations, StructureError> {
         let mut scanner = Scanner::new(text, root);
         let mut reader = Reader::from_str(text);
@@ -64,13 +65,13 @@
         }
     }
 
-    /// The location of a path.
+    /// Returns the location of a path, or of its nearest ancestor in the text.
     pub fn find(&self, path: &str) -> Location {
         self.find_nearest(&path.replace("[0]", ""))
     }
 
-    /// The location of a deserialization error at a path. An unknown or duplicate element or attribute is searched for
-    /// below the path, by the name that the error quotes.
+    /// Returns the location of a deserialization error at a path. Looks for an unknown or duplicate element or
+    /// attribute below the path, by the name that the error quotes.
     pub fn find_error(&self, path: &str, reason: &str) -> Location {
         let path = if path == "." { "" } else { path };
         let path = path.replace("[0]", "");
@@ -91,7 +92,7 @@
         self.get(&join(parent, name)).or_else(|| self.get(parent))
     }
 
-    /// The location of the path, or of its nearest ancestor in the text.
+    /// Returns the location of the path, or of its nearest ancestor in the text.
     fn find_nearest(&self, path: &str) -> Location {
         let mut path = path;
         loop {
@@ -118,15 +119,15 @@
     }
 }
 
-/// Replaces serde's names for attributes, text and fields by those of XML.
-pub(crate) fn plain_reason(reason: &str) -> String {
+/// Replaces serde's terms for attributes, text and fields by those of XML.
+pub(crate) fn xml_reason(reason: &str) -> String {
     reason
         .replace("`@", "`")
         .replace("field `$text`", "text")
         .replace("unknown field", "unknown element or attribute")
 }
 
-/// The name in backquotes that follows the prefix.
+/// Returns the rest of the name whose opening backquote ends the prefix.
 fn quoted_after<'a>(reason: &'a str, prefix: &str) -> Option<&'a str> {
     reason.strip_prefix(prefix)?.split('`').next()
 }
@@ -139,7 +140,7 @@
     }
 }
 
-/// The name of the element at a path, without its index.
+/// Returns the name of the element at a path, without its index.
 fn element_name<'a>(path: &'a str, root: &'a str) -> &'a str {
     let name = path.rsplit('.').next().unwrap_or(path);
     let name = name.split('[').next().unwrap_or(name);
@@ -150,7 +151,7 @@
     }
 }
 
-/// `element` or `element@attribute`.
+/// Returns the name of a path in errors: `element` or `element@attribute`.
 fn display_name(path: &str, root: &str) -> String {
     match path.rsplit_once('@') {
         Some((element, attribute)) => {
--- a/crates/heathspur-config/src/locations/scanner.rs
+++ b/crates/heathspur-config/src/locations/scanner.rs
@@ -1,16 +1,16 @@
-//! The scan of a text for the lines of its elements and attributes.
+//! Scans a text for the lines of its elements and attributes.
 
 use super::{element_name, join, Locations, StructureError};
 use quick_xml::events::{BytesStart, Event};
 use std::collections::BTreeMap;
 
-/// The deepest nesting of elements.
+/// The maximum nesting depth of elements.
 const MAX_DEPTH: usize = 16;
 
-/// An element whose end has not been read.
+/// An element whose end has not been read yet.
 struct OpenElement {
     path: String,
-    /// How many children of each name it has.
+    /// The number of its children by name.
     children: BTreeMap<String, usize>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Processes an event that starts at the position, or after the space there.
+    /// Processes an event that starts at the position, or after the white space at the position.
     pub fn handle(&mut self, event: &Event<'_>, position: usize) -> Result<(), StructureError> {
         match event {
             Event::Start(start) => {
@@ -58,7 +58,8 @@
             }
             Event::DocType(_) => {
                 let position = skip_space(self.text.as_bytes(), position);
-                return Err(self.error_at(position, "no document type is taken"));
+                let reason = "a document type declaration is not allowed";
+                return Err(self.error_at(position, reason));
             }
             _ => {}
         }
@@ -81,7 +82,7 @@
         })
     }
 
-    /// An error in the current element.
+    /// Returns an error in the current element.
     pub fn error_at(&mut self, position: usize, reason: impl Into<String>) -> StructureError {
         let line = self.lines.line_of(position);
         StructureError::new(line, self.current_element(), reason)
@@ -96,7 +97,7 @@
     fn enter(&mut self, start: &BytesStart<'_>, position: usize) -> Result<String, StructureError> {
         let position = skip_space(self.text.as_bytes(), position);
         if self.open.len() >= MAX_DEPTH {
-            return Err(self.error_at(position, "elements stand too deep in each other"));
+            return Err(self.error_at(position, "elements are nested too deep"));
         }
         let line = self.lines.line_of(position);
         let name = String::from_utf8_lossy(start.name().as_ref()).into_owned();
@@ -106,7 +107,7 @@
         Ok(path)
     }
 
-    /// The path of the next element, which may be the root.
+    /// Returns the path of the next element, which may be the root.
     fn child_path(&mut self, name: &str, line: usize) -> Result<String, StructureError> {
         let Some(parent) = self.open.last_mut() else {
             self.root_count += 1;
@@ -146,7 +147,7 @@
     }
 }
 
-/// The number of line ends in the element's start before the attribute's key, which is a slice of it.
+/// Returns the number of line ends in the element's start tag before the attribute's key, which is a slice of it.
 fn lines_before(start: &[u8], key: &[u8]) -> usize {
     let offset = (key.as_ptr() as usize).saturating_sub(start.as_ptr() as usize);
     count_line_ends(start.get(..offset).unwrap_or(&[]))
@@ -165,7 +166,7 @@
             .count()
 }
 
-/// Counts lines up to ascending positions.
+/// Counts the lines up to positions that are asked for in ascending order.
 struct LineCounter<'a> {
     text: &'a [u8],
     position: usize,
--- a/crates/heathspur-config/src/log.rs
+++ b/crates/heathspur-config/src/log.rs
@@ -1,11 +1,11 @@
-//! The program's own log.
+//! Configuration of the program's own log.
 
 use crate::InvalidValue;
 use serde::Deserialize;
 
 const DEFAULT_LINES_PER_SECOND: u32 = 20;
 
-/// The program's own log.
+/// The configuration of the program's own log.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
@@ -15,7 +15,7 @@
     /// The least severe level that is logged.
     #[serde(rename = "@level", default)]
     pub level: Level,
-    /// The rate limit of lines, from 1 to 10,000 a second; suppressed lines are counted.
+    /// The maximum number of lines per second, from 1 to 10,000; lines beyond it are suppressed and counted.
     #[serde(rename = "@lines-per-second", default = "default_lines_per_second")]
     pub lines_per_second: u32,
 }
@@ -50,10 +50,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Text, followed by the fields.
+    /// The message, followed by the fields.
     #[default]
     Plain,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -61,13 +61,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// Conditions that stop the server's work.
+    /// Conditions that prevent the server from working.
     Error,
     /// Failures that the server recovers from.
     Warn,
-    /// Changes of state.
+    /// Changes of the server's state.
     #[default]
     Info,
-    /// Single events, for diagnosis.
+    /// Individual events, for diagnosis.
     Debug,
 }
--- a/crates/heathspur-config/src/members.rs
+++ b/crates/heathspur-config/src/members.rs
@@ -1,4 +1,4 @@
-//! Membership of the fleet: where a server listens for its peers, and how it probes them.
+//! Configuration of fleet membership: the addresses that a server uses for its peers, and how it probes them.
 
 use crate::units::Span;
 use crate::InvalidValue;
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Members {
-    /// The server's name in the fleet; 1 to 48 bytes.
+    /// The server's name, unique in the fleet; 1 to 48 bytes.
     #[serde(rename = "@id")]
     pub id: String,
-    /// The local address of its datagrams (IPv4).
+    /// The local address for the protocol's datagrams (IPv4).
     #[serde(rename = "@listen")]
     pub listen: SocketAddr,
-    /// The address that peers send to, if it differs from `listen` (behind a relay).
+    /// The address that peers send to, if it differs from `listen`, as behind a relay.
     #[serde(rename = "@advertise", default)]
     pub advertise: Option<SocketAddr>,
     /// The server's zone; up to 48 bytes.
@@ -28,31 +28,31 @@
     /// The server's region; up to 48 bytes.
     #[serde(rename = "@region", default)]
     pub region: String,
-    /// The protocol period, with one probe each; 50 ms to 60 s.
+    /// The protocol period, in which the server sends one probe; 50 ms to 60 s.
     #[serde(rename = "@period", default = "default_period")]
     pub period: Span,
-    /// The timeout of a direct probe, before indirect probes; 10 ms and under the period.
+    /// The timeout of a direct probe, after which indirect probes are sent; at least 10 ms, and less than the period.
     #[serde(rename = "@probe-timeout", default = "default_probe_timeout")]
     pub probe_timeout: Span,
-    /// The minimum suspicion timeout, in periods times log10 of the members; 1 to 20.
+    /// The minimum suspicion timeout as a multiple of the period times log10 of the number of members; 1 to 20.
     #[serde(rename = "@suspicion", default = "default_suspicion")]
     pub suspicion: u64,
     /// The largest number of members in the table; 2 to 65,536.
     #[serde(rename = "@most", default = "default_max_members")]
     pub max_members: usize,
-    /// Whether the Lifeguard extensions are on; off only for comparison.
+    /// Whether the Lifeguard extensions are enabled. Disable them only to compare with plain SWIM.
     #[serde(rename = "@lifeguard", default = "default_lifeguard")]
     pub lifeguard: bool,
-    /// Members to join through.
+    /// The members through which the server joins the fleet.
     #[serde(default)]
     pub seed: Vec<Seed>,
 }
 
-/// A member to join through.
+/// A member through which the server joins the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Seed {
-    /// Its address (IPv4).
+    /// The member's address (IPv4).
     #[serde(rename = "@address")]
     pub address: SocketAddr,
 }
@@ -96,7 +96,10 @@
             return invalid("@id", "1 to 48 bytes are expected");
         }
         if self.zone.len() > MAX_NAME_BYTES || self.region.len() > MAX_NAME_BYTES {
-            return invalid("@zone", "48 bytes at most are expected, in zone and region");
+            return invalid(
+                "@zone",
+                "at most 48 bytes are expected, in zone and in region",
+            );
         }
         Ok(())
     }
@@ -109,7 +112,7 @@
         }
         invalid(
             "@listen",
-            "IPv4 addresses are expected, here, in advertise and in seeds",
+            "IPv4 addresses are expected in listen, in advertise and in seeds",
         )
     }
 
@@ -121,7 +124,7 @@
         if !(10..period_ms).contains(&self.probe_timeout.0.as_millis()) {
             return invalid(
                 "@probe-timeout",
-                "10 ms or more, and under the period, is expected",
+                "at least 10 ms, and less than the period, is expected",
             );
         }
         Ok(())
--- a/crates/heathspur-config/src/operator.rs
+++ b/crates/heathspur-config/src/operator.rs
@@ -6,7 +6,7 @@
 
 /// The schema of the file (XSD 1.0).
 pub const SCHEMA: &str = include_str!("../../../deploy/operator.xsd");
-/// The namespace of its elements.
+/// The namespace of the file's elements.
 pub const NAMESPACE: &str = "urn:heathspur:operator:1";
 const ROOT: &str = "operator";
 
@@ -37,16 +37,17 @@
     /// Reads a file. `memory` is the memory limit of the process in bytes, if known.
     ///
     /// # Errors
-    /// The first error found, with its location.
+    /// Returns an error if the file can't be read or is too large, or the first error in its text with its location.
     pub fn read(file: &Path, memory: Option<u64>) -> Result<Operator, Error> {
         let text = read_text(file, ROOT)?;
         Operator::parse(&text, file, memory)
     }
 
-    /// Parses the text of a file; `file` is for the errors.
+    /// Parses the text of a file. Errors name the path `file`. `memory` is the memory limit of the process in bytes,
+    /// if known.
     ///
     /// # Errors
-    /// The first error found, with its location.
+    /// Returns the first error found, with its location.
     pub fn parse(text: &str, file: &Path, memory: Option<u64>) -> Result<Operator, Error> {
         parse(text, file, ROOT, |operator: &Operator| {
             operator.check(memory)
--- a/crates/heathspur-config/src/reader.rs
+++ b/crates/heathspur-config/src/reader.rs
@@ -1,6 +1,6 @@
-//! Reading and parsing of a file with locations in its errors.
+//! Reads and parses files; errors have a location.
 
-use crate::locations::{plain_reason, Location, Locations};
+use crate::locations::{xml_reason, Location, Locations};
 use crate::{Error, InvalidValue};
 use serde::Deserialize;
 use std::path::Path;
@@ -11,7 +11,7 @@
 /// Parses the text of a file whose single root element is `root`, and validates it with `check`.
 ///
 /// # Errors
-/// The first error found, with its location.
+/// Returns the first error found, with its location.
 pub fn parse<T: for<'de> Deserialize<'de>>(
     text: &str,
     file: &Path,
@@ -30,7 +30,7 @@
     let value: T = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
         let reason = error.inner().to_string();
         let location = locations.find_error(&error.path().to_string(), &reason);
-        invalid(location, plain_reason(&reason))
+        invalid(location, xml_reason(&reason))
     })?;
     check(&value).map_err(|error| invalid(locations.find(&error.path), error.reason))?;
     Ok(value)
@@ -39,7 +39,7 @@
 /// Reads the text of a file of at most [`MAX_FILE_BYTES`].
 ///
 /// # Errors
-/// The file can't be read, or is too large.
+/// Returns an error if the file can't be read or is too large.
 pub fn read_text(file: &Path, root: &'static str) -> Result<String, Error> {
     let read_error = |source| Error::Read {
         file: file.to_path_buf(),
--- a/crates/heathspur-config/src/record.rs
+++ b/crates/heathspur-config/src/record.rs
@@ -1,4 +1,4 @@
-//! Recording of traffic to capture files.
+//! Configuration of traffic recording.
 
 use crate::units::{Size, Span, GIB, KIB, MIB};
 use crate::InvalidValue;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 const MAX_FILE_AGE_S: u64 = 24 * 60 * 60;
-/// The budget is at most this part of the process's memory: a quarter.
-const BUDGET_PART_OF_MEMORY: u64 = 4;
+/// The budget is at most the process's memory divided by this number.
+const MEMORY_TO_BUDGET_RATIO: u64 = 4;
 
-/// Recording to capture files.
+/// Recording of traffic to capture files. Off if the element is missing.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
@@ -20,16 +20,16 @@
     /// The part of a message that is recorded.
     #[serde(rename = "@contents", default)]
     pub contents: Contents,
-    /// Whether the traffic with the interpreter and the store is recorded as well.
+    /// Whether the traffic with the interpreter and the store is recorded as well. Requires [`Contents::Full`].
     #[serde(rename = "@links", default)]
     pub links: bool,
-    /// The files.
+    /// The limits on files.
     #[serde(default)]
     pub files: Files,
     /// The resources that recording may use.
     #[serde(default)]
     pub budget: Budget,
-    /// Fields of messages whose values are redacted.
+    /// The header fields whose values are redacted.
     #[serde(default)]
     pub mask: Vec<Mask>,
 }
@@ -38,14 +38,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Contents {
-    /// Heads, and the lengths of bodies.
+    /// Heads. Bodies are redacted to the same length.
     #[default]
     Headers,
-    /// Everything. Bodies may contain card data.
+    /// Heads and bodies. Bodies may contain card data.
     Full,
 }
 
-/// The files of a recording.
+/// The limits on the size, age and number of a recording's files.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Files {
@@ -55,7 +55,7 @@
     /// The age at which a file is rotated; 1 s to 24 h.
     #[serde(rename = "@age")]
     pub age: Span,
-    /// The number of files kept, the newest; 1 to 10,000.
+    /// The number of files that are retained, the newest ones; 1 to 10,000.
     #[serde(rename = "@keep")]
     pub keep: u32,
 }
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budget {
-    /// Bytes that wait to be written; 64 KiB to 1 GiB, and a quarter of the process's memory at most.
+    /// The bytes that may wait to be written; 64 KiB to 1 GiB, and at most a quarter of the process's memory.
     #[serde(rename = "@memory")]
     pub memory: Size,
 }
@@ -87,11 +87,11 @@
     }
 }
 
-/// A field whose value is redacted in recordings.
+/// A header field whose value is redacted in recordings.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mask {
-    /// The name of the field, case-insensitive.
+    /// The name of the field; not case-sensitive.
     #[serde(rename = "@header")]
     pub header: String,
 }
@@ -101,14 +101,14 @@
         if self.directory.as_os_str().is_empty() {
             return Err(InvalidValue::new(
                 "record.@directory",
-                "a folder is expected",
+                "a directory is expected",
             ));
         }
         if self.links && self.contents != Contents::Full {
-            // Lines of the interpreter contain bodies in base64, which can't be redacted in place.
+            // The interpreter's messages contain bodies in base64, which can't be redacted in place.
             return Err(InvalidValue::new(
                 "record.@links",
-                "contents=\"full\" is expected beside it: links carry bodies",
+                "contents=\"full\" is expected with it, because links carry bodies",
             ));
         }
         self.files.check()?;
@@ -156,10 +156,10 @@
         let Some(process_memory) = process_memory else {
             return Ok(());
         };
-        let max_budget = Size(process_memory / BUDGET_PART_OF_MEMORY);
+        let max_budget = Size(process_memory / MEMORY_TO_BUDGET_RATIO);
         if budget > max_budget {
             let reason = format!(
-                "{budget} where {max_budget} at most is expected, a quarter of the process's memory"
+                "{budget} where at most {max_budget} is expected, a quarter of the process's memory"
             );
             return Err(InvalidValue::new(PATH, reason));
         }
@@ -176,7 +176,7 @@
         }
         Err(InvalidValue::new(
             format!("record.mask[{index}].@header"),
-            "the name of a field is expected",
+            "the name of a header field is expected",
         ))
     }
 }
--- a/crates/heathspur-config/src/units.rs
+++ b/crates/heathspur-config/src/units.rs
@@ -1,27 +1,27 @@
-//! Values with units. The schema has the same forms as patterns.
+//! Sizes and durations with units. The patterns of the schema accept the same forms.
 
 use serde::{de, Deserialize, Deserializer};
 use std::fmt;
 use std::time::Duration;
 
-/// Bytes of the units of sizes.
+/// The units of sizes, in bytes.
 pub(crate) const KIB: u64 = 1 << 10;
 pub(crate) const MIB: u64 = 1 << 20;
 pub(crate) const GIB: u64 = 1 << 30;
 
-/// The most digits of a number, as in the schema.
+/// The maximum number of digits, as in the schema.
 const MAX_DIGITS: usize = 12;
 
 const SIZE_UNITS: [(&str, u64); 4] = [("B", 1), ("KiB", KIB), ("MiB", MIB), ("GiB", GIB)];
 
-/// In milliseconds.
+/// The units of durations, in milliseconds.
 const TIME_UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("min", 60_000), ("h", 3_600_000)];
 
-/// A number of bytes: `64 MiB`; units `B`, `KiB`, `MiB`, `GiB`.
+/// A number of bytes, written as `64 MiB`. The units are `B`, `KiB`, `MiB` and `GiB`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// A duration: `500 ms`; units `ms`, `s`, `min`, `h`.
+/// A duration, written as `500 ms`. The units are `ms`, `s`, `min` and `h`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Parses digits, at most one space and a unit into the number times the unit's factor.
+/// Parses digits, at most one space and a unit. Returns the number times the unit's factor.
 fn parse_with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let digits_end = text.find(|c: char| !c.is_ascii_digit())?;
     let (digits, unit) = text.split_at(digits_end);
--- a/crates/heathspur-config/tests/read.rs
+++ b/crates/heathspur-config/tests/read.rs
@@ -1,4 +1,5 @@
-//! The reader and the schema against the same examples, and the text of errors.
+//! Tests of the operator's file: the reader and the schema accept and reject the same examples, and errors have a
+//! location and the expected value.
 
 use heathspur_config::units::{Size, Span};
 use heathspur_config::{Contents, Format, Operator, SCHEMA};
@@ -10,7 +11,7 @@
 }
 
 fn schema_accepts(text: &str) -> bool {
-    let schema = uppsala::parse(SCHEMA).expect("the schema is XML");
+    let schema = uppsala::parse(SCHEMA).expect("the schema is well-formed XML");
     let schema = uppsala::XsdValidator::from_schema(&schema).expect("the schema is valid");
     uppsala::parse(text).is_ok_and(|document| schema.validate(&document).is_empty())
 }
@@ -37,7 +38,7 @@
     "<log></log>\n<record directory=\"&lt;\"><files/><budget/></record>",
 ];
 
-/// Elements, and the location and words that their error must contain.
+/// Elements that the reader and the schema reject, and a text that the reader's error must contain.
 const INVALID: [(&str, &str); 32] = [
     ("<members id=\"n1\" listen=\"127.0.0.1:7947\" zone=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/></failover>", "o.xml:3: failover: 2 to 32 elements `replica`"),
     ("<members listen=\"127.0.0.1:7947\"/>", "o.xml:3: members: missing field `id`"),
@@ -51,7 +52,7 @@
     ("<log lines-per-second=\"many\"/>", "o.xml:3: log@lines-per-second"),
     ("<log>words</log>", "o.xml:3: log: unknown text"),
     ("<record/>", "o.xml:3: record: missing field `directory`"),
-    ("<record directory=\"\"/>", "o.xml:3: record@directory: a folder"),
+    ("<record directory=\"\"/>", "o.xml:3: record@directory: a directory"),
     ("<record directory=\"/x\" contents=\"some\"/>", "o.xml:3: record@contents"),
     ("<record directory=\"/x\" links=\"yes\"/>", "o.xml:3: record@links"),
     (
@@ -85,12 +86,13 @@
     ("<record directory=\"/x\">\n<files><more/></files></record>", "o.xml:4: more: unknown element"),
 ];
 
-/// Invalid by conditions that a schema can't express, or by the ranges of values with units.
+/// Elements that only the reader rejects, and a text that its error must contain. A schema can't express these
+/// conditions, or the ranges of values with units.
 const OUT_OF_BOUNDS: [(&str, &str); 17] = [
     ("<failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"b\" address=\"10.0.0.2:1\"/></failover>", "o.xml:3: failover: an element `members` is expected"),
-    ("<members id=\"n1\" listen=\"127.0.0.1:7947\" zone=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"a\" address=\"10.0.0.1:1\"/></failover>", "o.xml:3: replica@zone: one replica a zone"),
+    ("<members id=\"n1\" listen=\"127.0.0.1:7947\" zone=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"a\" address=\"10.0.0.1:1\"/></failover>", "o.xml:3: replica@zone: one replica per zone"),
     ("<members id=\"n1\" listen=\"127.0.0.1:7947\" zone=\"a\"/>\n<failover dwell=\"10 ms\"><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"b\" address=\"10.0.0.2:1\"/></failover>", "o.xml:4: failover@dwell: 1 s to 10 min"),
-    ("<members id=\"n1\" listen=\"127.0.0.1:7947\" region=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"b\" address=\"10.0.0.2:1\"/></failover>", "o.xml:3: failover: a replica of the own zone"),
+    ("<members id=\"n1\" listen=\"127.0.0.1:7947\" region=\"a\"/><failover><replica zone=\"a\" address=\"10.0.0.1:1\"/><replica zone=\"b\" address=\"10.0.0.2:1\"/></failover>", "o.xml:3: failover: a replica of the server's own zone"),
     ("<record directory=\"/x\" links=\"true\"/>", "o.xml:3: record@links: contents=\"full\" is expected"),
     (
         "<record directory=\"/x\"><files size=\"63 KiB\"/></record>",
@@ -101,7 +103,7 @@
     ("<record directory=\"/x\"><files age=\"25 h\"/></record>", "files@age: 1 s to 24 h"),
     (
         "<http2 listen=\"127.0.0.1:1\">\n<streams connection=\"9\" all=\"8\"/></http2>",
-        "o.xml:4: streams@connection: 8 at most is expected, as many as of all",
+        "o.xml:4: streams@connection: at most 8 streams of one connection are expected, the value of streams@all",
     ),
     ("<http2 listen=\"127.0.0.1:1\"><request body=\"65 KiB\"/></http2>", "request@body: 65 KiB where 1 KiB"),
     (
@@ -112,7 +114,7 @@
     ("<http2 listen=\"127.0.0.1:1\"><memory stream=\"2 MiB\"/></http2>", "memory@stream: 2 MiB where 16 KiB"),
     (
         "<http2 listen=\"127.0.0.1:1\"><memory answers=\"64 KiB\"/></http2>",
-        "memory: 512 KiB of one connection, where 64 KiB at most is expected",
+        "memory: 512 KiB of one connection where at most 64 KiB is expected, the value of memory@answers",
     ),
     (
         "<http2 listen=\"127.0.0.1:1\"><patience round-trip=\"1 ms\"/></http2>",
@@ -122,7 +124,7 @@
 ];
 
 #[test]
-fn reader_and_schema_accept_the_same() {
+fn reader_and_schema_accept_same_documents() {
     for inner in VALID {
         let text = file(inner);
         assert!(read(&text).is_ok(), "{inner}: {:?}", read(&text));
@@ -136,19 +138,19 @@
 }
 
 #[test]
-fn every_error_names_file_line_element_and_expected_value() {
-    for (inner, words) in INVALID.iter().chain(&OUT_OF_BOUNDS) {
+fn errors_name_file_line_element_and_expected_value() {
+    for (inner, expected) in INVALID.iter().chain(&OUT_OF_BOUNDS) {
         let error = read(&file(inner)).expect_err(inner);
         assert!(
-            error.contains(words),
-            "{inner}\n  error    {error}\n  expected {words}"
+            error.contains(expected),
+            "{inner}\n  error    {error}\n  expected {expected}"
         );
     }
 }
 
 #[test]
-fn other_documents_are_rejected_with_their_line() {
-    for (text, words) in [
+fn malformed_or_foreign_documents_are_rejected_with_line() {
+    for (text, expected) in [
         ("", "o.xml:1: operator: one element"),
         ("<config/>", "o.xml:1: config: one element `operator`"),
         ("<operator/>", "o.xml:1: operator: the namespace `` where"),
@@ -170,13 +172,13 @@
         ),
         (
             "<!DOCTYPE operator [<!ENTITY a \"b\">]>\n<operator/>",
-            "o.xml:1: operator: no document type",
+            "o.xml:1: operator: a document type declaration is not allowed",
         ),
     ] {
         let error = read(text).expect_err(text);
         assert!(
-            error.contains(words),
-            "{text}\n  error    {error}\n  expected {words}"
+            error.contains(expected),
+            "{text}\n  error    {error}\n  expected {expected}"
         );
     }
     let deep = file(&["<a>"; 100].concat());
@@ -184,18 +186,18 @@
 }
 
 #[test]
-fn the_commented_example_is_valid_and_enables_nothing() {
+fn commented_example_is_valid_and_enables_nothing() {
     let text = include_str!("../../../deploy/operator.xml");
     let operator = read(text).unwrap();
     assert_eq!((operator.record, operator.http2), (None, None));
     assert_eq!(operator.log, Default::default());
     assert!(schema_accepts(text));
-    // The elements in its comments are valid as well, and have the defaults of the schema.
-    let shown = text
+    // The elements in its comments are valid as well, and state the default values.
+    let comment = text
         .split("<!--")
         .find(|part| part.contains("<record"))
         .unwrap();
-    let record = &shown[shown.find("<record").unwrap()..shown.find("</record>").unwrap() + 9];
+    let record = &comment[comment.find("<record").unwrap()..comment.find("</record>").unwrap() + 9];
     let text = file(record);
     assert!(schema_accepts(&text));
     let record = read(&text).unwrap().record.unwrap();
@@ -204,24 +206,24 @@
         (record.contents, record.links, record.mask.len()),
         (Contents::Headers, false, 1)
     );
-    let shown = &commented_element(include_str!("../../../deploy/operator.xml"), "http2");
-    assert!(schema_accepts(&file(shown)));
-    let http2 = read(&file(shown)).unwrap().http2.unwrap();
-    let bare = read(&file("<http2 listen=\"127.0.0.1:8443\"/>"))
+    let example = &commented_element(include_str!("../../../deploy/operator.xml"), "http2");
+    assert!(schema_accepts(&file(example)));
+    let http2 = read(&file(example)).unwrap().http2.unwrap();
+    let with_defaults = read(&file("<http2 listen=\"127.0.0.1:8443\"/>"))
         .unwrap()
         .http2
         .unwrap();
-    assert_eq!(http2, bare);
+    assert_eq!(http2, with_defaults);
 }
 
-/// An element in a comment.
+/// Returns the text of an element in a comment.
 fn commented_element(text: &str, name: &str) -> String {
     let (start, end) = (format!("<{name} "), format!("</{name}>"));
     text[text.find(&start).unwrap()..text.find(&end).unwrap() + end.len()].to_string()
 }
 
 #[test]
-fn the_memory_of_http2_is_checked_against_the_memory_of_the_process() {
+fn http2_memory_over_half_of_process_memory_is_rejected() {
     let text = file("<http2 listen=\"127.0.0.1:1\">\n<memory answers=\"20 MiB\"/></http2>");
     let parse = |memory| {
         Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
@@ -229,13 +231,13 @@
     assert!(parse(64 << 20).is_ok());
     let error = parse(32 << 20).unwrap_err();
     assert!(
-        error.contains("o.xml:4: memory: 27 MiB in all") && error.contains("16 MiB at most"),
+        error.contains("o.xml:4: memory: 27 MiB in total") && error.contains("at most 16 MiB"),
         "{error}"
     );
 }
 
 #[test]
-fn values_are_parsed_with_their_units() {
+fn values_are_parsed_with_units() {
     let text = file(
         "<log format=\"json\"/><record directory=\"/x\"><files size=\"3 MiB\" age=\"2min\"/><budget memory=\"70000 B\"/></record>",
     );
@@ -248,7 +250,7 @@
 }
 
 #[test]
-fn the_budget_is_checked_against_the_memory_of_the_process() {
+fn budget_over_quarter_of_process_memory_is_rejected() {
     let text = file("<record directory=\"/x\">\n<budget memory=\"9 MiB\"/></record>");
     let parse = |memory| {
         Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
@@ -256,7 +258,7 @@
     assert!(parse(36 << 20).is_ok());
     let error = parse(32 << 20).unwrap_err();
     assert!(
-        error.contains("o.xml:4: budget@memory: 9 MiB where 8 MiB at most"),
+        error.contains("o.xml:4: budget@memory: 9 MiB where at most 8 MiB"),
         "{error}"
     );
 }
