--- a/crates/heathspur-capture/src/exchange/matching.rs
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -110,7 +110,7 @@
     /// Reports the responses whose request never came.
     pub fn finish(self, found: &mut VecDeque<Found>) {
         let conn = self.conn;
-        found.extend(self.early.into_iter().map(|message| Found::Answer {
+        found.extend(self.early.into_iter().map(|message| Found::Response {
             conn,
             to: None,
             message,
@@ -157,7 +157,7 @@
     }
 
     fn matched(&self, to: Option<u64>, message: Message) -> Found {
-        Found::Answer {
+        Found::Response {
             conn: self.conn,
             to,
             message,
--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -75,7 +75,7 @@
         message: Message,
     },
     /// A final response.
-    Answer {
+    Response {
         /// The connection.
         conn: ConnId,
         /// The index of its request, where that is known.
@@ -84,7 +84,7 @@
         message: Message,
     },
     /// Bytes that belong to no complete message.
-    Passed {
+    Skipped {
         /// The connection.
         conn: ConnId,
         /// The sender.
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -268,7 +268,7 @@
     /// Reports the bytes skipped since the last report.
     fn report_skipped(&mut self, cause: Cause) {
         if let Some(SkippedBytes { count, time }) = self.stream.skipped.take() {
-            self.found.push_back(Found::Passed {
+            self.found.push_back(Found::Skipped {
                 conn: self.conn,
                 side: self.side,
                 cause,
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -155,7 +155,7 @@
     let read = all(&script.packets);
     assert_eq!(read.bodies(), [[b'b'; 300], [b'c'; 300]]);
     assert_eq!((read.tally.holes, read.tally.missing_bytes), (1, 100));
-    let [Found::Passed {
+    let [Found::Skipped {
         side: Side::Client,
         cause: Cause::Hole,
         ..
@@ -520,7 +520,7 @@
         .collect();
     assert_eq!(requests[..2], [(0, chunked.len()), (2, 20)]);
     assert_eq!(requests[2].0, 3);
-    let [Found::Passed {
+    let [Found::Skipped {
         cause: Cause::TooLarge,
         bytes,
         ..
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -108,7 +108,7 @@
             index,
             message,
         }) => read.requests.push((conn, index, message)),
-        Item::Message(Found::Answer { conn, to, message }) => {
+        Item::Message(Found::Response { conn, to, message }) => {
             read.answers.push((conn, to, message))
         }
         Item::Message(passed) => read.passed.push(passed),
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -55,10 +55,10 @@
                 index,
                 message,
             }) => self.add_request(conn, index, &message),
-            Item::Message(Found::Answer { conn, to, message }) => {
+            Item::Message(Found::Response { conn, to, message }) => {
                 self.add_response(conn, to, &message);
             }
-            Item::Message(Found::Passed { cause, bytes, .. }) => {
+            Item::Message(Found::Skipped { cause, bytes, .. }) => {
                 let passed = self.passed.entry(cause).or_default();
                 passed.count += 1;
                 passed.bytes += bytes;
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -77,12 +77,12 @@
                 index,
                 message,
             }) => self.add_request(conn, index, &message),
-            Item::Message(Found::Answer {
+            Item::Message(Found::Response {
                 conn,
                 to: Some(request),
                 message,
             }) => self.add_response(conn, request, &message),
-            Item::Message(Found::Passed {
+            Item::Message(Found::Skipped {
                 side: Side::Client,
                 cause,
                 bytes,
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -75,7 +75,7 @@
                     .collect();
                 keys.into_iter().for_each(|key| self.print(key));
             }
-            Item::Connection(_) | Item::Message(Found::Passed { .. }) => {}
+            Item::Connection(_) | Item::Message(Found::Skipped { .. }) => {}
             Item::Message(Found::Request {
                 conn,
                 index,
@@ -89,7 +89,7 @@
                     }
                 }
             }
-            Item::Message(Found::Answer {
+            Item::Message(Found::Response {
                 conn,
                 to: Some(to),
                 message,
@@ -101,7 +101,7 @@
                     self.print((conn, to));
                 }
             }
-            Item::Message(Found::Answer { .. }) => {}
+            Item::Message(Found::Response { .. }) => {}
         }
     }
 
