--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -3,6 +3,7 @@
 use crate::{ConnId, Side, Stamp};
 use bytes::Bytes;
 use heathspur_wire::http::{request_line, status_line, Fields};
+use std::fmt;
 use std::ops::Range;
 
 /// A complete message.
@@ -47,8 +48,10 @@
     }
 }
 
-/// Why bytes were skipped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+/// The reason why bytes were skipped.
+///
+/// `heathspurctl` prints the [`Debug`] text, so that text is fixed and may differ from the names.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
     /// Bytes of the message, or before it, are missing.
     Hole,
@@ -57,11 +60,23 @@
     /// The bytes are not HTTP/1.1.
     NotHttp,
     /// The connection ended in the middle of the message.
-    Cut,
+    Truncated,
     /// The memory for incomplete messages was exhausted.
     Memory,
 }
 
+impl fmt::Debug for Cause {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Cause::Hole => "Hole",
+            Cause::TooLarge => "TooLarge",
+            Cause::NotHttp => "NotHttp",
+            Cause::Truncated => "Cut",
+            Cause::Memory => "Memory",
+        })
+    }
+}
+
 /// What was found, in order for each side of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -62,7 +62,7 @@
                 return;
             }
             Mode::Resynchronise(cause) | Mode::Skip { cause, .. } => *cause,
-            Mode::Head | Mode::Body { .. } => Cause::Cut,
+            Mode::Head | Mode::Body { .. } => Cause::Truncated,
         };
         self.stream.skip_all();
         self.stream.mode = Mode::Finished;
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -545,3 +545,16 @@
         ]
     );
 }
+
+#[test]
+fn causes_of_skipped_bytes_print_labels_of_heathspurctl_output() {
+    for (cause, label) in [
+        (Cause::Hole, "Hole"),
+        (Cause::TooLarge, "TooLarge"),
+        (Cause::NotHttp, "NotHttp"),
+        (Cause::Truncated, "Cut"),
+        (Cause::Memory, "Memory"),
+    ] {
+        assert_eq!(format!("{cause:?}"), label);
+    }
+}
