--- a/crates/heathspur-capture/src/frame/fragments.rs
+++ b/crates/heathspur-capture/src/frame/fragments.rs
@@ -1,6 +1,6 @@
 //! Reassembly of fragmented IP datagrams, within bounds.
 
-use super::Passed;
+use super::SkipReason;
 use crate::Stamp;
 use etherparse::defrag::IpDefragBuf;
 use etherparse::{IpFragOffset, IpNumber};
@@ -59,7 +59,7 @@
         id: DatagramId,
         header: &FragmentHeader,
         payload: &[u8],
-    ) -> Result<Vec<u8>, Passed> {
+    ) -> Result<Vec<u8>, SkipReason> {
         self.discard_expired(time);
         if !self.datagrams.contains_key(&id) && self.datagrams.len() >= MAX_DATAGRAMS {
             self.discard_oldest();
@@ -74,12 +74,15 @@
         if added.is_err() {
             // Contradicting fragments may be an attempt to make two readers see different bytes.
             self.datagrams.remove(&id);
-            return Err(Passed::BadPiece);
+            return Err(SkipReason::ConflictingFragment);
         }
         if !datagram.buffer.is_complete() {
-            return Err(Passed::Piece);
+            return Err(SkipReason::Fragment);
         }
-        let datagram = self.datagrams.remove(&id).ok_or(Passed::BadPiece)?;
+        let datagram = self
+            .datagrams
+            .remove(&id)
+            .ok_or(SkipReason::ConflictingFragment)?;
         let (payload, _) = datagram.buffer.take_bufs();
         Ok(payload)
     }
--- a/crates/heathspur-capture/src/frame/headers.rs
+++ b/crates/heathspur-capture/src/frame/headers.rs
@@ -1,7 +1,7 @@
 //! Link and IP headers of a packet, read with `etherparse`, which tolerates truncated packets.
 
 use super::fragments::FragmentHeader;
-use super::Passed;
+use super::SkipReason;
 use crate::file::{Link, Packet};
 use etherparse::{
     EtherType, Ipv4HeaderSlice, Ipv6ExtensionSlice, LaxIpv6Slice, LaxNetSlice, LaxSlicedPacket,
@@ -23,19 +23,23 @@
 }
 
 /// Splits a packet by its link type.
-pub(super) fn slice<'a>(packet: &Packet<'a>) -> Result<LaxSlicedPacket<'a>, Passed> {
+pub(super) fn slice<'a>(packet: &Packet<'a>) -> Result<LaxSlicedPacket<'a>, SkipReason> {
     let data = packet.data;
     match packet.link {
-        Link::Ethernet => LaxSlicedPacket::from_ethernet(data).map_err(|_| Passed::Headers),
-        Link::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| Passed::Headers),
+        Link::Ethernet => {
+            LaxSlicedPacket::from_ethernet(data).map_err(|_| SkipReason::InvalidHeaders)
+        }
+        Link::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| SkipReason::InvalidHeaders),
         Link::Loopback => {
             // The number of the family differs between systems; the IP version says the same.
-            let ip = data.get(LOOPBACK_HEADER_LEN..).ok_or(Passed::Headers)?;
-            LaxSlicedPacket::from_ip(ip).map_err(|_| Passed::Headers)
+            let ip = data
+                .get(LOOPBACK_HEADER_LEN..)
+                .ok_or(SkipReason::InvalidHeaders)?;
+            LaxSlicedPacket::from_ip(ip).map_err(|_| SkipReason::InvalidHeaders)
         }
         Link::Cooked => slice_cooked(data, 14, 16),
         Link::Cooked2 => slice_cooked(data, 0, 20),
-        Link::Other(_) => Err(Passed::Link),
+        Link::Other(_) => Err(SkipReason::UnsupportedLinkType),
     }
 }
 
@@ -44,22 +48,24 @@
     data: &[u8],
     protocol_offset: usize,
     header_len: usize,
-) -> Result<LaxSlicedPacket<'_>, Passed> {
+) -> Result<LaxSlicedPacket<'_>, SkipReason> {
     let protocol = data
         .get(protocol_offset..)
         .and_then(|rest| rest.first_chunk::<2>())
-        .ok_or(Passed::Headers)?;
-    let payload = data.get(header_len..).ok_or(Passed::Headers)?;
+        .ok_or(SkipReason::InvalidHeaders)?;
+    let payload = data.get(header_len..).ok_or(SkipReason::InvalidHeaders)?;
     let protocol = EtherType(u16::from_be_bytes(*protocol));
     Ok(LaxSlicedPacket::from_ether_type(protocol, payload))
 }
 
-pub(super) fn ip_header(packet: &LaxSlicedPacket<'_>) -> Result<IpHeader, Passed> {
+pub(super) fn ip_header(packet: &LaxSlicedPacket<'_>) -> Result<IpHeader, SkipReason> {
     match &packet.net {
         Some(LaxNetSlice::Ipv4(ip)) => Ok(ipv4_header(&ip.header())),
         Some(LaxNetSlice::Ipv6(ip)) => Ok(ipv6_header(ip)),
-        Some(LaxNetSlice::Arp(_)) | None if packet.stop_err.is_some() => Err(Passed::Headers),
-        Some(LaxNetSlice::Arp(_)) | None => Err(Passed::Other),
+        Some(LaxNetSlice::Arp(_)) | None if packet.stop_err.is_some() => {
+            Err(SkipReason::InvalidHeaders)
+        }
+        Some(LaxNetSlice::Arp(_)) | None => Err(SkipReason::NotTcp),
     }
 }
 
--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -10,6 +10,7 @@
 use fragments::{DatagramId, FragmentHeader, Fragments};
 use headers::{ip_header, slice, IpHeader};
 use std::borrow::Cow;
+use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
 /// A TCP segment.
@@ -37,21 +38,36 @@
     pub lost: u32,
 }
 
-/// Why a packet contains no segment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Passed {
+/// The reason why a packet contains no segment.
+///
+/// `heathspurctl` prints the [`Debug`] text, so that text is fixed and differs from the names.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum SkipReason {
     /// The link type is not supported.
-    Link,
-    /// It is not TCP over IP.
-    Other,
-    /// Its headers are invalid or truncated.
-    Headers,
-    /// Its checksum is wrong, where checksums are verified.
-    Checksum,
-    /// It is a fragment, which is buffered until its datagram is complete.
-    Piece,
-    /// It is a fragment that contradicts the others.
-    BadPiece,
+    UnsupportedLinkType,
+    /// The packet is not TCP over IP.
+    NotTcp,
+    /// The headers are invalid or truncated.
+    InvalidHeaders,
+    /// The checksum is wrong, where checksums are verified.
+    WrongChecksum,
+    /// The packet is a fragment, which is buffered until its datagram is complete.
+    Fragment,
+    /// The packet is a fragment that contradicts the others.
+    ConflictingFragment,
+}
+
+impl fmt::Debug for SkipReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            SkipReason::UnsupportedLinkType => "Link",
+            SkipReason::NotTcp => "Other",
+            SkipReason::InvalidHeaders => "Headers",
+            SkipReason::WrongChecksum => "Checksum",
+            SkipReason::Fragment => "Piece",
+            SkipReason::ConflictingFragment => "BadPiece",
+        })
+    }
 }
 
 /// Finds segments in packets. Buffers fragments, within bounds.
@@ -77,25 +93,25 @@
     }
 
     /// The segment in a packet, or why there is none.
-    pub fn segment<'a>(&mut self, packet: &Packet<'a>) -> Result<Segment<'a>, Passed> {
+    pub fn segment<'a>(&mut self, packet: &Packet<'a>) -> Result<Segment<'a>, SkipReason> {
         let sliced = slice(packet)?;
         let ip = ip_header(&sliced)?;
         let payload = sliced
             .net
             .as_ref()
             .and_then(LaxNetSlice::ip_payload_ref)
-            .ok_or(Passed::Headers)?;
+            .ok_or(SkipReason::InvalidHeaders)?;
         if payload.ip_number != IpNumber::TCP {
-            return Err(Passed::Other);
+            return Err(SkipReason::NotTcp);
         }
         if let Some(fragment) = &ip.fragment {
             if payload.incomplete {
-                return Err(Passed::Headers);
+                return Err(SkipReason::InvalidHeaders);
             }
             return self.fragment(packet.time, &ip, fragment, payload.payload);
         }
         let Some(TransportSlice::Tcp(tcp)) = &sliced.transport else {
-            return Err(Passed::Headers);
+            return Err(SkipReason::InvalidHeaders);
         };
         let lost = if payload.incomplete {
             ip.payload_len.saturating_sub(payload.payload.len())
@@ -119,14 +135,14 @@
         ip: &IpHeader,
         fragment: &FragmentHeader,
         payload: &[u8],
-    ) -> Result<Segment<'a>, Passed> {
+    ) -> Result<Segment<'a>, SkipReason> {
         let id = DatagramId {
             from: ip.from,
             to: ip.to,
             identification: fragment.identification,
         };
         let datagram = self.fragments.add(time, id, fragment, payload)?;
-        let tcp = TcpSlice::from_slice(&datagram).map_err(|_| Passed::Headers)?;
+        let tcp = TcpSlice::from_slice(&datagram).map_err(|_| SkipReason::InvalidHeaders)?;
         self.verify_checksum(&tcp, ip)?;
         Ok(Segment {
             payload: Cow::Owned(tcp.payload().to_vec()),
@@ -134,11 +150,11 @@
         })
     }
 
-    fn verify_checksum(&self, tcp: &TcpSlice<'_>, ip: &IpHeader) -> Result<(), Passed> {
+    fn verify_checksum(&self, tcp: &TcpSlice<'_>, ip: &IpHeader) -> Result<(), SkipReason> {
         if !self.verifies_checksums || has_valid_checksum(tcp, ip) {
             Ok(())
         } else {
-            Err(Passed::Checksum)
+            Err(SkipReason::WrongChecksum)
         }
     }
 }
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -2,7 +2,7 @@
 
 use crate::exchange::{self, Exchanges, Found};
 use crate::file::{FileError, Packet, Reader};
-use crate::frame::{Frames, Passed};
+use crate::frame::{Frames, SkipReason};
 use crate::reassembly::{self, Assembler, Counts, Event};
 use crate::{Leg, Stamp};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     /// Packets truncated by the capture.
     pub cut_packets: u64,
     /// Packets without a segment, by cause.
-    pub passed: BTreeMap<Passed, u64>,
+    pub passed: BTreeMap<SkipReason, u64>,
     /// Packets and bytes of a recording's interpreter and store connections. They do not carry HTTP and are not
     /// parsed.
     pub links: BTreeMap<Leg, (u64, u64)>,
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Segments in packets of every link type, in pieces, cut, and with wrong checksums.
 
 use heathspur_capture::file::{Link, Packet};
-use heathspur_capture::frame::{Frames, Passed, Segment};
+use heathspur_capture::frame::{Frames, Segment, SkipReason};
 use heathspur_capture::write::{segment, Flags};
 use heathspur_capture::Stamp;
 use heathspur_testkit::capture::*;
@@ -27,7 +27,7 @@
     }
 }
 
-fn found<'a>(frames: &mut Frames, link: Link, data: &'a [u8]) -> Result<Segment<'a>, Passed> {
+fn found<'a>(frames: &mut Frames, link: Link, data: &'a [u8]) -> Result<Segment<'a>, SkipReason> {
     frames.segment(&packet(link, data))
 }
 
@@ -61,7 +61,7 @@
     }
     assert_eq!(
         found(&mut Frames::new(false), Link::Other(147), &ip),
-        Err(Passed::Link)
+        Err(SkipReason::UnsupportedLinkType)
     );
 }
 
@@ -104,7 +104,7 @@
     }
     assert_eq!(
         found(&mut Frames::new(false), Link::Ip, &whole[..30]),
-        Err(Passed::Headers)
+        Err(SkipReason::InvalidHeaders)
     );
 }
 
@@ -115,7 +115,7 @@
     assert!(found(&mut Frames::new(false), Link::Ip, &data).is_ok());
     assert_eq!(
         found(&mut Frames::new(true), Link::Ip, &data),
-        Err(Passed::Checksum)
+        Err(SkipReason::WrongChecksum)
     );
 }
 
@@ -142,7 +142,10 @@
         let pieces = pieces(&whole, 8, 77);
         assert_eq!(pieces.len(), 4);
         for &n in &order[..3] {
-            assert_eq!(found(&mut frames, Link::Ip, &pieces[n]), Err(Passed::Piece));
+            assert_eq!(
+                found(&mut frames, Link::Ip, &pieces[n]),
+                Err(SkipReason::Fragment)
+            );
         }
         assert_eq!(
             found(&mut frames, Link::Ip, &pieces[order[3]])
@@ -161,7 +164,7 @@
     for id in 0..1000 {
         assert_eq!(
             found(&mut frames, Link::Ip, &pieces(&whole, 8, id)[0]),
-            Err(Passed::Piece)
+            Err(SkipReason::Fragment)
         );
     }
     assert_eq!(frames.given_up(), 1000 - 64);
@@ -176,7 +179,7 @@
             data: &pieces[0],
             ..late
         }),
-        Err(Passed::Piece)
+        Err(SkipReason::Fragment)
     );
     assert_eq!(frames.given_up(), 1000);
 }
@@ -215,7 +218,21 @@
         let segment = found(&mut frames, Link::Ip, &data);
         match n {
             0 => assert_eq!(segment.unwrap().payload.len(), 100),
-            _ => assert_eq!(segment, Err(Passed::Piece)),
+            _ => assert_eq!(segment, Err(SkipReason::Fragment)),
         }
     }
 }
+
+#[test]
+fn skip_reasons_print_labels_of_heathspurctl_output() {
+    for (reason, label) in [
+        (SkipReason::UnsupportedLinkType, "Link"),
+        (SkipReason::NotTcp, "Other"),
+        (SkipReason::InvalidHeaders, "Headers"),
+        (SkipReason::WrongChecksum, "Checksum"),
+        (SkipReason::Fragment, "Piece"),
+        (SkipReason::ConflictingFragment, "BadPiece"),
+    ] {
+        assert_eq!(format!("{reason:?}"), label);
+    }
+}
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::file::{Link, Packet, Reader};
-use heathspur_capture::frame::{Frames, Passed};
+use heathspur_capture::frame::{Frames, SkipReason};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::write;
 use heathspur_capture::{ConnId, Item, Stamp};
@@ -146,7 +146,7 @@
                 .get(&(segment.from, segment.to))
                 .is_some_and(|spans| contains(spans, segment.time)),
             // The connection of a fragment is known only once all are there; a surplus packet is better than a hole.
-            Err(Passed::Piece) => true,
+            Err(SkipReason::Fragment) => true,
             Err(_) => false,
         }
     }
