--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -105,5 +105,5 @@
     /// Segments without payload that belong to no known connection.
     pub without_connection: u64,
     /// Irregular segments.
-    pub odd: Anomalies,
+    pub anomalies: Anomalies,
 }
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -138,10 +138,10 @@
         };
         connection.last_segment = connection.last_segment.max(segment.time);
         if !connection.is_open() {
-            self.counts.odd.after_end += u64::from(!segment.payload.is_empty());
+            self.counts.anomalies.after_end += u64::from(!segment.payload.is_empty());
             return;
         }
-        connection.segment(segment, &mut self.counts.odd);
+        connection.segment(segment, &mut self.counts.anomalies);
         self.emit(flow, segment.time);
         self.give_up_gaps(flow);
     }
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -85,7 +85,7 @@
                 let read = read(&pcap(&scrambled), Options::default(), 333);
                 prop_assert_eq!(requests_by_connection(&read), sent);
                 prop_assert_eq!(read.tally.holes, 0);
-                prop_assert_eq!(read.tally.tcp.odd.conflicting, 0);
+                prop_assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
                 prop_assert!(read.answers.iter().all(|(_, to, _)| to.is_some()));
                 Ok(())
             },
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -64,7 +64,7 @@
     let read = all(&three(50).packets);
     is_whole(&read);
     assert_eq!(ends(&read), [End::Closed]);
-    assert_eq!(read.tally.tcp.odd, Default::default());
+    assert_eq!(read.tally.tcp.anomalies, Default::default());
 }
 
 #[test]
@@ -76,7 +76,7 @@
     script.packets[5].1 = second;
     let read = all(&script.packets);
     is_whole(&read);
-    assert_eq!(read.tally.tcp.odd.out_of_order, 1);
+    assert_eq!(read.tally.tcp.anomalies.out_of_order, 1);
     let first = &read.requests[0].2;
     assert_eq!(
         (first.first.0 - START, first.last.0 - START),
@@ -100,8 +100,8 @@
         .collect();
     let read = all(&script.packets);
     is_whole(&read);
-    assert!(read.tally.tcp.odd.repeated > 10);
-    assert_eq!(read.tally.tcp.odd.conflicting, 0);
+    assert!(read.tally.tcp.anomalies.repeated > 10);
+    assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
 
     let mut script = three(100);
     // A copy of the second segment with other bytes, once after it was given and once while it waits.
@@ -111,7 +111,7 @@
     script.packets.insert(5, (5 * MS, other.clone()));
     let read = all(&script.packets);
     is_whole(&read);
-    assert_eq!(read.tally.tcp.odd.conflicting, 1);
+    assert_eq!(read.tally.tcp.anomalies.conflicting, 1);
 
     let mut script = three(100);
     let (time, first) = script.packets.remove(3);
@@ -119,7 +119,7 @@
     script.packets.insert(5, (time.max(5 * MS), first));
     let read = all(&script.packets);
     is_whole(&read);
-    assert_eq!(read.tally.tcp.odd.conflicting, 1);
+    assert_eq!(read.tally.tcp.anomalies.conflicting, 1);
 }
 
 #[test]
@@ -145,7 +145,7 @@
     packets.push((9 * MS, part(5, bytes.len())));
     let read = all(&packets);
     assert_eq!(read.bodies(), [b"0123456789"]);
-    assert_eq!(read.tally.tcp.odd.conflicting, 0);
+    assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
 }
 
 #[test]
@@ -324,7 +324,10 @@
     let read = all(&script.packets);
     is_whole(&read);
     assert_eq!(
-        (read.tally.tcp.connections, read.tally.tcp.odd.after_end),
+        (
+            read.tally.tcp.connections,
+            read.tally.tcp.anomalies.after_end
+        ),
         (1, 1)
     );
 }
@@ -399,8 +402,8 @@
     assert_eq!(read.bodies(), [b"abc", b"abc"]);
     assert_eq!(
         (
-            read.tally.tcp.odd.keep_alives,
-            read.tally.tcp.odd.conflicting
+            read.tally.tcp.anomalies.keep_alives,
+            read.tally.tcp.anomalies.conflicting
         ),
         (1, 0)
     );
@@ -426,7 +429,10 @@
     let read = all(&script.packets);
     assert_eq!(read.requests.len(), 1 + 4);
     assert_eq!(
-        (read.tally.tcp.odd.stray, read.tally.tcp.odd.resynchronised),
+        (
+            read.tally.tcp.anomalies.stray,
+            read.tally.tcp.anomalies.resynchronised
+        ),
         (3, 1)
     );
 }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -170,7 +170,7 @@
             .sum::<u64>()
             .to_string(),
     );
-    let odd = tally.tcp.odd;
+    let odd = tally.tcp.anomalies;
     let counts = [
         ("packets cut by the snap length", tally.cut_packets),
         ("datagrams whose pieces never came", tally.pieces_given_up),
