--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -26,14 +26,14 @@
     /// Packets.
     pub packets: u64,
     /// Packets truncated by the capture.
-    pub cut_packets: u64,
+    pub truncated_packets: u64,
     /// Packets without a segment, by cause.
     pub passed: BTreeMap<SkipReason, u64>,
     /// Packets and bytes of a recording's interpreter and store connections. They do not carry HTTP and are not
     /// parsed.
     pub links: BTreeMap<Leg, (u64, u64)>,
     /// Fragmented datagrams that were discarded incomplete.
-    pub pieces_given_up: u64,
+    pub incomplete_datagrams: u64,
     /// Counters of the reassembly.
     pub tcp: Counts,
     /// Bytes missing in connections, as far as their number is known.
@@ -52,7 +52,7 @@
     fn count_packet(&mut self, packet: &Packet<'_>) {
         let is_truncated = (packet.data.len() as u64) < packet.wire_len.into();
         self.packets += 1;
-        self.cut_packets += u64::from(is_truncated);
+        self.truncated_packets += u64::from(is_truncated);
         if packet.time > Stamp::default() {
             self.first.get_or_insert(packet.time);
             self.last = self.last.max(packet.time);
@@ -101,7 +101,7 @@
     pub fn tally(&self) -> Tally {
         Tally {
             tcp: self.assembler.counts(),
-            pieces_given_up: self.frames.given_up(),
+            incomplete_datagrams: self.frames.given_up(),
             ..self.tally.clone()
         }
     }
--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -95,13 +95,13 @@
     /// Connections found.
     pub connections: u64,
     /// Connections whose start was not captured.
-    pub from_the_middle: u64,
+    pub midstream_connections: u64,
     /// Connections evicted because too many were tracked.
     pub evicted: u64,
     /// Gaps given up because of the bytes buffered or the time elapsed behind them.
-    pub gaps_given_up: u64,
+    pub abandoned_gaps: u64,
     /// Gaps given up because the memory was exhausted.
-    pub gaps_for_memory: u64,
+    pub gaps_abandoned_for_memory: u64,
     /// Segments without payload that belong to no known connection.
     pub without_connection: u64,
     /// Irregular segments.
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -198,7 +198,7 @@
         let id = ConnId(self.next_id);
         self.next_id += 1;
         self.counts.connections += 1;
-        self.counts.from_the_middle += u64::from(start == Start::Middle);
+        self.counts.midstream_connections += u64::from(start == Start::Middle);
         let connection = Connection::new(id, client, segment, start);
         self.connections.insert(flow, connection);
         self.events.push_back(Event::Opened {
@@ -332,7 +332,7 @@
         let Some(largest) = directions.max_by_key(|direction| direction.buffered_bytes()) else {
             return false;
         };
-        self.counts.gaps_for_memory += 1;
+        self.counts.gaps_abandoned_for_memory += 1;
         if !largest.give_up_gap() {
             return false;
         }
@@ -352,7 +352,7 @@
             }
         }
         if given_up > 0 {
-            self.counts.gaps_given_up += given_up;
+            self.counts.abandoned_gaps += given_up;
             self.emit(flow, self.now);
         }
     }
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -191,7 +191,7 @@
         pipeline.feed(&pcap(&script.packets), |item| {
             requests += u64::from(matches!(item, Item::Message(Found::Request { .. })));
         });
-        (requests, pipeline.tally().tcp.gaps_given_up)
+        (requests, pipeline.tally().tcp.abandoned_gaps)
     };
     assert_eq!(run(Limits::default(), 0), (0, 0));
     let (requests, given_up) = run(Limits::default(), 1000 * MS);
@@ -274,7 +274,7 @@
         (
             read.tally.holes,
             read.tally.missing_bytes,
-            read.tally.cut_packets
+            read.tally.truncated_packets
         ),
         (1, 30, 1)
     );
@@ -461,7 +461,11 @@
         100,
     );
     assert!(read.most_held < 51_000 + 200 * 1600, "{}", read.most_held);
-    assert!(read.tally.tcp.gaps_for_memory > 100, "{:?}", read.tally.tcp);
+    assert!(
+        read.tally.tcp.gaps_abandoned_for_memory > 100,
+        "{:?}",
+        read.tally.tcp
+    );
     assert_eq!(read.tally.holes, 200);
 }
 
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -157,7 +157,10 @@
     line("packets", tally.packets.to_string());
     line("seconds", format!("{seconds:.3}"));
     line("connections", tally.tcp.connections.to_string());
-    line("  from the middle", tally.tcp.from_the_middle.to_string());
+    line(
+        "  from the middle",
+        tally.tcp.midstream_connections.to_string(),
+    );
     for (end, count) in &summary.ends {
         line(&format!("  ended: {end:?}"), count.to_string());
     }
@@ -172,12 +175,18 @@
     );
     let odd = tally.tcp.anomalies;
     let counts = [
-        ("packets cut by the snap length", tally.cut_packets),
-        ("datagrams whose pieces never came", tally.pieces_given_up),
+        ("packets cut by the snap length", tally.truncated_packets),
+        (
+            "datagrams whose pieces never came",
+            tally.incomplete_datagrams,
+        ),
         ("holes", tally.holes),
         ("bytes missing", tally.missing_bytes),
-        ("gaps given up", tally.tcp.gaps_given_up),
-        ("gaps given up for memory", tally.tcp.gaps_for_memory),
+        ("gaps given up", tally.tcp.abandoned_gaps),
+        (
+            "gaps given up for memory",
+            tally.tcp.gaps_abandoned_for_memory,
+        ),
         ("connections that made room", tally.tcp.evicted),
         ("segments out of order", odd.out_of_order),
         ("segments repeated", odd.repeated),
