--- a/crates/heathspur-capture/src/file/mod.rs
+++ b/crates/heathspur-capture/src/file/mod.rs
@@ -10,7 +10,7 @@
 mod pcapng;
 
 pub use error::{FileError, FileErrorKind};
-pub use link::Link;
+pub use link::LinkType;
 
 use crate::{Leg, Stamp};
 use std::ops::Range;
@@ -26,7 +26,7 @@
     /// When it was captured.
     pub time: Stamp,
     /// Its link type.
-    pub link: Link,
+    pub link: LinkType,
     /// The bytes that were captured.
     pub data: &'a [u8],
     /// Its length on the wire, in bytes; more than the data where it was truncated.
@@ -59,7 +59,7 @@
     /// The range of the captured bytes in it.
     data: Range<usize>,
     time: Stamp,
-    link: Link,
+    link: LinkType,
     wire_len: u32,
     leg: Option<Leg>,
 }
--- a/crates/heathspur-capture/src/file/pcap.rs
+++ b/crates/heathspur-capture/src/file/pcap.rs
@@ -1,7 +1,7 @@
 //! The pcap format (draft-ietf-opsawg-pcap).
 
 use super::error::FileErrorKind;
-use super::link::Link;
+use super::link::LinkType;
 use super::{read_u32, PacketRecord, Parsed, MAX_PACKET_BYTES};
 use crate::Stamp;
 use pcap_parser::pcap::{parse_pcap_frame, parse_pcap_frame_be, parse_pcap_header};
@@ -25,7 +25,7 @@
 pub(super) struct FileHeader {
     is_big_endian: bool,
     has_nanoseconds: bool,
-    link: Link,
+    link: LinkType,
 }
 
 pub(super) fn is_magic_number(bytes: [u8; 4]) -> bool {
@@ -41,7 +41,7 @@
     Ok(Some(FileHeader {
         is_big_endian: header.is_bigendian(),
         has_nanoseconds: header.is_nanosecond_precision(),
-        link: Link::of(header.network.0 & LINK_TYPE_MASK),
+        link: LinkType::from_number(header.network.0 & LINK_TYPE_MASK),
     }))
 }
 
--- a/crates/heathspur-capture/src/file/pcapng.rs
+++ b/crates/heathspur-capture/src/file/pcapng.rs
@@ -1,7 +1,7 @@
 //! The pcapng format (draft-ietf-opsawg-pcapng).
 
 use super::error::FileErrorKind;
-use super::link::Link;
+use super::link::LinkType;
 use super::{read_u32, PacketRecord, Parsed, MAX_PACKET_BYTES};
 use crate::{Leg, Stamp};
 use pcap_parser::pcapng::{
@@ -172,7 +172,7 @@
 /// An interface described in the current section.
 #[derive(Clone, Copy, Debug)]
 struct Interface {
-    link: Link,
+    link: LinkType,
     leg: Option<Leg>,
     /// Bytes of a packet that are captured at most; 0 without a limit.
     snap_len: u32,
@@ -199,7 +199,7 @@
             .find(|option| option.code == OptionCode::IfName);
         let leg = name.and_then(|name| Leg::named(name.as_bytes().unwrap_or_default()));
         Ok(Interface {
-            link: Link::of(block.linktype.0),
+            link: LinkType::from_number(block.linktype.0),
             leg,
             snap_len: block.snaplen,
             resolution,
--- a/crates/heathspur-capture/src/frame/headers.rs
+++ b/crates/heathspur-capture/src/frame/headers.rs
@@ -2,7 +2,7 @@
 
 use super::fragments::FragmentHeader;
 use super::SkipReason;
-use crate::file::{Link, Packet};
+use crate::file::{LinkType, Packet};
 use etherparse::{
     EtherType, Ipv4HeaderSlice, Ipv6ExtensionSlice, LaxIpv6Slice, LaxNetSlice, LaxSlicedPacket,
 };
@@ -26,20 +26,20 @@
 pub(super) fn slice<'a>(packet: &Packet<'a>) -> Result<LaxSlicedPacket<'a>, SkipReason> {
     let data = packet.data;
     match packet.link {
-        Link::Ethernet => {
+        LinkType::Ethernet => {
             LaxSlicedPacket::from_ethernet(data).map_err(|_| SkipReason::InvalidHeaders)
         }
-        Link::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| SkipReason::InvalidHeaders),
-        Link::Loopback => {
+        LinkType::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| SkipReason::InvalidHeaders),
+        LinkType::Loopback => {
             // The number of the family differs between systems; the IP version says the same.
             let ip = data
                 .get(LOOPBACK_HEADER_LEN..)
                 .ok_or(SkipReason::InvalidHeaders)?;
             LaxSlicedPacket::from_ip(ip).map_err(|_| SkipReason::InvalidHeaders)
         }
-        Link::Cooked => slice_cooked(data, 14, 16),
-        Link::Cooked2 => slice_cooked(data, 0, 20),
-        Link::Other(_) => Err(SkipReason::UnsupportedLinkType),
+        LinkType::LinuxCooked => slice_cooked(data, 14, 16),
+        LinkType::LinuxCookedV2 => slice_cooked(data, 0, 20),
+        LinkType::Other(_) => Err(SkipReason::UnsupportedLinkType),
     }
 }
 
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -1,11 +1,11 @@
 //! Capture files of every kind, and damaged ones.
 
-use heathspur_capture::file::{FileError, FileErrorKind, Link, Reader};
+use heathspur_capture::file::{FileError, FileErrorKind, LinkType, Reader};
 use heathspur_capture::write;
 use heathspur_testkit::capture::*;
 
 /// Time, data and wire length of a packet, and its link.
-type Seen = (u64, Vec<u8>, u32, Link);
+type Seen = (u64, Vec<u8>, u32, LinkType);
 
 /// Each packet, and how reading ended.
 fn packets(file: &[u8], piece: usize) -> (Vec<Seen>, Result<(), FileError>) {
@@ -55,10 +55,13 @@
         let file = classic(big, nanos, 1, &[(7, part, b"abc", 3), (8, 0, b"de", 900)]);
         for piece in [1, 7, 4096] {
             let (found, end) = packets(&file, piece);
-            let first = (7_000_005_000, b"abc".to_vec(), 3, Link::Ethernet);
+            let first = (7_000_005_000, b"abc".to_vec(), 3, LinkType::Ethernet);
             assert_eq!(
                 found,
-                [first, (8_000_000_000, b"de".to_vec(), 900, Link::Ethernet)]
+                [
+                    first,
+                    (8_000_000_000, b"de".to_vec(), 900, LinkType::Ethernet)
+                ]
             );
             assert_eq!(end, Ok(()));
         }
@@ -161,11 +164,11 @@
         .concat();
         for piece in [1, 97, 1 << 16] {
             let (found, end) = packets(&file, piece);
-            let expected: [(u64, &[u8], Link); 4] = [
-                (3_000_001_000, b"first", Link::Ethernet),
-                (100_000_000_005, b"second", Link::Cooked),
-                (4_500_000_000, b"third", Link::Ip),
-                (1_500_000_000, b"fourth", Link::Cooked2),
+            let expected: [(u64, &[u8], LinkType); 4] = [
+                (3_000_001_000, b"first", LinkType::Ethernet),
+                (100_000_000_005, b"second", LinkType::LinuxCooked),
+                (4_500_000_000, b"third", LinkType::Ip),
+                (1_500_000_000, b"fourth", LinkType::LinuxCookedV2),
             ];
             let found: Vec<_> = found
                 .iter()
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Segments in packets of every link type, in pieces, cut, and with wrong checksums.
 
-use heathspur_capture::file::{Link, Packet};
+use heathspur_capture::file::{LinkType, Packet};
 use heathspur_capture::frame::{Frames, Segment, SkipReason};
 use heathspur_capture::write::{segment, Flags};
 use heathspur_capture::Stamp;
@@ -17,7 +17,7 @@
     )
 }
 
-fn packet(link: Link, data: &[u8]) -> Packet<'_> {
+fn packet(link: LinkType, data: &[u8]) -> Packet<'_> {
     Packet {
         time: Stamp(START),
         link,
@@ -27,7 +27,11 @@
     }
 }
 
-fn found<'a>(frames: &mut Frames, link: Link, data: &'a [u8]) -> Result<Segment<'a>, SkipReason> {
+fn found<'a>(
+    frames: &mut Frames,
+    link: LinkType,
+    data: &'a [u8],
+) -> Result<Segment<'a>, SkipReason> {
     frames.segment(&packet(link, data))
 }
 
@@ -36,15 +40,21 @@
     let ip = ip(b"hello");
     let ether = |tags: &[u8]| [&[2; 12], tags, &[8, 0], &ip[..]].concat();
     let packets = [
-        (Link::Ip, ip.clone()),
-        (Link::Ethernet, ether(&[])),
+        (LinkType::Ip, ip.clone()),
+        (LinkType::Ethernet, ether(&[])),
         // A frame shorter than 60 bytes is filled up; the filling is no payload.
-        (Link::Ethernet, [ether(&[]), vec![0xee; 9]].concat()),
-        (Link::Ethernet, ether(&[0x81, 0, 0, 5])),
-        (Link::Ethernet, ether(&[0x88, 0xa8, 0, 7, 0x81, 0, 0, 5])),
-        (Link::Cooked, [&[0; 14][..], &[8, 0], &ip].concat()),
-        (Link::Cooked2, [&[8, 0][..], &[0; 18], &ip].concat()),
-        (Link::Loopback, [&[2, 0, 0, 0][..], &ip].concat()),
+        (LinkType::Ethernet, [ether(&[]), vec![0xee; 9]].concat()),
+        (LinkType::Ethernet, ether(&[0x81, 0, 0, 5])),
+        (
+            LinkType::Ethernet,
+            ether(&[0x88, 0xa8, 0, 7, 0x81, 0, 0, 5]),
+        ),
+        (LinkType::LinuxCooked, [&[0; 14][..], &[8, 0], &ip].concat()),
+        (
+            LinkType::LinuxCookedV2,
+            [&[8, 0][..], &[0; 18], &ip].concat(),
+        ),
+        (LinkType::Loopback, [&[2, 0, 0, 0][..], &ip].concat()),
     ];
     for (link, data) in packets {
         let segment = found(&mut Frames::new(true), link, &data).unwrap();
@@ -60,7 +70,7 @@
         );
     }
     assert_eq!(
-        found(&mut Frames::new(false), Link::Other(147), &ip),
+        found(&mut Frames::new(false), LinkType::Other(147), &ip),
         Err(SkipReason::UnsupportedLinkType)
     );
 }
@@ -78,7 +88,7 @@
     let length = extended.len() as u16 - 40;
     extended[4..6].copy_from_slice(&length.to_be_bytes());
     for data in [plain, extended] {
-        let segment = found(&mut Frames::new(true), Link::Ip, &data).unwrap();
+        let segment = found(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
         assert_eq!(
             (segment.from, segment.to, &segment.payload[..]),
             (from, to, &b"hello"[..])
@@ -94,7 +104,7 @@
         let segment = Frames::new(true)
             .segment(&Packet {
                 wire_len: whole.len() as u32,
-                ..packet(Link::Ip, data)
+                ..packet(LinkType::Ip, data)
             })
             .unwrap();
         assert_eq!(
@@ -103,7 +113,7 @@
         );
     }
     assert_eq!(
-        found(&mut Frames::new(false), Link::Ip, &whole[..30]),
+        found(&mut Frames::new(false), LinkType::Ip, &whole[..30]),
         Err(SkipReason::InvalidHeaders)
     );
 }
@@ -112,9 +122,9 @@
 fn wrong_checksums_are_left_out_only_where_they_are_looked_at() {
     let mut data = ip(b"hello");
     *data.last_mut().unwrap() ^= 1;
-    assert!(found(&mut Frames::new(false), Link::Ip, &data).is_ok());
+    assert!(found(&mut Frames::new(false), LinkType::Ip, &data).is_ok());
     assert_eq!(
-        found(&mut Frames::new(true), Link::Ip, &data),
+        found(&mut Frames::new(true), LinkType::Ip, &data),
         Err(SkipReason::WrongChecksum)
     );
 }
@@ -143,12 +153,12 @@
         assert_eq!(pieces.len(), 4);
         for &n in &order[..3] {
             assert_eq!(
-                found(&mut frames, Link::Ip, &pieces[n]),
+                found(&mut frames, LinkType::Ip, &pieces[n]),
                 Err(SkipReason::Fragment)
             );
         }
         assert_eq!(
-            found(&mut frames, Link::Ip, &pieces[order[3]])
+            found(&mut frames, LinkType::Ip, &pieces[order[3]])
                 .unwrap()
                 .payload
                 .len(),
@@ -163,14 +173,14 @@
     let mut frames = Frames::new(false);
     for id in 0..1000 {
         assert_eq!(
-            found(&mut frames, Link::Ip, &pieces(&whole, 8, id)[0]),
+            found(&mut frames, LinkType::Ip, &pieces(&whole, 8, id)[0]),
             Err(SkipReason::Fragment)
         );
     }
     assert_eq!(frames.given_up(), 1000 - 64);
     let late = Packet {
         time: Stamp(START + 16_000_000_000),
-        ..packet(Link::Ip, &whole)
+        ..packet(LinkType::Ip, &whole)
     };
     assert!(frames.segment(&late).is_ok());
     let pieces = pieces(&whole, 8, 5);
@@ -193,7 +203,7 @@
     data[0] = 0x47;
     let length = data.len() as u16;
     data[2..4].copy_from_slice(&length.to_be_bytes());
-    let segment = found(&mut Frames::new(true), Link::Ip, &data).unwrap();
+    let segment = found(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
     assert_eq!((&segment.payload[..], segment.lost), (&b"hello"[..], 0));
 }
 
@@ -215,7 +225,7 @@
         data[6] = 44;
         let length = data.len() as u16 - 40;
         data[4..6].copy_from_slice(&length.to_be_bytes());
-        let segment = found(&mut frames, Link::Ip, &data);
+        let segment = found(&mut frames, LinkType::Ip, &data);
         match n {
             0 => assert_eq!(segment.unwrap().payload.len(), 100),
             _ => assert_eq!(segment, Err(SkipReason::Fragment)),
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -5,7 +5,7 @@
 use crate::source;
 use clap::Args;
 use heathspur_capture::exchange::{Found, Message};
-use heathspur_capture::file::{Link, Packet, Reader};
+use heathspur_capture::file::{LinkType, Packet, Reader};
 use heathspur_capture::frame::{Frames, SkipReason};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::write;
@@ -161,7 +161,7 @@
 /// Writes a pcapng file with an interface for each link type.
 struct CaptureWriter {
     output: BufWriter<File>,
-    links: Vec<Link>,
+    links: Vec<LinkType>,
     packets: u64,
 }
 
@@ -185,7 +185,7 @@
     }
 
     /// Returns the interface of a link type, and writes it first if it is new.
-    fn interface(&mut self, link: Link) -> io::Result<u32> {
+    fn interface(&mut self, link: LinkType) -> io::Result<u32> {
         if let Some(interface) = self.links.iter().position(|known| *known == link) {
             return Ok(interface as u32);
         }
