--- a/crates/heathspur-capture/src/write.rs
+++ b/crates/heathspur-capture/src/write.rs
@@ -155,7 +155,8 @@
 pub fn segment(
     from: SocketAddr,
     to: SocketAddr,
-    (seq, ack): (u32, Option<u32>),
+    seq: u32,
+    ack: Option<u32>,
     flags: Flags,
     payload: &[u8],
 ) -> Vec<u8> {
@@ -221,9 +222,9 @@
             ..Flags::default()
         };
         let [client, server] = self.addresses;
-        let first = segment(client, server, (self.seq[0], None), syn, &[]);
+        let first = segment(client, server, self.seq[0], None, syn, &[]);
         self.seq[0] = self.seq[0].wrapping_add(1);
-        let second = segment(server, client, (self.seq[1], Some(self.seq[0])), syn, &[]);
+        let second = segment(server, client, self.seq[1], Some(self.seq[0]), syn, &[]);
         self.seq[1] = self.seq[1].wrapping_add(1);
         [
             first,
@@ -279,11 +280,11 @@
 
     fn packet(&self, side: Side, flags: Flags, payload: &[u8]) -> Vec<u8> {
         let (from, to) = (side.index(), side.other().index());
-        let numbers = (self.seq[from], Some(self.seq[to]));
         segment(
             self.addresses[from],
             self.addresses[to],
-            numbers,
+            self.seq[from],
+            Some(self.seq[to]),
             flags,
             payload,
         )
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -11,7 +11,8 @@
     segment(
         client(4000),
         server(),
-        (1, Some(2)),
+        1,
+        Some(2),
         Flags::default(),
         payload,
     )
@@ -81,7 +82,7 @@
         "[fd00::7]:4000".parse().unwrap(),
         "[fd00::1]:6565".parse().unwrap(),
     );
-    let plain = segment(from, to, (1, Some(2)), Flags::default(), b"hello");
+    let plain = segment(from, to, 1, Some(2), Flags::default(), b"hello");
     let options = [6, 0, 1, 4, 0, 0, 0, 0];
     let mut extended = [&plain[..40], &options, &plain[40..]].concat();
     extended[6] = 0;
@@ -213,7 +214,7 @@
         "[fd00::7]:4000".parse().unwrap(),
         "[fd00::1]:6565".parse().unwrap(),
     );
-    let whole = segment(from, to, (1, Some(2)), Flags::default(), &[7; 100]);
+    let whole = segment(from, to, 1, Some(2), Flags::default(), &[7; 100]);
     let parts: Vec<_> = whole[40..].chunks(48).collect();
     let last = parts.len() - 1;
     let mut frames = Frames::new(true);
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -131,7 +131,8 @@
         segment(
             client(4000),
             server(),
-            (11 + from as u32, Some(21)),
+            11 + from as u32,
+            Some(21),
             NONE,
             &bytes[from..to],
         )
@@ -366,15 +367,15 @@
     let packets = [
         (
             MS,
-            segment(client(4000), server(), (99, None), syn, &bytes[..20]),
+            segment(client(4000), server(), 99, None, syn, &bytes[..20]),
         ),
         (
             2 * MS,
-            segment(server(), client(4000), (49, Some(120)), syn, &[]),
+            segment(server(), client(4000), 49, Some(120), syn, &[]),
         ),
         (
             3 * MS,
-            segment(client(4000), server(), (120, Some(50)), NONE, &bytes[20..]),
+            segment(client(4000), server(), 120, Some(50), NONE, &bytes[20..]),
         ),
         // The byte before the next, with a value of its own.
         (
@@ -382,7 +383,8 @@
             segment(
                 client(4000),
                 server(),
-                (99 + bytes.len() as u32, Some(50)),
+                99 + bytes.len() as u32,
+                Some(50),
                 NONE,
                 b"\0",
             ),
@@ -392,7 +394,8 @@
             segment(
                 client(4000),
                 server(),
-                (100 + bytes.len() as u32, Some(50)),
+                100 + bytes.len() as u32,
+                Some(50),
                 NONE,
                 &bytes,
             ),
@@ -417,7 +420,8 @@
         segment(
             client(4000),
             server(),
-            (seq, Some(91)),
+            seq,
+            Some(91),
             NONE,
             &request(number, b"far"),
         )
