--- a/crates/heathspur-capture/src/exchange/matching.rs
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -52,7 +52,7 @@
         self.by_time = true;
     }
 
-    pub fn request(&mut self, message: Message, found: &mut VecDeque<Found>) {
+    pub fn add_request(&mut self, message: Message, found: &mut VecDeque<Found>) {
         let index = self.take_index();
         let is_head = message
             .request_line()
@@ -72,7 +72,7 @@
     }
 
     /// A request that was skipped, and whose end is known, still gets a response.
-    pub fn skipped_request(&mut self, time: Stamp, found: &mut VecDeque<Found>) {
+    pub fn skip_request(&mut self, time: Stamp, found: &mut VecDeque<Found>) {
         let request = OpenRequest {
             index: self.take_index(),
             is_head: false,
@@ -82,11 +82,11 @@
     }
 
     /// A response that was skipped, and whose end is known, still answers a request.
-    pub fn skipped_response(&mut self) {
+    pub fn skip_response(&mut self) {
         self.open.pop_front();
     }
 
-    pub fn response(&mut self, message: Message, found: &mut VecDeque<Found>) {
+    pub fn add_response(&mut self, message: Message, found: &mut VecDeque<Found>) {
         let is_interim = message
             .status()
             .is_some_and(|status| (100..200).contains(&status));
--- a/crates/heathspur-capture/src/exchange/mod.rs
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -86,7 +86,7 @@
     }
 
     /// Takes the next result. Results should be taken after each event, because their number is not bounded.
-    pub fn take(&mut self) -> Option<Found> {
+    pub fn next_found(&mut self) -> Option<Found> {
         self.found.pop_front()
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Processes the next event.
-    pub fn event(&mut self, event: &Event) {
+    pub fn process(&mut self, event: &Event) {
         match event {
             Event::Opened { conn, start, .. } => {
                 let connection = Connection::new(*conn, *start, &self.limits);
@@ -107,18 +107,20 @@
                 side,
                 time,
                 bytes,
-            } => self.parse(*conn, *side, |parser| parser.data(*time, bytes)),
+            } => self.parse(*conn, *side, |parser| parser.process_bytes(*time, bytes)),
             Event::Hole { conn, side, length } => {
-                self.parse(*conn, *side, |parser| parser.hole(*length));
+                self.parse(*conn, *side, |parser| parser.process_hole(*length));
+            }
+            Event::Ended { conn, side, .. } => {
+                self.parse(*conn, *side, |parser| parser.process_end())
             }
-            Event::Ended { conn, side, .. } => self.parse(*conn, *side, |parser| parser.end()),
             Event::Closed { conn, .. } => self.close(*conn),
         }
     }
 
     fn close(&mut self, id: ConnId) {
         for side in [Side::Client, Side::Server] {
-            self.parse(id, side, |parser| parser.end());
+            self.parse(id, side, |parser| parser.process_end());
         }
         if let Some(connection) = self.connections.remove(&id) {
             connection.matcher.finish(&mut self.found);
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -39,13 +39,13 @@
 
 impl Parser<'_> {
     /// The side sent bytes.
-    pub fn data(&mut self, time: Stamp, bytes: &[u8]) {
+    pub fn process_bytes(&mut self, time: Stamp, bytes: &[u8]) {
         self.stream.push(time, bytes);
         self.parse_buffer();
     }
 
     /// Bytes of the side are missing; their number may be unknown.
-    pub fn hole(&mut self, length: Option<u64>) {
+    pub fn process_hole(&mut self, length: Option<u64>) {
         let is_inside_message = length.is_some_and(|length| self.hole_in_message(length));
         if !is_inside_message {
             self.lose_message(Cause::Hole);
@@ -53,7 +53,7 @@
     }
 
     /// The side sends nothing more.
-    pub fn end(&mut self) {
+    pub fn process_end(&mut self) {
         let cause = match &self.stream.mode {
             Mode::Finished => return,
             Mode::Body { head, .. } if matches!(head.length, Length::UntilClose) => {
@@ -206,8 +206,8 @@
             last,
         };
         match self.side {
-            Side::Client => self.matcher.request(message, self.found),
-            Side::Server => self.matcher.response(message, self.found),
+            Side::Client => self.matcher.add_request(message, self.found),
+            Side::Server => self.matcher.add_response(message, self.found),
         }
     }
 
@@ -216,9 +216,9 @@
         match self.side {
             Side::Client => {
                 let time = self.stream.first_time();
-                self.matcher.skipped_request(time, self.found);
+                self.matcher.skip_request(time, self.found);
             }
-            Side::Server => self.matcher.skipped_response(),
+            Side::Server => self.matcher.skip_response(),
         }
         self.stream.mode = Mode::Skip { remaining, cause };
     }
--- a/crates/heathspur-capture/src/file/mod.rs
+++ b/crates/heathspur-capture/src/file/mod.rs
@@ -135,7 +135,7 @@
                 Err(kind) => self.fail(kind),
                 Ok(Parsed::NeedsBytes) => return Ok(None),
                 Ok(Parsed::Skip(count)) => self.skip(count),
-                Ok(Parsed::Packet(record)) => return Ok(Some(self.take(&record))),
+                Ok(Parsed::Packet(record)) => return Ok(Some(self.consume(&record))),
             }
         }
     }
@@ -178,7 +178,7 @@
         self.consumed = 0;
     }
 
-    fn take(&mut self, record: &PacketRecord) -> Packet<'_> {
+    fn consume(&mut self, record: &PacketRecord) -> Packet<'_> {
         let start = self.consumed;
         self.consumed += record.record_len;
         Packet {
--- a/crates/heathspur-capture/src/frame/fragments.rs
+++ b/crates/heathspur-capture/src/frame/fragments.rs
@@ -48,7 +48,7 @@
 pub(super) struct Fragments {
     datagrams: BTreeMap<DatagramId, Datagram>,
     /// Datagrams discarded before they were complete.
-    pub given_up: u64,
+    pub incomplete_datagrams: u64,
 }
 
 impl Fragments {
@@ -91,7 +91,7 @@
         let count = self.datagrams.len();
         self.datagrams
             .retain(|_, datagram| now.since(datagram.first_fragment) < FRAGMENT_TIMEOUT);
-        self.given_up += (count - self.datagrams.len()) as u64;
+        self.incomplete_datagrams += (count - self.datagrams.len()) as u64;
     }
 
     fn discard_oldest(&mut self) {
@@ -102,7 +102,7 @@
             .map(|(&id, _)| id);
         if let Some(id) = oldest {
             self.datagrams.remove(&id);
-            self.given_up += 1;
+            self.incomplete_datagrams += 1;
         }
     }
 }
--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -88,8 +88,8 @@
     }
 
     /// Number of fragmented datagrams that were discarded incomplete.
-    pub fn given_up(&self) -> u64 {
-        self.fragments.given_up
+    pub fn incomplete_datagrams(&self) -> u64 {
+        self.fragments.incomplete_datagrams
     }
 
     /// The segment in a packet, or why there is none.
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -101,7 +101,7 @@
     pub fn tally(&self) -> Tally {
         Tally {
             tcp: self.assembler.counts(),
-            incomplete_datagrams: self.frames.given_up(),
+            incomplete_datagrams: self.frames.incomplete_datagrams(),
             ..self.tally.clone()
         }
     }
@@ -132,7 +132,7 @@
             }
             match self.frames.segment(&packet) {
                 Ok(segment) => {
-                    self.assembler.segment(&segment);
+                    self.assembler.process(&segment);
                     deliver(
                         &mut self.assembler,
                         &mut self.exchanges,
@@ -167,8 +167,8 @@
     tally: &mut Tally,
     found: &mut impl FnMut(Item),
 ) {
-    while let Some(event) = assembler.take() {
-        exchanges.event(&event);
+    while let Some(event) = assembler.next_event() {
+        exchanges.process(&event);
         if let Event::Hole { length, .. } = event {
             tally.holes += 1;
             tally.missing_bytes += length.unwrap_or(0);
@@ -178,7 +178,7 @@
             found(Item::Connection(event));
             continue;
         }
-        while let Some(message) = exchanges.take() {
+        while let Some(message) = exchanges.next_found() {
             found(Item::Message(message));
         }
         if !matches!(event, Event::Bytes { .. }) {
--- a/crates/heathspur-capture/src/reassembly/connection.rs
+++ b/crates/heathspur-capture/src/reassembly/connection.rs
@@ -60,7 +60,7 @@
     }
 
     /// Processes a segment's payload and end.
-    pub fn segment(&mut self, segment: &Segment<'_>, anomalies: &mut Anomalies) {
+    pub fn process(&mut self, segment: &Segment<'_>, anomalies: &mut Anomalies) {
         let side = self.sender(segment);
         let direction = &mut self.directions[side.index()];
         // A SYN occupies the sequence number before the payload, and a FIN the one behind it.
@@ -71,7 +71,7 @@
             bytes: &segment.payload,
             truncated: segment.lost.into(),
         };
-        direction.payload(payload, anomalies);
+        direction.add_payload(payload, anomalies);
         if segment.rst {
             // The RST that rejects a SYN has no sequence number of its own.
             let rejects_syn = segment.seq == 0 && !direction.is_started();
--- a/crates/heathspur-capture/src/reassembly/direction.rs
+++ b/crates/heathspur-capture/src/reassembly/direction.rs
@@ -135,12 +135,12 @@
     }
 
     /// Takes the next output.
-    pub fn take(&mut self) -> Option<Output> {
+    pub fn next_output(&mut self) -> Option<Output> {
         self.output.pop_front()
     }
 
     /// Processes the payload of a segment.
-    pub fn payload(&mut self, payload: Payload<'_>, anomalies: &mut Anomalies) {
+    pub fn add_payload(&mut self, payload: Payload<'_>, anomalies: &mut Anomalies) {
         if payload.len() == 0 {
             return;
         }
@@ -188,7 +188,7 @@
     }
 
     /// Stops waiting for the bytes of the first gap and delivers a hole instead. False if there is no gap.
-    pub fn give_up_gap(&mut self) -> bool {
+    pub fn abandon_gap(&mut self) -> bool {
         let Some(next) = self.next else {
             return false;
         };
@@ -208,7 +208,7 @@
     pub fn flush(&mut self) {
         while self.is_waiting() || (self.end.is_some() && !self.ended) {
             self.advance();
-            if !self.give_up_gap() {
+            if !self.abandon_gap() {
                 break;
             }
         }
@@ -218,7 +218,7 @@
     fn flush_pieces(&mut self) {
         while self.is_waiting() {
             self.advance();
-            if !self.give_up_gap() {
+            if !self.abandon_gap() {
                 break;
             }
         }
@@ -243,7 +243,7 @@
             seq: payload.seq,
             offset: next.offset,
         });
-        self.payload(payload, anomalies);
+        self.add_payload(payload, anomalies);
     }
 
     /// The number of bytes of a payload that were delivered before; they are compared with their first copy.
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -113,12 +113,12 @@
     }
 
     /// Takes the next event. Events should be taken after each segment, because their number is not bounded.
-    pub fn take(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
     /// Processes a segment.
-    pub fn segment(&mut self, segment: &Segment<'_>) {
+    pub fn process(&mut self, segment: &Segment<'_>) {
         self.counts.segments += 1;
         self.now = self.now.max(segment.time);
         let flow = FlowKey::of(segment);
@@ -141,9 +141,9 @@
             self.counts.anomalies.after_end += u64::from(!segment.payload.is_empty());
             return;
         }
-        connection.segment(segment, &mut self.counts.anomalies);
+        connection.process(segment, &mut self.counts.anomalies);
         self.emit(flow, segment.time);
-        self.give_up_gaps(flow);
+        self.abandon_gaps(flow);
     }
 
     /// Ends the capture: delivers what is buffered and closes all connections.
@@ -217,7 +217,7 @@
         };
         let mut is_reset = false;
         for side in [Side::Client, Side::Server] {
-            while let Some(output) = connection.directions[side.index()].take() {
+            while let Some(output) = connection.directions[side.index()].next_output() {
                 is_reset |= output == Output::End { reset: true };
                 let event = output_event(connection.id, side, time, output);
                 self.events.push_back(event);
@@ -281,26 +281,26 @@
     }
 
     /// Gives up gaps with too many bytes or too much time behind them, and further ones while memory is short.
-    fn give_up_gaps(&mut self, flow: FlowKey) {
-        self.give_up_large_gaps(flow);
-        self.give_up_old_gaps();
+    fn abandon_gaps(&mut self, flow: FlowKey) {
+        self.abandon_large_gaps(flow);
+        self.abandon_old_gaps();
         while self.buffered_bytes > self.limits.memory {
-            if !self.give_up_largest_gap() {
+            if !self.abandon_largest_gap() {
                 return;
             }
         }
     }
 
-    fn give_up_large_gaps(&mut self, flow: FlowKey) {
+    fn abandon_large_gaps(&mut self, flow: FlowKey) {
         let max_bytes = self.limits.gap_bytes;
         let connection = self.connections.get(&flow);
         if connection.is_some_and(|connection| connection.buffered_bytes > max_bytes) {
-            self.give_up(flow, |direction| direction.buffered_bytes() > max_bytes);
+            self.abandon_gaps_where(flow, |direction| direction.buffered_bytes() > max_bytes);
         }
     }
 
     /// Checks the age of all gaps, but not with each segment.
-    fn give_up_old_gaps(&mut self) {
+    fn abandon_old_gaps(&mut self) {
         let (now, max_age) = (self.now, self.limits.gap_time);
         if now.since(self.gaps_checked) <= max_age / GAP_CHECKS {
             return;
@@ -312,12 +312,12 @@
         };
         let waiting: Vec<FlowKey> = self.waiting.values().copied().collect();
         for flow in waiting {
-            self.give_up(flow, is_old);
+            self.abandon_gaps_where(flow, is_old);
         }
     }
 
     /// Gives up a gap of the connection with the most buffered bytes; false if there is none.
-    fn give_up_largest_gap(&mut self) -> bool {
+    fn abandon_largest_gap(&mut self) -> bool {
         let buffered = |flow: &&FlowKey| {
             let connection = self.connections.get(flow);
             connection.map_or(0, |connection| connection.buffered_bytes)
@@ -333,7 +333,7 @@
             return false;
         };
         self.counts.gaps_abandoned_for_memory += 1;
-        if !largest.give_up_gap() {
+        if !largest.abandon_gap() {
             return false;
         }
         self.emit(flow, self.now);
@@ -341,18 +341,18 @@
     }
 
     /// Gives up the first gaps of each direction of a connection while the condition holds.
-    fn give_up(&mut self, flow: FlowKey, condition: impl Fn(&Direction) -> bool) {
+    fn abandon_gaps_where(&mut self, flow: FlowKey, condition: impl Fn(&Direction) -> bool) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
         };
-        let mut given_up = 0;
+        let mut abandoned = 0;
         for direction in &mut connection.directions {
-            while condition(direction) && direction.give_up_gap() {
-                given_up += 1;
+            while condition(direction) && direction.abandon_gap() {
+                abandoned += 1;
             }
         }
-        if given_up > 0 {
-            self.counts.abandoned_gaps += given_up;
+        if abandoned > 0 {
+            self.counts.abandoned_gaps += abandoned;
             self.emit(flow, self.now);
         }
     }
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -178,7 +178,7 @@
             Err(SkipReason::Fragment)
         );
     }
-    assert_eq!(frames.given_up(), 1000 - 64);
+    assert_eq!(frames.incomplete_datagrams(), 1000 - 64);
     let late = Packet {
         time: Stamp(START + 16_000_000_000),
         ..packet(LinkType::Ip, &whole)
@@ -192,7 +192,7 @@
         }),
         Err(SkipReason::Fragment)
     );
-    assert_eq!(frames.given_up(), 1000);
+    assert_eq!(frames.incomplete_datagrams(), 1000);
 }
 
 #[test]
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -195,16 +195,16 @@
         (requests, pipeline.tally().tcp.abandoned_gaps)
     };
     assert_eq!(run(Limits::default(), 0), (0, 0));
-    let (requests, given_up) = run(Limits::default(), 1000 * MS);
-    assert!(requests >= 3 && given_up == 1, "{requests} {given_up}");
-    let (requests, given_up) = run(
+    let (requests, abandoned) = run(Limits::default(), 1000 * MS);
+    assert!(requests >= 3 && abandoned == 1, "{requests} {abandoned}");
+    let (requests, abandoned) = run(
         Limits {
             gap_bytes: 900,
             ..Limits::default()
         },
         0,
     );
-    assert!(requests >= 3 && given_up == 1, "{requests} {given_up}");
+    assert!(requests >= 3 && abandoned == 1, "{requests} {abandoned}");
 }
 
 #[test]
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -315,11 +315,11 @@
                     heathspur_capture::reassembly::Assembler::new(Default::default());
                 reader.feed(&file);
                 while let Some(packet) = reader.next_packet().unwrap() {
-                    assembler.segment(&frames.segment(&packet).unwrap());
+                    assembler.process(&frames.segment(&packet).unwrap());
                 }
                 assembler.finish();
                 let mut recorded = [Vec::new(), Vec::new()];
-                while let Some(event) = assembler.take() {
+                while let Some(event) = assembler.next_event() {
                     prop_assert!(!matches!(event, Read::Hole { .. }), "a hole");
                     if let Read::Bytes { side, bytes, .. } = event {
                         recorded[usize::from(side == Side::Server)].extend_from_slice(&bytes);
