--- a/crates/heathspur-capture/src/exchange/matching.rs
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -1,26 +1,26 @@
 //! Matches the responses of a connection to its requests.
 //!
-//! Responses come in the order of their requests. Once bytes are missing, order proves nothing, and responses
+//! Responses are sent in the order of their requests. Once bytes are missing, the order is not reliable, and responses
 //! are matched by capture time until no request is open.
 
 use super::message::{Found, Message};
 use crate::{ConnId, Stamp};
 use std::collections::VecDeque;
 
-/// A request without a response so far.
+/// A request whose response was not found yet.
 #[derive(Debug)]
 struct OpenRequest {
     index: u64,
     is_head: bool,
-    /// When its last byte was captured.
+    /// The latest capture time of its bytes.
     last: Stamp,
 }
 
-/// The requests of one connection that wait for responses.
+/// The open requests of one connection, and responses without a request.
 #[derive(Debug)]
 pub(super) struct Matcher {
     conn: ConnId,
-    /// Bound on open requests, and on responses that wait for their request.
+    /// The maximum number of open requests, and of responses without a request.
     max_open: usize,
     next_index: u64,
     open: VecDeque<OpenRequest>,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Whether the next response answers a HEAD request, and therefore has no body.
+    /// Returns whether the next response answers a HEAD request and therefore has no body.
     pub fn expects_head_response(&self) -> bool {
         self.open.front().is_some_and(|request| request.is_head)
     }
 
-    /// Bytes were lost: matches by time until no request is open.
-    pub fn lose_order(&mut self) {
+    /// Matches responses by capture time until no request is open. Called when bytes were lost.
+    pub fn match_by_time(&mut self) {
         self.by_time = true;
     }
 
@@ -71,7 +71,7 @@
         self.open_request(request, found);
     }
 
-    /// A request that was skipped, and whose end is known, still gets a response.
+    /// Adds a request that was skipped and whose end is known. It has a response like other requests.
     pub fn skip_request(&mut self, time: Stamp, found: &mut VecDeque<Found>) {
         let request = OpenRequest {
             index: self.take_index(),
@@ -81,7 +81,7 @@
         self.open_request(request, found);
     }
 
-    /// A response that was skipped, and whose end is known, still answers a request.
+    /// Removes the request that is answered by a response that was skipped and whose end is known.
     pub fn skip_response(&mut self) {
         self.open.pop_front();
     }
@@ -107,7 +107,7 @@
         found.push_back(self.matched(to, message));
     }
 
-    /// Reports the responses whose request never came.
+    /// Reports the responses whose request was not found.
     pub fn finish(self, found: &mut VecDeque<Found>) {
         let conn = self.conn;
         found.extend(self.early.into_iter().map(|message| Found::Response {
@@ -125,13 +125,13 @@
 
     fn open_request(&mut self, request: OpenRequest, found: &mut VecDeque<Found>) {
         if self.open.len() >= self.max_open {
-            // Clients do not pipeline this many: the oldest request lost its response.
+            // Clients do not pipeline this many requests, so the response to the oldest one must be lost.
             self.open.pop_front();
         }
         let (index, last) = (request.index, request.last);
         self.open.push_back(request);
-        // Packets may be captured out of order, so a response can precede its request. Only where bytes are
-        // missing does the capture time say more than the order.
+        // Packets may be captured out of order, so a response can precede its request. The capture time is more
+        // reliable than the order only if bytes are missing.
         while let Some(early) = self.early.pop_front() {
             if !self.by_time || early.first >= last {
                 self.open.pop_back();
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Takes the latest request that was complete at `time`; the requests before it lost their responses.
+    /// Removes and returns the latest request that was complete at `time`. Also removes the requests before it, whose
+    /// responses are lost.
     fn take_latest_before(&mut self, time: Stamp) -> Option<OpenRequest> {
         let position = self.open.iter().rposition(|request| request.last <= time)?;
         self.open.drain(..=position).next_back()
--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -9,40 +9,40 @@
 /// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// All its bytes.
+    /// The bytes of the message.
     pub bytes: Bytes,
-    /// The range of its request or status line.
+    /// The range of the request or status line.
     pub line: Range<usize>,
-    /// The range of its header fields.
+    /// The range of the header fields.
     pub fields: Range<usize>,
-    /// The range of its body, with the chunk framing if it has one.
+    /// The range of the body, including any chunk framing.
     pub body: Range<usize>,
-    /// When its first byte was captured.
+    /// The capture time of the first byte.
     pub first: Stamp,
-    /// When its last byte was captured.
+    /// The latest capture time of its bytes.
     pub last: Stamp,
 }
 
 impl Message {
-    /// The value of the first header field of that name.
+    /// Returns the value of the first header field with this name.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
         Fields::over(&self.bytes[self.fields.clone()])
             .filter_map(Result::ok)
-            .find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()))
+            .find(|(field_name, _)| field_name.eq_ignore_ascii_case(name.as_bytes()))
             .map(|(_, value)| value)
     }
 
-    /// The bytes of its body.
+    /// Returns the bytes of the body, including any chunk framing.
     pub fn body(&self) -> &[u8] {
         &self.bytes[self.body.clone()]
     }
 
-    /// Method and target, if it is a request.
+    /// Returns the method and the target, if the message is a request.
     pub fn request_line(&self) -> Option<(&[u8], &[u8])> {
         request_line(&self.bytes[self.line.clone()]).ok()
     }
 
-    /// Status code, if it is a response.
+    /// Returns the status code, if the message is a response.
     pub fn status(&self) -> Option<u16> {
         status_line(&self.bytes[self.line.clone()]).ok()
     }
@@ -50,7 +50,7 @@
 
 /// The reason why bytes were skipped.
 ///
-/// `heathspurctl` prints the [`Debug`] text, so that text is fixed and may differ from the names.
+/// `heathspurctl` prints the [`Debug`](fmt::Debug) text, so that text is fixed and may differ from the names.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
     /// Bytes of the message, or before it, are missing.
@@ -77,14 +77,14 @@
     }
 }
 
-/// What was found, in order for each side of a connection.
+/// A message, or skipped bytes. Those of one side of a connection are in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
     /// A request.
     Request {
         /// The connection.
         conn: ConnId,
-        /// Its position among the requests of the connection, from 0; requests skipped as too large count.
+        /// The index of the request on its connection, from 0. Skipped requests whose end is known count as well.
         index: u64,
         /// The request.
         message: Message,
@@ -93,7 +93,7 @@
     Response {
         /// The connection.
         conn: ConnId,
-        /// The index of its request, where that is known.
+        /// The index of its request, if known.
         to: Option<u64>,
         /// The response.
         message: Message,
@@ -104,11 +104,11 @@
         conn: ConnId,
         /// The sender.
         side: Side,
-        /// Why they were skipped.
+        /// The reason why they were skipped.
         cause: Cause,
-        /// How many bytes were captured.
+        /// The number of bytes that were captured and skipped.
         bytes: u64,
-        /// When the first of them was captured.
+        /// The capture time of the first of them.
         time: Stamp,
     },
 }
--- a/crates/heathspur-capture/src/exchange/mod.rs
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 exchanges in the bytes of connections: complete messages with the capture times of their first and
+//! Finds HTTP/1.1 exchanges in the bytes of connections: complete messages with the capture times of their first and
 //! last byte, and responses matched to their requests.
 //!
-//! Where bytes are missing, parsing resumes at the next message that can be recognised, and the bytes skipped
-//! are reported with the cause. From then on responses are matched by time until no request is open.
+//! Where bytes are missing, parsing resumes at the next message that can be recognised, and the skipped bytes are
+//! reported with the cause. From then on responses are matched by time until no request is open.
 
 mod matching;
 mod message;
@@ -24,11 +24,11 @@
 pub struct Limits {
     /// The longest message head, in bytes.
     pub head: usize,
-    /// The longest message, in bytes; longer ones are skipped and reported.
+    /// The longest message, in bytes. Longer ones are skipped and reported.
     pub message: usize,
-    /// Bytes of incomplete messages over all connections.
+    /// The maximum number of buffered bytes of incomplete messages of all connections.
     pub memory: usize,
-    /// Open requests of one connection.
+    /// The maximum number of open requests of one connection.
     pub open: usize,
 }
 
@@ -45,18 +45,18 @@
 
 #[derive(Debug)]
 struct Connection {
-    /// The client's, then the server's.
+    /// The streams of the client and of the server, in this order.
     streams: [Stream; 2],
     matcher: Matcher,
 }
 
 impl Connection {
     fn new(id: ConnId, start: Start, limits: &Limits) -> Connection {
-        let is_midstream = start == Start::Middle;
-        // The first bytes of a connection that began before the capture may be the middle of a message.
+        let is_midstream = start == Start::Midstream;
+        // The first captured bytes of a connection that began before the capture may be in the middle of a message.
         let mode = || match start {
             Start::Handshake => Mode::Head,
-            Start::Middle => Mode::Resynchronise(Cause::Hole),
+            Start::Midstream => Mode::Resynchronise(Cause::Hole),
         };
         Connection {
             streams: [Stream::new(mode()), Stream::new(mode())],
@@ -65,7 +65,7 @@
     }
 }
 
-/// Finds messages in the events of an [`crate::reassembly::Assembler`].
+/// Finds messages in the events of a [`crate::reassembly::Assembler`].
 #[derive(Debug)]
 pub struct Exchanges {
     limits: Limits,
@@ -75,7 +75,7 @@
 }
 
 impl Exchanges {
-    /// Creates an instance that has seen no connection.
+    /// Creates an instance without connections.
     pub fn new(limits: Limits) -> Exchanges {
         Exchanges {
             limits,
@@ -85,12 +85,13 @@
         }
     }
 
-    /// Takes the next result. Results should be taken after each event, because their number is not bounded.
+    /// Removes and returns the next result. Call this after each event until it returns `None`, because the number of
+    /// queued results is not bounded.
     pub fn next_found(&mut self) -> Option<Found> {
         self.found.pop_front()
     }
 
-    /// Bytes of incomplete messages.
+    /// Returns the number of buffered bytes of incomplete messages.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -17,12 +17,12 @@
     NeedsBytes,
 }
 
-/// What the buffer says about the message whose body is being read.
+/// The state of the message whose body is being read.
 enum BodyState {
     /// The message ends at this position in the buffer.
     Complete(usize),
     Incomplete,
-    /// The message has this many bytes, more than are kept.
+    /// The message has this many bytes, which exceeds the limit.
     TooLong(u64),
     Malformed,
 }
@@ -38,21 +38,21 @@
 }
 
 impl Parser<'_> {
-    /// The side sent bytes.
+    /// Processes bytes that the side sent.
     pub fn process_bytes(&mut self, time: Stamp, bytes: &[u8]) {
         self.stream.push(time, bytes);
         self.parse_buffer();
     }
 
-    /// Bytes of the side are missing; their number may be unknown.
+    /// Processes a hole in the bytes of the side. Its length may be unknown.
     pub fn process_hole(&mut self, length: Option<u64>) {
-        let is_inside_message = length.is_some_and(|length| self.hole_in_message(length));
+        let is_inside_message = length.is_some_and(|length| self.skip_message_with_hole(length));
         if !is_inside_message {
             self.lose_message(Cause::Hole);
         }
     }
 
-    /// The side sends nothing more.
+    /// Processes the end of the side.
     pub fn process_end(&mut self) {
         let cause = match &self.stream.mode {
             Mode::Finished => return,
@@ -74,13 +74,13 @@
         self.report_skipped(cause);
     }
 
-    /// Discards the buffer and looks for the next message.
+    /// Skips the buffered bytes and searches for the next message.
     pub fn lose_message(&mut self, cause: Cause) {
         self.stream.skip_all();
         if !matches!(self.stream.mode, Mode::Finished) {
             self.stream.mode = Mode::Resynchronise(cause);
         }
-        self.matcher.lose_order();
+        self.matcher.match_by_time();
     }
 
     fn parse_buffer(&mut self) {
@@ -103,7 +103,7 @@
     fn resynchronise(&mut self, cause: Cause) -> Progress {
         let stream = &mut *self.stream;
         let Some(start) = find_message_start(&stream.buffer, self.side) else {
-            // The buffer may end with a part of a first line.
+            // The buffer may end with an incomplete first line, which is retained.
             let excess = stream.buffer.len().saturating_sub(self.limits.head);
             stream.skip(excess);
             return Progress::NeedsBytes;
@@ -131,7 +131,7 @@
             }
             Err(http::Error::HeadTooLarge) => self.lose_message(Cause::TooLarge),
             Err(_) => {
-                // Skips a byte, so that the same position is not recognised again.
+                // One byte is skipped, so that the same position is not recognised again.
                 self.stream.skip(1);
                 self.stream.mode = Mode::Resynchronise(Cause::NotHttp);
             }
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Starts to skip a message with a known number of bytes left. It still counts for the matching.
+    /// Starts to skip a message with a known number of bytes left. The message still counts when responses are matched
+    /// to requests.
     fn begin_skipping(&mut self, remaining: u64, cause: Cause) {
         match self.side {
             Side::Client => {
@@ -239,8 +240,9 @@
         Progress::Advanced
     }
 
-    /// Whether the hole lies within the current message, so that the start of the next one is known.
-    fn hole_in_message(&mut self, length: u64) -> bool {
+    /// Skips the current message if the hole lies within it, in which case the start of the next one is known. Returns
+    /// false if it does not.
+    fn skip_message_with_hole(&mut self, length: u64) -> bool {
         match &self.stream.mode {
             Mode::Skip { remaining, cause } if length <= *remaining => {
                 let (remaining, cause) = (*remaining - length, *cause);
--- a/crates/heathspur-capture/src/exchange/resync.rs
+++ b/crates/heathspur-capture/src/exchange/resync.rs
@@ -2,7 +2,7 @@
 
 use crate::Side;
 
-/// Methods that the start of a request is recognised by.
+/// The methods by which the start of a request is recognised.
 const METHODS: [&[u8]; 7] = [
     b"GET", b"HEAD", b"POST", b"PUT", b"DELETE", b"OPTIONS", b"PATCH",
 ];
@@ -10,10 +10,10 @@
 const RESPONSE_START: &[u8] = b"HTTP/1.1 ";
 /// The end of a request line.
 const REQUEST_LINE_END: &[u8] = b" HTTP/1.1\r\n";
-/// Digits of a status code.
+/// The number of digits of a status code.
 const STATUS_LEN: usize = 3;
 
-/// The position of the first message of a side that can be recognised.
+/// Returns the position of the first message of a side that can be recognised.
 pub(super) fn find_message_start(bytes: &[u8], side: Side) -> Option<usize> {
     match side {
         Side::Client => find_request(bytes),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Looks for a known method, a path and the version.
+/// Searches for a known method, a path and the version.
 fn find_request(bytes: &[u8]) -> Option<usize> {
     memchr::memmem::find_iter(bytes, REQUEST_LINE_END).find_map(|target_end| {
         let target_start = bytes[..target_end]
@@ -39,7 +39,7 @@
     })
 }
 
-/// Looks for the version and a status code.
+/// Searches for the version and a status code.
 fn find_response(bytes: &[u8]) -> Option<usize> {
     memchr::memmem::find_iter(bytes, RESPONSE_START).find(|&start| {
         let status_start = start + RESPONSE_START.len();
--- a/crates/heathspur-capture/src/exchange/stream.rs
+++ b/crates/heathspur-capture/src/exchange/stream.rs
@@ -9,15 +9,15 @@
 /// The position of the parser in one side's bytes.
 #[derive(Debug)]
 pub(super) enum Mode {
-    /// Looks for the start of a message after bytes were lost or unreadable.
+    /// Searches for the start of a message after bytes that were lost or could not be parsed.
     Resynchronise(Cause),
     /// At the start of a message, or in its head.
     Head,
-    /// In the body of a message whose head is parsed.
+    /// In the body of a message whose head was parsed.
     Body { head: Head, chunks: Chunks },
     /// In a message that is skipped and has this many bytes left.
     Skip { remaining: u64, cause: Cause },
-    /// After the last byte that is read.
+    /// After the end of the side.
     Finished,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SkippedBytes {
     pub count: u64,
-    /// When the first of them was captured.
+    /// The capture time of the first of them.
     pub time: Stamp,
 }
 
@@ -34,8 +34,8 @@
 pub(super) struct Stream {
     pub mode: Mode,
     pub buffer: BytesMut,
-    /// Lengths and capture times of the pieces in the buffer.
-    pieces: VecDeque<(usize, Stamp)>,
+    /// The length and capture time of each chunk in the buffer.
+    chunks: VecDeque<(usize, Stamp)>,
     pub skipped: Option<SkippedBytes>,
     /// Whether a message head was parsed on this side.
     pub is_http: bool,
@@ -46,7 +46,7 @@
         Stream {
             mode,
             buffer: BytesMut::new(),
-            pieces: VecDeque::new(),
+            chunks: VecDeque::new(),
             skipped: None,
             is_http: false,
         }
@@ -54,21 +54,21 @@
 
     pub fn push(&mut self, time: Stamp, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
-        self.pieces.push_back((bytes.len(), time));
+        self.chunks.push_back((bytes.len(), time));
     }
 
-    /// The capture time of the first byte in the buffer.
+    /// Returns the capture time of the first byte in the buffer.
     pub fn first_time(&self) -> Stamp {
-        self.pieces
+        self.chunks
             .front()
             .map_or(Stamp::default(), |&(_, time)| time)
     }
 
-    /// The latest capture time of the first `count` bytes in the buffer.
+    /// Returns the latest capture time of the first `count` bytes in the buffer.
     pub fn latest_time(&self, count: usize) -> Stamp {
         let mut latest = self.first_time();
         let mut covered = 0;
-        for &(length, time) in &self.pieces {
+        for &(length, time) in &self.chunks {
             if covered >= count {
                 break;
             }
@@ -81,13 +81,13 @@
     /// Removes the first `count` bytes from the buffer.
     pub fn consume(&mut self, count: usize) -> Bytes {
         let mut remaining = count;
-        while let Some((length, _)) = self.pieces.front_mut() {
+        while let Some((length, _)) = self.chunks.front_mut() {
             if *length > remaining {
                 *length -= remaining;
                 break;
             }
             remaining -= *length;
-            self.pieces.pop_front();
+            self.chunks.pop_front();
         }
         self.buffer.split_to(count).freeze()
     }
@@ -103,7 +103,7 @@
         drop(self.consume(count));
     }
 
-    /// Skips the whole buffer.
+    /// Skips all bytes in the buffer.
     pub fn skip_all(&mut self) {
         self.skip(self.buffer.len());
     }
--- a/crates/heathspur-capture/src/file/link.rs
+++ b/crates/heathspur-capture/src/file/link.rs
@@ -1,6 +1,6 @@
 //! Link types of captured packets.
 
-/// How the first bytes of a packet are to be read.
+/// The link type of a packet, which determines the header that it starts with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LinkType {
     /// Ethernet II, with or without VLAN tags.
@@ -18,7 +18,7 @@
 }
 
 impl LinkType {
-    /// The link type of a number in a file (registry of link types at tcpdump.org).
+    /// Returns the link type for a number in a file (registry of link types at tcpdump.org).
     pub fn from_number(number: i32) -> LinkType {
         match number {
             1 => LinkType::Ethernet,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The number that is written for the link type.
+    /// Returns the number that is written for the link type.
     pub fn number(self) -> i32 {
         match self {
             LinkType::Ethernet => 1,
--- a/crates/heathspur-capture/src/file/mod.rs
+++ b/crates/heathspur-capture/src/file/mod.rs
@@ -1,8 +1,8 @@
-//! Packets in the bytes of a capture file: pcap in both byte orders with micro- or nanoseconds, and pcapng.
+//! Reads the packets of a capture file: pcap in both byte orders with micro- or nanoseconds, and pcapng.
 //!
-//! `pcap-parser` reads headers and blocks. This module adds what it leaves open: lengths are checked before more
-//! bytes are awaited, blocks without a packet are skipped without being buffered, and time stamps in powers of
-//! two and offsets in big-endian sections are converted correctly.
+//! `pcap-parser` parses headers and blocks. This module adds what the library lacks: it checks lengths before it waits
+//! for more bytes, skips blocks without a packet without buffering them, and correctly converts time stamps in powers
+//! of two and time offsets in big-endian sections.
 
 mod error;
 mod link;
@@ -15,48 +15,48 @@
 use crate::{Leg, Stamp};
 use std::ops::Range;
 
-/// The longest packet that is accepted, in bytes: what capture programs write at most by default.
+/// The longest packet that is accepted, in bytes. Capture programs write at most this by default.
 pub const MAX_PACKET_BYTES: usize = 256 * 1024;
-/// Consumed bytes at the front of the buffer that trigger its compaction.
-const COMPACTION_THRESHOLD: usize = 1024 * 1024;
+/// The number of consumed bytes at the front of the buffer that triggers its compaction.
+const COMPACTION_THRESHOLD_BYTES: usize = 1024 * 1024;
 
 /// A packet in a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
-    /// When it was captured.
+    /// The capture time.
     pub time: Stamp,
-    /// Its link type.
+    /// The link type.
     pub link: LinkType,
     /// The bytes that were captured.
     pub data: &'a [u8],
-    /// Its length on the wire, in bytes; more than the data where it was truncated.
+    /// The length on the wire, in bytes. Exceeds the length of `data` if the capture truncated the packet.
     pub wire_len: u32,
-    /// The part of the server that recorded it, by the name of its interface.
+    /// The part of the server that recorded the packet, by the name of its interface.
     pub leg: Option<Leg>,
 }
 
 #[derive(Debug)]
 enum Format {
-    /// The first bytes are not known yet.
+    /// The first bytes of the file have not been read yet.
     Unknown,
     Pcap(pcap::FileHeader),
     PcapNg(pcapng::Section),
 }
 
-/// What stands at the front of the buffer.
+/// The result of parsing the front of the buffer.
 enum Parsed {
-    /// An incomplete record.
+    /// The record is incomplete.
     NeedsBytes,
-    /// This many bytes without a packet.
+    /// This many bytes contain no packet.
     Skip(u64),
     Packet(PacketRecord),
 }
 
 /// A packet at the front of the buffer.
 struct PacketRecord {
-    /// Length of the whole record or block.
+    /// The length of the complete record or block.
     record_len: usize,
-    /// The range of the captured bytes in it.
+    /// The range of the captured bytes in the record or block.
     data: Range<usize>,
     time: Stamp,
     link: LinkType,
@@ -64,18 +64,18 @@
     leg: Option<Leg>,
 }
 
-/// Reads the packets of a file that arrives in pieces of any size.
+/// Reads the packets of a file that is fed in chunks of any size.
 #[derive(Debug)]
 pub struct Reader {
     format: Format,
     buffer: Vec<u8>,
-    /// Bytes at the front of the buffer that are consumed.
+    /// The number of consumed bytes at the front of the buffer.
     consumed: usize,
-    /// Offset in the file of the first byte in the buffer.
+    /// The offset in the file of the first byte in the buffer.
     buffer_offset: u64,
-    /// Bytes that remain to be skipped; the buffer is empty while there are any.
+    /// The number of bytes that remain to be skipped. The buffer is empty while it is not 0.
     skip_remaining: u64,
-    /// Offset in the file of the block that is being skipped.
+    /// The offset in the file of the block that is being skipped.
     skip_offset: u64,
     error: Option<FileError>,
 }
@@ -100,13 +100,13 @@
         }
     }
 
-    /// Adds the next bytes of the file. Packets should be taken before more bytes are added: then the memory is
-    /// bounded by one block and the bytes of one call.
+    /// Adds the next bytes of the file. Memory is bounded by one block and the bytes of one call if all packets are
+    /// taken with [`Reader::next_packet`] before each call.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.error.is_some() {
             return;
         }
-        if self.consumed >= COMPACTION_THRESHOLD.min(self.buffer.len()) {
+        if self.consumed >= COMPACTION_THRESHOLD_BYTES.min(self.buffer.len()) {
             self.buffer_offset += self.consumed as u64;
             self.buffer.drain(..self.consumed);
             self.consumed = 0;
@@ -117,12 +117,13 @@
         self.buffer.extend_from_slice(&bytes[skipped as usize..]);
     }
 
-    /// The offset in the file up to which all bytes were read.
+    /// Returns the offset in the file up to which all bytes were read.
     pub fn offset(&self) -> u64 {
         self.buffer_offset + self.consumed as u64
     }
 
-    /// The next packet, or `None` when more bytes are needed. An error is repeated by each later call.
+    /// Returns the next packet, or `None` if more bytes are needed. After an error, each later call returns the same
+    /// error.
     pub fn next_packet(&mut self) -> Result<Option<Packet<'_>>, FileError> {
         loop {
             if let Some(error) = self.error {
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Ends the file. An error means that it ended in the middle of a record, or earlier.
+    /// Ends the file. Returns an error if reading stopped earlier, or if the file ended in the middle of a record or
+    /// before its format was recognised.
     pub fn finish(&mut self) -> Result<(), FileError> {
         if self.error.is_none() {
             self.error = self.error_at_end();
@@ -218,7 +220,7 @@
             return Ok(Parsed::NeedsBytes);
         };
         if *first_bytes == pcapng::FIRST_BYTES {
-            // They belong to the first block, and are parsed with it.
+            // These bytes belong to the first block and are parsed with it.
             self.format = Format::PcapNg(pcapng::Section::default());
             return Ok(Parsed::Skip(0));
         }
--- a/crates/heathspur-capture/src/file/pcap.rs
+++ b/crates/heathspur-capture/src/file/pcap.rs
@@ -6,21 +6,21 @@
 use crate::Stamp;
 use pcap_parser::pcap::{parse_pcap_frame, parse_pcap_frame_be, parse_pcap_header};
 
-/// Length of the file header.
+/// Length of the file header, in bytes.
 pub(super) const FILE_HEADER_LEN: usize = 24;
-/// Length of the header of a record.
+/// Length of the header of a record, in bytes.
 const RECORD_HEADER_LEN: usize = 16;
 /// Offset of the captured length in the header of a record.
 const CAPTURED_LENGTH_OFFSET: usize = 8;
 /// The magic numbers of micro- and nanosecond files in both byte orders, read as little-endian.
 const MAGIC_NUMBERS: [u32; 4] = [0xa1b2_c3d4, 0xd4c3_b2a1, 0xa1b2_3c4d, 0x4d3c_b2a1];
-/// The bits of the network field that hold the link type. The others describe a frame check sequence, which
-/// needs no handling because IP headers state the length.
+/// The bits of the network field that contain the link type. The others describe a frame check sequence, which can be
+/// ignored because IP headers state the length.
 const LINK_TYPE_MASK: i32 = 0xffff;
 const NANOS_PER_SECOND: u32 = 1_000_000_000;
 const MICROS_PER_SECOND: u32 = 1_000_000;
 
-/// What the header of a pcap file states.
+/// The header of a pcap file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FileHeader {
     is_big_endian: bool,
@@ -32,7 +32,7 @@
     MAGIC_NUMBERS.contains(&u32::from_le_bytes(bytes))
 }
 
-/// Parses the file header; `None` while it is incomplete.
+/// Parses the file header. Returns `None` while the header is incomplete.
 pub(super) fn parse_file_header(bytes: &[u8]) -> Result<Option<FileHeader>, FileErrorKind> {
     if bytes.len() < FILE_HEADER_LEN {
         return Ok(None);
@@ -50,7 +50,7 @@
     if bytes.len() < RECORD_HEADER_LEN {
         return Ok(Parsed::NeedsBytes);
     }
-    // Checked before more bytes are awaited, because damaged files claim gigabytes.
+    // The length is checked before more bytes are awaited, because damaged files may claim gigabytes.
     let claimed = read_u32(bytes, CAPTURED_LENGTH_OFFSET, header.is_big_endian);
     if claimed as usize > MAX_PACKET_BYTES {
         return Err(FileErrorKind::TooLong(claimed.into()));
--- a/crates/heathspur-capture/src/file/pcapng.rs
+++ b/crates/heathspur-capture/src/file/pcapng.rs
@@ -12,7 +12,7 @@
 
 /// The first bytes of a file: the type of a section header block, the same in both byte orders.
 pub(super) const FIRST_BYTES: [u8; 4] = [0x0a, 0x0d, 0x0d, 0x0a];
-/// Interfaces that a section may describe; more are a sign of damage.
+/// The maximum number of interfaces in a section. More than these are a sign of damage.
 pub(super) const MAX_INTERFACES: usize = 4096;
 /// The longest block that is buffered, in bytes: a packet with its options.
 const MAX_BLOCK_BYTES: usize = MAX_PACKET_BYTES + 64 * 1024;
@@ -26,7 +26,7 @@
 const SIMPLE_DATA_OFFSET: usize = 12;
 const NANOS_PER_SECOND: u32 = 1_000_000_000;
 
-/// Types of the blocks that are parsed. Others are skipped, the obsolete packet block (2) included.
+/// Types of the blocks that are parsed. Others are skipped, including the obsolete packet block (type 2).
 mod block_type {
     pub const SECTION_HEADER: u32 = 0x0a0d_0d0a;
     pub const INTERFACE_DESCRIPTION: u32 = 1;
@@ -132,7 +132,7 @@
         })
     }
 
-    /// A simple packet block has no time and belongs to the first interface.
+    /// Returns the packet of a simple packet block, which has no time and belongs to the first interface.
     fn simple_packet(
         &self,
         block: &SimplePacketBlock<'_>,
@@ -174,7 +174,7 @@
 struct Interface {
     link: LinkType,
     leg: Option<Leg>,
-    /// Bytes of a packet that are captured at most; 0 without a limit.
+    /// The maximum number of bytes that are captured of a packet; 0 if there is no limit.
     snap_len: u32,
     resolution: Resolution,
     /// Seconds to add to each time stamp.
@@ -187,7 +187,7 @@
         is_big_endian: bool,
     ) -> Result<Interface, FileErrorKind> {
         let resolution = Resolution::parse(block.if_tsresol).ok_or(FileErrorKind::Malformed)?;
-        // The library reads the offset as little-endian in all sections.
+        // `pcap-parser` reads the offset as little-endian in all sections.
         let offset_seconds = if is_big_endian {
             block.if_tsoffset.swap_bytes()
         } else {
@@ -197,7 +197,7 @@
             .options
             .iter()
             .find(|option| option.code == OptionCode::IfName);
-        let leg = name.and_then(|name| Leg::named(name.as_bytes().unwrap_or_default()));
+        let leg = name.and_then(|name| Leg::from_name(name.as_bytes().unwrap_or_default()));
         Ok(Interface {
             link: LinkType::from_number(block.linktype.0),
             leg,
@@ -214,7 +214,7 @@
     }
 }
 
-/// Time stamp units per second, as a power of ten or of two.
+/// The number of time stamp units per second, as a power of ten or of two.
 #[derive(Clone, Copy, Debug)]
 enum Resolution {
     PowerOfTen(u32),
@@ -235,6 +235,7 @@
         }
     }
 
+    /// Converts time stamp units to nanoseconds.
     fn nanos(self, units: u64) -> u128 {
         let scaled = u128::from(units) * u128::from(NANOS_PER_SECOND);
         match self {
--- a/crates/heathspur-capture/src/frame/fragments.rs
+++ b/crates/heathspur-capture/src/frame/fragments.rs
@@ -1,4 +1,4 @@
-//! Reassembly of fragmented IP datagrams, within bounds.
+//! Reassembly of fragmented IP datagrams with bounded memory.
 
 use super::SkipReason;
 use crate::Stamp;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// Incomplete datagrams that are buffered; beyond this the oldest is discarded.
+/// The maximum number of incomplete datagrams that are buffered. Another one discards the oldest.
 const MAX_DATAGRAMS: usize = 64;
-/// How long fragments wait for the others, in nanoseconds of capture time (RFC 791 suggests 15 s).
-const FRAGMENT_TIMEOUT: u64 = 15_000_000_000;
+/// The time after which an incomplete datagram is discarded, in nanoseconds of capture time (RFC 791 suggests 15 s).
+const FRAGMENT_TIMEOUT_NANOS: u64 = 15_000_000_000;
 
-/// What the fragments of one datagram have in common. All of them carry TCP.
+/// Identifies the datagram of a fragment. All datagrams carry TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DatagramId {
     pub from: IpAddr,
@@ -20,7 +20,7 @@
     pub identification: u32,
 }
 
-/// What an IP header says about a fragment.
+/// The fields of an IP header that describe a fragment.
 #[derive(Clone, Debug)]
 pub(super) struct FragmentHeader {
     pub identification: u32,
@@ -30,6 +30,7 @@
 
 #[derive(Debug)]
 struct Datagram {
+    /// The capture time of the fragment that was captured first.
     first_fragment: Stamp,
     buffer: IpDefragBuf,
 }
@@ -43,16 +44,16 @@
     }
 }
 
-/// Incomplete datagrams.
+/// The datagrams of which some fragments are missing.
 #[derive(Debug, Default)]
 pub(super) struct Fragments {
     datagrams: BTreeMap<DatagramId, Datagram>,
-    /// Datagrams discarded before they were complete.
+    /// The number of datagrams that were discarded incomplete.
     pub incomplete_datagrams: u64,
 }
 
 impl Fragments {
-    /// Adds a fragment, and returns the payload of its datagram once that is complete.
+    /// Adds a fragment. Returns the payload of its datagram once the datagram is complete.
     pub fn add(
         &mut self,
         time: Stamp,
@@ -72,7 +73,7 @@
             .buffer
             .add(header.offset, header.more_fragments, payload);
         if added.is_err() {
-            // Contradicting fragments may be an attempt to make two readers see different bytes.
+            // Contradicting fragments may be an attempt to make two receivers read different bytes.
             self.datagrams.remove(&id);
             return Err(SkipReason::ConflictingFragment);
         }
@@ -90,7 +91,7 @@
     fn discard_expired(&mut self, now: Stamp) {
         let count = self.datagrams.len();
         self.datagrams
-            .retain(|_, datagram| now.since(datagram.first_fragment) < FRAGMENT_TIMEOUT);
+            .retain(|_, datagram| now.since(datagram.first_fragment) < FRAGMENT_TIMEOUT_NANOS);
         self.incomplete_datagrams += (count - self.datagrams.len()) as u64;
     }
 
--- a/crates/heathspur-capture/src/frame/headers.rs
+++ b/crates/heathspur-capture/src/frame/headers.rs
@@ -8,21 +8,22 @@
 };
 use std::net::IpAddr;
 
-/// Length of the address family before a packet of BSD loopback.
+/// Length of the address family before a packet of BSD loopback, in bytes.
 const LOOPBACK_HEADER_LEN: usize = 4;
 
-/// What is needed of an IP header.
+/// The fields that are needed of an IP header.
 #[derive(Debug)]
 pub(super) struct IpHeader {
     pub from: IpAddr,
     pub to: IpAddr,
-    /// Length of the payload on the wire, in bytes. 0 in packets that the sender's network card segments.
+    /// The length of the payload on the wire, in bytes. It is 0 in packets that the sender's network card segments
+    /// after the capture.
     pub payload_len: usize,
     /// Present if the packet is a fragment of a datagram.
     pub fragment: Option<FragmentHeader>,
 }
 
-/// Splits a packet by its link type.
+/// Parses a packet according to its link type.
 pub(super) fn slice<'a>(packet: &Packet<'a>) -> Result<LaxSlicedPacket<'a>, SkipReason> {
     let data = packet.data;
     match packet.link {
@@ -31,7 +32,7 @@
         }
         LinkType::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| SkipReason::InvalidHeaders),
         LinkType::Loopback => {
-            // The number of the family differs between systems; the IP version says the same.
+            // The numbers of address families differ between systems, so the IP version is used instead.
             let ip = data
                 .get(LOOPBACK_HEADER_LEN..)
                 .ok_or(SkipReason::InvalidHeaders)?;
@@ -43,7 +44,7 @@
     }
 }
 
-/// Splits a packet of a Linux cooked capture, with the place of the protocol in its header.
+/// Parses a packet of a Linux cooked capture, whose header has the protocol at `protocol_offset`.
 fn slice_cooked(
     data: &[u8],
     protocol_offset: usize,
--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -1,5 +1,5 @@
-//! TCP segments in packets: link headers, VLAN tags, IPv4 with options, IPv6 with extension headers, and fragments
-//! of both.
+//! Finds TCP segments in packets. Supports several link types, VLAN tags, IPv4 with options, IPv6 with extension
+//! headers, and fragments of both.
 
 mod fragments;
 mod headers;
@@ -16,31 +16,31 @@
 /// A TCP segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Segment<'a> {
-    /// When its packet was captured; the last fragment's if it was fragmented.
+    /// The capture time of its packet, or of the last fragment.
     pub time: Stamp,
     /// The sender.
     pub from: SocketAddr,
     /// The receiver.
     pub to: SocketAddr,
-    /// Sequence number.
+    /// The sequence number.
     pub seq: u32,
-    /// Acknowledgement number, if it carries one.
+    /// The acknowledgement number, if the ACK flag is set.
     pub ack: Option<u32>,
-    /// SYN.
+    /// The SYN flag.
     pub syn: bool,
-    /// FIN.
+    /// The FIN flag.
     pub fin: bool,
-    /// RST.
+    /// The RST flag.
     pub rst: bool,
-    /// The captured bytes of its payload.
+    /// The captured bytes of the payload.
     pub payload: Cow<'a, [u8]>,
-    /// Number of bytes behind these by which the capture truncated the payload.
+    /// The number of bytes after `payload` that the capture truncated.
     pub lost: u32,
 }
 
 /// The reason why a packet contains no segment.
 ///
-/// `heathspurctl` prints the [`Debug`] text, so that text is fixed and differs from the names.
+/// `heathspurctl` prints the [`Debug`](fmt::Debug) text, so that text is fixed and differs from the names.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SkipReason {
     /// The link type is not supported.
@@ -70,7 +70,7 @@
     }
 }
 
-/// Finds segments in packets. Buffers fragments, within bounds.
+/// Finds segments in packets, and buffers a bounded number of fragments.
 #[derive(Debug)]
 pub struct Frames {
     verifies_checksums: bool,
@@ -78,8 +78,9 @@
 }
 
 impl Frames {
-    /// With `checksums`, segments with wrong checksums are rejected. Captures made on a sender are full of these,
-    /// because its network card computes them later, so verify them only in captures made in the network.
+    /// Creates an instance without fragments. With `checksums`, segments with wrong checksums are rejected. Verify
+    /// checksums only in captures made in the network: captures made on a sender contain many wrong ones, because the
+    /// network card computes them after the capture.
     pub fn new(checksums: bool) -> Frames {
         Frames {
             verifies_checksums: checksums,
@@ -87,12 +88,12 @@
         }
     }
 
-    /// Number of fragmented datagrams that were discarded incomplete.
+    /// Returns the number of fragmented datagrams that were discarded incomplete.
     pub fn incomplete_datagrams(&self) -> u64 {
         self.fragments.incomplete_datagrams
     }
 
-    /// The segment in a packet, or why there is none.
+    /// Returns the segment in a packet, or the reason why there is none.
     pub fn segment<'a>(&mut self, packet: &Packet<'a>) -> Result<Segment<'a>, SkipReason> {
         let sliced = slice(packet)?;
         let ip = ip_header(&sliced)?;
@@ -128,7 +129,7 @@
         })
     }
 
-    /// The segment of a fragmented datagram, once that is complete.
+    /// Returns the segment of a fragmented datagram once the datagram is complete.
     fn fragment<'a>(
         &mut self,
         time: Stamp,
@@ -159,7 +160,7 @@
     }
 }
 
-/// A segment without its payload.
+/// Returns a segment without its payload.
 fn segment_header<'a>(time: Stamp, ip: &IpHeader, tcp: &TcpSlice<'_>) -> Segment<'a> {
     Segment {
         time,
--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -1,8 +1,8 @@
-//! Capture files as a source of traffic, without I/O and clocks: bytes of a file in, requests and responses out.
+//! Extracts HTTP/1.1 requests and responses from capture files, without I/O and clocks.
 //!
-//! [`file`](mod@file) reads packets from pcap and pcapng, [`frame`] finds TCP segments in packets, [`reassembly`] puts the
-//! segments of connections in order, and [`exchange`] finds HTTP/1.1 messages in their bytes. [`Pipeline`] combines
-//! the four. What is skipped on the way is counted by cause. All buffers and tables are bounded, and no input
+//! [`file`](mod@file) reads packets from pcap and pcapng, [`frame`] finds TCP segments in packets, [`reassembly`] puts
+//! the segments of connections in order, and [`exchange`] finds HTTP/1.1 messages in their bytes. [`Pipeline`] combines
+//! the four modules. Everything that is skipped is counted by cause. All buffers and tables are bounded, and no input
 //! causes a panic. [`write`](mod@write) encodes capture files.
 #![forbid(unsafe_code)]
 
@@ -21,7 +21,7 @@
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    /// Nanoseconds from another point to this one; 0 if this one is the earlier.
+    /// Returns the nanoseconds from another point to this one; 0 if the other point is later.
     pub fn since(self, earlier: Stamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -30,14 +30,14 @@
 /// A side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Side {
-    /// The side that connected.
+    /// The side that opened the connection.
     Client,
     /// The side that accepted the connection.
     Server,
 }
 
 impl Side {
-    /// The opposite side.
+    /// Returns the opposite side.
     pub fn other(self) -> Side {
         match self {
             Side::Client => Side::Server,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The position of the side in arrays that have an element for each side.
+    /// Returns the position of the side in arrays that have an element for each side.
     pub(crate) fn index(self) -> usize {
         match self {
             Side::Client => 0,
@@ -54,14 +54,14 @@
     }
 }
 
-/// The part of the server that a recorded connection belongs to. Recordings have an interface for each.
+/// The part of the server that a recorded connection belongs to. Recordings have one interface for each leg.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Leg {
     /// Connections of clients.
     Front,
-    /// Connections to the interpreter, with lines of JSON.
+    /// Connections to the interpreter, which carry lines of JSON.
     Interpreter,
-    /// Connections to the store, with lines of text.
+    /// Connections to the store, which carry lines of text and bodies.
     Store,
 }
 
@@ -69,7 +69,7 @@
     /// All legs, in the order of their interfaces.
     pub const ALL: [Leg; 3] = [Leg::Front, Leg::Interpreter, Leg::Store];
 
-    /// The name of the leg's interface.
+    /// Returns the name of the leg's interface.
     pub fn name(self) -> &'static str {
         match self {
             Leg::Front => "front",
@@ -78,15 +78,15 @@
         }
     }
 
-    /// The leg whose interface has this name.
-    pub fn named(name: &[u8]) -> Option<Leg> {
+    /// Returns the leg whose interface has this name.
+    pub fn from_name(name: &[u8]) -> Option<Leg> {
         Leg::ALL
             .into_iter()
             .find(|leg| leg.name().as_bytes() == name)
     }
 }
 
-/// Identifies a connection of a capture. Connections are numbered in the order of their first packets; a port that
-/// is reused has a new number.
+/// The number of a connection in a capture. Connections are numbered in the order of their first packets; a connection
+/// that reuses the ports of an earlier one has a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! The pipeline from the bytes of a capture file to requests and responses.
+//! The pipeline that turns the bytes of a capture file into requests and responses.
 
 use crate::exchange::{self, Exchanges, Found};
 use crate::file::{FileError, Packet, Reader};
@@ -7,7 +7,7 @@
 use crate::{Leg, Stamp};
 use std::collections::BTreeMap;
 
-/// How a capture is read.
+/// Options for reading a capture.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
     /// Whether segments with wrong checksums are rejected; see [`Frames::new`].
@@ -18,33 +18,33 @@
     pub exchange: exchange::Limits,
 }
 
-/// Counts of what was read, and of what was skipped by cause.
+/// Counts of what was read, and of what was skipped, by cause.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Bytes of the file.
+    /// Bytes that were fed.
     pub bytes: u64,
-    /// Packets.
+    /// Packets that were read.
     pub packets: u64,
-    /// Packets truncated by the capture.
+    /// Packets that the capture truncated.
     pub truncated_packets: u64,
     /// Packets without a segment, by cause.
     pub passed: BTreeMap<SkipReason, u64>,
-    /// Packets and bytes of a recording's interpreter and store connections. They do not carry HTTP and are not
-    /// parsed.
+    /// The number of packets and of bytes on a recording's interpreter and store connections. These do not carry HTTP
+    /// and are not parsed.
     pub links: BTreeMap<Leg, (u64, u64)>,
     /// Fragmented datagrams that were discarded incomplete.
     pub incomplete_datagrams: u64,
     /// Counters of the reassembly.
     pub tcp: Counts,
-    /// Bytes missing in connections, as far as their number is known.
+    /// Bytes missing in connections. Holes of unknown length count as 0.
     pub missing_bytes: u64,
-    /// Holes in connections.
+    /// Places in connections where bytes are missing.
     pub holes: u64,
     /// The capture time of the first packet that has one.
     pub first: Option<Stamp>,
     /// The latest capture time.
     pub last: Stamp,
-    /// Why reading stopped before the end of the file.
+    /// The error that stopped reading before the end of the file.
     pub damage: Option<FileError>,
 }
 
@@ -66,16 +66,16 @@
     }
 }
 
-/// Something that was found in a capture.
+/// An item that was found in a capture.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// A connection began or ended, or has a hole. Bytes are reported as messages only.
+    /// An event of a connection, except [`Event::Bytes`]: bytes are reported as messages.
     Connection(Event),
-    /// A message, or bytes that belong to none.
+    /// A message, or bytes that belong to no message.
     Message(Found),
 }
 
-/// Reads a capture in pieces of any size.
+/// Reads a capture that is fed in chunks of any size.
 #[derive(Debug)]
 pub struct Pipeline {
     reader: Reader,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The counts so far.
+    /// Returns the counts so far.
     pub fn tally(&self) -> Tally {
         Tally {
             tcp: self.assembler.counts(),
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Buffered bytes of incomplete messages and behind gaps.
+    /// Returns the number of buffered bytes: those of incomplete messages and those behind gaps.
     pub fn buffered_bytes(&self) -> usize {
         self.assembler.buffered_bytes() + self.exchanges.buffered_bytes()
     }
 
-    /// Processes the next bytes of the file and passes on what is found. False once the file is damaged: its
-    /// rest cannot be read.
+    /// Processes the next bytes of the file and passes the items found in them to `found`. Returns false if the file is
+    /// damaged, in which case its rest can't be read.
     pub fn feed(&mut self, bytes: &[u8], mut found: impl FnMut(Item)) -> bool {
         self.tally.bytes += bytes.len() as u64;
         self.reader.feed(bytes);
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Ends the file.
+    /// Ends the file and passes the remaining items to `found`.
     pub fn finish(&mut self, mut found: impl FnMut(Item)) {
         if let Err(error) = self.reader.finish() {
             self.tally.damage = Some(error);
@@ -160,7 +160,7 @@
     }
 }
 
-/// Processes the assembler's events and passes on what is found in them.
+/// Processes the assembler's events and passes the items found in them to `found`.
 fn deliver(
     assembler: &mut Assembler,
     exchanges: &mut Exchanges,
--- a/crates/heathspur-capture/src/reassembly/connection.rs
+++ b/crates/heathspur-capture/src/reassembly/connection.rs
@@ -10,15 +10,15 @@
 pub(super) struct Connection {
     pub id: ConnId,
     pub client: SocketAddr,
-    /// The client's, then the server's.
+    /// The directions from the client and from the server, in this order.
     pub directions: [Direction; 2],
-    /// The sequence numbers of the SYNs that were captured.
+    /// The sequence numbers of the SYNs that were captured, in the same order.
     syn: [Option<u32>; 2],
-    /// When its latest segment was captured.
+    /// The capture time of the latest segment.
     pub last_segment: Stamp,
-    /// When it ended.
+    /// The capture time at which the connection ended.
     pub closed_at: Option<Stamp>,
-    /// Bytes buffered behind gaps, as last added to the assembler's total.
+    /// The number of bytes buffered behind gaps, as last added to the assembler's total.
     pub buffered_bytes: usize,
 }
 
@@ -43,19 +43,20 @@
         self.closed_at.is_none()
     }
 
-    /// Whether a SYN belongs to this connection or says nothing about it. Any other one replaces it.
+    /// Returns whether this connection continues after a SYN. Returns false if the SYN belongs to a new connection,
+    /// which replaces this one.
     pub fn accepts_syn(&mut self, segment: &Segment<'_>) -> bool {
         let side = self.sender(segment);
-        let is_answer = segment.ack.is_some();
+        let is_syn_ack = segment.ack.is_some();
         match self.syn[side.index()] {
-            // A retransmission.
+            // The SYN is a retransmission.
             Some(seq) if seq == segment.seq => true,
-            None if is_answer && self.is_open() && !self.directions[side.index()].is_started() => {
+            None if is_syn_ack && self.is_open() && !self.directions[side.index()].is_started() => {
                 self.record_syn(side, segment);
                 true
             }
-            // The answer to a SYN other than the known one says nothing about this connection.
-            _ => is_answer && self.is_open(),
+            // A SYN-ACK for a SYN other than the known one does not affect this connection.
+            _ => is_syn_ack && self.is_open(),
         }
     }
 
@@ -63,7 +64,7 @@
     pub fn process(&mut self, segment: &Segment<'_>, anomalies: &mut Anomalies) {
         let side = self.sender(segment);
         let direction = &mut self.directions[side.index()];
-        // A SYN occupies the sequence number before the payload, and a FIN the one behind it.
+        // A SYN occupies the sequence number before the payload, and a FIN the one after it.
         let seq = segment.seq.wrapping_add(u32::from(segment.syn));
         let payload = Payload {
             time: segment.time,
@@ -73,7 +74,7 @@
         };
         direction.add_payload(payload, anomalies);
         if segment.rst {
-            // The RST that rejects a SYN has no sequence number of its own.
+            // The RST that rejects a SYN has the sequence number 0.
             let rejects_syn = segment.seq == 0 && !direction.is_started();
             direction.end_at(if rejects_syn { 0 } else { seq }, true);
         } else if segment.fin {
@@ -88,7 +89,7 @@
         let side = self.sender(segment);
         self.record_syn(side, segment);
         if let (Some(ack), Side::Server) = (segment.ack, side) {
-            // The client's SYN was not captured, but the answer acknowledges it.
+            // The client's SYN was not captured, but the SYN-ACK acknowledges it.
             self.directions[Side::Client.index()].start_at(ack);
         }
     }
@@ -107,7 +108,7 @@
     }
 }
 
-/// Guesses whether a segment with payload was sent by the client, where the handshake was not captured.
+/// Guesses whether the client sent a segment with payload, for connections whose handshake was not captured.
 pub(super) fn is_probably_from_client(segment: &Segment<'_>, server_ports: &[u16]) -> bool {
     let is_server = |address: SocketAddr| server_ports.contains(&address.port());
     if is_server(segment.from) != is_server(segment.to) {
--- a/crates/heathspur-capture/src/reassembly/direction.rs
+++ b/crates/heathspur-capture/src/reassembly/direction.rs
@@ -1,6 +1,7 @@
-//! One direction of a TCP connection: segments in, bytes in order out, with holes where bytes are missing.
+//! Reassembles one direction of a TCP connection: turns segments into bytes in order, with holes where bytes are
+//! missing.
 //!
-//! Offsets count from the first byte of the direction in 64 bits, so that sequence numbers may wrap (RFC 9293,
+//! Offsets are 64-bit numbers that count from the first byte of the direction, because sequence numbers wrap (RFC 9293,
 //! section 3.4).
 
 use super::pieces::{Piece, Pieces};
@@ -9,41 +10,41 @@
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// How far from the expected byte a segment may lie, in bytes. The largest window of RFC 7323 is a gigabyte,
-/// but the bytes buffered behind a gap are bounded far below.
-const MAX_DISTANCE: i64 = 16 * 1024 * 1024;
-/// Successive stray segments after which the direction resynchronises to them.
+/// The maximum distance of a segment from the expected byte, in bytes. The largest window of RFC 7323 is a gigabyte,
+/// but the bound on the bytes buffered behind a gap is far lower.
+const MAX_DISTANCE_BYTES: i64 = 16 * 1024 * 1024;
+/// The number of successive stray segments after which the direction resynchronises to them.
 const STRAYS_TO_RESYNCHRONISE: u32 = 3;
 
-/// What a direction delivers.
+/// The output of a direction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Output {
-    /// The next bytes, and when they were first captured.
+    /// The next bytes, with the time at which they were first captured.
     Bytes { time: Stamp, bytes: Bytes },
-    /// Missing bytes; their number is unknown where the direction resynchronised.
+    /// Missing bytes. Their number is unknown where the direction resynchronised.
     Hole { length: Option<u64> },
-    /// The FIN or RST, after all bytes before it.
+    /// The FIN or RST, after all bytes that precede it.
     End { reset: bool },
 }
 
 /// Counts of irregular segments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Anomalies {
-    /// Retransmissions, in full or in part, with the same bytes.
+    /// Segments that repeat captured bytes, in full or in part.
     pub repeated: u64,
-    /// Retransmissions with other bytes; the bytes captured first are used.
+    /// Segments with other bytes than were captured for the same sequence numbers. The bytes captured first are used.
     pub conflicting: u64,
-    /// Segments captured before one that precedes them.
+    /// Segments that were captured before one that precedes them.
     pub out_of_order: u64,
     /// Keep-alive probes.
     pub keep_alives: u64,
     /// Segments too far from the others to belong to the direction.
     pub stray: u64,
-    /// Times that a direction resynchronised to stray segments.
+    /// The number of times that a direction resynchronised to stray segments.
     pub resynchronised: u64,
     /// Segments after the end of a direction or connection.
     pub after_end: u64,
-    /// Segments, in full or in part, from before the first captured byte of a direction.
+    /// Segments that begin before the first captured byte of a direction.
     pub before_start: u64,
 }
 
@@ -51,10 +52,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Payload<'a> {
     pub time: Stamp,
-    /// Sequence number of its first byte.
+    /// The sequence number of the first byte.
     pub seq: u32,
     pub bytes: &'a [u8],
-    /// Number of bytes behind these that were not captured.
+    /// The number of bytes after `bytes` that the capture truncated.
     pub truncated: u64,
 }
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// A place in a direction.
+/// A position in a direction.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     seq: u32,
@@ -72,6 +73,7 @@
 }
 
 impl Position {
+    /// Returns the distance to a sequence number, which is negative if the number precedes the position.
     fn distance_to(self, seq: u32) -> i64 {
         i64::from(seq.wrapping_sub(self.seq) as i32)
     }
@@ -84,7 +86,7 @@
     }
 }
 
-/// The place of a FIN or RST.
+/// The position of a FIN or RST.
 #[derive(Clone, Copy, Debug)]
 struct EndMark {
     offset: u64,
@@ -94,19 +96,19 @@
 /// The state of one direction.
 #[derive(Debug, Default)]
 pub(super) struct Direction {
-    /// The next byte to be delivered.
+    /// The position of the next byte to be delivered, once a segment determined it.
     next: Option<Position>,
     pieces: Pieces,
     end: Option<EndMark>,
     ended: bool,
-    /// Successive stray segments.
+    /// The number of successive stray segments.
     strays: u32,
     recent: RecentBytes,
     output: VecDeque<Output>,
 }
 
 impl Direction {
-    /// Sets the sequence number of the first byte, unless it is known.
+    /// Sets the sequence number of the first byte, unless it is known already.
     pub fn start_at(&mut self, seq: u32) {
         self.next.get_or_insert(Position { seq, offset: 0 });
     }
@@ -119,17 +121,17 @@
         self.ended
     }
 
-    /// Bytes buffered behind gaps.
+    /// Returns the number of bytes buffered behind gaps.
     pub fn buffered_bytes(&self) -> usize {
         self.pieces.buffered_bytes()
     }
 
-    /// Whether anything waits behind a gap.
+    /// Returns whether anything is buffered behind a gap.
     pub fn is_waiting(&self) -> bool {
         !self.pieces.is_empty()
     }
 
-    /// When the oldest piece behind a gap was captured.
+    /// Returns the capture time of the oldest piece behind a gap.
     pub fn waiting_since(&self) -> Option<Stamp> {
         self.pieces.oldest_time()
     }
@@ -150,13 +152,13 @@
         }
         let next = self.next_or_start(payload.seq);
         let distance = next.distance_to(payload.seq);
-        if distance.abs() > MAX_DISTANCE {
-            self.stray(payload, next, anomalies);
+        if distance.abs() > MAX_DISTANCE_BYTES {
+            self.process_stray(payload, next, anomalies);
             return;
         }
         self.strays = 0;
         if distance == -1 && payload.len() == 1 {
-            // A probe repeats the last byte, or sends any byte in its place (RFC 9293, section 3.8.4).
+            // A keep-alive probe repeats the last byte, or has any byte in its place (RFC 9293, section 3.8.4).
             anomalies.keep_alives += 1;
             return;
         }
@@ -175,8 +177,8 @@
         let next = self.next_or_start(seq);
         if self.end.is_none() {
             let distance = next.distance_to(seq);
-            // An end too far away is taken as one at the current position.
-            let offset = if distance.abs() > MAX_DISTANCE {
+            // An end that is too far away is treated as one at the current position.
+            let offset = if distance.abs() > MAX_DISTANCE_BYTES {
                 next.offset
             } else {
                 next.offset.saturating_add_signed(distance)
@@ -187,7 +189,7 @@
         self.advance();
     }
 
-    /// Stops waiting for the bytes of the first gap and delivers a hole instead. False if there is no gap.
+    /// Stops waiting for the bytes of the first gap and delivers a hole instead. Returns false if there is no gap.
     pub fn abandon_gap(&mut self) -> bool {
         let Some(next) = self.next else {
             return false;
@@ -228,9 +230,9 @@
         *self.next.get_or_insert(Position { seq, offset: 0 })
     }
 
-    /// Counts a segment far from the expected position. Several in a row mean that the direction continues
-    /// there: after a long gap in the capture, or because a network card renumbered.
-    fn stray(&mut self, payload: Payload<'_>, next: Position, anomalies: &mut Anomalies) {
+    /// Counts a segment far from the expected position. Several in a row mean that the direction continues there, as
+    /// after a long gap in the capture, or if a network card changed the sequence numbers.
+    fn process_stray(&mut self, payload: Payload<'_>, next: Position, anomalies: &mut Anomalies) {
         anomalies.stray += 1;
         self.strays += 1;
         if self.strays < STRAYS_TO_RESYNCHRONISE {
@@ -246,7 +248,7 @@
         self.add_payload(payload, anomalies);
     }
 
-    /// The number of bytes of a payload that were delivered before; they are compared with their first copy.
+    /// Returns the number of bytes of a payload that were delivered before. Compares them with the delivered bytes.
     fn check_delivered(
         &self,
         payload: Payload<'_>,
@@ -267,7 +269,7 @@
         behind.min(payload.len())
     }
 
-    /// Inserts what follows the first `skipped` bytes of a payload.
+    /// Inserts the part of a payload after its first `skipped` bytes.
     fn insert(
         &mut self,
         payload: Payload<'_>,
@@ -316,7 +318,7 @@
                     self.output.push_back(Output::Bytes { time, bytes });
                 }
             }
-            // Its packet was truncated by the capture: no other copy is expected.
+            // The capture truncated the packet, and no other copy is expected.
             Piece::Truncated { .. } => self.push_hole(Some(length)),
         }
     }
--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -1,29 +1,29 @@
-//! What the reassembly reports about connections, and what it counts.
+//! The events and counters of the reassembly.
 
 use super::direction::Anomalies;
 use crate::{ConnId, Side, Stamp};
 use bytes::Bytes;
 use std::net::SocketAddr;
 
-/// How much of a connection's start was captured.
+/// Whether the start of a connection was captured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Its SYN was seen.
+    /// The SYN was captured.
     Handshake,
-    /// The capture starts in the middle of the connection.
-    Middle,
+    /// The SYN was not captured, as when the capture starts in the middle of the connection.
+    Midstream,
 }
 
 /// How a direction or a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum End {
-    /// FIN.
+    /// By FIN.
     Closed,
-    /// RST.
+    /// By RST.
     Reset,
-    /// Its ports were used by another connection.
+    /// Another connection used the same ports.
     Replaced,
-    /// It was evicted because too many connections were tracked.
+    /// The connection was evicted because too many were tracked.
     Evicted,
     /// The capture ended.
     CaptureEnd,
@@ -32,15 +32,15 @@
 /// An event of a connection; events are in order within each connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A connection was found. Its other events follow.
+    /// A connection was found. This is its first event.
     Opened {
         /// The connection.
         conn: ConnId,
-        /// The address that connected.
+        /// The address of the side that opened the connection.
         client: SocketAddr,
-        /// The address that was connected to.
+        /// The address of the side that accepted the connection.
         server: SocketAddr,
-        /// When its first packet was captured.
+        /// The capture time of its first packet.
         time: Stamp,
         /// Whether its start was captured.
         start: Start,
@@ -51,7 +51,7 @@
         conn: ConnId,
         /// The sender.
         side: Side,
-        /// When they were first captured.
+        /// The time at which they were first captured.
         time: Stamp,
         /// The bytes.
         bytes: Bytes,
@@ -62,27 +62,27 @@
         conn: ConnId,
         /// The sender.
         side: Side,
-        /// Their number, where it is known.
+        /// The number of missing bytes, if known.
         length: Option<u64>,
     },
-    /// One side sends nothing more.
+    /// One side has sent its last byte.
     Ended {
         /// The connection.
         conn: ConnId,
         /// The side.
         side: Side,
-        /// How.
+        /// How the side ended.
         end: End,
-        /// When the end was determined.
+        /// The capture time at which the end was determined.
         time: Stamp,
     },
-    /// The connection has ended; it has no further events.
+    /// The connection has ended. This is its last event.
     Closed {
         /// The connection.
         conn: ConnId,
-        /// How it ended.
+        /// How the connection ended.
         end: End,
-        /// When the end was determined.
+        /// The capture time at which the end was determined.
         time: Stamp,
     },
 }
@@ -98,9 +98,9 @@
     pub midstream_connections: u64,
     /// Connections evicted because too many were tracked.
     pub evicted: u64,
-    /// Gaps given up because of the bytes buffered or the time elapsed behind them.
+    /// Gaps abandoned because too many bytes were buffered or too much time elapsed after them.
     pub abandoned_gaps: u64,
-    /// Gaps given up because the memory was exhausted.
+    /// Gaps abandoned because the memory was exhausted.
     pub gaps_abandoned_for_memory: u64,
     /// Segments without payload that belong to no known connection.
     pub without_connection: u64,
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -1,8 +1,9 @@
-//! TCP reassembly: connections and the bytes of each side in order, with the time at which each byte was first
-//! captured, the bytes that are missing, and how the connection ended.
+//! TCP reassembly: finds connections and the bytes of each side in order. Reports the time at which each byte was first
+//! captured, which bytes are missing, and how the connection ended.
 //!
-//! This module and `direction` decide about damaged captures: how long to wait for a gap to be filled, what to
-//! evict when memory runs out, and when a port is used by a new connection. Time is capture time throughout.
+//! This module and `direction` define how incomplete captures are handled: how long to wait for a gap to be filled,
+//! what to evict when memory is exhausted, and when a segment belongs to a new connection on the same ports. All times
+//! are capture times.
 
 mod connection;
 mod direction;
@@ -20,25 +21,26 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Gaps are checked for their age this many times within [`Limits::gap_time`].
-const GAP_CHECKS: u64 = 8;
-/// This part of the table is evicted at once, so that a flood of connections needs no search for each.
-const EVICTED_PART: usize = 16;
+/// The age of gaps is checked this many times within [`Limits::gap_time`].
+const CHECKS_PER_GAP_TIME: u64 = 8;
+/// The table divided by this number is evicted at once, so that a flood of connections does not need a search for each
+/// connection.
+const TABLE_TO_EVICTED_RATIO: usize = 16;
 
 /// Bounds of the reassembly.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections that are tracked at once; beyond this those idle for longest are evicted.
+    /// The maximum number of connections that are tracked at once. Beyond this, those idle for longest are evicted.
     pub connections: usize,
-    /// Bytes buffered behind gaps, over all connections.
+    /// The maximum number of bytes buffered behind gaps of all connections.
     pub memory: usize,
-    /// Bytes buffered behind one gap before it is given up.
+    /// The maximum number of bytes buffered behind the gaps of one direction, after which gaps are abandoned.
     pub gap_bytes: usize,
-    /// Capture time before a gap is given up, in nanoseconds.
+    /// The capture time after which a gap is abandoned, in nanoseconds.
     pub gap_time: u64,
-    /// How long a closed connection is remembered to recognise late segments, in nanoseconds.
+    /// The time for which a closed connection is retained to recognise late segments, in nanoseconds.
     pub linger: u64,
-    /// Ports of servers, for connections whose start was not captured and whose bytes do not tell.
+    /// Ports of servers. They identify the server of a connection whose start was not captured.
     pub servers: Vec<u16>,
 }
 
@@ -55,7 +57,7 @@
     }
 }
 
-/// The addresses of a connection, the lower one first: the same for both directions.
+/// The addresses of a connection, the lower one first, so that both directions have the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct FlowKey(SocketAddr, SocketAddr);
 
@@ -71,20 +73,20 @@
 pub struct Assembler {
     limits: Limits,
     connections: HashMap<FlowKey, Connection>,
-    /// Connections with bytes behind a gap, so that these are found without a search.
+    /// Connections with bytes buffered behind a gap, which are found without a search of the table.
     waiting: BTreeMap<ConnId, FlowKey>,
     next_id: u64,
     buffered_bytes: usize,
     /// The latest capture time.
     now: Stamp,
-    /// When the age of gaps was last checked.
+    /// The capture time at which the age of gaps was last checked.
     gaps_checked: Stamp,
     events: VecDeque<Event>,
     counts: Counts,
 }
 
 impl Assembler {
-    /// Creates an assembler that has seen no segment.
+    /// Creates an assembler without connections.
     pub fn new(limits: Limits) -> Assembler {
         Assembler {
             limits: Limits {
@@ -102,17 +104,18 @@
         }
     }
 
-    /// The counters so far.
+    /// Returns the counters so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Bytes buffered behind gaps.
+    /// Returns the number of bytes buffered behind gaps.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// Takes the next event. Events should be taken after each segment, because their number is not bounded.
+    /// Removes and returns the next event. Call this after each segment until it returns `None`, because the number of
+    /// queued events is not bounded.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
@@ -125,13 +128,13 @@
         if segment.syn {
             self.handshake(flow, segment);
         }
-        self.forget_if_expired(flow);
+        self.remove_if_expired(flow);
         if !self.connections.contains_key(&flow) {
             if segment.payload.is_empty() && segment.lost == 0 {
                 self.counts.without_connection += u64::from(!segment.syn);
                 return;
             }
-            self.open(flow, segment, Start::Middle);
+            self.open(flow, segment, Start::Midstream);
         }
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
@@ -146,7 +149,7 @@
         self.abandon_gaps(flow);
     }
 
-    /// Ends the capture: delivers what is buffered and closes all connections.
+    /// Ends the capture: delivers the buffered bytes and closes all connections.
     pub fn finish(&mut self) {
         let mut open: Vec<(ConnId, FlowKey)> = self
             .connections
@@ -161,7 +164,7 @@
         self.connections.clear();
     }
 
-    /// Processes a SYN: it belongs to the known connection of its flow, or begins a new one.
+    /// Processes a SYN, which belongs to the known connection of its flow or begins a new one.
     fn handshake(&mut self, flow: FlowKey, segment: &Segment<'_>) {
         if let Some(connection) = self.connections.get_mut(&flow) {
             if connection.accepts_syn(segment) {
@@ -173,9 +176,9 @@
         self.open(flow, segment, Start::Handshake);
     }
 
-    /// Forgets a connection closed too long ago for late segments: its ports are in use by a new connection,
-    /// whose SYN was not captured.
-    fn forget_if_expired(&mut self, flow: FlowKey) {
+    /// Removes a connection that was closed too long ago for late segments. Its ports are then used by a new
+    /// connection, whose SYN was not captured.
+    fn remove_if_expired(&mut self, flow: FlowKey) {
         let closed_at = self.connections.get(&flow).and_then(|c| c.closed_at);
         if closed_at.is_some_and(|time| self.now.since(time) > self.limits.linger) {
             self.connections.remove(&flow);
@@ -188,7 +191,7 @@
         }
         let is_from_client = match start {
             Start::Handshake => segment.ack.is_none(),
-            Start::Middle => is_probably_from_client(segment, &self.limits.servers),
+            Start::Midstream => is_probably_from_client(segment, &self.limits.servers),
         };
         let (client, server) = if is_from_client {
             (segment.from, segment.to)
@@ -198,7 +201,7 @@
         let id = ConnId(self.next_id);
         self.next_id += 1;
         self.counts.connections += 1;
-        self.counts.midstream_connections += u64::from(start == Start::Middle);
+        self.counts.midstream_connections += u64::from(start == Start::Midstream);
         let connection = Connection::new(id, client, segment, start);
         self.connections.insert(flow, connection);
         self.events.push_back(Event::Opened {
@@ -210,7 +213,7 @@
         });
     }
 
-    /// Turns the output of a connection into events, and closes the connection if it has ended.
+    /// Queues the output of a connection as events, and closes the connection if it has ended.
     fn emit(&mut self, flow: FlowKey, time: Stamp) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Updates the total of buffered bytes and the list of waiting connections.
+    /// Updates the total of buffered bytes and the list of connections with gaps.
     fn update_buffered(&mut self, flow: FlowKey) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
@@ -249,7 +252,7 @@
         }
     }
 
-    /// Closes a connection after delivering what is buffered. It is remembered for [`Limits::linger`].
+    /// Delivers the buffered bytes of a connection and closes it. The connection is retained for [`Limits::linger`].
     fn close(&mut self, flow: FlowKey, end: End) {
         let time = self.now;
         let Some(connection) = self.connections.get_mut(&flow) else {
@@ -280,7 +283,8 @@
         self.events.push_back(Event::Closed { conn, end, time });
     }
 
-    /// Gives up gaps with too many bytes or too much time behind them, and further ones while memory is short.
+    /// Abandons gaps after which too many bytes are buffered or too much time has elapsed, and further ones while the
+    /// memory is exhausted.
     fn abandon_gaps(&mut self, flow: FlowKey) {
         self.abandon_large_gaps(flow);
         self.abandon_old_gaps();
@@ -299,10 +303,10 @@
         }
     }
 
-    /// Checks the age of all gaps, but not with each segment.
+    /// Abandons old gaps. Checks the age of gaps only [`CHECKS_PER_GAP_TIME`] times within [`Limits::gap_time`].
     fn abandon_old_gaps(&mut self) {
         let (now, max_age) = (self.now, self.limits.gap_time);
-        if now.since(self.gaps_checked) <= max_age / GAP_CHECKS {
+        if now.since(self.gaps_checked) <= max_age / CHECKS_PER_GAP_TIME {
             return;
         }
         self.gaps_checked = now;
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Gives up a gap of the connection with the most buffered bytes; false if there is none.
+    /// Abandons a gap of the connection with the most buffered bytes. Returns false if there is no gap.
     fn abandon_largest_gap(&mut self) -> bool {
         let buffered = |flow: &&FlowKey| {
             let connection = self.connections.get(flow);
@@ -340,7 +344,7 @@
         true
     }
 
-    /// Gives up the first gaps of each direction of a connection while the condition holds.
+    /// Abandons the first gap of each direction of a connection repeatedly while the condition is true.
     fn abandon_gaps_where(&mut self, flow: FlowKey, condition: impl Fn(&Direction) -> bool) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
@@ -357,15 +361,15 @@
         }
     }
 
-    /// Forgets connections closed for long enough. If too few are, removes further closed ones and then closes
-    /// those idle for longest.
+    /// Removes connections that were closed longer than [`Limits::linger`] ago. If these are too few, removes other
+    /// closed connections and then closes those idle for longest.
     fn evict(&mut self) {
         let (now, linger) = (self.now, self.limits.linger);
         self.connections.retain(|_, connection| {
             let closed_at = connection.closed_at;
             closed_at.is_none_or(|time| now.since(time) < linger)
         });
-        let evicted = (self.limits.connections / EVICTED_PART).max(1);
+        let evicted = (self.limits.connections / TABLE_TO_EVICTED_RATIO).max(1);
         let excess = self
             .connections
             .len()
@@ -398,7 +402,7 @@
     }
 }
 
-/// A connection that may be evicted. Closed ones come first, then those idle for longest.
+/// A connection that may be evicted. Sorts closed connections first, then those idle for longest.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionCandidate {
     is_open: bool,
--- a/crates/heathspur-capture/src/reassembly/pieces.rs
+++ b/crates/heathspur-capture/src/reassembly/pieces.rs
@@ -1,7 +1,7 @@
 //! Out-of-order pieces of a direction, keyed by their offset from its first byte.
 //!
-//! Pieces do not overlap. Where a new one overlaps, the bytes captured first are retained: most receivers have
-//! delivered those to their application already.
+//! Pieces do not overlap. If a new piece overlaps existing ones, the bytes captured first are retained, because most
+//! receivers have already delivered these to their application.
 
 use super::direction::Anomalies;
 use crate::Stamp;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Bytes that were captured, or the place of bytes that a packet was truncated by.
+/// Captured bytes, or the place of bytes that are missing because the capture truncated their packet.
 #[derive(Clone, Debug)]
 pub(super) enum Piece {
     Bytes { time: Stamp, bytes: Bytes },
@@ -31,15 +31,16 @@
     }
 }
 
-/// A part of a segment that is being inserted: its payload, or the place of truncated bytes.
+/// A part of a segment that is being inserted: the captured payload, or the place of truncated bytes.
 struct Incoming<'a> {
     time: Stamp,
     range: Range<u64>,
+    /// `None` for truncated bytes.
     payload: Option<&'a [u8]>,
 }
 
 impl Incoming<'_> {
-    /// The piece for a part of the range.
+    /// Returns the piece for a part of the range.
     fn piece(&self, part: Range<u64>) -> Piece {
         let time = self.time;
         match self.payload {
@@ -55,14 +56,14 @@
     }
 }
 
-/// How the overlapping parts of two copies compare.
+/// The result of comparing the overlapping parts of two copies.
 #[derive(Clone, Copy, Debug, Default)]
 struct Comparison {
     has_equal: bool,
     has_different: bool,
 }
 
-/// The pieces of a direction that wait for the bytes before them.
+/// The pieces of a direction that are buffered until the bytes before them are captured.
 #[derive(Debug, Default)]
 pub(super) struct Pieces {
     by_offset: BTreeMap<u64, Piece>,
@@ -108,7 +109,7 @@
         Some(piece)
     }
 
-    /// Inserts a payload and the truncated bytes behind it.
+    /// Inserts a payload and the place of the truncated bytes after it.
     pub fn insert(
         &mut self,
         time: Stamp,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Fills the gaps between the pieces that overlap, and compares the rest with them.
+    /// Fills the gaps between the existing pieces in the range, and compares the parts that overlap them.
     fn insert_part(&mut self, incoming: &Incoming<'_>, anomalies: &mut Anomalies) {
         let range = &incoming.range;
         let mut filled_to = range.start;
@@ -160,7 +161,7 @@
         anomalies.repeated += u64::from(comparison.has_equal && !comparison.has_different);
     }
 
-    /// The ranges of the pieces that may overlap a range, in order.
+    /// Returns the ranges of the pieces that may overlap a range, in order.
     fn overlapping(&self, range: &Range<u64>) -> Vec<Range<u64>> {
         let preceding = self.by_offset.range(..=range.start).next_back();
         let first = preceding.map_or(range.start, |(&start, _)| start);
@@ -189,7 +190,7 @@
         comparison.has_different |= new != old;
     }
 
-    /// Another copy of a packet contains bytes that the first was truncated by.
+    /// Replaces the place of truncated bytes by the bytes of another copy of the packet, as far as that contains them.
     fn recover(&mut self, incoming: &Incoming<'_>, existing: &Range<u64>) {
         let Some(Piece::Truncated { time, .. }) = self.by_offset.remove(&existing.start) else {
             return;
@@ -222,7 +223,7 @@
     a.start.max(b.start)..a.end.min(b.end)
 }
 
-/// A range of offsets as indices into bytes that begin at `base`.
+/// Converts a range of offsets to indices into bytes that begin at offset `base`.
 fn relative(range: &Range<u64>, base: u64) -> Range<usize> {
     (range.start - base) as usize..(range.end - base) as usize
 }
--- a/crates/heathspur-capture/src/reassembly/recent.rs
+++ b/crates/heathspur-capture/src/reassembly/recent.rs
@@ -1,8 +1,8 @@
-//! The last bytes that a direction delivered, to tell retransmissions from conflicting copies.
+//! The last bytes that a direction delivered, which distinguish retransmissions from conflicting copies.
 
 use std::collections::VecDeque;
 
-/// Bytes that are retained of a direction.
+/// The maximum number of delivered bytes that are retained for each direction.
 const MAX_RECENT_BYTES: usize = 512;
 
 /// The last bytes that a direction delivered.
@@ -21,12 +21,12 @@
         self.0.clear();
     }
 
-    /// Whether a copy that begins `distance` bytes before the end equals what was delivered, as far as that is
-    /// retained.
+    /// Returns whether a copy that begins `distance` bytes before the end of the delivered bytes equals them, as far as
+    /// they are retained.
     pub fn agrees_with(&self, copy: &[u8], distance: usize) -> bool {
-        let forgotten = distance.saturating_sub(self.0.len());
-        let retained = self.0.iter().skip(self.0.len() - (distance - forgotten));
-        let comparable = copy.get(forgotten..).unwrap_or(&[]);
+        let discarded = distance.saturating_sub(self.0.len());
+        let retained = self.0.iter().skip(self.0.len() - (distance - discarded));
+        let comparable = copy.get(discarded..).unwrap_or(&[]);
         comparable.iter().zip(retained).all(|(a, b)| a == b)
     }
 }
--- a/crates/heathspur-capture/src/write.rs
+++ b/crates/heathspur-capture/src/write.rs
@@ -1,5 +1,6 @@
-//! Encoding of capture files: pcap records, pcapng blocks, and synthesised TCP conversations around the bytes that
-//! two sides exchanged, with handshakes, sequence numbers, checksums and ends, so that any tool reads them.
+//! Encodes capture files: pcap records, pcapng blocks, and synthesised TCP conversations around the bytes that two
+//! sides exchanged. Conversations have handshakes, sequence numbers, checksums and ends, so that any capture tool can
+//! read them.
 
 use crate::{Side, Stamp};
 use etherparse::PacketBuilder;
@@ -11,15 +12,15 @@
 use std::borrow::Cow;
 use std::net::{IpAddr, SocketAddr};
 
-/// Options of interface statistics: packets received and dropped.
+/// Codes of the options of interface statistics for the packets received and dropped.
 const INTERFACE_RECEIVED: OptionCode = OptionCode(4);
 const INTERFACE_DROPPED: OptionCode = OptionCode(5);
-/// The link type of packets that begin with IP.
+/// The number of the link type of packets that begin with an IP header.
 pub const RAW_IP: i32 = 101;
 /// The longest payload of a synthesised segment, in bytes.
 pub const MAX_SEGMENT_BYTES: usize = 16 * 1024;
 
-/// The header of a pcap file with time stamps in nanoseconds.
+/// Encodes the header of a pcap file with time stamps in nanoseconds. `snap` is the maximum length of captured packets.
 pub fn pcap_header(link: i32, snap: u32) -> Vec<u8> {
     let header = PcapHeader {
         magic_number: 0xa1b2_3c4d,
@@ -33,7 +34,7 @@
     header.to_vec_raw().unwrap_or_default()
 }
 
-/// A record of a pcap file. `data` are the captured bytes of a packet of `wire_len` bytes.
+/// Encodes a record of a pcap file. `data` is the captured part of a packet of `wire_len` bytes.
 pub fn pcap_record(time: Stamp, data: &[u8], wire_len: u32) -> Vec<u8> {
     let record = LegacyPcapBlock {
         ts_sec: (time.0 / 1_000_000_000) as u32,
@@ -45,7 +46,7 @@
     record.to_vec_raw().unwrap_or_default()
 }
 
-/// The start of a pcapng file, before its interfaces.
+/// Encodes the section header of a pcapng file.
 pub fn ng_section() -> Vec<u8> {
     let mut section = SectionHeaderBlock {
         block_type: 0,
@@ -60,7 +61,8 @@
     section.to_vec().unwrap_or_default()
 }
 
-/// An interface of a pcapng file, with time stamps in nanoseconds. Packets refer to it by its position.
+/// Encodes an interface description of a pcapng file, with time stamps in nanoseconds. Packets refer to an interface by
+/// its position among all interfaces.
 pub fn ng_interface(link: i32, name: &str) -> Vec<u8> {
     let mut interface = InterfaceDescriptionBlock {
         block_type: 0,
@@ -79,7 +81,7 @@
     interface.to_vec().unwrap_or_default()
 }
 
-/// The start of a pcapng file: the section and its interfaces, by name, all with raw IP.
+/// Encodes the start of a pcapng file: the section header and the interfaces of these names, all with raw IP.
 pub fn ng_start(interfaces: &[&str]) -> Vec<u8> {
     let described = interfaces
         .iter()
@@ -87,7 +89,7 @@
     ng_section().into_iter().chain(described).collect()
 }
 
-/// An enhanced packet block of a pcapng file, with a comment unless that is empty.
+/// Encodes an enhanced packet block of a pcapng file, with a comment unless `comment` is empty.
 pub fn ng_packet(
     interface: u32,
     time: Stamp,
@@ -114,7 +116,8 @@
     block.to_vec().unwrap_or_default()
 }
 
-/// The number of packets that an interface received and dropped up to a time (`isb_ifrecv`, `isb_ifdrop`).
+/// Encodes an interface statistics block of a pcapng file: the number of packets that an interface received and dropped
+/// up to a time (`isb_ifrecv`, `isb_ifdrop`).
 pub fn ng_statistics(interface: u32, time: Stamp, received: u64, dropped: u64) -> Vec<u8> {
     let (received, dropped) = (received.to_le_bytes(), dropped.to_le_bytes());
     let mut block = InterfaceStatisticsBlock {
@@ -143,15 +146,16 @@
 /// The flags of a synthesised segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
-    /// SYN.
+    /// The SYN flag.
     pub syn: bool,
-    /// FIN.
+    /// The FIN flag.
     pub fin: bool,
-    /// RST.
+    /// The RST flag.
     pub rst: bool,
 }
 
-/// The packet of one segment, from its IP header on, with valid checksums. `seq` and `ack` are the sender's.
+/// Encodes the packet of one segment, from its IP header on, with valid checksums. `seq` and `ack` are the sequence and
+/// acknowledgement numbers that the sender states.
 pub fn segment(
     from: SocketAddr,
     to: SocketAddr,
@@ -181,7 +185,7 @@
         tcp = tcp.psh();
     }
     let mut out = Vec::with_capacity(tcp.size(payload.len()));
-    // Writing to memory only fails for payloads over 64 KiB, and callers send shorter ones.
+    // Writing to memory fails only for payloads over 64 KiB, and callers pass shorter ones.
     if tcp.write(&mut out, payload).is_err() {
         out.clear();
     }
@@ -195,18 +199,20 @@
     }
 }
 
-/// A synthesised TCP conversation around the bytes of two sides. Each call returns the packets of one event, in
+/// A synthesised TCP conversation around the bytes of two sides. Each method returns the packets of one event, in
 /// order.
 #[derive(Clone, Debug)]
 pub struct TcpConversation {
-    /// The client's, then the server's, as in the other fields.
+    /// The addresses of client and server. The other fields have the same order.
     addresses: [SocketAddr; 2],
+    /// The next sequence numbers.
     seq: [u32; 2],
+    /// Whether the side has sent a FIN, or the connection was reset.
     finished: [bool; 2],
 }
 
 impl TcpConversation {
-    /// A conversation that has not begun, with the initial sequence numbers of client and server.
+    /// Creates a conversation that has not begun. `first` are the initial sequence numbers of client and server.
     pub fn new(client: SocketAddr, server: SocketAddr, first: [u32; 2]) -> TcpConversation {
         TcpConversation {
             addresses: [client, server],
@@ -215,7 +221,7 @@
         }
     }
 
-    /// The three packets of its handshake.
+    /// Returns the three packets of the handshake.
     pub fn open(&mut self) -> [Vec<u8>; 3] {
         let syn = Flags {
             syn: true,
@@ -233,7 +239,7 @@
         ]
     }
 
-    /// Segments with the bytes that a side sends, each up to [`MAX_SEGMENT_BYTES`] long.
+    /// Returns segments with the bytes that a side sends, each with at most [`MAX_SEGMENT_BYTES`].
     pub fn send(&mut self, side: Side, bytes: &[u8]) -> Vec<Vec<u8>> {
         let segments = bytes.chunks(MAX_SEGMENT_BYTES).map(|part| {
             let packet = self.packet(side, Flags::default(), part);
@@ -248,7 +254,7 @@
         self.seq[side.index()] = self.seq[side.index()].wrapping_add(count as u32);
     }
 
-    /// The FIN of a side, unless it has sent one already.
+    /// Returns the FIN of a side, unless the side has sent one already.
     pub fn finish(&mut self, side: Side) -> Option<Vec<u8>> {
         if std::mem::replace(&mut self.finished[side.index()], true) {
             return None;
@@ -265,7 +271,7 @@
         Some(packet)
     }
 
-    /// The RST of a side.
+    /// Returns the RST of a side.
     pub fn reset(&mut self, side: Side) -> Vec<u8> {
         self.finished = [true; 2];
         self.packet(
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -226,7 +226,7 @@
         else {
             continue;
         };
-        assert_eq!(*start, Start::Middle);
+        assert_eq!(*start, Start::Midstream);
         // Bytes of a body alone tell nothing: then the port does, and the server's is the lower one here.
         assert!(*c == client(4000) || from > 3, "{from}");
     }
