--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -1,4 +1,5 @@
-//! Any bytes and any disorder: nothing panics, bounds hold, and what is whole comes out as it went in.
+//! Property tests of the capture pipeline with reordered, duplicated, lost, changed and random bytes. Nothing panics,
+//! memory stays bounded, and requests that were captured completely are returned unchanged.
 
 use heathspur_capture::reassembly::Limits;
 use heathspur_capture::{exchange, Options, Side};
@@ -6,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// The same cases on every machine and run.
+/// Returns a test runner with a fixed seed, so that all machines and runs test the same cases.
 fn seeded(cases: u32) -> TestRunner {
     let config = Config {
         cases,
@@ -16,29 +17,31 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-/// Conversations side by side, with request bodies of these lengths.
-fn conversations(bodies: &[Vec<u16>], segment: usize) -> (Vec<Timed>, Vec<Vec<Vec<u8>>>) {
+/// Returns the packets of concurrent conversations, and the requests of each conversation. `body_lengths` are the
+/// lengths of the request bodies of each conversation.
+fn conversations(body_lengths: &[Vec<u16>], segment: usize) -> (Vec<Timed>, Vec<Vec<Vec<u8>>>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
-    for (n, bodies) in bodies.iter().enumerate() {
-        let mut script = Script::open(4000 + n as u16);
-        let mut bytes = Vec::new();
-        for (i, &length) in bodies.iter().enumerate() {
+    for (conversation, lengths) in body_lengths.iter().enumerate() {
+        let mut script = Script::open(4000 + conversation as u16);
+        let mut requests = Vec::new();
+        for (number, &length) in lengths.iter().enumerate() {
             let body: Vec<u8> = (0..length)
-                .map(|b| (usize::from(b) * 7 + i + n) as u8)
+                .map(|position| (usize::from(position) * 7 + number + conversation) as u8)
                 .collect();
-            let request = request(i as u64, &body);
+            let request = request(number as u64, &body);
             script.say(Side::Client, &request, segment);
             script.say(Side::Server, &answer(200, b"ok"), 1000);
-            bytes.push(request);
+            requests.push(request);
         }
         script.close();
         packets.extend(script.packets);
-        sent.push(bytes);
+        sent.push(requests);
     }
     packets.sort_by_key(|(at, _)| *at);
     (packets, sent)
 }
 
+/// Returns the requests that were read, grouped by the client's port.
 fn requests_by_connection(read: &Read) -> Vec<Vec<Vec<u8>>> {
     let mut by_port: std::collections::BTreeMap<_, Vec<Vec<u8>>> = Default::default();
     let mut ports = std::collections::BTreeMap::new();
@@ -62,27 +65,27 @@
 }
 
 #[test]
-fn reordered_and_repeated_captures_give_every_request_byte_for_byte() {
-    let bodies = prop::collection::vec(prop::collection::vec(0_u16..900, 1..5), 1..5);
-    // How far each packet slips back, and whether a copy follows.
-    let slips = prop::collection::vec((0_u64..12, any::<bool>()), 400);
+fn reordered_and_duplicated_packets_yield_every_request_unchanged() {
+    let body_lengths = prop::collection::vec(prop::collection::vec(0_u16..900, 1..5), 1..5);
+    // The delay of each packet in milliseconds, and whether a copy follows.
+    let delays = prop::collection::vec((0_u64..12, any::<bool>()), 400);
     seeded(150)
         .run(
-            &(bodies, 30_usize..700, slips),
-            |(bodies, segment, slips)| {
-                let (packets, sent) = conversations(&bodies, segment);
-                let mut scrambled = Vec::new();
-                for (at, (time, packet)) in packets.into_iter().enumerate() {
-                    let (slip, copy) = slips[at % slips.len()];
-                    // A handshake out of order is another test's matter.
-                    let slip = if time <= 3 * MS { 0 } else { slip * MS };
-                    if copy {
-                        scrambled.push((time + slip + 20 * MS, packet.clone()));
+            &(body_lengths, 30_usize..700, delays),
+            |(body_lengths, segment, delays)| {
+                let (packets, sent) = conversations(&body_lengths, segment);
+                let mut reordered = Vec::new();
+                for (position, (time, packet)) in packets.into_iter().enumerate() {
+                    let (delay, is_duplicated) = delays[position % delays.len()];
+                    // Packets of the handshake stay in order.
+                    let delay = if time <= 3 * MS { 0 } else { delay * MS };
+                    if is_duplicated {
+                        reordered.push((time + delay + 20 * MS, packet.clone()));
                     }
-                    scrambled.push((time + slip, packet));
+                    reordered.push((time + delay, packet));
                 }
-                scrambled.sort_by_key(|(at, _)| *at);
-                let read = read(&pcap(&scrambled), Options::default(), 333);
+                reordered.sort_by_key(|(time, _)| *time);
+                let read = read(&pcap(&reordered), Options::default(), 333);
                 prop_assert_eq!(requests_by_connection(&read), sent);
                 prop_assert_eq!(read.tally.holes, 0);
                 prop_assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
@@ -94,37 +97,42 @@
 }
 
 #[test]
-fn requests_whose_every_packet_was_captured_survive_the_loss_of_others() {
-    let bodies = prop::collection::vec(prop::collection::vec(100_u16..900, 2..6), 1..4);
+fn lost_packets_cost_only_nearby_requests() {
+    let body_lengths = prop::collection::vec(prop::collection::vec(100_u16..900, 2..6), 1..4);
     let lost = prop::collection::vec(0_usize..200, 1..8);
     seeded(150)
-        .run(&(bodies, 50_usize..400, lost), |(bodies, segment, lost)| {
-            let (packets, sent) = conversations(&bodies, segment);
-            let keep =
-                |(at, (time, _)): &(usize, Timed)| *time <= 3 * MS || !lost.contains(&(at % 200));
-            let kept: Vec<Timed> = packets
-                .into_iter()
-                .enumerate()
-                .filter(keep)
-                .map(|(_, p)| p)
-                .collect();
-            let read = read(&pcap(&kept), Options::default(), 1 << 16);
-            for (found, sent) in requests_by_connection(&read).iter().zip(&sent) {
-                // What comes out is a part of what went in, in its order, and never made up.
-                let mut rest = sent.iter();
-                for request in found {
-                    prop_assert!(rest.any(|one| one == request));
+        .run(
+            &(body_lengths, 50_usize..400, lost),
+            |(body_lengths, segment, lost)| {
+                let (packets, sent) = conversations(&body_lengths, segment);
+                let is_captured = |(position, (time, _)): &(usize, Timed)| {
+                    *time <= 3 * MS || !lost.contains(&(position % 200))
+                };
+                let captured: Vec<Timed> = packets
+                    .into_iter()
+                    .enumerate()
+                    .filter(is_captured)
+                    .map(|(_, packet)| packet)
+                    .collect();
+                let read = read(&pcap(&captured), Options::default(), 1 << 16);
+                for (found, sent) in requests_by_connection(&read).iter().zip(&sent) {
+                    // Each request that is found was sent, and the order is that of sending.
+                    let mut remaining = sent.iter();
+                    for request in found {
+                        prop_assert!(remaining.any(|sent| sent == request));
+                    }
                 }
-            }
-            let whole: usize = read.requests.len();
-            prop_assert!(whole + 2 * lost.len() * 4 >= sent.iter().map(Vec::len).sum::<usize>());
-            Ok(())
-        })
+                let found: usize = read.requests.len();
+                let sent: usize = sent.iter().map(Vec::len).sum();
+                prop_assert!(found + 2 * lost.len() * 4 >= sent);
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
-/// Small bounds, so that they are met.
-fn tight() -> Options {
+/// Returns options with small bounds, so that the tests reach them.
+fn small_bounds() -> Options {
     Options {
         checksums: false,
         reassembly: Limits {
@@ -143,7 +151,7 @@
 }
 
 #[test]
-fn any_bytes_are_taken_within_the_bounds() {
+fn random_bytes_are_processed_within_memory_bounds() {
     let bytes = prop::collection::vec(any::<u8>(), 0..2000);
     let heads = prop::sample::select(vec![
         heathspur_capture::write::pcap_header(1, 0),
@@ -152,41 +160,44 @@
         Vec::new(),
     ]);
     seeded(400)
-        .run(&(heads, bytes, 1_usize..300), |(head, bytes, piece)| {
-            let read = read(&[head, bytes].concat(), tight(), piece);
-            prop_assert!(read.most_held <= 16_000);
-            Ok(())
-        })
+        .run(
+            &(heads, bytes, 1_usize..300),
+            |(head, bytes, chunk_size)| {
+                let read = read(&[head, bytes].concat(), small_bounds(), chunk_size);
+                prop_assert!(read.most_held <= 16_000);
+                Ok(())
+            },
+        )
         .unwrap();
 }
 
 #[test]
-fn captures_with_bytes_changed_anywhere_are_taken_within_the_bounds() {
-    let bodies = prop::collection::vec(prop::collection::vec(0_u16..600, 1..5), 1..12);
+fn corrupted_captures_are_processed_within_memory_bounds() {
+    let body_lengths = prop::collection::vec(prop::collection::vec(0_u16..600, 1..5), 1..12);
     let changes = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..60);
     seeded(300)
         .run(
-            &(bodies, 20_usize..500, changes, any::<bool>()),
-            |(bodies, segment, changes, ng)| {
-                let (packets, _) = conversations(&bodies, segment);
-                let mut file = if ng {
+            &(body_lengths, 20_usize..500, changes, any::<bool>()),
+            |(body_lengths, segment, changes, is_pcapng)| {
+                let (packets, _) = conversations(&body_lengths, segment);
+                let mut file = if is_pcapng {
                     heathspur_capture::write::ng_start(&["a"])
                 } else {
                     pcap(&[])
                 };
-                for (at, packet) in &packets {
+                for (time, packet) in &packets {
                     let (time, length) =
-                        (heathspur_capture::Stamp(START + at), packet.len() as u32);
-                    file.extend(match ng {
+                        (heathspur_capture::Stamp(START + time), packet.len() as u32);
+                    file.extend(match is_pcapng {
                         true => heathspur_capture::write::ng_packet(0, time, packet, length, ""),
                         false => heathspur_capture::write::pcap_record(time, packet, length),
                     });
                 }
-                for (at, byte) in changes {
-                    let at = at.index(file.len());
-                    file[at] = byte;
+                for (position, byte) in changes {
+                    let position = position.index(file.len());
+                    file[position] = byte;
                 }
-                let read = read(&file, tight(), 700);
+                let read = read(&file, small_bounds(), 700);
                 prop_assert!(read.most_held <= 16_000, "{}", read.most_held);
                 Ok(())
             },
