--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Segments in packets of every link type, in pieces, cut, and with wrong checksums.
+//! Tests of finding TCP segments in packets: link types, fragments, truncated packets and wrong checksums.
 
 use heathspur_capture::file::{LinkType, Packet};
 use heathspur_capture::frame::{Frames, Segment, SkipReason};
@@ -7,7 +7,8 @@
 use heathspur_testkit::capture::*;
 use std::net::SocketAddr;
 
-fn ip(payload: &[u8]) -> Vec<u8> {
+/// Returns an IPv4 packet from the client to the server.
+fn ip_packet(payload: &[u8]) -> Vec<u8> {
     segment(
         client(4000),
         server(),
@@ -37,18 +38,18 @@
 }
 
 #[test]
-fn every_link_type_gives_the_same_segment() {
-    let ip = ip(b"hello");
-    let ether = |tags: &[u8]| [&[2; 12], tags, &[8, 0], &ip[..]].concat();
+fn every_link_type_yields_same_segment() {
+    let ip = ip_packet(b"hello");
+    let ethernet = |tags: &[u8]| [&[2; 12], tags, &[8, 0], &ip[..]].concat();
     let packets = [
         (LinkType::Ip, ip.clone()),
-        (LinkType::Ethernet, ether(&[])),
-        // A frame shorter than 60 bytes is filled up; the filling is no payload.
-        (LinkType::Ethernet, [ether(&[]), vec![0xee; 9]].concat()),
-        (LinkType::Ethernet, ether(&[0x81, 0, 0, 5])),
+        (LinkType::Ethernet, ethernet(&[])),
+        // Frames shorter than 60 bytes are padded; the padding does not belong to the payload.
+        (LinkType::Ethernet, [ethernet(&[]), vec![0xee; 9]].concat()),
+        (LinkType::Ethernet, ethernet(&[0x81, 0, 0, 5])),
         (
             LinkType::Ethernet,
-            ether(&[0x88, 0xa8, 0, 7, 0x81, 0, 0, 5]),
+            ethernet(&[0x88, 0xa8, 0, 7, 0x81, 0, 0, 5]),
         ),
         (LinkType::LinuxCooked, [&[0; 14][..], &[8, 0], &ip].concat()),
         (
@@ -77,14 +78,14 @@
 }
 
 #[test]
-fn ipv6_with_extension_headers_is_read() {
+fn ipv6_extension_headers_are_skipped() {
     let (from, to): (SocketAddr, SocketAddr) = (
         "[fd00::7]:4000".parse().unwrap(),
         "[fd00::1]:6565".parse().unwrap(),
     );
     let plain = segment(from, to, 1, Some(2), Flags::default(), b"hello");
-    let options = [6, 0, 1, 4, 0, 0, 0, 0];
-    let mut extended = [&plain[..40], &options, &plain[40..]].concat();
+    let hop_by_hop_options = [6, 0, 1, 4, 0, 0, 0, 0];
+    let mut extended = [&plain[..40], &hop_by_hop_options, &plain[40..]].concat();
     extended[6] = 0;
     let length = extended.len() as u16 - 40;
     extended[4..6].copy_from_slice(&length.to_be_bytes());
@@ -98,30 +99,30 @@
 }
 
 #[test]
-fn a_packet_cut_by_the_snap_length_says_how_much_is_lost() {
-    let whole = ip(&[7; 100]);
-    for kept in 40..140 {
-        let data = &whole[..kept];
+fn truncated_packet_yields_segment_with_number_of_lost_bytes() {
+    let complete = ip_packet(&[7; 100]);
+    for captured in 40..140 {
+        let data = &complete[..captured];
         let segment = Frames::new(true)
             .segment(&Packet {
-                wire_len: whole.len() as u32,
+                wire_len: complete.len() as u32,
                 ..packet(LinkType::Ip, data)
             })
             .unwrap();
         assert_eq!(
             (segment.payload.len(), segment.lost as usize),
-            (kept - 40, 140 - kept)
+            (captured - 40, 140 - captured)
         );
     }
     assert_eq!(
-        found(&mut Frames::new(false), LinkType::Ip, &whole[..30]),
+        found(&mut Frames::new(false), LinkType::Ip, &complete[..30]),
         Err(SkipReason::InvalidHeaders)
     );
 }
 
 #[test]
-fn wrong_checksums_are_left_out_only_where_they_are_looked_at() {
-    let mut data = ip(b"hello");
+fn wrong_checksum_is_rejected_only_if_checksums_are_verified() {
+    let mut data = ip_packet(b"hello");
     *data.last_mut().unwrap() ^= 1;
     assert!(found(&mut Frames::new(false), LinkType::Ip, &data).is_ok());
     assert_eq!(
@@ -130,36 +131,36 @@
     );
 }
 
-/// A packet of IPv4 in pieces of 8 times that many bytes.
-fn pieces(whole: &[u8], units: usize, id: u16) -> Vec<Vec<u8>> {
-    let parts: Vec<_> = whole[20..].chunks(8 * units).collect();
+/// Splits an IPv4 packet into fragments with `units` times 8 bytes of payload.
+fn fragments(packet: &[u8], units: usize, id: u16) -> Vec<Vec<u8>> {
+    let parts: Vec<_> = packet[20..].chunks(8 * units).collect();
     let last = parts.len() - 1;
-    let piece = |(n, part): (usize, &&[u8])| {
-        let mut head = whole[..20].to_vec();
-        head[2..4].copy_from_slice(&(20 + part.len() as u16).to_be_bytes());
-        head[4..6].copy_from_slice(&id.to_be_bytes());
-        let offset = (n * units) as u16 | if n < last { 0x2000 } else { 0 };
-        head[6..8].copy_from_slice(&offset.to_be_bytes());
-        [head, part.to_vec()].concat()
+    let fragment = |(position, part): (usize, &&[u8])| {
+        let mut header = packet[..20].to_vec();
+        header[2..4].copy_from_slice(&(20 + part.len() as u16).to_be_bytes());
+        header[4..6].copy_from_slice(&id.to_be_bytes());
+        let offset = (position * units) as u16 | if position < last { 0x2000 } else { 0 };
+        header[6..8].copy_from_slice(&offset.to_be_bytes());
+        [header, part.to_vec()].concat()
     };
-    parts.iter().enumerate().map(piece).collect()
+    parts.iter().enumerate().map(fragment).collect()
 }
 
 #[test]
-fn datagrams_in_pieces_are_put_together_in_any_order() {
-    let whole = ip(&(0..200).collect::<Vec<u8>>());
+fn fragments_in_any_order_are_reassembled() {
+    let packet = ip_packet(&(0..200).collect::<Vec<u8>>());
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [1, 3, 0, 2]] {
         let mut frames = Frames::new(true);
-        let pieces = pieces(&whole, 8, 77);
-        assert_eq!(pieces.len(), 4);
-        for &n in &order[..3] {
+        let fragments = fragments(&packet, 8, 77);
+        assert_eq!(fragments.len(), 4);
+        for &position in &order[..3] {
             assert_eq!(
-                found(&mut frames, LinkType::Ip, &pieces[n]),
+                found(&mut frames, LinkType::Ip, &fragments[position]),
                 Err(SkipReason::Fragment)
             );
         }
         assert_eq!(
-            found(&mut frames, LinkType::Ip, &pieces[order[3]])
+            found(&mut frames, LinkType::Ip, &fragments[order[3]])
                 .unwrap()
                 .payload
                 .len(),
@@ -169,25 +170,25 @@
 }
 
 #[test]
-fn pieces_that_never_become_whole_are_bounded_and_counted() {
-    let whole = ip(&[1; 200]);
+fn incomplete_datagrams_are_bounded_expire_and_are_counted() {
+    let complete = ip_packet(&[1; 200]);
     let mut frames = Frames::new(false);
     for id in 0..1000 {
         assert_eq!(
-            found(&mut frames, LinkType::Ip, &pieces(&whole, 8, id)[0]),
+            found(&mut frames, LinkType::Ip, &fragments(&complete, 8, id)[0]),
             Err(SkipReason::Fragment)
         );
     }
     assert_eq!(frames.incomplete_datagrams(), 1000 - 64);
     let late = Packet {
         time: Stamp(START + 16_000_000_000),
-        ..packet(LinkType::Ip, &whole)
+        ..packet(LinkType::Ip, &complete)
     };
     assert!(frames.segment(&late).is_ok());
-    let pieces = pieces(&whole, 8, 5);
+    let fragments = fragments(&complete, 8, 5);
     assert_eq!(
         frames.segment(&Packet {
-            data: &pieces[0],
+            data: &fragments[0],
             ..late
         }),
         Err(SkipReason::Fragment)
@@ -196,9 +197,9 @@
 }
 
 #[test]
-fn ipv4_options_are_stepped_over() {
-    let plain = ip(b"hello");
-    // Router alert and padding: two words more of header.
+fn ipv4_options_are_skipped() {
+    let plain = ip_packet(b"hello");
+    // A router alert and padding extend the header by two words.
     let options = [148, 4, 0, 0, 1, 1, 1, 0];
     let mut data = [&plain[..20], &options, &plain[20..]].concat();
     data[0] = 0x47;
@@ -209,25 +210,25 @@
 }
 
 #[test]
-fn pieces_of_ipv6_are_put_together() {
+fn ipv6_fragments_are_reassembled() {
     let (from, to): (SocketAddr, SocketAddr) = (
         "[fd00::7]:4000".parse().unwrap(),
         "[fd00::1]:6565".parse().unwrap(),
     );
-    let whole = segment(from, to, 1, Some(2), Flags::default(), &[7; 100]);
-    let parts: Vec<_> = whole[40..].chunks(48).collect();
+    let complete = segment(from, to, 1, Some(2), Flags::default(), &[7; 100]);
+    let parts: Vec<_> = complete[40..].chunks(48).collect();
     let last = parts.len() - 1;
     let mut frames = Frames::new(true);
-    // The last comes first.
-    for n in (0..parts.len()).rev() {
-        let offset = (n * 48) as u16 | u16::from(n < last);
-        let fragment = [&[6, 0][..], &offset.to_be_bytes(), &[0, 0, 0, 9]].concat();
-        let mut data = [&whole[..40], &fragment, parts[n]].concat();
+    // The fragments are in reverse order.
+    for position in (0..parts.len()).rev() {
+        let offset = (position * 48) as u16 | u16::from(position < last);
+        let fragment_header = [&[6, 0][..], &offset.to_be_bytes(), &[0, 0, 0, 9]].concat();
+        let mut data = [&complete[..40], &fragment_header, parts[position]].concat();
         data[6] = 44;
         let length = data.len() as u16 - 40;
         data[4..6].copy_from_slice(&length.to_be_bytes());
         let segment = found(&mut frames, LinkType::Ip, &data);
-        match n {
+        match position {
             0 => assert_eq!(segment.unwrap().payload.len(), 100),
             _ => assert_eq!(segment, Err(SkipReason::Fragment)),
         }
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -1,4 +1,5 @@
-//! Connections out of damaged captures: what can be put together is, and the rest is counted by its cause.
+//! Tests of reassembly and exchange parsing with incomplete or disordered captures: complete requests and responses are
+//! found, and everything else is counted by cause.
 
 use heathspur_capture::exchange::{Cause, Found};
 use heathspur_capture::reassembly::{End, Event, Limits, Start};
@@ -6,18 +7,19 @@
 use heathspur_capture::{Item, Options, Side};
 use heathspur_testkit::capture::*;
 
-const NONE: Flags = Flags {
+const NO_FLAGS: Flags = Flags {
     syn: false,
     fin: false,
     rst: false,
 };
 
-fn all(packets: &[Timed]) -> Read {
+fn read_packets(packets: &[Timed]) -> Read {
     read(&pcap(packets), Options::default(), 1000)
 }
 
-/// A client's three requests, in segments of that length, with answers behind each.
-fn three(segment: usize) -> Script {
+/// Returns a conversation with three requests, each followed by its response. The requests are sent in segments of this
+/// length.
+fn three_exchanges(segment: usize) -> Script {
     let mut script = Script::open(4000);
     for number in 0..3 {
         script.say(
@@ -31,15 +33,16 @@
     script
 }
 
-fn is_whole(read: &Read) {
+/// Asserts that the exchanges of [`three_exchanges`] were found completely.
+fn assert_complete(read: &Read) {
     assert_eq!(read.bodies(), [[b'a'; 300], [b'b'; 300], [b'c'; 300]]);
-    let answers: Vec<_> = read
+    let responses: Vec<_> = read
         .answers
         .iter()
-        .map(|(_, to, m)| (*to, m.status()))
+        .map(|(_, to, message)| (*to, message.status()))
         .collect();
     assert_eq!(
-        answers,
+        responses,
         [
             (Some(0), Some(200)),
             (Some(1), Some(201)),
@@ -50,6 +53,7 @@
     assert_eq!(read.tally.holes, 0);
 }
 
+/// Returns how the connections ended.
 fn ends(read: &Read) -> Vec<End> {
     let end = |item: &Item| match item {
         Item::Connection(Event::Closed { end, .. }) => Some(*end),
@@ -59,23 +63,23 @@
 }
 
 #[test]
-fn what_came_in_order_is_put_together_across_a_wrap_of_the_numbers() {
-    // The client's first number lies 700 below the wrap.
-    let read = all(&three(50).packets);
-    is_whole(&read);
+fn sequence_numbers_wrap_without_loss() {
+    // The client's initial sequence number is 700 below the wrap.
+    let read = read_packets(&three_exchanges(50).packets);
+    assert_complete(&read);
     assert_eq!(ends(&read), [End::Closed]);
     assert_eq!(read.tally.tcp.anomalies, Default::default());
 }
 
 #[test]
-fn segments_out_of_order_keep_the_time_of_their_own_capture() {
-    let mut script = three(100);
-    // The first request's second and third segment change places, and their bytes their times.
+fn out_of_order_segments_keep_their_capture_times() {
+    let mut script = three_exchanges(100);
+    // The second and third segment of the first request are captured in the wrong order.
     let (second, third) = (script.packets[4].1.clone(), script.packets[5].1.clone());
     script.packets[4].1 = third;
     script.packets[5].1 = second;
-    let read = all(&script.packets);
-    is_whole(&read);
+    let read = read_packets(&script.packets);
+    assert_complete(&read);
     assert_eq!(read.tally.tcp.anomalies.out_of_order, 1);
     let first = &read.requests[0].2;
     assert_eq!(
@@ -85,47 +89,52 @@
 }
 
 #[test]
-fn copies_are_dropped_and_the_first_of_two_that_differ_stands() {
-    let mut script = three(100);
+fn copies_are_dropped_and_first_of_conflicting_copies_is_used() {
+    let mut script = three_exchanges(100);
     let copies: Vec<_> = script
         .packets
         .iter()
-        .map(|(at, p)| (at + MS / 2, p.clone()))
+        .map(|(time, packet)| (time + MS / 2, packet.clone()))
         .collect();
     script.packets = script
         .packets
         .into_iter()
         .zip(copies)
-        .flat_map(|(a, b)| [a, b])
+        .flat_map(|(packet, copy)| [packet, copy])
         .collect();
-    let read = all(&script.packets);
-    is_whole(&read);
+    let read = read_packets(&script.packets);
+    assert_complete(&read);
     assert!(read.tally.tcp.anomalies.repeated > 10);
     assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
 
-    let mut script = three(100);
-    // A copy of the second segment with other bytes, once after it was given and once while it waits.
-    let mut other = script.packets[4].1.clone();
-    let at = other.len() - 10;
-    other[at..].fill(b'#');
-    script.packets.insert(5, (5 * MS, other.clone()));
-    let read = all(&script.packets);
-    is_whole(&read);
+    let mut script = three_exchanges(100);
+    // The second segment is copied with other bytes: here after its bytes were delivered, and below while they are
+    // buffered behind a gap.
+    let mut conflicting = script.packets[4].1.clone();
+    let start = conflicting.len() - 10;
+    conflicting[start..].fill(b'#');
+    script.packets.insert(5, (5 * MS, conflicting.clone()));
+    let read = read_packets(&script.packets);
+    assert_complete(&read);
     assert_eq!(read.tally.tcp.anomalies.conflicting, 1);
 
-    let mut script = three(100);
+    let mut script = three_exchanges(100);
     let (time, first) = script.packets.remove(3);
-    script.packets.insert(4, (5 * MS, other));
+    script.packets.insert(4, (5 * MS, conflicting));
     script.packets.insert(5, (time.max(5 * MS), first));
-    let read = all(&script.packets);
-    is_whole(&read);
+    let read = read_packets(&script.packets);
+    assert_complete(&read);
     assert_eq!(read.tally.tcp.anomalies.conflicting, 1);
 }
 
 #[test]
-fn segments_that_overlap_in_part_give_each_byte_once() {
-    let mut talk = TcpConversation::new(client(4000), server(), [10, 20]);
-    let mut packets: Vec<Timed> = talk.open().into_iter().map(|p| (MS, p)).collect();
+fn overlapping_segments_yield_each_byte_once() {
+    let mut conversation = TcpConversation::new(client(4000), server(), [10, 20]);
+    let mut packets: Vec<Timed> = conversation
+        .open()
+        .into_iter()
+        .map(|packet| (MS, packet))
+        .collect();
     let bytes = request(1, b"0123456789");
     let part = |from: usize, to: usize| {
         segment(
@@ -133,27 +142,27 @@
             server(),
             11 + from as u32,
             Some(21),
-            NONE,
+            NO_FLAGS,
             &bytes[from..to],
         )
     };
-    for (at, (from, to)) in [(40, 60), (30, 50), (55, 70), (20, 25), (10, 45), (0, 12)]
+    for (position, (from, to)) in [(40, 60), (30, 50), (55, 70), (20, 25), (10, 45), (0, 12)]
         .into_iter()
         .enumerate()
     {
-        packets.push(((2 + at as u64) * MS, part(from, to)));
+        packets.push(((2 + position as u64) * MS, part(from, to)));
     }
     packets.push((9 * MS, part(5, bytes.len())));
-    let read = all(&packets);
+    let read = read_packets(&packets);
     assert_eq!(read.bodies(), [b"0123456789"]);
     assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
 }
 
 #[test]
-fn a_hole_that_never_fills_costs_the_request_it_hits_and_no_other() {
-    let mut script = three(100);
+fn lost_segment_loses_only_its_own_request() {
+    let mut script = three_exchanges(100);
     script.packets.remove(4);
-    let read = all(&script.packets);
+    let read = read_packets(&script.packets);
     assert_eq!(read.bodies(), [[b'b'; 300], [b'c'; 300]]);
     assert_eq!((read.tally.holes, read.tally.missing_bytes), (1, 100));
     let [Found::Skipped {
@@ -164,26 +173,27 @@
     else {
         panic!("{:?}", read.passed)
     };
-    // The answer to what was lost is not taken for another's.
-    let answers: Vec<_> = read
+    // The response to the lost request is not matched to another request.
+    let responses: Vec<_> = read
         .answers
         .iter()
-        .map(|(_, to, m)| (*to, m.status()))
+        .map(|(_, to, message)| (*to, message.status()))
         .collect();
-    assert_eq!(answers[1..], [(Some(1), Some(201)), (Some(2), Some(202))]);
+    assert_eq!(responses[1..], [(Some(1), Some(201)), (Some(2), Some(202))]);
 }
 
 #[test]
-fn a_hole_is_given_up_after_its_time_and_after_its_bytes() {
-    let run = |limits: Limits, late: u64| {
+fn gap_is_abandoned_after_its_time_or_byte_limit() {
+    // Returns the requests found and the gaps abandoned if the requests after the gap are `interval` ns apart.
+    let run = |limits: Limits, interval: u64| {
         let mut script = Script::open(4000);
         script.say(Side::Client, &request(1, &[b'a'; 300]), 100);
         script.packets.remove(4);
         for number in 2..6 {
-            script.now += late;
+            script.now += interval;
             script.say(Side::Client, &request(number, &[b'b'; 300]), 100);
         }
-        // Nothing ends: what is given was given up.
+        // The capture does not end, so requests are found only if the gap is abandoned.
         let mut pipeline = heathspur_capture::Pipeline::new(Options {
             reassembly: limits,
             ..Options::default()
@@ -208,10 +218,10 @@
 }
 
 #[test]
-fn a_capture_that_starts_in_the_middle_goes_on_at_the_next_request() {
-    let script = three(100);
+fn midstream_capture_resumes_at_next_request() {
+    let script = three_exchanges(100);
     for from in 3..script.packets.len() - 1 {
-        let read = all(&script.packets[from..]);
+        let read = read_packets(&script.packets[from..]);
         let first = read.bodies().first().map(|body| body[0]);
         assert!(from < 5 || first != Some(b'a'), "{from}");
         for (_, _, message) in &read.requests {
@@ -221,16 +231,19 @@
             );
         }
         let Some(Item::Connection(Event::Opened {
-            client: c, start, ..
+            client: found_client,
+            start,
+            ..
         })) = read.connections.first()
         else {
             continue;
         };
         assert_eq!(*start, Start::Midstream);
-        // Bytes of a body alone tell nothing: then the port does, and the server's is the lower one here.
-        assert!(*c == client(4000) || from > 3, "{from}");
+        // If the first segment contains only a part of a body, the side with the lower port is taken for the server.
+        // The client has the lower port here, so that guess is wrong.
+        assert!(*found_client == client(4000) || from > 3, "{from}");
     }
-    // Ports that are named settle it.
+    // If the server's port is configured, the client is always identified.
     let limits = Limits {
         servers: vec![6565],
         ..Limits::default()
@@ -244,20 +257,23 @@
             },
             99,
         );
-        let Some(Item::Connection(Event::Opened { client: c, .. })) = read.connections.first()
+        let Some(Item::Connection(Event::Opened {
+            client: found_client,
+            ..
+        })) = read.connections.first()
         else {
             panic!()
         };
-        assert_eq!(*c, client(4000), "{from}");
+        assert_eq!(*found_client, client(4000), "{from}");
     }
 }
 
 #[test]
-fn cut_packets_are_holes_of_a_known_length() {
-    let script = three(100);
+fn truncated_packet_is_hole_of_known_length() {
+    let script = three_exchanges(100);
     let mut file = heathspur_capture::write::pcap_header(101, 0);
-    for (at, (time, packet)) in script.packets.iter().enumerate() {
-        let kept = if at == 5 {
+    for (position, (time, packet)) in script.packets.iter().enumerate() {
+        let captured = if position == 5 {
             packet.len() - 30
         } else {
             packet.len()
@@ -265,7 +281,7 @@
         let time = heathspur_capture::Stamp(START + time);
         file.extend(heathspur_capture::write::pcap_record(
             time,
-            &packet[..kept],
+            &packet[..captured],
             packet.len() as u32,
         ));
     }
@@ -279,14 +295,14 @@
         ),
         (1, 30, 1)
     );
-    // The place of the next request was known, so order still tells whose answer is whose.
-    let answers: Vec<_> = read
+    // The position of the next request is known, so responses are still matched by order.
+    let responses: Vec<_> = read
         .answers
         .iter()
-        .map(|(_, to, m)| (*to, m.status()))
+        .map(|(_, to, message)| (*to, message.status()))
         .collect();
     assert_eq!(
-        answers,
+        responses,
         [
             (Some(0), Some(200)),
             (Some(1), Some(201)),
@@ -296,34 +312,34 @@
 }
 
 #[test]
-fn ends_in_any_order_lose_nothing_that_was_captured() {
-    // FINs come before the bytes that they follow.
-    let mut script = three(100);
+fn fin_or_reset_captured_before_earlier_bytes_loses_nothing() {
+    // The FINs are captured before the bytes that precede them.
+    let mut script = three_exchanges(100);
     let fins = script.packets.split_off(script.packets.len() - 2);
     for fin in fins {
         script.packets.insert(3, (3 * MS, fin.1));
     }
-    let read = all(&script.packets);
-    is_whole(&read);
+    let read = read_packets(&script.packets);
+    assert_complete(&read);
     assert_eq!(ends(&read), [End::Closed]);
 
-    // So does a reset.
+    // The same applies to a reset.
     let mut script = Script::open(4000);
     script.say(Side::Client, &request(1, &[b'a'; 300]), 100);
     let reset = script.talk.reset(Side::Client);
     script.packets.insert(5, (5 * MS, reset));
-    let read = all(&script.packets);
+    let read = read_packets(&script.packets);
     assert_eq!(read.bodies(), [[b'a'; 300]]);
     assert_eq!(ends(&read), [End::Reset]);
 }
 
 #[test]
-fn late_copies_of_a_connection_that_is_over_open_no_new_one() {
-    let mut script = three(100);
+fn late_copy_after_close_opens_no_connection() {
+    let mut script = three_exchanges(100);
     let late = script.packets[4].1.clone();
     script.put(late);
-    let read = all(&script.packets);
-    is_whole(&read);
+    let read = read_packets(&script.packets);
+    assert_complete(&read);
     assert_eq!(
         (
             read.tally.tcp.connections,
@@ -334,11 +350,11 @@
 }
 
 #[test]
-fn a_port_used_again_is_a_new_connection_whether_the_old_one_ended_or_not() {
-    for ended in [true, false] {
+fn reused_port_is_new_connection_after_close_or_without() {
+    for is_closed in [true, false] {
         let mut script = Script::open(4000);
         script.say(Side::Client, &request(1, b"old"), 100);
-        if ended {
+        if is_closed {
             script.close();
         }
         script.talk = TcpConversation::new(client(4000), server(), [5000, 6000]);
@@ -350,20 +366,27 @@
         }
         script.say(Side::Client, &request(2, b"new"), 100);
         script.close();
-        let read = all(&script.packets);
+        let read = read_packets(&script.packets);
         assert_eq!(read.bodies(), [b"old", b"new"]);
         assert_eq!(read.tally.tcp.connections, 2);
         assert_eq!(
             ends(&read)[0],
-            if ended { End::Closed } else { End::Replaced }
+            if is_closed {
+                End::Closed
+            } else {
+                End::Replaced
+            }
         );
     }
 }
 
 #[test]
-fn data_in_the_syn_and_probes_of_an_idle_connection_are_told_apart() {
+fn data_in_syn_is_read_and_keep_alive_probe_is_ignored() {
     let bytes = request(1, b"abc");
-    let syn = Flags { syn: true, ..NONE };
+    let syn = Flags {
+        syn: true,
+        ..NO_FLAGS
+    };
     let packets = [
         (
             MS,
@@ -375,9 +398,16 @@
         ),
         (
             3 * MS,
-            segment(client(4000), server(), 120, Some(50), NONE, &bytes[20..]),
+            segment(
+                client(4000),
+                server(),
+                120,
+                Some(50),
+                NO_FLAGS,
+                &bytes[20..],
+            ),
         ),
-        // The byte before the next, with a value of its own.
+        // A keep-alive probe has any value in place of the last byte.
         (
             4 * MS,
             segment(
@@ -385,7 +415,7 @@
                 server(),
                 99 + bytes.len() as u32,
                 Some(50),
-                NONE,
+                NO_FLAGS,
                 b"\0",
             ),
         ),
@@ -396,12 +426,12 @@
                 server(),
                 100 + bytes.len() as u32,
                 Some(50),
-                NONE,
+                NO_FLAGS,
                 &bytes,
             ),
         ),
     ];
-    let read = all(&packets);
+    let read = read_packets(&packets);
     assert_eq!(read.bodies(), [b"abc", b"abc"]);
     assert_eq!(
         (
@@ -413,24 +443,24 @@
 }
 
 #[test]
-fn strays_are_left_out_until_they_are_the_rule() {
+fn stray_segments_are_skipped_until_direction_resynchronises() {
     let mut script = Script::open(4000);
     script.say(Side::Client, &request(1, b"abc"), 1000);
-    let far = |number: u64, seq: u32| {
+    let stray = |number: u64, seq: u32| {
         segment(
             client(4000),
             server(),
             seq,
             Some(91),
-            NONE,
+            NO_FLAGS,
             &request(number, b"far"),
         )
     };
     let length = request(1, b"far").len() as u32;
     for n in 0..6 {
-        script.put(far(2 + u64::from(n), 500_000_000 + n * length));
+        script.put(stray(2 + u64::from(n), 500_000_000 + n * length));
     }
-    let read = all(&script.packets);
+    let read = read_packets(&script.packets);
     assert_eq!(read.requests.len(), 1 + 4);
     assert_eq!(
         (
@@ -442,7 +472,7 @@
 }
 
 #[test]
-fn memory_is_bounded_over_all_connections_and_what_gives_way_is_counted() {
+fn gaps_are_abandoned_and_counted_when_memory_is_exhausted() {
     let limits = Limits {
         memory: 50_000,
         ..Limits::default()
@@ -451,11 +481,11 @@
     for port in 0..200 {
         let mut script = Script::open(4000 + port);
         script.say(Side::Client, &request(1, &[b'a'; 1500]), 500);
-        // The first segment never comes.
+        // The first segment of the request is lost.
         script.packets.remove(3);
         packets.extend(script.packets);
     }
-    packets.sort_by_key(|(at, _)| *at);
+    packets.sort_by_key(|(time, _)| *time);
     let read = read(
         &pcap(&packets),
         Options {
@@ -474,7 +504,7 @@
 }
 
 #[test]
-fn a_flood_of_connections_pushes_the_longest_unseen_out() {
+fn flood_of_connections_evicts_those_idle_for_longest() {
     let limits = Limits {
         connections: 64,
         ..Limits::default()
@@ -486,7 +516,7 @@
         for (_, packet) in other.packets {
             script.put(packet);
         }
-        // One that goes on talking stays.
+        // The connection that remains active is not evicted.
         script.say(Side::Client, &request(u64::from(port), b"stay"), 1000);
     }
     let read = read(
@@ -503,12 +533,12 @@
 }
 
 #[test]
-fn chunked_large_and_open_ended_messages_are_told_apart() {
+fn chunked_oversized_bodiless_and_unterminated_messages_are_delimited() {
     let mut script = Script::open(4000);
     let chunked = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\nabcd\r\n2\r\nef\r\n0\r\nX-Sum: 1\r\n\r\n";
-    let large = request(2, &vec![b'x'; 2 << 20]);
+    let oversized = request(2, &vec![b'x'; 2 << 20]);
     script.say(Side::Client, chunked, 7);
-    script.say(Side::Client, &large, 16_000);
+    script.say(Side::Client, &oversized, 16_000);
     script.say(Side::Client, b"HEAD /b HTTP/1.1\r\n\r\n", 100);
     script.say(Side::Client, &request(3, b"last"), 100);
     script.say(Side::Server, b"HTTP/1.1 100 Continue\r\n\r\n", 100);
@@ -526,11 +556,11 @@
         100,
     );
     script.close();
-    let read = all(&script.packets);
+    let read = read_packets(&script.packets);
     let requests: Vec<_> = read
         .requests
         .iter()
-        .map(|(_, index, m)| (*index, m.bytes.len()))
+        .map(|(_, index, message)| (*index, message.bytes.len()))
         .collect();
     assert_eq!(requests[..2], [(0, chunked.len()), (2, 20)]);
     assert_eq!(requests[2].0, 3);
@@ -542,14 +572,14 @@
     else {
         panic!("{:?}", read.passed)
     };
-    assert_eq!(bytes, large.len() as u64);
-    let answers: Vec<_> = read
+    assert_eq!(bytes, oversized.len() as u64);
+    let responses: Vec<_> = read
         .answers
         .iter()
-        .map(|(_, to, m)| (*to, m.status().unwrap(), m.body().len()))
+        .map(|(_, to, message)| (*to, message.status().unwrap(), message.body().len()))
         .collect();
     assert_eq!(
-        answers,
+        responses,
         [
             (Some(0), 201, 1),
             (Some(1), 202, 1),
