--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes a message of `end` bytes from the buffer.
+    /// Removes the message of `end` bytes from the buffer and matches it.
     fn complete_message(&mut self, end: usize) {
         let mode = std::mem::replace(&mut self.stream.mode, Mode::Head);
         let Mode::Body { head, .. } = mode else {
--- a/crates/heathspur-capture/src/reassembly/direction.rs
+++ b/crates/heathspur-capture/src/reassembly/direction.rs
@@ -136,7 +136,7 @@
         self.pieces.oldest_time()
     }
 
-    /// Takes the next output.
+    /// Removes and returns the next output.
     pub fn next_output(&mut self) -> Option<Output> {
         self.output.pop_front()
     }
