--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -28,7 +28,7 @@
     /// Packets that the capture truncated.
     pub truncated_packets: u64,
     /// Packets without a segment, by cause.
-    pub passed: BTreeMap<SkipReason, u64>,
+    pub skipped_packets: BTreeMap<SkipReason, u64>,
     /// The number of packets and of bytes on a recording's interpreter and store connections. These do not carry HTTP
     /// and are not parsed.
     pub links: BTreeMap<Leg, (u64, u64)>,
@@ -140,7 +140,7 @@
                         &mut found,
                     );
                 }
-                Err(cause) => *self.tally.passed.entry(cause).or_default() += 1,
+                Err(cause) => *self.tally.skipped_packets.entry(cause).or_default() += 1,
             }
         }
     }
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -117,7 +117,11 @@
         }))
     ));
     assert_eq!(
-        (read.tally.holes, read.tally.damage, read.tally.passed.len()),
+        (
+            read.tally.holes,
+            read.tally.damage,
+            read.tally.skipped_packets.len()
+        ),
         (0, None, 0)
     );
 }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -207,7 +207,7 @@
             format!("{packets} packets ({bytes} bytes)"),
         );
     }
-    for (cause, count) in &tally.passed {
+    for (cause, count) in &tally.skipped_packets {
         line(
             &format!("packets passed over: {cause:?}"),
             count.to_string(),
