--- a/crates/heathspur-capture/src/exchange/matching.rs
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -4,7 +4,7 @@
 //! are matched by capture time until no request is open.
 
 use super::message::{Found, Message};
-use crate::{ConnId, Stamp};
+use crate::{ConnectionId, Stamp};
 use std::collections::VecDeque;
 
 /// A request whose response was not found yet.
@@ -19,7 +19,7 @@
 /// The open requests of one connection, and responses without a request.
 #[derive(Debug)]
 pub(super) struct Matcher {
-    conn: ConnId,
+    conn: ConnectionId,
     /// The maximum number of open requests, and of responses without a request.
     max_open: usize,
     next_index: u64,
@@ -31,7 +31,7 @@
 }
 
 impl Matcher {
-    pub fn new(conn: ConnId, max_open: usize, by_time: bool) -> Matcher {
+    pub fn new(conn: ConnectionId, max_open: usize, by_time: bool) -> Matcher {
         Matcher {
             conn,
             max_open,
--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -1,6 +1,6 @@
 //! Messages found in a capture, and reports of bytes that belong to none.
 
-use crate::{ConnId, Side, Stamp};
+use crate::{ConnectionId, Side, Stamp};
 use bytes::Bytes;
 use heathspur_wire::http::{request_line, status_line, Fields};
 use std::fmt;
@@ -83,7 +83,7 @@
     /// A request.
     Request {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The index of the request on its connection, from 0. Skipped requests whose end is known count as well.
         index: u64,
         /// The request.
@@ -92,7 +92,7 @@
     /// A final response.
     Response {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The index of its request, if known.
         to: Option<u64>,
         /// The response.
@@ -101,7 +101,7 @@
     /// Bytes that belong to no complete message.
     Skipped {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The sender.
         side: Side,
         /// The reason why they were skipped.
--- a/crates/heathspur-capture/src/exchange/mod.rs
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -13,7 +13,7 @@
 pub use message::{Cause, Found, Message};
 
 use crate::reassembly::{Event, Start};
-use crate::{ConnId, Side};
+use crate::{ConnectionId, Side};
 use matching::Matcher;
 use parser::Parser;
 use std::collections::{BTreeMap, VecDeque};
@@ -51,7 +51,7 @@
 }
 
 impl Connection {
-    fn new(id: ConnId, start: Start, limits: &Limits) -> Connection {
+    fn new(id: ConnectionId, start: Start, limits: &Limits) -> Connection {
         let is_midstream = start == Start::Midstream;
         // The first captured bytes of a connection that began before the capture may be in the middle of a message.
         let mode = || match start {
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct Exchanges {
     limits: Limits,
-    connections: BTreeMap<ConnId, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     buffered_bytes: usize,
     found: VecDeque<Found>,
 }
@@ -119,7 +119,7 @@
         }
     }
 
-    fn close(&mut self, id: ConnId) {
+    fn close(&mut self, id: ConnectionId) {
         for side in [Side::Client, Side::Server] {
             self.parse(id, side, |parser| parser.process_end());
         }
@@ -129,7 +129,7 @@
     }
 
     /// Applies an event to one side of a connection, and discards its buffer if the memory is exhausted.
-    fn parse(&mut self, id: ConnId, side: Side, apply: impl FnOnce(&mut Parser<'_>)) {
+    fn parse(&mut self, id: ConnectionId, side: Side, apply: impl FnOnce(&mut Parser<'_>)) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -5,7 +5,7 @@
 use super::resync::find_message_start;
 use super::stream::{Mode, SkippedBytes, Stream};
 use super::Limits;
-use crate::{ConnId, Side, Stamp};
+use crate::{ConnectionId, Side, Stamp};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
 use heathspur_wire::http::{self, request_line, status_line};
 use std::collections::VecDeque;
@@ -29,7 +29,7 @@
 
 /// One side of a connection while an event of it is processed.
 pub(super) struct Parser<'a> {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub side: Side,
     pub limits: &'a Limits,
     pub stream: &'a mut Stream,
--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -89,4 +89,4 @@
 /// The number of a connection in a capture. Connections are numbered in the order of their first packets; a connection
 /// that reuses the ports of an earlier one has a new number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
--- a/crates/heathspur-capture/src/reassembly/connection.rs
+++ b/crates/heathspur-capture/src/reassembly/connection.rs
@@ -3,12 +3,12 @@
 use super::direction::{Anomalies, Direction, Payload};
 use super::event::Start;
 use crate::frame::Segment;
-use crate::{ConnId, Side, Stamp};
+use crate::{ConnectionId, Side, Stamp};
 use std::net::SocketAddr;
 
 #[derive(Debug)]
 pub(super) struct Connection {
-    pub id: ConnId,
+    pub id: ConnectionId,
     pub client: SocketAddr,
     /// The directions from the client and from the server, in this order.
     pub directions: [Direction; 2],
@@ -23,7 +23,12 @@
 }
 
 impl Connection {
-    pub fn new(id: ConnId, client: SocketAddr, segment: &Segment<'_>, start: Start) -> Connection {
+    pub fn new(
+        id: ConnectionId,
+        client: SocketAddr,
+        segment: &Segment<'_>,
+        start: Start,
+    ) -> Connection {
         let mut connection = Connection {
             id,
             client,
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -15,7 +15,7 @@
 pub use event::{Counts, End, Event, Start};
 
 use crate::frame::Segment;
-use crate::{ConnId, Side, Stamp};
+use crate::{ConnectionId, Side, Stamp};
 use connection::{is_probably_from_client, Connection};
 use direction::{Direction, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -74,7 +74,7 @@
     limits: Limits,
     connections: HashMap<FlowKey, Connection>,
     /// Connections with bytes buffered behind a gap, which are found without a search of the table.
-    waiting: BTreeMap<ConnId, FlowKey>,
+    waiting: BTreeMap<ConnectionId, FlowKey>,
     next_id: u64,
     buffered_bytes: usize,
     /// The latest capture time.
@@ -151,7 +151,7 @@
 
     /// Ends the capture: delivers the buffered bytes and closes all connections.
     pub fn finish(&mut self) {
-        let mut open: Vec<(ConnId, FlowKey)> = self
+        let mut open: Vec<(ConnectionId, FlowKey)> = self
             .connections
             .iter()
             .filter(|(_, connection)| connection.is_open())
@@ -198,7 +198,7 @@
         } else {
             (segment.to, segment.from)
         };
-        let id = ConnId(self.next_id);
+        let id = ConnectionId(self.next_id);
         self.next_id += 1;
         self.counts.connections += 1;
         self.counts.midstream_connections += u64::from(start == Start::Midstream);
@@ -407,11 +407,11 @@
 struct EvictionCandidate {
     is_open: bool,
     last_segment: Stamp,
-    id: ConnId,
+    id: ConnectionId,
     flow: FlowKey,
 }
 
-fn output_event(conn: ConnId, side: Side, time: Stamp, output: Output) -> Event {
+fn output_event(conn: ConnectionId, side: Side, time: Stamp, output: Output) -> Event {
     match output {
         Output::Bytes { time, bytes } => Event::Bytes {
             conn,
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -2,7 +2,7 @@
 
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::write::{self, TcpConversation};
-use heathspur_capture::{ConnId, Item, Options, Pipeline, Side, Stamp, Tally};
+use heathspur_capture::{ConnectionId, Item, Options, Pipeline, Side, Stamp, Tally};
 use std::net::SocketAddr;
 
 pub const MS: u64 = 1_000_000;
@@ -82,8 +82,8 @@
 
 #[derive(Default)]
 pub struct Read {
-    pub requests: Vec<(ConnId, u64, Message)>,
-    pub answers: Vec<(ConnId, Option<u64>, Message)>,
+    pub requests: Vec<(ConnectionId, u64, Message)>,
+    pub answers: Vec<(ConnectionId, Option<u64>, Message)>,
     pub passed: Vec<Found>,
     pub connections: Vec<Item>,
     pub tally: Tally,
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -9,7 +9,7 @@
 use heathspur_capture::frame::{Frames, SkipReason};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::write;
-use heathspur_capture::{ConnId, Item, Stamp};
+use heathspur_capture::{ConnectionId, Item, Stamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -52,8 +52,8 @@
 #[derive(Default)]
 struct ConnectionSearch {
     /// Client, server and start of each open connection.
-    open: BTreeMap<ConnId, (SocketAddr, SocketAddr, Stamp)>,
-    selected: BTreeSet<ConnId>,
+    open: BTreeMap<ConnectionId, (SocketAddr, SocketAddr, Stamp)>,
+    selected: BTreeSet<ConnectionId>,
     spans: Spans,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    fn close(&mut self, connection: ConnId, closed_at: Stamp) {
+    fn close(&mut self, connection: ConnectionId, closed_at: Stamp) {
         let opened = self.open.remove(&connection);
         let is_selected = self.selected.remove(&connection);
         let Some((client, server, from)) = opened.filter(|_| is_selected) else {
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -6,7 +6,7 @@
 use crate::table::plain;
 use heathspur_capture::exchange::{Cause, Found, Message};
 use heathspur_capture::reassembly::{End, Event};
-use heathspur_capture::{ConnId, Item, Tally};
+use heathspur_capture::{ConnectionId, Item, Tally};
 use heathspur_replay::histogram::DurationHistogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -40,7 +40,7 @@
 struct Summary {
     classes: BTreeMap<String, ClassSummary>,
     /// Unanswered requests of each connection, oldest first.
-    unanswered: HashMap<ConnId, VecDeque<UnansweredRequest>>,
+    unanswered: HashMap<ConnectionId, VecDeque<UnansweredRequest>>,
     ends: BTreeMap<End, u64>,
     passed: BTreeMap<Cause, PassedMessages>,
     /// Responses to no captured request.
@@ -71,7 +71,7 @@
         }
     }
 
-    fn add_request(&mut self, connection: ConnId, number: u64, message: &Message) {
+    fn add_request(&mut self, connection: ConnectionId, number: u64, message: &Message) {
         let class = source::class(message);
         self.classes.entry(class.clone()).or_default().requests += 1;
         let unanswered = self.unanswered.entry(connection).or_default();
@@ -85,7 +85,7 @@
         });
     }
 
-    fn add_response(&mut self, connection: ConnId, request: Option<u64>, message: &Message) {
+    fn add_response(&mut self, connection: ConnectionId, request: Option<u64>, message: &Message) {
         let unanswered = self.unanswered.entry(connection).or_default();
         let position =
             request.and_then(|number| unanswered.iter().position(|known| known.number == number));
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -5,7 +5,7 @@
 use crate::source;
 use heathspur_capture::exchange::{Cause, Found, Message};
 use heathspur_capture::reassembly::Event;
-use heathspur_capture::{ConnId, Item, Side, Tally};
+use heathspur_capture::{ConnectionId, Item, Side, Tally};
 use heathspur_replay::recording::{RecordedRequest, RecordedResponse};
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
@@ -60,7 +60,7 @@
 struct Loader {
     loaded: Loaded,
     /// Indices of the requests without a response, by connection and number.
-    unanswered: HashMap<(ConnId, u64), usize>,
+    unanswered: HashMap<(ConnectionId, u64), usize>,
     /// Bytes of all requests, including those beyond the limit.
     bytes: u64,
     limit: u64,
@@ -94,7 +94,7 @@
         }
     }
 
-    fn add_request(&mut self, connection: ConnId, number: u64, message: &Message) {
+    fn add_request(&mut self, connection: ConnectionId, number: u64, message: &Message) {
         self.bytes += message.bytes.len() as u64;
         if self.bytes > self.limit {
             return;
@@ -112,7 +112,7 @@
         });
     }
 
-    fn add_response(&mut self, connection: ConnId, request: u64, message: &Message) {
+    fn add_response(&mut self, connection: ConnectionId, request: u64, message: &Message) {
         let Some(index) = self.unanswered.remove(&(connection, request)) else {
             return;
         };
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -6,7 +6,7 @@
 use clap::{Args, ValueEnum};
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::reassembly::Event;
-use heathspur_capture::{ConnId, Item};
+use heathspur_capture::{ConnectionId, Item};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
@@ -54,8 +54,8 @@
 
 struct RowPrinter<'a> {
     options: &'a Options,
-    clients: HashMap<ConnId, SocketAddr>,
-    waiting: BTreeMap<(ConnId, u64), Row>,
+    clients: HashMap<ConnectionId, SocketAddr>,
+    waiting: BTreeMap<(ConnectionId, u64), Row>,
     /// The first write error; nothing is written after it.
     write_error: Option<std::io::Error>,
 }
@@ -105,7 +105,7 @@
         }
     }
 
-    fn row(&self, conn: ConnId, index: u64, message: &Message) -> Row {
+    fn row(&self, conn: ConnectionId, index: u64, message: &Message) -> Row {
         Row {
             connection: conn.0,
             index,
@@ -121,7 +121,7 @@
         }
     }
 
-    fn print(&mut self, key: (ConnId, u64)) {
+    fn print(&mut self, key: (ConnectionId, u64)) {
         let Some(row) = self.waiting.remove(&key) else {
             return;
         };
