--- a/crates/heathspur-capture/src/exchange/mod.rs
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Finds messages in the events of a [`crate::reassembly::Assembler`].
+/// Finds messages in the events of an [`Assembler`](crate::reassembly::Assembler).
 #[derive(Debug)]
 pub struct Exchanges {
     limits: Limits,
--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -65,7 +65,7 @@
         /// The number of missing bytes, if known.
         length: Option<u64>,
     },
-    /// One side has sent its last byte.
+    /// One side has ended: no further bytes or holes of it follow.
     Ended {
         /// The connection.
         conn: ConnectionId,
--- a/crates/heathspur-config/src/members.rs
+++ b/crates/heathspur-config/src/members.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Members {
-    /// The server's name, unique in the fleet; 1 to 48 bytes.
+    /// The server's name in the fleet; 1 to 48 bytes.
     #[serde(rename = "@id")]
     pub id: String,
     /// The local address for the protocol's datagrams (IPv4).
