--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -5,7 +5,7 @@
 use super::resync::find_message_start;
 use super::stream::{Mode, SkippedBytes, Stream};
 use super::Limits;
-use crate::{ConnId, Side, Stamp};
+use crate::{ConnectionId, Side, Stamp};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
 use heathspur_wire::http::{self, request_line, status_line};
 use std::collections::VecDeque;
@@ -17,19 +17,19 @@
     NeedsBytes,
 }
 
-/// What the buffer says about the message whose body is being read.
+/// The state of the message whose body is being read.
 enum BodyState {
     /// The message ends at this position in the buffer.
     Complete(usize),
     Incomplete,
-    /// The message has this many bytes, more than are kept.
+    /// The message has this many bytes, which exceeds the limit.
     TooLong(u64),
     Malformed,
 }
 
 /// One side of a connection while an event of it is processed.
 pub(super) struct Parser<'a> {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub side: Side,
     pub limits: &'a Limits,
     pub stream: &'a mut Stream,
@@ -38,22 +38,22 @@
 }
 
 impl Parser<'_> {
-    /// The side sent bytes.
-    pub fn data(&mut self, time: Stamp, bytes: &[u8]) {
+    /// Processes bytes that the side sent.
+    pub fn process_bytes(&mut self, time: Stamp, bytes: &[u8]) {
         self.stream.push(time, bytes);
         self.parse_buffer();
     }
 
-    /// Bytes of the side are missing; their number may be unknown.
-    pub fn hole(&mut self, length: Option<u64>) {
-        let is_inside_message = length.is_some_and(|length| self.hole_in_message(length));
+    /// Processes a hole in the bytes of the side. Its length may be unknown.
+    pub fn process_hole(&mut self, length: Option<u64>) {
+        let is_inside_message = length.is_some_and(|length| self.skip_message_with_hole(length));
         if !is_inside_message {
             self.lose_message(Cause::Hole);
         }
     }
 
-    /// The side sends nothing more.
-    pub fn end(&mut self) {
+    /// Processes the end of the side.
+    pub fn process_end(&mut self) {
         let cause = match &self.stream.mode {
             Mode::Finished => return,
             Mode::Body { head, .. } if matches!(head.length, Length::UntilClose) => {
@@ -62,7 +62,7 @@
                 return;
             }
             Mode::Resynchronise(cause) | Mode::Skip { cause, .. } => *cause,
-            Mode::Head | Mode::Body { .. } => Cause::Cut,
+            Mode::Head | Mode::Body { .. } => Cause::Truncated,
         };
         self.stream.skip_all();
         self.stream.mode = Mode::Finished;
@@ -74,13 +74,13 @@
         self.report_skipped(cause);
     }
 
-    /// Discards the buffer and looks for the next message.
+    /// Skips the buffered bytes and searches for the next message.
     pub fn lose_message(&mut self, cause: Cause) {
         self.stream.skip_all();
         if !matches!(self.stream.mode, Mode::Finished) {
             self.stream.mode = Mode::Resynchronise(cause);
         }
-        self.matcher.lose_order();
+        self.matcher.match_by_time();
     }
 
     fn parse_buffer(&mut self) {
@@ -103,7 +103,7 @@
     fn resynchronise(&mut self, cause: Cause) -> Progress {
         let stream = &mut *self.stream;
         let Some(start) = find_message_start(&stream.buffer, self.side) else {
-            // The buffer may end with a part of a first line.
+            // The buffer may end with an incomplete first line, which is retained.
             let excess = stream.buffer.len().saturating_sub(self.limits.head);
             stream.skip(excess);
             return Progress::NeedsBytes;
@@ -131,7 +131,7 @@
             }
             Err(http::Error::HeadTooLarge) => self.lose_message(Cause::TooLarge),
             Err(_) => {
-                // Skips a byte, so that the same position is not recognised again.
+                // One byte is skipped, so that the same position is not recognised again.
                 self.stream.skip(1);
                 self.stream.mode = Mode::Resynchronise(Cause::NotHttp);
             }
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes a message of `end` bytes from the buffer.
+    /// Removes the message of `end` bytes from the buffer and matches it.
     fn complete_message(&mut self, end: usize) {
         let mode = std::mem::replace(&mut self.stream.mode, Mode::Head);
         let Mode::Body { head, .. } = mode else {
@@ -206,19 +206,20 @@
             last,
         };
         match self.side {
-            Side::Client => self.matcher.request(message, self.found),
-            Side::Server => self.matcher.response(message, self.found),
+            Side::Client => self.matcher.add_request(message, self.found),
+            Side::Server => self.matcher.add_response(message, self.found),
         }
     }
 
-    /// Starts to skip a message with a known number of bytes left. It still counts for the matching.
+    /// Starts to skip a message with a known number of bytes left. The message still counts when responses are matched
+    /// to requests.
     fn begin_skipping(&mut self, remaining: u64, cause: Cause) {
         match self.side {
             Side::Client => {
                 let time = self.stream.first_time();
-                self.matcher.skipped_request(time, self.found);
+                self.matcher.skip_request(time, self.found);
             }
-            Side::Server => self.matcher.skipped_response(),
+            Side::Server => self.matcher.skip_response(),
         }
         self.stream.mode = Mode::Skip { remaining, cause };
     }
@@ -239,8 +240,9 @@
         Progress::Advanced
     }
 
-    /// Whether the hole lies within the current message, so that the start of the next one is known.
-    fn hole_in_message(&mut self, length: u64) -> bool {
+    /// Skips the current message if the hole lies within it, in which case the start of the next one is known. Returns
+    /// false if it does not.
+    fn skip_message_with_hole(&mut self, length: u64) -> bool {
         match &self.stream.mode {
             Mode::Skip { remaining, cause } if length <= *remaining => {
                 let (remaining, cause) = (*remaining - length, *cause);
@@ -268,7 +270,7 @@
     /// Reports the bytes skipped since the last report.
     fn report_skipped(&mut self, cause: Cause) {
         if let Some(SkippedBytes { count, time }) = self.stream.skipped.take() {
-            self.found.push_back(Found::Passed {
+            self.found.push_back(Found::Skipped {
                 conn: self.conn,
                 side: self.side,
                 cause,
--- a/crates/heathspur-capture/src/frame/headers.rs
+++ b/crates/heathspur-capture/src/frame/headers.rs
@@ -1,65 +1,72 @@
 //! Link and IP headers of a packet, read with `etherparse`, which tolerates truncated packets.
 
 use super::fragments::FragmentHeader;
-use super::Passed;
-use crate::file::{Link, Packet};
+use super::SkipReason;
+use crate::file::{LinkType, Packet};
 use etherparse::{
     EtherType, Ipv4HeaderSlice, Ipv6ExtensionSlice, LaxIpv6Slice, LaxNetSlice, LaxSlicedPacket,
 };
 use std::net::IpAddr;
 
-/// Length of the address family before a packet of BSD loopback.
+/// Length of the address family before a packet of BSD loopback, in bytes.
 const LOOPBACK_HEADER_LEN: usize = 4;
 
-/// What is needed of an IP header.
+/// The fields that are needed of an IP header.
 #[derive(Debug)]
 pub(super) struct IpHeader {
     pub from: IpAddr,
     pub to: IpAddr,
-    /// Length of the payload on the wire, in bytes. 0 in packets that the sender's network card segments.
+    /// The length of the payload on the wire, in bytes. It is 0 in packets that the sender's network card segments
+    /// after the capture.
     pub payload_len: usize,
     /// Present if the packet is a fragment of a datagram.
     pub fragment: Option<FragmentHeader>,
 }
 
-/// Splits a packet by its link type.
-pub(super) fn slice<'a>(packet: &Packet<'a>) -> Result<LaxSlicedPacket<'a>, Passed> {
+/// Parses a packet according to its link type.
+pub(super) fn slice<'a>(packet: &Packet<'a>) -> Result<LaxSlicedPacket<'a>, SkipReason> {
     let data = packet.data;
     match packet.link {
-        Link::Ethernet => LaxSlicedPacket::from_ethernet(data).map_err(|_| Passed::Headers),
-        Link::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| Passed::Headers),
-        Link::Loopback => {
-            // The number of the family differs between systems; the IP version says the same.
-            let ip = data.get(LOOPBACK_HEADER_LEN..).ok_or(Passed::Headers)?;
-            LaxSlicedPacket::from_ip(ip).map_err(|_| Passed::Headers)
+        LinkType::Ethernet => {
+            LaxSlicedPacket::from_ethernet(data).map_err(|_| SkipReason::InvalidHeaders)
         }
-        Link::Cooked => slice_cooked(data, 14, 16),
-        Link::Cooked2 => slice_cooked(data, 0, 20),
-        Link::Other(_) => Err(Passed::Link),
+        LinkType::Ip => LaxSlicedPacket::from_ip(data).map_err(|_| SkipReason::InvalidHeaders),
+        LinkType::Loopback => {
+            // The numbers of address families differ between systems, so the IP version is used instead.
+            let ip = data
+                .get(LOOPBACK_HEADER_LEN..)
+                .ok_or(SkipReason::InvalidHeaders)?;
+            LaxSlicedPacket::from_ip(ip).map_err(|_| SkipReason::InvalidHeaders)
+        }
+        LinkType::LinuxCooked => slice_cooked(data, 14, 16),
+        LinkType::LinuxCookedV2 => slice_cooked(data, 0, 20),
+        LinkType::Other(_) => Err(SkipReason::UnsupportedLinkType),
     }
 }
 
-/// Splits a packet of a Linux cooked capture, with the place of the protocol in its header.
+/// Parses a packet of a Linux cooked capture, whose header has the protocol at `protocol_offset`.
 fn slice_cooked(
     data: &[u8],
     protocol_offset: usize,
     header_len: usize,
-) -> Result<LaxSlicedPacket<'_>, Passed> {
+) -> Result<LaxSlicedPacket<'_>, SkipReason> {
     let protocol = data
         .get(protocol_offset..)
         .and_then(|rest| rest.first_chunk::<2>())
-        .ok_or(Passed::Headers)?;
-    let payload = data.get(header_len..).ok_or(Passed::Headers)?;
+        .ok_or(SkipReason::InvalidHeaders)?;
+    let payload = data.get(header_len..).ok_or(SkipReason::InvalidHeaders)?;
     let protocol = EtherType(u16::from_be_bytes(*protocol));
     Ok(LaxSlicedPacket::from_ether_type(protocol, payload))
 }
 
-pub(super) fn ip_header(packet: &LaxSlicedPacket<'_>) -> Result<IpHeader, Passed> {
+pub(super) fn ip_header(packet: &LaxSlicedPacket<'_>) -> Result<IpHeader, SkipReason> {
     match &packet.net {
         Some(LaxNetSlice::Ipv4(ip)) => Ok(ipv4_header(&ip.header())),
         Some(LaxNetSlice::Ipv6(ip)) => Ok(ipv6_header(ip)),
-        Some(LaxNetSlice::Arp(_)) | None if packet.stop_err.is_some() => Err(Passed::Headers),
-        Some(LaxNetSlice::Arp(_)) | None => Err(Passed::Other),
+        Some(LaxNetSlice::Arp(_)) | None if packet.stop_err.is_some() => {
+            Err(SkipReason::InvalidHeaders)
+        }
+        Some(LaxNetSlice::Arp(_)) | None => Err(SkipReason::NotTcp),
     }
 }
 
--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -1,5 +1,5 @@
-//! TCP segments in packets: link headers, VLAN tags, IPv4 with options, IPv6 with extension headers, and fragments
-//! of both.
+//! Finds TCP segments in packets. Supports several link types, VLAN tags, IPv4 with options, IPv6 with extension
+//! headers, and fragments of both.
 
 mod fragments;
 mod headers;
@@ -10,51 +10,67 @@
 use fragments::{DatagramId, FragmentHeader, Fragments};
 use headers::{ip_header, slice, IpHeader};
 use std::borrow::Cow;
+use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
 /// A TCP segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Segment<'a> {
-    /// When its packet was captured; the last fragment's if it was fragmented.
+    /// The capture time of its packet, or of the last fragment.
     pub time: Stamp,
     /// The sender.
     pub from: SocketAddr,
     /// The receiver.
     pub to: SocketAddr,
-    /// Sequence number.
+    /// The sequence number.
     pub seq: u32,
-    /// Acknowledgement number, if it carries one.
+    /// The acknowledgement number, if the ACK flag is set.
     pub ack: Option<u32>,
-    /// SYN.
+    /// The SYN flag.
     pub syn: bool,
-    /// FIN.
+    /// The FIN flag.
     pub fin: bool,
-    /// RST.
+    /// The RST flag.
     pub rst: bool,
-    /// The captured bytes of its payload.
+    /// The captured bytes of the payload.
     pub payload: Cow<'a, [u8]>,
-    /// Number of bytes behind these by which the capture truncated the payload.
+    /// The number of bytes after `payload` that the capture truncated.
     pub lost: u32,
 }
 
-/// Why a packet contains no segment.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Passed {
+/// The reason why a packet contains no segment.
+///
+/// `heathspurctl` prints the [`Debug`](fmt::Debug) text, so that text is fixed and differs from the names.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum SkipReason {
     /// The link type is not supported.
-    Link,
-    /// It is not TCP over IP.
-    Other,
-    /// Its headers are invalid or truncated.
-    Headers,
-    /// Its checksum is wrong, where checksums are verified.
-    Checksum,
-    /// It is a fragment, which is buffered until its datagram is complete.
-    Piece,
-    /// It is a fragment that contradicts the others.
-    BadPiece,
+    UnsupportedLinkType,
+    /// The packet is not TCP over IP.
+    NotTcp,
+    /// The headers are invalid or truncated.
+    InvalidHeaders,
+    /// The checksum is wrong, where checksums are verified.
+    WrongChecksum,
+    /// The packet is a fragment, which is buffered until its datagram is complete.
+    Fragment,
+    /// The packet is a fragment that contradicts the others.
+    ConflictingFragment,
 }
 
-/// Finds segments in packets. Buffers fragments, within bounds.
+impl fmt::Debug for SkipReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            SkipReason::UnsupportedLinkType => "Link",
+            SkipReason::NotTcp => "Other",
+            SkipReason::InvalidHeaders => "Headers",
+            SkipReason::WrongChecksum => "Checksum",
+            SkipReason::Fragment => "Piece",
+            SkipReason::ConflictingFragment => "BadPiece",
+        })
+    }
+}
+
+/// Finds segments in packets, and buffers a bounded number of fragments.
 #[derive(Debug)]
 pub struct Frames {
     verifies_checksums: bool,
@@ -62,8 +78,9 @@
 }
 
 impl Frames {
-    /// With `checksums`, segments with wrong checksums are rejected. Captures made on a sender are full of these,
-    /// because its network card computes them later, so verify them only in captures made in the network.
+    /// Creates an instance without fragments. With `checksums`, segments with wrong checksums are rejected. Verify
+    /// checksums only in captures made in the network: captures made on a sender contain many wrong ones, because the
+    /// network card computes them after the capture.
     pub fn new(checksums: bool) -> Frames {
         Frames {
             verifies_checksums: checksums,
@@ -71,31 +88,31 @@
         }
     }
 
-    /// Number of fragmented datagrams that were discarded incomplete.
-    pub fn given_up(&self) -> u64 {
-        self.fragments.given_up
+    /// Returns the number of fragmented datagrams that were discarded incomplete.
+    pub fn incomplete_datagrams(&self) -> u64 {
+        self.fragments.incomplete_datagrams
     }
 
-    /// The segment in a packet, or why there is none.
-    pub fn segment<'a>(&mut self, packet: &Packet<'a>) -> Result<Segment<'a>, Passed> {
+    /// Returns the segment in a packet, or the reason why there is none.
+    pub fn segment<'a>(&mut self, packet: &Packet<'a>) -> Result<Segment<'a>, SkipReason> {
         let sliced = slice(packet)?;
         let ip = ip_header(&sliced)?;
         let payload = sliced
             .net
             .as_ref()
             .and_then(LaxNetSlice::ip_payload_ref)
-            .ok_or(Passed::Headers)?;
+            .ok_or(SkipReason::InvalidHeaders)?;
         if payload.ip_number != IpNumber::TCP {
-            return Err(Passed::Other);
+            return Err(SkipReason::NotTcp);
         }
         if let Some(fragment) = &ip.fragment {
             if payload.incomplete {
-                return Err(Passed::Headers);
+                return Err(SkipReason::InvalidHeaders);
             }
             return self.fragment(packet.time, &ip, fragment, payload.payload);
         }
         let Some(TransportSlice::Tcp(tcp)) = &sliced.transport else {
-            return Err(Passed::Headers);
+            return Err(SkipReason::InvalidHeaders);
         };
         let lost = if payload.incomplete {
             ip.payload_len.saturating_sub(payload.payload.len())
@@ -112,21 +129,21 @@
         })
     }
 
-    /// The segment of a fragmented datagram, once that is complete.
+    /// Returns the segment of a fragmented datagram once the datagram is complete.
     fn fragment<'a>(
         &mut self,
         time: Stamp,
         ip: &IpHeader,
         fragment: &FragmentHeader,
         payload: &[u8],
-    ) -> Result<Segment<'a>, Passed> {
+    ) -> Result<Segment<'a>, SkipReason> {
         let id = DatagramId {
             from: ip.from,
             to: ip.to,
             identification: fragment.identification,
         };
         let datagram = self.fragments.add(time, id, fragment, payload)?;
-        let tcp = TcpSlice::from_slice(&datagram).map_err(|_| Passed::Headers)?;
+        let tcp = TcpSlice::from_slice(&datagram).map_err(|_| SkipReason::InvalidHeaders)?;
         self.verify_checksum(&tcp, ip)?;
         Ok(Segment {
             payload: Cow::Owned(tcp.payload().to_vec()),
@@ -134,16 +151,16 @@
         })
     }
 
-    fn verify_checksum(&self, tcp: &TcpSlice<'_>, ip: &IpHeader) -> Result<(), Passed> {
+    fn verify_checksum(&self, tcp: &TcpSlice<'_>, ip: &IpHeader) -> Result<(), SkipReason> {
         if !self.verifies_checksums || has_valid_checksum(tcp, ip) {
             Ok(())
         } else {
-            Err(Passed::Checksum)
+            Err(SkipReason::WrongChecksum)
         }
     }
 }
 
-/// A segment without its payload.
+/// Returns a segment without its payload.
 fn segment_header<'a>(time: Stamp, ip: &IpHeader, tcp: &TcpSlice<'_>) -> Segment<'a> {
     Segment {
         time,
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -2,7 +2,7 @@
 
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::write::{self, TcpConversation};
-use heathspur_capture::{ConnId, Item, Options, Pipeline, Side, Stamp, Tally};
+use heathspur_capture::{ConnectionId, Item, Options, Pipeline, Side, Stamp, Tally};
 use std::net::SocketAddr;
 
 pub const NANOS_PER_MS: u64 = 1_000_000;
@@ -86,8 +86,8 @@
 
 #[derive(Default)]
 pub struct ParsedCapture {
-    pub requests: Vec<(ConnId, u64, Message)>,
-    pub responses: Vec<(ConnId, Option<u64>, Message)>,
+    pub requests: Vec<(ConnectionId, u64, Message)>,
+    pub responses: Vec<(ConnectionId, Option<u64>, Message)>,
     pub skipped: Vec<Found>,
     pub connections: Vec<Item>,
     pub tally: Tally,
@@ -112,7 +112,7 @@
             index,
             message,
         }) => read.requests.push((conn, index, message)),
-        Item::Message(Found::Answer { conn, to, message }) => {
+        Item::Message(Found::Response { conn, to, message }) => {
             read.responses.push((conn, to, message))
         }
         Item::Message(passed) => read.skipped.push(passed),
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -5,11 +5,11 @@
 use crate::source;
 use clap::Args;
 use heathspur_capture::exchange::{Found, Message};
-use heathspur_capture::file::{Link, Packet, Reader};
-use heathspur_capture::frame::{Frames, Passed};
+use heathspur_capture::file::{LinkType, Packet, Reader};
+use heathspur_capture::frame::{Frames, SkipReason};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::write;
-use heathspur_capture::{ConnId, Item, Stamp};
+use heathspur_capture::{ConnectionId, Item, Stamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -52,8 +52,8 @@
 #[derive(Default)]
 struct ConnectionSearch {
     /// Client, server and start of each open connection.
-    open: BTreeMap<ConnId, (SocketAddr, SocketAddr, Stamp)>,
-    selected: BTreeSet<ConnId>,
+    open: BTreeMap<ConnectionId, (SocketAddr, SocketAddr, Stamp)>,
+    selected: BTreeSet<ConnectionId>,
     spans: Spans,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    fn close(&mut self, connection: ConnId, closed_at: Stamp) {
+    fn close(&mut self, connection: ConnectionId, closed_at: Stamp) {
         let opened = self.open.remove(&connection);
         let is_selected = self.selected.remove(&connection);
         let Some((client, server, from)) = opened.filter(|_| is_selected) else {
@@ -146,7 +146,7 @@
                 .get(&(segment.from, segment.to))
                 .is_some_and(|spans| contains(spans, segment.time)),
             // The connection of a fragment is known only once all are there; a surplus packet is better than a hole.
-            Err(Passed::Piece) => true,
+            Err(SkipReason::Fragment) => true,
             Err(_) => false,
         }
     }
@@ -161,7 +161,7 @@
 /// Writes a pcapng file with an interface for each link type.
 struct CaptureWriter {
     output: BufWriter<File>,
-    links: Vec<Link>,
+    links: Vec<LinkType>,
     packets: u64,
 }
 
@@ -185,7 +185,7 @@
     }
 
     /// Returns the interface of a link type, and writes it first if it is new.
-    fn interface(&mut self, link: Link) -> io::Result<u32> {
+    fn interface(&mut self, link: LinkType) -> io::Result<u32> {
         if let Some(interface) = self.links.iter().position(|known| *known == link) {
             return Ok(interface as u32);
         }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -6,7 +6,7 @@
 use crate::table::plain;
 use heathspur_capture::exchange::{Cause, Found, Message};
 use heathspur_capture::reassembly::{End, Event};
-use heathspur_capture::{ConnId, Item, Tally};
+use heathspur_capture::{ConnectionId, Item, Tally};
 use heathspur_replay::histogram::DurationHistogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -40,7 +40,7 @@
 struct Summary {
     classes: BTreeMap<String, ClassSummary>,
     /// Unanswered requests of each connection, oldest first.
-    unanswered: HashMap<ConnId, VecDeque<UnansweredRequest>>,
+    unanswered: HashMap<ConnectionId, VecDeque<UnansweredRequest>>,
     ends: BTreeMap<End, u64>,
     passed: BTreeMap<Cause, PassedMessages>,
     /// Responses to no captured request.
@@ -55,10 +55,10 @@
                 index,
                 message,
             }) => self.add_request(conn, index, &message),
-            Item::Message(Found::Answer { conn, to, message }) => {
+            Item::Message(Found::Response { conn, to, message }) => {
                 self.add_response(conn, to, &message);
             }
-            Item::Message(Found::Passed { cause, bytes, .. }) => {
+            Item::Message(Found::Skipped { cause, bytes, .. }) => {
                 let passed = self.passed.entry(cause).or_default();
                 passed.count += 1;
                 passed.bytes += bytes;
@@ -71,7 +71,7 @@
         }
     }
 
-    fn add_request(&mut self, connection: ConnId, number: u64, message: &Message) {
+    fn add_request(&mut self, connection: ConnectionId, number: u64, message: &Message) {
         let class = source::class(message);
         self.classes.entry(class.clone()).or_default().requests += 1;
         let unanswered = self.unanswered.entry(connection).or_default();
@@ -85,7 +85,7 @@
         });
     }
 
-    fn add_response(&mut self, connection: ConnId, request: Option<u64>, message: &Message) {
+    fn add_response(&mut self, connection: ConnectionId, request: Option<u64>, message: &Message) {
         let unanswered = self.unanswered.entry(connection).or_default();
         let position =
             request.and_then(|number| unanswered.iter().position(|known| known.number == number));
@@ -157,7 +157,10 @@
     line("packets", tally.packets.to_string());
     line("seconds", format!("{seconds:.3}"));
     line("connections", tally.tcp.connections.to_string());
-    line("  from the middle", tally.tcp.from_the_middle.to_string());
+    line(
+        "  from the middle",
+        tally.tcp.midstream_connections.to_string(),
+    );
     for (end, count) in &summary.ends {
         line(&format!("  ended: {end:?}"), count.to_string());
     }
@@ -170,14 +173,20 @@
             .sum::<u64>()
             .to_string(),
     );
-    let odd = tally.tcp.odd;
+    let odd = tally.tcp.anomalies;
     let counts = [
-        ("packets cut by the snap length", tally.cut_packets),
-        ("datagrams whose pieces never came", tally.pieces_given_up),
+        ("packets cut by the snap length", tally.truncated_packets),
+        (
+            "datagrams whose pieces never came",
+            tally.incomplete_datagrams,
+        ),
         ("holes", tally.holes),
         ("bytes missing", tally.missing_bytes),
-        ("gaps given up", tally.tcp.gaps_given_up),
-        ("gaps given up for memory", tally.tcp.gaps_for_memory),
+        ("gaps given up", tally.tcp.abandoned_gaps),
+        (
+            "gaps given up for memory",
+            tally.tcp.gaps_abandoned_for_memory,
+        ),
         ("connections that made room", tally.tcp.evicted),
         ("segments out of order", odd.out_of_order),
         ("segments repeated", odd.repeated),
@@ -198,7 +207,7 @@
             format!("{packets} packets ({bytes} bytes)"),
         );
     }
-    for (cause, count) in &tally.passed {
+    for (cause, count) in &tally.skipped_packets {
         line(
             &format!("packets passed over: {cause:?}"),
             count.to_string(),
