--- a/crates/heathspurctl/src/capture_options.rs
+++ b/crates/heathspurctl/src/capture_options.rs
@@ -3,18 +3,18 @@
 use clap::Args;
 use std::path::PathBuf;
 
-/// A capture and how it is read.
+/// A capture and the options for reading it.
 #[derive(Clone, Debug, Args)]
 pub struct CaptureOptions {
-    /// The capture: pcap or pcapng.
+    /// Path of the capture, in pcap or pcapng format
     pub file: PathBuf,
-    /// Leave out segments with wrong checksums. Captures made on a sender are full of them.
+    /// Skip segments with wrong checksums, which are common in captures made on the sending machine
     #[arg(long)]
     pub checksums: bool,
-    /// A port of the server, for connections whose start was not captured. May be given more than once.
+    /// Server port, to tell client from server where the start of a connection was not captured; can be repeated
     #[arg(long = "server-port", value_name = "PORT")]
     pub server_ports: Vec<u16>,
-    /// The field that names the tenant.
+    /// Header field that contains the tenant
     #[arg(long, value_name = "FIELD", default_value = "X-Merchant")]
     pub tenant_field: String,
 }
--- a/crates/heathspurctl/src/cli.rs
+++ b/crates/heathspurctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
@@ -7,13 +7,13 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const AFTER: &str = "\
-Exit codes: 0 done; 1 a replay or a load lost a request or broke a rule, or a file is wrong; 2 a file or an argument can't \
-be used; 3 the capture is damaged, and all before the place named was used.";
+const EXIT_CODES_HELP: &str = "\
+Exit codes: 0 success; 1 a replay or a load lost requests or violated a rule, or a checked file is invalid; 2 a file or \
+an argument cannot be used; 3 a capture is damaged, and only the packets before the reported position were used.";
 
-/// Tools beside the heathspur daemon.
+/// Command-line tools for the heathspur daemon
 #[derive(Debug, Parser)]
-#[command(name = "heathspurctl", version, after_help = AFTER)]
+#[command(name = "heathspurctl", version, after_help = EXIT_CODES_HELP)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -21,56 +21,56 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Captures: what is in them, parts of them, sending them again.
+    /// Inspect, cut and replay packet captures
     #[command(subcommand)]
     Pcap(Pcap),
-    /// Send requests at their intended times, by a plan, over HTTP/1.1 and HTTP/2.
+    /// Generate load over HTTP/1.1 and HTTP/2 according to a plan
     Load(load_run::Options),
-    /// The view that a running daemon has of its fleet.
+    /// Show the membership view of a running daemon
     Members(members::Options),
-    /// Play faults on an emulated fleet, by a plan.
+    /// Inject faults into an emulated fleet according to a plan
     Experiment(experiment::Options),
-    /// The operator's file.
+    /// Check operator's files and print their schema
     #[command(subcommand)]
     Config(Config),
-    /// Print completions for a shell.
+    /// Generate shell completions
     Completions {
-        /// The shell.
+        /// Shell to generate completions for
         shell: clap_complete::Shell,
     },
-    /// Print the manual page.
+    /// Generate the manual page
     Man,
 }
 
 #[derive(Debug, Subcommand)]
 enum Pcap {
-    /// A summary: packets, connections, requests by class and status, latency, what was left out.
+    /// Print a summary: packets, connections, requests by class and status, latency, and skipped data
     Info(CaptureOptions),
-    /// Each request, as a table or as lines of JSON.
+    /// List the requests as a table or as JSON lines
     Requests(requests::Options),
-    /// A capture of a part of another.
+    /// Copy a part of a capture into a new one
     Cut(cut::Options),
-    /// Send the recorded requests again, with their recorded timing.
+    /// Send the recorded requests to a server with their recorded timing
     Replay(Box<replay::Options>),
 }
 
 #[derive(Debug, Subcommand)]
 enum Config {
-    /// Read an operator's file, hold it against its schema, and say what is wrong.
+    /// Check an operator's file and print the first error
     Check {
-        /// The file.
+        /// Path of the file
         file: PathBuf,
-        /// The memory of the process, in MiB, to hold limits against.
+        /// Check memory limits against a process memory of this many MiB
         #[arg(long, value_name = "MIB")]
         memory: Option<u64>,
     },
-    /// Print the schema.
+    /// Print the schema of the operator's file
     Schema,
 }
 
-/// The whole program.
+/// Parses the command line, runs the command and returns its exit code.
 pub fn main() -> ExitCode {
-    let done = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Pcap(Pcap::Info(source)) => info::run(&source),
         Command::Pcap(Pcap::Requests(options)) => requests::run(&options),
         Command::Pcap(Pcap::Cut(options)) => cut::run(&options),
@@ -92,7 +92,7 @@
             .render(&mut std::io::stdout())
             .map_err(Error::stdout),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("heathspurctl: {error}");
--- a/crates/heathspurctl/src/config.rs
+++ b/crates/heathspurctl/src/config.rs
@@ -1,13 +1,16 @@
-//! The operator's file, held against reader and schema.
+//! `config check`: validates an operator's file with the parser and against the schema.
 
 use crate::error::Error;
 use heathspur_config::{Operator, SCHEMA};
 use std::path::Path;
 
-/// Says what is wrong with a file; the reader's error comes first, since it names what was expected.
-pub fn check(file: &Path, memory: Option<u64>) -> Result<(), Error> {
-    let memory = memory.map(|mib| mib.saturating_mul(1 << 20));
-    Operator::read(file, memory).map_err(Error::Config)?;
+const BYTES_PER_MIB: u64 = 1 << 20;
+
+/// Checks a file and returns the first error. `memory_mib` is the memory of the process, which limits the budgets in
+/// the file. The parser runs before the schema, because its errors name the expected values.
+pub fn check(file: &Path, memory_mib: Option<u64>) -> Result<(), Error> {
+    let memory_bytes = memory_mib.map(|mib| mib.saturating_mul(BYTES_PER_MIB));
+    Operator::read(file, memory_bytes).map_err(Error::Config)?;
     let violation = |reason: String| Error::SchemaViolation {
         path: file.to_path_buf(),
         reason,
--- a/crates/heathspurctl/src/connection.rs
+++ b/crates/heathspurctl/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a replay: writes the requests that it is given and reports the responses. It decides nothing.
+//! I/O of one replay connection: writes queued requests and reports the responses. The runner makes all decisions.
 
 use crate::response_parser::{Response, ResponseParser};
 use async_channel::{Receiver, Sender};
@@ -22,13 +22,13 @@
 /// No local port is available.
 const EADDRNOTAVAIL: i32 = 99;
 
-/// Something that happened to a connection.
+/// An event of a connection, as reported to the replay.
 pub struct Report {
     /// Distinguishes the connection from earlier ones of the same index.
     pub incarnation: u64,
-    /// What happened.
+    /// The event.
     pub event: Event,
-    /// When it happened.
+    /// Time of the event.
     pub at: Instant,
 }
 
@@ -40,10 +40,10 @@
     pub is_head: bool,
 }
 
-/// The requests of a connection. The runner's limit of requests in flight bounds it.
+/// Queue of the requests of a connection. The runner's limit on requests in flight bounds its length.
 pub type RequestQueue = Receiver<OutgoingRequest>;
 
-/// Everything that a connection needs to run.
+/// A task that runs one connection.
 pub struct ConnectionTask {
     /// Address of the server.
     pub target: SocketAddr,
@@ -55,7 +55,7 @@
     pub requests: RequestQueue,
     /// Start of the replay.
     pub start: Instant,
-    /// Where events are reported.
+    /// Channel for the reports.
     pub reports: Sender<Report>,
 }
 
@@ -68,7 +68,7 @@
     Peer,
 }
 
-/// The receiver of reports is gone: the replay has ended.
+/// Error: the receiver of reports was dropped because the replay has ended.
 struct ReplayEnded;
 
 impl ConnectionTask {
@@ -103,7 +103,7 @@
         self.reports.send(report).await.map_err(|_| ReplayEnded)
     }
 
-    /// Writes requests. `head_flags` gets, for each request in flight, whether it is a HEAD.
+    /// Writes requests until the queue is closed. Adds to `head_flags`, for each request, whether it is a HEAD request.
     async fn write_requests(
         &self,
         mut stream: &Async<TcpStream>,
@@ -143,7 +143,7 @@
         ClosedBy::Peer
     }
 
-    /// Reports all complete responses. The error says which side ends the connection.
+    /// Reports all complete responses. The error is the side that ends the connection.
     async fn report_responses(
         &self,
         parser: &mut ResponseParser,
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -1,4 +1,4 @@
-//! `pcap cut`: writes a part of a capture as another one. Packets are copied unchanged.
+//! `pcap cut`: copies a part of a capture into a new one. The packets themselves are unchanged.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
@@ -20,30 +20,30 @@
 pub struct Options {
     #[command(flatten)]
     source: CaptureOptions,
-    /// The capture to write. One that is there is not overwritten.
+    /// Path of the new capture; an existing file is not overwritten
     #[arg(long, short, value_name = "FILE")]
     output: PathBuf,
-    /// Packets from this time on, in seconds from the first packet.
+    /// Copy only packets from this time on, in seconds from the first packet
     #[arg(long, value_name = "SECONDS")]
     from: Option<f64>,
-    /// Packets before this time.
+    /// Copy only packets before this time, in seconds from the first packet
     #[arg(long, value_name = "SECONDS")]
     to: Option<f64>,
-    /// Connections that carry a request of this class, whole. May be given more than once.
+    /// Copy only connections with a request of this class; can be repeated
     #[arg(long, value_name = "NAME")]
     class: Vec<String>,
-    /// Connections that carry a request of this tenant, whole. May be given more than once.
+    /// Copy only connections with a request of this tenant; can be repeated
     #[arg(long, value_name = "NAME")]
     tenant: Vec<String>,
-    /// This connection, by the number that `pcap requests` prints. May be given more than once.
+    /// Copy only the connection with this number, as printed by `pcap requests`; can be repeated
     #[arg(long, value_name = "NUMBER")]
     connection: Vec<u64>,
 }
 
-/// First and last time of the selected connections between two addresses, in each direction.
+/// First and last time of each selected connection, by sender and receiver address. Both directions have entries.
 type Spans = HashMap<(SocketAddr, SocketAddr), Vec<(Stamp, Stamp)>>;
 
-/// Copies of a connection's last packets are captured up to this long after its end, in nanoseconds.
+/// Packets up to this long after the end of a connection belong to it, such as retransmissions; in nanoseconds.
 const LATE_PACKET_NANOS: u64 = 1_000_000_000;
 /// Name of the interfaces in the written capture.
 const INTERFACE_NAME: &str = "cut";
@@ -95,14 +95,15 @@
 }
 
 impl Options {
-    /// Whether a request selects its connection.
+    /// Returns whether a request selects its connection.
     fn selects(&self, message: &Message) -> bool {
         let tenant = source::field(message, &self.source.tenant_field);
         self.class.contains(&source::class(message))
             || tenant.is_some_and(|name| self.tenant.contains(&name))
     }
 
-    fn by_connection(&self) -> bool {
+    /// Returns whether packets are selected by their connection.
+    fn selects_connections(&self) -> bool {
         !(self.class.is_empty() && self.tenant.is_empty() && self.connection.is_empty())
     }
 }
@@ -127,7 +128,7 @@
         PacketFilter {
             from: time(options.from),
             to: time(options.to),
-            spans: options.by_connection().then_some(spans),
+            spans: options.selects_connections().then_some(spans),
             frames: Frames::new(options.source.checksums),
         }
     }
@@ -145,7 +146,8 @@
             Ok(segment) => spans
                 .get(&(segment.from, segment.to))
                 .is_some_and(|spans| contains(spans, segment.time)),
-            // The connection of a fragment is known only once all are there; a surplus packet is better than a hole.
+            // The connection of a fragment is known only after reassembly. All fragments are copied, because an
+            // additional packet does less harm than a missing one.
             Err(Passed::Piece) => true,
             Err(_) => false,
         }
@@ -184,9 +186,9 @@
         Ok(())
     }
 
-    /// Returns the interface of a link type, and writes it first if it is new.
+    /// Returns the number of the interface of a link type, and writes its block if it is new.
     fn interface(&mut self, link: Link) -> io::Result<u32> {
-        if let Some(interface) = self.links.iter().position(|known| *known == link) {
+        if let Some(interface) = self.links.iter().position(|existing| *existing == link) {
             return Ok(interface as u32);
         }
         let block = write::ng_interface(link.number(), INTERFACE_NAME);
@@ -209,19 +211,19 @@
     let file = File::create_new(&options.output).map_err(file_error)?;
     let mut writer = CaptureWriter::new(file).map_err(file_error)?;
     let mut reader = Reader::new();
-    let mut written = Ok(());
-    source::pieces(&options.source.file, |bytes| {
+    let mut write_result = Ok(());
+    source::read_chunks(&options.source.file, |bytes| {
         reader.feed(bytes);
         while let Ok(Some(packet)) = reader.next_packet() {
-            if written.is_ok() && filter.accepts(&packet) {
-                written = writer.write(&packet);
+            if write_result.is_ok() && filter.accepts(&packet) {
+                write_result = writer.write(&packet);
             }
         }
-        written.is_ok()
+        write_result.is_ok()
     })?;
-    written
+    write_result
         .and_then(|()| writer.output.flush())
         .map_err(file_error)?;
     println!("{}: {} packets", options.output.display(), writer.packets);
-    source::damaged(&options.source, &tally)
+    source::check_damage(&options.source, &tally)
 }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -10,7 +10,7 @@
 use heathspur_replay::histogram::DurationHistogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Largest number of unanswered requests kept of one connection.
+/// Largest number of unanswered requests tracked for each connection; the oldest is dropped beyond it.
 const MAX_UNANSWERED: usize = 2048;
 
 /// Requests and responses of a class.
@@ -29,21 +29,23 @@
     last_byte_at: u64,
 }
 
-/// Messages passed over for one cause.
+/// Counts of skipped messages.
 #[derive(Default)]
-struct PassedMessages {
+struct SkippedMessages {
     count: u64,
     bytes: u64,
 }
 
+/// Accumulates the summary of a capture.
 #[derive(Default)]
 struct Summary {
     classes: BTreeMap<String, ClassSummary>,
     /// Unanswered requests of each connection, oldest first.
     unanswered: HashMap<ConnId, VecDeque<UnansweredRequest>>,
+    /// Closed connections by the way they ended.
     ends: BTreeMap<End, u64>,
-    passed: BTreeMap<Cause, PassedMessages>,
-    /// Responses to no captured request.
+    skipped: BTreeMap<Cause, SkippedMessages>,
+    /// Responses without a captured request.
     unmatched: u64,
 }
 
@@ -59,9 +61,9 @@
                 self.add_response(conn, to, &message);
             }
             Item::Message(Found::Passed { cause, bytes, .. }) => {
-                let passed = self.passed.entry(cause).or_default();
-                passed.count += 1;
-                passed.bytes += bytes;
+                let skipped = self.skipped.entry(cause).or_default();
+                skipped.count += 1;
+                skipped.bytes += bytes;
             }
             Item::Connection(Event::Closed { conn, end, .. }) => {
                 self.unanswered.remove(&conn);
@@ -87,8 +89,11 @@
 
     fn add_response(&mut self, connection: ConnId, request: Option<u64>, message: &Message) {
         let unanswered = self.unanswered.entry(connection).or_default();
-        let position =
-            request.and_then(|number| unanswered.iter().position(|known| known.number == number));
+        let position = request.and_then(|number| {
+            unanswered
+                .iter()
+                .position(|request| request.number == number)
+        });
         let Some(request) = position.and_then(|position| unanswered.remove(position)) else {
             self.unmatched += 1;
             return;
@@ -106,12 +111,12 @@
     let mut summary = Summary::default();
     let tally = source::read(options, |item| summary.add(item))?;
     let mut table = plain();
-    for (name, value) in lines(&summary, &tally) {
+    for (name, value) in summary_rows(&summary, &tally) {
         table.add_row([name, value]);
     }
     println!("{table}\n");
     print_classes(&summary.classes);
-    source::damaged(options, &tally)
+    source::check_damage(options, &tally)
 }
 
 fn print_classes(classes: &BTreeMap<String, ClassSummary>) {
@@ -146,22 +151,22 @@
     println!("{table}");
 }
 
-/// The rows of the summary: names and values.
-fn lines(summary: &Summary, tally: &Tally) -> Vec<(String, String)> {
+/// Returns the rows of the summary, as names and values.
+fn summary_rows(summary: &Summary, tally: &Tally) -> Vec<(String, String)> {
     let seconds = tally
         .first
         .map_or(0.0, |first| tally.last.since(first) as f64 / 1e9);
-    let mut lines: Vec<(String, String)> = Vec::new();
-    let mut line = |name: &str, value: String| lines.push((name.to_string(), value));
-    line("bytes", tally.bytes.to_string());
-    line("packets", tally.packets.to_string());
-    line("seconds", format!("{seconds:.3}"));
-    line("connections", tally.tcp.connections.to_string());
-    line("  from the middle", tally.tcp.from_the_middle.to_string());
+    let mut rows: Vec<(String, String)> = Vec::new();
+    let mut row = |name: &str, value: String| rows.push((name.to_string(), value));
+    row("bytes", tally.bytes.to_string());
+    row("packets", tally.packets.to_string());
+    row("seconds", format!("{seconds:.3}"));
+    row("connections", tally.tcp.connections.to_string());
+    row("  from the middle", tally.tcp.from_the_middle.to_string());
     for (end, count) in &summary.ends {
-        line(&format!("  ended: {end:?}"), count.to_string());
+        row(&format!("  ended: {end:?}"), count.to_string());
     }
-    line(
+    row(
         "requests",
         summary
             .classes
@@ -170,7 +175,7 @@
             .sum::<u64>()
             .to_string(),
     );
-    let odd = tally.tcp.odd;
+    let anomalies = tally.tcp.odd;
     let counts = [
         ("packets cut by the snap length", tally.cut_packets),
         ("datagrams whose pieces never came", tally.pieces_given_up),
@@ -179,36 +184,42 @@
         ("gaps given up", tally.tcp.gaps_given_up),
         ("gaps given up for memory", tally.tcp.gaps_for_memory),
         ("connections that made room", tally.tcp.evicted),
-        ("segments out of order", odd.out_of_order),
-        ("segments repeated", odd.repeated),
-        ("segments that conflict; the first stood", odd.conflicting),
-        ("segments too far off", odd.stray),
-        ("segments behind an end", odd.after_end),
-        ("segments from before the start", odd.before_start),
-        ("directions that went on elsewhere", odd.resynchronised),
-        ("keep-alives", odd.keep_alives),
+        ("segments out of order", anomalies.out_of_order),
+        ("segments repeated", anomalies.repeated),
+        (
+            "segments that conflict; the first stood",
+            anomalies.conflicting,
+        ),
+        ("segments too far off", anomalies.stray),
+        ("segments behind an end", anomalies.after_end),
+        ("segments from before the start", anomalies.before_start),
+        (
+            "directions that went on elsewhere",
+            anomalies.resynchronised,
+        ),
+        ("keep-alives", anomalies.keep_alives),
         ("answers to no request that was captured", summary.unmatched),
     ];
     for (name, count) in counts.into_iter().filter(|(_, count)| *count > 0) {
-        line(name, count.to_string());
+        row(name, count.to_string());
     }
     for (leg, (packets, bytes)) in &tally.links {
-        line(
+        row(
             &format!("link to the {}, not read", leg.name()),
             format!("{packets} packets ({bytes} bytes)"),
         );
     }
     for (cause, count) in &tally.passed {
-        line(
+        row(
             &format!("packets passed over: {cause:?}"),
             count.to_string(),
         );
     }
-    for (cause, passed) in &summary.passed {
-        line(
+    for (cause, skipped) in &summary.skipped {
+        row(
             &format!("messages passed over: {cause:?}"),
-            format!("{} ({} bytes)", passed.count, passed.bytes),
+            format!("{} ({} bytes)", skipped.count, skipped.bytes),
         );
     }
-    lines
+    rows
 }
--- a/crates/heathspurctl/src/main.rs
+++ b/crates/heathspurctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `heathspurctl`: tools beside the daemon.
+//! `heathspurctl`: command-line tools for the heathspur daemon.
 #![forbid(unsafe_code)]
 
 mod capture_options;
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -12,18 +12,18 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// Attempts at each request before the daemon counts as silent.
+/// Attempts at each request before the command fails.
 const MAX_ATTEMPTS: u32 = 5;
 
-/// Whom to ask.
+/// Options of the command.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// Where the daemon listens for its peers (`members@listen` in its operator's file).
+    /// Address on which the daemon listens for its peers (`members@listen` in its operator's file)
     address: SocketAddrV4,
-    /// An object of JSON instead of a table.
+    /// Print JSON instead of a table
     #[arg(long)]
     json: bool,
-    /// Wait so long for each answer, in milliseconds; each question is asked five times at most.
+    /// Timeout of each request, in milliseconds; a request is sent at most five times
     #[arg(long, value_name = "MS", default_value_t = 500, value_parser = clap::value_parser!(u64).range(1..=60_000))]
     wait: u64,
 }
@@ -59,7 +59,7 @@
         sequence += 1;
         let after = rows.last().map(|row| row.member.id.clone());
         let (from, part) = request_part(&socket, sequence, after, wait)?;
-        // A view that shrinks or grows meanwhile still ends: ids only rise.
+        // Terminates even if the view changes meanwhile, because IDs only increase.
         let more = part.more && !part.rows.is_empty();
         let mut head = part.clone();
         head.rows.clear();
@@ -70,7 +70,7 @@
     }
 }
 
-/// Requests one part of the view, as long as a datagram may be. Repeats the request until it is answered.
+/// Requests one part of the view, which fits into a datagram. Repeats the request until it is answered.
 fn request_part(
     socket: &UdpSocket,
     sequence: u32,
@@ -78,7 +78,7 @@
     wait: Duration,
 ) -> io::Result<(MemberId, ViewResponse)> {
     let request = encode_request(sequence, after)?;
-    let mut last_error = io::Error::new(io::ErrorKind::TimedOut, "no answer");
+    let mut last_error = io::Error::new(io::ErrorKind::TimedOut, "no response");
     for _ in 0..MAX_ATTEMPTS {
         socket.send(&request)?;
         match receive_part(socket, sequence, Instant::now() + wait)? {
@@ -90,7 +90,7 @@
     Err(last_error)
 }
 
-/// Encodes a request padded to the largest datagram, so that the response is not larger than the request.
+/// Encodes a request and pads it to the largest datagram, so that the response is not larger than the request.
 fn encode_request(sequence: u32, after: Option<MemberId>) -> io::Result<Vec<u8>> {
     let mut envelope = Envelope {
         from: MemberId("heathspurctl".into()),
@@ -101,21 +101,22 @@
         }),
         updates: Vec::new(),
     };
-    // The padding's own length takes two bytes instead of one.
+    // The encoded length of the padding takes two bytes instead of one.
     let padding = vec![0; MAX_DATAGRAM_BYTES - wire::encoded_len(&envelope) - 1];
     envelope.body = Body::ViewRequest(ViewRequest {
         sequence,
         after,
         padding,
     });
-    wire::encode(&envelope).ok_or_else(|| io::Error::other("the question is too long"))
+    wire::encode(&envelope)
+        .ok_or_else(|| io::Error::other("the request is too large for a datagram"))
 }
 
 /// How an attempt to request a part ended.
 enum Attempt {
     /// The daemon answered.
     Answered(MemberId, ViewResponse),
-    /// It did not in time; the latest error of the socket, if there was one.
+    /// It did not answer in time; the last error of the socket, if any.
     Unanswered(Option<io::Error>),
 }
 
@@ -133,7 +134,7 @@
             }
             Err(error) if is_timeout(&error) => {}
             Err(error) => {
-                // Nobody listens there, as far as the machine knows; the daemon may be starting.
+                // Usually an ICMP error because nothing listens on the port; the daemon may still be starting.
                 last_error = Some(error);
                 std::thread::sleep(remaining);
             }
@@ -151,7 +152,7 @@
             ..
         }) if part.sequence == sequence => Ok(Some((from, part))),
         Err(wire::DecodeError::UnsupportedVersion { .. }) => Err(io::Error::other(
-            "it speaks another version of the protocol",
+            "the daemon uses another version of the protocol",
         )),
         _ => Ok(None),
     }
@@ -216,7 +217,7 @@
     table.set_header(names);
     for row in &view.rows {
         let (m, load) = (&row.member, row.member.load);
-        let since = match row.in_state_ms {
+        let in_state = match row.in_state_ms {
             0 => "-".to_string(),
             ms => format!("{:.1} s", ms as f64 / 1e3),
         };
@@ -225,12 +226,12 @@
             load.concurrency_limit,
             load.rejections_per_second,
         ]
-        .map(|n| n.to_string());
+        .map(|number| number.to_string());
         let [in_flight, cap, refusals] = numbers;
         table.add_row([
             m.id.to_string(),
             row.state.as_str().to_string(),
-            since,
+            in_state,
             row.incarnation.to_string(),
             m.address.to_string(),
             m.zone.clone(),
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -12,16 +12,16 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Largest number of requests that wait for their responses. Beyond it, the oldest request of the lowest connection
+/// Largest number of requests without a response. Beyond it, the oldest request of the connection with the lowest
 /// number is printed without one.
-const MAX_WAITING: usize = 65_536;
+const MAX_UNANSWERED: usize = 65_536;
 
-/// How requests are printed.
+/// Output format of the requests.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Format {
-    /// Columns.
+    /// Aligned columns
     Table,
-    /// An object a line.
+    /// One JSON object per line
     Json,
 }
 
@@ -29,11 +29,12 @@
 pub struct Options {
     #[command(flatten)]
     source: CaptureOptions,
-    /// How they are printed.
+    /// Output format
     #[arg(long, value_enum, default_value = "table")]
     format: Format,
 }
 
+/// A printed request. The field names are the JSON keys.
 #[derive(Serialize)]
 struct Row {
     connection: u64,
@@ -41,7 +42,7 @@
     client: Option<SocketAddr>,
     /// Unix time of the first byte, in seconds.
     at: f64,
-    /// From the first byte to the last.
+    /// Time from the first byte to the last byte of the request.
     arriving_ms: f64,
     class: String,
     tenant: Option<String>,
@@ -52,11 +53,13 @@
     last_byte_at: u64,
 }
 
+/// Matches requests with their responses and prints them.
 struct RowPrinter<'a> {
     options: &'a Options,
     clients: HashMap<ConnId, SocketAddr>,
-    waiting: BTreeMap<(ConnId, u64), Row>,
-    /// The first write error; nothing is written after it.
+    /// Requests without a response, by connection and index.
+    unanswered: BTreeMap<(ConnId, u64), Row>,
+    /// The first error of writing to standard output; nothing is written after it.
     write_error: Option<std::io::Error>,
 }
 
@@ -69,7 +72,7 @@
             Item::Connection(Event::Closed { conn, .. }) => {
                 self.clients.remove(&conn);
                 let keys: Vec<_> = self
-                    .waiting
+                    .unanswered
                     .range((conn, 0)..=(conn, u64::MAX))
                     .map(|(key, _)| *key)
                     .collect();
@@ -82,9 +85,9 @@
                 message,
             }) => {
                 let row = self.row(conn, index, &message);
-                self.waiting.insert((conn, index), row);
-                if self.waiting.len() > MAX_WAITING {
-                    if let Some(&oldest) = self.waiting.keys().next() {
+                self.unanswered.insert((conn, index), row);
+                if self.unanswered.len() > MAX_UNANSWERED {
+                    if let Some(&oldest) = self.unanswered.keys().next() {
                         self.print(oldest);
                     }
                 }
@@ -94,7 +97,7 @@
                 to: Some(to),
                 message,
             }) => {
-                if let Some(row) = self.waiting.get_mut(&(conn, to)) {
+                if let Some(row) = self.unanswered.get_mut(&(conn, to)) {
                     row.status = message.status();
                     row.latency_ms =
                         Some(message.last.0.saturating_sub(row.last_byte_at) as f64 / 1e6);
@@ -122,7 +125,7 @@
     }
 
     fn print(&mut self, key: (ConnId, u64)) {
-        let Some(row) = self.waiting.remove(&key) else {
+        let Some(row) = self.unanswered.remove(&key) else {
             return;
         };
         let text = match self.options.format {
@@ -137,7 +140,7 @@
                     row.class,
                     or_none(row.tenant),
                     row.bytes,
-                    or_none(row.status.map(|s| s.to_string())),
+                    or_none(row.status.map(|status| status.to_string())),
                     or_none(row.latency_ms.map(|ms| format!("{ms:.3}")))
                 )
             }
@@ -148,7 +151,7 @@
     }
 }
 
-/// Prints the requests, each as soon as its response is known or cannot follow any more.
+/// Prints each request as soon as its response is complete or its connection has ended.
 pub fn run(options: &Options) -> Result<(), Error> {
     if let Format::Table = options.format {
         println!(
@@ -156,17 +159,17 @@
             "at", "conn", "index", "class", "tenant", "bytes", "status", "ms"
         );
     }
-    let mut rows = RowPrinter {
+    let mut printer = RowPrinter {
         options,
         clients: HashMap::new(),
-        waiting: BTreeMap::new(),
+        unanswered: BTreeMap::new(),
         write_error: None,
     };
-    let tally = source::read(&options.source, |item| rows.add(item))?;
-    match rows.write_error {
-        // The reader of a pipe may stop early.
+    let tally = source::read(&options.source, |item| printer.add(item))?;
+    match printer.write_error {
+        // The process that reads the pipe may exit early.
         Some(e) if e.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
         Some(e) => Err(Error::stdout(e)),
-        None => source::damaged(&options.source, &tally),
+        None => source::check_damage(&options.source, &tally),
     }
 }
--- a/crates/heathspurctl/src/response_parser.rs
+++ b/crates/heathspurctl/src/response_parser.rs
@@ -1,4 +1,4 @@
-//! Incremental parser of the responses on one connection of a replay.
+//! Incremental parser of the responses on a replay connection.
 
 use crate::source::digest;
 use heathspur_replay::Nanos;
@@ -18,13 +18,13 @@
     pub status: u16,
     /// Digest of the body.
     pub body_digest: u64,
-    /// When the first byte was received, from the start of the replay.
+    /// Time of the first byte, from the start of the replay.
     pub first_byte_at: Nanos,
     /// Whether this response is the last one on its connection.
     pub close: bool,
 }
 
-/// The head of a response whose body is not complete.
+/// A response with a complete head and an incomplete body.
 struct PartialResponse {
     status: u16,
     head: Head,
@@ -32,7 +32,7 @@
 }
 
 impl PartialResponse {
-    /// Where the response ends in the buffer, once that is known.
+    /// Returns the end of the response in the buffer, or `None` if it is not known yet.
     fn end(&mut self, buffer: &[u8]) -> Result<Option<usize>, http::Error> {
         match self.head.length {
             Length::Bytes(length) => {
@@ -72,13 +72,13 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether the buffered response exceeds the largest size.
+    /// Returns whether the buffered bytes exceed the largest size of a response.
     pub fn is_too_large(&self) -> bool {
         self.buffer.len() > MAX_RESPONSE_BYTES
     }
 
-    /// Returns the next complete final response and skips informational ones. `to_head` says that the request is a
-    /// HEAD, whose response has no body.
+    /// Returns the next complete final response and skips informational ones. `to_head` is whether the request is a
+    /// HEAD request, whose response has no body.
     pub fn next_response(&mut self, to_head: bool) -> Result<Option<Response>, http::Error> {
         while !self.buffer.is_empty() {
             if self.partial.is_none() {
@@ -99,7 +99,7 @@
         Ok(None)
     }
 
-    /// Returns the response that the end of the connection completes: one without a length.
+    /// Returns the response that is completed by the end of the connection, because its length was not declared.
     pub fn finish(self) -> Option<Response> {
         let partial = self.partial?;
         if partial.head.length != Length::UntilClose {
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -1,4 +1,4 @@
-//! Reads captures as streams, and extracts what the commands show of a message.
+//! Reads captures as streams, and extracts the properties of messages that the commands print.
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
@@ -13,8 +13,8 @@
 /// Bytes read per call.
 const READ_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Reads a file in pieces and shows the progress on a terminal. The callback returns `false` to stop.
-pub fn pieces(file: &Path, mut piece: impl FnMut(&[u8]) -> bool) -> Result<(), Error> {
+/// Reads a file in chunks and shows the progress if standard error is a terminal. The callback returns `false` to stop.
+pub fn read_chunks(file: &Path, mut on_chunk: impl FnMut(&[u8]) -> bool) -> Result<(), Error> {
     let file_error = |source| Error::File {
         path: file.to_path_buf(),
         source,
@@ -34,7 +34,7 @@
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let read = input.read(&mut buffer).map_err(file_error)?;
-        if read == 0 || !piece(&buffer[..read]) {
+        if read == 0 || !on_chunk(&buffer[..read]) {
             break;
         }
         progress.inc(read as u64);
@@ -43,8 +43,8 @@
     Ok(())
 }
 
-/// Converts command-line options to those of the reader.
-pub fn options(source: &CaptureOptions) -> Options {
+/// Converts command-line options to pipeline options.
+fn pipeline_options(source: &CaptureOptions) -> Options {
     let reassembly = reassembly::Limits {
         servers: source.server_ports.clone(),
         ..Default::default()
@@ -57,15 +57,15 @@
 }
 
 /// Reads a capture and passes each item in it to the callback.
-pub fn read(source: &CaptureOptions, mut found: impl FnMut(Item)) -> Result<Tally, Error> {
-    let mut pipeline = Pipeline::new(options(source));
-    pieces(&source.file, |bytes| pipeline.feed(bytes, &mut found))?;
-    pipeline.finish(&mut found);
+pub fn read(source: &CaptureOptions, mut on_item: impl FnMut(Item)) -> Result<Tally, Error> {
+    let mut pipeline = Pipeline::new(pipeline_options(source));
+    read_chunks(&source.file, |bytes| pipeline.feed(bytes, &mut on_item))?;
+    pipeline.finish(&mut on_item);
     Ok(pipeline.tally())
 }
 
-/// Returns the damage of a capture, if there is any. Commands report it after everything else.
-pub fn damaged(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
+/// Returns an error if a capture is damaged. Commands call this last, after printing what they read.
+pub fn check_damage(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
     match tally.damage {
         Some(damage) => Err(Error::DamagedCapture {
             path: source.file.clone(),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Returns the class of a request: the name in `/svc/NAME`, or else the whole path.
+/// Returns the class of a request: NAME of `/svc/NAME`, or the full path if it has another form.
 pub fn class(message: &Message) -> String {
     let Some((_, target)) = message.request_line() else {
         return "?".into();
@@ -92,7 +92,7 @@
         .map(|value| String::from_utf8_lossy(value).into_owned())
 }
 
-/// Returns a digest that is the same for the same bytes in every run.
+/// Returns a digest of the bytes that is the same in every run of the program.
 pub fn digest(bytes: &[u8]) -> u64 {
     let mut hasher = DefaultHasher::new();
     bytes.hash(&mut hasher);
--- a/crates/heathspurctl/src/table.rs
+++ b/crates/heathspurctl/src/table.rs
@@ -1,8 +1,8 @@
-//! Tables on the terminal.
+//! Tables on standard output.
 
 use comfy_table::{presets, Table};
 
-/// A table without lines, as terminals and pipes both take.
+/// Returns an empty table without borders, which suits both terminals and pipes.
 pub fn plain() -> Table {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
