--- a/crates/heathspur-load/src/audit.rs
+++ b/crates/heathspur-load/src/audit.rs
@@ -1,44 +1,58 @@
-//! The results of a load test: responses by status, latency from the intended time, requests that were not sent.
+//! The results of a load test: responses by status, latency from the intended time, and requests that were not sent.
 
 use crate::plan::Plan;
 use crate::schedule::ScheduledRequest;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// First attempts whose results are kept, for comparison with those of their retries.
-const MAX_KEPT_RESULTS: usize = 100_000;
-/// Largest recorded time, in microseconds; longer ones are recorded as this.
+/// Maximum number of retained results of first attempts, which are compared with those of their retries.
+const MAX_RETAINED_RESULTS: usize = 100_000;
+/// Longest recorded time, in microseconds; longer times are recorded as this one.
 const MAX_RECORDED_MICROS: u64 = 3_600_000_000;
 
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 /// The status of successful responses.
 const STATUS_OK: u16 = 200;
-/// The status of rejections.
+/// The status of responses to rejected requests.
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// How a request ended. The report prints the variants by name.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// A complete response.
+    /// A complete response was received.
     Answered {
-        /// Its status code.
+        /// HTTP status code.
         status: u16,
-        /// A digest of its body.
+        /// Digest of the body.
         body_digest: u64,
     },
-    /// Refused before anything ran, by HTTP/2 REFUSED_STREAM.
+    /// The server refused the stream before processing it (HTTP/2 REFUSED_STREAM).
     Refused,
-    /// The stream or connection ended without a response.
-    Broken,
-    /// No response within the client's timeout.
+    /// The stream or connection ended without a complete response.
+    ConnectionLost,
+    /// No response was received within the client's timeout.
     TimedOut,
-    /// Not sent: too many requests were open.
+    /// Not sent: too many requests were in flight.
     Skipped,
     /// Not sent: no connection could be established.
     NoConnection,
 }
 
+impl Outcome {
+    /// Returns the label of an outcome without a response. Reports print it, so it must not change.
+    pub fn label(&self) -> &'static str {
+        match self {
+            Outcome::Answered { .. } => "Answered",
+            Outcome::Refused => "Refused",
+            Outcome::ConnectionLost => "Broken",
+            Outcome::TimedOut => "TimedOut",
+            Outcome::Skipped => "Skipped",
+            Outcome::NoConnection => "NoConnection",
+        }
+    }
+}
+
 /// A target and a class, by their indices in the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TargetClass {
@@ -51,7 +65,7 @@
 /// Results of the requests of one class to one target.
 #[derive(Clone, Debug)]
 pub struct ClassStats {
-    /// Number of requests.
+    /// Number of requests that were due.
     pub due: u64,
     /// Number of responses by status.
     pub statuses: BTreeMap<u16, u64>,
@@ -63,9 +77,9 @@
 
 impl ClassStats {
     fn new() -> ClassStats {
-        // Fails only if the bounds are not in order.
-        let latency =
-            Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3).expect("bounds in order");
+        // Fails only for invalid bounds.
+        let latency = Histogram::new_with_bounds(1, MAX_RECORDED_MICROS, 3)
+            .expect("the histogram bounds are valid");
         ClassStats {
             due: 0,
             statuses: BTreeMap::new(),
@@ -74,20 +88,20 @@
         }
     }
 
-    /// Latency at a quantile, in milliseconds.
+    /// Returns the latency at a quantile, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
 }
 
-/// Results of one second.
+/// Results of one second of a load test.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SecondStats {
-    /// Requests whose intended time was in it.
+    /// Requests whose intended time was in this second.
     pub due: u32,
-    /// Responses with status 200 received in it.
+    /// Responses with status 200 received in this second.
     pub served: u32,
-    /// Rejections received in it.
+    /// Rejections received in this second.
     pub rejected: u32,
 }
 
@@ -97,20 +111,20 @@
     pub stats: BTreeMap<TargetClass, ClassStats>,
     /// Results by second from the start.
     pub seconds: Vec<SecondStats>,
-    /// Delay of the sender after the intended times, in microseconds.
+    /// Delay of sending after the intended time, in microseconds.
     pub send_delay: Histogram<u64>,
     /// Retries whose result differs from that of their first attempt.
     pub mismatched_retries: u64,
-    /// Body digest of each kept result, by the number of the first attempt.
+    /// Body digest of each retained result, by the number of the first attempt.
     results: HashMap<u64, u64>,
-    /// The kept results, oldest first.
+    /// Numbers of the first attempts in `results`, oldest first.
     result_order: VecDeque<u64>,
-    /// Whether each class carries idempotency keys.
+    /// For each class, whether its requests carry idempotency keys.
     keyed_classes: Vec<bool>,
 }
 
 impl Audit {
-    /// An empty audit for a plan.
+    /// Creates an empty audit of a plan.
     pub fn new(plan: &Plan) -> Audit {
         Audit {
             stats: BTreeMap::new(),
@@ -126,7 +140,7 @@
     fn second(&mut self, at: u64) -> &mut SecondStats {
         let second = (at / NANOS_PER_SECOND) as usize;
         if self.seconds.len() <= second {
-            // Bounded: a plan lasts a day at most, and requests end within the client's timeout.
+            // Bounded: each of up to 100 stages lasts a day at most, and requests end within the client's timeout.
             self.seconds.resize(second + 1, SecondStats::default());
         }
         &mut self.seconds[second]
@@ -173,7 +187,7 @@
         }
     }
 
-    /// Counts a mismatch if another attempt of the same keyed request had a different result.
+    /// Counts a mismatch if an earlier result of the same keyed request differs.
     fn compare_with_first_result(&mut self, request: &ScheduledRequest, body_digest: u64) {
         if !self
             .keyed_classes
@@ -183,38 +197,38 @@
         {
             return;
         }
-        if let Some(known) = self.results.get(&request.first_attempt) {
-            self.mismatched_retries += u64::from(*known != body_digest);
+        if let Some(first_digest) = self.results.get(&request.first_attempt) {
+            self.mismatched_retries += u64::from(*first_digest != body_digest);
             return;
         }
         self.results.insert(request.first_attempt, body_digest);
         self.result_order.push_back(request.first_attempt);
-        if self.result_order.len() > MAX_KEPT_RESULTS {
+        if self.result_order.len() > MAX_RETAINED_RESULTS {
             if let Some(oldest) = self.result_order.pop_front() {
                 self.results.remove(&oldest);
             }
         }
     }
 
-    /// Total number of requests.
+    /// Returns the total number of requests that were due.
     pub fn due(&self) -> u64 {
         self.stats.values().map(|stats| stats.due).sum()
     }
 
-    /// Number of requests that were sent and got no final response.
+    /// Returns the number of requests that were sent and got no complete response.
     pub fn unanswered(&self) -> u64 {
         let unanswered = |stats: &ClassStats| {
             let count = |outcome| stats.other_outcomes.get(&outcome).copied().unwrap_or(0);
-            count(Outcome::Broken) + count(Outcome::TimedOut)
+            count(Outcome::ConnectionLost) + count(Outcome::TimedOut)
         };
         self.stats.values().map(unanswered).sum()
     }
 
-    /// Latency over all targets and classes, in microseconds.
+    /// Returns the latency over all targets and classes, in microseconds.
     pub fn latency(&self) -> Histogram<u64> {
         let mut all = ClassStats::new().latency;
         for stats in self.stats.values() {
-            // All histograms have the same bounds, so this can't fail.
+            // Can't fail: all histograms have the same bounds.
             let _ = all.add(&stats.latency);
         }
         all
--- a/crates/heathspur-load/src/plan.rs
+++ b/crates/heathspur-load/src/plan.rs
@@ -9,7 +9,7 @@
 
 /// The schema of the file (XSD 1.0).
 pub const SCHEMA: &str = include_str!("../plan.xsd");
-/// The namespace of its elements.
+/// The XML namespace of its elements.
 pub const NAMESPACE: &str = "urn:heathspur:load:1";
 
 /// A load test.
@@ -21,12 +21,12 @@
     /// Seed of all random draws.
     #[serde(rename = "@seed", default = "default::seed")]
     pub seed: u64,
-    /// Time after which the client gives up on a request; 10 ms to 10 min.
+    /// Time after which the client times out a request; 10 ms to 10 min.
     #[serde(rename = "@patience", default = "default::client_timeout")]
     pub client_timeout: Span,
-    /// Maximum number of requests open at once, over all targets; 1 to 100,000. Further ones are counted, not sent.
-    #[serde(rename = "@open", default = "default::max_open_requests")]
-    pub max_open_requests: u32,
+    /// Maximum number of requests in flight, over all targets; 1 to 100,000. Requests beyond it are counted, not sent.
+    #[serde(rename = "@open", default = "default::max_in_flight")]
+    pub max_in_flight: u32,
     /// The servers under test; requests are spread over them by weight.
     #[serde(rename = "target", default)]
     pub targets: Vec<Target>,
@@ -91,7 +91,7 @@
     /// Exponential gaps, as from many independent callers.
     #[default]
     Poisson,
-    /// Log-normal gaps whose logarithm has a standard deviation of 1.5: bursts with pauses between them.
+    /// Log-normal gaps whose logarithm has a standard deviation of 1.5: bursts separated by pauses.
     Bursts,
 }
 
@@ -117,7 +117,7 @@
     /// Size of the body; up to 64 KiB.
     #[serde(rename = "@body", default = "default::body_size")]
     pub body_size: Size,
-    /// The tenant that requests name, for servers with tenants.
+    /// The tenant that requests are sent for, if the server has tenants.
     #[serde(rename = "@tenant", default)]
     pub tenant: Option<String>,
 }
@@ -135,7 +135,7 @@
         Span(Duration::from_secs(30))
     }
 
-    pub(super) fn max_open_requests() -> u32 {
+    pub(super) fn max_in_flight() -> u32 {
         10_000
     }
 
@@ -160,7 +160,7 @@
     /// Reads and checks a plan file.
     ///
     /// # Errors
-    /// Returns the first mistake, with file, line and element.
+    /// Returns the first error in the file, with file, line and element.
     pub fn read(file: &Path) -> Result<Plan, Error> {
         Plan::parse(&heathspur_config::read_text(file, "load")?, file)
     }
@@ -168,12 +168,12 @@
     /// Parses and checks the text of a plan file; errors name `file`.
     ///
     /// # Errors
-    /// Returns the first mistake, with file, line and element.
+    /// Returns the first error in the file, with file, line and element.
     pub fn parse(text: &str, file: &Path) -> Result<Plan, Error> {
         heathspur_config::parse(text, file, "load", check_plan)
     }
 
-    /// The namespace that the file declares.
+    /// Returns the namespace that the file declares.
     pub(crate) fn namespace(&self) -> &str {
         &self.xmlns
     }
--- a/crates/heathspur-load/src/schedule.rs
+++ b/crates/heathspur-load/src/schedule.rs
@@ -1,6 +1,6 @@
-//! The schedule of a load test: when each request is sent, drawn from the plan's seed alone.
+//! The schedule of a load test: the send time of each request. It depends only on the plan and its seed.
 //!
-//! Requests are drawn one at a time, so that memory does not grow with the length of the plan.
+//! Requests are generated one at a time, so memory use does not grow with the duration of the plan.
 
 use crate::plan::{Arrivals, Plan, Stage};
 use rand::rngs::StdRng;
@@ -9,29 +9,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Standard deviation of the logarithm of the gaps between bursty arrivals.
-const BURST_DEVIATION: f64 = 1.5;
-/// Retries that may be pending at once; further ones are dropped and counted.
+/// Standard deviation of the natural logarithm of the gaps between bursty arrivals.
+const BURST_LOG_DEVIATION: f64 = 1.5;
+/// Maximum number of pending retries; retries beyond it are dropped and counted.
 pub const MAX_PENDING_RETRIES: usize = 100_000;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// One request of the schedule; ordered by its intended time.
+/// One request of the schedule. Requests are ordered by their intended time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ScheduledRequest {
     /// Intended time, in nanoseconds from the start.
     pub at: u64,
-    /// Its number, unique in the schedule.
+    /// Number of the request, unique in the schedule.
     pub number: u64,
-    /// The number of the first attempt: its own, or that of the request it retries.
+    /// Number of the first attempt: the same as `number`, or for a retry that of the retried request.
     pub first_attempt: u64,
-    /// Index of its target in the plan.
+    /// Index of the target in the plan.
     pub target: usize,
-    /// Index of its class in the plan.
+    /// Index of the class in the plan.
     pub class: usize,
 }
 
 impl ScheduledRequest {
-    /// Whether it is a retry.
+    /// Returns whether this is a retry.
     pub fn is_retry(&self) -> bool {
         self.first_attempt != self.number
     }
@@ -53,7 +53,7 @@
 }
 
 impl<'a> Schedule<'a> {
-    /// The schedule of a plan.
+    /// Creates the schedule of a plan.
     pub fn new(plan: &'a Plan) -> Schedule<'a> {
         let mut schedule = Schedule {
             plan,
@@ -70,12 +70,12 @@
         schedule
     }
 
-    /// Number of retries dropped because [`MAX_PENDING_RETRIES`] were pending.
+    /// Returns the number of retries dropped because [`MAX_PENDING_RETRIES`] were pending.
     pub fn dropped_retries(&self) -> u64 {
         self.dropped_retries
     }
 
-    /// Total duration of the stages of a plan, in nanoseconds.
+    /// Returns the total duration of the stages of a plan, in nanoseconds.
     pub fn duration_nanos(plan: &Plan) -> u64 {
         plan.stages.iter().map(stage_nanos).sum()
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Draws whether a first attempt is retried, and when. The retry goes to any target, as a balancer sends it.
+    /// Draws whether a first attempt is retried, and when. The retry is sent to any target, as by a load balancer.
     fn draw_retry(&mut self, first_attempt: &ScheduledRequest) {
         let class = &self.plan.classes[first_attempt.class];
         if class.retry_share <= 0.0 || !self.rng.random_bool(class.retry_share) {
@@ -184,8 +184,8 @@
 
 fn draw_log_normal(mean: f64, rng: &mut StdRng) -> f64 {
     // The mean of a log-normal distribution is exp(mu + sigma^2 / 2).
-    let mu = mean.ln() - BURST_DEVIATION * BURST_DEVIATION / 2.0;
-    LogNormal::new(mu, BURST_DEVIATION).map_or(mean, |distribution| distribution.sample(rng))
+    let mu = mean.ln() - BURST_LOG_DEVIATION * BURST_LOG_DEVIATION / 2.0;
+    LogNormal::new(mu, BURST_LOG_DEVIATION).map_or(mean, |distribution| distribution.sample(rng))
 }
 
 /// Draws an index with a probability proportional to its weight.
--- a/crates/heathspur-load/src/validation.rs
+++ b/crates/heathspur-load/src/validation.rs
@@ -1,13 +1,13 @@
-//! Checks what the types of a load test's plan can't express.
+//! Checks constraints on a load test's plan that its types can't express.
 
 use crate::plan::{Class, Plan, Stage, Target, NAMESPACE};
 use heathspur_config::InvalidValue;
 use std::ops::RangeInclusive;
 
-/// Allowed number of targets, of stages and of classes.
-const ELEMENTS: RangeInclusive<usize> = 1..=100;
+/// Allowed number of targets, of stages and of classes, each.
+const ELEMENT_COUNT: RangeInclusive<usize> = 1..=100;
 const CLIENT_TIMEOUT_MS: RangeInclusive<u128> = 10..=600_000;
-const OPEN_REQUESTS: RangeInclusive<u32> = 1..=100_000;
+const IN_FLIGHT_LIMIT: RangeInclusive<u32> = 1..=100_000;
 const CONNECTIONS: RangeInclusive<u32> = 1..=10_000;
 const WEIGHT: RangeInclusive<u32> = 1..=1_000;
 const MAX_STAGE_SECONDS: u64 = 86_400;
@@ -17,9 +17,9 @@
 const RETRY_DELAY_MS: RangeInclusive<u128> = 1..=600_000;
 const MAX_BODY_BYTES: u64 = 64 << 10;
 
-const NAME_EXPECTED: &str = "letters, digits, `-`, `_` and `.` are expected";
+const INVALID_NAME: &str = "expected only letters, digits, `-`, `_` and `.`";
 
-/// Checks a whole plan and returns the first mistake.
+/// Checks a plan and returns the first error.
 pub(crate) fn check_plan(plan: &Plan) -> Result<(), InvalidValue> {
     check_namespace(plan)?;
     check_count("target", plan.targets.len())?;
@@ -36,13 +36,13 @@
     if namespace == NAMESPACE {
         return Ok(());
     }
-    let reason = format!("the namespace `{namespace}` where `{NAMESPACE}` is expected");
+    let reason = format!("expected the namespace `{NAMESPACE}`, found `{namespace}`");
     Err(InvalidValue::new("", reason))
 }
 
 fn check_count(element: &str, count: usize) -> Result<(), InvalidValue> {
-    let reason = format!("1 to 100 elements `{element}` are expected");
-    expect(ELEMENTS.contains(&count), "", reason)
+    let reason = format!("expected 1 to 100 `{element}` elements");
+    expect(ELEMENT_COUNT.contains(&count), "", reason)
 }
 
 fn check_limits(plan: &Plan) -> Result<(), InvalidValue> {
@@ -50,16 +50,16 @@
     expect(
         CLIENT_TIMEOUT_MS.contains(&timeout_ms),
         "@patience",
-        "10 ms to 10 min is expected",
+        "expected 10 ms to 10 min",
     )?;
     expect(
-        OPEN_REQUESTS.contains(&plan.max_open_requests),
+        IN_FLIGHT_LIMIT.contains(&plan.max_in_flight),
         "@open",
-        "1 to 100000 is expected",
+        "expected 1 to 100000",
     )
 }
 
-/// Checks all elements of one name; `check` returns paths that start at the element.
+/// Checks all elements of one name. The paths in the errors of `check` are relative to the element.
 fn check_each<T>(
     name: &str,
     elements: &[T],
@@ -78,7 +78,7 @@
     expect(
         CONNECTIONS.contains(&target.connections),
         "@connections",
-        "1 to 10000 is expected",
+        "expected 1 to 10000",
     )?;
     check_weight(target.weight)
 }
@@ -87,39 +87,39 @@
     expect(
         stage.duration.0.as_secs() <= MAX_STAGE_SECONDS,
         "@duration",
-        "24 h at most is expected",
+        "expected at most 24 h",
     )?;
     expect(
         stage.rate > 0.0 && stage.rate <= MAX_RATE,
         "@rate",
-        "above 0, 100000 at most is expected",
+        "expected a rate above 0 and at most 100000",
     )
 }
 
 fn check_class(class: &Class) -> Result<(), InvalidValue> {
-    expect(is_name(&class.name), "@name", NAME_EXPECTED)?;
+    expect(is_name(&class.name), "@name", INVALID_NAME)?;
     check_weight(class.weight)?;
     expect(
         RETRY_SHARE.contains(&class.retry_share),
         "@repeats",
-        "0 to 1 is expected",
+        "expected 0 to 1",
     )?;
     expect(
         RETRY_DELAY_MS.contains(&class.retry_delay.0.as_millis()),
         "@repeat-after",
-        "1 ms to 10 min is expected",
+        "expected 1 ms to 10 min",
     )?;
     expect(
         class.body_size.0 <= MAX_BODY_BYTES,
         "@body",
-        "64 KiB at most is expected",
+        "expected at most 64 KiB",
     )?;
     let tenant_is_valid = class.tenant.as_deref().is_none_or(is_name);
-    expect(tenant_is_valid, "@tenant", NAME_EXPECTED)
+    expect(tenant_is_valid, "@tenant", INVALID_NAME)
 }
 
 fn check_weight(weight: u32) -> Result<(), InvalidValue> {
-    expect(WEIGHT.contains(&weight), "@part", "1 to 1000 is expected")
+    expect(WEIGHT.contains(&weight), "@part", "expected 1 to 1000")
 }
 
 fn is_name(text: &str) -> bool {
--- a/crates/heathspur-replay/src/audit.rs
+++ b/crates/heathspur-replay/src/audit.rs
@@ -1,4 +1,4 @@
-//! Compares the outcomes of a replay with the recording and with the rules of the service.
+//! Compares the outcomes of a replay with the recording, and checks them against the rules of the service.
 
 use crate::histogram::{DurationHistogram, Quantiles};
 use crate::outcome::{Counts, NotSentReason, Outcome, RequestState};
@@ -9,11 +9,11 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Drift is measured between windows of this length.
+/// Drift is the change of lateness between windows of this length.
 const DRIFT_WINDOW: Nanos = 1_000_000_000;
-const OK: u16 = 200;
+const STATUS_OK: u16 = 200;
 
-/// How responses compare with the recorded ones. The report keeps the names of its format.
+/// Counts of responses by how they compare with the recorded ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Comparison {
     /// Same status and same body.
@@ -50,10 +50,10 @@
     }
 }
 
-/// The audit of a replay. The report keeps the names of its format.
+/// The audit of a replay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Audit {
-    /// Requests of the plan.
+    /// Requests planned.
     pub requests: u64,
     /// Requests sent.
     pub sent: u64,
@@ -75,17 +75,17 @@
     pub compared: Comparison,
     /// Requests answered later than [`AuditOptions::late_after`].
     pub late: u64,
-    /// Idempotency keys whose requests were answered 200 with different bodies: an effect that happened twice, or a
-    /// result that was not kept.
+    /// Idempotency keys whose requests were answered 200 with different bodies: the server executed a request twice
+    /// or did not retain its result.
     #[serde(rename = "keys_differ")]
     pub conflicting_keys: u64,
-    /// Delay from the intended to the actual sending time.
+    /// Delay of the actual sending time after the intended one.
     pub lateness: Quantiles,
     /// Largest change of the median lateness between consecutive seconds, in milliseconds per second.
     pub drift_ms_per_s: f64,
-    /// Recorded time from the last byte of a request to the last byte of its response.
+    /// Recorded latency, from the last byte of a request to the last byte of its response.
     pub recorded_latency: Quantiles,
-    /// Time from the intended sending time to the last byte of the response.
+    /// Latency in the replay, from the intended sending time to the last byte of the response.
     pub latency: Quantiles,
 }
 
@@ -109,12 +109,13 @@
         }
     }
 
-    /// Whether every request of the plan was sent and answered exactly once.
+    /// Returns whether every request of the plan was sent and answered exactly once.
     pub fn is_complete(&self) -> bool {
         self.answered == self.requests && self.counts.unexpected_responses == 0
     }
 
-    /// Whether the responses violate a rule of the service: surplus or late ones, or different ones for one key.
+    /// Returns whether the responses violate a rule of the service: there are unexpected or late responses, or
+    /// different results for one idempotency key.
     pub fn violates_rules(&self) -> bool {
         self.counts.unexpected_responses > 0 || self.conflicting_keys > 0 || self.late > 0
     }
@@ -125,7 +126,7 @@
 pub struct AuditOptions<'a> {
     /// Name of the header field that carries the idempotency key; empty for none.
     pub key_field: &'a str,
-    /// A response later than this after the intended sending time is late.
+    /// A response is late if it ends more than this after the intended sending time; `None` if none is.
     pub late_after: Option<Nanos>,
 }
 
@@ -136,7 +137,7 @@
     lateness: DurationHistogram,
     latency: DurationHistogram,
     recorded_latency: DurationHistogram,
-    /// Lateness of the requests that were due in each window.
+    /// Lateness of the requests that were due in each window, by window number.
     lateness_by_window: BTreeMap<u64, Vec<Nanos>>,
     /// Body digests of the successful responses, by copy and idempotency key.
     bodies_by_key: HashMap<(u64, &'a [u8]), Vec<u64>>,
@@ -174,7 +175,7 @@
                 self.audit
                     .compared
                     .add_answered(recorded, status, body_digest);
-                if status == OK {
+                if status == STATUS_OK {
                     self.add_result(request, planned.copy, body_digest);
                 }
                 return;
@@ -234,8 +235,8 @@
         return None;
     }
     let bytes = &request.bytes;
-    // The head ends at the first empty line. Every complete request has one.
-    let end = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 2;
+    // The head ends at the first empty line, which every complete request has.
+    let end = bytes.windows(4).position(|window| window == b"\r\n\r\n")? + 2;
     let start = bytes.iter().position(|byte| *byte == b'\n')? + 1;
     let mut fields = Fields::over(bytes.get(start..end)?).filter_map(Result::ok);
     fields
--- a/crates/heathspur-replay/src/connection.rs
+++ b/crates/heathspur-replay/src/connection.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// Sorts idle connections: the one that is needed last comes first.
+/// Sort key of idle connections: the time of the next request, latest first, and the index.
 pub(crate) type IdleKey = (Reverse<Nanos>, usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Connection {
     pub(crate) state: ConnectionState,
-    /// Failures to connect since the last success.
+    /// Connect failures since the last successful connect.
     pub(crate) failures: u32,
     pub(crate) last_failure: ConnectFailure,
     /// Position of the next request among those of this connection.
@@ -28,14 +28,14 @@
     /// Requests sent and not answered, oldest first.
     pub(crate) in_flight: VecDeque<usize>,
     pub(crate) last_response_at: Option<Nanos>,
-    /// When the connection is checked next. Timers set for other times are void.
+    /// When the connection is checked next. Timers that expire at other times are ignored.
     pub(crate) next_check_at: Option<Nanos>,
-    /// Its key in the runner's set of idle connections, while it is there.
+    /// Key of the connection in the runner's set of idle connections, if it is in that set.
     pub(crate) idle_key: Option<IdleKey>,
 }
 
 impl Connection {
-    /// A connection that has not been opened and is first checked at `open_at`.
+    /// Creates a disconnected connection that is first checked at `open_at`.
     pub(crate) fn new(open_at: Nanos) -> Connection {
         Connection {
             state: ConnectionState::Disconnected,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Why a request that is overdue could not be sent.
+    /// Returns why an overdue request could not be sent.
     pub(crate) fn not_sent_reason(&self) -> NotSentReason {
         match self.last_failure {
             ConnectFailure::Exhausted => NotSentReason::Exhausted,
--- a/crates/heathspur-replay/src/event.rs
+++ b/crates/heathspur-replay/src/event.rs
@@ -16,7 +16,7 @@
     Exhausted,
 }
 
-/// Something that happened to a connection.
+/// An event of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The connection was opened.
@@ -41,7 +41,7 @@
 }
 
 impl Event {
-    /// The connection to which it happened.
+    /// Returns the connection that the event belongs to.
     pub fn connection(&self) -> usize {
         match *self {
             Event::Connected(connection)
@@ -52,7 +52,7 @@
     }
 }
 
-/// Something that the caller must do.
+/// An action that the caller must execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Open this connection.
--- a/crates/heathspur-replay/src/histogram.rs
+++ b/crates/heathspur-replay/src/histogram.rs
@@ -4,11 +4,11 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The smallest duration that is distinguished.
+/// The shortest distinguishable duration.
 const MIN_DURATION: Nanos = 1;
-/// Longer durations, from an hour on, are counted as this one.
+/// The longest recorded duration, one hour; longer ones are recorded as this one.
 const MAX_DURATION: Nanos = 3_600_000_000_000;
-/// Precision of the recorded values.
+/// Precision of the recorded values, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Quantiles of a set of durations, in milliseconds.
--- a/crates/heathspur-replay/src/lib.rs
+++ b/crates/heathspur-replay/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of a replay, without I/O and clocks: recorded requests become a schedule ([`plan`]), the schedule
-//! becomes connections and sends ([`runner`]), and what came of each is audited ([`audit`]). [`renew`] gives
-//! requests fresh ids, keys and stamps where that is asked for.
+//! The logic of a replay, without I/O and clocks: [`plan`] builds a schedule from recorded requests, [`runner`]
+//! decides when to connect and when to send, and [`audit`] evaluates the outcomes. [`renew`] replaces IDs, keys and
+//! time stamps of requests.
 //!
-//! Times are nanoseconds from the start of the replay, monotonic.
+//! Unless stated otherwise, times are nanoseconds from the start of the replay on a monotonic clock.
 #![forbid(unsafe_code)]
 
 pub mod audit;
--- a/crates/heathspur-replay/src/limits.rs
+++ b/crates/heathspur-replay/src/limits.rs
@@ -2,18 +2,18 @@
 
 use crate::Nanos;
 
-/// What a replay may use, and how long it waits.
+/// Resource limits and timeouts of a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest number of simultaneous connections.
     pub max_connections: usize,
-    /// Largest number of requests that are sent and not answered.
+    /// Largest number of requests in flight.
     pub max_in_flight: usize,
-    /// A request that could not be sent within this time of its due time is skipped.
+    /// A request that cannot be sent within this time after its due time is skipped.
     pub send_timeout: Nanos,
-    /// A request that is not answered within this time is abandoned together with its connection.
+    /// A request that is not answered within this time is timed out, and its connection is closed.
     pub response_timeout: Nanos,
-    /// First delay before reconnecting. It doubles with each failure, and half of it is random.
+    /// First delay before reconnecting. The delay doubles with each failure, and half of it is random.
     pub initial_backoff: Nanos,
     /// Longest delay before reconnecting.
     pub max_backoff: Nanos,
--- a/crates/heathspur-replay/src/outcome.rs
+++ b/crates/heathspur-replay/src/outcome.rs
@@ -12,17 +12,31 @@
     /// No connection, file descriptor or port was available.
     Exhausted,
     /// Too many requests were in flight.
-    Budget,
+    #[serde(rename = "budget")]
+    InFlightLimit,
     /// A response that it had to wait for was received too late.
-    Waited,
+    #[serde(rename = "waited")]
+    PrecedingResponseLate,
+}
+
+impl NotSentReason {
+    /// Returns the label of the reason. Reports print it, so it must not change.
+    pub fn label(&self) -> &'static str {
+        match self {
+            NotSentReason::Refused => "Refused",
+            NotSentReason::Exhausted => "Exhausted",
+            NotSentReason::InFlightLimit => "Budget",
+            NotSentReason::PrecedingResponseLate => "Waited",
+        }
+    }
 }
 
 /// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// It has not ended.
+    /// It has neither been answered nor failed nor been skipped.
     Pending,
-    /// It was answered.
+    /// It was answered with a final response.
     Answered {
         /// HTTP status code.
         status: u16,
@@ -44,7 +58,7 @@
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// When it was due: by the schedule, or by the response that it waited for.
+    /// When it was due, by the schedule or by the response that it waited for.
     pub intended_at: Nanos,
     /// When it was sent.
     pub sent_at: Option<Nanos>,
@@ -63,10 +77,10 @@
     /// Connections that ended with requests in flight.
     #[serde(rename = "broken")]
     pub connections_lost: u64,
-    /// Idle connections closed in favour of others.
+    /// Idle connections closed to free capacity for others.
     #[serde(rename = "made_room")]
     pub idle_evictions: u64,
-    /// Responses without a request.
+    /// Responses received while no request was in flight on their connection.
     #[serde(rename = "extra_answers")]
     pub unexpected_responses: u64,
     /// Largest number of requests in flight.
--- a/crates/heathspur-replay/src/plan.rs
+++ b/crates/heathspur-replay/src/plan.rs
@@ -1,4 +1,4 @@
-//! Builds the schedule of a replay from recorded requests: its connections, and when each request is sent.
+//! Builds the schedule of a replay from recorded requests: its connections and the send time of each request.
 
 use crate::recording::RecordedRequest;
 use crate::Nanos;
@@ -9,14 +9,14 @@
 
 /// A connection whose start was not recorded is opened this long before its first request.
 const CONNECT_LEAD_TIME: Nanos = 20_000_000;
-/// Copies of a connection start up to this long after it, so that they do not all send at once.
+/// Copies of a connection are delayed by up to this long, so that they do not all send at once.
 const MAX_COPY_OFFSET: Nanos = 50_000_000;
 /// Accepted values of [`Options::speed`] and [`Options::load`].
 const FACTOR_RANGE: RangeInclusive<f64> = 0.001..=1000.0;
 /// Accepted values of [`Options::repeat`].
 const REPEAT_RANGE: RangeInclusive<u32> = 1..=10_000;
 
-/// How a recording is replayed. The default replays it as it was recorded.
+/// Options of a replay. The default replays a recording as it was recorded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// Speed as a multiple of the recorded one: 0.001 to 1,000.
@@ -30,7 +30,7 @@
     /// Number of connections as a multiple of the recorded one: 0.001 to 1,000. More than 1.0 requires fresh IDs
     /// and keys.
     pub load: f64,
-    /// Whether a request waits for the preceding response wherever the recorded client did.
+    /// Whether a request waits for the preceding response if the recorded client did.
     pub causal: bool,
     /// Seed of the random choices.
     pub seed: u64,
@@ -57,11 +57,11 @@
     fn validate(&self) -> Result<(), Error> {
         for (option, value) in [("speed", self.speed), ("load", self.load)] {
             if !FACTOR_RANGE.contains(&value) {
-                return Err(Error::OutOfBounds { option, value });
+                return Err(Error::OutOfRange { option, value });
             }
         }
         if !REPEAT_RANGE.contains(&self.repeat) {
-            return Err(Error::OutOfBounds {
+            return Err(Error::OutOfRange {
                 option: "repeat",
                 value: self.repeat.into(),
             });
@@ -75,22 +75,22 @@
     }
 }
 
-/// Why no plan can be built.
+/// An error of building a plan.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// An option is outside its bounds.
-    #[error("{option}: {value} lies outside its bounds")]
-    OutOfBounds {
+    /// An option is out of range.
+    #[error("{option}: {value} is out of range")]
+    OutOfRange {
         /// Name of the option.
         option: &'static str,
         /// Its value.
         value: f64,
     },
-    /// The replayed interval contains no request.
-    #[error("no request lies in that time")]
+    /// The replayed interval contains no requests.
+    #[error("the selected interval contains no requests")]
     NoRequests,
     /// The plan would exceed [`Options::max_requests`].
-    #[error("more than {limit} requests")]
+    #[error("the plan would have more than {limit} requests")]
     TooManyRequests {
         /// The largest number of requests.
         limit: usize,
@@ -110,7 +110,7 @@
     pub duration: Nanos,
     /// In a causal replay, the delay after the preceding response on its connection.
     pub delay_after_response: Option<Nanos>,
-    /// Number of the copy of the recording that it belongs to; 0 is the recording itself.
+    /// Number of the copy of the recording that it belongs to; 0 is the first one.
     pub copy: u64,
 }
 
@@ -140,7 +140,7 @@
     /// Builds the schedule. `opened` holds the capture times at which connections were opened, where known.
     ///
     /// # Errors
-    /// An option is outside its bounds, the interval contains no request, or there are too many requests.
+    /// Returns an error if an option is out of range, the interval contains no requests, or there are too many requests.
     pub fn build(
         recorded: &[RecordedRequest],
         opened: &BTreeMap<u64, u64>,
@@ -232,7 +232,7 @@
         Ok(Selection {
             by_connection,
             start,
-            // The lead time keeps rounds from overlapping.
+            // The lead time prevents rounds from overlapping.
             round_duration: options.scale(end - start) + CONNECT_LEAD_TIME,
         })
     }
@@ -263,12 +263,12 @@
         Ok(())
     }
 
-    /// Chooses how often a connection is replayed in a round. Connections are taken whole: a part of one would be
-    /// another conversation.
+    /// Chooses how often a connection is replayed in a round. Connections are dropped or copied as a whole, because
+    /// a part of one would not be the recorded sequence of requests.
     fn choose_copies(&mut self) -> u64 {
         let load = self.options.load;
-        let whole = load.floor();
-        whole as u64 + u64::from(self.rng.random::<f64>() < load - whole)
+        let min_copies = load.floor();
+        min_copies as u64 + u64::from(self.rng.random::<f64>() < load - min_copies)
     }
 
     fn choose_offset(&mut self, copy: u64) -> Nanos {
@@ -300,7 +300,7 @@
             let request = &self.recorded[index];
             let first_byte_at = self.replay_time(request.first_byte_at, offset);
             let last_byte_at = request.last_byte_at.max(request.first_byte_at);
-            // Bytes may have been captured out of order; the order on the connection is kept.
+            // Bytes may have been captured out of order; the sending order on the connection is preserved.
             earliest = first_byte_at.max(earliest);
             self.plan.requests.push(PlannedRequest {
                 recorded: index,
@@ -319,16 +319,16 @@
         });
     }
 
-    /// Returns the delay that a causal replay keeps. A client that sent before the response was complete cannot
-    /// have waited for it.
+    /// Returns the delay after the preceding response in a causal replay. `None` if the client sent the request before
+    /// that response was complete, because it then cannot have waited for it.
     fn delay_after_response(
         &self,
         previous: Option<&RecordedRequest>,
         request: &RecordedRequest,
     ) -> Option<Nanos> {
         let response = previous?.response.as_ref()?;
-        let waited = self.options.causal && response.last_byte_at <= request.first_byte_at;
-        waited.then(|| {
+        let has_waited = self.options.causal && response.last_byte_at <= request.first_byte_at;
+        has_waited.then(|| {
             self.options
                 .scale(request.first_byte_at - response.last_byte_at)
         })
--- a/crates/heathspur-replay/src/renew.rs
+++ b/crates/heathspur-replay/src/renew.rs
@@ -1,7 +1,8 @@
-//! Fresh IDs, keys and time stamps for requests that are sent again: a server rejects old ones.
+//! Fresh IDs, keys and time stamps for replayed requests, because a server rejects the recorded ones.
 //!
-//! The caller names the header fields whose values are replaced. Everything else stays byte for byte. Requests that
-//! share a key share the fresh one within one copy of the recording, so retries stay retries; copies share no key.
+//! The caller names the header fields whose values are replaced; all other bytes are unchanged. Requests recorded
+//! with the same key get the same fresh key within one copy of the recording, so that retries remain retries.
+//! Different copies never share a key.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use heathspur_wire::http::{parse_decimal, Fields};
@@ -11,17 +12,18 @@
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 /// Spare capacity for time stamps that have more digits than the recorded ones.
 const SPARE_BYTES: usize = 16;
-/// Hexadecimal digits of 64 bits.
+/// Number of hexadecimal digits of 64 bits.
 const DIGITS_PER_BLOCK: usize = 16;
 
 /// Names of the header fields whose values are replaced; an empty name stands for none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldNames {
-    /// The ID of an attempt: fresh for each request, with as many hexadecimal digits as recorded.
+    /// The ID of an attempt: a new one for each request, with as many hexadecimal digits as the recorded value.
     pub attempt_id: String,
-    /// The idempotency key: with as many hexadecimal digits as recorded.
+    /// The idempotency key: the new one has as many hexadecimal digits as the recorded value.
     pub idempotency_key: String,
-    /// The ingress time in Unix milliseconds: as long before the sending time as recorded.
+    /// The ingress time in Unix milliseconds: the new one is as long before the sending time as it was recorded
+    /// before the first byte.
     pub ingress_time: String,
 }
 
@@ -54,7 +56,7 @@
     pub copy: u64,
 }
 
-/// When a request was recorded and is sent.
+/// Recorded time and sending time of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTimes {
     /// Capture time of its first byte, in Unix nanoseconds.
@@ -86,22 +88,22 @@
     ) -> (Bytes, RenewedValues) {
         let mut renewed = RenewedValues::default();
         let mut output = BytesMut::with_capacity(bytes.len() + SPARE_BYTES);
-        let mut copied_to = 0;
+        let mut copied_end = 0;
         let base = bytes.as_ptr() as usize;
         for (name, value) in Fields::over(&bytes[fields]).filter_map(Result::ok) {
             let Some(fresh) = self.fresh_value(name, value, request, times, &mut renewed) else {
                 continue;
             };
             let start = value.as_ptr() as usize - base;
-            output.put_slice(&bytes[copied_to..start]);
+            output.put_slice(&bytes[copied_end..start]);
             output.put_slice(fresh.as_bytes());
-            copied_to = start + value.len();
+            copied_end = start + value.len();
         }
-        output.put_slice(&bytes[copied_to..]);
+        output.put_slice(&bytes[copied_end..]);
         (output.freeze(), renewed)
     }
 
-    /// Returns the fresh value of a field, and counts it; `None` if the field keeps its value.
+    /// Returns the fresh value of a field and counts it, or `None` if the value is not replaced.
     fn fresh_value(
         &self,
         name: &[u8],
@@ -110,18 +112,19 @@
         times: RequestTimes,
         renewed: &mut RenewedValues,
     ) -> Option<String> {
-        let is = |known: &str| !known.is_empty() && name.eq_ignore_ascii_case(known.as_bytes());
-        if is(&self.names.attempt_id) {
+        let is_field =
+            |field: &str| !field.is_empty() && name.eq_ignore_ascii_case(field.as_bytes());
+        if is_field(&self.names.attempt_id) {
             renewed.ids += 1;
             let block = |block| hash((self.seed, "id", request.index, block));
             return Some(hexadecimal_digits(value.len(), block));
         }
-        if is(&self.names.idempotency_key) {
+        if is_field(&self.names.idempotency_key) {
             renewed.keys += 1;
             let block = |block| hash((self.seed, "key", request.copy, value, block));
             return Some(hexadecimal_digits(value.len(), block));
         }
-        if !is(&self.names.ingress_time) {
+        if !is_field(&self.names.ingress_time) {
             return None;
         }
         let ingress_ms = parse_decimal(value)?;
@@ -132,7 +135,7 @@
     }
 }
 
-/// Returns `count` hexadecimal digits from numbered blocks of 64 bits.
+/// Returns `count` hexadecimal digits; `block` returns 64 bits by block index.
 fn hexadecimal_digits(count: usize, block: impl Fn(u64) -> u64) -> String {
     let mut digits = String::with_capacity(count + DIGITS_PER_BLOCK);
     let mut index = 0;
@@ -145,7 +148,7 @@
 }
 
 fn hash(value: impl Hash) -> u64 {
-    // The keys of this hasher are fixed, so the same seed gives the same replay.
+    // The hasher has fixed keys, so the same seed gives the same values in each replay.
     let mut hasher = DefaultHasher::new();
     value.hash(&mut hasher);
     hasher.finish()
--- a/crates/heathspur-replay/src/runner.rs
+++ b/crates/heathspur-replay/src/runner.rs
@@ -1,8 +1,9 @@
-//! State machine of a replay: when connections are opened and closed, and when requests are sent or given up.
+//! State machine of a replay: decides when connections are opened and closed, and when requests are sent or skipped.
 //!
-//! A connection is `Disconnected`, `Connecting`, `Connected` or `BackingOff` before it reconnects. The caller passes
-//! in events with their times, takes out actions, and calls [`Runner::poll`] no later than [`Runner::next_timer_at`].
-//! A request that was written is never written again, because it may have run.
+//! A connection is `Disconnected`, `Connecting`, `Connected`, or `BackingOff` before it reconnects. The caller passes
+//! events with their times to [`Runner::on_event`], calls [`Runner::poll`] no later than [`Runner::next_timer_at`], and
+//! executes the actions that it returns. A request that was sent is never sent again, because the server may have
+//! executed it.
 
 use crate::connection::{Connection, ConnectionState, IdleKey};
 use crate::event::{Action, ConnectFailure, Event};
@@ -17,18 +18,18 @@
 
 /// A connection is opened this long before its next request is due.
 const CONNECT_LEAD_TIME: Nanos = 20_000_000;
-/// While all connections are in use, one that needs to be opened checks again after this time.
+/// Interval at which a connection that must be opened is checked again while the limit on connections is reached.
 const CAPACITY_CHECK_INTERVAL: Nanos = 5_000_000;
-/// Keeps the doubling of the backoff from overflowing.
+/// Prevents overflow when the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// Something may be due on a connection.
+    /// A connection must be checked for due requests.
     Check(usize),
-    /// A connection may be opened again.
+    /// The backoff of a connection has ended.
     Reconnect(usize),
-    /// A request should have been answered.
+    /// The response timeout of a request has expired.
     ResponseTimeout(usize),
 }
 
@@ -44,7 +45,7 @@
     /// Connections that are being opened or are open.
     open_connections: usize,
     in_flight: usize,
-    /// Requests that have not ended.
+    /// Requests whose state is pending.
     remaining: usize,
     rng: StdRng,
     counts: Counts,
@@ -52,7 +53,7 @@
 }
 
 impl<'a> Runner<'a> {
-    /// Creates a replay that has not begun.
+    /// Creates the runner of a replay that has not started.
     pub fn new(plan: &'a Plan, limits: Limits, seed: u64) -> Runner<'a> {
         let pending = |request: &PlannedRequest| Outcome {
             intended_at: request.send_at,
@@ -82,22 +83,22 @@
         }
     }
 
-    /// Whether every request has ended.
+    /// Returns whether every request has ended.
     pub fn is_done(&self) -> bool {
         self.remaining == 0
     }
 
-    /// When [`Runner::poll`] must be called at the latest.
+    /// Returns the latest time at which [`Runner::poll`] must be called.
     pub fn next_timer_at(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Outcome of each request, by its index in the plan.
+    /// Returns the outcome of each request, by its index in the plan.
     pub fn outcomes(&self) -> &[Outcome] {
         &self.outcomes
     }
 
-    /// Counts so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Runs the timers that have expired, and appends the actions since the last call.
+    /// Handles the expired timers, and appends all actions since the last call to `actions`.
     pub fn poll(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         while let Some(Reverse((at, timer))) = self.timers.peek().copied() {
             if at > now {
@@ -158,8 +159,8 @@
         }
     }
 
-    /// The next request of a connection, and when it is due. `None` at the end, and while the request waits for a
-    /// response.
+    /// Returns the next request of a connection and when it is due. `None` if all requests were sent or skipped, or
+    /// while the next one waits for a response.
     fn next_due(&self, connection: usize) -> Option<(usize, Nanos)> {
         let planned = &self.plan.connections[connection];
         let state = &self.connections[connection];
@@ -176,7 +177,7 @@
         Some((index, due_at.max(planned.open_at)))
     }
 
-    /// Sends what is due on a connection, opens it if it is needed soon, and closes it if it is not needed any more.
+    /// Sends the due requests of a connection, opens it if a request is due soon, and closes it after the last one.
     fn check(&mut self, now: Nanos, connection: usize) {
         self.set_idle(connection, None);
         while let Some((request, due_at)) = self.next_due(connection) {
@@ -194,7 +195,7 @@
                 self.prepare_connection(now, connection, due_at);
                 return;
             } else if self.in_flight >= self.limits.max_in_flight {
-                self.skip(connection, request, NotSentReason::Budget);
+                self.skip(connection, request, NotSentReason::InFlightLimit);
             } else {
                 self.send(now, connection, request);
             }
@@ -202,7 +203,7 @@
         self.close_if_finished(connection);
     }
 
-    /// Gets a connection ready for a request that cannot be sent yet.
+    /// Prepares a connection for a request that cannot be sent yet.
     fn prepare_connection(&mut self, now: Nanos, connection: usize, due_at: Nanos) {
         let connect_at = due_at.saturating_sub(CONNECT_LEAD_TIME);
         match self.connections[connection].state {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Marks a connection as idle until a time, or as in use.
+    /// Marks a connection as idle until a time, or as in use if that is `None`.
     fn set_idle(&mut self, connection: usize, until: Option<Nanos>) {
         let key = until.map(|until| (Reverse(until), connection));
         let previous = std::mem::replace(&mut self.connections[connection].idle_key, key);
@@ -284,12 +285,12 @@
         self.actions.push(Action::Connect(connection));
     }
 
-    /// Closes the idle connection that is needed last; it is opened again in time. One that is needed soon stays,
-    /// since reopening it would only move the shortage.
+    /// Closes the idle connection whose next request is due last; it is opened again in time for that request. A
+    /// connection that is needed soon is not closed, since reopening it would require another eviction.
     fn evict_idle(&mut self, now: Nanos) -> bool {
-        let needed_last = self.idle.first().copied();
+        let last_due = self.idle.first().copied();
         let Some((Reverse(until), connection)) =
-            needed_last.filter(|(Reverse(until), _)| *until > now + 2 * CONNECT_LEAD_TIME)
+            last_due.filter(|(Reverse(until), _)| *until > now + 2 * CONNECT_LEAD_TIME)
         else {
             return false;
         };
@@ -328,7 +329,7 @@
         self.counts.connect_failures += 1;
         self.open_connections -= 1;
         if failure == ConnectFailure::Exhausted {
-            // The limit on connections is above what the machine has.
+            // The limit on connections exceeds the file descriptors or ports that are available.
             self.evict_idle(now);
         }
         let delay = self.next_backoff(connection);
@@ -362,7 +363,7 @@
         self.connections[connection].last_response_at = Some(now);
         self.finish(request, answered);
         if close && self.connections[connection].state == ConnectionState::Connected {
-            // Requests written behind it will not be answered.
+            // Requests sent after it on this connection will not be answered.
             self.lose_in_flight(connection);
             self.close(connection);
         }
@@ -385,7 +386,7 @@
         }
     }
 
-    /// Ends the requests in flight on a connection without an answer.
+    /// Ends the requests in flight on a connection as unanswered.
     fn lose_in_flight(&mut self, connection: usize) {
         for request in std::mem::take(&mut self.connections[connection].in_flight) {
             self.in_flight -= 1;
@@ -403,7 +404,7 @@
         state.in_flight.retain(|in_flight| *in_flight != request);
         self.in_flight -= 1;
         self.finish(request, RequestState::TimedOut);
-        // A late response could not be distinguished from the next request's.
+        // A late response could not be distinguished from the response to the next request.
         self.lose_in_flight(connection);
         self.close(connection);
         self.check(now, connection);
--- a/crates/heathspur-replay/tests/plan.rs
+++ b/crates/heathspur-replay/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans, and fresh IDs, keys and time stamps.
+//! Tests of plans and of the renewal of IDs, keys and time stamps.
 
 mod common;
 use bytes::Bytes;
@@ -22,18 +22,19 @@
     Plan::build(&recording(), &BTreeMap::new(), options).unwrap()
 }
 
-fn times(plan: &Plan) -> Vec<(usize, u64)> {
+/// Returns the recorded index and the send time in milliseconds of each request.
+fn send_times(plan: &Plan) -> Vec<(usize, u64)> {
     plan.requests
         .iter()
-        .map(|send| (send.recorded, send.send_at / MS))
+        .map(|request| (request.recorded, request.send_at / MS))
         .collect()
 }
 
 #[test]
-fn the_default_plan_keeps_the_recorded_schedule() {
+fn default_plan_has_recorded_schedule() {
     let plan = build(&Options::default());
     assert_eq!(
-        times(&plan),
+        send_times(&plan),
         [(0, 0), (2, 50), (1, 100), (3, 110), (4, 1000)]
     );
     assert_eq!(plan.connections.len(), 2);
@@ -43,13 +44,13 @@
     assert!(plan
         .requests
         .iter()
-        .all(|send| send.delay_after_response.is_none()));
+        .all(|request| request.delay_after_response.is_none()));
 }
 
 #[test]
 fn speed_scales_all_times() {
     assert_eq!(
-        times(&build(&Options {
+        send_times(&build(&Options {
             speed: 10.0,
             ..Options::default()
         })),
@@ -66,38 +67,38 @@
 }
 
 #[test]
-fn a_selected_interval_starts_at_once() {
+fn selected_interval_starts_at_time_zero() {
     let options = Options {
         from: 60 * MS,
         to: Some(1000 * MS),
         ..Options::default()
     };
-    assert_eq!(times(&build(&options)), [(1, 0), (3, 10)]);
-    let nothing = Options {
+    assert_eq!(send_times(&build(&options)), [(1, 0), (3, 10)]);
+    let empty_interval = Options {
         from: 5000 * MS,
         ..Options::default()
     };
     assert_eq!(
-        Plan::build(&recording(), &BTreeMap::new(), &nothing),
+        Plan::build(&recording(), &BTreeMap::new(), &empty_interval),
         Err(Error::NoRequests)
     );
 }
 
 #[test]
-fn a_causal_plan_waits_only_for_responses_received_before_the_request() {
+fn causal_plan_waits_only_for_responses_received_before_request() {
     let plan = build(&Options {
         causal: true,
         speed: 2.0,
         ..Options::default()
     });
-    let waits: Vec<_> = plan
+    let delays_ms: Vec<_> = plan
         .requests
         .iter()
-        .map(|send| send.delay_after_response.map(|wait| wait / MS))
+        .map(|request| request.delay_after_response.map(|delay| delay / MS))
         .collect();
-    // The second request of connection 1 came 70 ms after the answer to the first; the third came before the
-    // answer to the second, so its client did not wait.
-    assert_eq!(waits, [None, None, Some(35), None, None]);
+    // The second request of connection 1 was sent 70 ms after the first response; the third was sent before the
+    // second response, so the client did not wait for it.
+    assert_eq!(delays_ms, [None, None, Some(35), None, None]);
 }
 
 #[test]
@@ -108,27 +109,27 @@
     });
     assert!(plan.has_copies);
     assert_eq!((plan.requests.len(), plan.connections.len()), (15, 6));
-    let round = |copy: u64| {
+    let times_of_copy = |copy: u64| {
         plan.requests
             .iter()
-            .filter(move |send| send.copy == copy)
-            .map(|send| send.send_at)
+            .filter(move |request| request.copy == copy)
+            .map(|request| request.send_at)
     };
     for copy in 1..3 {
-        assert!(round(copy).min() > round(copy - 1).max());
-        let shift = round(copy).min().unwrap();
-        assert!(round(copy)
-            .zip(round(0))
-            .all(|(late, first)| late - shift == first));
+        assert!(times_of_copy(copy).min() > times_of_copy(copy - 1).max());
+        let offset = times_of_copy(copy).min().unwrap();
+        assert!(times_of_copy(copy)
+            .zip(times_of_copy(0))
+            .all(|(copied, first)| copied - offset == first));
     }
 }
 
 #[test]
-fn load_drops_or_copies_whole_connections() {
-    let many: Vec<RecordedRequest> = (0..400)
+fn load_factor_drops_or_copies_complete_connections() {
+    let recorded: Vec<RecordedRequest> = (0..400)
         .flat_map(|c| [request(c, c, "k", None), request(c, c + 9, "k", None)])
         .collect();
-    for (load, least, most) in [
+    for (load, min_connections, max_connections) in [
         (0.25, 70, 130),
         (1.0, 400, 400),
         (2.5, 950, 1050),
@@ -138,9 +139,9 @@
             load,
             ..Options::default()
         };
-        let plan = Plan::build(&many, &BTreeMap::new(), &options).unwrap();
+        let plan = Plan::build(&recorded, &BTreeMap::new(), &options).unwrap();
         assert!(
-            (least..=most).contains(&plan.connections.len()),
+            (min_connections..=max_connections).contains(&plan.connections.len()),
             "{load}: {}",
             plan.connections.len()
         );
@@ -151,13 +152,13 @@
         assert_eq!(plan.has_copies, load > 1.0);
         assert_eq!(
             plan,
-            Plan::build(&many, &BTreeMap::new(), &options).unwrap()
+            Plan::build(&recorded, &BTreeMap::new(), &options).unwrap()
         );
     }
 }
 
 #[test]
-fn connections_open_as_recorded_and_never_after_their_first_request() {
+fn connections_open_as_recorded_and_never_after_first_request() {
     let opened = BTreeMap::from([(1, START), (2, START + 20 * MS)]);
     let plan = Plan::build(
         &recording(),
@@ -175,44 +176,44 @@
             .collect::<Vec<_>>(),
         [0, 10]
     );
-    let late = BTreeMap::from([(2, START + 70 * MS)]);
-    let plan = Plan::build(&recording(), &late, &Options::default()).unwrap();
+    let opened_late = BTreeMap::from([(2, START + 70 * MS)]);
+    let plan = Plan::build(&recording(), &opened_late, &Options::default()).unwrap();
     assert_eq!(plan.connections[1].open_at / MS, 50);
 }
 
 #[test]
-fn options_outside_their_bounds_are_rejected() {
-    let fault =
+fn options_out_of_range_are_rejected() {
+    let error =
         |options: Options| Plan::build(&recording(), &BTreeMap::new(), &options).unwrap_err();
     assert_eq!(
-        fault(Options {
+        error(Options {
             speed: 0.0,
             ..Options::default()
         }),
-        Error::OutOfBounds {
+        Error::OutOfRange {
             option: "speed",
             value: 0.0
         }
     );
     assert!(matches!(
-        fault(Options {
+        error(Options {
             load: f64::NAN,
             ..Options::default()
         }),
-        Error::OutOfBounds { option: "load", .. }
+        Error::OutOfRange { option: "load", .. }
     ));
     assert_eq!(
-        fault(Options {
+        error(Options {
             repeat: 0,
             ..Options::default()
         }),
-        Error::OutOfBounds {
+        Error::OutOfRange {
             option: "repeat",
             value: 0.0
         }
     );
     assert_eq!(
-        fault(Options {
+        error(Options {
             max_requests: 4,
             ..Options::default()
         }),
@@ -224,17 +225,18 @@
     );
 }
 
-fn renewed(n: usize, index: u64, copy: u64) -> (Bytes, RenewedValues) {
+/// Renews the recorded request at `recorded_index`.
+fn renewed(recorded_index: usize, index: u64, copy: u64) -> (Bytes, RenewedValues) {
     let names = FieldNames {
         attempt_id: "x-txn".into(),
         idempotency_key: "X-Txn-Key".into(),
         ingress_time: "X-Ingress-Time".into(),
     };
-    let request = &recording()[n];
+    let request = &recording()[recorded_index];
     let end = request
         .bytes
         .windows(4)
-        .position(|four| four == b"\r\n\r\n")
+        .position(|window| window == b"\r\n\r\n")
         .unwrap()
         + 2;
     let fields = request.bytes.iter().position(|b| *b == b'\n').unwrap() + 1..end;
@@ -257,8 +259,8 @@
 }
 
 #[test]
-fn renewed_requests_have_fresh_ids_and_share_keys_within_a_copy_only() {
-    let (one, values) = renewed(0, 0, 0);
+fn renewed_requests_have_fresh_ids_and_share_keys_only_within_copy() {
+    let (first, values) = renewed(0, 0, 0);
     assert_eq!(
         values,
         RenewedValues {
@@ -268,16 +270,16 @@
         }
     );
     // Requests 0 and 2 were recorded with the same key.
-    let (repeat, other, copy) = (renewed(2, 1, 0).0, renewed(1, 2, 0).0, renewed(0, 3, 1).0);
+    let (retry, other, copy) = (renewed(2, 1, 0).0, renewed(1, 2, 0).0, renewed(0, 3, 1).0);
     let key = |bytes: &Bytes| field(bytes, "X-Txn-Key");
-    assert_eq!(key(&one), key(&repeat));
-    assert_ne!(key(&one), key(&other));
-    assert_ne!(key(&one), key(&copy));
-    let ids = [&one, &repeat, &other, &copy].map(|bytes| field(bytes, "X-Txn"));
+    assert_eq!(key(&first), key(&retry));
+    assert_ne!(key(&first), key(&other));
+    assert_ne!(key(&first), key(&copy));
+    let ids = [&first, &retry, &other, &copy].map(|bytes| field(bytes, "X-Txn"));
     let distinct: std::collections::BTreeSet<_> = ids.iter().collect();
     assert!(distinct.len() == 4 && ids.iter().all(|id| id.len() == 16));
-    // It was recorded 7 ms after its stamp, and is so again.
-    assert_eq!(field(&one, "X-Ingress-Time"), "1799999999993");
-    assert!(one.ends_with(b"Content-Length: 4\r\n\r\nbody"));
-    assert_eq!(renewed(0, 0, 0).0, one);
+    // The ingress time is 7 ms before the sending time, as recorded.
+    assert_eq!(field(&first, "X-Ingress-Time"), "1799999999993");
+    assert!(first.ends_with(b"Content-Length: 4\r\n\r\nbody"));
+    assert_eq!(renewed(0, 0, 0).0, first);
 }
--- a/crates/heathspurctl/src/error.rs
+++ b/crates/heathspurctl/src/error.rs
@@ -12,7 +12,7 @@
 /// A capture is damaged.
 const EXIT_DAMAGED: u8 = 3;
 
-/// Why a command failed.
+/// An error of a command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A file cannot be read or written.
@@ -33,17 +33,19 @@
         damage: FileError,
     },
     /// The requests of a capture exceed the limit on loaded bytes.
-    #[error("{}: {bytes} bytes of requests, {limit} at most; see --most-bytes", path.display())]
+    #[error("{}: the requests total {bytes} bytes, more than the limit of {limit} bytes (see --most-bytes)", path.display())]
     CaptureTooLarge {
         /// The capture.
         path: PathBuf,
-        /// Bytes of its requests.
+        /// Total size of its requests, in bytes.
         bytes: u64,
-        /// Largest number of bytes.
+        /// Largest total size, in bytes.
         limit: u64,
     },
-    /// A replay with copies was requested without fresh IDs and keys.
-    #[error("--loop and --scale-load above 1 send requests more than once, which needs --renew")]
+    /// Requests would be sent more than once with the same IDs and keys.
+    #[error(
+        "--loop and --scale-load above 1 send requests more than once, which requires --renew"
+    )]
     RenewRequired,
     /// A capture cannot be replayed with the given options.
     #[error("{}: {source}", path.display())]
@@ -55,18 +57,18 @@
         source: heathspur_replay::plan::Error,
     },
     /// The responses to a replay violate a rule of the service.
-    #[error("a rule is broken: see late, extra answers and keys above")]
+    #[error("the responses violate a rule of the service: see `late`, `answers to nothing` and `keys with two results` above")]
     ReplayViolatesRules,
     /// A replay lost requests.
-    #[error("not every request was sent and answered")]
+    #[error("some requests were not sent or not answered")]
     ReplayIncomplete,
-    /// A load lost requests, or repeated requests got different results.
-    #[error("{unanswered} requests without an answer, {differing} repeats with another result")]
+    /// A load lost requests, or retries got different results.
+    #[error("{unanswered} requests without a response, {mismatched_retries} retries with a different result")]
     LoadFailed {
         /// Requests without an answer.
         unanswered: u64,
-        /// Repeated requests whose result differs from the first one.
-        differing: u64,
+        /// Retries whose result differs from that of the first attempt.
+        mismatched_retries: u64,
     },
     /// The plan of a load or an experiment cannot be used.
     #[error(transparent)]
@@ -82,7 +84,7 @@
         /// Place and reason.
         reason: String,
     },
-    /// A daemon did not report its membership view.
+    /// A daemon did not return its membership view.
     #[error("{address}: the daemon does not tell its view: {source}")]
     MembershipView {
         /// Address of the daemon.
--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment in the emulator, by a plan: a table, a report, charts.
+//! `experiment`: runs a plan in the emulator and reports the outcomes of its faults.
 
 use crate::charts;
 use crate::error::Error;
@@ -10,21 +10,21 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What to play.
+/// Options of the command.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The plan: a fleet, faults at their times, seeds.
+    /// Path of the plan, an XML file with the fleet, the faults and the number of seeds
     #[arg(required_unless_present = "schema")]
     plan: Option<PathBuf>,
-    /// Write report.json and the charts into this folder.
+    /// Write report.json and charts into this folder, which is created if it does not exist
     #[arg(long, value_name = "FOLDER")]
     report: Option<PathBuf>,
-    /// Print the plan's schema and do nothing else.
+    /// Print the schema of the plan and exit
     #[arg(long)]
     schema: bool,
 }
 
-/// Plays the plan and tells what came of it.
+/// Runs the plan, prints a summary and writes the report.
 pub fn run(options: &Options) -> Result<(), Error> {
     let Some(file) = options.plan.as_ref().filter(|_| !options.schema) else {
         print!("{SCHEMA}");
@@ -32,9 +32,9 @@
     };
     let plan = Plan::read(file).map_err(Error::Plan)?;
     let runs = experiment::run(&plan);
-    print(&plan, &runs);
+    print_summary(&plan, &runs);
     if let Some(folder) = &options.report {
-        write(folder, &plan, &runs).map_err(|source| Error::File {
+        write_report(folder, &plan, &runs).map_err(|source| Error::File {
             path: folder.clone(),
             source,
         })?;
@@ -42,20 +42,23 @@
     Ok(())
 }
 
-fn seconds(time: Option<u64>) -> String {
-    time.map_or("not always".to_string(), |ms| {
+/// Formats a time in milliseconds as seconds; `None` means that it was infinite.
+fn format_seconds(time_ms: Option<u64>) -> String {
+    time_ms.map_or("not always".to_string(), |ms| {
         format!("{:.2} s", ms as f64 / 1e3)
     })
 }
 
-/// The outcomes of one fault over all runs.
-fn of_fault(runs: &[Run], nth: usize) -> impl Iterator<Item = &FaultOutcome> + Clone {
-    runs.iter().filter_map(move |run| run.outcomes.get(nth))
+/// Returns the outcomes of one fault in all runs, by its index in the outcomes of a run.
+fn outcomes_of_fault(runs: &[Run], index: usize) -> impl Iterator<Item = &FaultOutcome> + Clone {
+    runs.iter().filter_map(move |run| run.outcomes.get(index))
 }
 
-type Part = fn(&FaultOutcome) -> Option<u64>;
+/// Returns a time of an outcome, in milliseconds after the fault.
+type TimeMetric = fn(&FaultOutcome) -> Option<u64>;
 
-const PARTS: [(&str, Part); 5] = [
+/// The reported times of a fault, by their names in the report.
+const TIME_METRICS: [(&str, TimeMetric); 5] = [
     ("noticed", |outcome| outcome.suspected_ms),
     ("first", |outcome| outcome.first_ms),
     ("most", |outcome| outcome.most_ms),
@@ -63,7 +66,7 @@
     ("settled", |outcome| outcome.converged_ms),
 ];
 
-fn print(plan: &Plan, runs: &[Run]) {
+fn print_summary(plan: &Plan, runs: &[Run]) {
     println!(
         "{} members, {} plays of {:.0} s each, emulated",
         plan.members,
@@ -84,7 +87,7 @@
         "one view p50",
         "p99",
     ]);
-    for (nth, outcome) in runs
+    for (index, outcome) in runs
         .first()
         .map_or(&[][..], |run| &run.outcomes)
         .iter()
@@ -98,33 +101,36 @@
         };
         let mut row = vec![name];
         let stops_member = outcome.stops_member();
-        for (at, (_, part)) in PARTS.iter().enumerate() {
+        for (metric_index, (_, metric)) in TIME_METRICS.iter().enumerate() {
+            // Faults that stop no member have only the last metric, the time until all views agree.
+            let applies = stops_member || metric_index + 1 == TIME_METRICS.len();
             for q in [0.5, 0.99] {
-                let applies = stops_member || at + 1 == PARTS.len();
-                let value = seconds(quantile(of_fault(runs, nth).map(part), q));
+                let times = outcomes_of_fault(runs, index).map(metric);
+                let value = format_seconds(quantile(times, q));
                 row.push(if applies { value } else { "-".to_string() });
             }
         }
         table.add_row(row);
     }
     println!("{table}");
-    let sum = summary(runs);
+    let totals = summary(runs);
     println!(
         "false deaths: {} in {:.1} member-hours",
-        sum["false_deaths"],
-        sum["member_hours"].as_f64().unwrap_or(0.0)
+        totals["false_deaths"],
+        totals["member_hours"].as_f64().unwrap_or(0.0)
     );
     println!(
         "sent by a member a second: {:.1} datagrams, {:.0} bytes ({:.0} by the busiest)",
-        sum["datagrams"].as_f64().unwrap_or(0.0),
-        sum["bytes"].as_f64().unwrap_or(0.0),
-        sum["most_bytes"].as_f64().unwrap_or(0.0)
+        totals["datagrams"].as_f64().unwrap_or(0.0),
+        totals["bytes"].as_f64().unwrap_or(0.0),
+        totals["most_bytes"].as_f64().unwrap_or(0.0)
     );
 }
 
+/// Returns the totals and means over all runs, by their names in the report.
 fn summary(runs: &[Run]) -> Value {
     let mean =
-        |part: fn(&Run) -> f64| runs.iter().map(part).sum::<f64>() / runs.len().max(1) as f64;
+        |value: fn(&Run) -> f64| runs.iter().map(value).sum::<f64>() / runs.len().max(1) as f64;
     json!({
         "false_deaths": runs.iter().map(|run| run.false_deaths).sum::<u64>(),
         "member_hours": runs.iter().map(|run| run.member_hours).sum::<f64>(),
@@ -132,41 +138,48 @@
     })
 }
 
-fn write(folder: &Path, plan: &Plan, runs: &[Run]) -> io::Result<()> {
+/// Writes `report.json` and the charts.
+fn write_report(folder: &Path, plan: &Plan, runs: &[Run]) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let outcomes: Vec<Value> = (0..runs.first().map_or(0, |run| run.outcomes.len()))
-        .map(|nth| {
-            let mut times =
-                json!({"fault": runs[0].outcomes[nth].fault, "kind": runs[0].outcomes[nth].kind});
-            for (name, part) in PARTS {
-                let at = |q| quantile(of_fault(runs, nth).map(part), q);
-                times[format!("{name}_ms")] = json!({"p50": at(0.5), "p99": at(0.99)});
+        .map(|index| {
+            let first = &runs[0].outcomes[index];
+            let mut outcome = json!({"fault": first.fault, "kind": first.kind});
+            for (name, metric) in TIME_METRICS {
+                let time_ms = |q| quantile(outcomes_of_fault(runs, index).map(metric), q);
+                outcome[format!("{name}_ms")] = json!({"p50": time_ms(0.5), "p99": time_ms(0.99)});
             }
-            times
+            outcome
         })
         .collect();
-    let all = json!({"members": plan.members, "summary": summary(runs), "courses": outcomes, "plays": runs});
-    std::fs::write(folder.join("report.json"), format!("{all:#}\n"))?;
-    let mean = |part: fn(&ViewSample) -> f64| -> Vec<(f64, f64)> {
+    let report = json!({"members": plan.members, "summary": summary(runs), "courses": outcomes, "plays": runs});
+    std::fs::write(folder.join("report.json"), format!("{report:#}\n"))?;
+    // The mean of a value over all runs, for each second.
+    let mean_curve = |value: fn(&ViewSample) -> f64| -> Vec<(f64, f64)> {
         let seconds = runs.iter().map(|run| run.samples.len()).min().unwrap_or(0);
-        let at = |s: usize| {
-            runs.iter().map(|run| part(&run.samples[s])).sum::<f64>() / runs.len() as f64
+        let mean = |second: usize| {
+            let values = runs.iter().map(|run| value(&run.samples[second]));
+            values.sum::<f64>() / runs.len() as f64
         };
-        (0..seconds).map(|s| (s as f64 + 1.0, at(s))).collect()
+        (0..seconds)
+            .map(|second| (second as f64 + 1.0, mean(second)))
+            .collect()
     };
-    let wrong = [(
-        "in the mean of all plays",
-        mean(|sample| sample.wrong_share * 100.0),
+    let wrong_views = [(
+        "mean of all runs",
+        mean_curve(|sample| sample.wrong_share * 100.0),
     )];
-    let title = "What members hold of each other that is not so";
-    charts::lines(
+    charts::line_chart(
         &folder.join("views.svg"),
-        title,
+        "Wrong entries in the views of members",
         ("second", "% of pairs"),
-        &wrong,
+        &wrong_views,
     )?;
-    let traffic = [("sent by a member", mean(|sample| sample.bytes_per_member))];
-    charts::lines(
+    let traffic = [(
+        "sent by a member",
+        mean_curve(|sample| sample.bytes_per_member),
+    )];
+    charts::line_chart(
         &folder.join("traffic.svg"),
         "Bytes a member a second",
         ("second", "bytes"),
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -19,13 +19,13 @@
     pub fields: Vec<Range<usize>>,
     /// Capture times at which connections were opened.
     pub opened: BTreeMap<u64, u64>,
-    /// Bytes sent by clients that belong to no complete request, by cause.
-    pub passed: BTreeMap<Cause, u64>,
-    /// Counts of the capture's reader.
+    /// Bytes sent by clients that were skipped because they belong to no complete request, by cause.
+    pub skipped_bytes: BTreeMap<Cause, u64>,
+    /// Counts from reading the capture.
     pub tally: Tally,
 }
 
-/// Loads a capture whose requests have at most `limit` bytes.
+/// Loads the requests of a capture, which may total at most `limit` bytes.
 pub fn load(options: &CaptureOptions, limit: u64) -> Result<Loaded, Error> {
     let mut loader = Loader {
         loaded: Loaded::default(),
@@ -47,12 +47,18 @@
 }
 
 impl Loaded {
-    /// Sorts by the first byte; the reader returns requests in the order of their last bytes.
+    /// Sorts the requests by their first bytes, because the pipeline returns them in the order of their last bytes.
     fn sort(&mut self) {
         let mut order: Vec<usize> = (0..self.requests.len()).collect();
         order.sort_by_key(|&index| self.requests[index].first_byte_at);
-        self.fields = order.iter().map(|&n| self.fields[n].clone()).collect();
-        self.requests = order.iter().map(|&n| self.requests[n].clone()).collect();
+        self.fields = order
+            .iter()
+            .map(|&index| self.fields[index].clone())
+            .collect();
+        self.requests = order
+            .iter()
+            .map(|&index| self.requests[index].clone())
+            .collect();
     }
 }
 
@@ -88,7 +94,7 @@
                 bytes,
                 ..
             }) => {
-                *self.loaded.passed.entry(cause).or_default() += bytes;
+                *self.loaded.skipped_bytes.entry(cause).or_default() += bytes;
             }
             Item::Connection(_) | Item::Message(_) => {}
         }
@@ -106,7 +112,7 @@
             connection: connection.0,
             first_byte_at: message.first.0,
             last_byte_at: message.last.0,
-            // A slice would keep everything alive that was read with it.
+            // Copied, because a slice would keep the buffer that it was read into alive.
             bytes: bytes::Bytes::copy_from_slice(&message.bytes),
             response: None,
         });
--- a/crates/heathspurctl/src/load_run.rs
+++ b/crates/heathspurctl/src/load_run.rs
@@ -1,5 +1,5 @@
-//! `load`: requests at their intended times to servers that speak HTTP/1.1 or HTTP/2. When what is sent and what
-//! came of it is `heathspur-load`'s to say; here are the clock, the sockets and the files.
+//! `load`: sends requests to servers at their intended times, over HTTP/1.1 or HTTP/2. `heathspur-load` provides the
+//! schedule and the audit; this module provides the clock, the connections and the files.
 
 use crate::charts;
 use crate::error::Error;
@@ -18,46 +18,58 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Time from the creation of the run to the start of its schedule, for the first connections.
+const START_DELAY: Duration = Duration::from_millis(100);
+/// Interval at which the end of the last requests is checked.
+const COMPLETION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// The bits of a run's ID that are zero, so that request numbers fit into them.
+const REQUEST_NUMBER_BITS: u64 = 0xff_ffff_ffff;
+/// Number of points of the latency curve, minus one.
+const QUANTILE_STEPS: u32 = 400;
+
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The plan: an XML file (crates/heathspur-load/plan.xsd).
+    /// Path of the plan, an XML file (schema: crates/heathspur-load/plan.xsd)
     plan: PathBuf,
-    /// Only hold the plan against its schema's terms, and say how long it lasts.
+    /// Check the plan and print its duration, without sending requests
     #[arg(long)]
     check: bool,
-    /// A folder for the report: report.json and charts. One that is there is used.
+    /// Write report.json and charts into this folder, which is created if it does not exist
     #[arg(long, value_name = "FOLDER")]
     report: Option<PathBuf>,
 }
 
-/// What all requests of a run share.
+/// State shared by all requests of a run.
 struct Run {
     plan: Plan,
     targets: Vec<Target>,
     audit: RefCell<Audit>,
-    open: Cell<u32>,
+    /// Number of requests in flight.
+    in_flight: Cell<u32>,
     start: Instant,
-    /// Drawn anew for each run, so that no server has met its ids and keys.
+    /// Derived from the start time, so that request IDs and idempotency keys differ from those of earlier runs.
     id: u64,
 }
 
 impl Run {
-    fn now(&self) -> u64 {
+    /// Returns the time since the start of the schedule, in nanoseconds.
+    fn elapsed_nanos(&self) -> u64 {
         self.start.elapsed().as_nanos() as u64
     }
 
-    /// The fields and the body of a request, in small letters.
-    fn request(
+    /// Returns the path, the header fields and the body of a request. Field names are in lower case, as HTTP/2
+    /// requires.
+    fn request_parts(
         &self,
         request: &ScheduledRequest,
     ) -> (String, Vec<(&'static str, String)>, Vec<u8>) {
         let class = &self.plan.classes[request.class];
-        let unix = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut fields = vec![
             ("x-txn", format!("{:016x}", self.id ^ request.number)),
-            ("x-ingress-time", unix.as_millis().to_string()),
+            ("x-ingress-time", unix_time.as_millis().to_string()),
             ("x-router", "1".to_string()),
             ("x-working-set-kb", "24".to_string()),
             ("x-shed-order", "0.5".to_string()),
@@ -81,7 +93,7 @@
     }
 }
 
-/// Runs a plan, prints what came of it, writes the report.
+/// Runs a plan, prints a summary and writes the report.
 pub fn run(options: &Options) -> Result<(), Error> {
     let plan = Plan::read(&options.plan).map_err(Error::Plan)?;
     let seconds = Schedule::duration_nanos(&plan) as f64 / 1e9;
@@ -89,24 +101,25 @@
         println!("{}: valid; {seconds} s", options.plan.display());
         return Ok(());
     }
-    let audit = play(plan.clone());
-    print(&plan, &audit);
+    let audit = run_plan(plan.clone());
+    print_summary(&plan, &audit);
     if let Some(folder) = &options.report {
-        write(folder, &plan, &audit).map_err(|source| Error::File {
+        write_report(folder, &plan, &audit).map_err(|source| Error::File {
             path: folder.clone(),
             source,
         })?;
     }
     match (audit.unanswered(), audit.mismatched_retries) {
         (0, 0) => Ok(()),
-        (unanswered, differing) => Err(Error::LoadFailed {
+        (unanswered, mismatched_retries) => Err(Error::LoadFailed {
             unanswered,
-            differing,
+            mismatched_retries,
         }),
     }
 }
 
-fn play(plan: Plan) -> Audit {
+/// Sends all requests of a plan and waits until they have ended.
+fn run_plan(plan: Plan) -> Audit {
     let executor = Rc::new(LocalExecutor::new());
     let targets = plan
         .targets
@@ -115,13 +128,12 @@
         .collect();
     let run = Rc::new(Run {
         audit: RefCell::new(Audit::new(&plan)),
-        open: Cell::new(0),
-        // A moment for the first connections.
-        start: Instant::now() + Duration::from_millis(100),
+        in_flight: Cell::new(0),
+        start: Instant::now() + START_DELAY,
         id: SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(1, |d| d.as_nanos() as u64)
-            & !0xff_ffff_ffff,
+            & !REQUEST_NUMBER_BITS,
         targets,
         plan,
     });
@@ -129,33 +141,34 @@
     async_io::block_on(executor.run(async {
         let plan = sender.plan.clone();
         for request in Schedule::new(&plan) {
-            let at = sender.start + Duration::from_nanos(request.at);
-            if Instant::now() < at {
-                Timer::at(at).await;
+            let send_at = sender.start + Duration::from_nanos(request.at);
+            if Instant::now() < send_at {
+                Timer::at(send_at).await;
             } else {
-                // Others have their turn however late it is.
+                // Lets other tasks run even if the sender is behind its schedule.
                 future::yield_now().await;
             }
-            if sender.open.get() >= plan.max_open_requests {
-                sender
-                    .audit
-                    .borrow_mut()
-                    .record_outcome(&request, Outcome::Skipped, sender.now());
+            if sender.in_flight.get() >= plan.max_in_flight {
+                sender.audit.borrow_mut().record_outcome(
+                    &request,
+                    Outcome::Skipped,
+                    sender.elapsed_nanos(),
+                );
                 continue;
             }
-            sender.open.set(sender.open.get() + 1);
+            sender.in_flight.set(sender.in_flight.get() + 1);
             sender
                 .audit
                 .borrow_mut()
-                .record_sent(sender.now().saturating_sub(request.at));
-            let one = sender.clone();
+                .record_sent(sender.elapsed_nanos().saturating_sub(request.at));
+            let run = sender.clone();
             executor
-                .spawn(async move { ask(&one, request).await })
+                .spawn(async move { send_request(&run, request).await })
                 .detach();
         }
-        // Each ends by the client's timeout at the latest.
-        while sender.open.get() > 0 {
-            Timer::after(Duration::from_millis(5)).await;
+        // Terminates: each request ends by the client's timeout at the latest.
+        while sender.in_flight.get() > 0 {
+            Timer::after(COMPLETION_CHECK_INTERVAL).await;
         }
     }));
     drop((sender, executor));
@@ -165,36 +178,39 @@
     }
 }
 
-async fn ask(run: &Run, request: ScheduledRequest) {
-    let (path, fields, body) = run.request(&request);
-    let late = async {
+/// Sends a request and records its outcome.
+async fn send_request(run: &Run, request: ScheduledRequest) {
+    let (path, fields, body) = run.request_parts(&request);
+    let timeout = async {
         Timer::after(run.plan.client_timeout.0).await;
         Outcome::TimedOut
     };
-    let outcome = future::or(run.targets[request.target].ask(&path, &fields, body), late).await;
-    run.open.set(run.open.get() - 1);
+    let response = run.targets[request.target].send(&path, &fields, body);
+    let outcome = future::or(response, timeout).await;
+    run.in_flight.set(run.in_flight.get() - 1);
     run.audit
         .borrow_mut()
-        .record_outcome(&request, outcome, run.now());
+        .record_outcome(&request, outcome, run.elapsed_nanos());
 }
 
-fn name(protocol: Protocol) -> &'static str {
+fn protocol_name(protocol: Protocol) -> &'static str {
     match protocol {
         Protocol::Http1 => "HTTP/1.1",
         Protocol::Http2 => "HTTP/2",
     }
 }
 
-fn others(stats: &ClassStats) -> String {
-    let all: Vec<_> = stats
+/// Formats the counts of requests that ended without a response.
+fn format_other_outcomes(stats: &ClassStats) -> String {
+    let counts: Vec<_> = stats
         .other_outcomes
         .iter()
-        .map(|(outcome, count)| format!("{outcome:?}: {count}"))
+        .map(|(outcome, count)| format!("{}: {count}", outcome.label()))
         .collect();
-    all.join(", ")
+    counts.join(", ")
 }
 
-fn print(plan: &Plan, audit: &Audit) {
+fn print_summary(plan: &Plan, audit: &Audit) {
     let mut table = plain();
     table.set_header([
         "target",
@@ -212,14 +228,14 @@
         let by_status: Vec<_> = stats
             .statuses
             .iter()
-            .map(|(status, n)| format!("{status}: {n}"))
+            .map(|(status, count)| format!("{status}: {count}"))
             .collect();
         table.add_row([
-            format!("{} {}", name(target.protocol), target.address),
+            format!("{} {}", protocol_name(target.protocol), target.address),
             plan.classes[key.class].name.clone(),
             stats.due.to_string(),
             by_status.join(", "),
-            others(stats),
+            format_other_outcomes(stats),
             format!("{:.2}", stats.latency_ms(0.5)),
             format!("{:.2}", stats.latency_ms(0.99)),
             format!("{:.2}", stats.latency_ms(0.999)),
@@ -227,12 +243,12 @@
         ]);
     }
     println!("{table}");
-    let late = |quantile| audit.send_delay.value_at_quantile(quantile) as f64 / 1000.0;
+    let send_delay_ms = |quantile| audit.send_delay.value_at_quantile(quantile) as f64 / 1000.0;
     println!(
         "lateness of the sender: p50 {:.3}  p99 {:.3}  max {:.3} ms",
-        late(0.5),
-        late(0.99),
-        late(1.0)
+        send_delay_ms(0.5),
+        send_delay_ms(0.99),
+        send_delay_ms(1.0)
     );
     println!(
         "without an answer: {}; repeats with another result: {}",
@@ -241,47 +257,51 @@
     );
 }
 
-fn write(folder: &Path, plan: &Plan, audit: &Audit) -> std::io::Result<()> {
+/// Writes `report.json` and the charts.
+fn write_report(folder: &Path, plan: &Plan, audit: &Audit) -> std::io::Result<()> {
     std::fs::create_dir_all(folder)?;
     let parts: Vec<_> = audit
         .stats
         .iter()
         .map(|(key, stats)| {
             json!({
-                "target": plan.targets[key.target].address, "protocol": name(plan.targets[key.target].protocol),
+                "target": plan.targets[key.target].address, "protocol": protocol_name(plan.targets[key.target].protocol),
                 "class": plan.classes[key.class].name, "due": stats.due, "statuses": stats.statuses,
-                "others": others(stats), "p50_ms": stats.latency_ms(0.5), "p99_ms": stats.latency_ms(0.99), "max_ms": stats.latency_ms(1.0),
+                "others": format_other_outcomes(stats), "p50_ms": stats.latency_ms(0.5), "p99_ms": stats.latency_ms(0.99), "max_ms": stats.latency_ms(1.0),
             })
         })
         .collect();
     let report = json!({"parts": parts, "unanswered": audit.unanswered(), "differ": audit.mismatched_retries,
         "lateness_p99_ms": audit.send_delay.value_at_quantile(0.99) as f64 / 1000.0});
     std::fs::write(folder.join("report.json"), format!("{report:#}\n"))?;
-    let count = |of: fn(&SecondStats) -> u32| {
+    let per_second = |count: fn(&SecondStats) -> u32| {
         audit
             .seconds
             .iter()
             .enumerate()
-            .map(|(s, second)| (s as f64, f64::from(of(second))))
+            .map(|(index, second)| (index as f64, f64::from(count(second))))
             .collect()
     };
     let curves = [
-        ("due", count(|second| second.due)),
-        ("served", count(|second| second.served)),
-        ("refused", count(|second| second.rejected)),
+        ("due", per_second(|second| second.due)),
+        ("served", per_second(|second| second.served)),
+        ("refused", per_second(|second| second.rejected)),
     ];
-    charts::lines(
+    charts::line_chart(
         &folder.join("rates.svg"),
         "Requests a second",
         ("second", "requests"),
         &curves,
     )?;
     let latency = audit.latency();
-    let quantiles = (0..=400).map(|step| f64::from(step) / 400.0);
+    let quantiles = (0..=QUANTILE_STEPS).map(|step| f64::from(step) / f64::from(QUANTILE_STEPS));
     let points = quantiles
-        .map(|q| (100.0 * q, latency.value_at_quantile(q) as f64 / 1000.0))
+        .map(|quantile| {
+            let latency_ms = latency.value_at_quantile(quantile) as f64 / 1000.0;
+            (100.0 * quantile, latency_ms)
+        })
         .collect();
-    charts::lines(
+    charts::line_chart(
         &folder.join("latency.svg"),
         "Latency by quantile, from the intended time",
         ("quantile in %", "ms"),
--- a/crates/heathspurctl/src/load_target.rs
+++ b/crates/heathspurctl/src/load_target.rs
@@ -1,4 +1,4 @@
-//! A server that a load goes to: connections of one protocol, made as they are needed.
+//! A server under load: opens connections to it on demand and sends requests on them.
 
 use crate::source::digest;
 use async_executor::LocalExecutor;
@@ -17,72 +17,76 @@
 use std::rc::Rc;
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// Bytes of an answer at most.
-const ANSWER: usize = 8 << 20;
-const CHUNK: usize = 16 * 1024;
-/// What a server may send ahead on one connection.
-const WINDOW: u32 = 4 << 20;
+/// Largest response over HTTP/1.1, in bytes. Over HTTP/2, at most one DATA frame beyond it enters the digest.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
+/// Largest head of a response over HTTP/1.1, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Initial flow-control window of an HTTP/2 connection, in bytes.
+const CONNECTION_WINDOW_BYTES: u32 = 4 << 20;
 
 type Fields = [(&'static str, String)];
 
-/// One server.
+/// A server and the connections to it.
 pub struct Target {
     address: SocketAddr,
-    speaks: Speaks,
+    connections: Connections,
 }
 
-enum Speaks {
-    /// Idle connections, and how many there may be: a request waits for one, which its latency shows.
+/// The connections to a server, by protocol.
+enum Connections {
     Http1 {
         idle: RefCell<Vec<Async<TcpStream>>>,
-        places: Semaphore,
+        /// Limits the number of connections. A request waits for a permit, and its latency includes that wait.
+        permits: Semaphore,
     },
-    /// Connections by turns.
+    /// Requests are distributed over the connections round-robin.
     Http2 {
         executor: Rc<LocalExecutor<'static>>,
-        lines: Vec<RefCell<Option<SendRequest<Bytes>>>>,
+        connections: Vec<RefCell<Option<SendRequest<Bytes>>>>,
         next: Cell<usize>,
     },
 }
 
 impl Target {
+    /// Creates a target without open connections.
     pub fn new(executor: Rc<LocalExecutor<'static>>, target: &plan::Target) -> Target {
         let count = target.connections as usize;
-        let speaks = match target.protocol {
-            Protocol::Http1 => Speaks::Http1 {
+        let connections = match target.protocol {
+            Protocol::Http1 => Connections::Http1 {
                 idle: RefCell::default(),
-                places: Semaphore::new(count),
+                permits: Semaphore::new(count),
             },
             Protocol::Http2 => {
-                let lines = (0..count).map(|_| RefCell::new(None)).collect();
-                Speaks::Http2 {
+                let connections = (0..count).map(|_| RefCell::new(None)).collect();
+                Connections::Http2 {
                     executor,
-                    lines,
+                    connections,
                     next: Cell::new(0),
                 }
             }
         };
         Target {
             address: target.address,
-            speaks,
+            connections,
         }
     }
 
-    /// Sends a request and waits for what comes of it.
-    pub async fn ask(&self, path: &str, fields: &Fields, body: Vec<u8>) -> Outcome {
-        match &self.speaks {
-            Speaks::Http1 { idle, places } => {
-                let _place = places.acquire().await;
-                self.ask_http1(idle, path, fields, &body).await
+    /// Sends a request and waits for its outcome.
+    pub async fn send(&self, path: &str, fields: &Fields, body: Vec<u8>) -> Outcome {
+        match &self.connections {
+            Connections::Http1 { idle, permits } => {
+                let _permit = permits.acquire().await;
+                self.send_http1(idle, path, fields, &body).await
             }
-            Speaks::Http2 {
+            Connections::Http2 {
                 executor,
-                lines,
+                connections,
                 next,
             } => {
-                let at = next.get();
-                next.set((at + 1) % lines.len());
-                self.ask_http2(executor, &lines[at], path, fields, body.into())
+                let index = next.get();
+                next.set((index + 1) % connections.len());
+                self.send_http2(executor, &connections[index], path, fields, body.into())
                     .await
             }
         }
@@ -94,47 +98,47 @@
         Ok(stream)
     }
 
-    async fn ask_http1(
+    async fn send_http1(
         &self,
         idle: &RefCell<Vec<Async<TcpStream>>>,
         path: &str,
         fields: &Fields,
         body: &[u8],
     ) -> Outcome {
-        let mut out = format!("POST {path} HTTP/1.1\r\nHost: {}\r\n", self.address);
+        let mut head = format!("POST {path} HTTP/1.1\r\nHost: {}\r\n", self.address);
         for (name, value) in fields {
-            out += &format!("{name}: {value}\r\n");
+            head += &format!("{name}: {value}\r\n");
         }
-        out += &format!("Content-Length: {}\r\n\r\n", body.len());
-        let out = [out.as_bytes(), body].concat();
-        // One that was closed meanwhile is of no use; nothing was written on it.
-        let quiet = |stream: &Async<TcpStream>| matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-        let kept = std::iter::from_fn(|| idle.borrow_mut().pop()).find(quiet);
-        let mut stream = match kept {
+        head += &format!("Content-Length: {}\r\n\r\n", body.len());
+        let request = [head.as_bytes(), body].concat();
+        // Idle connections that the server has closed are discarded; no request was written on them.
+        let is_reusable = |stream: &Async<TcpStream>| matches!(stream.get_ref().peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
+        let reusable = std::iter::from_fn(|| idle.borrow_mut().pop()).find(is_reusable);
+        let mut stream = match reusable {
             Some(stream) => stream,
             None => match self.connect().await {
                 Ok(stream) => stream,
                 Err(_) => return Outcome::NoConnection,
             },
         };
-        match exchange(&mut stream, &out).await {
-            Ok((status, digest, last)) => {
-                if !last {
+        match exchange_http1(&mut stream, &request).await {
+            Ok((status, body_digest, close)) => {
+                if !close {
                     idle.borrow_mut().push(stream);
                 }
                 Outcome::Answered {
                     status,
-                    body_digest: digest,
+                    body_digest,
                 }
             }
-            Err(_) => Outcome::Broken,
+            Err(_) => Outcome::ConnectionLost,
         }
     }
 
-    async fn ask_http2(
+    async fn send_http2(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
-        line: &RefCell<Option<SendRequest<Bytes>>>,
+        connection: &RefCell<Option<SendRequest<Bytes>>>,
         path: &str,
         fields: &Fields,
         body: Bytes,
@@ -146,79 +150,88 @@
         let Ok(request) = request.body(()) else {
             return Outcome::NoConnection;
         };
-        let known = line.borrow().clone();
-        let ready = match known {
-            Some(send) => send.ready().await.ok(),
+        let existing = connection.borrow().clone();
+        let ready = match existing {
+            Some(sender) => sender.ready().await.ok(),
             None => None,
         };
-        let mut send = match ready {
-            Some(send) => send,
-            // The server has ended that connection, or it is the first.
-            None => match self.line(executor).await {
-                Ok(send) => {
-                    line.replace(Some(send.clone()));
-                    match send.ready().await {
-                        Ok(send) => send,
+        let mut sender = match ready {
+            Some(sender) => sender,
+            // There is no connection yet, or the server has ended it.
+            None => match self.connect_http2(executor).await {
+                Ok(sender) => {
+                    connection.replace(Some(sender.clone()));
+                    match sender.ready().await {
+                        Ok(sender) => sender,
                         Err(_) => return Outcome::NoConnection,
                     }
                 }
                 Err(_) => return Outcome::NoConnection,
             },
         };
-        let Ok((answer, mut out)) = send.send_request(request, body.is_empty()) else {
+        let Ok((response, mut body_sender)) = sender.send_request(request, body.is_empty()) else {
             return Outcome::NoConnection;
         };
-        if !body.is_empty() && out.send_data(body, true).is_err() {
-            return Outcome::Broken;
+        if !body.is_empty() && body_sender.send_data(body, true).is_err() {
+            return Outcome::ConnectionLost;
         }
-        match answered(answer).await {
-            Ok((status, digest)) => Outcome::Answered {
+        match read_http2_response(response).await {
+            Ok((status, body_digest)) => Outcome::Answered {
                 status,
-                body_digest: digest,
+                body_digest,
             },
             Err(e) if e.is_remote() && e.reason() == Some(h2::Reason::REFUSED_STREAM) => {
                 Outcome::Refused
             }
-            Err(_) => Outcome::Broken,
+            Err(_) => Outcome::ConnectionLost,
         }
     }
 
-    /// A new connection.
-    async fn line(&self, executor: &Rc<LocalExecutor<'static>>) -> io::Result<SendRequest<Bytes>> {
+    /// Opens a connection and spawns the task that drives it.
+    async fn connect_http2(
+        &self,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> io::Result<SendRequest<Bytes>> {
         let stream = self.connect().await?;
         let mut builder = h2::client::Builder::new();
         builder
-            .initial_connection_window_size(WINDOW)
+            .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .enable_push(false);
-        let (send, connection) = builder
+        let (sender, connection) = builder
             .handshake(stream.compat())
             .await
             .map_err(io::Error::other)?;
         executor
             .spawn(async move { drop(connection.await) })
             .detach();
-        Ok(send)
+        Ok(sender)
     }
 }
 
-/// Status and digest of an answer over HTTP/2.
-async fn answered(answer: h2::client::ResponseFuture) -> Result<(u16, u64), h2::Error> {
-    let (head, mut body) = answer.await?.into_parts();
-    let mut all = Vec::new();
-    while let Some(bytes) = body.data().await {
+/// Reads a response over HTTP/2. Returns its status and the digest of its body.
+async fn read_http2_response(
+    response: h2::client::ResponseFuture,
+) -> Result<(u16, u64), h2::Error> {
+    let (head, mut stream) = response.await?.into_parts();
+    let mut body = Vec::new();
+    while let Some(bytes) = stream.data().await {
         let bytes = bytes?;
-        body.flow_control().release_capacity(bytes.len())?;
-        if all.len() < ANSWER {
-            all.extend_from_slice(&bytes);
+        stream.flow_control().release_capacity(bytes.len())?;
+        if body.len() < MAX_RESPONSE_BYTES {
+            body.extend_from_slice(&bytes);
         }
     }
-    Ok((head.status.as_u16(), digest(&all)))
+    Ok((head.status.as_u16(), digest(&body)))
 }
 
-/// Writes a request and reads its answer: status, digest of the body, whether the connection ends with it.
-async fn exchange(stream: &mut Async<TcpStream>, out: &[u8]) -> io::Result<(u16, u64, bool)> {
-    stream.write_all(out).await?;
-    let wrong = || io::Error::from(io::ErrorKind::InvalidData);
+/// Writes a request and reads its response. Returns the status, the digest of the body, and whether the connection
+/// ends with this response.
+async fn exchange_http1(
+    stream: &mut Async<TcpStream>,
+    request: &[u8],
+) -> io::Result<(u16, u64, bool)> {
+    stream.write_all(request).await?;
+    let invalid = || io::Error::from(io::ErrorKind::InvalidData);
     let (mut buffer, mut status) = (Vec::new(), 0);
     loop {
         let kind = |line: &[u8]| {
@@ -228,22 +241,23 @@
                 to_head: false,
             })
         };
-        if let Some(head) = framing::parse_head(&buffer, CHUNK, kind).map_err(|_| wrong())? {
+        let head = framing::parse_head(&buffer, MAX_HEAD_BYTES, kind).map_err(|_| invalid())?;
+        if let Some(head) = head {
             let Length::Bytes(length) = head.length else {
-                return Err(wrong());
+                return Err(invalid());
             };
-            let end = head.end + usize::try_from(length).map_err(|_| wrong())?;
-            if end > ANSWER {
-                return Err(wrong());
+            let end = head.end + usize::try_from(length).map_err(|_| invalid())?;
+            if end > MAX_RESPONSE_BYTES {
+                return Err(invalid());
             }
             if buffer.len() >= end {
                 return Ok((status, digest(&buffer[head.end..end]), head.close));
             }
         }
-        let held = buffer.len();
-        buffer.resize(held + CHUNK, 0);
-        let read = stream.read(&mut buffer[held..]).await;
-        buffer.truncate(held + read.as_ref().map_or(0, |n| *n));
+        let filled = buffer.len();
+        buffer.resize(filled + READ_BUFFER_BYTES, 0);
+        let read = stream.read(&mut buffer[filled..]).await;
+        buffer.truncate(filled + read.as_ref().map_or(0, |n| *n));
         if read? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -1,5 +1,5 @@
-//! `pcap replay`: sends the recorded requests again. `heathspur-replay` decides; this module provides the clock,
-//! the connections and the files.
+//! `pcap replay`: sends the recorded requests again. `heathspur-replay` provides the schedule and the state machine;
+//! this module provides the clock, the connections and the files.
 
 use crate::capture_options::CaptureOptions;
 use crate::connection::{ConnectionTask, OutgoingRequest, Report};
@@ -25,7 +25,7 @@
 
 /// Capacity of the queue of reports from connections.
 const MAX_QUEUED_REPORTS: usize = 4096;
-/// Largest number of reports handled before the runner's timers are run.
+/// Largest number of reports handled between two polls of the runner.
 const MAX_REPORTS_PER_POLL: usize = 64;
 const BYTES_PER_MIB: u64 = 1 << 20;
 
@@ -33,58 +33,58 @@
 pub struct Options {
     #[command(flatten)]
     source: CaptureOptions,
-    /// The server to send to.
+    /// Address of the server
     #[arg(long, value_name = "ADDRESS:PORT")]
     to_server: SocketAddr,
-    /// Times as fast as it was recorded.
+    /// Replay speed as a multiple of the recorded one
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Requests from this time on, in seconds from the first one.
+    /// Replay only requests from this time on, in seconds from the first request
     #[arg(long, value_name = "SECONDS")]
     from: Option<f64>,
-    /// Requests before this time.
+    /// Replay only requests before this time, in seconds from the first request
     #[arg(long, value_name = "SECONDS")]
     to: Option<f64>,
-    /// So many times in a row; needs --renew.
+    /// Replay this many times in a row; more than 1 requires --renew
     #[arg(long = "loop", value_name = "N", default_value_t = 1)]
     repeat: u32,
-    /// Times as many connections: whole ones are left out or copied; more than 1 needs --renew.
+    /// Scale the number of connections by dropping or copying connections; more than 1 requires --renew
     #[arg(long, value_name = "FACTOR", default_value_t = 1.0)]
     scale_load: f64,
-    /// Keep the order of a client that waited for its answers, instead of the clock.
+    /// Send a request only after the preceding response if the recorded client waited for it
     #[arg(long)]
     causal: bool,
-    /// Fresh ids, keys and stamps: a server refuses old ones.
+    /// Replace IDs, idempotency keys and time stamps, because servers reject old ones
     #[arg(long)]
     renew: bool,
-    /// The field that holds the id of a try.
+    /// Header field that contains the ID of the attempt
     #[arg(long, value_name = "FIELD", default_value = "X-Txn")]
     id_field: String,
-    /// The field that holds the idempotency key.
+    /// Header field that contains the idempotency key
     #[arg(long, value_name = "FIELD", default_value = "X-Txn-Key")]
     key_field: String,
-    /// The field that holds when a request came to the machine, in Unix milliseconds.
+    /// Header field that contains the ingress time of the request, in Unix milliseconds
     #[arg(long, value_name = "FIELD", default_value = "X-Ingress-Time")]
     stamp_field: String,
-    /// Connections at once at most.
+    /// Maximum number of simultaneous connections
     #[arg(long, value_name = "N", default_value_t = 4096)]
     connections: usize,
-    /// Requests open at once at most; what would be more is not sent, and counted.
+    /// Maximum number of requests in flight; requests beyond it are counted but not sent
     #[arg(long, value_name = "N", default_value_t = 8192)]
     open: usize,
-    /// A request that is not answered for so long is given up, with its connection.
+    /// Time out requests that are not answered within this time, and close their connections
     #[arg(long, value_name = "SECONDS", default_value_t = 30.0)]
     patience: f64,
-    /// An answer later than this after its intended time breaks a rule.
+    /// Fail if a response arrives later than this after the intended time of its request
     #[arg(long, value_name = "SECONDS")]
     late_after: Option<f64>,
-    /// Bytes of all requests at most, in MiB.
+    /// Maximum total size of the requests, in MiB
     #[arg(long, value_name = "MIB", default_value_t = 1024)]
     most_bytes: u64,
-    /// For what is drawn by lot.
+    /// Seed of the random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A folder for the report: report.json, requests.jsonl and charts. One that is there is used.
+    /// Write report.json, requests.jsonl and charts into this folder, which is created if it does not exist
     #[arg(long, value_name = "FOLDER")]
     report: Option<PathBuf>,
 }
@@ -128,7 +128,7 @@
         Renewer::new(names, self.seed)
     }
 
-    /// Requests that are sent more than once need fresh IDs and keys.
+    /// Checks that requests are sent more than once only with fresh IDs and keys.
     fn check_renew(&self) -> Result<(), Error> {
         let has_copies = self.repeat > 1 || self.scale_load > 1.0;
         if has_copies && !self.renew {
@@ -151,7 +151,7 @@
             source,
         },
     )?;
-    let replayed = play(&loaded, &plan, options);
+    let replayed = run_plan(&loaded, &plan, options);
     let audit = Audit::new(
         &loaded.requests,
         &plan,
@@ -159,11 +159,13 @@
         replayed.counts,
         options.audit_options(),
     );
-    report::print(&loaded, &audit, replayed.renewed);
+    report::print_audit(&loaded, &audit, replayed.renewed);
     if let Some(folder) = &options.report {
-        report::write(folder, &loaded, &plan, &replayed, &audit).map_err(|source| Error::File {
-            path: folder.clone(),
-            source,
+        report::write_report(folder, &loaded, &plan, &replayed, &audit).map_err(|source| {
+            Error::File {
+                path: folder.clone(),
+                source,
+            }
         })?;
     }
     check_audit(&audit)
@@ -179,24 +181,25 @@
     Ok(())
 }
 
+/// Converts seconds to nanoseconds; negative values become 0.
 fn nanos(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e9) as u64
 }
 
-/// Runs the plan against the target.
-fn play(loaded: &Loaded, plan: &Plan, options: &Options) -> Replayed {
+/// Runs the plan against the server.
+fn run_plan(loaded: &Loaded, plan: &Plan, options: &Options) -> Replayed {
     let executor = Rc::new(LocalExecutor::new());
     let driver = Driver::new(executor.clone(), loaded, plan, options);
     async_io::block_on(executor.run(driver.run()))
 }
 
-/// A connection that the runner asked for.
+/// A connection that the runner has requested.
 struct OpenConnection {
     incarnation: u64,
     requests: Sender<OutgoingRequest>,
 }
 
-/// Executes the runner's actions and passes it the events of its connections.
+/// Executes the actions of the runner and passes the events of the connections to it.
 struct Driver<'a> {
     executor: Rc<LocalExecutor<'a>>,
     loaded: &'a Loaded,
@@ -288,14 +291,14 @@
         let connection = self.plan.requests[request].connection;
         if let Some(connection) = &self.connections[connection] {
             let is_head = bytes.starts_with(b"HEAD ");
-            // Fails only if the connection has ended, which it reports itself.
+            // Fails only if the connection has ended, and then its task reports that.
             let _ = connection
                 .requests
                 .try_send(OutgoingRequest { bytes, is_head });
         }
     }
 
-    /// The bytes of a request, with fresh values if the options ask for them.
+    /// Returns the bytes of a request, with fresh values if the options require them.
     fn request_bytes(&mut self, request: usize) -> Bytes {
         let planned = &self.plan.requests[request];
         let recorded = &self.loaded.requests[planned.recorded];
@@ -319,7 +322,7 @@
         bytes
     }
 
-    /// Waits for a report; `None` when the runner's next timer expires first.
+    /// Waits for a report. Returns `None` if the runner's next timer expires first.
     async fn next_report(&self) -> Option<Report> {
         let timer = async {
             match self.runner.next_timer_at() {
@@ -334,8 +337,8 @@
         future::or(timer, report).await
     }
 
-    /// Handles a report and those queued behind it, up to a limit. Every report taken off the queue is handled: a
-    /// lost one would leave its connection waiting forever.
+    /// Handles a report and the queued ones after it, up to a limit. Every report taken from the queue must be handled,
+    /// because a lost one would leave its connection waiting forever.
     fn handle_reports(&mut self, first: Option<Report>) {
         let mut next = first;
         let mut handled = 0;
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a replay: a table on the terminal, JSON files and charts.
+//! The report of a replay: a table on standard output, JSON files and charts.
 
 use crate::charts;
 use crate::load::Loaded;
@@ -23,8 +23,8 @@
     pub renewed: RenewedValues,
 }
 
-/// Prints the audit.
-pub fn print(loaded: &Loaded, audit: &Audit, renewed: RenewedValues) {
+/// Prints the audit as a table.
+pub fn print_audit(loaded: &Loaded, audit: &Audit, renewed: RenewedValues) {
     let mut table = plain();
     let mut row = |name: &str, value: String| {
         table.add_row([name.to_string(), value]);
@@ -37,8 +37,8 @@
         audit.connection_lost.to_string(),
     );
     row("not answered in time", audit.timed_out.to_string());
-    for (why, count) in &audit.not_sent {
-        row(&format!("not sent: {why:?}"), count.to_string());
+    for (reason, count) in &audit.not_sent {
+        row(&format!("not sent: {}", reason.label()), count.to_string());
     }
     row(
         "answers to nothing",
@@ -73,7 +73,7 @@
         "changed: ids, keys, stamps",
         format!("{}, {}, {}", renewed.ids, renewed.keys, renewed.stamps),
     );
-    for (cause, bytes) in &loaded.passed {
+    for (cause, bytes) in &loaded.skipped_bytes {
         row(
             &format!("bytes of clients left out: {cause:?}"),
             bytes.to_string(),
@@ -86,7 +86,7 @@
 }
 
 /// Writes `report.json`, `requests.jsonl` and the charts.
-pub fn write(
+pub fn write_report(
     folder: &Path,
     loaded: &Loaded,
     plan: &Plan,
@@ -94,30 +94,30 @@
     audit: &Audit,
 ) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
-    let whole = json!({"audit": audit, "changed": replayed.renewed});
-    std::fs::write(folder.join("report.json"), format!("{whole:#}\n"))?;
+    let report = json!({"audit": audit, "changed": replayed.renewed});
+    std::fs::write(folder.join("report.json"), format!("{report:#}\n"))?;
     let mut lines = BufWriter::new(File::create(folder.join("requests.jsonl"))?);
-    for (send, outcome) in plan.requests.iter().zip(&replayed.outcomes) {
-        let request = &loaded.requests[send.recorded];
+    for (planned, outcome) in plan.requests.iter().zip(&replayed.outcomes) {
+        let request = &loaded.requests[planned.recorded];
         let ms = |nanos: u64| nanos as f64 / 1e6;
-        let (end, status, answered) = match outcome.state {
+        let (end, status, answered_ms) = match outcome.state {
             RequestState::Answered {
                 status,
-                last_byte_at: last,
+                last_byte_at,
                 ..
-            } => ("answered".to_string(), Some(status), Some(ms(last))),
+            } => ("answered".to_string(), Some(status), Some(ms(last_byte_at))),
             unanswered => (unanswered_label(unanswered), None, None),
         };
         let line = json!({
-            "connection": request.connection, "copy": send.copy, "intended_ms": ms(outcome.intended_at),
-            "sent_ms": outcome.sent_at.map(ms), "answered_ms": answered, "end": end, "status": status,
-            "recorded_status": request.response.as_ref().map(|answer| answer.status),
+            "connection": request.connection, "copy": planned.copy, "intended_ms": ms(outcome.intended_at),
+            "sent_ms": outcome.sent_at.map(ms), "answered_ms": answered_ms, "end": end, "status": status,
+            "recorded_status": request.response.as_ref().map(|response| response.status),
         });
         writeln!(lines, "{line}")?;
     }
     lines.flush()?;
-    charts::rates(&folder.join("rates.svg"), plan, &replayed.outcomes)?;
-    charts::latency(
+    charts::rate_chart(&folder.join("rates.svg"), plan, &replayed.outcomes)?;
+    charts::latency_chart(
         &folder.join("latency.svg"),
         loaded,
         plan,
@@ -125,13 +125,13 @@
     )
 }
 
-/// Names the state of an unanswered request, as `requests.jsonl` has it.
+/// Returns the label of an unanswered request's state in `requests.jsonl`.
 fn unanswered_label(state: RequestState) -> String {
     match state {
         RequestState::Pending => "open".to_string(),
         RequestState::Answered { .. } => "answered".to_string(),
         RequestState::ConnectionLost => "broken".to_string(),
         RequestState::TimedOut => "timedout".to_string(),
-        RequestState::NotSent(reason) => format!("unsent({reason:?})").to_lowercase(),
+        RequestState::NotSent(reason) => format!("unsent({})", reason.label()).to_lowercase(),
     }
 }
