--- a/crates/heathspur-replay/src/audit.rs
+++ b/crates/heathspur-replay/src/audit.rs
@@ -13,7 +13,7 @@
 const DRIFT_WINDOW: Nanos = 1_000_000_000;
 const STATUS_OK: u16 = 200;
 
-/// Counts of responses by how they compare with the recorded ones.
+/// Counts of responses by how they compare with the recorded ones. The serialised names are part of the report format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Comparison {
     /// Same status and same body.
@@ -50,7 +50,7 @@
     }
 }
 
-/// The audit of a replay.
+/// The audit of a replay. The serialised names are part of the report format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Audit {
     /// Requests planned.
--- a/crates/heathspur-replay/src/outcome.rs
+++ b/crates/heathspur-replay/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcome of each request, and counts over a whole replay.
+//! Outcomes of requests, and counts over a replay.
 
 use crate::Nanos;
 use serde::Serialize;
@@ -66,7 +66,7 @@
     pub state: RequestState,
 }
 
-/// Counts over a whole replay. The report keeps the names of its format.
+/// Counts over a replay. The serialised names are part of the report format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
     /// Connections opened.
--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -54,10 +54,10 @@
     runs.iter().filter_map(move |run| run.outcomes.get(index))
 }
 
-/// Returns a time of an outcome, in milliseconds after the fault.
+/// Function that returns a time of an outcome, in milliseconds after the fault; `None` means infinite.
 type TimeMetric = fn(&FaultOutcome) -> Option<u64>;
 
-/// The reported times of a fault, by their names in the report.
+/// The reported times of a fault, with their names in the report.
 const TIME_METRICS: [(&str, TimeMetric); 5] = [
     ("noticed", |outcome| outcome.suspected_ms),
     ("first", |outcome| outcome.first_ms),
@@ -127,7 +127,7 @@
     );
 }
 
-/// Returns the totals and means over all runs, by their names in the report.
+/// Returns totals and means over all runs, with their names in the report.
 fn summary(runs: &[Run]) -> Value {
     let mean =
         |value: fn(&Run) -> f64| runs.iter().map(value).sum::<f64>() / runs.len().max(1) as f64;
--- a/crates/heathspurctl/src/load_run.rs
+++ b/crates/heathspurctl/src/load_run.rs
@@ -22,7 +22,7 @@
 const START_DELAY: Duration = Duration::from_millis(100);
 /// Interval at which the end of the last requests is checked.
 const COMPLETION_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The bits of a run's ID that are zero, so that request numbers fit into them.
+/// Bits of a run's ID that are zero; the number of the request is put there.
 const REQUEST_NUMBER_BITS: u64 = 0xff_ffff_ffff;
 /// Number of points of the latency curve, minus one.
 const QUANTILE_STEPS: u32 = 400;
@@ -47,7 +47,8 @@
     /// Number of requests in flight.
     in_flight: Cell<u32>,
     start: Instant,
-    /// Derived from the start time, so that request IDs and idempotency keys differ from those of earlier runs.
+    /// Derived from the start time, so that request IDs and idempotency keys differ from those of earlier runs. Runs that
+    /// start in the same period of 2^40 ns (18 minutes) have the same ID.
     id: u64,
 }
 
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -175,11 +175,11 @@
         .rows
         .iter()
         .map(|row| {
-            let (m, load) = (&row.member, row.member.load);
+            let (member, load) = (&row.member, row.member.load);
             json!({
-                "id": m.id.0, "state": row.state.as_str(), "incarnation": row.incarnation, "for_ms": row.in_state_ms,
-                "address": m.address, "zone": m.zone, "region": m.region, "version": m.version,
-                "in_flight": load.in_flight, "cap": load.concurrency_limit, "refusals_per_s": load.rejections_per_second, "lag_ms": m.usual_round_trip_ms, "epoch": m.decision_epoch, "near": m.local_traffic_tenths, "wants": m.preferred_tenths,
+                "id": member.id.0, "state": row.state.as_str(), "incarnation": row.incarnation, "for_ms": row.in_state_ms,
+                "address": member.address, "zone": member.zone, "region": member.region, "version": member.version,
+                "in_flight": load.in_flight, "cap": load.concurrency_limit, "refusals_per_s": load.rejections_per_second, "lag_ms": member.usual_round_trip_ms, "epoch": member.decision_epoch, "near": member.local_traffic_tenths, "wants": member.preferred_tenths,
             })
         })
         .collect();
@@ -216,7 +216,7 @@
     ];
     table.set_header(names);
     for row in &view.rows {
-        let (m, load) = (&row.member, row.member.load);
+        let (member, load) = (&row.member, row.member.load);
         let in_state = match row.in_state_ms {
             0 => "-".to_string(),
             ms => format!("{:.1} s", ms as f64 / 1e3),
@@ -229,22 +229,22 @@
         .map(|number| number.to_string());
         let [in_flight, cap, refusals] = numbers;
         table.add_row([
-            m.id.to_string(),
+            member.id.to_string(),
             row.state.as_str().to_string(),
             in_state,
             row.incarnation.to_string(),
-            m.address.to_string(),
-            m.zone.clone(),
-            m.region.clone(),
-            m.version.to_string(),
+            member.address.to_string(),
+            member.zone.clone(),
+            member.region.clone(),
+            member.version.to_string(),
             in_flight,
             cap,
             refusals,
-            format!("{} ms", m.usual_round_trip_ms),
-            m.decision_epoch.to_string(),
+            format!("{} ms", member.usual_round_trip_ms),
+            member.decision_epoch.to_string(),
             format!(
                 "{}/10, wants {}",
-                m.local_traffic_tenths, m.preferred_tenths
+                member.local_traffic_tenths, member.preferred_tenths
             ),
         ]);
     }
