--- a/crates/heathspur-bench/src/cost.rs
+++ b/crates/heathspur-bench/src/cost.rs
@@ -4,9 +4,9 @@
 use crate::large::peak_kib;
 use crate::table::Table;
 use heathspur_capture::Options;
-use heathspur_testkit::capture::read;
-use heathspur_testkit::scripted::{built, request, Client};
-use heathspur_testkit::swift::Manner;
+use heathspur_testkit::auto_stubs::InterpreterOptions;
+use heathspur_testkit::capture::parse_capture;
+use heathspur_testkit::prelude::{program_path, request, Http1Client};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -29,7 +29,13 @@
 }
 
 fn start(command: Command, folder: &Path, operator: Option<&Path>) -> Daemon {
-    Daemon::start(command, folder, operator, Manner::default(), |_| {})
+    Daemon::start(
+        command,
+        folder,
+        operator,
+        InterpreterOptions::default(),
+        |_| {},
+    )
 }
 
 fn play(program: &Path, folder: &Path, operator: Option<&Path>) -> Play {
@@ -54,12 +60,12 @@
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
             thread::spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Http1Client::connect(address);
                 let each = requests / CALLERS;
                 let txns = from + caller * each..from + (caller + 1) * each;
                 txns.filter(|txn| {
                     client.send(&request(*txn, None, b"4929001234567890"));
-                    client.answer().0 == 200
+                    client.read_response().0 == 200
                 })
                 .count() as u64
             })
@@ -73,7 +79,7 @@
 
 /// 2,000 keyed requests of 500 keys, one after another; each key has a body of its own.
 fn keyed(address: SocketAddr) {
-    let mut client = Client::to(address);
+    let mut client = Http1Client::connect(address);
     for n in 0..2_000_u64 {
         let key = n % 500;
         client.send(&request(
@@ -81,7 +87,7 @@
             Some(&format!("key-{key}")),
             format!("pay-{key}").as_bytes(),
         ));
-        client.answer();
+        client.read_response();
     }
 }
 
@@ -99,7 +105,7 @@
 
 /// A recorded run replayed to a fresh server and recorded again: the same requests, byte for byte.
 pub fn round(folder: &Path, table: &mut Table) {
-    let daemon = built("heathspurd");
+    let daemon = program_path("heathspurd");
     let record = |name: &str, drive: &dyn Fn(SocketAddr)| {
         let records = folder.join(format!("records-{name}"));
         let operator = operator(folder, name, "full");
@@ -124,7 +130,7 @@
     };
     let (second, ran_second) = record("second", &|address| {
         let target = address.to_string();
-        let replayed = Command::new(built("heathspurctl"))
+        let replayed = Command::new(program_path("heathspurctl"))
             .args(["pcap", "replay", "--to-server", &target])
             .arg(file)
             .output()
@@ -136,7 +142,7 @@
             .iter()
             .flat_map(|file| std::fs::read(file).unwrap_or_default())
             .collect::<Vec<_>>();
-        let read = read(
+        let read = parse_capture(
             &bytes,
             Options {
                 checksums: true,
@@ -165,7 +171,7 @@
 }
 
 pub fn measure(folder: &Path, baseline: &Path, table: &mut Table) {
-    let daemon = built("heathspurd");
+    let daemon = program_path("heathspurd");
     let (headers, full) = (
         operator(folder, "headers", "headers"),
         operator(folder, "full", "full"),
--- a/crates/heathspur-bench/src/daemon.rs
+++ b/crates/heathspur-bench/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon under measurement, with stand-ins that answer by themselves.
 
-use heathspur_testkit::scripted::{config, local, Running};
-use heathspur_testkit::swift::{self, Manner, Runs};
+use heathspur_testkit::auto_stubs::{self, InterpreterOptions, RunCounts};
+use heathspur_testkit::prelude::{bind_loopback, server_config, ProcessGuard};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use std::thread;
 
 pub struct Daemon {
-    pub process: Running,
+    pub process: ProcessGuard,
     /// Where it listens for HTTP/1.1.
     pub address: SocketAddr,
     /// And for HTTP/2, where that is on.
     pub http2: Option<SocketAddr>,
-    pub runs: Runs,
+    pub runs: RunCounts,
 }
 
 impl Daemon {
@@ -24,20 +24,20 @@
         mut command: Command,
         folder: &Path,
         operator: Option<&Path>,
-        manner: Manner,
+        manner: InterpreterOptions,
         edit: impl FnOnce(&mut Value),
     ) -> Daemon {
-        let (vm, store, announce) = (local(), local(), local());
+        let (vm, store, announce) = (bind_loopback(), bind_loopback(), bind_loopback());
         let at = |l: &std::net::TcpListener| l.local_addr().expect("an address");
-        let mut settings = config(at(&vm), at(&announce), at(&store));
+        let mut settings = server_config(at(&vm), at(&announce), at(&store));
         settings["settings"]["realms"][0]["quota-per-s"] = json!(1e6);
         settings["settings"]["family-info"]["calls-by-class"] = json!([false, true]);
         settings["settings"]["family-info"]["mem-limit-kb"] = json!(90_000.0);
         edit(&mut settings);
         let file = folder.join("config.json");
         std::fs::write(&file, settings.to_string()).expect("the configuration is written");
-        let runs = swift::slower(vm, manner);
-        swift::announce(announce);
+        let runs = auto_stubs::interpreter_with(vm, manner);
+        auto_stubs::registration(announce);
         command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
         let mut further = false;
         if let Some(operator) = operator {
@@ -70,7 +70,7 @@
             }
         });
         Daemon {
-            process: Running(child),
+            process: ProcessGuard(child),
             address,
             http2,
             runs,
--- a/crates/heathspur-testkit/src/lib.rs
+++ b/crates/heathspur-testkit/src/lib.rs
@@ -6,13 +6,21 @@
 #![forbid(unsafe_code)]
 #![allow(missing_docs)]
 
+pub mod auto_stubs;
 pub mod capture;
+pub mod config;
+pub mod example_peers;
 pub mod fleet;
+pub mod http1;
 pub mod http2;
+pub mod loopback;
+pub mod mock_interpreter;
+pub mod mock_registration;
+pub mod mock_store;
+pub mod prelude;
+pub mod process;
 pub mod proxy;
+pub mod recording_server;
 pub mod relay;
 pub mod replica;
-pub mod scripted;
-pub mod sink;
-pub mod swift;
-pub mod toy;
+pub mod server_fixture;
--- a/crates/heathspurd/tests/ramp.rs
+++ b/crates/heathspurd/tests/ramp.rs
@@ -2,7 +2,7 @@
 //! store gets from all together stays within the sum of their parts. Each process knows its own part and nothing of
 //! the others; all become ready in the same moment, with callers that wait.
 
-use heathspur_testkit::scripted::*;
+use heathspur_testkit::prelude::*;
 use serde_json::json;
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -43,7 +43,7 @@
 impl Shared {
     fn start() -> (Arc<Shared>, SocketAddr) {
         let (listener, shared) = (
-            local(),
+            bind_loopback(),
             Arc::new(Shared {
                 calls: Mutex::default(),
                 full: false.into(),
@@ -133,15 +133,15 @@
 /// One life of the fleet: processes that are linked, and wait for their interpreters to come up.
 struct Fleet {
     life: u64,
-    rigs: Vec<Rig>,
-    links: Vec<Vm>,
+    rigs: Vec<ServerFixture>,
+    links: Vec<MockInterpreter>,
     over: Arc<AtomicBool>,
 }
 
 impl Fleet {
     fn start(life: u64, store: SocketAddr) -> Fleet {
         let rig = |i| {
-            Rig::with(|config| {
+            ServerFixture::start_with_config(|config| {
                 config["store"] = json!(store);
                 config["seed"] = json!(format!(
                     "{:016x}",
@@ -156,8 +156,11 @@
                 config["settings"]["servers"] = json!(PROCESSES);
             })
         };
-        let rigs: Vec<Rig> = (0..PROCESSES).map(rig).collect();
-        let links = rigs.iter().map(Rig::open_link).collect();
+        let rigs: Vec<ServerFixture> = (0..PROCESSES).map(rig).collect();
+        let links = rigs
+            .iter()
+            .map(ServerFixture::accept_link_before_banner)
+            .collect();
         Fleet {
             life,
             rigs,
@@ -169,9 +172,11 @@
     /// All interpreters are up in the same moment, cold, and callers come.
     fn up(&mut self) {
         for vm in &mut self.links {
-            vm.say(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
+            vm.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
         }
-        self.links.drain(..).for_each(Vm::call_all);
+        self.links
+            .drain(..)
+            .for_each(MockInterpreter::complete_all_runs_after_call);
         for (rig, process) in self.rigs.iter().zip(0..) {
             for caller in 0..CALLERS {
                 let (address, life, over) = (rig.address, self.life, self.over.clone());
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{refusing, up, Full};
-use heathspur_testkit::scripted::*;
+use heathspur_testkit::prelude::*;
 use serde_json::json;
 use std::io::Read;
 use std::net::TcpListener;
@@ -45,13 +45,13 @@
     }
 
     /// Comes up once the process has met it as it is, which its log says in these words where it is refused.
-    fn comes_up(self, rig: &Rig, words: &str) -> TcpListener {
+    fn comes_up(self, rig: &ServerFixture, words: &str) -> TcpListener {
         match self {
             Peer::Up(listener) => listener,
             Peer::Refusing(listener) => {
                 let since = Instant::now();
                 for _ in 0..FAILURES {
-                    rig.logs(words);
+                    rig.wait_for_log(words);
                     assert!(since.elapsed() < READY, "it is seldom tried");
                 }
                 up(listener)
@@ -67,15 +67,15 @@
     }
 }
 
-fn health(rig: &Rig) -> u16 {
-    let mut client = rig.client();
+fn health(rig: &ServerFixture) -> u16 {
+    let mut client = rig.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-    client.answer().0
+    client.read_response().0
 }
 
 /// A started process, and its peers.
 struct Started {
-    rig: Rig,
+    rig: ServerFixture,
     registry: Peer,
     interpreter: Peer,
     store: TcpListener,
@@ -86,21 +86,21 @@
         let registry = match at {
             At::Registry | At::All => Peer::Refusing(refusing()),
             At::SlowRegistry => Peer::Slow(Full::new()),
-            At::SilentRegistry => Peer::Silent(local()),
-            _ => Peer::Up(local()),
+            At::SilentRegistry => Peer::Silent(bind_loopback()),
+            _ => Peer::Up(bind_loopback()),
         };
         let interpreter = match at {
             At::Interpreter | At::All => Peer::Refusing(refusing()),
             At::SlowInterpreter => Peer::Slow(Full::new()),
-            _ => Peer::Up(local()),
+            _ => Peer::Up(bind_loopback()),
         };
         let store = if matches!(at, At::Store | At::All) {
             refusing()
         } else {
-            local()
+            bind_loopback()
         };
         let address = |l: &TcpListener| json!(l.local_addr().unwrap());
-        let rig = Rig::with(|config| {
+        let rig = ServerFixture::start_with_config(|config| {
             config["announce"] = address(registry.listener());
             config["vm"] = address(interpreter.listener());
             config["store"] = address(&store);
@@ -115,7 +115,7 @@
 
     /// Waits until the process is ready; what is down comes up meanwhile, but for the store. Gives its interpreter's
     /// end of the link.
-    fn gets_ready(self) -> (Rig, Vm) {
+    fn gets_ready(self) -> (ServerFixture, MockInterpreter) {
         let Started {
             mut rig,
             registry,
@@ -123,21 +123,22 @@
             store,
         } = self;
         assert_eq!(health(&rig), 503);
-        rig.vm = interpreter.comes_up(&rig, "no link to the interpreter");
-        let vm = rig.link();
-        let reports =
-            announce_at(registry.comes_up(&rig, "the announce service did not take a report"));
+        rig.interpreter_listener = interpreter.comes_up(&rig, "no link to the interpreter");
+        let vm = rig.accept_link();
+        let reports = mock_registration(
+            registry.comes_up(&rig, "the announce service did not take a report"),
+        );
         assert_eq!(
-            reports.recv_timeout(NEVER).unwrap(),
+            reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
             json!({"accepting": "true"})
         );
         assert_eq!(health(&rig), 200);
-        rig.store = store;
+        rig.store_listener = store;
         (rig, vm)
     }
 }
 
-fn is_ready_in_time(at: At) -> (Rig, Vm) {
+fn is_ready_in_time(at: At) -> (ServerFixture, MockInterpreter) {
     let since = Instant::now();
     let ready = Started::new(at).gets_ready();
     assert!(since.elapsed() < READY, "{at:?}: {:?}", since.elapsed());
@@ -162,32 +163,32 @@
 #[test]
 fn it_is_ready_in_time_without_the_store_and_calls_it_once_it_is_up() {
     let (rig, mut vm) = is_ready_in_time(At::Store);
-    let asks = |vm: &mut Vm, txn: u64| {
-        let mut client = rig.client();
+    let asks = |vm: &mut MockInterpreter, txn: u64| {
+        let mut client = rig.connect_client();
         client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
-        let (task, ..) = vm.apply();
-        vm.awaits(&task, b"ask");
+        let (task, ..) = vm.read_apply();
+        vm.send_await(&task, b"ask");
         (client, task)
     };
     let (mut client, task) = asks(&mut vm, 1);
     // Its call gets nowhere, and the caller has an answer.
-    assert_ne!(client.answer().0, 200);
-    vm.value(&task, "cancelled", b"");
-    rustix::net::listen(&rig.store, 64).unwrap();
+    assert_ne!(client.read_response().0, 200);
+    vm.send_value(&task, "cancelled", b"");
+    rustix::net::listen(&rig.store_listener, 64).unwrap();
     let (mut client, task) = asks(&mut vm, 2);
-    let mut store = Store::accept(&rig);
-    store.call();
-    store.ok(2, "fine");
-    assert_eq!(vm.command()["verb"], "RESOLVE");
-    vm.value(&task, "complete", b"done");
-    assert_eq!(client.answer().2, b"done");
+    let mut store = MockStore::accept(&rig);
+    store.read_call();
+    store.send_ok(2, "fine");
+    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    vm.send_value(&task, "complete", b"done");
+    assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
 fn of_ten_processes_that_start_again_together_nine_are_ready_in_time() {
-    let first: Vec<_> = (0..10).map(|_| Rig::start()).collect();
+    let first: Vec<_> = (0..10).map(|_| ServerFixture::start()).collect();
     for rig in &first {
-        drop(rig.link());
+        drop(rig.accept_link());
     }
     for mut rig in first {
         rig.process.0.kill().unwrap();
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -2,8 +2,8 @@
 
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{Item, Leg, Options};
-use heathspur_testkit::capture::{read, Read};
-use heathspur_testkit::scripted::*;
+use heathspur_testkit::capture::{parse_capture, ParsedCapture};
+use heathspur_testkit::prelude::*;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
@@ -42,8 +42,8 @@
             .collect()
     }
 
-    fn read(&self) -> Read {
-        read(
+    fn read(&self) -> ParsedCapture {
+        parse_capture(
             &self.bytes(),
             Options {
                 checksums: true,
@@ -54,7 +54,7 @@
     }
 
     /// Waits until as many requests are in the files.
-    fn holds(&self, requests: usize) -> Read {
+    fn holds(&self, requests: usize) -> ParsedCapture {
         let start = Instant::now();
         loop {
             let read = self.read();
@@ -62,7 +62,7 @@
                 return read;
             }
             assert!(
-                start.elapsed() < NEVER,
+                start.elapsed() < EVENT_TIMEOUT,
                 "{} of {requests} requests were recorded",
                 read.requests.len()
             );
@@ -78,22 +78,26 @@
     }
 }
 
-fn recording(operator: &Path) -> (Rig, Vm) {
-    let rig = Rig::operated(operator);
-    let vm = rig.link();
+fn recording(operator: &Path) -> (ServerFixture, MockInterpreter) {
+    let rig = ServerFixture::start_with_operator_file(operator);
+    let vm = rig.accept_link();
     (rig, vm)
 }
 
 /// Serves requests on one connection; what was sent.
-fn serve(rig: &Rig, vm: &mut Vm, txns: std::ops::Range<u64>) -> Vec<Vec<u8>> {
-    let mut client = rig.client();
+fn serve(
+    rig: &ServerFixture,
+    vm: &mut MockInterpreter,
+    txns: std::ops::Range<u64>,
+) -> Vec<Vec<u8>> {
+    let mut client = rig.connect_client();
     let mut sent = Vec::new();
     for txn in txns {
         let bytes = request(txn, Some(&format!("key-{txn}")), b"4929001234567890");
         client.send(&bytes);
-        assert_eq!(vm.apply().2, b"4929001234567890");
-        vm.value(&format!("{txn:016x}"), "complete", b"approved");
-        assert_eq!(client.answer().0, 200);
+        assert_eq!(vm.read_apply().2, b"4929001234567890");
+        vm.send_value(&format!("{txn:016x}"), "complete", b"approved");
+        assert_eq!(client.read_response().0, 200);
         sent.push(bytes);
     }
     sent
@@ -114,11 +118,11 @@
         .collect();
     assert_eq!(got, sent);
     assert!(read
-        .answers
+        .responses
         .iter()
         .all(|(_, to, m)| to.is_some() && m.status() == Some(200) && m.body() == b"approved"));
     assert_eq!(
-        (read.answers.len(), read.tally.holes, read.tally.damage),
+        (read.responses.len(), read.tally.holes, read.tally.damage),
         (8, 0, None)
     );
     let ends = read
@@ -157,11 +161,11 @@
 fn the_links_are_recorded_beside_where_that_is_switched_on() {
     let folder = Folder::new("links");
     let (rig, mut vm) = recording(&folder.operator("contents=\"full\" links=\"true\"", ""));
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.apply();
-    vm.awaits("0000000000000001", b"may I");
-    let mut store = accept(&rig.store);
+    vm.read_apply();
+    vm.send_await("0000000000000001", b"may I");
+    let mut store = accept(&rig.store_listener);
     let mut call = [0; 4];
     std::io::Read::read_exact(&mut store, &mut call).unwrap();
     assert_eq!(&call, b"CALL");
@@ -175,7 +179,7 @@
             .any(|part| part == words)
     };
     while !(has(b"\"APPLY\"") && has(b"CALL 0000000000000001")) {
-        assert!(start.elapsed() < NEVER);
+        assert!(start.elapsed() < EVENT_TIMEOUT);
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     // A reader knows them for what they are: no broken requests, but links that are told apart.
@@ -188,7 +192,11 @@
         .values()
         .all(|(packets, bytes)| *packets > 0 && *bytes > 0));
     assert_eq!(
-        (read.passed, read.requests.len(), read.tally.tcp.connections),
+        (
+            read.skipped,
+            read.requests.len(),
+            read.tally.tcp.connections
+        ),
         (Vec::new(), 1, 1)
     );
 }
@@ -199,16 +207,18 @@
     std::fs::remove_dir_all(&folder.0).unwrap();
     let (rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
     serve(&rig, &mut vm, 1..20);
-    rig.logs("recording has stopped");
+    rig.wait_for_log("recording has stopped");
     std::fs::create_dir_all(&folder.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
     while folder.read().requests.is_empty() {
-        assert!(start.elapsed() < NEVER);
+        assert!(start.elapsed() < EVENT_TIMEOUT);
         serve(&rig, &mut vm, txn..txn + 1);
         txn += 1;
     }
-    assert!(rig.logs("recording").contains("recording goes on in n3-"));
+    assert!(rig
+        .wait_for_log("recording")
+        .contains("recording goes on in n3-"));
 }
 
 #[test]
@@ -219,12 +229,12 @@
     folder.holds(2);
     std::fs::remove_dir_all(&folder.0).unwrap();
     serve(&rig, &mut vm, 10..12);
-    rig.logs("recording has stopped");
+    rig.wait_for_log("recording has stopped");
     std::fs::create_dir_all(&folder.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
     while folder.read().requests.is_empty() {
-        assert!(start.elapsed() < NEVER);
+        assert!(start.elapsed() < EVENT_TIMEOUT);
         serve(&rig, &mut vm, txn..txn + 1);
         txn += 1;
     }
@@ -252,12 +262,12 @@
     let folder = Folder::new("rotate");
     let (rig, mut vm) =
         recording(&folder.operator("contents=\"full\"", "<files size=\"64 KiB\" keep=\"2\"/>"));
-    let mut client = rig.client();
+    let mut client = rig.connect_client();
     for txn in 1..120 {
         client.send(&request(txn, None, &[b'a'; 1900]));
-        vm.apply();
-        vm.value(&format!("{txn:016x}"), "complete", b"x");
-        assert_eq!(client.answer().0, 200);
+        vm.read_apply();
+        vm.send_value(&format!("{txn:016x}"), "complete", b"x");
+        assert_eq!(client.read_response().0, 200);
         // Blocks are written together after a moment at the latest, and sizes are looked at then.
         if txn % 20 == 0 {
             std::thread::sleep(std::time::Duration::from_millis(250));
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -4,8 +4,8 @@
 //!
 //! `HEATHSPUR_PROGRAMS` names the folder of the programs under test; without it they are those just built.
 
-use heathspur_testkit::scripted::*;
-use heathspur_testkit::swift;
+use heathspur_testkit::auto_stubs;
+use heathspur_testkit::prelude::*;
 use object::read::elf::{Dyn, ElfFile64, FileHeader, ProgramHeader};
 use object::{elf, Endianness};
 use procfs::net::{TcpState, UnixState};
@@ -36,7 +36,7 @@
 
 /// The server as the deploy file starts it, in empty folders of its own.
 struct Started {
-    process: Running,
+    process: ProcessGuard,
     address: SocketAddr,
     since: Instant,
     /// The folders that it could leave something in: where it runs, and the home of whoever runs it.
@@ -60,7 +60,7 @@
     let line = line.trim().trim_matches('"');
     line.replace(
         "target/release/heathspurd",
-        built("heathspurd").to_str().unwrap(),
+        program_path("heathspurd").to_str().unwrap(),
     )
 }
 
@@ -70,13 +70,13 @@
     }
 
     fn with(name: &str, edit: impl FnOnce(&mut Value)) -> Started {
-        let (vm, store, announce) = (local(), local(), local());
+        let (vm, store, announce) = (bind_loopback(), bind_loopback(), bind_loopback());
         let at = |l: &std::net::TcpListener| l.local_addr().unwrap();
-        let mut config = config(at(&vm), at(&announce), at(&store));
+        let mut config = server_config(at(&vm), at(&announce), at(&store));
         config["limits"]["sockets"] = 4096.into();
         edit(&mut config);
-        swift::interpreter(vm);
-        swift::announce(announce);
+        auto_stubs::interpreter(vm);
+        auto_stubs::registration(announce);
         let folders =
             std::env::temp_dir().join(format!("heathspur-terms-{}-{name}", std::process::id()));
         for folder in ["here", "home"] {
@@ -100,7 +100,7 @@
         let lines = BufReader::new(child.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
-        let process = Running(child);
+        let process = ProcessGuard(child);
         let (say, said) = mpsc::channel();
         // Nobody who stops reading the log may stop the server.
         thread::spawn(move || lines.for_each(|line| drop(say.send(line))));
@@ -127,9 +127,9 @@
 
     /// Has one request answered.
     fn serve(&self, txn: u64) {
-        let mut client = Client::to(self.address);
+        let mut client = Http1Client::connect(self.address);
         client.send(&request(txn, None, b"abc"));
-        let status = client.answer().0;
+        let status = client.read_response().0;
         assert!(status == 200 || status == 503, "{status}");
     }
 
@@ -153,7 +153,7 @@
         let program = process.exe().unwrap();
         assert_eq!(
             program,
-            built("heathspurd").canonicalize().unwrap(),
+            program_path("heathspurd").canonicalize().unwrap(),
             "{when}: `run` has to end by exec"
         );
         let tasks: Vec<_> = process.tasks().unwrap().flatten().collect();
@@ -222,14 +222,14 @@
 fn until(what: &str, mut test: impl FnMut() -> bool) {
     let start = Instant::now();
     while !test() {
-        assert!(start.elapsed() < NEVER, "never came: {what}");
+        assert!(start.elapsed() < EVENT_TIMEOUT, "never came: {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
 fn the_program_is_linked_dynamically_against_the_c_library() {
-    let bytes = std::fs::read(built("heathspurd")).unwrap();
+    let bytes = std::fs::read(program_path("heathspurd")).unwrap();
     let file = ElfFile64::<Endianness>::parse(&*bytes).unwrap();
     let (endian, data) = (file.endian(), file.data());
     let headers = file.elf_header().program_headers(endian, data).unwrap();
@@ -264,12 +264,12 @@
     started.serve(2);
     started.holds_the_terms("after a reload");
     // One that stands in the middle of a request keeps the drain from ending at once.
-    let mut slow = Client::to(started.address);
+    let mut slow = Http1Client::connect(started.address);
     slow.send(b"POST /svc/look HTTP/1.1\r\n");
     started.process.terminate();
     let told = Instant::now();
     while started.process.0.try_wait().unwrap().is_none() {
-        assert!(told.elapsed() < NEVER, "it does not leave");
+        assert!(told.elapsed() < EVENT_TIMEOUT, "it does not leave");
         let process = started.proc();
         // Its last moments have nothing to look at.
         let Ok(tasks) = process.tasks() else { continue };
@@ -326,16 +326,16 @@
     for round in 0..3u64 {
         // Each speaks as soon as it is there: silent ones are closed in time. A few have work done.
         let join = |n: u64| {
-            let mut client = Client::to(started.address);
+            let mut client = Http1Client::connect(started.address);
             match n % 20 {
                 0 => client.send(&request(10 + round * 1000 + n, None, b"abc")),
                 _ => client.send(b"GET /status/live HTTP/1.1\r\n\r\n"),
             }
             client
         };
-        let mut crowd: Vec<Client> = (0..1000).map(join).collect();
+        let mut crowd: Vec<Http1Client> = (0..1000).map(join).collect();
         for client in &mut crowd {
-            let status = client.answer().0;
+            let status = client.read_response().0;
             assert!(status == 200 || status == 503, "{status}");
         }
         assert!(held() > 1000, "the crowd is there: {}", held());
@@ -356,15 +356,15 @@
 #[test]
 fn it_is_ready_in_time_whoever_else_is_down() {
     // Nobody listens where a listener was dropped.
-    let nobody = || json!(local().local_addr().unwrap());
+    let nobody = || json!(bind_loopback().local_addr().unwrap());
     let started = Started::with("ready", |config| {
         config["announce"] = nobody();
         config["store"] = nobody();
     });
-    let mut client = Client::to(started.address);
+    let mut client = Http1Client::connect(started.address);
     loop {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        if client.answer().0 == 200 {
+        if client.read_response().0 == 200 {
             break;
         }
         assert!(started.since.elapsed() < READY, "it is not ready");
@@ -380,8 +380,8 @@
 
 /// A drain of a server whose runs the test ends, with that grace; the process has this long from the notice.
 struct Drain {
-    rig: Rig,
-    vm: Vm,
+    rig: ServerFixture,
+    vm: MockInterpreter,
     stop: Duration,
     told: Option<Instant>,
 }
@@ -389,11 +389,11 @@
 impl Drain {
     fn with_grace(grace: Duration) -> Drain {
         let stop = grace + Duration::from_secs(3);
-        let rig = Rig::with(|config| {
+        let rig = ServerFixture::start_with_config(|config| {
             config["settings"]["guarantees"]["drain-grace-s"] = json!(grace.as_secs_f64());
             config["stop_ms"] = json!(stop.as_millis() as u64);
         });
-        let vm = rig.link();
+        let vm = rig.accept_link();
         Drain {
             rig,
             vm,
@@ -403,17 +403,17 @@
     }
 
     /// A kept connection that had an answer.
-    fn kept(&mut self, txn: u64) -> Client {
+    fn kept(&mut self, txn: u64) -> Http1Client {
         let mut client = self.running(txn);
         self.ends(txn);
-        let (status, fields, _) = client.answer();
+        let (status, fields, _) = client.read_response();
         assert_eq!((status, fields.get("connection")), (200, None));
         client
     }
 
     /// A connection whose request runs.
-    fn running(&mut self, txn: u64) -> Client {
-        let mut client = self.rig.client();
+    fn running(&mut self, txn: u64) -> Http1Client {
+        let mut client = self.rig.connect_client();
         client.send(&request(txn, None, b"abc"));
         self.runs(txn);
         client
@@ -421,18 +421,25 @@
 
     /// The next command starts the run of that request.
     fn runs(&mut self, txn: u64) {
-        assert_eq!(self.vm.apply().0, format!("{txn:016x}"));
+        assert_eq!(self.vm.read_apply().0, format!("{txn:016x}"));
     }
 
     fn ends(&mut self, txn: u64) {
-        self.vm.value(&format!("{txn:016x}"), "complete", b"done");
+        self.vm
+            .send_value(&format!("{txn:016x}"), "complete", b"done");
     }
 
     /// Tells it to drain; it has heard so when its report says so.
     fn tell(&mut self) {
         self.rig.process.terminate();
         self.told = Some(Instant::now());
-        while self.rig.reports.recv_timeout(NEVER).unwrap() != json!({"accepting": "false"}) {}
+        while self
+            .rig
+            .registration_reports
+            .recv_timeout(EVENT_TIMEOUT)
+            .unwrap()
+            != json!({"accepting": "false"})
+        {}
     }
 
     /// It leaves by itself with nothing wrong, before it would be killed, and starts no run that the test has not
@@ -444,7 +451,7 @@
             stop,
             told,
         } = self;
-        let rest = vm.rest();
+        let rest = vm.read_remaining_commands();
         assert_eq!(rig.process.wait().code(), Some(0));
         let took = told.unwrap().elapsed();
         assert!(took < stop, "it took {took:?} of {stop:?}");
@@ -456,8 +463,8 @@
 }
 
 /// An answer, and whether it is the last on its connection.
-fn answered(client: &mut Client) -> (u16, bool) {
-    let (status, fields, _) = client.answer();
+fn answered(client: &mut Http1Client) -> (u16, bool) {
+    let (status, fields, _) = client.read_response();
     (
         status,
         fields.get("connection").is_some_and(|word| word == "close"),
@@ -475,14 +482,14 @@
     drain.runs(3);
     drain.ends(3);
     assert_eq!(answered(&mut one), (200, true));
-    one.closed();
+    one.assert_closed();
     two.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
     drain.runs(4);
     drain.ends(4);
     assert_eq!(answered(&mut two), (200, true));
-    two.closed();
+    two.assert_closed();
     // What its rules refuse is answered as well: no memory holds this one.
-    let mut large = drain.rig.client();
+    let mut large = drain.rig.connect_client();
     let text = String::from_utf8(request(5, None, b"abc")).unwrap();
     large.send(text.replace("Set-Kb: 24.5", "Set-Kb: 1999").as_bytes());
     assert_eq!(answered(&mut large), (503, true));
@@ -497,16 +504,16 @@
     drain.tell();
     begun.send(b"POST /svc/look ");
     // That nothing new is taken shows in the end of what has nothing open.
-    idle.closed();
+    idle.assert_closed();
     thread::sleep(SLACK);
     begun.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
     assert_eq!(answered(&mut begun), (503, true));
-    begun.closed();
+    begun.assert_closed();
     busy.send(&request(5, None, b"abc"));
     drain.ends(3);
     assert_eq!(answered(&mut busy).0, 200);
     assert_eq!(answered(&mut busy), (503, true));
-    busy.closed();
+    busy.assert_closed();
     drain.leaves();
 }
 
@@ -523,14 +530,14 @@
         drain.told.unwrap().elapsed() > grace * 5 / 4
     });
     kept.send(&request(2, None, b"abc"));
-    let mut crowd: Vec<Client> = (3..8).map(|_| drain.rig.client()).collect();
+    let mut crowd: Vec<Http1Client> = (3..8).map(|_| drain.rig.connect_client()).collect();
     for (client, txn) in crowd.iter_mut().zip(3..) {
         client.send(&request(txn, None, b"abc"));
     }
     drain.rig.process.signal("CONT");
     for client in [&mut kept].into_iter().chain(&mut crowd) {
         assert_eq!(answered(client), (503, true));
-        client.closed();
+        client.assert_closed();
     }
     drain.leaves();
 }
@@ -553,7 +560,7 @@
         drain.runs(2);
         drain.ends(2);
         assert_eq!(answered(&mut client), (200, true));
-        client.closed();
+        client.assert_closed();
         drain.leaves();
     }
 }
@@ -561,15 +568,15 @@
 #[test]
 fn idle_connections_are_closed_cleanly_in_a_drain_and_it_leaves_in_time() {
     let mut drain = Drain::with_grace(Duration::from_millis(500));
-    let mut kept: Vec<Client> = (1..5).map(|txn| drain.kept(txn)).collect();
-    let mut silent = drain.rig.client();
+    let mut kept: Vec<Http1Client> = (1..5).map(|txn| drain.kept(txn)).collect();
+    let mut silent = drain.rig.connect_client();
     drain.tell();
     // A check still has its answer, on a connection that stays open for it.
     kept[0].send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(answered(&mut kept[0]).0, 503);
     // An end without a byte and without a reset; the balancers close nothing themselves.
     for client in kept.iter_mut().chain([&mut silent]) {
-        client.closed();
+        client.assert_closed();
     }
     drain.leaves();
 }
