--- a/crates/heathspurctl/src/error.rs
+++ b/crates/heathspurctl/src/error.rs
@@ -85,7 +85,7 @@
         reason: String,
     },
     /// A daemon did not return its membership view.
-    #[error("{address}: the daemon does not tell its view: {source}")]
+    #[error("{address}: cannot get the membership view: {source}")]
     MembershipView {
         /// Address of the daemon.
         address: SocketAddrV4,
--- a/crates/heathspurctl/tests/experiment.rs
+++ b/crates/heathspurctl/tests/experiment.rs
@@ -1,10 +1,11 @@
-//! An experiment by a plan, as a process: its table, its report, its charts; a wrong plan is named.
+//! Tests of the `experiment` command as a process: its table, report, charts, schema and plan errors.
 
 use serde_json::Value;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn experiment(plan: &str, name: &str) -> (Output, PathBuf) {
+/// Runs a plan. Returns the output and the folder of the report.
+fn run_experiment(plan: &str, name: &str) -> (Output, PathBuf) {
     let folder = std::env::temp_dir().join(format!(
         "heathspurctl-experiment-{}-{name}",
         std::process::id()
@@ -24,27 +25,27 @@
 }
 
 #[test]
-fn a_plan_is_played_told_and_drawn() {
+fn plan_is_executed_and_reported() {
     let plan = "<experiment xmlns=\"urn:heathspur:experiment:1\" members=\"20\" seeds=\"4\" duration=\"60 s\">\
                 <fault at=\"5 s\" kind=\"crash\" member=\"7\"/><fault at=\"50 s\" kind=\"restart\" member=\"7\"/>\
                 </experiment>";
-    let (output, folder) = experiment(plan, "good");
-    let text = String::from_utf8_lossy(&output.stdout);
+    let (output, folder) = run_experiment(plan, "valid");
+    let stdout = String::from_utf8_lossy(&output.stdout);
     assert!(
         output.status.success(),
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
     assert!(
-        text.contains("crash at 5.0 s") && text.contains("false deaths: 0 in"),
-        "{text}"
+        stdout.contains("crash at 5.0 s") && stdout.contains("false deaths: 0 in"),
+        "{stdout}"
     );
     let report: Value =
         serde_json::from_str(&std::fs::read_to_string(folder.join("report.json")).unwrap())
             .unwrap();
     assert_eq!(report["plays"].as_array().unwrap().len(), 4);
-    let all = report["courses"][0]["all_ms"]["p99"].as_u64().unwrap();
-    assert!((2_000..45_000).contains(&all), "{all}");
+    let all_ms = report["courses"][0]["all_ms"]["p99"].as_u64().unwrap();
+    assert!((2_000..45_000).contains(&all_ms), "{all_ms}");
     assert!(
         report["courses"][1]["settled_ms"]["p99"].is_u64(),
         "{report}"
@@ -58,15 +59,15 @@
 }
 
 #[test]
-fn a_wrong_plan_is_named_and_the_schema_printed() {
-    let (output, folder) = experiment(
+fn invalid_plan_is_rejected_with_location_and_schema_is_printed() {
+    let (output, folder) = run_experiment(
         "<experiment xmlns=\"urn:heathspur:experiment:1\" members=\"1\"/>",
-        "wrong",
+        "invalid",
     );
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        output.status.code() == Some(2) && said.contains("plan.xml:1: experiment"),
-        "{said}"
+        output.status.code() == Some(2) && stderr.contains("plan.xml:1: experiment"),
+        "{stderr}"
     );
     std::fs::remove_dir_all(&folder).unwrap();
     let schema = Command::new(env!("CARGO_BIN_EXE_heathspurctl"))
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -1,4 +1,4 @@
-//! Load by a plan, as a process, to a server that speaks both protocols.
+//! Tests of the `load` command as a process: both protocols, lost requests and invalid plans.
 
 use heathspur_testkit::auto_stubs;
 use heathspur_testkit::prelude::{ProcessGuard, ServerFixture};
@@ -7,15 +7,16 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn temporary(name: &str) -> PathBuf {
+fn temporary_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("heathspurctl-load-{}-{name}", std::process::id()))
 }
 
-fn load(name: &str, targets: &str, more: &str) -> (Output, Value) {
-    let (plan, report) = (temporary(&format!("{name}.xml")), temporary(name));
+/// Runs a plan with two stages, and returns the output and the report; the latter is null if none was written.
+fn run_load(name: &str, targets: &str, classes: &str) -> (Output, Value) {
+    let (plan, report) = (temporary_path(&format!("{name}.xml")), temporary_path(name));
     let text = format!(
         "<load xmlns=\"urn:heathspur:load:1\" patience=\"10 s\">{targets}\n\
-         <stage duration=\"500 ms\" rate=\"100\" arrivals=\"regular\"/><stage duration=\"1 s\" rate=\"200\"/>{more}</load>"
+         <stage duration=\"500 ms\" rate=\"100\" arrivals=\"regular\"/><stage duration=\"1 s\" rate=\"200\"/>{classes}</load>"
     );
     std::fs::write(&plan, text).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_heathspurctl"))
@@ -36,32 +37,32 @@
 }
 
 #[test]
-fn both_protocols_are_driven_and_all_that_was_due_is_accounted_for() {
-    let operator = temporary("operator.xml");
+fn requests_over_both_protocols_are_all_answered_and_counted() {
+    let operator = temporary_path("operator.xml");
     let text =
         "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\"/></operator>";
     std::fs::write(&operator, text).unwrap();
-    let rig = ServerFixture::start_with_operator_file_and_config(&operator, |c| {
+    let fixture = ServerFixture::start_with_operator_file_and_config(&operator, |c| {
         c["settings"]["realms"][0]["quota-per-s"] = 1e6.into();
         c["settings"]["family-info"]["calls-by-class"] = serde_json::json!([false, false]);
     });
-    let (http1, http2) = (rig.address, rig.wait_for_listen_address());
-    let runs = auto_stubs::interpreter(rig.interpreter_listener.try_clone().unwrap());
+    let (http1, http2) = (fixture.address, fixture.wait_for_listen_address());
+    let executions = auto_stubs::interpreter(fixture.interpreter_listener.try_clone().unwrap());
     let targets = format!(
         "<target protocol=\"http1\" address=\"{http1}\"/><target protocol=\"http2\" address=\"{http2}\" connections=\"2\"/>"
     );
     let classes = "<class name=\"look\" tenant=\"north\"/>\
                    <class name=\"pay\" tenant=\"north\" keyed=\"true\" repeats=\"0.5\" repeat-after=\"50 ms\" body=\"32 B\"/>";
-    let (output, report) = load("both", &targets, classes);
-    let said = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
-    assert_eq!(output.status.code(), Some(0), "{said}");
+    let (output, report) = run_load("both", &targets, classes);
+    let text = String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned();
+    assert_eq!(output.status.code(), Some(0), "{text}");
     assert_eq!(
         (&report["unanswered"], &report["differ"]),
         (&0.into(), &0.into()),
-        "{said}"
+        "{text}"
     );
     let parts = report["parts"].as_array().unwrap();
-    assert_eq!(parts.len(), 4, "{said}");
+    assert_eq!(parts.len(), 4, "{text}");
     for part in parts {
         let answered: u64 = part["statuses"]
             .as_object()
@@ -69,40 +70,43 @@
             .values()
             .map(|n| n.as_u64().unwrap())
             .sum();
-        assert_eq!(part["due"].as_u64(), Some(answered), "{said}");
-        assert!(part["statuses"]["200"].as_u64().unwrap() > 0, "{said}");
+        assert_eq!(part["due"].as_u64(), Some(answered), "{text}");
+        assert!(part["statuses"]["200"].as_u64().unwrap() > 0, "{text}");
     }
     assert!(
-        runs.lock().unwrap().values().all(|&count| count == 1),
-        "a key ran twice"
+        executions.lock().unwrap().values().all(|&count| count == 1),
+        "a key was executed more than once"
     );
     let _ = std::fs::remove_file(&operator);
-    let _: &ProcessGuard = &rig.process;
+    let _: &ProcessGuard = &fixture.process;
 }
 
 #[test]
-fn answers_that_never_come_show_in_the_exit_code() {
-    let sink = RecordingServer::start(ResponseOptions {
+fn unanswered_requests_set_exit_code() {
+    let server = RecordingServer::start(ResponseOptions {
         disconnect_after: 3,
         ..ResponseOptions::default()
     });
-    let target = format!("<target protocol=\"http1\" address=\"{}\"/>", sink.address);
-    let (output, report) = load("broken", &target, "<class name=\"look\"/>");
+    let target = format!(
+        "<target protocol=\"http1\" address=\"{}\"/>",
+        server.address
+    );
+    let (output, report) = run_load("broken", &target, "<class name=\"look\"/>");
     assert_eq!(output.status.code(), Some(1));
     assert!(report["unanswered"].as_u64().unwrap() > 10, "{report}");
 }
 
 #[test]
-fn a_plan_that_cannot_be_used_says_where() {
-    let (output, report) = load(
-        "wrong",
+fn invalid_plan_is_rejected_with_location() {
+    let (output, report) = run_load(
+        "invalid",
         "<target protocol=\"http1\" address=\"127.0.0.1:1\"/>",
         "<class/>",
     );
     assert_eq!((output.status.code(), report), (Some(2), Value::Null));
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        said.contains(".xml:2: class: missing field `name`"),
-        "{said}"
+        stderr.contains(".xml:2: class: missing field `name`"),
+        "{stderr}"
     );
 }
--- a/crates/heathspurctl/tests/members.rs
+++ b/crates/heathspurctl/tests/members.rs
@@ -1,4 +1,4 @@
-//! A running fleet's view, asked for from outside: states, load, and the word of a drain at its start.
+//! Tests of the `members` command against a running fleet: states, load, a draining member, and a stopped daemon.
 
 use heathspur_testkit::fleet::Fleet;
 use heathspur_testkit::prelude::{program_path, request};
@@ -7,17 +7,17 @@
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
 
-fn members(address: SocketAddr, more: &[&str]) -> Output {
+fn members(address: SocketAddr, arguments: &[&str]) -> Output {
     let program = program_path("heathspurctl");
     Command::new(program)
         .args(["members", &address.to_string()])
-        .args(more)
+        .args(arguments)
         .output()
         .unwrap()
 }
 
-/// What the server at `address` holds of a member.
-fn held(address: SocketAddr, id: &str) -> Value {
+/// Returns the row of a member in the view of the server at `address`, or null.
+fn row_of_member(address: SocketAddr, id: &str) -> Value {
     let output = members(address, &["--json"]);
     assert!(
         output.status.success(),
@@ -32,72 +32,81 @@
         .unwrap_or(Value::Null)
 }
 
-/// Waits for what a server holds of a member to pass a test.
-fn until(address: SocketAddr, id: &str, what: &str, test: impl Fn(&Value) -> bool) {
+/// Waits until the row of a member in the view of the server at `address` meets a condition.
+fn wait_for_row(
+    address: SocketAddr,
+    id: &str,
+    description: &str,
+    condition: impl Fn(&Value) -> bool,
+) {
     let start = Instant::now();
     loop {
-        let row = held(address, id);
-        if test(&row) {
+        let row = row_of_member(address, id);
+        if condition(&row) {
             return;
         }
-        assert!(start.elapsed() < Duration::from_secs(20), "{what}: {row}");
+        assert!(
+            start.elapsed() < Duration::from_secs(20),
+            "{description}: {row}"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn load_is_told_and_a_drain_is_told_as_leaving_while_it_still_owes_an_answer() {
+fn view_shows_load_and_draining_member_as_left_while_request_is_in_flight() {
     let mut fleet = Fleet::start(3);
     fleet.assert_eventually("all see all", Fleet::all_views_alive);
-    let asked = fleet.relay.member_addresses[0];
-    let mut vm = fleet.fixture(1).accept_link();
+    let observer = fleet.relay.member_addresses[0];
+    let mut interpreter = fleet.fixture(1).accept_link();
     let mut client = fleet.fixture(1).connect_client();
     client.send(&request(1, None, b"abc"));
-    let (task, _, body) = vm.read_apply();
+    let (task, _, body) = interpreter.read_apply();
     assert_eq!(body, b"abc");
-    until(asked, "m1", "one request in flight", |row| {
+    wait_for_row(observer, "m1", "one request in flight", |row| {
         row["in_flight"] == 1 && row["cap"].as_u64() > Some(0)
     });
-    let row = held(asked, "m1");
+    let row = row_of_member(observer, "m1");
     assert_eq!(
         (&row["state"], &row["zone"], &row["region"]),
         (&"alive".into(), &"z1".into(), &"r1".into())
     );
-    // 0.1.0 and on; the same for all that run one build.
+    // The version is 0.1.0 or later, and the same for all members of one build.
     assert!(
-        row["version"].as_u64() >= Some(1_000) && row["version"] == held(asked, "m0")["version"],
+        row["version"].as_u64() >= Some(1_000)
+            && row["version"] == row_of_member(observer, "m0")["version"],
         "{row}"
     );
     fleet.signal(1, "TERM");
-    until(asked, "m1", "left", |row| row["state"] == "left");
-    vm.send_value(&task, "complete", b"done");
+    wait_for_row(observer, "m1", "left", |row| row["state"] == "left");
+    interpreter.send_value(&task, "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
-    let mut rig = fleet.members[1].fixture.take().unwrap();
-    assert!(rig.process.wait().success());
+    let mut fixture = fleet.members[1].fixture.take().unwrap();
+    assert!(fixture.process.wait().success());
     fleet.read_logs_for(Duration::from_secs(1));
     assert_eq!(
         fleet.total_logged_deaths(),
         0,
-        "who left was taken for dead"
+        "a member that left was declared dead"
     );
 }
 
 #[test]
-fn a_table_for_people_and_a_plain_word_where_nobody_answers() {
+fn view_is_printed_as_table_and_stopped_daemon_is_an_error() {
     let mut fleet = Fleet::start(2);
     fleet.assert_eventually("all see all", Fleet::all_views_alive);
     let output = members(fleet.relay.member_addresses[1], &[]);
-    let text = String::from_utf8(output.stdout).unwrap();
+    let stdout = String::from_utf8(output.stdout).unwrap();
     assert!(
-        text.starts_with("view ") && text.contains("of m1: 2 members"),
-        "{text}"
+        stdout.starts_with("view ") && stdout.contains("of m1: 2 members"),
+        "{stdout}"
     );
     assert!(
-        text.contains("refusals/s") && text.lines().count() == 4,
-        "{text}"
+        stdout.contains("refusals/s") && stdout.lines().count() == 4,
+        "{stdout}"
     );
     fleet.kill(1);
     let output = members(fleet.relay.member_addresses[1], &["--wait", "20"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&output.stderr).contains("does not tell its view"));
+    assert!(String::from_utf8_lossy(&output.stderr).contains("cannot get the membership view"));
 }
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -1,4 +1,5 @@
-//! The tools as processes: captures read, cut, and replayed to a stand-in on loopback.
+//! Tests of the commands as processes: captures are read, cut and replayed to a fake server on loopback, and operator's
+//! files are checked.
 
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
@@ -8,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn temporary(name: &str) -> PathBuf {
+fn temporary_path(name: &str) -> PathBuf {
     let file = std::env::temp_dir().join(format!("heathspurctl-{}-{name}", std::process::id()));
     let _ = std::fs::remove_file(&file);
     file
@@ -21,72 +22,78 @@
         .unwrap()
 }
 
-fn said(output: &Output) -> String {
+/// Returns standard output followed by standard error.
+fn output_text(output: &Output) -> String {
     let all = [&output.stdout[..], &output.stderr].concat();
     String::from_utf8_lossy(&all).into_owned()
 }
 
-fn keyed(number: u64, class: &str, key: &str, stamp: u64) -> Vec<u8> {
+fn keyed_request(number: u64, class: &str, key: &str, ingress_ms: u64) -> Vec<u8> {
     format!(
         "POST /svc/{class} HTTP/1.1\r\nX-Txn: {number:016x}\r\nX-Txn-Key: {key}\r\nX-Merchant: north\r\n\
-         X-Ingress-Time: {stamp}\r\nContent-Length: 4\r\n\r\nbody"
+         X-Ingress-Time: {ingress_ms}\r\nContent-Length: 4\r\n\r\nbody"
     )
     .into_bytes()
 }
 
-/// Three connections, each with four requests; every second one of class `pay`. All that was sent, in order.
+/// Writes a capture of three connections with four requests each; those of the second connection have the class `pay`.
+/// Returns the path and the sent requests, ordered by time.
 fn capture(name: &str) -> (PathBuf, Vec<(u64, Vec<u8>)>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
-    for conn in 0..3_u64 {
-        let mut script = CaptureBuilder::open(4000 + conn as u16);
-        script.elapsed_nanos += conn * 7 * NANOS_PER_MS;
+    for connection in 0..3_u64 {
+        let mut builder = CaptureBuilder::open(4000 + connection as u16);
+        builder.elapsed_nanos += connection * 7 * NANOS_PER_MS;
         for n in 0..4 {
-            let class = if conn == 1 { "pay" } else { "look" };
-            let bytes = keyed(
-                conn * 10 + n,
+            let class = if connection == 1 { "pay" } else { "look" };
+            let bytes = keyed_request(
+                connection * 10 + n,
                 class,
-                &format!("{:032x}", conn * 4 + n / 2),
+                &format!("{:032x}", connection * 4 + n / 2),
                 CAPTURE_START_NANOS / NANOS_PER_MS,
             );
-            script.elapsed_nanos += 20 * NANOS_PER_MS;
-            script.send(Side::Client, &bytes, 90);
-            sent.push((script.elapsed_nanos, bytes));
-            script.send(Side::Server, &response(200, b"done"), 100);
+            builder.elapsed_nanos += 20 * NANOS_PER_MS;
+            builder.send(Side::Client, &bytes, 90);
+            sent.push((builder.elapsed_nanos, bytes));
+            builder.send(Side::Server, &response(200, b"done"), 100);
         }
-        script.close();
-        packets.extend(script.packets);
+        builder.close();
+        packets.extend(builder.packets);
     }
     packets.sort_by_key(|(at, _)| *at);
     sent.sort_by_key(|(at, _)| *at);
-    let file = temporary(name);
+    let file = temporary_path(name);
     std::fs::write(&file, pcap_file(&packets)).unwrap();
     (file, sent)
 }
 
-fn replay(file: &std::path::Path, sink: &RecordingServer, more: &[&str]) -> Output {
-    let address = sink.address.to_string();
+fn replay(file: &std::path::Path, server: &RecordingServer, options: &[&str]) -> Output {
+    let address = server.address.to_string();
     let file = file.to_str().unwrap();
-    run(&[&["pcap", "replay", file, "--to-server", &address][..], more].concat())
+    run(&[
+        &["pcap", "replay", file, "--to-server", &address][..],
+        options,
+    ]
+    .concat())
 }
 
 #[test]
-fn info_and_requests_tell_what_is_in_a_capture() {
+fn info_and_requests_print_contents_of_capture() {
     let (file, sent) = capture("info.pcap");
     let output = run(&["pcap", "info", file.to_str().unwrap()]);
-    let text = said(&output);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
-    let line = |name: &str| {
+    let row = |name: &str| {
         text.lines()
             .map(str::trim)
             .find(|line| line.starts_with(name))
             .unwrap_or_else(|| panic!("{text}"))
     };
     assert!(
-        line("requests").ends_with("12") && line("connections").ends_with('3'),
+        row("requests").ends_with("12") && row("connections").ends_with('3'),
         "{text}"
     );
     assert!(
-        line("pay").contains("200: 4") && line("look").contains("200: 8"),
+        row("pay").contains("200: 4") && row("look").contains("200: 8"),
         "{text}"
     );
 
@@ -99,9 +106,9 @@
     ]);
     let rows: Vec<Value> = output
         .stdout
-        .split(|b| *b == b'\n')
-        .filter(|l| !l.is_empty())
-        .map(|l| serde_json::from_slice(l).unwrap())
+        .split(|byte| *byte == b'\n')
+        .filter(|line| !line.is_empty())
+        .map(|line| serde_json::from_slice(line).unwrap())
         .collect();
     assert_eq!(rows.len(), 12);
     for row in &rows {
@@ -110,21 +117,25 @@
             row["bytes"] == sent[0].1.len() || row["class"] == "pay",
             "{row}"
         );
-        // The answer came a millisecond after the request's last segment.
+        // The response was captured 1 ms after the last segment of the request.
         assert!((row["latency_ms"].as_f64().unwrap() - 1.0).abs() < 1e-9);
     }
-    let table = said(&run(&["pcap", "requests", file.to_str().unwrap()]));
+    let table = output_text(&run(&["pcap", "requests", file.to_str().unwrap()]));
     assert_eq!(table.lines().count(), 13);
 }
 
 #[test]
-fn a_damaged_capture_is_used_up_to_the_damage_and_says_where_that_is() {
+fn damaged_capture_is_read_up_to_damage_and_position_is_reported() {
     let (file, _) = capture("damaged.pcap");
-    let whole = std::fs::read(&file).unwrap();
-    std::fs::write(&file, &whole[..whole.len() * 2 / 3]).unwrap();
+    let bytes = std::fs::read(&file).unwrap();
+    std::fs::write(&file, &bytes[..bytes.len() * 2 / 3]).unwrap();
     let output = run(&["pcap", "info", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(3));
-    assert!(said(&output).contains("at byte "), "{}", said(&output));
+    assert!(
+        output_text(&output).contains("at byte "),
+        "{}",
+        output_text(&output)
+    );
     std::fs::write(&file, b"no capture").unwrap();
     assert_eq!(
         run(&["pcap", "requests", file.to_str().unwrap()])
@@ -139,11 +150,11 @@
 }
 
 #[test]
-fn a_part_that_was_cut_out_holds_whole_connections_and_nothing_else() {
+fn cut_contains_only_selected_connections_or_interval() {
     let (file, _) = capture("whole.pcap");
     let file = file.to_str().unwrap();
-    let part = temporary("part.pcapng");
-    let count = |part: &PathBuf| {
+    let part = temporary_path("part.pcapng");
+    let count_requests = |part: &PathBuf| {
         run(&[
             "pcap",
             "requests",
@@ -152,11 +163,11 @@
             "json",
         ])
         .stdout
-        .split(|b| *b == b'\n')
+        .split(|byte| *byte == b'\n')
         .count()
             - 1
     };
-    for (more, requests) in [
+    for (selection, requests) in [
         (&["--class", "pay"][..], 4),
         (&["--tenant", "north"], 12),
         (&["--tenant", "south"], 0),
@@ -167,14 +178,19 @@
         let _ = std::fs::remove_file(&part);
         let output = run(&[
             &["pcap", "cut", file, "--output", part.to_str().unwrap()][..],
-            more,
+            selection,
         ]
         .concat());
-        assert_eq!(output.status.code(), Some(0), "{more:?} {}", said(&output));
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{selection:?} {}",
+            output_text(&output)
+        );
         if requests > 0 {
-            assert_eq!(count(&part), requests, "{more:?}");
+            assert_eq!(count_requests(&part), requests, "{selection:?}");
         }
-        // What is there is not overwritten.
+        // An existing file is not overwritten.
         assert_eq!(
             run(&["pcap", "cut", file, "--output", part.to_str().unwrap()])
                 .status
@@ -185,78 +201,82 @@
 }
 
 #[test]
-fn a_replay_sends_the_same_bytes_in_the_recorded_order_and_reports() {
+fn replay_sends_same_bytes_in_recorded_order_and_writes_report() {
     let (file, sent) = capture("replay.pcap");
-    let sink = RecordingServer::start(ResponseOptions::default());
-    let report = temporary("report");
-    let output = replay(&file, &sink, &["--report", report.to_str().unwrap()]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let received: Vec<_> = sink.received().into_iter().map(|r| r.bytes).collect();
+    let server = RecordingServer::start(ResponseOptions::default());
+    let folder = temporary_path("report");
+    let output = replay(&file, &server, &["--report", folder.to_str().unwrap()]);
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    let received: Vec<_> = server
+        .received()
+        .into_iter()
+        .map(|request| request.bytes)
+        .collect();
     assert_eq!(
         received,
         sent.iter()
             .map(|(_, bytes)| bytes.clone())
             .collect::<Vec<_>>()
     );
-    let told: Value =
-        serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
-    assert_eq!(told["audit"]["compared"]["same"], 12);
-    assert_eq!(told["changed"]["ids"], 0);
-    let lines = std::fs::read_to_string(report.join("requests.jsonl")).unwrap();
+    let report: Value =
+        serde_json::from_slice(&std::fs::read(folder.join("report.json")).unwrap()).unwrap();
+    assert_eq!(report["audit"]["compared"]["same"], 12);
+    assert_eq!(report["changed"]["ids"], 0);
+    let lines = std::fs::read_to_string(folder.join("requests.jsonl")).unwrap();
     assert_eq!(lines.lines().count(), 12);
     for chart in ["rates.svg", "latency.svg"] {
         assert!(
-            std::fs::read_to_string(report.join(chart))
+            std::fs::read_to_string(folder.join(chart))
                 .unwrap()
                 .contains("<polyline"),
             "{chart}"
         );
     }
-    std::fs::remove_dir_all(report).unwrap();
+    std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn a_burst_of_connections_loses_no_report_of_any() {
+fn burst_of_connections_loses_no_event() {
     let mut packets = Vec::new();
-    // Fewer than a listener of the standard library lets wait.
-    for conn in 0..120 {
-        let mut script = CaptureBuilder::open(10_000 + conn);
+    // Fewer connections than the accept backlog of a listener of the standard library.
+    for connection in 0..120 {
+        let mut builder = CaptureBuilder::open(10_000 + connection);
         for n in 0..3 {
-            script.send(
+            builder.send(
                 Side::Client,
-                &keyed(
-                    u64::from(conn) * 3 + n,
+                &keyed_request(
+                    u64::from(connection) * 3 + n,
                     "look",
                     "k",
                     CAPTURE_START_NANOS / NANOS_PER_MS,
                 ),
                 1000,
             );
-            script.send(Side::Server, &response(200, b"done"), 100);
+            builder.send(Side::Server, &response(200, b"done"), 100);
         }
-        script.close();
-        packets.extend(script.packets);
+        builder.close();
+        packets.extend(builder.packets);
     }
     packets.sort_by_key(|(at, _)| *at);
-    let file = temporary("burst.pcap");
+    let file = temporary_path("burst.pcap");
     std::fs::write(&file, pcap_file(&packets)).unwrap();
-    let sink = RecordingServer::start(ResponseOptions::default());
-    let output = replay(&file, &sink, &["--speed", "100"]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    assert_eq!(sink.received().len(), 360);
+    let server = RecordingServer::start(ResponseOptions::default());
+    let output = replay(&file, &server, &["--speed", "100"]);
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    assert_eq!(server.received().len(), 360);
 }
 
 #[test]
-fn fresh_ids_are_asked_for_where_requests_are_sent_more_than_once() {
+fn requests_sent_more_than_once_require_renewed_ids() {
     let (file, sent) = capture("renew.pcap");
-    let sink = RecordingServer::start(ResponseOptions::default());
-    for more in [&["--loop", "2"][..], &["--scale-load", "2"]] {
-        assert_eq!(replay(&file, &sink, more).status.code(), Some(2));
+    let server = RecordingServer::start(ResponseOptions::default());
+    for options in [&["--loop", "2"][..], &["--scale-load", "2"]] {
+        assert_eq!(replay(&file, &server, options).status.code(), Some(2));
     }
-    assert!(sink.received().is_empty());
+    assert!(server.received().is_empty());
     let output = replay(
         &file,
-        &sink,
+        &server,
         &[
             "--loop",
             "2",
@@ -267,8 +287,8 @@
             "4",
         ],
     );
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let received = sink.received();
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    let received = server.received();
     assert_eq!(received.len(), 48);
     let field = |bytes: &[u8], name: &str| {
         let text = String::from_utf8_lossy(bytes).into_owned();
@@ -279,40 +299,42 @@
     let distinct = |name: &str| {
         received
             .iter()
-            .map(|r| field(&r.bytes, name))
+            .map(|request| field(&request.bytes, name))
             .collect::<std::collections::BTreeSet<_>>()
             .len()
     };
-    // Two requests share a key, in each of four copies.
+    // In each of the four copies, two requests share a key.
     assert_eq!((distinct("X-Txn: "), distinct("X-Txn-Key: ")), (48, 24));
     assert!(received
         .iter()
-        .all(|r| r.bytes.len() == sent[0].1.len() || r.bytes.len() == sent[0].1.len() - 1));
-    let stamp: u64 = field(&received[0].bytes, "X-Ingress-Time: ")
+        .map(|request| request.bytes.len())
+        .all(|length| length == sent[0].1.len() || length == sent[0].1.len() - 1));
+    let ingress_ms: u64 = field(&received[0].bytes, "X-Ingress-Time: ")
         .parse()
         .unwrap();
-    assert!(stamp > CAPTURE_START_NANOS / NANOS_PER_MS - 10_000_000_000);
+    assert!(ingress_ms > CAPTURE_START_NANOS / NANOS_PER_MS - 10_000_000_000);
 }
 
 #[test]
-fn what_a_breaking_or_absent_target_costs_is_counted_and_shows_in_the_exit_code() {
+fn requests_lost_by_breaking_or_absent_server_are_counted_and_set_exit_code() {
     let (file, _) = capture("broken.pcap");
-    let sink = RecordingServer::start(ResponseOptions {
+    let server = RecordingServer::start(ResponseOptions {
         disconnect_after: 3,
         ..ResponseOptions::default()
     });
-    let output = replay(&file, &sink, &[]);
-    let text = said(&output);
+    let output = replay(&file, &server, &[]);
+    let text = output_text(&output);
     assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(
         text.lines().any(
-            |l| l.starts_with(" connection ended without an answer") && l.trim().ends_with('3')
+            |line| line.starts_with(" connection ended without an answer")
+                && line.trim().ends_with('3')
         ),
         "{text}"
     );
-    assert_eq!(sink.received().len(), 12, "no request is sent again");
+    assert_eq!(server.received().len(), 12, "a request was sent again");
 
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0")
+    let closed_address = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap()
@@ -322,29 +344,29 @@
         "replay",
         file.to_str().unwrap(),
         "--to-server",
-        &nobody,
+        &closed_address,
         "--speed",
         "10",
     ]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said(&output).contains("not sent: Refused"),
+        output_text(&output).contains("not sent: Refused"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
-    let closes = RecordingServer::start(ResponseOptions {
+    let closing_server = RecordingServer::start(ResponseOptions {
         close_after_response: true,
         ..ResponseOptions::default()
     });
-    assert_eq!(replay(&file, &closes, &[]).status.code(), Some(0));
+    assert_eq!(replay(&file, &closing_server, &[]).status.code(), Some(0));
 }
 
 #[test]
-fn a_file_of_two_link_types_is_cut_with_an_interface_for_each() {
-    let mut script = CaptureBuilder::open(4000);
-    script.send(Side::Client, &request(1, b"abc"), 60);
-    script.send(Side::Server, &response(200, b"ok"), 60);
-    script.close();
+fn cut_of_capture_with_two_link_types_has_interface_for_each() {
+    let mut builder = CaptureBuilder::open(4000);
+    builder.send(Side::Client, &request(1, b"abc"), 60);
+    builder.send(Side::Server, &response(200, b"ok"), 60);
+    builder.close();
     use heathspur_capture::write;
     let mut file = [
         write::ng_section(),
@@ -352,7 +374,7 @@
         write::ng_interface(1, "b"),
     ]
     .concat();
-    for (n, (at, packet)) in script.packets.iter().enumerate() {
+    for (n, (at, packet)) in builder.packets.iter().enumerate() {
         let data = if n % 2 == 0 {
             packet.clone()
         } else {
@@ -366,31 +388,34 @@
             "",
         ));
     }
-    let (whole, part) = (temporary("two.pcapng"), temporary("two-part.pcapng"));
-    std::fs::write(&whole, file).unwrap();
+    let (original, part) = (
+        temporary_path("two.pcapng"),
+        temporary_path("two-part.pcapng"),
+    );
+    std::fs::write(&original, file).unwrap();
     let output = run(&[
         "pcap",
         "cut",
-        whole.to_str().unwrap(),
+        original.to_str().unwrap(),
         "--output",
         part.to_str().unwrap(),
         "--connection",
         "0",
     ]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let text = said(&run(&["pcap", "info", part.to_str().unwrap()]));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    let text = output_text(&run(&["pcap", "info", part.to_str().unwrap()]));
     assert!(text.contains("200: 1"), "{text}");
 }
 
 #[test]
-fn operators_files_are_checked_and_the_schema_printed() {
-    let schema = said(&run(&["config", "schema"]));
+fn operator_files_are_checked_and_schema_is_printed() {
+    let schema = output_text(&run(&["config", "schema"]));
     assert!(schema.contains("<xs:schema"));
-    let file = temporary("operator.xml");
-    let write = |inner: &str| {
+    let file = temporary_path("operator.xml");
+    let write = |elements: &str| {
         std::fs::write(
             &file,
-            format!("<operator xmlns=\"urn:heathspur:operator:1\">\n{inner}</operator>"),
+            format!("<operator xmlns=\"urn:heathspur:operator:1\">\n{elements}</operator>"),
         )
         .unwrap();
     };
@@ -405,9 +430,9 @@
     let output = run(&["config", "check", file.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
     assert!(
-        said(&output).contains(":2: log@colour: unknown element or attribute"),
+        output_text(&output).contains(":2: log@colour: unknown element or attribute"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
     write("<record directory=\"/x\"><budget memory=\"9 MiB\"/></record>");
     assert_eq!(
@@ -416,46 +441,55 @@
             .code(),
         Some(1)
     );
-    assert!(said(&run(&["completions", "bash"])).contains("heathspurctl"));
-    assert!(said(&run(&["man"])).contains(".TH heathspurctl"));
+    assert!(output_text(&run(&["completions", "bash"])).contains("heathspurctl"));
+    assert!(output_text(&run(&["man"])).contains(".TH heathspurctl"));
 }
 
-/// The audit of a replay through a proxy, and how often each request was received.
-fn through(name: &str, faults: Faults, more: &[&str]) -> (Output, Value, Vec<usize>) {
+/// Replays the capture through a proxy. Returns the output, the audit, and how often each request was received.
+fn replay_through_proxy(
+    name: &str,
+    faults: Faults,
+    options: &[&str],
+) -> (Output, Value, Vec<usize>) {
     let (file, sent) = capture(&format!("{name}.pcap"));
-    let sink = RecordingServer::start(ResponseOptions::default());
-    let (proxy, _) = proxy::start(sink.address, faults, 11);
-    let report = temporary(&format!("{name}-report"));
+    let server = RecordingServer::start(ResponseOptions::default());
+    let (proxy, _) = proxy::start(server.address, faults, 11);
+    let folder = temporary_path(&format!("{name}-report"));
     let (file, proxy) = (file.to_str().unwrap(), proxy.to_string());
-    let fixed = [
+    let arguments = [
         "pcap",
         "replay",
         file,
         "--to-server",
         &proxy,
         "--report",
-        report.to_str().unwrap(),
+        folder.to_str().unwrap(),
     ];
-    let output = run(&[&fixed[..], more].concat());
-    let told: Value =
-        serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
-    let received = sink.received();
-    let times = sent
+    let output = run(&[&arguments[..], options].concat());
+    let report: Value =
+        serde_json::from_slice(&std::fs::read(folder.join("report.json")).unwrap()).unwrap();
+    let received = server.received();
+    let receipts = sent
         .iter()
-        .map(|(_, bytes)| received.iter().filter(|r| r.bytes == *bytes).count())
+        .map(|(_, bytes)| {
+            received
+                .iter()
+                .filter(|request| request.bytes == *bytes)
+                .count()
+        })
         .collect();
-    std::fs::remove_dir_all(report).unwrap();
-    (output, told["audit"].clone(), times)
+    std::fs::remove_dir_all(folder).unwrap();
+    (output, report["audit"].clone(), receipts)
 }
 
 #[test]
-fn bytes_that_pass_in_small_pieces_are_the_same_bytes() {
+fn requests_split_into_small_segments_are_answered_as_recorded() {
     let faults = Faults {
         max_piece_len: 3,
         ..Faults::default()
     };
-    let (output, audit, times) = through("split", faults, &[]);
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+    let (output, audit, receipts) = replay_through_proxy("split", faults, &[]);
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert_eq!(
         (
             audit["answered"].as_u64(),
@@ -463,73 +497,73 @@
         ),
         (Some(12), Some(12))
     );
-    assert!(times.iter().all(|times| *times == 1));
+    assert!(receipts.iter().all(|count| *count == 1));
 }
 
 #[test]
-fn connections_that_break_anywhere_cost_requests_and_never_double_one() {
+fn broken_connections_lose_requests_and_duplicate_none() {
     let faults = Faults {
         max_piece_len: 40,
         cut_per_mille: 500,
         fault_window_bytes: 500,
         ..Faults::default()
     };
-    let (output, audit, times) = through("cut", faults, &[]);
-    assert_eq!(output.status.code(), Some(1), "{}", said(&output));
+    let (output, audit, receipts) = replay_through_proxy("cut", faults, &[]);
+    assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
     let count = |name: &str| audit[name].as_u64().unwrap();
     assert!(count("broken") > 0 && count("answered") > 0, "{audit}");
     assert_eq!(
         count("answered") + count("broken"),
         12,
-        "every request ends once: {audit}"
+        "not every request ended exactly once: {audit}"
     );
-    assert!(times.iter().all(|times| *times <= 1), "{times:?}");
+    assert!(receipts.iter().all(|count| *count <= 1), "{receipts:?}");
 }
 
 #[test]
-fn connections_that_go_silent_are_given_up() {
+fn requests_on_unresponsive_connections_time_out() {
     let faults = Faults {
         silent_per_mille: 1000,
         fault_window_bytes: 500,
         ..Faults::default()
     };
-    let (output, audit, times) = through("silent", faults, &["--patience", "0.3"]);
-    assert_eq!(output.status.code(), Some(1), "{}", said(&output));
+    let (output, audit, receipts) = replay_through_proxy("silent", faults, &["--patience", "0.3"]);
+    assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
     assert!(audit["timed_out"].as_u64().unwrap() > 0, "{audit}");
-    assert!(times.iter().all(|times| *times <= 1), "{times:?}");
+    assert!(receipts.iter().all(|count| *count <= 1), "{receipts:?}");
 }
 
 #[test]
-fn a_client_that_waited_waits_again_where_that_is_asked_for() {
-    let mut script = CaptureBuilder::open(4000);
+fn causal_replay_sends_requests_one_by_one_as_recorded() {
+    let mut builder = CaptureBuilder::open(4000);
     for n in 0..6 {
-        script.send(
+        builder.send(
             Side::Client,
-            &keyed(n, "look", "k", CAPTURE_START_NANOS / NANOS_PER_MS),
+            &keyed_request(n, "look", "k", CAPTURE_START_NANOS / NANOS_PER_MS),
             1000,
         );
-        script.send(Side::Server, &response(200, b"done"), 100);
+        builder.send(Side::Server, &response(200, b"done"), 100);
     }
-    script.close();
-    let file = temporary("causal.pcap");
-    std::fs::write(&file, pcap_file(&script.packets)).unwrap();
-    for (more, one_by_one) in [(&["--causal"][..], true), (&[][..], false)] {
-        // Far slower than the recording, in which an answer took a millisecond.
-        let sink = RecordingServer::start(ResponseOptions {
+    builder.close();
+    let file = temporary_path("causal.pcap");
+    std::fs::write(&file, pcap_file(&builder.packets)).unwrap();
+    for (options, one_by_one) in [(&["--causal"][..], true), (&[][..], false)] {
+        // Far slower than in the recording, where a response took 1 ms.
+        let server = RecordingServer::start(ResponseOptions {
             delay: std::time::Duration::from_millis(60),
             ..ResponseOptions::default()
         });
-        let report = temporary("causal-report");
+        let folder = temporary_path("causal-report");
         let output = replay(
             &file,
-            &sink,
-            &[more, &["--report", report.to_str().unwrap()]].concat(),
+            &server,
+            &[options, &["--report", folder.to_str().unwrap()]].concat(),
         );
-        assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-        let told: Value =
-            serde_json::from_slice(&std::fs::read(report.join("report.json")).unwrap()).unwrap();
-        let most = told["audit"]["counts"]["most_open"].as_u64().unwrap();
-        assert_eq!(most == 1, one_by_one, "{most}");
-        std::fs::remove_dir_all(report).unwrap();
+        assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+        let report: Value =
+            serde_json::from_slice(&std::fs::read(folder.join("report.json")).unwrap()).unwrap();
+        let peak_in_flight = report["audit"]["counts"]["most_open"].as_u64().unwrap();
+        assert_eq!(peak_in_flight == 1, one_by_one, "{peak_in_flight}");
+        std::fs::remove_dir_all(folder).unwrap();
     }
 }
