--- a/crates/heathspur-bench/src/daemon.rs
+++ b/crates/heathspur-bench/src/daemon.rs
@@ -1,83 +1,103 @@
-//! The daemon under measurement, with stand-ins that answer by themselves.
+//! The server process under measurement, with stubs of the interpreter and the registration service.
 
 use heathspur_testkit::auto_stubs::{self, InterpreterOptions, RunCounts};
 use heathspur_testkit::prelude::{bind_loopback, server_config, ProcessGuard};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::thread;
 
+/// A running server process, killed when dropped.
 pub struct Daemon {
     pub process: ProcessGuard,
-    /// Where it listens for HTTP/1.1.
-    pub address: SocketAddr,
-    /// And for HTTP/2, where that is on.
-    pub http2: Option<SocketAddr>,
-    pub runs: RunCounts,
+    /// The address of the HTTP/1.1 listener.
+    pub http1_address: SocketAddr,
+    /// The address of the HTTP/2 listener, if it is enabled.
+    pub http2_address: Option<SocketAddr>,
+    /// How often the interpreter ran each request body, keyed by the body in base64.
+    pub run_counts: RunCounts,
 }
 
 impl Daemon {
-    /// Starts one; `command` names the program, `edit` changes its configuration.
+    /// Starts a server and waits until it listens.
+    ///
+    /// `command` names the program; the configuration, as changed by `edit`, is written to `folder`. The server is
+    /// expected to listen for HTTP/2 when the file `operator` has an `http2` element.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the server doesn't start or exits before it logs its addresses.
     pub fn start(
         mut command: Command,
         folder: &Path,
         operator: Option<&Path>,
-        manner: InterpreterOptions,
+        interpreter_options: InterpreterOptions,
         edit: impl FnOnce(&mut Value),
     ) -> Daemon {
-        let (vm, store, announce) = (bind_loopback(), bind_loopback(), bind_loopback());
-        let at = |l: &std::net::TcpListener| l.local_addr().expect("an address");
-        let mut settings = server_config(at(&vm), at(&announce), at(&store));
+        let (interpreter, store, registration) =
+            (bind_loopback(), bind_loopback(), bind_loopback());
+        let address_of = |listener: &TcpListener| {
+            listener
+                .local_addr()
+                .expect("failed to read the address of a listener")
+        };
+        let mut settings = server_config(
+            address_of(&interpreter),
+            address_of(&registration),
+            address_of(&store),
+        );
         settings["settings"]["realms"][0]["quota-per-s"] = json!(1e6);
         settings["settings"]["family-info"]["calls-by-class"] = json!([false, true]);
         settings["settings"]["family-info"]["mem-limit-kb"] = json!(90_000.0);
         edit(&mut settings);
         let file = folder.join("config.json");
-        std::fs::write(&file, settings.to_string()).expect("the configuration is written");
-        let runs = auto_stubs::interpreter_with(vm, manner);
-        auto_stubs::registration(announce);
+        std::fs::write(&file, settings.to_string()).expect("failed to write the configuration");
+        let run_counts = auto_stubs::interpreter_with(interpreter, interpreter_options);
+        auto_stubs::registration(registration);
         command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
-        let mut further = false;
+        let mut http2_enabled = false;
         if let Some(operator) = operator {
             command.args(["serve", "--operator"]).arg(operator);
-            further = std::fs::read_to_string(operator).is_ok_and(|text| text.contains("<http2"));
+            http2_enabled =
+                std::fs::read_to_string(operator).is_ok_and(|text| text.contains("<http2"));
         }
-        let mut child = command.spawn().expect("the daemon starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("a pipe"))
+        let mut child = command.spawn().expect("failed to start the server");
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped"))
             .lines()
             .map_while(Result::ok);
-        let mut next = |words: &str| {
+        let mut next_logged_address = |message: &str| {
             let line = lines
-                .find(|line| line.contains(words))
-                .expect("the daemon says where it listens");
+                .find(|line| line.contains(message))
+                .expect("the server exited before it logged its address");
             line.rsplit(' ')
                 .next()
-                .and_then(|a| a.parse::<SocketAddr>().ok())
-                .expect("an address")
+                .and_then(|address| address.parse::<SocketAddr>().ok())
+                .expect("the log line does not end with an address")
         };
-        let address = next("listening on");
-        let http2 = further.then(|| next("listening for"));
-        // Who stops reading a log may stop its writer; a panic is told.
+        let http1_address = next_logged_address("listening on");
+        let http2_address = http2_enabled.then(|| next_logged_address("listening for"));
+        // The log is read to its end, since a full pipe would block the server. A panic and the lines after it are
+        // printed, 20 in all.
         thread::spawn(move || {
-            let mut shown = 0;
+            let mut printed = 0;
             for line in lines {
-                if line.contains("panicked") || shown > 0 {
-                    shown = (shown + 1) % 20;
+                if line.contains("panicked") || printed > 0 {
+                    printed = (printed + 1) % 20;
                     eprintln!("{line}");
                 }
             }
         });
         Daemon {
             process: ProcessGuard(child),
-            address,
-            http2,
-            runs,
+            http1_address,
+            http2_address,
+            run_counts,
         }
     }
 
-    /// Its memory at rest, in KiB.
+    /// Returns the resident memory of the process in KiB, or 0 if it can't be read.
     pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.0.id()));
         let text = status.unwrap_or_default();
@@ -86,7 +106,7 @@
             .unwrap_or(0)
     }
 
-    /// Time on cores that its threads have had, in nanoseconds.
+    /// Returns the CPU time of all threads of the process, in nanoseconds.
     pub fn cpu_nanos(&self) -> u64 {
         let folder = format!("/proc/{}/task", self.process.0.id());
         let threads = std::fs::read_dir(folder).into_iter().flatten().flatten();
--- a/crates/heathspur-bench/src/http2/abuse.rs
+++ b/crates/heathspur-bench/src/http2/abuse.rs
@@ -1,4 +1,4 @@
-//! Each abuse beside 200 good requests a second: what of them is answered, and how late.
+//! Well-behaved requests beside one kind of abuse after the other: the share that is served, and their latency.
 
 use super::start;
 use crate::table::Table;
@@ -12,22 +12,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Well-behaved requests per second.
 const RATE: u64 = 200;
-const PLAY: Duration = Duration::from_secs(4);
-/// The share of good requests that is kept beside any abuse.
-const KEPT: f64 = 0.99;
+/// How long they are sent, alone and beside each kind of abuse.
+const DURATION: Duration = Duration::from_secs(4);
+/// Least share to be served: of all well-behaved requests without abuse, and beside abuse of the share served without.
+const MIN_SERVED_SHARE: f64 = 0.99;
+/// The identifier of SETTINGS_HEADER_TABLE_SIZE (RFC 9113, section 6.5.2).
+const SETTINGS_HEADER_TABLE_SIZE: u16 = 1;
 
-/// Good requests on one connection at their intended times: the share answered with 200, and p99 in ms from the
-/// intended time.
-fn good(address: SocketAddr) -> (f64, f64) {
-    let mut caller = Http2Client::connect(address);
-    let mut reader = caller.split_reader();
+/// Sends well-behaved requests on one connection at fixed intended times.
+///
+/// Returns the share answered with status 200, and the p99 of the time from the intended time to the response, in
+/// milliseconds.
+fn send_well_behaved(address: SocketAddr) -> (f64, f64) {
+    let mut client = Http2Client::connect(address);
+    let mut reader = client.split_reader();
     reader.auto_reply = false;
-    let count = RATE * PLAY.as_secs();
+    let count = RATE * DURATION.as_secs();
     let start = Instant::now() + Duration::from_millis(20);
-    let at = move |n: u64| start + Duration::from_micros(n * 1_000_000 / RATE);
+    let intended = move |n: u64| start + Duration::from_micros(n * 1_000_000 / RATE);
     let read = thread::spawn(move || {
-        let mut times = Histogram::<u64>::new(3).expect("a histogram");
+        let mut latency_micros =
+            Histogram::<u64>::new(3).expect("3 significant digits are supported");
         let mut served = 0;
         for n in 0..count {
             if matches!(
@@ -35,68 +42,79 @@
                 StreamOutcome::Response(200, ..)
             ) {
                 served += 1;
-                let late = Instant::now().saturating_duration_since(at(n));
-                let _ = times.record(late.as_micros() as u64);
+                let latency = Instant::now().saturating_duration_since(intended(n));
+                let _ = latency_micros.record(latency.as_micros() as u64);
             }
         }
         (
             served as f64 / count as f64,
-            times.value_at_quantile(0.99) as f64 / 1000.0,
+            latency_micros.value_at_quantile(0.99) as f64 / 1000.0,
         )
     });
     for n in 0..count {
-        thread::sleep(at(n).saturating_duration_since(Instant::now()));
-        let id = caller.allocate_stream_id();
-        let bytes = caller.encode_request(id, 1 << 50 | n, None, b"good");
-        if !caller.try_send_raw(&bytes) {
+        thread::sleep(intended(n).saturating_duration_since(Instant::now()));
+        let id = client.allocate_stream_id();
+        let bytes = client.encode_request(id, 1 << 50 | n, None, b"good");
+        if !client.try_send_raw(&bytes) {
             break;
         }
     }
-    read.join().expect("a reader")
+    read.join().expect("the reader thread panicked")
 }
 
+/// Abuses the server at an address until the flag is set; counts the connections that the server ended with
+/// ENHANCE_YOUR_CALM.
 type Abuse = fn(SocketAddr, &AtomicBool, &AtomicU64);
 
-/// Sends pieces as fast as they go; a connection that is ended is made again.
+/// Sends the bytes that `next_bytes` returns as fast as the server accepts them, until `stop` is set.
+///
+/// Connects again when the server ends the connection. `prepare` runs once on each connection.
 fn flood(
     address: SocketAddr,
     stop: &AtomicBool,
     ended: &AtomicU64,
     prepare: impl Fn(&mut Http2Client),
-    each: impl Fn(&mut Http2Client) -> Vec<u8>,
+    next_bytes: impl Fn(&mut Http2Client) -> Vec<u8>,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        let mut caller = Http2Client::connect(address);
-        prepare(&mut caller);
-        let mut reader = caller.split_reader();
+        let mut client = Http2Client::connect(address);
+        prepare(&mut client);
+        let mut reader = client.split_reader();
         let read = thread::spawn(move || reader.read_until_closed());
         loop {
-            let bytes = each(&mut caller);
-            if stop.load(Ordering::Relaxed) || !caller.try_send_raw(&bytes) {
+            let bytes = next_bytes(&mut client);
+            if stop.load(Ordering::Relaxed) || !client.try_send_raw(&bytes) {
                 break;
             }
         }
-        let _ = caller.socket().shutdown(std::net::Shutdown::Both);
+        let _ = client.socket().shutdown(std::net::Shutdown::Both);
         if let Ok(Some((_, ENHANCE_YOUR_CALM))) = read.join() {
             ended.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-const HEAD: [(&str, &str); 4] = [
+/// The header fields of a request.
+const REQUEST_FIELDS: [(&str, &str); 4] = [
     (":method", "POST"),
     (":scheme", "http"),
     (":path", "/svc/look"),
     (":authority", "b"),
 ];
 
-/// Connections that do something once and then hold still, again and again until the stop.
-fn hold(address: SocketAddr, stop: &AtomicBool, count: usize, each: impl Fn(&mut Http2Client)) {
+/// Opens `count` connections, runs `prepare` on each, leaves them idle for up to a second and closes them; repeats this
+/// until `stop` is set.
+fn open_idle_connections(
+    address: SocketAddr,
+    stop: &AtomicBool,
+    count: usize,
+    prepare: impl Fn(&mut Http2Client),
+) {
     while !stop.load(Ordering::Relaxed) {
-        let mut callers: Vec<Http2Client> = (0..count)
+        let mut clients: Vec<Http2Client> = (0..count)
             .map(|_| Http2Client::connect_without_preface(address))
             .collect();
-        callers.iter_mut().for_each(&each);
+        clients.iter_mut().for_each(&prepare);
         for _ in 0..10 {
             if !stop.load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(100));
@@ -105,10 +123,11 @@
     }
 }
 
+/// The kinds of abuse and their names in the table.
 const ABUSES: [(&str, Abuse); 14] = [
     ("1,000 streams and no reading", |address, stop, _| {
-        hold(address, stop, 1, |caller| {
-            caller.send_raw(
+        open_idle_connections(address, stop, 1, |client| {
+            client.send_raw(
                 &[
                     PREFACE,
                     &settings_frame(&[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]),
@@ -116,9 +135,9 @@
                 .concat(),
             );
             for n in 0..1_000 {
-                let id = caller.allocate_stream_id();
-                let bytes = caller.encode_request(id, 2 << 50 | n, None, b"x");
-                if !caller.try_send_raw(&bytes) {
+                let id = client.allocate_stream_id();
+                let bytes = client.encode_request(id, 2 << 50 | n, None, b"x");
+                if !client.try_send_raw(&bytes) {
                     break;
                 }
             }
@@ -130,11 +149,11 @@
             stop,
             ended,
             |_| {},
-            |caller| {
-                let id = caller.allocate_stream_id();
-                let asked = caller.encode_request(id, 3 << 50 | u64::from(id), None, b"x");
+            |client| {
+                let id = client.allocate_stream_id();
+                let request = client.encode_request(id, 3 << 50 | u64::from(id), None, b"x");
                 [
-                    asked,
+                    request,
                     encode_frame(RST_STREAM, 0, id, &CANCEL.to_be_bytes()),
                 ]
                 .concat()
@@ -142,9 +161,9 @@
         )
     }),
     ("CONTINUATION without end", |address, stop, ended| {
-        let open = |caller: &mut Http2Client| {
-            let block = caller.encode_headers(&HEAD);
-            caller.send_raw(&encode_frame(HEADERS, 0, 1, &block));
+        let open = |client: &mut Http2Client| {
+            let block = client.encode_headers(&REQUEST_FIELDS);
+            client.send_raw(&encode_frame(HEADERS, 0, 1, &block));
         };
         flood(address, stop, ended, open, |_| {
             encode_frame(CONTINUATION, 0, 1, &[]).repeat(100)
@@ -178,7 +197,8 @@
         )
     }),
     ("empty DATA", |address, stop, ended| {
-        let open = |caller: &mut Http2Client| assert_eq!(caller.open_stream(&HEAD, false), 1);
+        let open =
+            |client: &mut Http2Client| assert_eq!(client.open_stream(&REQUEST_FIELDS, false), 1);
         flood(address, stop, ended, open, |_| {
             encode_frame(DATA, 0, 1, &[]).repeat(100)
         })
@@ -199,9 +219,12 @@
             ended,
             |_| {},
             |_| {
-                [settings_frame(&[(1, 0)]), settings_frame(&[(1, 1 << 16)])]
-                    .concat()
-                    .repeat(50)
+                [
+                    settings_frame(&[(SETTINGS_HEADER_TABLE_SIZE, 0)]),
+                    settings_frame(&[(SETTINGS_HEADER_TABLE_SIZE, 1 << 16)]),
+                ]
+                .concat()
+                .repeat(50)
             },
         )
     }),
@@ -212,10 +235,10 @@
             stop,
             ended,
             |_| {},
-            |caller| {
+            |client| {
                 let (id, block) = (
-                    caller.allocate_stream_id(),
-                    caller.encode_headers(&[&HEAD[..], &[("x-large", &large)]].concat()),
+                    client.allocate_stream_id(),
+                    client.encode_headers(&[&REQUEST_FIELDS[..], &[("x-large", &large)]].concat()),
                 );
                 encode_frame(HEADERS, END_HEADERS | END_STREAM, id, &block)
             },
@@ -231,24 +254,24 @@
         )
     }),
     ("requests that stop half way", |address, stop, _| {
-        hold(address, stop, 50, |caller| {
-            caller.send_raw(&[PREFACE, &settings_frame(&[])].concat());
+        open_idle_connections(address, stop, 50, |client| {
+            client.send_raw(&[PREFACE, &settings_frame(&[])].concat());
             for _ in 0..20 {
-                let id = caller.open_stream(&HEAD, false);
-                caller.send_data(id, b"half", false);
+                let id = client.open_stream(&REQUEST_FIELDS, false);
+                client.send_data(id, b"half", false);
             }
         })
     }),
     (
         "connections that never say the preface, or speak HTTP/1.1",
         |address, stop, _| {
-            hold(address, stop, 200, |caller| {
-                if caller
+            open_idle_connections(address, stop, 200, |client| {
+                if client
                     .socket()
                     .local_addr()
                     .is_ok_and(|address| address.port() % 2 == 0)
                 {
-                    let _ = caller.try_send_raw(b"GET / HTTP/1.1\r\n\r\n");
+                    let _ = client.try_send_raw(b"GET / HTTP/1.1\r\n\r\n");
                 }
             })
         },
@@ -264,44 +287,53 @@
     }),
 ];
 
+/// Measures well-behaved requests alone, then beside each kind of abuse, and the server's memory at the end.
 pub fn measure(folder: &Path, table: &mut Table) {
     let (daemon, address) = start(folder, "abuse", "", InterpreterOptions::default());
-    // The module has to see the machine first.
-    good(address);
-    let (alone, alone_p99) = good(address);
-    table.row(
+    // The first requests aren't measured: admission control has to learn the capacity of the machine.
+    send_well_behaved(address);
+    let (share_alone, p99_alone_ms) = send_well_behaved(address);
+    table.add_check(
         &format!("{RATE} good requests a second alone"),
-        format!("{:.2}% answered, p99 {alone_p99:.2} ms", alone * 100.0),
+        format!(
+            "{:.2}% answered, p99 {p99_alone_ms:.2} ms",
+            share_alone * 100.0
+        ),
         "all",
-        alone >= KEPT,
+        share_alone >= MIN_SERVED_SHARE,
     );
-    let mut least = f64::INFINITY;
+    let mut min_kept_share = f64::INFINITY;
     for (name, abuse) in ABUSES {
         let (stop, ended) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicU64::new(0)),
         );
-        let (stopped, counted) = (stop.clone(), ended.clone());
-        let abuser = thread::spawn(move || abuse(address, &stopped, &counted));
-        let (share, p99) = good(address);
+        let abuser = {
+            let (stop, ended) = (stop.clone(), ended.clone());
+            thread::spawn(move || abuse(address, &stop, &ended))
+        };
+        let (share, p99_ms) = send_well_behaved(address);
         stop.store(true, Ordering::Relaxed);
         let _ = abuser.join();
-        let kept = share / alone;
-        least = least.min(kept);
-        table.row(
+        let kept_share = share / share_alone;
+        min_kept_share = min_kept_share.min(kept_share);
+        table.add_check(
             &format!("the same beside: {name}"),
             format!(
-                "{:.2}% kept, p99 {p99:.2} ms; {} connections ended with ENHANCE_YOUR_CALM",
-                kept * 100.0,
+                "{:.2}% kept, p99 {p99_ms:.2} ms; {} connections ended with ENHANCE_YOUR_CALM",
+                kept_share * 100.0,
                 ended.load(Ordering::Relaxed)
             ),
             "99% at least",
-            kept >= KEPT,
+            kept_share >= MIN_SERVED_SHARE,
         );
     }
-    table.tell(
+    table.add_value(
         "memory after all of them",
         format!("{:.1} MiB", daemon.resident_kib() as f64 / 1024.0),
     );
-    table.figure(format!("kept beside abuse {:.2}% at least", least * 100.0));
+    table.add_figure(format!(
+        "kept beside abuse {:.2}% at least",
+        min_kept_share * 100.0
+    ));
 }
--- a/crates/heathspur-bench/src/http2/mod.rs
+++ b/crates/heathspur-bench/src/http2/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 on a further port: drains, stalled readers, abuse, repeats across protocols, cost.
+//! Measurements of HTTP/2: drains, stalled readers, abuse, repeated keys over both protocols, and cost of a request.
 
 mod abuse;
 mod cost;
@@ -14,9 +14,10 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Memory that the daemon is given, in MiB.
+/// The server's memory limit (`memory_mb` of the configuration), in MiB.
 const MEMORY_MB: u64 = 64;
 
+/// Runs all measurements of HTTP/2, with `drains` drains.
 pub fn measure(folder: &Path, baseline: &Path, drains: u64, table: &mut Table) {
     drain::measure(folder, drains, table);
     stalled::measure(folder, table);
@@ -25,27 +26,28 @@
     cost::measure(folder, baseline, table);
 }
 
-fn operator(folder: &Path, name: &str, inner: &str) -> PathBuf {
+/// Writes an operator's file that enables HTTP/2, with the given elements inside `http2`.
+fn write_operator_file(folder: &Path, name: &str, http2_elements: &str) -> PathBuf {
     let file = folder.join(format!("{name}.xml"));
     let text = format!(
-        "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\">{inner}</http2></operator>"
+        "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\">{http2_elements}</http2></operator>"
     );
-    std::fs::write(&file, text).expect("the operator's file is written");
+    std::fs::write(&file, text).expect("failed to write the operator's file");
     file
 }
 
-/// A daemon with the port on; its address there.
+/// Starts a server with HTTP/2 enabled and returns it with the address of that listener.
 fn start(
     folder: &Path,
     name: &str,
-    inner: &str,
-    manner: InterpreterOptions,
+    http2_elements: &str,
+    interpreter_options: InterpreterOptions,
 ) -> (Daemon, std::net::SocketAddr) {
-    let operator = operator(folder, name, inner);
+    let operator = write_operator_file(folder, name, http2_elements);
     let edit = |settings: &mut Value| {
         settings["limits"]["memory_mb"] = json!(MEMORY_MB);
         settings["limits"]["sockets"] = json!(4096);
-        // Thousands of keys are kept for their window; what the machine holds is not what is measured here.
+        // Enough for the retained results of thousands of keys: the memory limit of the machine isn't measured here.
         settings["settings"]["family-info"]["key-kb"] = json!(0.5);
         settings["settings"]["family-info"]["mem-limit-kb"] = json!(900_000.0);
     };
@@ -53,9 +55,11 @@
         Command::new(program_path("heathspurd")),
         folder,
         Some(&operator),
-        manner,
+        interpreter_options,
         edit,
     );
-    let address = daemon.http2.expect("the port is on");
+    let address = daemon
+        .http2_address
+        .expect("HTTP/2 is enabled in the operator's file");
     (daemon, address)
 }
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -1,4 +1,5 @@
-//! Keyed requests with random resets and repeats across both protocols: none runs twice, none stays unanswered.
+//! Requests with idempotency keys that are reset and repeated at random over both protocols: no key runs twice, and no
+//! request stays unanswered.
 
 use super::start;
 use crate::table::Table;
@@ -13,52 +14,62 @@
 use std::thread;
 use std::time::Duration;
 
-const CALLERS: u64 = 8;
+const CLIENTS: u64 = 8;
 const REQUESTS: u64 = 50_000;
-/// Keys of a caller that are in use at once; after so many requests the next ones begin.
+/// Keys that a client uses at a time.
 const KEYS: u64 = 40;
+/// Average number of attempts per key: a client goes on to the next [`KEYS`] keys after so many requests for each.
+const ATTEMPTS_PER_KEY: u64 = 4;
 
+/// How requests ended.
 #[derive(Default)]
 struct Counts {
+    /// Responses with status 200.
     answered: u64,
+    /// Responses with status 503, and streams that the server reset.
     refused: u64,
+    /// Streams that the client reset.
     reset: u64,
+    /// Requests whose connection ended, and responses with another status.
     unanswered: u64,
-    /// Answers to one key that are not the same.
+    /// Responses that differ from the first one to the same key.
     differ: u64,
 }
 
-fn caller(http2: SocketAddr, http1: SocketAddr, caller: u64) -> Counts {
-    let mut rng = StdRng::seed_from_u64(caller);
-    let (mut streams, mut client) = (Http2Client::connect(http2), Http1Client::connect(http1));
+/// Sends the requests of one client, each over one of its two connections.
+fn run_client(http2: SocketAddr, http1: SocketAddr, client: u64) -> Counts {
+    let mut rng = StdRng::seed_from_u64(client);
+    let (mut http2_client, mut http1_client) =
+        (Http2Client::connect(http2), Http1Client::connect(http1));
     let mut counts = Counts::default();
     let mut results: HashMap<u64, Vec<u8>> = HashMap::new();
-    for n in 0..REQUESTS / CALLERS {
-        // Four tries of each key on the whole, spread over its time; one in ten callers shares another's keys.
-        let owner = if rng.random_bool(0.1) {
-            (caller + 1) % CALLERS
+    for n in 0..REQUESTS / CLIENTS {
+        // One request in ten uses a key of the next client.
+        let key_owner = if rng.random_bool(0.1) {
+            (client + 1) % CLIENTS
         } else {
-            caller
+            client
         };
-        let number = (owner << 32) + (n / (4 * KEYS)) * KEYS + rng.random_range(0..KEYS);
+        let number =
+            (key_owner << 32) + (n / (ATTEMPTS_PER_KEY * KEYS)) * KEYS + rng.random_range(0..KEYS);
         let (txn, key, body) = (
-            caller << 40 | n,
+            client << 40 | n,
             format!("key-{number}"),
             format!("pay-{number}"),
         );
         let (status, result) = if rng.random_bool(0.4) {
-            client.send(&request(txn, Some(&key), body.as_bytes()));
-            let (status, _, result) = client.read_response();
+            http1_client.send(&request(txn, Some(&key), body.as_bytes()));
+            let (status, _, result) = http1_client.read_response();
             (status, result)
         } else {
-            let id = streams.send_request(txn, Some(&key), body.as_bytes());
+            let id = http2_client.send_request(txn, Some(&key), body.as_bytes());
             if rng.random_bool(0.3) {
                 thread::sleep(Duration::from_micros(rng.random_range(0..300)));
-                streams.send_reset(id, CANCEL);
+                http2_client.send_reset(id, CANCEL);
                 counts.reset += 1;
                 continue;
             }
-            match streams.wait_for_outcome(id) {
+            match http2_client.wait_for_outcome(id) {
                 StreamOutcome::Response(status, _, result) => (status, result),
                 StreamOutcome::Reset(_) => {
                     counts.refused += 1;
@@ -66,7 +77,7 @@
                 }
                 StreamOutcome::ConnectionClosed => {
                     counts.unanswered += 1;
-                    streams = Http2Client::connect(http2);
+                    http2_client = Http2Client::connect(http2);
                     continue;
                 }
             }
@@ -84,58 +95,62 @@
     counts
 }
 
+/// Sends requests from several clients at once and adds up how they ended.
 pub fn measure(folder: &Path, table: &mut Table) {
-    let manner = InterpreterOptions {
+    let interpreter_options = InterpreterOptions {
         run_duration: Duration::from_millis(1),
         result_len: None,
         calls_dependency: false,
     };
-    let (daemon, address) = start(folder, "repeats", "", manner);
-    let http1 = daemon.address;
-    let callers: Vec<_> = (0..CALLERS)
-        .map(|n| thread::spawn(move || caller(address, http1, n)))
+    let (daemon, http2) = start(folder, "repeats", "", interpreter_options);
+    let http1 = daemon.http1_address;
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|client| thread::spawn(move || run_client(http2, http1, client)))
         .collect();
-    let mut all = Counts::default();
-    for caller in callers {
-        let counts = caller.join().expect("a caller");
-        all.answered += counts.answered;
-        all.refused += counts.refused;
-        all.reset += counts.reset;
-        all.unanswered += counts.unanswered;
-        all.differ += counts.differ;
+    let mut total = Counts::default();
+    for client in clients {
+        let counts = client.join().expect("a client thread panicked");
+        total.answered += counts.answered;
+        total.refused += counts.refused;
+        total.reset += counts.reset;
+        total.unanswered += counts.unanswered;
+        total.differ += counts.differ;
     }
-    let runs = daemon.runs.lock().expect("runs are counted");
-    let doubled = runs.values().filter(|&&count| count > 1).count();
-    table.tell(
+    let run_counts = daemon
+        .run_counts
+        .lock()
+        .expect("the interpreter's stub panicked");
+    let ran_twice = run_counts.values().filter(|&&count| count > 1).count();
+    table.add_value(
         &format!("{REQUESTS} keyed requests over both protocols"),
         format!(
             "{} answered, {} refused, {} reset by their callers; {} keys ran",
-            all.answered,
-            all.refused,
-            all.reset,
-            runs.len()
+            total.answered,
+            total.refused,
+            total.reset,
+            run_counts.len()
         ),
     );
-    table.row(
+    table.add_check(
         "keys that ran twice",
-        doubled.to_string(),
+        ran_twice.to_string(),
         "0",
-        doubled == 0,
+        ran_twice == 0,
     );
-    table.row(
+    table.add_check(
         "keys with two results",
-        all.differ.to_string(),
+        total.differ.to_string(),
         "0",
-        all.differ == 0,
+        total.differ == 0,
     );
-    table.row(
+    table.add_check(
         "requests without an answer",
-        all.unanswered.to_string(),
+        total.unanswered.to_string(),
         "0",
-        all.unanswered == 0,
+        total.unanswered == 0,
     );
-    table.figure(format!(
-        "double runs {doubled}, unanswered {}",
-        all.unanswered
+    table.add_figure(format!(
+        "double runs {ran_twice}, unanswered {}",
+        total.unanswered
     ));
 }
--- a/crates/heathspur-bench/src/main.rs
+++ b/crates/heathspur-bench/src/main.rs
@@ -1,4 +1,8 @@
-//! Measurements that are too long for tests. `measure pcap`: captures read, replayed and recorded.
+//! Measurements of the server and its tools on loopback that take too long for tests.
+//!
+//! `measure pcap`, `measure http2` and `measure members` print their results and write them to a page. `measure cost`
+//! runs one part of `measure pcap` and only prints its results. The program exits with 1 when a requirement isn't met or
+//! the page can't be written.
 #![forbid(unsafe_code)]
 
 mod cost;
@@ -18,67 +22,67 @@
 #[derive(Debug, Parser)]
 struct Cli {
     #[command(subcommand)]
-    what: What,
+    measurement: Measurement,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
-    /// Traffic from pcap files.
+enum Measurement {
+    /// Reading, replaying and recording pcap files.
     Pcap {
-        /// The daemon as it was before, to compare the cost of a request with.
+        /// Program of an earlier server, whose cost of a request is compared.
         #[arg(long)]
         baseline: PathBuf,
-        /// Where tables and charts go.
+        /// Directory of the page and the charts.
         #[arg(long)]
         results: PathBuf,
-        /// Size of the large file, in MiB.
+        /// Size of the large capture file, in MiB.
         #[arg(long, default_value_t = 2048)]
         large: u64,
     },
-    /// HTTP/2 on a further port.
+    /// HTTP/2 on its own port.
     Http2 {
-        /// The daemon as it was before, to compare the cost of a request with.
+        /// Program of an earlier server, whose cost of a request is compared.
         #[arg(long)]
         baseline: PathBuf,
-        /// Where the table goes.
+        /// Directory of the page.
         #[arg(long)]
         results: PathBuf,
-        /// Drains that are played.
+        /// Number of drains.
         #[arg(long, default_value_t = 20)]
         drains: u64,
     },
-    /// The fleet's view: processes on loopback, and the emulator.
+    /// SWIM membership: server processes on loopback, and emulated members.
     Members {
-        /// Where the table and charts go.
+        /// Directory of the page and the charts.
         #[arg(long)]
         results: PathBuf,
     },
-    /// What a request costs the daemon, alone.
+    /// CPU time and instructions of a request, without and with recording.
     Cost {
-        /// The daemon as it was before.
+        /// Program of an earlier server, whose cost of a request is compared.
         #[arg(long)]
         baseline: PathBuf,
     },
 }
 
 fn main() -> ExitCode {
-    let what = Cli::parse().what;
+    let measurement = Cli::parse().measurement;
     let folder = std::env::temp_dir().join(format!("heathspur-bench-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder for the measurement's files");
-    let done = match what {
-        What::Pcap {
+    std::fs::create_dir_all(&folder).expect("failed to create the working directory");
+    let exit_code = match measurement {
+        Measurement::Pcap {
             baseline,
             results,
-            large,
+            large: large_mib,
         } => {
             let mut table = Table::new("pcap");
             storm::measure(&folder, &results, &mut table);
-            large::measure(&folder, large << 20, &mut table);
-            cost::round(&folder, &mut table);
+            large::measure(&folder, large_mib << 20, &mut table);
+            cost::measure_record_and_replay(&folder, &mut table);
             cost::measure(&folder, &baseline, &mut table);
             table.finish(&results)
         }
-        What::Http2 {
+        Measurement::Http2 {
             baseline,
             results,
             drains,
@@ -87,17 +91,17 @@
             http2::measure(&folder, &baseline, drains, &mut table);
             table.finish(&results)
         }
-        What::Members { results } => {
+        Measurement::Members { results } => {
             let mut table = Table::new("members");
             members::measure(&folder, &results, &mut table);
             table.finish(&results)
         }
-        What::Cost { baseline } => {
+        Measurement::Cost { baseline } => {
             let mut table = Table::new("cost");
             cost::measure(&folder, &baseline, &mut table);
             table.finish(&folder)
         }
     };
     let _ = std::fs::remove_dir_all(&folder);
-    done
+    exit_code
 }
--- a/crates/heathspur-bench/src/members.rs
+++ b/crates/heathspur-bench/src/members.rs
@@ -1,4 +1,7 @@
-//! The fleet's view: processes on loopback behind the fault relay, and the same core in the emulator.
+//! SWIM membership: server processes on loopback behind the fault relay, and the same code in the emulator.
+//!
+//! Measures how soon a crash, a restart and the end of a partition are known, how many members that run are declared
+//! dead, and the traffic per member.
 
 use crate::table::Table;
 use heathspur_testkit::fleet::Fleet;
@@ -9,116 +12,140 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// What the processes' operator's files have beside their names and places.
-const PROCESSES: &str = "period=\"500 ms\" probe-timeout=\"200 ms\" suspicion=\"2\"";
-/// Crashes of each fleet of processes.
+/// Attributes of `members` in the operator's files of the processes, besides names and addresses.
+const MEMBERS_ATTRIBUTES: &str = "period=\"500 ms\" probe-timeout=\"200 ms\" suspicion=\"2\"";
+/// Members of each fleet of processes that are killed and restarted, one after another.
 const CRASHES: usize = 5;
-/// Never so long, on loopback.
-const LONG: Duration = Duration::from_secs(30);
-/// What all have to know of a crash within, at 1,000 members, in milliseconds.
-const KNOWN_MS: u64 = 5_000;
-/// Bytes a member a second at 1,000 members at most.
-const BYTES: f64 = 2_048.0;
+/// How long to wait for a change in the views of the processes, which takes far less on loopback.
+const VIEW_CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long the traffic of processes is counted.
+const TRAFFIC_PERIOD: Duration = Duration::from_secs(10);
+/// How long processes are partitioned.
+const PARTITION_PERIOD: Duration = Duration::from_secs(10);
+/// How long false deaths are counted after a partition.
+const AFTER_PARTITION_PERIOD: Duration = Duration::from_secs(5);
+/// Longest time until all of 1,000 members know of a crash, in milliseconds.
+const MAX_DETECTION_MS: u64 = 5_000;
+/// Most bytes that each of 1,000 members may send per second.
+const MAX_BYTES_PER_MEMBER_SECOND: f64 = 2_048.0;
 
-fn experiments() -> PathBuf {
+/// Returns the directory of the example experiments_folder.
+fn experiments_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/experiments")
 }
 
-/// Plays an example in the emulator, with these parts of its text replaced.
-fn play(folder: &Path, example: &str, changes: &[(&str, &str)]) -> Value {
-    let mut text =
-        std::fs::read_to_string(experiments().join(example)).expect("the example is there");
-    for (from, to) in changes {
+/// Runs an example experiment in the emulator, after replacing parts of its text, and returns its report.
+///
+/// # Panics
+///
+/// Panics if a text to replace is missing or the experiment fails.
+fn run_experiment(folder: &Path, example: &str, replacements: &[(&str, &str)]) -> Value {
+    let mut text = std::fs::read_to_string(experiments_folder().join(example))
+        .expect("failed to read the example");
+    for (from, to) in replacements {
         assert!(text.contains(from), "{example} has no {from}");
         text = text.replace(from, to);
     }
-    let (plan, report) = (
+    let (plan, report_folder) = (
         folder.join(example),
         folder.join(format!("{example}-report")),
     );
-    std::fs::write(&plan, text).expect("the plan is written");
-    let run = Command::new(program_path("heathspurctl"))
+    std::fs::write(&plan, text).expect("failed to write the plan");
+    let output = Command::new(program_path("heathspurctl"))
         .arg("experiment")
         .arg(&plan)
         .arg("--report")
-        .arg(&report)
+        .arg(&report_folder)
         .output();
-    let run = run.expect("the experiment runs");
+    let output = output.expect("failed to start heathspurctl");
     assert!(
-        run.status.success(),
+        output.status.success(),
         "{}",
-        String::from_utf8_lossy(&run.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
-    let told = std::fs::read(report.join("report.json")).expect("a report");
-    serde_json::from_slice(&told).expect("the report is JSON")
+    let report =
+        std::fs::read(report_folder.join("report.json")).expect("failed to read the report");
+    serde_json::from_slice(&report).expect("the report is not valid JSON")
 }
 
-fn seconds(ms: Option<u64>) -> String {
+/// Formats milliseconds as seconds; `None` stands for an event that did not occur in every case.
+fn format_seconds(ms: Option<u64>) -> String {
     ms.map_or("not always".into(), |ms| format!("{:.2}", ms as f64 / 1e3))
 }
 
-/// p50 and p99 of a part of a course, in seconds.
-fn both(course: &Value, part: &str) -> String {
-    let at = |q: &str| seconds(course[part][q].as_u64());
-    format!("{}, {}", at("p50"), at("p99"))
+/// Formats p50 and p99 of a time in a course of the report, in seconds.
+fn p50_and_p99(course: &Value, time: &str) -> String {
+    let quantile = |name: &str| format_seconds(course[time][name].as_u64());
+    format!("{}, {}", quantile("p50"), quantile("p99"))
 }
 
-fn number(report: &Value, name: &str) -> f64 {
+/// Returns a number of the report's summary, or `f64::MAX` if it is missing, which exceeds any upper bound.
+fn summary_value(report: &Value, name: &str) -> f64 {
     report["summary"][name].as_f64().unwrap_or(f64::MAX)
 }
 
-/// The processes: crashes known, traffic, a partition healed.
-fn processes(count: usize, table: &mut Table) {
-    let mut fleet = Fleet::start_with_attributes(count, PROCESSES);
+/// Measures a fleet of `count` processes: join, crashes, restarts, false deaths and traffic; with 15 also a partition.
+fn measure_processes(count: usize, table: &mut Table) {
+    let mut fleet = Fleet::start_with_attributes(count, MEMBERS_ATTRIBUTES);
     let start = Instant::now();
-    let joined = fleet.wait_until(LONG, Fleet::all_views_alive);
-    table.row(
+    let joined = fleet.wait_until(VIEW_CHANGE_TIMEOUT, Fleet::all_views_alive);
+    table.add_check(
         &format!("{count} processes: all join through one, one view after"),
         format!("{:.2} s", start.elapsed().as_secs_f64()),
         "in 30 s",
         joined,
     );
+    // Times from a kill until the first, 99% and all of the others view the member as dead, and from its restart until
+    // all view it as alive; in milliseconds.
     let (mut first, mut most, mut all, mut back) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for crash in 0..CRASHES {
         let victim = 1 + (crash * 7) % (count - 1);
         fleet.kill(victim);
         let start = Instant::now();
-        let since = |came: bool| came.then(|| start.elapsed().as_millis() as u64);
-        first.push(since(
-            fleet.wait_until(LONG, |f| f.count_viewing_dead(victim) > 0),
+        let elapsed_ms_if = |occurred: bool| occurred.then(|| start.elapsed().as_millis() as u64);
+        first.push(elapsed_ms_if(
+            fleet.wait_until(VIEW_CHANGE_TIMEOUT, |fleet| {
+                fleet.count_viewing_dead(victim) > 0
+            }),
         ));
-        most.push(since(fleet.wait_until(LONG, |f| {
-            f.count_viewing_dead(victim) * 100 >= (count - 1) * 99
-        })));
-        all.push(since(
-            fleet.wait_until(LONG, |f| f.count_viewing_dead(victim) == count - 1),
+        most.push(elapsed_ms_if(
+            fleet.wait_until(VIEW_CHANGE_TIMEOUT, |fleet| {
+                fleet.count_viewing_dead(victim) * 100 >= (count - 1) * 99
+            }),
+        ));
+        all.push(elapsed_ms_if(
+            fleet.wait_until(VIEW_CHANGE_TIMEOUT, |fleet| {
+                fleet.count_viewing_dead(victim) == count - 1
+            }),
         ));
         fleet.start_member(victim);
         let start = Instant::now();
-        let since = |came: bool| came.then(|| start.elapsed().as_millis() as u64);
-        back.push(since(fleet.wait_until(LONG, Fleet::all_views_alive)));
+        let elapsed_ms_if = |occurred: bool| occurred.then(|| start.elapsed().as_millis() as u64);
+        back.push(elapsed_ms_if(
+            fleet.wait_until(VIEW_CHANGE_TIMEOUT, Fleet::all_views_alive),
+        ));
     }
-    let known = all.iter().all(Option::is_some) && back.iter().all(Option::is_some);
-    let spread = |mut times: Vec<Option<u64>>| {
-        times.sort_by_key(|t| t.unwrap_or(u64::MAX));
+    let all_known = all.iter().all(Option::is_some) && back.iter().all(Option::is_some);
+    let median_and_max = |mut times: Vec<Option<u64>>| {
+        times.sort_by_key(|ms| ms.unwrap_or(u64::MAX));
         format!(
             "{}, {}",
-            seconds(times[times.len() / 2]),
-            seconds(times[times.len() - 1])
+            format_seconds(times[times.len() / 2]),
+            format_seconds(times[times.len() - 1])
         )
     };
-    table.row(
+    table.add_check(
         &format!("{count} processes, {CRASHES} kills: first death, 99%, all, back in one view; p50, worst"),
-        format!("{}; {}; {}; {} s", spread(first), spread(most), spread(all), spread(back)),
+        format!("{}; {}; {}; {} s", median_and_max(first), median_and_max(most), median_and_max(all), median_and_max(back)),
         "all known",
-        known,
+        all_known,
     );
-    let expected = CRASHES * (count - 1);
-    table.row(
+    let expected_deaths = CRASHES * (count - 1);
+    table.add_check(
         &format!("{count} processes: deaths of processes that ran"),
-        (fleet.total_logged_deaths().saturating_sub(expected)).to_string(),
+        (fleet.total_logged_deaths().saturating_sub(expected_deaths)).to_string(),
         "0",
-        fleet.total_logged_deaths() == expected,
+        fleet.total_logged_deaths() == expected_deaths,
     );
     let (datagrams, bytes) = (
         &fleet.relay.received_totals.0,
@@ -128,195 +155,210 @@
         datagrams.load(Ordering::Relaxed),
         bytes.load(Ordering::Relaxed),
     );
-    std::thread::sleep(Duration::from_secs(10));
+    std::thread::sleep(TRAFFIC_PERIOD);
     let sent = (
         datagrams.load(Ordering::Relaxed) - before.0,
         bytes.load(Ordering::Relaxed) - before.1,
     );
-    let each = |sum: u64| sum as f64 / 10.0 / count as f64;
-    table.tell(
+    let per_member_second = |total: u64| total as f64 / TRAFFIC_PERIOD.as_secs_f64() / count as f64;
+    table.add_value(
         &format!("{count} processes, calm: datagrams and bytes (UDP's payload) a member a second"),
-        format!("{:.1}, {:.0}", each(sent.0), each(sent.1)),
+        format!(
+            "{:.1}, {:.0}",
+            per_member_second(sent.0),
+            per_member_second(sent.1)
+        ),
     );
     if count == 15 {
         fleet
             .relay
-            .update_rules(|r| r.partitions = (0..count).map(|i| (i >= 5) as u8).collect());
-        fleet.read_logs_for(Duration::from_secs(10));
-        fleet.relay.update_rules(|r| r.partitions.clear());
+            .update_rules(|rules| rules.partitions = (0..count).map(|i| (i >= 5) as u8).collect());
+        fleet.read_logs_for(PARTITION_PERIOD);
+        fleet.relay.update_rules(|rules| rules.partitions.clear());
         let start = Instant::now();
-        let healed = fleet.wait_until(LONG, Fleet::all_views_alive);
-        let took = start.elapsed().as_secs_f64();
-        let deaths = fleet.total_logged_deaths();
-        fleet.read_logs_for(Duration::from_secs(5));
-        let flapped = fleet.total_logged_deaths() - deaths;
-        table.row(
+        let healed = fleet.wait_until(VIEW_CHANGE_TIMEOUT, Fleet::all_views_alive);
+        let seconds = start.elapsed().as_secs_f64();
+        let deaths_before = fleet.total_logged_deaths();
+        fleet.read_logs_for(AFTER_PARTITION_PERIOD);
+        let later_deaths = fleet.total_logged_deaths() - deaths_before;
+        table.add_check(
             "15 processes, 5 cut off for 10 s: one view after the heal; deaths after that",
-            format!("{took:.2} s; {flapped}"),
+            format!("{seconds:.2} s; {later_deaths}"),
             "in 30 s; 0",
-            healed && flapped == 0,
+            healed && later_deaths == 0,
         );
     }
 }
 
-/// A crash among many, emulated.
-fn crash(folder: &Path, results: &Path, members: u64, table: &mut Table) {
+/// Measures how soon a crash and a restart are known among emulated members.
+///
+/// The time until all know of the crash is bounded for 1,000 members only.
+fn measure_crash(folder: &Path, results: &Path, members: u64, table: &mut Table) {
     let example = format!("crash-{members}.xml");
-    let report = play(folder, &example, &[]);
+    let report = run_experiment(folder, &example, &[]);
     let (crash, back) = (&report["courses"][0], &report["courses"][1]);
     let all = crash["all_ms"]["p99"].as_u64();
-    let holds = members < 1_000 || all.is_some_and(|ms| ms <= KNOWN_MS);
-    let part = |name| both(crash, name);
-    table.row(
+    let met = members < 1_000 || all.is_some_and(|ms| ms <= MAX_DETECTION_MS);
+    let crash_times = |name| p50_and_p99(crash, name);
+    table.add_check(
         &format!(
             "{members} emulated, 20 seeds, a crash: suspected, first death, 99%, all; p50, p99"
         ),
         format!(
             "{}; {}; {}; {} s",
-            part("noticed_ms"),
-            part("first_ms"),
-            part("most_ms"),
-            part("all_ms")
+            crash_times("noticed_ms"),
+            crash_times("first_ms"),
+            crash_times("most_ms"),
+            crash_times("all_ms")
         ),
         if members < 1_000 {
             "-"
         } else {
             "all within 5 s"
         },
-        holds,
+        met,
     );
-    table.tell(
+    table.add_value(
         &format!("{members} emulated, its restart: one view; p50, p99"),
-        format!("{} s", both(back, "settled_ms")),
+        format!("{} s", p50_and_p99(back, "settled_ms")),
     );
     if members == 1_000 {
-        table.figure(format!("1,000 know of a crash in {} s (p99)", seconds(all)));
-        let careful = play(folder, &example, &[("suspicion=\"1\"", "suspicion=\"2\"")]);
-        table.tell(
+        table.add_figure(format!(
+            "1,000 know of a crash in {} s (p99)",
+            format_seconds(all)
+        ));
+        let longer_suspicion =
+            run_experiment(folder, &example, &[("suspicion=\"1\"", "suspicion=\"2\"")]);
+        table.add_value(
             "1000 emulated, the same with suspicion 2: all know; p50, p99",
-            format!("{} s", both(&careful["courses"][0], "all_ms")),
+            format!(
+                "{} s",
+                p50_and_p99(&longer_suspicion["courses"][0], "all_ms")
+            ),
         );
         for (chart, title) in [
             ("views", "What 1,000 members hold that is not so"),
             ("traffic", "Bytes a member"),
         ] {
             let file = format!("members-crash-{chart}.svg");
-            let from = folder.join(format!("{example}-report/{chart}.svg"));
-            if std::fs::copy(from, results.join(&file)).is_ok() {
-                table.chart(title, &file);
+            let source = folder.join(format!("{example}-report/{chart}.svg"));
+            if std::fs::copy(source, results.join(&file)).is_ok() {
+                table.add_chart(title, &file);
             }
         }
     }
 }
 
-/// A slow member, with and without loss, against plain SWIM.
-fn slow(folder: &Path, table: &mut Table) {
-    let many = [
+/// Measures false deaths with a slow member, without and with datagram loss, and compares them with plain SWIM.
+fn measure_slow_member(folder: &Path, table: &mut Table) {
+    let larger_without_loss = [
         ("share=\"0.1\"", "share=\"0\""),
         ("members=\"100\"", "members=\"1000\""),
     ];
-    let calm = play(folder, "slow-member.xml", &many);
-    let deaths = number(&calm, "false_deaths");
-    table.row(
+    let report = run_experiment(folder, "slow-member.xml", &larger_without_loss);
+    let deaths = summary_value(&report, "false_deaths");
+    table.add_check(
         "1000 emulated for an hour in all, one member slow by 400 ms each way: false deaths",
         format!("{deaths}"),
         "0",
         deaths == 0.0,
     );
-    table.figure(format!(
+    table.add_figure(format!(
         "false deaths in an hour with a slow member: {deaths}"
     ));
-    let a_member_hour = |changes: &[(&str, &str)]| {
-        let report = play(folder, "slow-member.xml", changes);
+    // Returns false deaths per member-hour, and bytes per member and second.
+    let deaths_and_bytes = |replacements: &[(&str, &str)]| {
+        let report = run_experiment(folder, "slow-member.xml", replacements);
         let (deaths, hours) = (
-            number(&report, "false_deaths"),
-            number(&report, "member_hours"),
+            summary_value(&report, "false_deaths"),
+            summary_value(&report, "member_hours"),
         );
-        (deaths / hours, number(&report, "bytes"))
+        (deaths / hours, summary_value(&report, "bytes"))
     };
-    let (mut said, mut holds) = (Vec::new(), true);
+    let (mut comparisons, mut met) = (Vec::new(), true);
     for suspicion in ["1", "2"] {
         let suspicion = format!("suspicion=\"{suspicion}\"");
-        let (ours, ours_bytes) = a_member_hour(&[("suspicion=\"1\"", &suspicion)]);
+        let (ours, ours_bytes) = deaths_and_bytes(&[("suspicion=\"1\"", &suspicion)]);
         let plain = format!("{suspicion} lifeguard=\"false\"");
-        let (swim, swim_bytes) = a_member_hour(&[("suspicion=\"1\"", &plain)]);
-        said.push(format!(
+        let (swim, swim_bytes) = deaths_and_bytes(&[("suspicion=\"1\"", &plain)]);
+        comparisons.push(format!(
             "{ours:.4} against {swim:.3} ({ours_bytes:.0} and {swim_bytes:.0} bytes)"
         ));
-        holds &= ours < swim;
+        met &= ours < swim;
     }
-    table.row(
+    table.add_check(
         "100 emulated for an hour in all, the same with 10% loss, ours against plain SWIM: false deaths a member-hour (bytes a member a second); \
          suspicion 1, then 2",
-        said.join("; "),
+        comparisons.join("; "),
         "fewer",
-        holds,
+        met,
     );
 }
 
-/// Calm fleets of growing size.
-fn traffic(folder: &Path, table: &mut Table) {
-    let mut said = Vec::new();
-    let mut last = f64::MAX;
+/// Measures the traffic of fleets of increasing size without crashes, loss or slow members.
+fn measure_traffic(folder: &Path, table: &mut Table) {
+    let mut rates = Vec::new();
+    let mut bytes = f64::MAX;
     for members in ["15", "40", "100", "300", "1000"] {
         let size = format!("members=\"{members}\"");
-        let changes = [
+        let replacements = [
             ("members=\"100\"", &*size),
             ("share=\"0.1\"", "share=\"0\""),
             ("span=\"400 ms\"", "span=\"0 ms\""),
         ];
-        let changes: Vec<(&str, &str)> = changes
+        let replacements: Vec<(&str, &str)> = replacements
             .into_iter()
             .chain([
                 ("seeds=\"20\"", "seeds=\"2\""),
                 ("member=\"70\"", "member=\"7\""),
             ])
             .collect();
-        let report = play(folder, "slow-member.xml", &changes);
-        last = number(&report, "bytes");
-        said.push(format!(
-            "{members}: {:.1}, {last:.0}",
-            number(&report, "datagrams")
+        let report = run_experiment(folder, "slow-member.xml", &replacements);
+        bytes = summary_value(&report, "bytes");
+        rates.push(format!(
+            "{members}: {:.1}, {bytes:.0}",
+            summary_value(&report, "datagrams")
         ));
     }
-    table.row(
+    table.add_check(
         "calm, emulated: datagrams and bytes (IP and UDP counted in) that a member sends a second, by members",
-        said.join("; "),
+        rates.join("; "),
         "under 2 KB at 1,000",
-        last < BYTES,
+        bytes < MAX_BYTES_PER_MEMBER_SECOND,
     );
-    table.figure(format!("{last:.0} bytes a member a second at 1,000"));
+    table.add_figure(format!("{bytes:.0} bytes a member a second at 1,000"));
 }
 
-/// A third cut off, then healed.
-fn partition(folder: &Path, table: &mut Table) {
-    let report = play(folder, "partition-300.xml", &[]);
+/// Measures how soon 300 emulated members have one view after a partition that cut off a third of them.
+fn measure_partition(folder: &Path, table: &mut Table) {
+    let report = run_experiment(folder, "partition-300.xml", &[]);
     let heal = &report["courses"][0];
-    table.row(
+    table.add_check(
         "300 emulated, 100 cut off for 20 s, 20 seeds: one view after the heal; p50, p99",
-        format!("{} s", both(heal, "settled_ms")),
+        format!("{} s", p50_and_p99(heal, "settled_ms")),
         "all",
         heal["settled_ms"]["p99"].is_u64(),
     );
-    let deaths = number(&report, "false_deaths");
-    table.tell(
+    let deaths = summary_value(&report, "false_deaths");
+    table.add_value(
         "the same: deaths of those who ran and could be reached (from 2 s after the heal over the cut), in member-hours",
-        format!("{deaths} in {:.0}", number(&report, "member_hours")),
+        format!("{deaths} in {:.0}", summary_value(&report, "member_hours")),
     );
 }
 
+/// Measures fleets of processes, then the experiments_folder in the emulator. Copies charts to `results`.
 pub fn measure(folder: &Path, results: &Path, table: &mut Table) {
-    table.ran(
+    table.set_environment(
         "Processes on loopback behind the fault relay (period 500 ms, suspicion 2), and the same core in the \
          emulator (period 500 ms, suspicion 1 unless said); the plans are in `examples/experiments`.",
     );
     for count in [5, 15, 40] {
-        processes(count, table);
+        measure_processes(count, table);
     }
     for members in [300, 1_000] {
-        crash(folder, results, members, table);
+        measure_crash(folder, results, members, table);
     }
-    slow(folder, table);
-    traffic(folder, table);
-    partition(folder, table);
+    measure_slow_member(folder, table);
+    measure_traffic(folder, table);
+    measure_partition(folder, table);
 }
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -1,4 +1,6 @@
-//! A damaged capture replayed: what is whole arrives as it was, in its order and time.
+//! Replay of a damaged capture: the requests that are complete in it arrive unchanged, in order and on time.
+//!
+//! In the capture, segments are out of order, repeated, cut short or missing, and the file ends within a packet.
 
 use crate::table::Table;
 use heathspur_capture::{write, Side, Stamp};
@@ -13,201 +15,232 @@
 use std::process::Command;
 
 const CONNECTIONS: u64 = 400;
-const EACH: u64 = 50;
-/// The recording's length.
-const SECONDS: u64 = 25;
+const REQUESTS_PER_CONNECTION: u64 = 50;
+const CAPTURE_SECONDS: u64 = 25;
+/// Bytes cut off the end of the file.
+const TRUNCATED_BYTES: usize = 100_000;
 
-/// A packet of a client with a part of a request.
-struct Part {
+/// The request that a client's packet carries a part of.
+struct RequestPart {
     connection: u64,
+    /// Position of the request on its connection.
     request: usize,
 }
 
-/// The capture, and of each connection the requests that are whole in it, in order.
-pub struct Storm {
-    pub file: PathBuf,
-    pub whole: BTreeMap<u64, Vec<Vec<u8>>>,
-    pub lost: usize,
+/// A damaged capture and what it contains.
+struct DamagedCapture {
+    file: PathBuf,
+    /// The requests that are complete in the file, in order, by connection.
+    complete: BTreeMap<u64, Vec<Vec<u8>>>,
+    /// Requests of which the file lacks at least one part.
+    incomplete: usize,
 }
 
-fn request(connection: u64, n: u64, lots: &mut StdRng) -> Vec<u8> {
-    let body: Vec<u8> = (0..lots.random_range(0..1800))
-        .map(|_| lots.random())
+/// Returns a request with a random body and with its connection in the `X-Txn` header.
+fn request(connection: u64, n: u64, rng: &mut StdRng) -> Vec<u8> {
+    let body: Vec<u8> = (0..rng.random_range(0..1800))
+        .map(|_| rng.random())
         .collect();
     let head = format!(
         "POST /svc/pay HTTP/1.1\r\nX-Txn: {connection:08x}{n:08x}\r\nX-Txn-Key: {:032x}\r\nContent-Length: {}\r\n\r\n",
-        connection * EACH + n,
+        connection * REQUESTS_PER_CONNECTION + n,
         body.len()
     );
     [head.as_bytes(), &body].concat()
 }
 
-/// Writes it: segments change places, come twice, are cut or missing, and the file ends in a packet.
-pub fn make(folder: &Path, seed: u64) -> Storm {
-    let mut lots = StdRng::seed_from_u64(seed);
+/// Writes a capture in which packets are reordered, repeated, cut or missing, as chosen by `seed`.
+fn write_damaged_capture(folder: &Path, seed: u64) -> DamagedCapture {
+    let mut rng = StdRng::seed_from_u64(seed);
     let (mut requests, mut packets) = (BTreeMap::<u64, Vec<Vec<u8>>>::new(), Vec::new());
     for connection in 0..CONNECTIONS {
-        let mut script = CaptureBuilder::open(10_000 + connection as u16);
-        script.elapsed_nanos += connection * SECONDS * 1000 * NANOS_PER_MS / CONNECTIONS / EACH;
-        let offset = script.elapsed_nanos;
-        let mut parts: Vec<Option<Part>> = script.packets.iter().map(|_| None).collect();
-        for n in 0..EACH {
-            let bytes = request(connection, n, &mut lots);
-            script.elapsed_nanos = script
+        let mut builder = CaptureBuilder::open(10_000 + connection as u16);
+        builder.elapsed_nanos += connection * CAPTURE_SECONDS * 1000 * NANOS_PER_MS
+            / CONNECTIONS
+            / REQUESTS_PER_CONNECTION;
+        let offset = builder.elapsed_nanos;
+        let mut parts: Vec<Option<RequestPart>> = builder.packets.iter().map(|_| None).collect();
+        for n in 0..REQUESTS_PER_CONNECTION {
+            let bytes = request(connection, n, &mut rng);
+            builder.elapsed_nanos = builder
                 .elapsed_nanos
-                .max(offset + n * SECONDS * 1000 * NANOS_PER_MS / EACH);
-            script.send(Side::Client, &bytes, 700);
+                .max(offset + n * CAPTURE_SECONDS * 1000 * NANOS_PER_MS / REQUESTS_PER_CONNECTION);
+            builder.send(Side::Client, &bytes, 700);
             let index = requests.entry(connection).or_default().len();
-            parts.resize_with(script.packets.len(), || {
-                Some(Part {
+            parts.resize_with(builder.packets.len(), || {
+                Some(RequestPart {
                     connection,
                     request: index,
                 })
             });
             requests.entry(connection).or_default().push(bytes);
-            script.send(Side::Server, &response(200, b"done"), 1400);
-            parts.resize_with(script.packets.len(), || None);
+            builder.send(Side::Server, &response(200, b"done"), 1400);
+            parts.resize_with(builder.packets.len(), || None);
         }
-        script.close();
-        parts.resize_with(script.packets.len(), || None);
-        packets.extend(script.packets.into_iter().zip(parts));
+        builder.close();
+        parts.resize_with(builder.packets.len(), || None);
+        packets.extend(builder.packets.into_iter().zip(parts));
     }
-    // What each packet suffers. A copy is whole even where the first was not.
-    let mut timed: Vec<(u64, Vec<u8>, usize, usize)> = Vec::new();
-    for (id, ((at, packet), part)) in packets.iter().enumerate() {
-        let client = part.is_some();
-        let fate = if client {
-            lots.random_range(0..1000)
+    // Damages the clients' packets: of 1,000, 2 are missing, 2 cut and 36 repeated, and 100 are delayed by up to 3 ms,
+    // past packets that follow a millisecond apart. An entry has the time, the captured bytes, the original length and
+    // the index of the packet.
+    let mut captured: Vec<(u64, Vec<u8>, usize, usize)> = Vec::new();
+    for (packet_index, ((at, packet), part)) in packets.iter().enumerate() {
+        let from_client = part.is_some();
+        let draw = if from_client {
+            rng.random_range(0..1000)
         } else {
             1000
         };
-        let whole = packet.len();
-        let slip = if client && fate % 10 == 0 {
-            lots.random_range(0..4) * NANOS_PER_MS
+        let full_len = packet.len();
+        let delay = if from_client && draw % 10 == 0 {
+            rng.random_range(0..4) * NANOS_PER_MS
         } else {
             0
         };
-        match fate {
-            // Missing, and cut by the snap length.
+        match draw {
+            // Missing.
             0..2 => {}
-            2..4 => timed.push((
-                at + slip,
-                packet[..whole - 20.min(whole - 40)].to_vec(),
-                whole,
-                id,
+            // Cut as by the snap length.
+            2..4 => captured.push((
+                at + delay,
+                packet[..full_len - 20.min(full_len - 40)].to_vec(),
+                full_len,
+                packet_index,
             )),
+            // Repeated.
             4..40 => {
-                timed.push((at + slip, packet.clone(), whole, id));
-                timed.push((at + slip + 3 * NANOS_PER_MS, packet.clone(), whole, id));
+                captured.push((at + delay, packet.clone(), full_len, packet_index));
+                captured.push((
+                    at + delay + 3 * NANOS_PER_MS,
+                    packet.clone(),
+                    full_len,
+                    packet_index,
+                ));
             }
-            _ => timed.push((at + slip, packet.clone(), whole, id)),
+            _ => captured.push((at + delay, packet.clone(), full_len, packet_index)),
         }
     }
-    timed.sort_by_key(|(at, ..)| *at);
+    captured.sort_by_key(|(at, ..)| *at);
     let mut file = write::pcap_header(write::RAW_IP, 0);
-    let mut ends = Vec::new();
-    for (at, data, whole, _) in &timed {
+    let mut record_ends = Vec::new();
+    for (at, data, full_len, _) in &captured {
         file.extend(write::pcap_record(
             Stamp(CAPTURE_START_NANOS + at),
             data,
-            *whole as u32,
+            *full_len as u32,
         ));
-        ends.push(file.len());
+        record_ends.push(file.len());
     }
-    let cut = file.len() - 100_000;
-    file.truncate(cut);
-    let mut there: HashMap<usize, bool> = HashMap::new();
-    for ((_, data, whole, id), end) in timed.iter().zip(&ends) {
-        *there.entry(*id).or_default() |= *end <= cut && data.len() == *whole;
+    let file_len = file.len() - TRUNCATED_BYTES;
+    file.truncate(file_len);
+    // A packet is complete if any of its copies is.
+    let mut packet_complete: HashMap<usize, bool> = HashMap::new();
+    for ((_, data, full_len, packet_index), end) in captured.iter().zip(&record_ends) {
+        *packet_complete.entry(*packet_index).or_default() |=
+            *end <= file_len && data.len() == *full_len;
     }
-    let mut broken: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-    for (id, (_, part)) in packets.iter().enumerate() {
+    let mut incomplete: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
+    for (packet_index, (_, part)) in packets.iter().enumerate() {
         if let Some(part) = part
             .as_ref()
-            .filter(|_| !there.get(&id).copied().unwrap_or(false))
+            .filter(|_| !packet_complete.get(&packet_index).copied().unwrap_or(false))
         {
-            broken
+            incomplete
                 .entry(part.connection)
                 .or_default()
                 .push(part.request);
         }
     }
-    let mut lost = 0;
+    let mut incomplete_count = 0;
     for (connection, requests) in &mut requests {
-        let broken = broken.get(connection).map_or(&[][..], |list| &list[..]);
-        let before = requests.len();
-        let mut n = 0;
+        let incomplete = incomplete.get(connection).map_or(&[][..], |list| &list[..]);
+        let count = requests.len();
+        let mut visited = 0;
         requests.retain(|_| {
-            n += 1;
-            !broken.contains(&(n - 1))
+            visited += 1;
+            !incomplete.contains(&(visited - 1))
         });
-        lost += before - requests.len();
+        incomplete_count += count - requests.len();
     }
     let path = folder.join("storm.pcap");
-    std::fs::write(&path, file).expect("the capture is written");
-    Storm {
+    std::fs::write(&path, file).expect("failed to write the capture");
+    DamagedCapture {
         file: path,
-        whole: requests,
-        lost,
+        complete: requests,
+        incomplete: incomplete_count,
     }
 }
 
-/// The connection that a request belongs to, as its id tells.
-fn connection(bytes: &[u8]) -> u64 {
+/// Returns the connection that [`request`] wrote to the `X-Txn` header, or `u64::MAX` if there is none.
+fn connection_of(bytes: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(&bytes[..bytes.len().min(80)]).into_owned();
-    let id = text
+    let connection = text
         .split("X-Txn: ")
         .nth(1)
         .and_then(|rest| rest.get(..8))
         .unwrap_or("");
-    u64::from_str_radix(id, 16).unwrap_or(u64::MAX)
+    u64::from_str_radix(connection, 16).unwrap_or(u64::MAX)
 }
 
-fn replay(storm: &Storm, speed: &str, report: &Path) -> (Vec<ReceivedRequest>, Value) {
-    let sink = RecordingServer::start(ResponseOptions::default());
-    let run = Command::new(program_path("heathspurctl"))
+/// Replays the capture to a recording server; returns what that received and the report of the replay.
+fn replay(
+    capture: &DamagedCapture,
+    speed: &str,
+    report_folder: &Path,
+) -> (Vec<ReceivedRequest>, Value) {
+    let server = RecordingServer::start(ResponseOptions::default());
+    let replay = Command::new(program_path("heathspurctl"))
         .args(["pcap", "replay"])
-        .arg(&storm.file)
+        .arg(&capture.file)
         .args([
             "--to-server",
-            &sink.address.to_string(),
+            &server.address.to_string(),
             "--speed",
             speed,
             "--report",
         ])
-        .arg(report)
+        .arg(report_folder)
         .output()
-        .expect("the replay runs");
-    let told = std::fs::read(report.join("report.json")).unwrap_or_default();
-    let told = serde_json::from_slice(&told).unwrap_or_else(|_| {
-        panic!("no report: {}", String::from_utf8_lossy(&run.stderr));
+        .expect("failed to start heathspurctl");
+    let report = std::fs::read(report_folder.join("report.json")).unwrap_or_default();
+    let report = serde_json::from_slice(&report).unwrap_or_else(|_| {
+        panic!(
+            "the replay wrote no valid report: {}",
+            String::from_utf8_lossy(&replay.stderr)
+        );
     });
-    (sink.received(), told)
+    (server.received(), report)
 }
 
+/// Replays a damaged capture at its own speed and ten times as fast, and checks what arrives and what is reported as
+/// damaged. Copies the charts of the first replay to `results`.
 pub fn measure(folder: &Path, results: &Path, table: &mut Table) {
-    let storm = make(folder, 42);
-    let whole: usize = storm.whole.values().map(Vec::len).sum();
-    table.tell(
+    let capture = write_damaged_capture(folder, 42);
+    let complete: usize = capture.complete.values().map(Vec::len).sum();
+    table.add_value(
         "requests written",
-        format!("{} over {CONNECTIONS} connections", CONNECTIONS * EACH),
+        format!(
+            "{} over {CONNECTIONS} connections",
+            CONNECTIONS * REQUESTS_PER_CONNECTION
+        ),
     );
-    table.tell(
+    table.add_value(
         "requests that lost a part in the file",
-        storm.lost.to_string(),
+        capture.incomplete.to_string(),
     );
     for speed in ["1", "10"] {
-        let report = folder.join(format!("report-{speed}"));
-        let (received, told) = replay(&storm, speed, &report);
+        let report_folder = folder.join(format!("report-{speed}"));
+        let (received, report) = replay(&capture, speed, &report_folder);
         let mut by_connection: BTreeMap<u64, Vec<Vec<u8>>> = BTreeMap::new();
         for request in &received {
             by_connection
-                .entry(connection(&request.bytes))
+                .entry(connection_of(&request.bytes))
                 .or_default()
                 .push(request.bytes.clone());
         }
-        let expected: BTreeMap<_, _> = storm
-            .whole
+        let expected: BTreeMap<_, _> = capture
+            .complete
             .iter()
             .filter(|(_, list)| !list.is_empty())
             .collect();
@@ -215,64 +248,69 @@
             && expected
                 .iter()
                 .all(|(connection, list)| by_connection.get(connection) == Some(list));
-        let what = format!("whole requests received, byte for byte in order, speed {speed}");
-        table.row(
-            &what,
-            format!("{} of {whole}", received.len()),
+        let name = format!("whole requests received, byte for byte in order, speed {speed}");
+        table.add_check(
+            &name,
+            format!("{} of {complete}", received.len()),
             "all, nothing else",
             same,
         );
-        let audit = &told["audit"];
-        let number = |name: &str| audit["lateness"][name].as_f64().unwrap_or(f64::MAX);
+        let audit = &report["audit"];
+        let lateness_ms = |name: &str| audit["lateness"][name].as_f64().unwrap_or(f64::MAX);
         let drift = audit["drift_ms_per_s"].as_f64().unwrap_or(f64::MAX);
-        table.row(
+        table.add_check(
             &format!("drift, speed {speed}"),
             format!("{drift:.3} ms a second"),
             "under 5",
             drift < 5.0,
         );
-        let late = format!(
+        let lateness = format!(
             "{:.3}, {:.3}, {:.3} ms",
-            number("p50_ms"),
-            number("p99_ms"),
-            number("max_ms")
+            lateness_ms("p50_ms"),
+            lateness_ms("p99_ms"),
+            lateness_ms("max_ms")
         );
-        table.tell(&format!("lateness p50, p99, max, speed {speed}"), late);
-        table.figure(format!(
-            "speed {speed}: {}/{whole} drift {drift:.3} ms/s",
+        table.add_value(&format!("lateness p50, p99, max, speed {speed}"), lateness);
+        table.add_figure(format!(
+            "speed {speed}: {}/{complete} drift {drift:.3} ms/s",
             received.len()
         ));
         if speed == "1" {
             for chart in ["rates.svg", "latency.svg"] {
-                let _ = std::fs::copy(report.join(chart), results.join(format!("pcap-{chart}")));
+                let _ = std::fs::copy(
+                    report_folder.join(chart),
+                    results.join(format!("pcap-{chart}")),
+                );
             }
         }
     }
     let info = Command::new(program_path("heathspurctl"))
         .args(["pcap", "info"])
-        .arg(&storm.file)
+        .arg(&capture.file)
         .output();
     let info = info
-        .map(|out| String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned())
+        .map(|output| {
+            String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned()
+        })
         .unwrap_or_default();
-    let listed: Vec<_> = info
+    let damage: Vec<_> = info
         .lines()
-        .filter(|l| l.contains("passed over") || l.contains("at byte"))
-        .map(|l| {
-            l.rsplit("storm.pcap: ")
+        .filter(|line| line.contains("passed over") || line.contains("at byte"))
+        .map(|line| {
+            line.rsplit("storm.pcap: ")
                 .next()
-                .unwrap_or(l)
+                .unwrap_or(line)
                 .split_whitespace()
                 .collect::<Vec<_>>()
                 .join(" ")
         })
         .collect();
-    let told =
-        listed.iter().any(|l| l.contains("Hole")) && listed.iter().any(|l| l.contains("at byte"));
-    table.row(
+    let holes_and_end_listed = damage.iter().any(|line| line.contains("Hole"))
+        && damage.iter().any(|line| line.contains("at byte"));
+    table.add_check(
         "what is not whole is listed with its cause",
-        listed.join("; "),
+        damage.join("; "),
         "holes and the cut end",
-        told,
+        holes_and_end_listed,
     );
 }
--- a/crates/heathspur-bench/src/table.rs
+++ b/crates/heathspur-bench/src/table.rs
@@ -1,69 +1,93 @@
-//! The table of a measurement: what was measured, what was asked, whether it holds.
+//! The results of a measurement as a Markdown page: one row for each value, with the requirement on it and whether it
+//! is met.
 
 use std::path::Path;
 use std::process::ExitCode;
 
+/// A row of the table.
+struct Row {
+    name: String,
+    measured: String,
+    required: String,
+    met: bool,
+}
+
+/// Collects the rows of a measurement, prints them and writes them to a page.
 pub struct Table {
     name: &'static str,
-    rows: Vec<(String, String, String, bool)>,
+    rows: Vec<Row>,
+    /// The figures of the verdict line.
     figures: Vec<String>,
+    /// Titles and file names of charts.
     charts: Vec<(String, String)>,
-    where_run: &'static str,
+    /// Where the measurement ran, in a sentence.
+    environment: &'static str,
 }
 
 impl Table {
+    /// Creates an empty table; its page is named `<name>.md`.
     pub fn new(name: &'static str) -> Table {
-        let where_run = "Everything on loopback, against stand-ins of this repository.";
+        let environment = "Everything on loopback, against stand-ins of this repository.";
         Table {
             name,
             rows: Vec::new(),
             figures: Vec::new(),
             charts: Vec::new(),
-            where_run,
+            environment,
         }
     }
 
-    /// A row with what is asked of it.
-    pub fn row(&mut self, what: &str, got: String, asked: &str, holds: bool) {
+    /// Prints and adds a row whose value has to meet a requirement.
+    pub fn add_check(&mut self, name: &str, measured: String, required: &str, met: bool) {
         println!(
-            "{:<4} {what}: {got} ({asked})",
-            if holds { "ok" } else { "FAIL" }
+            "{:<4} {name}: {measured} ({required})",
+            if met { "ok" } else { "FAIL" }
         );
-        self.rows
-            .push((what.to_string(), got, asked.to_string(), holds));
+        self.rows.push(Row {
+            name: name.to_string(),
+            measured,
+            required: required.to_string(),
+            met,
+        });
     }
 
-    /// A row that only tells.
-    pub fn tell(&mut self, what: &str, got: String) {
-        self.row(what, got, "-", true);
+    /// Prints and adds a row without a requirement.
+    pub fn add_value(&mut self, name: &str, measured: String) {
+        self.add_check(name, measured, "-", true);
     }
 
-    /// A figure of the last line.
-    pub fn figure(&mut self, figure: String) {
+    /// Adds a figure to the verdict line.
+    pub fn add_figure(&mut self, figure: String) {
         self.figures.push(figure);
     }
 
-    /// Another word on where things ran.
-    pub fn ran(&mut self, where_run: &'static str) {
-        self.where_run = where_run;
+    /// Replaces the sentence that states where the measurement ran.
+    pub fn set_environment(&mut self, environment: &'static str) {
+        self.environment = environment;
     }
 
-    /// A chart beside the page.
-    pub fn chart(&mut self, title: &str, file: &str) {
+    /// Adds a chart, whose file is in the directory of the page.
+    pub fn add_chart(&mut self, title: &str, file: &str) {
         self.charts.push((title.to_string(), file.to_string()));
     }
 
-    /// Writes the page, prints the last line.
+    /// Writes the page to the directory `results` and prints the verdict line.
+    ///
+    /// Besides the charts that were added, the page shows `<name>-rates.svg` and `<name>-latency.svg` where they exist.
+    /// The exit code is 0 when all requirements are met and the page is written.
     pub fn finish(self, results: &Path) -> ExitCode {
-        let holds = self.rows.iter().all(|row| row.3);
-        let verdict = if holds { "PASS" } else { "FAIL" };
+        let passed = self.rows.iter().all(|row| row.met);
+        let verdict = if passed { "PASS" } else { "FAIL" };
         let mut page = format!("# Measured: {}\n\n{}\n\n", self.name, machine());
-        page += &format!("{}\n\n", self.where_run);
+        page += &format!("{}\n\n", self.environment);
         page += "| what | measured | asked | holds |\n| --- | --- | --- | --- |\n";
-        for (what, got, asked, holds) in &self.rows {
+        for row in &self.rows {
             page += &format!(
-                "| {what} | {got} | {asked} | {} |\n",
-                if *holds { "yes" } else { "no" }
+                "| {} | {} | {} | {} |\n",
+                row.name,
+                row.measured,
+                row.required,
+                if row.met { "yes" } else { "no" }
             );
         }
         for (title, chart) in [("Requests a second", "rates"), ("Latency", "latency")] {
@@ -77,13 +101,14 @@
         }
         let written = std::fs::write(results.join(format!("{}.md", self.name)), page);
         println!("{}: {verdict} {}", self.name, self.figures.join(", "));
-        ExitCode::from(u8::from(!holds || written.is_err()))
+        ExitCode::from(u8::from(!passed || written.is_err()))
     }
 }
 
+/// Describes the date, the number of cores and the CPU model.
 fn machine() -> String {
-    let cpus = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
-    let model = cpus
+    let cpu_info = std::fs::read_to_string("/proc/cpuinfo").unwrap_or_default();
+    let model = cpu_info
         .lines()
         .find_map(|line| line.strip_prefix("model name"))
         .unwrap_or(": unknown");
