--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -1,37 +1,45 @@
-//! The program on loopback against scripted stand-ins. Tests wait for events; only what never comes times out.
+//! Tests of the server process on loopback against mock peers: serving, retries, reload, drain and invalid input. They
+//! wait for events; the timeouts expire only if an event never occurs.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use heathspur_testkit::prelude::*;
-use serde_json::json;
+use serde_json::{json, Value};
+use std::sync::mpsc::Receiver;
 
-fn task(txn: u64) -> String {
+/// Returns the identifier of a request as it is written on the wire.
+fn request_id(txn: u64) -> String {
     format!("{txn:016x}")
 }
 
-/// A server whose one request, of that key, runs.
-fn one_running(key: Option<&str>) -> (ServerFixture, MockInterpreter, Http1Client) {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+/// Waits until the server has reported to the registration service that it accepts no requests.
+fn wait_for_not_accepting_report(reports: &Receiver<Value>) {
+    while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
+}
+
+/// Starts a server with one running request that has this idempotency key.
+fn start_with_running_request(key: Option<&str>) -> (ServerFixture, MockInterpreter, Http1Client) {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, key, b"abc"));
-    assert_eq!(vm.read_apply().2, b"abc");
-    (rig, vm, client)
+    assert_eq!(interpreter.read_apply().2, b"abc");
+    (server, interpreter, client)
 }
 
 #[test]
-fn a_request_is_served_with_its_bytes_unchanged_on_a_connection_that_stays() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+fn bodies_pass_unchanged_on_persistent_connection() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     let body: Vec<u8> = (0..=255).chain([13, 10, 13, 10]).collect();
     for txn in 1..4 {
         client.send(&request(txn, None, &body));
         assert_eq!(
-            vm.read_apply(),
-            (task(txn), "look".to_string(), body.clone())
+            interpreter.read_apply(),
+            (request_id(txn), "look".to_string(), body.clone())
         );
-        vm.send_value(&task(txn), "complete", &body[100..]);
+        interpreter.send_value(&request_id(txn), "complete", &body[100..]);
         let (status, fields, result) = client.read_response();
         assert_eq!((status, &result[..]), (200, &body[100..]));
         assert!(!fields.contains_key("connection"));
@@ -39,29 +47,29 @@
 }
 
 #[test]
-fn a_request_in_single_bytes_and_one_behind_another_are_served() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+fn request_sent_byte_by_byte_and_pipelined_request_are_served() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     for byte in request(1, None, b"abc") {
         client.send(&[byte]);
     }
-    assert_eq!(vm.read_apply().2, b"abc");
+    assert_eq!(interpreter.read_apply().2, b"abc");
     client.send(&request(2, None, b"def"));
-    vm.send_value(&task(1), "complete", b"x");
+    interpreter.send_value(&request_id(1), "complete", b"x");
     assert_eq!(client.read_response().0, 200);
-    assert_eq!(vm.read_apply().2, b"def");
-    vm.send_value(&task(2), "error", b"");
+    assert_eq!(interpreter.read_apply().2, b"def");
+    interpreter.send_value(&request_id(2), "error", b"");
     assert_eq!(client.read_response().0, 500);
 }
 
 #[test]
-fn what_no_memory_can_hold_is_refused_and_says_when_to_come_back() {
-    let rig = ServerFixture::start_with_config(|c| {
+fn request_above_memory_limit_is_rejected_with_retry_delay() {
+    let server = ServerFixture::start_with_config(|c| {
         c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0)
     });
-    let _vm = rig.accept_link();
-    let mut client = rig.connect_client();
+    let _interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
     let (status, fields, _) = client.read_response();
     assert_eq!(status, 503);
@@ -69,243 +77,246 @@
 }
 
 #[test]
-fn tries_of_one_keyed_request_run_once_and_share_the_result() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
+fn attempts_with_same_idempotency_key_run_once_and_share_result() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
     let (mut first, mut second, mut third) = (
-        rig.connect_client(),
-        rig.connect_client(),
-        rig.connect_client(),
+        server.connect_client(),
+        server.connect_client(),
+        server.connect_client(),
     );
     first.send(&request(1, Some("k1"), b"pay"));
-    assert_eq!(vm.read_apply().0, task(1));
+    assert_eq!(interpreter.read_apply().0, request_id(1));
     second.send(&request(2, Some("k1"), b"pay"));
-    // Work of another key that comes after it shows that the repeat was taken in and not run.
-    let mut other = rig.connect_client();
+    // The run of a later request with another key shows that the repeat was read and not run.
+    let mut other = server.connect_client();
     other.send(&request(3, Some("k2"), b"pay"));
-    assert_eq!(vm.read_apply().0, task(3));
-    vm.send_value(&task(1), "complete", b"\0done");
+    assert_eq!(interpreter.read_apply().0, request_id(3));
+    interpreter.send_value(&request_id(1), "complete", b"\0done");
     assert_eq!(first.read_response(), second.read_response());
     third.send(&request(4, Some("k1"), b"pay"));
     let (status, _, body) = third.read_response();
     assert_eq!((status, &body[..]), (200, &b"\0done"[..]));
-    vm.send_value(&task(3), "complete", b"other");
+    interpreter.send_value(&request_id(3), "complete", b"other");
     assert_eq!(other.read_response().2, b"other");
 }
 
 #[test]
-fn a_keyed_run_goes_on_without_its_caller_and_its_result_is_kept() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut first = rig.connect_client();
+fn keyed_run_continues_after_client_disconnect_and_repeat_gets_result() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut first = server.connect_client();
     first.send(&request(1, Some("k1"), b"pay"));
-    assert_eq!(vm.read_apply().0, task(1));
+    assert_eq!(interpreter.read_apply().0, request_id(1));
     drop(first);
-    let mut second = rig.connect_client();
+    let mut second = server.connect_client();
     second.send(&request(2, Some("k1"), b"pay"));
-    vm.send_value(&task(1), "complete", b"done");
+    interpreter.send_value(&request_id(1), "complete", b"done");
     assert_eq!(second.read_response().2, b"done");
 }
 
 #[test]
-fn the_run_of_a_caller_that_goes_away_is_stopped_and_its_place_used_again() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
+fn client_disconnect_cancels_run_and_frees_its_slot() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
     for txn in 1..40 {
-        let mut client = rig.connect_client();
+        let mut client = server.connect_client();
         client.send(&request(txn, None, b"abc"));
-        assert_eq!(vm.read_apply().0, task(txn));
+        assert_eq!(interpreter.read_apply().0, request_id(txn));
         drop(client);
-        let stop = vm.read_command();
+        let stop = interpreter.read_command();
         assert_eq!(
             (&stop["verb"], &stop["task"]),
-            (&json!("BREAK"), &json!(task(txn)))
+            (&json!("BREAK"), &json!(request_id(txn)))
         );
-        vm.send_value(&task(txn), "cancelled", b"");
+        interpreter.send_value(&request_id(txn), "cancelled", b"");
     }
 }
 
 #[test]
-fn runs_that_the_interpreter_never_began_leave_their_places() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
+fn runs_unknown_to_interpreter_free_their_slots() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
     for txn in 1..80 {
-        let mut client = rig.connect_client();
+        let mut client = server.connect_client();
         client.send(&request(txn, None, b"abc"));
-        assert_eq!(vm.read_apply().0, task(txn));
-        vm.send_value(&task(txn), "unknown", b"");
+        assert_eq!(interpreter.read_apply().0, request_id(txn));
+        interpreter.send_value(&request_id(txn), "unknown", b"");
         assert_eq!(client.read_response().0, 500);
     }
 }
 
 #[test]
-fn a_broken_link_resumes_at_the_last_notice_and_tells_runs_again() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
+fn reconnected_link_resumes_after_last_notice_and_resends_run() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let (mut first, mut second) = (server.connect_client(), server.connect_client());
     first.send(&request(1, None, b"abc"));
-    vm.read_apply();
+    interpreter.read_apply();
     second.send(&request(2, None, b"def"));
-    vm.read_apply();
-    vm.send_value(&task(2), "complete", b"two");
+    interpreter.read_apply();
+    interpreter.send_value(&request_id(2), "complete", b"two");
     assert_eq!(second.read_response().2, b"two");
-    drop(vm);
-    let mut vm = rig.accept_link();
-    assert_eq!(vm.resume_index, 1);
-    // A notice that was taken before is not taken again.
-    vm.last_index = 0;
-    vm.send_value(&task(1), "error", b"");
+    drop(interpreter);
+    let mut interpreter = server.accept_link();
+    assert_eq!(interpreter.resume_index, 1);
+    // A notice whose index was already processed is ignored.
+    interpreter.last_index = 0;
+    interpreter.send_value(&request_id(1), "error", b"");
     assert_eq!(
-        vm.read_apply(),
-        (task(1), "look".to_string(), b"abc".to_vec())
+        interpreter.read_apply(),
+        (request_id(1), "look".to_string(), b"abc".to_vec())
     );
-    vm.send_value(&task(1), "complete", b"one");
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(first.read_response().2, b"one");
 }
 
 #[test]
-fn a_notice_missed_while_the_link_was_down_spares_the_second_run() {
-    let (rig, vm, mut client) = one_running(Some("k"));
-    drop(vm);
-    let mut vm = rig.accept_link();
-    vm.send_value(&task(1), "complete", b"one");
+fn notice_missed_during_disconnect_prevents_second_run() {
+    let (server, interpreter, mut client) = start_with_running_request(Some("k"));
+    drop(interpreter);
+    let mut interpreter = server.accept_link();
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     client.send(&request(2, None, b"def"));
-    assert_eq!(vm.read_apply().0, task(2));
+    assert_eq!(interpreter.read_apply().0, request_id(2));
 }
 
 #[test]
-fn a_line_that_makes_no_sense_has_the_link_made_again() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    vm.send_raw(b"{\"verb\":\"VALUE\"}\n");
-    rig.wait_for_log("is not a valid notice");
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+fn invalid_notice_reconnects_link() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    interpreter.send_raw(b"{\"verb\":\"VALUE\"}\n");
+    server.wait_for_log("is not a valid notice");
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.read_apply();
-    vm.send_value(&task(1), "complete", b"one");
+    interpreter.read_apply();
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().0, 200);
 }
 
 #[test]
-fn a_command_that_was_not_carried_out_fails_its_request() {
-    let (_rig, mut vm, mut client) = one_running(None);
-    vm.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": task(1)}));
+fn command_rejected_by_interpreter_fails_its_request() {
+    let (_server, mut interpreter, mut client) = start_with_running_request(None);
+    interpreter.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": request_id(1)}));
     assert_eq!(client.read_response().0, 500);
 }
 
 #[test]
-fn a_call_and_its_reply_pass_unchanged() {
-    let (rig, mut vm, mut client) = one_running(Some("k"));
-    vm.send_await(&task(1), b"\r\n\0ask");
-    let mut store = MockStore::accept(&rig);
+fn call_and_reply_bodies_pass_unchanged() {
+    let (server, mut interpreter, mut client) = start_with_running_request(Some("k"));
+    interpreter.send_await(&request_id(1), b"\r\n\0ask");
+    let mut store = MockStore::accept(&server);
     let (id, body) = store.read_call();
-    assert_eq!((id, &body[..]), (task(1), &b"\r\n\0ask"[..]));
+    assert_eq!((id, &body[..]), (request_id(1), &b"\r\n\0ask"[..]));
+    // A reply to an unknown call is ignored.
     store.send(b"0000000000000009 OK 1\r\nx\r\n");
-    store.send(format!("{} OK 4\r\n\r\n\0!\r\n", task(1)).as_bytes());
-    let command = vm.read_command();
+    store.send(format!("{} OK 4\r\n\r\n\0!\r\n", request_id(1)).as_bytes());
+    let command = interpreter.read_command();
     assert_eq!(
         (&command["verb"], &command["task"]),
-        (&json!("RESOLVE"), &json!(task(1)))
+        (&json!("RESOLVE"), &json!(request_id(1)))
     );
     assert_eq!(
         STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
         b"\r\n\0!"
     );
-    vm.send_value(&task(1), "complete", b"paid");
+    interpreter.send_value(&request_id(1), "complete", b"paid");
     assert_eq!(client.read_response().2, b"paid");
 }
 
 #[test]
-fn a_call_that_was_turned_away_is_made_again() {
-    let (rig, mut vm, _client) = one_running(Some("k"));
-    vm.send_await(&task(1), b"ask");
-    let mut store = MockStore::accept(&rig);
+fn call_rejected_as_busy_is_retried() {
+    let (server, mut interpreter, _client) = start_with_running_request(Some("k"));
+    interpreter.send_await(&request_id(1), b"ask");
+    let mut store = MockStore::accept(&server);
     store.read_call();
-    store.send(format!("{} BUSY\r\n", task(1)).as_bytes());
-    let mut store = MockStore::accept(&rig);
+    store.send(format!("{} BUSY\r\n", request_id(1)).as_bytes());
+    let mut store = MockStore::accept(&server);
     assert_eq!(store.read_call().1, b"ask");
-    store.send(format!("{} OK 0\r\n\r\n", task(1)).as_bytes());
-    assert_eq!(vm.read_command()["verb"], "RESOLVE");
+    store.send(format!("{} OK 0\r\n\r\n", request_id(1)).as_bytes());
+    assert_eq!(interpreter.read_command()["verb"], "RESOLVE");
 }
 
+// A broken connection does not show whether the store executed the call, so a retry could execute it twice.
 #[test]
-fn a_connection_that_breaks_under_a_keyed_call_proves_nothing_so_it_is_not_made_again() {
-    let (rig, mut vm, mut client) = one_running(Some("k"));
-    vm.send_await(&task(1), b"ask");
-    let mut store = MockStore::accept(&rig);
+fn keyed_call_on_broken_connection_is_not_retried() {
+    let (server, mut interpreter, mut client) = start_with_running_request(Some("k"));
+    interpreter.send_await(&request_id(1), b"ask");
+    let mut store = MockStore::accept(&server);
     store.read_call();
     drop(store);
     let (status, _, _) = client.read_response();
     assert!(status >= 500 && status != 503, "{status}");
-    vm.send_value(&task(1), "cancelled", b"");
-    // The next call on the next connection is another request's.
+    interpreter.send_value(&request_id(1), "cancelled", b"");
+    // The next call, on a new connection, belongs to another request.
     client.send(&request(2, Some("k2"), b"abc"));
-    assert_eq!(vm.read_apply().0, task(2));
-    vm.send_await(&task(2), b"ask");
-    assert_eq!(MockStore::accept(&rig).read_call().0, task(2));
+    assert_eq!(interpreter.read_apply().0, request_id(2));
+    interpreter.send_await(&request_id(2), b"ask");
+    assert_eq!(MockStore::accept(&server).read_call().0, request_id(2));
 }
 
 #[test]
-fn a_store_that_refuses_connections_has_calls_left_out_where_that_is_allowed() {
-    let rig = ServerFixture::start_with_config(|c| {
+fn optional_call_is_skipped_if_store_refuses_connections() {
+    let server = ServerFixture::start_with_config(|c| {
         c["store"] = json!(bind_loopback().local_addr().unwrap())
     });
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.read_apply();
-    let index = vm.send_await(&task(1), b"ask");
-    let command = vm.read_command();
+    interpreter.read_apply();
+    let index = interpreter.send_await(&request_id(1), b"ask");
+    let command = interpreter.read_command();
     assert_eq!(
         (&command["verb"], &command["index"]),
         (&json!("STUB"), &json!(index))
     );
-    vm.send_value(&task(1), "complete", b"less");
+    interpreter.send_value(&request_id(1), "complete", b"less");
     assert_eq!(client.read_response().2, b"less");
 }
 
 #[test]
-fn the_call_of_a_caller_that_goes_away_is_given_up() {
-    let (rig, mut vm, client) = one_running(None);
-    vm.send_await(&task(1), b"ask");
-    let mut store = MockStore::accept(&rig);
+fn client_disconnect_abandons_store_call() {
+    let (server, mut interpreter, client) = start_with_running_request(None);
+    interpreter.send_await(&request_id(1), b"ask");
+    let mut store = MockStore::accept(&server);
     store.read_call();
     drop(client);
     store.assert_closed();
-    vm.send_value(&task(1), "cancelled", b"");
-    let mut client = rig.connect_client();
+    interpreter.send_value(&request_id(1), "cancelled", b"");
+    let mut client = server.connect_client();
     client.send(&request(2, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(2));
+    assert_eq!(interpreter.read_apply().0, request_id(2));
 }
 
-/// A server where two requests run and stand at their calls: one that may be made again, one that may not.
-fn two_calls() -> (
+/// Starts a server with two runs that wait for the replies to their calls: first one that may be retried, then a keyed
+/// one that may not.
+fn start_with_two_calls() -> (
     ServerFixture,
     MockInterpreter,
     [(Http1Client, MockStore); 2],
 ) {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
     let calls = [(1, None), (2, Some("k"))].map(|(txn, key)| {
-        let mut client = rig.connect_client();
+        let mut client = server.connect_client();
         client.send(&request(txn, key, b"abc"));
-        assert_eq!(vm.read_apply().0, task(txn));
-        vm.send_await(&task(txn), b"ask");
-        let mut store = MockStore::accept(&rig);
-        assert_eq!(store.read_call().0, task(txn));
+        assert_eq!(interpreter.read_apply().0, request_id(txn));
+        interpreter.send_await(&request_id(txn), b"ask");
+        let mut store = MockStore::accept(&server);
+        assert_eq!(store.read_call().0, request_id(txn));
         (client, store)
     });
-    (rig, vm, calls)
+    (server, interpreter, calls)
 }
 
-/// The next command goes on with that request, with this reply.
-fn resolved(vm: &mut MockInterpreter, txn: u64, reply: &str) {
-    let command = vm.read_command();
+/// Asserts that the next command resumes the run of this request with this reply.
+fn assert_resolved(interpreter: &mut MockInterpreter, txn: u64, reply: &str) {
+    let command = interpreter.read_command();
     assert_eq!(
         (&command["verb"], &command["task"]),
-        (&json!("RESOLVE"), &json!(task(txn)))
+        (&json!("RESOLVE"), &json!(request_id(txn)))
     );
     assert_eq!(
         STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
@@ -314,205 +325,207 @@
 }
 
 #[test]
-fn a_spoilt_reply_costs_its_own_call_alone() {
-    for spoilt in [
+fn invalid_store_reply_affects_only_its_own_call() {
+    for invalid_reply in [
         "\u{1}\u{2}\r\n",
         "0000000000000001 OK 3000000000\r\nx",
         "0000000000000001 OK 2\r\nxxx\r\n",
     ] {
-        let (rig, mut vm, [(_client, mut safe), (_other, mut keyed)]) = two_calls();
-        safe.send(spoilt.as_bytes());
-        safe.assert_closed();
-        // With what nobody asked for the connection is not used again.
-        keyed.send_ok(9, "unasked");
-        keyed.send_ok(2, "fine");
-        resolved(&mut vm, 2, "fine");
-        // What may be repeated is called again elsewhere.
-        let mut again = MockStore::accept(&rig);
-        assert_eq!(again.read_call().0, task(1));
-        again.send_ok(1, "late");
-        resolved(&mut vm, 1, "late");
+        let (server, mut interpreter, [(_client, mut retryable_store), (_other, mut keyed_store)]) =
+            start_with_two_calls();
+        retryable_store.send(invalid_reply.as_bytes());
+        retryable_store.assert_closed();
+        // After an unsolicited reply, the connection is not reused.
+        keyed_store.send_ok(9, "unasked");
+        keyed_store.send_ok(2, "fine");
+        assert_resolved(&mut interpreter, 2, "fine");
+        // The call of the failed connection may be retried, which happens on another connection.
+        let mut retry_store = MockStore::accept(&server);
+        assert_eq!(retry_store.read_call().0, request_id(1));
+        retry_store.send_ok(1, "late");
+        assert_resolved(&mut interpreter, 1, "late");
     }
 }
 
 #[test]
-fn a_connection_is_used_again_only_when_it_brought_its_reply_and_nothing_else() {
-    let (rig, mut vm, [(mut client, mut safe), (_other, mut keyed)]) = two_calls();
-    safe.send(format!("{0} OK 1\r\na\r\n{0} OK 1\r\nb\r\n", task(1)).as_bytes());
-    resolved(&mut vm, 1, "a");
-    safe.assert_closed();
-    keyed.send_ok(9, "ahead");
-    keyed.send_ok(2, "fine");
-    resolved(&mut vm, 2, "fine");
-    keyed.assert_closed();
-    vm.send_value(&task(1), "complete", b"one");
+fn store_connection_with_unsolicited_reply_is_not_reused() {
+    let (server, mut interpreter, [(mut client, mut retryable_store), (_other, mut keyed_store)]) =
+        start_with_two_calls();
+    retryable_store.send(format!("{0} OK 1\r\na\r\n{0} OK 1\r\nb\r\n", request_id(1)).as_bytes());
+    assert_resolved(&mut interpreter, 1, "a");
+    retryable_store.assert_closed();
+    keyed_store.send_ok(9, "ahead");
+    keyed_store.send_ok(2, "fine");
+    assert_resolved(&mut interpreter, 2, "fine");
+    keyed_store.assert_closed();
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     for txn in 3..6 {
         client.send(&request(txn, None, b"abc"));
-        vm.read_apply();
-        vm.send_await(&task(txn), b"ask");
-        let mut store = MockStore::accept(&rig);
-        assert_eq!(store.read_call().0, task(txn));
+        interpreter.read_apply();
+        interpreter.send_await(&request_id(txn), b"ask");
+        let mut store = MockStore::accept(&server);
+        assert_eq!(store.read_call().0, request_id(txn));
         store.send_ok(9, "unasked");
         store.send_ok(txn, "fine");
-        resolved(&mut vm, txn, "fine");
-        vm.send_value(&task(txn), "complete", b"one");
+        assert_resolved(&mut interpreter, txn, "fine");
+        interpreter.send_value(&request_id(txn), "complete", b"one");
         assert_eq!(client.read_response().2, b"one");
     }
 }
 
 #[test]
-fn a_new_configuration_moves_the_links_and_loses_nothing() {
-    let (mut rig, mut vm, [(mut safe, mut first), (mut keyed, mut second)]) = two_calls();
-    let mut running = rig.connect_client();
-    running.send(&request(3, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(3));
-    let index = vm.last_index;
-    let reports = rig.replace_peer_addresses();
-    let mut vm = rig.accept_link();
-    assert_eq!(vm.resume_index, index);
+fn reload_moves_links_to_new_peers_without_losing_requests() {
+    let (
+        mut server,
+        mut interpreter,
+        [(mut retryable_client, mut retryable_store), (mut keyed_client, mut keyed_store)],
+    ) = start_with_two_calls();
+    let mut running_client = server.connect_client();
+    running_client.send(&request(3, None, b"abc"));
+    assert_eq!(interpreter.read_apply().0, request_id(3));
+    let index = interpreter.last_index;
+    let reports = server.replace_peer_addresses();
+    let mut interpreter = server.accept_link();
+    assert_eq!(interpreter.resume_index, index);
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
-    // Calls in hand stay where they were made.
-    first.send_ok(1, "a");
-    second.send_ok(2, "b");
-    // The run is told again on the new link.
-    let mut told: Vec<_> = (0..3)
-        .map(|_| vm.read_command())
+    // Calls in flight complete on the connections they were sent on.
+    retryable_store.send_ok(1, "a");
+    keyed_store.send_ok(2, "b");
+    // The command that starts the third run is resent on the new link.
+    let mut commands: Vec<_> = (0..3)
+        .map(|_| interpreter.read_command())
         .map(|c| (c["verb"].clone(), c["task"].clone()))
         .collect();
-    told.sort_by_key(|(_, task)| task.to_string());
+    commands.sort_by_key(|(_, task)| task.to_string());
     let expected = [("RESOLVE", 1), ("RESOLVE", 2), ("APPLY", 3)];
     assert_eq!(
-        told,
-        expected.map(|(verb, txn)| (json!(verb), json!(task(txn))))
+        commands,
+        expected.map(|(verb, txn)| (json!(verb), json!(request_id(txn))))
     );
-    for (client, txn) in [(&mut safe, 1), (&mut keyed, 2), (&mut running, 3)] {
-        vm.send_value(&task(txn), "complete", b"done");
+    for (client, txn) in [
+        (&mut retryable_client, 1),
+        (&mut keyed_client, 2),
+        (&mut running_client, 3),
+    ] {
+        interpreter.send_value(&request_id(txn), "complete", b"done");
         assert_eq!(client.read_response().2, b"done");
     }
-    // New ones go to the new place.
-    safe.send(&request(4, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(4));
-    vm.send_await(&task(4), b"ask");
-    assert_eq!(MockStore::accept(&rig).read_call().0, task(4));
-}
-
-#[test]
-fn a_new_configuration_that_differs_in_more_than_peers_moves_the_links_and_says_so() {
-    let mut rig = ServerFixture::start();
-    let _old = rig.accept_link();
-    rig.config["limits"]["sockets"] = json!(512);
-    let _reports = rig.replace_peer_addresses();
-    rig.wait_for_log("other changed fields require a restart");
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+    // New calls go to the new address.
+    retryable_client.send(&request(4, None, b"abc"));
+    assert_eq!(interpreter.read_apply().0, request_id(4));
+    interpreter.send_await(&request_id(4), b"ask");
+    assert_eq!(MockStore::accept(&server).read_call().0, request_id(4));
+}
+
+#[test]
+fn reload_with_other_changed_fields_moves_links_and_logs_needed_restart() {
+    let mut server = ServerFixture::start();
+    let _old_link = server.accept_link();
+    server.config["limits"]["sockets"] = json!(512);
+    let _reports = server.replace_peer_addresses();
+    server.wait_for_log("other changed fields require a restart");
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(1));
+    assert_eq!(interpreter.read_apply().0, request_id(1));
 }
 
 #[test]
-fn a_configuration_that_turned_bad_changes_nothing() {
-    let mut rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    rig.config["vm"] = json!("nowhere");
-    rig.reload_config();
-    rig.wait_for_log("configuration reload failed, keeping the current configuration");
-    let mut client = rig.connect_client();
+fn reload_of_invalid_configuration_changes_nothing() {
+    let mut server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    server.config["vm"] = json!("nowhere");
+    server.reload_config();
+    server.wait_for_log("configuration reload failed, keeping the current configuration");
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(1));
-    vm.send_value(&task(1), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, request_id(1));
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
-fn a_drain_answers_what_is_in_hand_and_ends_the_process() {
-    let (mut rig, mut vm, mut client) = one_running(None);
+fn drain_answers_in_flight_request_and_exits() {
+    let (mut server, mut interpreter, mut client) = start_with_running_request(None);
     assert_eq!(
-        rig.registration_reports
+        server
+            .registration_reports
             .recv_timeout(EVENT_TIMEOUT)
             .unwrap(),
         json!({"accepting": "true"})
     );
-    rig.process.terminate();
-    while rig
-        .registration_reports
-        .recv_timeout(EVENT_TIMEOUT)
-        .unwrap()
-        != json!({"accepting": "false"})
-    {}
-    let mut check = rig.connect_client();
-    check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    assert_eq!(check.read_response().0, 503);
-    vm.send_value(&task(1), "complete", b"one");
+    server.process.terminate();
+    wait_for_not_accepting_report(&server.registration_reports);
+    let mut health_client = server.connect_client();
+    health_client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
+    assert_eq!(health_client.read_response().0, 503);
+    interpreter.send_value(&request_id(1), "complete", b"one");
     let (status, fields, _) = client.read_response();
     assert_eq!((status, fields["connection"].as_str()), (200, "close"));
     client.assert_closed();
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
 #[test]
-fn work_that_does_not_end_is_answered_before_the_stop() {
-    let (mut rig, _vm, mut client) = one_running(Some("k"));
-    rig.process.terminate();
+fn unfinished_request_is_answered_before_stop_timeout() {
+    let (mut server, _interpreter, mut client) = start_with_running_request(Some("k"));
+    server.process.terminate();
     assert_eq!(client.read_response().0, 504);
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
 #[test]
-fn a_told_patience_ends_one_request_and_leaves_the_other() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let (mut patient, mut hasty) = (rig.connect_client(), rig.connect_client());
-    patient.send(&request(1, None, b"abc"));
-    vm.read_apply();
+fn expired_request_ttl_ends_only_its_own_request() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let (mut without_ttl, mut with_ttl) = (server.connect_client(), server.connect_client());
+    without_ttl.send(&request(1, None, b"abc"));
+    interpreter.read_apply();
     let text = String::from_utf8(request(2, None, b"abc")).unwrap();
-    hasty.send(
+    with_ttl.send(
         text.replace(
             "X-Router: 4",
             "X-Router: 4\r\nX-Ttl-Ms: 300\r\nX-Cpu-Hint: 29.5",
         )
         .as_bytes(),
     );
-    vm.read_apply();
-    let (status, _, _) = hasty.read_response();
+    interpreter.read_apply();
+    let (status, _, _) = with_ttl.read_response();
     assert!(status == 503 || status == 504, "{status}");
-    vm.send_value(&task(1), "complete", b"one");
-    assert_eq!(patient.read_response().2, b"one");
+    interpreter.send_value(&request_id(1), "complete", b"one");
+    assert_eq!(without_ttl.read_response().2, b"one");
 }
 
 #[test]
-fn the_free_value_stands_in_answers_and_checks() {
-    let rig =
+fn configured_capacity_level_is_sent_in_response() {
+    let server =
         ServerFixture::start_with_config(|c| c["settings"]["family-info"]["say"] = json!("level"));
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.read_apply();
-    rig.process.terminate();
-    while rig
-        .registration_reports
-        .recv_timeout(EVENT_TIMEOUT)
-        .unwrap()
-        != json!({"accepting": "false"})
-    {}
-    vm.send_value(&task(1), "complete", b"one");
+    interpreter.read_apply();
+    server.process.terminate();
+    wait_for_not_accepting_report(&server.registration_reports);
+    interpreter.send_value(&request_id(1), "complete", b"one");
     let (_, fields, _) = client.read_response();
     assert_eq!(fields["x-capacity"], "1");
 }
 
 #[test]
-fn health_is_bad_until_the_interpreter_is_up_and_good_after_that() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link_before_banner();
-    let mut client = rig.connect_client();
+fn health_check_fails_until_interpreter_is_up() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link_before_banner();
+    let mut client = server.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.read_response().0, 503);
-    vm.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
+    interpreter.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
     assert_eq!(
-        rig.registration_reports
+        server
+            .registration_reports
             .recv_timeout(EVENT_TIMEOUT)
             .unwrap(),
         json!({"accepting": "true"})
@@ -522,12 +535,13 @@
 }
 
 #[test]
-fn reports_go_on_while_nothing_changes() {
-    let rig = ServerFixture::start();
-    let _vm = rig.accept_link();
+fn readiness_reports_repeat_without_state_change() {
+    let server = ServerFixture::start();
+    let _interpreter = server.accept_link();
     for _ in 0..3 {
         assert_eq!(
-            rig.registration_reports
+            server
+                .registration_reports
                 .recv_timeout(EVENT_TIMEOUT)
                 .unwrap(),
             json!({"accepting": "true"})
@@ -536,107 +550,107 @@
 }
 
 #[test]
-fn timers_go_on_without_an_answer_about_the_gauges() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    vm.answer_gauge_queries(1);
-    let mut client = rig.connect_client();
+fn timers_expire_without_gauge_answers() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    interpreter.answer_gauge_queries(1);
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    // Nothing but the program's own clock answers this one: no run ends, and no gauge is told.
+    // Only the server's own timers can cause this response: no run ends, and no further gauge query is answered.
     let (status, _, _) = client.read_response();
     assert!(status == 503 || status == 504, "{status}");
 }
 
 #[test]
-fn what_is_no_request_is_answered_and_reaches_nobody() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let whole = String::from_utf8(request(1, None, b"abc")).unwrap();
+fn invalid_requests_are_rejected_and_not_forwarded() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let valid = String::from_utf8(request(1, None, b"abc")).unwrap();
     let keyed = String::from_utf8(request(1, Some("k"), b"abc")).unwrap();
     let cases = [
         (400, "nonsense\r\n\r\n".to_string()),
-        (400, whole.replace("HTTP/1.1", "HTTP/1.0")),
-        (400, whole.replace("Content-Length: 3", "Content-Length: x")),
+        (400, valid.replace("HTTP/1.1", "HTTP/1.0")),
+        (400, valid.replace("Content-Length: 3", "Content-Length: x")),
         (
             400,
-            whole.replace(
+            valid.replace(
                 "Content-Length: 3",
                 "Content-Length: 3\r\nContent-Length: 3",
             ),
         ),
         (
             400,
-            whole.replace("Content-Length: 3", "Transfer-Encoding: chunked"),
+            valid.replace("Content-Length: 3", "Transfer-Encoding: chunked"),
         ),
         (
             413,
-            whole.replace("Content-Length: 3", "Content-Length: 2049"),
+            valid.replace("Content-Length: 3", "Content-Length: 2049"),
         ),
         (
             431,
             format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(9000)),
         ),
-        (404, whole.replace("/svc/look", "/svc/nothing")),
-        (404, whole.replace("/svc/look", "/elsewhere")),
-        (405, whole.replace("POST", "GET")),
+        (404, valid.replace("/svc/look", "/svc/nothing")),
+        (404, valid.replace("/svc/look", "/elsewhere")),
+        (405, valid.replace("POST", "GET")),
         (405, "POST /status/live HTTP/1.1\r\n\r\n".to_string()),
-        (400, whole.replace("X-Txn: ", "X-Txn: x")),
-        (400, whole.replace("X-Txn:", "X-Other:")),
+        (400, valid.replace("X-Txn: ", "X-Txn: x")),
+        (400, valid.replace("X-Txn:", "X-Other:")),
         (
             400,
-            whole.replace("X-Txn:", "X-Txn: 00000000000000aa\r\nX-Txn:"),
+            valid.replace("X-Txn:", "X-Txn: 00000000000000aa\r\nX-Txn:"),
         ),
-        (400, whole.replace("X-Ingress-Time:", "X-Other:")),
-        (400, whole.replace("X-Ingress-Time: ", "X-Ingress-Time: -")),
+        (400, valid.replace("X-Ingress-Time:", "X-Other:")),
+        (400, valid.replace("X-Ingress-Time: ", "X-Ingress-Time: -")),
         (
             400,
-            whole.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: 0"),
+            valid.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: 0"),
         ),
         (
             400,
-            whole.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: inf"),
+            valid.replace("X-Working-Set-Kb: 24.5", "X-Working-Set-Kb: inf"),
         ),
-        (400, whole.replace("X-Merchant: north", "X-Merchant: south")),
-        (400, whole.replace("X-Router: 4", "X-Ttl-Ms: soon")),
-        (400, whole.replace("X-Router: 4", "X-Cpu-Hint: -1")),
+        (400, valid.replace("X-Merchant: north", "X-Merchant: south")),
+        (400, valid.replace("X-Router: 4", "X-Ttl-Ms: soon")),
+        (400, valid.replace("X-Router: 4", "X-Cpu-Hint: -1")),
         (400, keyed.replace("X-Txn-Key: k", "X-Txn-Key: ")),
         (400, keyed.replace("X-Txn-Key:", "X-Other:")),
         (
             400,
-            whole.replace("X-Router: 4", "X-Txn-Key: k\r\nX-Router: 4"),
+            valid.replace("X-Router: 4", "X-Txn-Key: k\r\nX-Router: 4"),
         ),
         (
             400,
             keyed.replace("X-Router: 4", "X-Row: 7f3a9c21e0b4d655\r\nX-Router: 4"),
         ),
-        (400, whole.replace("X-Merchant: north\r\n", "")),
-        (400, whole.replace("X-Router: 4\r\n", "")),
-        (400, whole.replace("X-Router: 4", "X-Router: four")),
+        (400, valid.replace("X-Merchant: north\r\n", "")),
+        (400, valid.replace("X-Router: 4\r\n", "")),
+        (400, valid.replace("X-Router: 4", "X-Router: four")),
         (
             400,
-            whole.replace("X-Router: 4", "X-Router: 4\r\nX-Second-Try: maybe"),
+            valid.replace("X-Router: 4", "X-Router: 4\r\nX-Second-Try: maybe"),
         ),
-        (400, whole.replace("X-Shed-Order: 0.6250\r\n", "")),
+        (400, valid.replace("X-Shed-Order: 0.6250\r\n", "")),
         (
             400,
-            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1"),
+            valid.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1"),
         ),
         (
             400,
-            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: -1"),
+            valid.replace("X-Shed-Order: 0.6250", "X-Shed-Order: -1"),
         ),
         (
             400,
-            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: nan"),
+            valid.replace("X-Shed-Order: 0.6250", "X-Shed-Order: nan"),
         ),
         (
             400,
-            whole.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1e-3"),
+            valid.replace("X-Shed-Order: 0.6250", "X-Shed-Order: 1e-3"),
         ),
-        (400, whole.replace("X-Ingress-Time: ", "X-Ingress-Time: 9")),
+        (400, valid.replace("X-Ingress-Time: ", "X-Ingress-Time: 9")),
     ];
     for (expected, text) in cases {
-        let mut client = rig.connect_client();
+        let mut client = server.connect_client();
         client.send(text.as_bytes());
         let (status, fields, _) = client.read_response();
         assert_eq!(
@@ -645,54 +659,56 @@
             "{text}"
         );
     }
-    let mut client = rig.connect_client();
+    let mut client = server.connect_client();
     client.send(&request(2, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(2));
+    assert_eq!(interpreter.read_apply().0, request_id(2));
 }
 
+// Closing a socket with unread bytes sends a reset, which can discard the response before the client reads it.
 #[test]
-fn an_answer_to_what_is_too_large_is_not_lost_with_the_bytes_left_unread() {
-    let rig = ServerFixture::start();
-    let _vm = rig.accept_link();
+fn response_to_oversized_request_arrives_despite_unread_body() {
+    let server = ServerFixture::start();
+    let _interpreter = server.accept_link();
     let head = String::from_utf8(request(1, None, b"")).unwrap();
     let body = vec![b'x'; 8_000_000];
     let text = head.replace("Content-Length: 0", "Content-Length: 8000000");
     for _ in 0..20 {
-        let mut client = rig.connect_client();
+        let mut client = server.connect_client();
         client.send(&[text.as_bytes(), &body].concat());
         assert_eq!(client.read_response().0, 413);
     }
 }
 
 #[test]
-fn a_second_request_of_the_same_name_is_not_taken_while_the_first_is_open() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let (mut first, mut second) = (rig.connect_client(), rig.connect_client());
+fn duplicate_request_id_conflicts_while_first_is_in_flight() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let (mut first, mut second) = (server.connect_client(), server.connect_client());
     first.send(&request(1, None, b"abc"));
-    vm.read_apply();
+    interpreter.read_apply();
     second.send(&request(1, None, b"abc"));
     assert_eq!(second.read_response().0, 409);
-    vm.send_value(&task(1), "complete", b"one");
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(first.read_response().2, b"one");
 }
 
 #[test]
-fn connections_that_say_nothing_leave_once_the_room_is_needed() {
-    let rig = ServerFixture::start_with_config(|c| c["limits"]["sockets"] = json!(52));
-    let mut vm = rig.accept_link();
-    let mut served = rig.connect_client();
+fn silent_connections_are_closed_at_descriptor_limit() {
+    let server = ServerFixture::start_with_config(|c| c["limits"]["sockets"] = json!(52));
+    let mut interpreter = server.accept_link();
+    let mut served = server.connect_client();
     served.send(&request(1, Some("k"), b"abc"));
-    vm.read_apply();
-    vm.send_await(&task(1), b"ask");
-    let mut store = MockStore::accept(&rig);
+    interpreter.read_apply();
+    interpreter.send_await(&request_id(1), b"ask");
+    let mut store = MockStore::accept(&server);
     store.read_call();
-    // Far more than there is room for; what is in hand, and what asks, has its place all the same.
-    let silent: Vec<_> = (0..100).map(|_| rig.connect_client()).collect();
-    let mut last = rig.connect_client();
+    // Far more connections than the descriptor limit allows. The request in flight and the new health check must be
+    // served nevertheless.
+    let silent: Vec<_> = (0..100).map(|_| server.connect_client()).collect();
+    let mut last = server.connect_client();
     last.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(last.read_response().0, 200);
-    vm.send_value(&task(1), "complete", b"one");
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(served.read_response().0, 200);
     for mut client in silent {
         client.assert_closed();
@@ -700,117 +716,121 @@
 }
 
 #[test]
-fn a_connection_that_never_says_anything_is_closed_and_half_a_request_is_answered() {
-    let rig = ServerFixture::start();
-    let _vm = rig.accept_link();
+fn silent_connection_is_closed_and_incomplete_request_times_out() {
+    let server = ServerFixture::start();
+    let _interpreter = server.accept_link();
     assert_eq!(
-        rig.registration_reports
+        server
+            .registration_reports
             .recv_timeout(EVENT_TIMEOUT)
             .unwrap(),
         json!({"accepting": "true"})
     );
-    let (mut silent, mut half, mut idle) = (
-        rig.connect_client(),
-        rig.connect_client(),
-        rig.connect_client(),
+    let (mut silent, mut incomplete, mut idle) = (
+        server.connect_client(),
+        server.connect_client(),
+        server.connect_client(),
     );
     idle.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(idle.read_response().0, 200);
-    half.send(&request(1, None, b"abc")[..40]);
+    incomplete.send(&request(1, None, b"abc")[..40]);
     silent.assert_closed();
-    assert_eq!(half.read_response().0, 408);
-    // What has asked something stays.
+    assert_eq!(incomplete.read_response().0, 408);
+    // A connection that has sent a request stays open.
     idle.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(idle.read_response().0, 200);
 }
 
 #[test]
-fn a_key_that_comes_with_another_body_is_not_served_with_the_result() {
-    let (rig, mut vm, mut client) = one_running(Some("k"));
-    let other = |txn| {
-        let mut other = rig.connect_client();
+fn idempotency_key_with_different_body_is_rejected() {
+    let (server, mut interpreter, mut client) = start_with_running_request(Some("k"));
+    let assert_rejected = |txn| {
+        let mut other = server.connect_client();
         other.send(&request(txn, Some("k"), b"abd"));
         assert_eq!(other.read_response().0, 422);
     };
-    other(2);
-    vm.send_value(&task(1), "complete", b"one");
+    assert_rejected(2);
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
-    other(3);
+    assert_rejected(3);
     client.send(&request(4, Some("k"), b"abc"));
     assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_named_with_its_field() {
-    let good = server_config(
+fn startup_error_names_configuration_file_and_invalid_field() {
+    let valid = server_config(
         "127.0.0.1:1".parse().unwrap(),
         "127.0.0.1:2".parse().unwrap(),
         "127.0.0.1:3".parse().unwrap(),
     );
-    let (mut unnamed, mut odd, mut deep) = (good.clone(), good.clone(), good.clone());
-    unnamed.as_object_mut().unwrap().remove("name");
-    odd["listen"] = json!("nowhere");
-    deep["settings"]["services"][1]["effect"] = json!("magic");
+    let (mut without_name, mut invalid_address, mut invalid_nested) =
+        (valid.clone(), valid.clone(), valid.clone());
+    without_name.as_object_mut().unwrap().remove("name");
+    invalid_address["listen"] = json!("nowhere");
+    invalid_nested["settings"]["services"][1]["effect"] = json!("magic");
     for (text, field) in [
-        (unnamed.to_string(), "name"),
-        (odd.to_string(), "listen"),
-        (deep.to_string(), "settings.services[1].effect"),
+        (without_name.to_string(), "name"),
+        (invalid_address.to_string(), "listen"),
+        (invalid_nested.to_string(), "settings.services[1].effect"),
         ("{".to_string(), "EOF"),
     ] {
         let file = write_config_file(&text);
-        let out = server_command(&file).output().unwrap();
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.status.code(), Some(2), "{said}");
+        let output = server_command(&file).output().unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert!(
-            said.contains(field) && said.contains(file.to_str().unwrap()),
-            "{said}"
+            stderr.contains(field) && stderr.contains(file.to_str().unwrap()),
+            "{stderr}"
         );
-        assert_eq!(said.lines().count(), 1, "{said}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
         std::fs::remove_file(file).unwrap();
     }
 }
 
 #[test]
-fn an_address_that_is_taken_is_named() {
-    let taken = bind_loopback();
-    let here = taken.local_addr().unwrap();
-    let mut config = server_config(here, here, here);
-    config["listen"] = json!(here);
+fn startup_error_names_listen_address_in_use() {
+    let occupied = bind_loopback();
+    let address = occupied.local_addr().unwrap();
+    let mut config = server_config(address, address, address);
+    config["listen"] = json!(address);
     let file = write_config_file(&config.to_string());
-    let out = server_command(&file).output().unwrap();
-    let said = String::from_utf8(out.stderr).unwrap();
-    assert_eq!(out.status.code(), Some(1), "{said}");
-    assert!(said.contains(&here.to_string()), "{said}");
+    let output = server_command(&file).output().unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert!(stderr.contains(&address.to_string()), "{stderr}");
     std::fs::remove_file(file).unwrap();
 }
 
+// While the process is suspended, a run ends and timers become due. If the timers were handled first, the server would
+// cancel runs although the end of a run had already arrived.
 #[test]
-fn what_ended_while_the_process_stood_still_comes_before_its_late_timers() {
-    // Whether a timer waits for its gauges at that moment is chance, so many are stopped.
-    let stop_one = || {
-        let rig = ServerFixture::start();
-        let mut vm = rig.accept_link();
-        let mut clients: Vec<_> = (0..4).map(|_| rig.connect_client()).collect();
+fn notices_received_while_suspended_are_handled_before_overdue_timers() {
+    // Whether a timer waits for gauges at the moment of the stop is random, so many servers are stopped.
+    let suspend_server = || {
+        let server = ServerFixture::start();
+        let mut interpreter = server.accept_link();
+        let mut clients: Vec<_> = (0..4).map(|_| server.connect_client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, None, b"abc"));
-            vm.read_apply();
+            interpreter.read_apply();
         }
-        rig.process.signal("STOP");
-        vm.send_value(&task(1), "complete", b"x");
+        server.process.signal("STOP");
+        interpreter.send_value(&request_id(1), "complete", b"x");
         std::thread::sleep(std::time::Duration::from_millis(1300));
-        rig.process.signal("CONT");
+        server.process.signal("CONT");
         assert_eq!(clients[0].read_response().0, 200);
         clients[0].send(&request(5, None, b"abc"));
         assert_eq!(
-            vm.read_command_ignoring_gauges()["verb"],
+            interpreter.read_command_ignoring_gauges()["verb"],
             "APPLY",
-            "no run was given up"
+            "the server cancelled a run"
         );
     };
     for _ in 0..3 {
         std::thread::scope(|scope| {
             for _ in 0..12 {
-                scope.spawn(stop_one);
+                scope.spawn(suspend_server);
             }
         });
     }
