--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -1,8 +1,9 @@
-//! The terms under which operators start the server, as the process itself shows them: one process by `exec`,
-//! linked dynamically, ready in time, one listener, no file written, nothing that spins, everything given back; and a
-//! notice to drain after which all that came is answered and nothing runs past the grace.
+//! Tests of the operators' requirements on the server process: it is a single process started by `exec`, linked
+//! dynamically, and ready in time; it has one listener, writes no files, uses little processor time while idle, and
+//! releases descriptors and memory. After SIGTERM it answers all requests; after the drain grace period it starts no run.
 //!
-//! `HEATHSPUR_PROGRAMS` names the folder of the programs under test; without it they are those just built.
+//! The environment variable `HEATHSPUR_PROGRAMS` contains the directory of the programs under test. By default they are
+//! the ones that the test build has built.
 
 use heathspur_testkit::auto_stubs;
 use heathspur_testkit::prelude::*;
@@ -22,41 +23,43 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Threads at most: the one that serves, the one that waits for the system, and the starter of calls.
-const THREADS: usize = 8;
-/// Of two seconds of waiting, so much processor time at most; a thread that spins takes them all.
-const IDLE: Duration = Duration::from_secs(2);
-const AWAKE: f64 = 0.5;
-/// A server that takes longer to be ready has crashed.
-const READY: Duration = Duration::from_secs(30);
-/// The slack of the rules' times on sockets.
-const SLACK: Duration = Duration::from_millis(50);
-/// Memory that may stay with the allocator after a crowd of connections, in bytes.
-const KEPT: u64 = 8 << 20;
-
-/// The server as the deploy file starts it, in empty folders of its own.
-struct Started {
+/// The maximum number of threads. The server uses one for the event loop and one for the I/O reactor; the others are
+/// spare.
+const MAX_THREADS: usize = 8;
+/// How long the processor time of an idle server is measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(2);
+/// The maximum processor time of an idle server, as a fraction of elapsed time. A thread that spins uses all of it.
+const MAX_IDLE_CPU_FRACTION: f64 = 0.5;
+/// The platform regards a server that takes longer to become ready as crashed.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The tolerance of the platform's time limits on sockets.
+const SOCKET_TIME_TOLERANCE: Duration = Duration::from_millis(50);
+/// The memory that the allocator may retain after many connections have closed, in bytes.
+const MAX_RETAINED_BYTES: u64 = 8 << 20;
+
+/// A server started by the command of the deploy file, in empty directories of its own.
+struct DeployedServer {
     process: ProcessGuard,
     address: SocketAddr,
-    since: Instant,
-    /// The folders that it could leave something in: where it runs, and the home of whoever runs it.
-    folders: PathBuf,
+    started_at: Instant,
+    /// Contains the directories that the server could write files to: its working directory and its home directory.
+    directories: PathBuf,
 }
 
-impl Drop for Started {
+impl Drop for DeployedServer {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folders);
+        let _ = std::fs::remove_dir_all(&self.directories);
     }
 }
 
-/// The `run` line of the deploy file, with the program under test in the place of the one it names.
-fn run_line() -> String {
+/// Returns the command in the `run` field of the deploy file, with the path of the program under test.
+fn deploy_command() -> String {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = std::fs::read_to_string(deploy).unwrap();
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix("run = "))
-        .expect("a line that starts it");
+        .expect("the deploy file has no `run` field");
     let line = line.trim().trim_matches('"');
     line.replace(
         "target/release/heathspurd",
@@ -64,79 +67,84 @@
     )
 }
 
-impl Started {
-    fn new(name: &str) -> Started {
-        Started::with(name, |_| {})
+impl DeployedServer {
+    fn start(name: &str) -> DeployedServer {
+        DeployedServer::start_with_config(name, |_| {})
     }
 
-    fn with(name: &str, edit: impl FnOnce(&mut Value)) -> Started {
-        let (vm, store, announce) = (bind_loopback(), bind_loopback(), bind_loopback());
-        let at = |l: &std::net::TcpListener| l.local_addr().unwrap();
-        let mut config = server_config(at(&vm), at(&announce), at(&store));
+    fn start_with_config(name: &str, edit: impl FnOnce(&mut Value)) -> DeployedServer {
+        let (interpreter, store, registration) =
+            (bind_loopback(), bind_loopback(), bind_loopback());
+        let address = |listener: &std::net::TcpListener| listener.local_addr().unwrap();
+        let mut config = server_config(
+            address(&interpreter),
+            address(&registration),
+            address(&store),
+        );
         config["limits"]["sockets"] = 4096.into();
         edit(&mut config);
-        auto_stubs::interpreter(vm);
-        auto_stubs::registration(announce);
-        let folders =
+        auto_stubs::interpreter(interpreter);
+        auto_stubs::registration(registration);
+        let directories =
             std::env::temp_dir().join(format!("heathspur-terms-{}-{name}", std::process::id()));
-        for folder in ["here", "home"] {
-            std::fs::create_dir_all(folders.join(folder)).unwrap();
+        for directory in ["cwd", "home"] {
+            std::fs::create_dir_all(directories.join(directory)).unwrap();
         }
-        let file = folders.join("config.json");
+        let file = directories.join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
         let mut command = Command::new("sh");
         command
-            .args(["-c", &run_line()])
-            .current_dir(folders.join("here"))
-            .env("HOME", folders.join("home"));
-        // A group of its own, so that nothing it may have started outlives the test unseen.
+            .args(["-c", &deploy_command()])
+            .current_dir(directories.join("cwd"))
+            .env("HOME", directories.join("home"));
+        // A process group of its own, so that processes that it starts are not hidden in the group of the test.
         command
             .env("NODE_CONFIG", &file)
             .process_group(0)
             .stdin(Stdio::null())
             .stdout(Stdio::null());
-        let since = Instant::now();
+        let started_at = Instant::now();
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let lines = BufReader::new(child.stderr.take().unwrap())
             .lines()
             .map_while(Result::ok);
         let process = ProcessGuard(child);
-        let (say, said) = mpsc::channel();
-        // Nobody who stops reading the log may stop the server.
-        thread::spawn(move || lines.for_each(|line| drop(say.send(line))));
+        let (line_sender, log_lines) = mpsc::channel();
+        // The log is read to its end, because the server could block on a full pipe.
+        thread::spawn(move || lines.for_each(|line| drop(line_sender.send(line))));
         let address = loop {
-            let left = READY.saturating_sub(since.elapsed());
-            let line = said
-                .recv_timeout(left)
-                .expect("it says in time where it listens");
+            let remaining = READY_TIMEOUT.saturating_sub(started_at.elapsed());
+            let line = log_lines
+                .recv_timeout(remaining)
+                .expect("the server did not log its listen address in time");
             if line.contains("listening on") {
                 break line.rsplit(' ').next().unwrap().parse().unwrap();
             }
         };
-        Started {
+        DeployedServer {
             process,
             address,
-            since,
-            folders,
+            started_at,
+            directories,
         }
     }
 
-    fn proc(&self) -> Process {
+    fn process_info(&self) -> Process {
         Process::new(self.process.0.id() as i32).unwrap()
     }
 
-    /// Has one request answered.
-    fn serve(&self, txn: u64) {
+    /// Sends a request and asserts that it is answered.
+    fn assert_answers_request(&self, txn: u64) {
         let mut client = Http1Client::connect(self.address);
         client.send(&request(txn, None, b"abc"));
         let status = client.read_response().0;
         assert!(status == 200 || status == 503, "{status}");
     }
 
-    /// What the process holds open: its sockets by inode, and everything else by name.
-    fn open(&self) -> (HashSet<u64>, BTreeSet<String>) {
+    /// Returns the open descriptors of the process: the sockets by inode, and all others by name.
+    fn open_descriptors(&self) -> (HashSet<u64>, BTreeSet<String>) {
         let (mut sockets, mut others) = (HashSet::new(), BTreeSet::new());
-        for fd in self.proc().fd().unwrap().flatten() {
+        for fd in self.process_info().fd().unwrap().flatten() {
             match fd.target {
                 FDTarget::Socket(inode) => drop(sockets.insert(inode)),
                 FDTarget::Path(path) => drop(others.insert(path.display().to_string())),
@@ -147,18 +155,19 @@
         (sockets, others)
     }
 
-    /// One process, few threads, one listener, no Unix socket that others could reach, no ring.
-    fn holds_the_terms(&self, when: &str) {
-        let process = self.proc();
+    /// Asserts that there is one process with few threads and one listener, and that it has no Unix socket that other
+    /// processes can reach, and no open file or `io_uring` instance.
+    fn assert_meets_requirements(&self, when: &str) {
+        let process = self.process_info();
         let program = process.exe().unwrap();
         assert_eq!(
             program,
             program_path("heathspurd").canonicalize().unwrap(),
-            "{when}: `run` has to end by exec"
+            "{when}: the `run` command must replace the shell by exec"
         );
         let tasks: Vec<_> = process.tasks().unwrap().flatten().collect();
         assert!(
-            (1..=THREADS).contains(&tasks.len()),
+            (1..=MAX_THREADS).contains(&tasks.len()),
             "{when}: {} threads",
             tasks.len()
         );
@@ -167,7 +176,7 @@
             .flat_map(|task| task.children().unwrap_or_default())
             .collect();
         assert!(children.is_empty(), "{when}: child processes {children:?}");
-        let (sockets, others) = self.open();
+        let (sockets, others) = self.open_descriptors();
         let listening: Vec<_> = [process.tcp(), process.tcp6()]
             .into_iter()
             .flat_map(ProcResult::unwrap)
@@ -177,71 +186,77 @@
         assert_eq!(
             listening,
             [self.address],
-            "{when}: it listens where it was told to, and nowhere else"
+            "{when}: the server must listen only on its configured address"
         );
-        let datagrams: Vec<_> = [process.udp(), process.udp6()]
+        let udp_sockets: Vec<_> = [process.udp(), process.udp6()]
             .into_iter()
             .flat_map(ProcResult::unwrap)
             .filter(|entry| sockets.contains(&entry.inode))
             .collect();
-        assert!(datagrams.is_empty(), "{when}: {datagrams:?}");
+        assert!(
+            udp_sockets.is_empty(),
+            "{when}: UDP sockets {udp_sockets:?}"
+        );
         for entry in process
             .unix()
             .unwrap()
             .into_iter()
             .filter(|entry| sockets.contains(&entry.inode))
         {
-            // A pair to wake itself has no name and is connected.
+            // The only Unix sockets allowed are unnamed connected pairs, which the server uses to wake itself.
             assert!(
                 entry.path.is_none() && entry.state == UnixState::CONNECTED,
-                "{when}: {entry:?}"
+                "{when}: Unix socket {entry:?}"
             );
         }
         for name in others {
-            let waits = ["[eventpoll]", "[eventfd]", "[timerfd]"]
+            let is_polling = ["[eventpoll]", "[eventfd]", "[timerfd]"]
                 .iter()
                 .any(|kind| name.ends_with(kind));
-            let known = name == "/dev/null" || waits;
-            assert!(known, "{when}: it holds {name} open");
+            let is_allowed = name == "/dev/null" || is_polling;
+            assert!(is_allowed, "{when}: unexpected open descriptor {name}");
         }
     }
 
-    /// Nothing lies where it ran.
-    fn left_nothing(&self) {
-        for folder in ["here", "home"] {
-            let left: Vec<_> = std::fs::read_dir(self.folders.join(folder))
+    /// Asserts that the server wrote no files.
+    fn assert_wrote_no_files(&self) {
+        for directory in ["cwd", "home"] {
+            let files: Vec<_> = std::fs::read_dir(self.directories.join(directory))
                 .unwrap()
                 .flatten()
                 .collect();
-            assert!(left.is_empty(), "it wrote {left:?}");
+            assert!(files.is_empty(), "the server wrote {files:?}");
         }
     }
 }
 
-/// Waits for what must come; what never comes fails the test.
-fn until(what: &str, mut test: impl FnMut() -> bool) {
+/// Waits until the condition holds. Fails the test after [`EVENT_TIMEOUT`].
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !test() {
-        assert!(start.elapsed() < EVENT_TIMEOUT, "never came: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn the_program_is_linked_dynamically_against_the_c_library() {
+fn program_is_dynamically_linked_against_libc() {
     let bytes = std::fs::read(program_path("heathspurd")).unwrap();
     let file = ElfFile64::<Endianness>::parse(&*bytes).unwrap();
     let (endian, data) = (file.endian(), file.data());
     let headers = file.elf_header().program_headers(endian, data).unwrap();
     assert!(
         headers.iter().any(|h| h.p_type(endian) == elf::PT_INTERP),
-        "no loader is asked for"
+        "the program requests no dynamic loader"
     );
     let sections = file.elf_header().sections(endian, data).unwrap();
     let (entries, strings) = sections
         .dynamic(endian, data)
         .unwrap()
-        .expect("a dynamic section");
+        .expect("the program has no dynamic section");
     let strings = sections.strings(endian, data, strings).unwrap();
     let needed: Vec<_> = entries
         .iter()
@@ -255,27 +270,30 @@
 }
 
 #[test]
-fn it_stays_one_process_with_one_listener_while_it_serves_reloads_and_drains() {
-    let mut started = Started::new("process");
-    started.holds_the_terms("at the start");
-    started.serve(1);
-    started.holds_the_terms("after a request");
-    started.process.signal("HUP");
-    started.serve(2);
-    started.holds_the_terms("after a reload");
-    // One that stands in the middle of a request keeps the drain from ending at once.
-    let mut slow = Http1Client::connect(started.address);
+fn serving_reload_and_drain_keep_one_process_and_one_listener() {
+    let mut server = DeployedServer::start("process");
+    server.assert_meets_requirements("after the start");
+    server.assert_answers_request(1);
+    server.assert_meets_requirements("after a request");
+    server.process.signal("HUP");
+    server.assert_answers_request(2);
+    server.assert_meets_requirements("after a reload");
+    // An incomplete request keeps the drain from ending immediately.
+    let mut slow = Http1Client::connect(server.address);
     slow.send(b"POST /svc/look HTTP/1.1\r\n");
-    started.process.terminate();
-    let told = Instant::now();
-    while started.process.0.try_wait().unwrap().is_none() {
-        assert!(told.elapsed() < EVENT_TIMEOUT, "it does not leave");
-        let process = started.proc();
-        // Its last moments have nothing to look at.
+    server.process.terminate();
+    let drain_started = Instant::now();
+    while server.process.0.try_wait().unwrap().is_none() {
+        assert!(
+            drain_started.elapsed() < EVENT_TIMEOUT,
+            "the server does not exit"
+        );
+        let process = server.process_info();
+        // A process that is just exiting has no readable threads.
         let Ok(tasks) = process.tasks() else { continue };
         let tasks: Vec<_> = tasks.flatten().collect();
         assert!(
-            tasks.len() <= THREADS,
+            tasks.len() <= MAX_THREADS,
             "{} threads at the drain",
             tasks.len()
         );
@@ -289,152 +307,168 @@
         );
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(started.process.wait().code(), Some(0));
-    started.left_nothing();
+    assert_eq!(server.process.wait().code(), Some(0));
+    server.assert_wrote_no_files();
 }
 
 #[test]
-fn no_thread_of_it_spins_while_nothing_is_to_do() {
-    let started = Started::new("idle");
-    started.serve(1);
+fn idle_server_uses_little_processor_time() {
+    let server = DeployedServer::start("idle");
+    server.assert_answers_request(1);
     let per_second = procfs::ticks_per_second() as f64;
-    let spent = || {
-        started
-            .proc()
+    let processor_seconds = || {
+        server
+            .process_info()
             .stat()
             .map(|stat| (stat.utime + stat.stime) as f64 / per_second)
             .unwrap()
     };
-    let before = spent();
-    thread::sleep(IDLE);
-    let awake = spent() - before;
+    let before = processor_seconds();
+    thread::sleep(IDLE_PERIOD);
+    let used = processor_seconds() - before;
     assert!(
-        awake < AWAKE * IDLE.as_secs_f64(),
-        "{awake} s of processor time while it waited"
+        used < MAX_IDLE_CPU_FRACTION * IDLE_PERIOD.as_secs_f64(),
+        "an idle server used {used} s of processor time"
     );
 }
 
 #[test]
-fn descriptors_and_memory_come_back_after_a_thousand_connections() {
-    let started = Started::new("crowd");
-    started.serve(1);
-    let held = || started.open().0.len();
-    let at_rest = || started.proc().status().unwrap().vmrss.unwrap() * 1024;
-    // The one connection of `serve` is told closed a moment later.
-    let before = held() + 1;
-    let mut rest = Vec::new();
+fn descriptors_and_memory_are_released_after_thousand_connections() {
+    let server = DeployedServer::start("connections");
+    server.assert_answers_request(1);
+    let open_sockets = || server.open_descriptors().0.len();
+    let resident_bytes = || server.process_info().status().unwrap().vmrss.unwrap() * 1024;
+    // The server may notice only later that the connection of `assert_answers_request` is closed, so one more socket is
+    // allowed.
+    let before = open_sockets() + 1;
+    let mut resident = Vec::new();
     for round in 0..3u64 {
-        // Each speaks as soon as it is there: silent ones are closed in time. A few have work done.
-        let join = |n: u64| {
-            let mut client = Http1Client::connect(started.address);
+        // Each connection sends a request immediately, because silent connections are closed after a while. Some of the
+        // requests cause runs.
+        let open_connection = |n: u64| {
+            let mut client = Http1Client::connect(server.address);
             match n % 20 {
                 0 => client.send(&request(10 + round * 1000 + n, None, b"abc")),
                 _ => client.send(b"GET /status/live HTTP/1.1\r\n\r\n"),
             }
             client
         };
-        let mut crowd: Vec<Http1Client> = (0..1000).map(join).collect();
-        for client in &mut crowd {
+        let mut clients: Vec<Http1Client> = (0..1000).map(open_connection).collect();
+        for client in &mut clients {
             let status = client.read_response().0;
             assert!(status == 200 || status == 503, "{status}");
         }
-        assert!(held() > 1000, "the crowd is there: {}", held());
-        drop(crowd);
-        until("descriptors as before", || held() <= before);
-        rest.push(at_rest());
+        assert!(
+            open_sockets() > 1000,
+            "connections are missing: {} open sockets",
+            open_sockets()
+        );
+        drop(clients);
+        wait_until("descriptors are released", || open_sockets() <= before);
+        resident.push(resident_bytes());
     }
-    // What the first crowd made the allocator keep is enough for all later ones.
+    // The memory that the allocator retains after the first round is sufficient for all later rounds.
     assert!(
-        rest[2] <= rest[0] + KEPT / 4,
-        "memory at rest grows: {rest:?} bytes"
+        resident[2] <= resident[0] + MAX_RETAINED_BYTES / 4,
+        "resident memory grows: {resident:?} bytes"
     );
-    assert!(rest[2] <= 64 << 20, "{rest:?} bytes");
-    started.serve(9);
-    started.holds_the_terms("after the crowds");
+    assert!(
+        resident[2] <= 64 << 20,
+        "resident memory: {resident:?} bytes"
+    );
+    server.assert_answers_request(9);
+    server.assert_meets_requirements("after many connections");
 }
 
 #[test]
-fn it_is_ready_in_time_whoever_else_is_down() {
-    // Nobody listens where a listener was dropped.
-    let nobody = || json!(bind_loopback().local_addr().unwrap());
-    let started = Started::with("ready", |config| {
-        config["announce"] = nobody();
-        config["store"] = nobody();
+fn server_is_ready_in_time_without_registration_service_and_store() {
+    // Connections to the address of a dropped listener are refused.
+    let refusing_address = || json!(bind_loopback().local_addr().unwrap());
+    let server = DeployedServer::start_with_config("ready", |config| {
+        config["announce"] = refusing_address();
+        config["store"] = refusing_address();
     });
-    let mut client = Http1Client::connect(started.address);
+    let mut client = Http1Client::connect(server.address);
     loop {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         if client.read_response().0 == 200 {
             break;
         }
-        assert!(started.since.elapsed() < READY, "it is not ready");
+        assert!(
+            server.started_at.elapsed() < READY_TIMEOUT,
+            "the server is not ready"
+        );
         thread::sleep(Duration::from_millis(10));
     }
-    started.serve(1);
+    server.assert_answers_request(1);
     assert!(
-        started.since.elapsed() < READY,
-        "it was ready after {:?}",
-        started.since.elapsed()
+        server.started_at.elapsed() < READY_TIMEOUT,
+        "the server was ready after {:?}",
+        server.started_at.elapsed()
     );
 }
 
-/// A drain of a server whose runs the test ends, with that grace; the process has this long from the notice.
-struct Drain {
-    rig: ServerFixture,
-    vm: MockInterpreter,
-    stop: Duration,
-    told: Option<Instant>,
+/// A test of the drain of one server. The test completes the runs itself.
+struct DrainTest {
+    server: ServerFixture,
+    interpreter: MockInterpreter,
+    /// The time from SIGTERM until the platform kills the process.
+    stop_timeout: Duration,
+    /// When SIGTERM was sent.
+    terminated_at: Option<Instant>,
 }
 
-impl Drain {
-    fn with_grace(grace: Duration) -> Drain {
-        let stop = grace + Duration::from_secs(3);
-        let rig = ServerFixture::start_with_config(|config| {
+impl DrainTest {
+    /// Starts a server with this drain grace period.
+    fn start(grace: Duration) -> DrainTest {
+        let stop_timeout = grace + Duration::from_secs(3);
+        let server = ServerFixture::start_with_config(|config| {
             config["settings"]["guarantees"]["drain-grace-s"] = json!(grace.as_secs_f64());
-            config["stop_ms"] = json!(stop.as_millis() as u64);
+            config["stop_ms"] = json!(stop_timeout.as_millis() as u64);
         });
-        let vm = rig.accept_link();
-        Drain {
-            rig,
-            vm,
-            stop,
-            told: None,
+        let interpreter = server.accept_link();
+        DrainTest {
+            server,
+            interpreter,
+            stop_timeout,
+            terminated_at: None,
         }
     }
 
-    /// A kept connection that had an answer.
-    fn kept(&mut self, txn: u64) -> Http1Client {
-        let mut client = self.running(txn);
-        self.ends(txn);
+    /// Opens a connection that is idle after one response.
+    fn idle_connection(&mut self, txn: u64) -> Http1Client {
+        let mut client = self.running_connection(txn);
+        self.complete_run(txn);
         let (status, fields, _) = client.read_response();
         assert_eq!((status, fields.get("connection")), (200, None));
         client
     }
 
-    /// A connection whose request runs.
-    fn running(&mut self, txn: u64) -> Http1Client {
-        let mut client = self.rig.connect_client();
+    /// Opens a connection whose request is running.
+    fn running_connection(&mut self, txn: u64) -> Http1Client {
+        let mut client = self.server.connect_client();
         client.send(&request(txn, None, b"abc"));
-        self.runs(txn);
+        self.assert_run_starts(txn);
         client
     }
 
-    /// The next command starts the run of that request.
-    fn runs(&mut self, txn: u64) {
-        assert_eq!(self.vm.read_apply().0, format!("{txn:016x}"));
+    /// Asserts that the next command starts the run of this request.
+    fn assert_run_starts(&mut self, txn: u64) {
+        assert_eq!(self.interpreter.read_apply().0, format!("{txn:016x}"));
     }
 
-    fn ends(&mut self, txn: u64) {
-        self.vm
+    /// Completes the run of this request.
+    fn complete_run(&mut self, txn: u64) {
+        self.interpreter
             .send_value(&format!("{txn:016x}"), "complete", b"done");
     }
 
-    /// Tells it to drain; it has heard so when its report says so.
-    fn tell(&mut self) {
-        self.rig.process.terminate();
-        self.told = Some(Instant::now());
+    /// Sends SIGTERM and waits until the server reports that it accepts no requests.
+    fn begin_drain(&mut self) {
+        self.server.process.terminate();
+        self.terminated_at = Some(Instant::now());
         while self
-            .rig
+            .server
             .registration_reports
             .recv_timeout(EVENT_TIMEOUT)
             .unwrap()
@@ -442,141 +476,153 @@
         {}
     }
 
-    /// It leaves by itself with nothing wrong, before it would be killed, and starts no run that the test has not
-    /// seen.
-    fn leaves(self) {
-        let Drain {
-            mut rig,
-            vm,
-            stop,
-            told,
+    /// Asserts that the server exits successfully before the platform would kill it, and starts no run that the
+    /// test has not read.
+    fn assert_exits_in_time(self) {
+        let DrainTest {
+            mut server,
+            interpreter,
+            stop_timeout,
+            terminated_at,
         } = self;
-        let rest = vm.read_remaining_commands();
-        assert_eq!(rig.process.wait().code(), Some(0));
-        let took = told.unwrap().elapsed();
-        assert!(took < stop, "it took {took:?} of {stop:?}");
+        let remaining_commands = interpreter.read_remaining_commands();
+        assert_eq!(server.process.wait().code(), Some(0));
+        let elapsed = terminated_at.unwrap().elapsed();
         assert!(
-            rest.iter().all(|command| command["verb"] != "APPLY"),
-            "{rest:?}"
+            elapsed < stop_timeout,
+            "the exit took {elapsed:?} of {stop_timeout:?}"
+        );
+        assert!(
+            remaining_commands
+                .iter()
+                .all(|command| command["verb"] != "APPLY"),
+            "a run was started: {remaining_commands:?}"
         );
     }
 }
 
-/// An answer, and whether it is the last on its connection.
-fn answered(client: &mut Http1Client) -> (u16, bool) {
+/// Reads a response. Returns its status and whether it closes the connection.
+fn read_status_and_close(client: &mut Http1Client) -> (u16, bool) {
     let (status, fields, _) = client.read_response();
     (
         status,
-        fields.get("connection").is_some_and(|word| word == "close"),
+        fields
+            .get("connection")
+            .is_some_and(|value| value == "close"),
     )
 }
 
 #[test]
-fn what_comes_on_kept_connections_within_the_grace_is_answered() {
-    let mut drain = Drain::with_grace(Duration::from_secs(2));
-    let (mut one, mut two) = (drain.kept(1), drain.kept(2));
-    drain.tell();
-    // One comes at once, of the other the first word.
-    two.send(b"POST /svc/look ");
-    one.send(&request(3, None, b"abc"));
-    drain.runs(3);
-    drain.ends(3);
-    assert_eq!(answered(&mut one), (200, true));
-    one.assert_closed();
-    two.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
-    drain.runs(4);
-    drain.ends(4);
-    assert_eq!(answered(&mut two), (200, true));
-    two.assert_closed();
-    // What its rules refuse is answered as well: no memory holds this one.
-    let mut large = drain.rig.connect_client();
+fn requests_on_idle_connections_within_drain_grace_are_answered() {
+    let mut test = DrainTest::start(Duration::from_secs(2));
+    let (mut first, mut second) = (test.idle_connection(1), test.idle_connection(2));
+    test.begin_drain();
+    // The first request arrives immediately, the second only in part.
+    second.send(b"POST /svc/look ");
+    first.send(&request(3, None, b"abc"));
+    test.assert_run_starts(3);
+    test.complete_run(3);
+    assert_eq!(read_status_and_close(&mut first), (200, true));
+    first.assert_closed();
+    second.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
+    test.assert_run_starts(4);
+    test.complete_run(4);
+    assert_eq!(read_status_and_close(&mut second), (200, true));
+    second.assert_closed();
+    // A request that admission control rejects, here because of its memory requirement, is answered as well.
+    let mut large = test.server.connect_client();
     let text = String::from_utf8(request(5, None, b"abc")).unwrap();
     large.send(text.replace("Set-Kb: 24.5", "Set-Kb: 1999").as_bytes());
-    assert_eq!(answered(&mut large), (503, true));
-    drain.leaves();
+    assert_eq!(read_status_and_close(&mut large), (503, true));
+    test.assert_exits_in_time();
 }
 
 #[test]
-fn what_comes_on_kept_connections_past_the_grace_is_answered_and_never_run() {
-    let mut drain = Drain::with_grace(Duration::from_millis(500));
-    let (mut idle, mut begun) = (drain.kept(1), drain.kept(2));
-    let mut busy = drain.running(3);
-    drain.tell();
-    begun.send(b"POST /svc/look ");
-    // That nothing new is taken shows in the end of what has nothing open.
+fn requests_after_drain_grace_are_rejected_and_never_run() {
+    let mut test = DrainTest::start(Duration::from_millis(500));
+    let (mut idle, mut partial) = (test.idle_connection(1), test.idle_connection(2));
+    let mut busy = test.running_connection(3);
+    test.begin_drain();
+    partial.send(b"POST /svc/look ");
+    // The server closes the idle connection once it accepts no requests any more.
     idle.assert_closed();
-    thread::sleep(SLACK);
-    begun.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
-    assert_eq!(answered(&mut begun), (503, true));
-    begun.assert_closed();
+    thread::sleep(SOCKET_TIME_TOLERANCE);
+    partial.send(&request(4, None, b"abc")[b"POST /svc/look ".len()..]);
+    assert_eq!(read_status_and_close(&mut partial), (503, true));
+    partial.assert_closed();
     busy.send(&request(5, None, b"abc"));
-    drain.ends(3);
-    assert_eq!(answered(&mut busy).0, 200);
-    assert_eq!(answered(&mut busy), (503, true));
+    test.complete_run(3);
+    assert_eq!(read_status_and_close(&mut busy).0, 200);
+    assert_eq!(read_status_and_close(&mut busy), (503, true));
     busy.assert_closed();
-    drain.leaves();
+    test.assert_exits_in_time();
 }
 
+// The process gets no processor time until the grace period is over, so at its next iteration it stops accepting while
+// requests wait in the sockets. They must be answered rather than reset.
 #[test]
-fn what_came_while_the_machine_gave_no_time_is_answered_past_the_grace() {
+fn requests_received_while_suspended_past_drain_grace_are_rejected() {
     let grace = Duration::from_secs(1);
-    let mut drain = Drain::with_grace(grace);
-    let mut kept = drain.kept(1);
-    drain.tell();
-    drain.rig.process.signal("STOP");
-    let process = Process::new(drain.rig.process.0.id() as i32).unwrap();
-    until("it stands still", || process.stat().unwrap().state == 'T');
-    until("the grace is over", || {
-        drain.told.unwrap().elapsed() > grace * 5 / 4
+    let mut test = DrainTest::start(grace);
+    let mut idle = test.idle_connection(1);
+    test.begin_drain();
+    test.server.process.signal("STOP");
+    let process = Process::new(test.server.process.0.id() as i32).unwrap();
+    wait_until("the process is stopped", || {
+        process.stat().unwrap().state == 'T'
+    });
+    wait_until("the drain grace period is over", || {
+        test.terminated_at.unwrap().elapsed() > grace * 5 / 4
     });
-    kept.send(&request(2, None, b"abc"));
-    let mut crowd: Vec<Http1Client> = (3..8).map(|_| drain.rig.connect_client()).collect();
-    for (client, txn) in crowd.iter_mut().zip(3..) {
+    idle.send(&request(2, None, b"abc"));
+    let mut new_clients: Vec<Http1Client> = (3..8).map(|_| test.server.connect_client()).collect();
+    for (client, txn) in new_clients.iter_mut().zip(3..) {
         client.send(&request(txn, None, b"abc"));
     }
-    drain.rig.process.signal("CONT");
-    for client in [&mut kept].into_iter().chain(&mut crowd) {
-        assert_eq!(answered(client), (503, true));
+    test.server.process.signal("CONT");
+    for client in [&mut idle].into_iter().chain(&mut new_clients) {
+        assert_eq!(read_status_and_close(client), (503, true));
         client.assert_closed();
     }
-    drain.leaves();
+    test.assert_exits_in_time();
 }
 
+// The first request of the connection is running when the drain begins, and the second arrives just before or after.
 #[test]
-fn of_a_pair_across_the_notice_both_are_answered_and_the_first_says_no_close() {
-    for before in [false, true] {
-        let mut drain = Drain::with_grace(Duration::from_secs(2));
-        let mut client = drain.running(1);
-        if before {
+fn pipelined_requests_across_drain_start_are_answered_and_only_last_closes() {
+    for sent_before_drain in [false, true] {
+        let mut test = DrainTest::start(Duration::from_secs(2));
+        let mut client = test.running_connection(1);
+        if sent_before_drain {
             client.send(&request(2, None, b"def"));
         }
-        drain.tell();
-        if !before {
+        test.begin_drain();
+        if !sent_before_drain {
             client.send(&request(2, None, b"def"));
         }
-        drain.ends(1);
-        // Nothing is taken from a connection behind an answer that is its last, so the second would be lost.
-        assert_eq!(answered(&mut client), (200, false));
-        drain.runs(2);
-        drain.ends(2);
-        assert_eq!(answered(&mut client), (200, true));
+        test.complete_run(1);
+        // Requests that follow a response with `Connection: close` are not read, so the second request would be lost.
+        assert_eq!(read_status_and_close(&mut client), (200, false));
+        test.assert_run_starts(2);
+        test.complete_run(2);
+        assert_eq!(read_status_and_close(&mut client), (200, true));
         client.assert_closed();
-        drain.leaves();
+        test.assert_exits_in_time();
     }
 }
 
 #[test]
-fn idle_connections_are_closed_cleanly_in_a_drain_and_it_leaves_in_time() {
-    let mut drain = Drain::with_grace(Duration::from_millis(500));
-    let mut kept: Vec<Http1Client> = (1..5).map(|txn| drain.kept(txn)).collect();
-    let mut silent = drain.rig.connect_client();
-    drain.tell();
-    // A check still has its answer, on a connection that stays open for it.
-    kept[0].send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    assert_eq!(answered(&mut kept[0]).0, 503);
-    // An end without a byte and without a reset; the balancers close nothing themselves.
-    for client in kept.iter_mut().chain([&mut silent]) {
+fn drain_closes_idle_connections_without_reset_and_exits_in_time() {
+    let mut test = DrainTest::start(Duration::from_millis(500));
+    let mut idle_clients: Vec<Http1Client> = (1..5).map(|txn| test.idle_connection(txn)).collect();
+    let mut silent = test.server.connect_client();
+    test.begin_drain();
+    // A health check is still answered, on an idle connection that stays open for it.
+    idle_clients[0].send(b"GET /status/live HTTP/1.1\r\n\r\n");
+    assert_eq!(read_status_and_close(&mut idle_clients[0]).0, 503);
+    // The server must close these without data or a reset, because load balancers do not close idle connections.
+    for client in idle_clients.iter_mut().chain([&mut silent]) {
         client.assert_closed();
     }
-    drain.leaves();
+    test.assert_exits_in_time();
 }
