--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals that come at a bad moment, and configurations that are not this server's. Tests wait for events; only
-//! what never comes times out.
+//! Tests of signals that arrive during other work, and of reloads of invalid or changed configurations. They wait for
+//! events; the timeouts expire only if an event never occurs.
 
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
@@ -13,189 +13,204 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The server tries so often to read a configuration that can't be used.
-const TRIES: usize = 10;
-const STAYS: &str = "configuration reload failed, keeping the current configuration";
-const LEAVES: &str = "graceful shutdown started";
+/// How many times the server attempts to read an invalid configuration before it abandons the reload.
+const READ_ATTEMPTS: usize = 10;
+/// Logged for each failed attempt.
+const RELOAD_FAILED: &str = "configuration reload failed, keeping the current configuration";
+/// Logged when a drain begins.
+const DRAIN_STARTED: &str = "graceful shutdown started";
 
-fn task(txn: u64) -> String {
+/// Returns the identifier of a request as it is written on the wire.
+fn request_id(txn: u64) -> String {
     format!("{txn:016x}")
 }
 
-/// The server reports to the announce service that it takes nothing more.
-fn reports_that_it_leaves(reports: &Receiver<Value>) {
+/// Waits until the server has reported to the registration service that it accepts no requests.
+fn wait_for_not_accepting_report(reports: &Receiver<Value>) {
     while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
 }
 
-fn health(rig: &ServerFixture) -> u16 {
-    let mut check = rig.connect_client();
-    check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-    check.read_response().0
+/// Sends a health check and returns the status of the response.
+fn health_status(server: &ServerFixture) -> u16 {
+    let mut client = server.connect_client();
+    client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
+    client.read_response().0
 }
 
-fn address(listener: &TcpListener) -> Value {
+fn address_value(listener: &TcpListener) -> Value {
     json!(listener.local_addr().unwrap())
 }
 
-/// Nobody connects there; what would have connected has had the time for it.
-fn unvisited(listener: &TcpListener) {
+/// Asserts that there was no connection to this listener. The caller has given the server enough time to connect.
+fn assert_no_connection(listener: &TcpListener) {
     listener.set_nonblocking(true).unwrap();
-    assert!(listener.accept().is_err(), "somebody connected");
+    assert!(listener.accept().is_err(), "unexpected connection");
 }
 
-/// A request is served over that link to the interpreter.
-fn serves(client: &mut Http1Client, vm: &mut MockInterpreter, txn: u64) {
+/// Asserts that a request is served over this link to the interpreter.
+fn assert_serves(client: &mut Http1Client, interpreter: &mut MockInterpreter, txn: u64) {
     client.send(&request(txn, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(txn));
-    vm.send_value(&task(txn), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, request_id(txn));
+    interpreter.send_value(&request_id(txn), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
-/// A server that leaves while a request runs.
-fn leaving() -> (ServerFixture, MockInterpreter, Http1Client) {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+/// Starts a server that drains while a request is running.
+fn start_draining_with_running_request() -> (ServerFixture, MockInterpreter, Http1Client) {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    vm.read_apply();
-    rig.process.terminate();
-    rig.wait_for_log(LEAVES);
-    (rig, vm, client)
+    interpreter.read_apply();
+    server.process.terminate();
+    server.wait_for_log(DRAIN_STARTED);
+    (server, interpreter, client)
 }
 
 #[test]
-fn a_notice_to_leave_is_heard_while_a_bad_configuration_is_read_again_and_again() {
-    // On a machine so busy that the notice is sent too late nothing is forced: then once more.
+fn termination_during_repeated_reload_attempts_starts_drain() {
+    // On a busy machine the signal may be sent too late to arrive between the attempts. Then the test starts over.
     loop {
-        let rig = ServerFixture::start_with_config(|c| {
-            // Long enough for all that is looked at.
+        let server = ServerFixture::start_with_config(|c| {
+            // Long enough for everything that the test checks.
             c["stop_ms"] = json!(20_000);
             c["settings"]["guarantees"]["drain-grace-s"] = json!(15.0);
         });
-        let _vm = rig.accept_link();
-        std::fs::write(&rig.config_file, "{\"name\":\"n3\",").unwrap();
-        rig.process.signal("HUP");
-        rig.wait_for_log(STAYS);
-        let first = Instant::now();
-        rig.process.terminate();
-        // All tries take 0.9 s.
-        if first.elapsed() > Duration::from_millis(500) {
+        let _interpreter = server.accept_link();
+        std::fs::write(&server.config_file, "{\"name\":\"n3\",").unwrap();
+        server.process.signal("HUP");
+        server.wait_for_log(RELOAD_FAILED);
+        let first_attempt = Instant::now();
+        server.process.terminate();
+        // All attempts together take 0.9 s.
+        if first_attempt.elapsed() > Duration::from_millis(500) {
             continue;
         }
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
-            let line = rig.log_lines.recv_timeout(EVENT_TIMEOUT).expect(LEAVES);
-            if line.contains(LEAVES) {
+            let line = server
+                .log_lines
+                .recv_timeout(EVENT_TIMEOUT)
+                .expect(DRAIN_STARTED);
+            if line.contains(DRAIN_STARTED) {
                 break;
             }
-            tries += usize::from(line.contains(STAYS));
+            attempts += usize::from(line.contains(RELOAD_FAILED));
         }
-        assert!(tries < TRIES, "it left only after all {TRIES} tries");
-        reports_that_it_leaves(&rig.registration_reports);
-        assert_eq!(health(&rig), 503);
+        assert!(
+            attempts < READ_ATTEMPTS,
+            "the drain started only after all {READ_ATTEMPTS} attempts"
+        );
+        wait_for_not_accepting_report(&server.registration_reports);
+        assert_eq!(health_status(&server), 503);
         return;
     }
 }
 
 #[test]
-fn a_flood_of_notices_from_the_interpreter_does_not_keep_it_from_leaving() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
-    serves(&mut client, &mut vm, 1);
-    let over = Arc::new(AtomicBool::new(false));
+fn flood_of_interpreter_messages_does_not_prevent_drain() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
+    assert_serves(&mut client, &mut interpreter, 1);
+    let stopped = Arc::new(AtomicBool::new(false));
     let flood = {
-        let over = over.clone();
+        let stopped = stopped.clone();
         let line = format!(
             "{}\n",
-            json!({"verb": "ERROR", "outcome": "STUB", "task": task(9)})
+            json!({"verb": "ERROR", "outcome": "STUB", "task": request_id(9)})
         );
         thread::spawn(move || {
             let lines = line.repeat(4096);
-            while !over.load(Ordering::Relaxed) && vm.try_send_raw(lines.as_bytes()) {}
+            while !stopped.load(Ordering::Relaxed) && interpreter.try_send_raw(lines.as_bytes()) {}
         })
     };
-    rig.wait_for_log("the interpreter rejected the command");
-    rig.process.terminate();
-    reports_that_it_leaves(&rig.registration_reports);
-    over.store(true, Ordering::Relaxed);
-    drop(rig);
+    server.wait_for_log("the interpreter rejected the command");
+    server.process.terminate();
+    wait_for_not_accepting_report(&server.registration_reports);
+    stopped.store(true, Ordering::Relaxed);
+    drop(server);
     flood.join().unwrap();
 }
 
 #[test]
-fn a_second_notice_to_leave_changes_nothing() {
-    let (mut rig, mut vm, mut client) = leaving();
-    rig.process.terminate();
-    rig.process.signal("INT");
-    reports_that_it_leaves(&rig.registration_reports);
-    vm.send_value(&task(1), "complete", b"one");
+fn repeated_termination_signals_change_nothing() {
+    let (mut server, mut interpreter, mut client) = start_draining_with_running_request();
+    server.process.terminate();
+    server.process.signal("INT");
+    wait_for_not_accepting_report(&server.registration_reports);
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
     assert_eq!(
-        rig.log_lines
+        server
+            .log_lines
             .iter()
-            .filter(|line| line.contains(LEAVES))
+            .filter(|line| line.contains(DRAIN_STARTED))
             .count(),
         0
     );
 }
 
 #[test]
-fn it_leaves_before_the_interpreter_is_up_and_answers_what_it_read() {
-    for (linked, asked) in [(false, false), (false, true), (true, true)] {
-        let mut rig = ServerFixture::start();
-        // The link is there, but `BANNER` waits until the interpreter is up.
-        let _vm = linked.then(|| rig.accept_link_before_banner());
-        let mut client = rig.connect_client();
-        if asked {
+fn drain_before_interpreter_is_up_answers_requests_and_exits() {
+    for (is_connected, has_request) in [(false, false), (false, true), (true, true)] {
+        let mut server = ServerFixture::start();
+        // The interpreter accepts the link but sends no `BANNER`, as before it is up.
+        let _interpreter = is_connected.then(|| server.accept_link_before_banner());
+        let mut client = server.connect_client();
+        if has_request {
             client.send(&request(1, Some("k"), b"abc"));
         }
-        rig.process.terminate();
-        rig.wait_for_log(LEAVES);
-        reports_that_it_leaves(&rig.registration_reports);
-        if asked {
+        server.process.terminate();
+        server.wait_for_log(DRAIN_STARTED);
+        wait_for_not_accepting_report(&server.registration_reports);
+        if has_request {
             assert!([503, 504].contains(&client.read_response().0));
         }
-        assert_eq!(rig.process.wait().code(), Some(0));
+        assert_eq!(server.process.wait().code(), Some(0));
     }
 }
 
 #[test]
-fn a_new_configuration_holds_while_it_leaves() {
-    let (mut rig, _old, mut client) = leaving();
-    let reports = rig.replace_peer_addresses();
-    reports_that_it_leaves(&reports);
-    let mut vm = rig.accept_link();
-    assert_eq!(vm.read_apply().0, task(1));
-    vm.send_value(&task(1), "complete", b"one");
+fn reload_during_drain_moves_links() {
+    let (mut server, _old_link, mut client) = start_draining_with_running_request();
+    let reports = server.replace_peer_addresses();
+    wait_for_not_accepting_report(&reports);
+    let mut interpreter = server.accept_link();
+    assert_eq!(interpreter.read_apply().0, request_id(1));
+    interpreter.send_value(&request_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
 #[test]
-fn of_many_new_configurations_the_last_one_holds() {
-    let mut rig = ServerFixture::start();
-    let _vm = rig.accept_link();
-    // Not more: the log has a bound.
+fn last_of_many_reloads_takes_effect() {
+    let mut server = ServerFixture::start();
+    let _interpreter = server.accept_link();
+    // No more than three, because the log limits its lines per second.
     for _ in 0..3 {
-        rig.replace_peer_addresses();
+        server.replace_peer_addresses();
     }
-    // The last is asked for while one that can't be used is read again.
-    std::fs::write(&rig.config_file, "").unwrap();
-    rig.process.signal("HUP");
-    rig.wait_for_log(STAYS);
-    rig.process.signal("HUP");
-    let _reports = rig.replace_peer_addresses();
-    let mut vm = rig.accept_link();
-    serves(&mut rig.connect_client(), &mut vm, 1);
+    // The last reload is requested while the server repeats the attempts to read an invalid file.
+    std::fs::write(&server.config_file, "").unwrap();
+    server.process.signal("HUP");
+    server.wait_for_log(RELOAD_FAILED);
+    server.process.signal("HUP");
+    let _reports = server.replace_peer_addresses();
+    let mut interpreter = server.accept_link();
+    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
 }
 
 #[test]
-fn a_new_configuration_told_of_while_the_first_is_read_holds() {
-    let [vm, moved, announce, store] = [(); 4].map(|()| bind_loopback());
-    let at = |l: &TcpListener| l.local_addr().unwrap();
-    let mut settings = server_config(at(&vm), at(&announce), at(&store));
+fn reload_signal_during_startup_read_takes_effect() {
+    let [interpreter, new_interpreter, registration, store] = [(); 4].map(|()| bind_loopback());
+    let socket_address = |listener: &TcpListener| listener.local_addr().unwrap();
+    let mut settings = server_config(
+        socket_address(&interpreter),
+        socket_address(&registration),
+        socket_address(&store),
+    );
     let file = std::env::temp_dir().join(format!("heathspurd-{}-fifo", std::process::id()));
     assert!(Command::new("mkfifo")
         .arg(&file)
@@ -203,122 +218,133 @@
         .unwrap()
         .success());
     let mut process = ProcessGuard(server_command(&file).spawn().unwrap());
-    // Opening it waits until the server has opened it, and the server waits for what is written.
+    // Opening the FIFO blocks until the server has opened it too. The server then blocks until the test writes to it.
     let mut fifo = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
     let first = settings.to_string();
-    settings["vm"] = address(&moved);
+    settings["vm"] = address_value(&new_interpreter);
     let next: PathBuf = file.with_extension("next");
     std::fs::write(&next, settings.to_string()).unwrap();
     std::fs::rename(&next, &file).unwrap();
     process.signal("HUP");
     fifo.write_all(first.as_bytes()).unwrap();
     drop(fifo);
-    let _link = accept(&moved);
+    let _link = accept(&new_interpreter);
     process.terminate();
-    let said: Vec<_> = BufReader::new(process.0.stderr.take().unwrap())
+    let log_lines: Vec<_> = BufReader::new(process.0.stderr.take().unwrap())
         .lines()
         .map_while(Result::ok)
         .collect();
-    assert_eq!(process.wait().code(), Some(0), "{said:?}");
+    assert_eq!(process.wait().code(), Some(0), "{log_lines:?}");
     std::fs::remove_file(file).unwrap();
 }
 
-/// A file that is none of this server's is told of with these words, and nothing of it holds.
-fn holds_nothing_of(text: impl FnOnce(&mut Value) -> Option<String>, words: &str) {
-    let mut rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
-    serves(&mut client, &mut vm, 1);
-    let [other, announce, store] = [(); 3].map(|()| bind_loopback());
-    for (field, listener) in [("vm", &other), ("announce", &announce), ("store", &store)] {
-        rig.config[field] = address(listener);
+/// Asserts that a reload of this text, or of a missing file if it is `None`, is logged with this message and changes
+/// nothing.
+fn assert_reload_changes_nothing(text: impl FnOnce(&mut Value) -> Option<String>, message: &str) {
+    let mut server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
+    assert_serves(&mut client, &mut interpreter, 1);
+    let [interpreter_listener, registration, store] = [(); 3].map(|()| bind_loopback());
+    for (field, listener) in [
+        ("vm", &interpreter_listener),
+        ("announce", &registration),
+        ("store", &store),
+    ] {
+        server.config[field] = address_value(listener);
     }
-    match text(&mut rig.config) {
-        Some(text) => std::fs::write(&rig.config_file, text).unwrap(),
-        None => std::fs::remove_file(&rig.config_file).unwrap(),
+    match text(&mut server.config) {
+        Some(text) => std::fs::write(&server.config_file, text).unwrap(),
+        None => std::fs::remove_file(&server.config_file).unwrap(),
     }
-    rig.process.signal("HUP");
-    for _ in 0..TRIES {
-        let line = rig.wait_for_log(STAYS);
-        assert!(line.contains(words), "{line}");
+    server.process.signal("HUP");
+    for _ in 0..READ_ATTEMPTS {
+        let line = server.wait_for_log(RELOAD_FAILED);
+        assert!(line.contains(message), "{line}");
     }
-    serves(&mut client, &mut vm, 2);
+    assert_serves(&mut client, &mut interpreter, 2);
     client.send(&request(3, None, b"abc"));
-    vm.read_apply();
-    vm.send_await(&task(3), b"ask");
+    interpreter.read_apply();
+    interpreter.send_await(&request_id(3), b"ask");
     let mut call = String::new();
-    BufReader::new(accept(&rig.store_listener))
+    BufReader::new(accept(&server.store_listener))
         .read_line(&mut call)
         .unwrap();
-    assert!(call.starts_with(&format!("CALL {} ", task(3))), "{call}");
-    [other, announce, store].iter().for_each(unvisited);
+    assert!(
+        call.starts_with(&format!("CALL {} ", request_id(3))),
+        "{call}"
+    );
+    [interpreter_listener, registration, store]
+        .iter()
+        .for_each(assert_no_connection);
 }
 
 #[test]
-fn nothing_holds_of_another_servers_or_customers_configuration() {
-    let whole = |config: &mut Value| Some(config.to_string());
-    holds_nothing_of(
+fn reload_of_other_servers_or_customers_configuration_changes_nothing() {
+    let to_text = |config: &mut Value| Some(config.to_string());
+    assert_reload_changes_nothing(
         |c| {
             c["name"] = json!("n4");
-            whole(c)
+            to_text(c)
         },
         ": name: belongs to another server or customer: \"n4\", expected \"n3\"",
     );
-    holds_nothing_of(
+    assert_reload_changes_nothing(
         |c| {
             c["settings"]["services"][1]["name"] = json!("book");
-            whole(c)
+            to_text(c)
         },
         ": settings.services[1].name: belongs to another server or customer: \"book\", expected \"pay\"",
     );
 }
 
 #[test]
-fn nothing_holds_of_a_configuration_that_is_missing_empty_or_half_written() {
-    holds_nothing_of(|_| None, "No such file");
-    holds_nothing_of(|_| Some(String::new()), "EOF");
-    holds_nothing_of(
+fn reload_of_missing_empty_or_partially_written_configuration_changes_nothing() {
+    assert_reload_changes_nothing(|_| None, "No such file");
+    assert_reload_changes_nothing(|_| Some(String::new()), "EOF");
+    assert_reload_changes_nothing(
         |config| {
-            let whole = config.to_string();
-            Some(whole[..whole.len() - 1].to_string())
+            let text = config.to_string();
+            Some(text[..text.len() - 1].to_string())
         },
         "EOF",
     );
-    // A shorter one written over a longer one.
-    holds_nothing_of(|config| Some(format!("{config}}}")), "trailing characters");
+    // A shorter configuration that was written over the start of a longer one.
+    assert_reload_changes_nothing(|config| Some(format!("{config}}}")), "trailing characters");
 }
 
+// Fields that have another value for each start of a server don't count as changed.
 #[test]
-fn a_configuration_that_another_start_would_get_moves_the_links_without_a_word() {
-    let mut rig = ServerFixture::start();
-    let _old = rig.accept_link();
-    rig.config["seed"] = json!("1");
-    rig.config["settings"]["servers"] = json!(7);
-    rig.config["settings"]["me"] = json!(3);
-    rig.config["settings"]["family-info"]["cold"] = json!(true);
-    rig.config["settings"]["family-info"]["upstreams"] = json!(9);
-    let _reports = rig.replace_peer_addresses();
-    let mut vm = rig.accept_link();
-    serves(&mut rig.connect_client(), &mut vm, 1);
-    assert!(rig
+fn reload_with_per_start_fields_changed_moves_links_without_warning() {
+    let mut server = ServerFixture::start();
+    let _old_link = server.accept_link();
+    server.config["seed"] = json!("1");
+    server.config["settings"]["servers"] = json!(7);
+    server.config["settings"]["me"] = json!(3);
+    server.config["settings"]["family-info"]["cold"] = json!(true);
+    server.config["settings"]["family-info"]["upstreams"] = json!(9);
+    let _reports = server.replace_peer_addresses();
+    let mut interpreter = server.accept_link();
+    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert!(server
         .log_lines
         .try_iter()
-        .all(|line| !line.contains("require a restart") && !line.contains(STAYS)));
+        .all(|line| !line.contains("require a restart") && !line.contains(RELOAD_FAILED)));
 }
 
 #[test]
-fn a_configuration_that_differs_in_what_a_start_is_needed_for_says_where() {
-    let mut rig = ServerFixture::start();
-    let _old = rig.accept_link();
-    rig.config["stop_ms"] = json!(9000);
-    rig.config["limits"]["memory_mb"] = json!(64);
-    rig.config["settings"]["realms"][0]["quota-per-s"] = json!(7.0);
-    let _reports = rig.replace_peer_addresses();
-    let line = rig.wait_for_log("other changed fields require a restart");
+fn reload_names_changed_fields_that_require_restart() {
+    let mut server = ServerFixture::start();
+    let _old_link = server.accept_link();
+    server.config["stop_ms"] = json!(9000);
+    server.config["limits"]["memory_mb"] = json!(64);
+    server.config["settings"]["realms"][0]["quota-per-s"] = json!(7.0);
+    let _reports = server.replace_peer_addresses();
+    let line = server.wait_for_log("other changed fields require a restart");
     assert!(
         line.ends_with(": stop_ms, limits.memory_mb, settings"),
         "{line}"
     );
-    let mut vm = rig.accept_link();
-    serves(&mut rig.connect_client(), &mut vm, 1);
+    let mut interpreter = server.accept_link();
+    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
 }
