--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -1,6 +1,7 @@
 //! Tests of the operators' requirements on the server process: it is a single process started by `exec`, linked
 //! dynamically, and ready in time; it has one listener, writes no files, uses little processor time while idle, and
-//! releases descriptors and memory. After SIGTERM it answers all requests; after the drain grace period it starts no run.
+//! releases descriptors and memory. After SIGTERM it answers all requests; after the drain grace period it starts no
+//! run.
 //!
 //! The environment variable `HEATHSPUR_PROGRAMS` contains the directory of the programs under test. By default they are
 //! the ones that the test build has built.
