--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -1,4 +1,5 @@
-//! Recording, as the process does it: what it writes is read back, and no trouble with the disk reaches callers.
+//! Tests of traffic recording by the server process. They read back the recorded files, and check that disk errors do
+//! not affect clients.
 
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{Item, Leg, Options};
@@ -7,44 +8,46 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// A folder of its own, gone with the test.
-struct Folder(PathBuf);
+/// A directory for recorded files. Removed when dropped.
+struct RecordingDirectory(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
-        let folder =
+impl RecordingDirectory {
+    fn new(name: &str) -> RecordingDirectory {
+        let path =
             std::env::temp_dir().join(format!("heathspurd-record-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+        let _ = std::fs::remove_dir_all(&path);
+        std::fs::create_dir_all(&path).unwrap();
+        RecordingDirectory(path)
     }
 
-    fn operator(&self, attributes: &str, inner: &str) -> PathBuf {
+    /// Writes an operator's file that enables recording to this directory. Returns its path.
+    fn write_operator_file(&self, attributes: &str, elements: &str) -> PathBuf {
         let file = self.0.with_extension("xml");
         let directory = self.0.display();
         let text = format!(
-            "<operator xmlns=\"urn:heathspur:operator:1\"><record directory=\"{directory}\" {attributes}>{inner}</record></operator>"
+            "<operator xmlns=\"urn:heathspur:operator:1\"><record directory=\"{directory}\" {attributes}>{elements}</record></operator>"
         );
         std::fs::write(&file, text).unwrap();
         file
     }
 
-    /// All that was recorded, the files one behind the other.
-    fn bytes(&self) -> Vec<u8> {
-        let mut names: Vec<_> = std::fs::read_dir(&self.0)
+    /// Returns the contents of all recorded files, concatenated in the order of their names.
+    fn read_bytes(&self) -> Vec<u8> {
+        let mut paths: Vec<_> = std::fs::read_dir(&self.0)
             .unwrap()
-            .map(|e| e.unwrap().path())
+            .map(|entry| entry.unwrap().path())
             .collect();
-        names.sort();
-        names
+        paths.sort();
+        paths
             .iter()
-            .flat_map(|name| std::fs::read(name).unwrap())
+            .flat_map(|path| std::fs::read(path).unwrap())
             .collect()
     }
 
-    fn read(&self) -> ParsedCapture {
+    /// Parses all recorded files.
+    fn parse(&self) -> ParsedCapture {
         parse_capture(
-            &self.bytes(),
+            &self.read_bytes(),
             Options {
                 checksums: true,
                 ..Options::default()
@@ -53,50 +56,51 @@
         )
     }
 
-    /// Waits until as many requests are in the files.
-    fn holds(&self, requests: usize) -> ParsedCapture {
+    /// Waits until at least `count` requests are recorded. Returns the parsed files.
+    fn wait_for_requests(&self, count: usize) -> ParsedCapture {
         let start = Instant::now();
         loop {
-            let read = self.read();
-            if read.requests.len() >= requests {
-                return read;
+            let capture = self.parse();
+            if capture.requests.len() >= count {
+                return capture;
             }
             assert!(
                 start.elapsed() < EVENT_TIMEOUT,
-                "{} of {requests} requests were recorded",
-                read.requests.len()
+                "{} of {count} requests were recorded",
+                capture.requests.len()
             );
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     }
 }
 
-impl Drop for Folder {
+impl Drop for RecordingDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
         let _ = std::fs::remove_file(self.0.with_extension("xml"));
     }
 }
 
-fn recording(operator: &Path) -> (ServerFixture, MockInterpreter) {
-    let rig = ServerFixture::start_with_operator_file(operator);
-    let vm = rig.accept_link();
-    (rig, vm)
+/// Starts a server with this operator's file, with its link to the interpreter up.
+fn start_server(operator_file: &Path) -> (ServerFixture, MockInterpreter) {
+    let server = ServerFixture::start_with_operator_file(operator_file);
+    let interpreter = server.accept_link();
+    (server, interpreter)
 }
 
-/// Serves requests on one connection; what was sent.
-fn serve(
-    rig: &ServerFixture,
-    vm: &mut MockInterpreter,
+/// Sends requests on one connection and completes their runs. Returns the bytes sent for each request.
+fn serve_requests(
+    server: &ServerFixture,
+    interpreter: &mut MockInterpreter,
     txns: std::ops::Range<u64>,
 ) -> Vec<Vec<u8>> {
-    let mut client = rig.connect_client();
+    let mut client = server.connect_client();
     let mut sent = Vec::new();
     for txn in txns {
         let bytes = request(txn, Some(&format!("key-{txn}")), b"4929001234567890");
         client.send(&bytes);
-        assert_eq!(vm.read_apply().2, b"4929001234567890");
-        vm.send_value(&format!("{txn:016x}"), "complete", b"approved");
+        assert_eq!(interpreter.read_apply().2, b"4929001234567890");
+        interpreter.send_value(&format!("{txn:016x}"), "complete", b"approved");
         assert_eq!(client.read_response().0, 200);
         sent.push(bytes);
     }
@@ -104,52 +108,62 @@
 }
 
 #[test]
-fn what_callers_and_the_server_said_is_recorded_byte_for_byte_until_the_stop() {
-    let folder = Folder::new("full");
-    let (mut rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
-    let sent = [serve(&rig, &mut vm, 1..5), serve(&rig, &mut vm, 5..9)].concat();
-    rig.process.terminate();
-    assert_eq!(rig.process.wait().code(), Some(0));
-    let read = folder.read();
-    let got: Vec<_> = read
+fn full_recording_contains_exact_bytes_up_to_shutdown() {
+    let directory = RecordingDirectory::new("full");
+    let (mut server, mut interpreter) =
+        start_server(&directory.write_operator_file("contents=\"full\"", ""));
+    let sent = [
+        serve_requests(&server, &mut interpreter, 1..5),
+        serve_requests(&server, &mut interpreter, 5..9),
+    ]
+    .concat();
+    server.process.terminate();
+    assert_eq!(server.process.wait().code(), Some(0));
+    let capture = directory.parse();
+    let recorded: Vec<_> = capture
         .requests
         .iter()
         .map(|(_, _, message)| message.bytes.to_vec())
         .collect();
-    assert_eq!(got, sent);
-    assert!(read
+    assert_eq!(recorded, sent);
+    assert!(capture
         .responses
         .iter()
         .all(|(_, to, m)| to.is_some() && m.status() == Some(200) && m.body() == b"approved"));
     assert_eq!(
-        (read.responses.len(), read.tally.holes, read.tally.damage),
+        (
+            capture.responses.len(),
+            capture.tally.holes,
+            capture.tally.damage
+        ),
         (8, 0, None)
     );
-    let ends = read
+    let closed_connections = capture
         .connections
         .iter()
         .filter(|item| matches!(item, Item::Connection(Event::Closed { .. })));
-    assert_eq!(ends.count(), 2);
-    // Its clock is the wall's.
+    assert_eq!(closed_connections.count(), 2);
+    // Timestamps are wall-clock times.
     let now = unix_ms() as u64 * 1_000_000;
-    let first = read.requests[0].2.first.0;
+    let first = capture.requests[0].2.first.0;
     assert!(first <= now && now - first < 600_000_000_000);
 }
 
 #[test]
-fn headers_alone_hold_no_body_and_no_masked_field() {
-    let folder = Folder::new("headers");
-    let (_rig, mut vm) = recording(&folder.operator("", "<mask header=\"X-Txn-Key\"/>"));
-    serve(&_rig, &mut vm, 1..4);
-    let read = folder.holds(3);
-    let bytes = folder.bytes();
+fn header_recording_contains_no_body_and_no_masked_field() {
+    let directory = RecordingDirectory::new("headers");
+    let (server, mut interpreter) =
+        start_server(&directory.write_operator_file("", "<mask header=\"X-Txn-Key\"/>"));
+    serve_requests(&server, &mut interpreter, 1..4);
+    let capture = directory.wait_for_requests(3);
+    let bytes = directory.read_bytes();
     for secret in [&b"492900"[..], b"approved", b"key-1", b"key-3"] {
         assert!(
             !bytes.windows(secret.len()).any(|part| part == secret),
-            "{secret:?}"
+            "{secret:?} was recorded"
         );
     }
-    for (_, _, message) in &read.requests {
+    for (_, _, message) in &capture.requests {
         assert_eq!(message.body(), b"xxxxxxxxxxxxxxxx");
         assert!(message
             .field("X-Merchant")
@@ -158,130 +172,139 @@
 }
 
 #[test]
-fn the_links_are_recorded_beside_where_that_is_switched_on() {
-    let folder = Folder::new("links");
-    let (rig, mut vm) = recording(&folder.operator("contents=\"full\" links=\"true\"", ""));
-    let mut client = rig.connect_client();
+fn links_are_recorded_if_enabled() {
+    let directory = RecordingDirectory::new("links");
+    let (server, mut interpreter) =
+        start_server(&directory.write_operator_file("contents=\"full\" links=\"true\"", ""));
+    let mut client = server.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.read_apply();
-    vm.send_await("0000000000000001", b"may I");
-    let mut store = accept(&rig.store_listener);
+    interpreter.read_apply();
+    interpreter.send_await("0000000000000001", b"may I");
+    let mut store = accept(&server.store_listener);
     let mut call = [0; 4];
     std::io::Read::read_exact(&mut store, &mut call).unwrap();
     assert_eq!(&call, b"CALL");
-    folder.holds(1);
+    directory.wait_for_requests(1);
     let start = Instant::now();
-    // The interpreter's command and the call are on their interfaces.
-    let has = |words: &[u8]| {
-        folder
-            .bytes()
-            .windows(words.len())
-            .any(|part| part == words)
+    // Both the command to the interpreter and the call to the store must be recorded.
+    let is_recorded = |text: &[u8]| {
+        directory
+            .read_bytes()
+            .windows(text.len())
+            .any(|part| part == text)
     };
-    while !(has(b"\"APPLY\"") && has(b"CALL 0000000000000001")) {
+    while !(is_recorded(b"\"APPLY\"") && is_recorded(b"CALL 0000000000000001")) {
         assert!(start.elapsed() < EVENT_TIMEOUT);
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
-    // A reader knows them for what they are: no broken requests, but links that are told apart.
-    let read = folder.read();
-    let legs: Vec<_> = read.tally.links.keys().copied().collect();
-    assert_eq!(legs, [Leg::Interpreter, Leg::Store]);
-    assert!(read
+    // The parser must attribute the packets to their links rather than treat them as invalid requests.
+    let capture = directory.parse();
+    let links: Vec<_> = capture.tally.links.keys().copied().collect();
+    assert_eq!(links, [Leg::Interpreter, Leg::Store]);
+    assert!(capture
         .tally
         .links
         .values()
         .all(|(packets, bytes)| *packets > 0 && *bytes > 0));
     assert_eq!(
         (
-            read.skipped,
-            read.requests.len(),
-            read.tally.tcp.connections
+            capture.skipped,
+            capture.requests.len(),
+            capture.tally.tcp.connections
         ),
         (Vec::new(), 1, 1)
     );
 }
 
 #[test]
-fn a_folder_that_goes_and_comes_back_stops_recording_and_nothing_else() {
-    let folder = Folder::new("gone");
-    std::fs::remove_dir_all(&folder.0).unwrap();
-    let (rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
-    serve(&rig, &mut vm, 1..20);
-    rig.wait_for_log("recording stopped: cannot write to ");
-    std::fs::create_dir_all(&folder.0).unwrap();
+fn recording_resumes_after_missing_directory_is_created() {
+    let directory = RecordingDirectory::new("gone");
+    std::fs::remove_dir_all(&directory.0).unwrap();
+    let (server, mut interpreter) =
+        start_server(&directory.write_operator_file("contents=\"full\"", ""));
+    serve_requests(&server, &mut interpreter, 1..20);
+    server.wait_for_log("recording stopped: cannot write to ");
+    std::fs::create_dir_all(&directory.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
-    while folder.read().requests.is_empty() {
+    while directory.parse().requests.is_empty() {
         assert!(start.elapsed() < EVENT_TIMEOUT);
-        serve(&rig, &mut vm, txn..txn + 1);
+        serve_requests(&server, &mut interpreter, txn..txn + 1);
         txn += 1;
     }
-    assert!(rig
+    assert!(server
         .wait_for_log("recording")
         .contains("recording resumed in n3-"));
 }
 
 #[test]
-fn a_folder_that_goes_under_an_open_file_is_noticed() {
-    let folder = Folder::new("under");
-    let (rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
-    serve(&rig, &mut vm, 1..3);
-    folder.holds(2);
-    std::fs::remove_dir_all(&folder.0).unwrap();
-    serve(&rig, &mut vm, 10..12);
-    rig.wait_for_log("recording stopped: cannot write to ");
-    std::fs::create_dir_all(&folder.0).unwrap();
+fn recording_resumes_after_removed_directory_is_recreated() {
+    let directory = RecordingDirectory::new("under");
+    let (server, mut interpreter) =
+        start_server(&directory.write_operator_file("contents=\"full\"", ""));
+    serve_requests(&server, &mut interpreter, 1..3);
+    directory.wait_for_requests(2);
+    std::fs::remove_dir_all(&directory.0).unwrap();
+    serve_requests(&server, &mut interpreter, 10..12);
+    server.wait_for_log("recording stopped: cannot write to ");
+    std::fs::create_dir_all(&directory.0).unwrap();
     let start = Instant::now();
     let mut txn = 100;
-    while folder.read().requests.is_empty() {
+    while directory.parse().requests.is_empty() {
         assert!(start.elapsed() < EVENT_TIMEOUT);
-        serve(&rig, &mut vm, txn..txn + 1);
+        serve_requests(&server, &mut interpreter, txn..txn + 1);
         txn += 1;
     }
 }
 
 #[test]
-fn a_process_that_is_killed_leaves_whole_blocks() {
-    let folder = Folder::new("killed");
-    let (mut rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
-    let sent = serve(&rig, &mut vm, 1..9);
-    folder.holds(8);
-    rig.process.signal("KILL");
-    rig.process.wait();
-    let read = folder.read();
-    assert_eq!((read.tally.damage, read.requests.len()), (None, sent.len()));
-    // The next life goes on in a file of its own.
-    let (rig, mut vm) = recording(&folder.operator("contents=\"full\"", ""));
-    serve(&rig, &mut vm, 20..22);
-    folder.holds(10);
-    assert_eq!(std::fs::read_dir(&folder.0).unwrap().count(), 2);
+fn killed_process_leaves_complete_blocks() {
+    let directory = RecordingDirectory::new("killed");
+    let (mut server, mut interpreter) =
+        start_server(&directory.write_operator_file("contents=\"full\"", ""));
+    let sent = serve_requests(&server, &mut interpreter, 1..9);
+    directory.wait_for_requests(8);
+    server.process.signal("KILL");
+    server.process.wait();
+    let capture = directory.parse();
+    assert_eq!(
+        (capture.tally.damage, capture.requests.len()),
+        (None, sent.len())
+    );
+    // After a restart, the server records to a new file.
+    let (server, mut interpreter) =
+        start_server(&directory.write_operator_file("contents=\"full\"", ""));
+    serve_requests(&server, &mut interpreter, 20..22);
+    directory.wait_for_requests(10);
+    assert_eq!(std::fs::read_dir(&directory.0).unwrap().count(), 2);
 }
 
 #[test]
-fn files_change_while_requests_are_served_and_the_oldest_go() {
-    let folder = Folder::new("rotate");
-    let (rig, mut vm) =
-        recording(&folder.operator("contents=\"full\"", "<files size=\"64 KiB\" keep=\"2\"/>"));
-    let mut client = rig.connect_client();
+fn files_rotate_under_load_and_oldest_are_deleted() {
+    let directory = RecordingDirectory::new("rotate");
+    let (server, mut interpreter) = start_server(
+        &directory.write_operator_file("contents=\"full\"", "<files size=\"64 KiB\" keep=\"2\"/>"),
+    );
+    let mut client = server.connect_client();
     for txn in 1..120 {
         client.send(&request(txn, None, &[b'a'; 1900]));
-        vm.read_apply();
-        vm.send_value(&format!("{txn:016x}"), "complete", b"x");
+        interpreter.read_apply();
+        interpreter.send_value(&format!("{txn:016x}"), "complete", b"x");
         assert_eq!(client.read_response().0, 200);
-        // Blocks are written together after a moment at the latest, and sizes are looked at then.
+        // Blocks are buffered for a short time, and file sizes are checked when the blocks are written.
         if txn % 20 == 0 {
             std::thread::sleep(std::time::Duration::from_millis(250));
         }
     }
-    let names: Vec<_> = std::fs::read_dir(&folder.0)
+    let paths: Vec<_> = std::fs::read_dir(&directory.0)
         .unwrap()
-        .map(|e| e.unwrap().path())
+        .map(|entry| entry.unwrap().path())
         .collect();
-    assert_eq!(names.len(), 2, "{names:?}");
-    let read = folder.read();
+    assert_eq!(paths.len(), 2, "{paths:?}");
+    let capture = directory.parse();
     assert!(
-        read.requests.len() > 20 && read.requests.len() < 119,
+        capture.requests.len() > 20 && capture.requests.len() < 119,
         "{}",
-        read.requests.len()
+        capture.requests.len()
     );
 }
