--- a/crates/heathspurd/tests/program.rs
+++ b/crates/heathspurd/tests/program.rs
@@ -1,4 +1,4 @@
-//! The command line, the operator's file and the log, as the process shows them.
+//! Tests of the command line, the operator's file and the log of the server process.
 
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
@@ -7,16 +7,19 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn temporary(name: &str, text: &str) -> PathBuf {
+/// Writes a file to the temporary directory and returns its path.
+fn write_temporary_file(name: &str, text: &str) -> PathBuf {
     let file = std::env::temp_dir().join(format!("heathspurd-{}-{name}", std::process::id()));
     std::fs::write(&file, text).unwrap();
     file
 }
 
-fn operator(inner: &str) -> String {
-    format!("<operator xmlns=\"urn:heathspur:operator:1\">\n{inner}\n</operator>\n")
+/// Returns the text of an operator's file with these elements.
+fn operator_file(elements: &str) -> String {
+    format!("<operator xmlns=\"urn:heathspur:operator:1\">\n{elements}\n</operator>\n")
 }
 
+/// Runs the program to its end, with this path as its configuration.
 fn run(arguments: &[&str], config: Option<&PathBuf>) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathspurd"));
     command.args(arguments).env_remove("NODE_CONFIG");
@@ -26,50 +29,53 @@
     command.output().unwrap()
 }
 
-fn nobody() -> std::net::SocketAddr {
+/// Returns an address that refuses connections.
+fn refusing_address() -> std::net::SocketAddr {
     bind_loopback().local_addr().unwrap()
 }
 
 #[test]
-fn files_are_checked_without_serving_and_a_mistake_names_its_place() {
-    let config = write_config_file(&server_config(nobody(), nobody(), nobody()).to_string());
+fn check_command_validates_files_and_errors_name_their_location() {
+    let config = write_config_file(
+        &server_config(refusing_address(), refusing_address(), refusing_address()).to_string(),
+    );
     assert_eq!(run(&["check"], Some(&config)).status.code(), Some(0));
-    let wrong = temporary("wrong.xml", &operator("<log format=\"yaml\"/>"));
+    let wrong = write_temporary_file("wrong.xml", &operator_file("<log format=\"yaml\"/>"));
     for command in ["check", "serve"] {
         let output = run(
             &[command, "--operator", wrong.to_str().unwrap()],
             Some(&config),
         );
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert!(
-            said.contains("wrong.xml:2: log@format: unknown variant `yaml`"),
-            "{said}"
+            stderr.contains("wrong.xml:2: log@format: unknown variant `yaml`"),
+            "{stderr}"
         );
     }
-    // The configuration gives the process 192 MiB.
-    let greedy = temporary(
+    // The configuration limits the memory of the process to 192 MiB.
+    let excessive = write_temporary_file(
         "greedy.xml",
-        &operator("<record directory=\"/x\"><budget memory=\"49 MiB\"/></record>"),
+        &operator_file("<record directory=\"/x\"><budget memory=\"49 MiB\"/></record>"),
     );
-    let said = run(
-        &["check", "--operator", greedy.to_str().unwrap()],
+    let stderr = run(
+        &["check", "--operator", excessive.to_str().unwrap()],
         Some(&config),
     )
     .stderr;
-    assert!(String::from_utf8_lossy(&said).contains("48 MiB at most"));
+    assert!(String::from_utf8_lossy(&stderr).contains("48 MiB at most"));
     assert_eq!(run(&["check"], None).status.code(), Some(2));
     assert_eq!(run(&["sreve"], Some(&config)).status.code(), Some(2));
     assert!(String::from_utf8_lossy(&run(&["--version"], None).stdout).starts_with("heathspurd "));
 }
 
 #[test]
-fn lines_of_json_carry_words_and_fields_and_their_bound_counts_by_place() {
-    let settings = server_config(nobody(), nobody(), nobody());
+fn json_log_lines_have_message_and_fields_and_are_limited_per_call_site() {
+    let settings = server_config(refusing_address(), refusing_address(), refusing_address());
     let file = write_config_file(&settings.to_string());
-    let log = temporary(
+    let log = write_temporary_file(
         "log.xml",
-        &operator("<log format=\"json\" lines-per-second=\"1\"/>"),
+        &operator_file("<log format=\"json\" lines-per-second=\"1\"/>"),
     );
     let mut command = server_command(&file);
     command.args(["serve", "--operator"]).arg(&log);
@@ -86,7 +92,7 @@
         "{first}"
     );
     assert!(TcpStream::connect(address).is_ok());
-    // Nobody is there to be linked to, which it says more than once a second.
+    // The interpreter refuses connections, which the server logs more than once per second.
     let left_out = lines
         .by_ref()
         .find(|line| line["left_out"].is_u64())
@@ -106,9 +112,11 @@
 }
 
 #[test]
-fn plain_lines_are_the_words_alone_and_levels_are_left_out() {
-    let file = write_config_file(&server_config(nobody(), nobody(), nobody()).to_string());
-    let log = temporary("level.xml", &operator("<log level=\"warn\"/>"));
+fn plain_log_lines_contain_message_only_and_respect_level() {
+    let file = write_config_file(
+        &server_config(refusing_address(), refusing_address(), refusing_address()).to_string(),
+    );
+    let log = write_temporary_file("level.xml", &operator_file("<log level=\"warn\"/>"));
     let mut command = server_command(&file);
     command.args(["serve", "--operator"]).arg(&log);
     let mut server = ProcessGuard(command.spawn().unwrap());
