--- a/crates/heathspurd/tests/example.rs
+++ b/crates/heathspurd/tests/example.rs
@@ -1,4 +1,4 @@
-//! The toy and the example configuration, used as the README tells a newcomer to.
+//! Test of the example peers and the example configuration, started as the README describes.
 
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
@@ -6,31 +6,32 @@
 use std::process::{Command, Stdio};
 
 #[test]
-fn a_newcomer_gets_an_answer_from_the_toy() {
-    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
-    let mut config: Value = serde_json::from_slice(&std::fs::read(root).unwrap()).unwrap();
+fn requests_through_example_peers_are_answered() {
+    let example_config = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
+    let mut config: Value =
+        serde_json::from_slice(&std::fs::read(example_config).unwrap()).unwrap();
     for field in ["vm", "store", "announce"] {
         config[field] = json!(bind_loopback().local_addr().unwrap());
     }
     config["listen"] = json!("127.0.0.1:0");
     let file = write_config_file(&config.to_string());
-    let toy = std::env::current_exe()
+    let peers_program = std::env::current_exe()
         .unwrap()
         .parent()
         .unwrap()
         .with_file_name("examples")
         .join("toy");
-    let mut toy = ProcessGuard(
-        Command::new(toy)
+    let mut peers = ProcessGuard(
+        Command::new(peers_program)
             .arg(&file)
             .stdout(Stdio::piped())
             .spawn()
             .unwrap(),
     );
-    let mut said = BufReader::new(toy.0.stdout.take().unwrap())
+    let mut peer_output = BufReader::new(peers.0.stdout.take().unwrap())
         .lines()
         .map_while(Result::ok);
-    assert_eq!(said.next().as_deref(), Some("toy: ready"));
+    assert_eq!(peer_output.next().as_deref(), Some("toy: ready"));
     let mut server = ProcessGuard(server_command(&file).spawn().unwrap());
     let first = BufReader::new(server.0.stderr.take().unwrap())
         .lines()
@@ -38,7 +39,7 @@
         .unwrap()
         .unwrap();
     let address = first.rsplit(' ').next().unwrap().parse().expect(&first);
-    assert!(said.any(|line| line.contains("announced")));
+    assert!(peer_output.any(|line| line.contains("announced")));
     let mut client = Http1Client::connect(address);
     for (class, key) in [("look-up", ""), ("pay", "X-Txn-Key: 5c0f\r\n")] {
         client.send(
