--- a/crates/heathspur-testkit/src/config.rs
+++ b/crates/heathspur-testkit/src/config.rs
@@ -1,10 +1,11 @@
-//! The configuration of a server that is tested.
+//! The configuration of the server under test.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// Returns the default settings: the read-like class `look`, the idempotent class `pay`, and the tenant `north`.
 pub fn default_settings() -> Value {
     json!({
         "services": [
@@ -28,13 +29,22 @@
     })
 }
 
-/// A configuration for stand-ins at these places; the server listens where it finds room.
-pub fn server_config(vm: SocketAddr, announce: SocketAddr, store: SocketAddr) -> Value {
-    json!({"name": "n3", "listen": "127.0.0.1:0", "vm": vm, "announce": announce, "store": store,
+/// Returns a configuration with the addresses of the server's peers; the server listens on a free port.
+pub fn server_config(
+    interpreter: SocketAddr,
+    registration: SocketAddr,
+    store: SocketAddr,
+) -> Value {
+    json!({"name": "n3", "listen": "127.0.0.1:0", "vm": interpreter, "announce": registration, "store": store,
         "seed": "8c1f30d27a5be964", "stop_ms": 3200,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": default_settings()})
 }
 
+/// Writes a configuration to a new temporary file and returns its path; the caller removes the file.
+///
+/// # Panics
+///
+/// Panics if the file cannot be written.
 pub fn write_config_file(text: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let name = format!(
@@ -43,6 +53,7 @@
         COUNT.fetch_add(1, Ordering::Relaxed)
     );
     let file = std::env::temp_dir().join(name);
-    std::fs::write(&file, text).unwrap();
+    std::fs::write(&file, text)
+        .unwrap_or_else(|e| panic!("write the configuration to {}: {e}", file.display()));
     file
 }
--- a/crates/heathspur-testkit/src/mock_interpreter.rs
+++ b/crates/heathspur-testkit/src/mock_interpreter.rs
@@ -1,4 +1,4 @@
-//! The scripted interpreter.
+//! A mock interpreter, driven by a test command by command.
 
 use crate::loopback::EVENT_TIMEOUT;
 use base64::engine::general_purpose::STANDARD;
@@ -9,45 +9,54 @@
 use std::thread;
 use std::time::Instant;
 
-/// The interpreter's end of a link.
+/// The interpreter's end of a link from the server.
+///
+/// Reads panic if the link is closed or carries nothing for [`EVENT_TIMEOUT`]; writes panic if it is broken.
 pub struct MockInterpreter {
     pub(crate) reader: BufReader<TcpStream>,
+    /// The index of the last notice that the server had received when it connected.
     pub resume_index: u64,
+    /// The index of the last notice that was sent.
     pub last_index: u64,
 }
 
 impl MockInterpreter {
-    pub fn send(&mut self, line: Value) {
-        let text = format!("{line}\n");
-        self.reader.get_mut().write_all(text.as_bytes()).unwrap();
+    /// Sends a message as one line.
+    pub fn send(&mut self, message: Value) {
+        self.send_raw(format!("{message}\n").as_bytes());
     }
 
-    pub fn send_raw(&mut self, text: &[u8]) {
-        self.reader.get_mut().write_all(text).unwrap();
+    /// Sends bytes as they are.
+    pub fn send_raw(&mut self, bytes: &[u8]) {
+        self.reader
+            .get_mut()
+            .write_all(bytes)
+            .expect("write to the interpreter link");
     }
 
-    /// The same; false once nobody takes it any more.
-    pub fn try_send_raw(&mut self, text: &[u8]) -> bool {
-        self.reader.get_mut().write_all(text).is_ok()
+    /// Sends bytes as they are and returns whether the link took them.
+    pub fn try_send_raw(&mut self, bytes: &[u8]) -> bool {
+        self.reader.get_mut().write_all(bytes).is_ok()
     }
 
-    /// The next command, of whatever kind.
+    /// Reads the next command of any kind.
     pub fn read_any_command(&mut self) -> Value {
         let mut line = String::new();
-        assert!(
-            self.reader.read_line(&mut line).unwrap() > 0,
-            "the link was closed"
-        );
-        serde_json::from_str(&line).unwrap()
+        let count = self
+            .reader
+            .read_line(&mut line)
+            .expect("read a command from the interpreter link");
+        assert!(count > 0, "the server closed the interpreter link");
+        parse_command(&line)
     }
 
-    /// The next command that is not about gauges; those are answered.
+    /// Reads the next command that is not a gauge query, and answers the gauge queries before it.
     pub fn read_command(&mut self) -> Value {
         let start = Instant::now();
         loop {
             assert!(
                 start.elapsed() < EVENT_TIMEOUT,
-                "no command came but for gauges"
+                "the server sent only gauge queries for {EVENT_TIMEOUT:?}"
             );
             let command = self.read_any_command();
             if command["verb"] != "TOP" {
@@ -59,13 +68,13 @@
         }
     }
 
-    /// The next command that is not about gauges; those stay unanswered.
+    /// Reads the next command that is not a gauge query, and leaves the gauge queries before it unanswered.
     pub fn read_command_ignoring_gauges(&mut self) -> Value {
         let start = Instant::now();
         loop {
             assert!(
                 start.elapsed() < EVENT_TIMEOUT,
-                "no command came but for gauges"
+                "the server sent only gauge queries for {EVENT_TIMEOUT:?}"
             );
             let command = self.read_any_command();
             if command["verb"] != "TOP" {
@@ -74,26 +83,30 @@
         }
     }
 
-    /// All commands yet to come, but for those about gauges, until the server ends the link.
+    /// Reads until the server closes the link, and returns all commands but gauge queries.
     pub fn read_remaining_commands(mut self) -> Vec<Value> {
-        let (start, mut rest, mut line) = (Instant::now(), Vec::new(), String::new());
+        let (start, mut commands, mut line) = (Instant::now(), Vec::new(), String::new());
         while matches!(self.reader.read_line(&mut line), Ok(n) if n > 0) {
-            assert!(start.elapsed() < EVENT_TIMEOUT, "the link stays");
-            let command: Value = serde_json::from_str(&line).unwrap();
+            assert!(
+                start.elapsed() < EVENT_TIMEOUT,
+                "the server kept the interpreter link open for {EVENT_TIMEOUT:?}"
+            );
+            let command = parse_command(&line);
             if command["verb"] != "TOP" {
-                rest.push(command);
+                commands.push(command);
             }
             line.clear();
         }
-        rest
+        commands
     }
 
-    /// From now on each run ends well at once, until the server ends the link: the tasks that were started then.
+    /// Completes every run at once in a background thread until the server closes the link. The thread returns
+    /// the tasks of the runs that were started.
     pub fn complete_all_runs(mut self) -> thread::JoinHandle<Vec<String>> {
         thread::spawn(move || {
             let (mut started, mut line) = (Vec::new(), String::new());
             while matches!(self.reader.read_line(&mut line), Ok(n) if n > 0) {
-                let command: Value = serde_json::from_str(&line).unwrap();
+                let command = parse_command(&line);
                 let task = command["task"].as_str().unwrap_or_default().to_string();
                 match command["verb"].as_str() {
                     Some("APPLY") => {
@@ -109,12 +122,13 @@
         })
     }
 
-    /// From now on each run makes one call and ends well with what came of it, until the server ends the link.
+    /// Has every run make one call, and completes the run once the call's result arrives, in a background thread
+    /// until the server closes the link.
     pub fn complete_all_runs_after_call(mut self) {
         thread::spawn(move || {
             let mut line = String::new();
             while matches!(self.reader.read_line(&mut line), Ok(n) if n > 0) {
-                let command: Value = serde_json::from_str(&line).unwrap();
+                let command = parse_command(&line);
                 let task = command["task"].as_str().unwrap_or_default();
                 let mut reply = match command["verb"].as_str() {
                     Some("APPLY") => {
@@ -142,7 +156,11 @@
         });
     }
 
-    /// Answers questions for gauges until the server has asked so many.
+    /// Reads and answers `count` gauge queries.
+    ///
+    /// # Panics
+    ///
+    /// Panics if another command arrives before them.
     pub fn answer_gauge_queries(&mut self, count: usize) {
         for _ in 0..count {
             let command = self.read_any_command();
@@ -153,18 +171,28 @@
         }
     }
 
-    /// The next command, which starts a run: its task, class and body.
+    /// Reads the next command, which must start a run, and returns its task, class and body. Gauge queries before
+    /// it are answered.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the command does not start a run.
     pub fn read_apply(&mut self) -> (String, String, Vec<u8>) {
         let command = self.read_command();
         assert_eq!(command["verb"], "APPLY", "{command}");
-        let text = |field: &str| command[field].as_str().unwrap().to_string();
-        (
-            text("task"),
-            text("handler"),
-            STANDARD.decode(text("bytes")).unwrap(),
-        )
+        let text = |field: &str| {
+            command[field]
+                .as_str()
+                .unwrap_or_else(|| panic!("`{field}` of {command} is not a string"))
+                .to_string()
+        };
+        let body = STANDARD
+            .decode(text("bytes"))
+            .unwrap_or_else(|e| panic!("decode the body of {command}: {e}"));
+        (text("task"), text("handler"), body)
     }
 
+    /// Sends the notice that ends a run.
     pub fn send_value(&mut self, task: &str, outcome: &str, body: &[u8]) {
         self.last_index += 1;
         let (index, bytes) = (self.last_index, STANDARD.encode(body));
@@ -173,7 +201,7 @@
         );
     }
 
-    /// The run waits for a call; the answer is the notice's number.
+    /// Sends the notice that a run waits for a call, and returns the notice's index.
     pub fn send_await(&mut self, task: &str, body: &[u8]) -> u64 {
         self.last_index += 1;
         let (index, bytes) = (self.last_index, STANDARD.encode(body));
@@ -181,3 +209,8 @@
         index
     }
 }
+
+fn parse_command(line: &str) -> Value {
+    serde_json::from_str(line)
+        .unwrap_or_else(|e| panic!("parse the server's command {line:?} as JSON: {e}"))
+}
--- a/crates/heathspur-testkit/src/prelude.rs
+++ b/crates/heathspur-testkit/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names of the server's fixture and of its scripted stand-ins, for one glob import.
+//! Re-exports of the server fixture, the mocks and the HTTP/1.1 client for one glob import.
 
 pub use crate::config::{default_settings, server_config, write_config_file};
 pub use crate::http1::{request, unix_ms, Fields, Http1Client};
