--- a/crates/heathspur-testkit/src/proxy.rs
+++ b/crates/heathspur-testkit/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy that breaks connections byte by byte: it splits, delays and cuts what passes, resets, goes silent.
-//! What it does is drawn from a seed, connection by connection.
+//! A TCP proxy that injects faults: it splits, delays and cuts streams and silences connections. The faults of
+//! each connection are drawn from a seed.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,122 +10,136 @@
 use std::thread;
 use std::time::Duration;
 
-/// What it may do to a connection.
+/// The faults that the proxy may inject.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Writes are split into pieces of 1 to this many bytes; 0 leaves them whole.
+    /// The largest piece that a write is split into, in bytes; pieces have 1 to this many. 0 disables splitting.
     pub max_piece_len: usize,
-    /// Each piece waits up to this.
+    /// The longest delay before each piece.
     pub max_delay: Duration,
-    /// Of a thousand connections, so many break at a byte of the client's, below `within`.
+    /// How many of a thousand connections are closed at a byte of the client's below `fault_window_bytes`.
     pub cut_per_mille: u32,
-    /// Of a thousand connections, so many go silent at such a byte, and stay open.
+    /// How many of a thousand connections stop forwarding at such a byte and stay open.
     pub silent_per_mille: u32,
-    /// Bytes of a client within which faults lie. They are drawn before anything passes, so that how the bytes
-    /// come in pieces changes no fate.
+    /// The number of a client's first bytes within which connections are cut or silenced. The byte is drawn before
+    /// anything is forwarded, so that it does not depend on how the stream is split into reads.
     pub fault_window_bytes: usize,
 }
 
-/// What it did.
+/// Counts of connections and injected faults.
 #[derive(Debug, Default)]
 pub struct FaultCounts {
+    /// Connections accepted.
     pub connections: AtomicU64,
+    /// Connections cut.
     pub cut: AtomicU64,
+    /// Connections silenced.
     pub silenced: AtomicU64,
 }
 
-/// Passes connections on to a target until the process ends.
+/// Starts a proxy to `target` that runs until the process ends; returns where it listens, and its counts.
+///
+/// # Panics
+///
+/// Panics if no loopback port can be bound.
 pub fn start(target: SocketAddr, faults: Faults, seed: u64) -> (SocketAddr, Arc<FaultCounts>) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    let done = Arc::new(FaultCounts::default());
-    let counts = done.clone();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind the proxy to a loopback port");
+    let address = listener
+        .local_addr()
+        .expect("read the proxy's local address");
+    let returned = Arc::new(FaultCounts::default());
+    let counts = returned.clone();
     thread::spawn(move || {
-        for (number, front) in listener.incoming().flatten().enumerate() {
+        for (number, client) in listener.incoming().flatten().enumerate() {
             counts.connections.fetch_add(1, Ordering::Relaxed);
-            let Ok(back) = TcpStream::connect(target) else {
+            let Ok(server) = TcpStream::connect(target) else {
                 continue;
             };
-            let mut lots = StdRng::seed_from_u64(seed ^ (number as u64) << 20);
-            let fate = lots.random_range(0..1000);
-            let at = lots.random_range(0..faults.fault_window_bytes.max(1));
-            let fate = match fate {
-                n if n < faults.cut_per_mille => Fate::Cut(at),
-                n if n < faults.cut_per_mille + faults.silent_per_mille => Fate::Silent(at),
-                _ => Fate::Whole,
+            let mut rng = StdRng::seed_from_u64(seed ^ (number as u64) << 20);
+            let draw = rng.random_range(0..1000);
+            let at = rng.random_range(0..faults.fault_window_bytes.max(1));
+            let fault = match draw {
+                n if n < faults.cut_per_mille => StreamFault::CutAt(at),
+                n if n < faults.cut_per_mille + faults.silent_per_mille => {
+                    StreamFault::SilentAt(at)
+                }
+                _ => StreamFault::None,
             };
-            for (from, to, fate) in [(&front, &back, fate), (&back, &front, Fate::Whole)] {
+            for (from, to, fault) in [
+                (&client, &server, fault),
+                (&server, &client, StreamFault::None),
+            ] {
                 let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
                     continue;
                 };
-                let (lots, counts) = (StdRng::seed_from_u64(lots.random()), counts.clone());
-                thread::spawn(move || pass(from, to, faults, fate, lots, &counts));
+                let (rng, counts) = (StdRng::seed_from_u64(rng.random()), counts.clone());
+                thread::spawn(move || forward(from, to, faults, fault, rng, &counts));
             }
         }
     });
-    (address, done)
+    (address, returned)
 }
 
-/// What becomes of a client's bytes.
+/// The fault of one direction of a connection, with the byte at which it happens.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Whole,
-    Cut(usize),
-    Silent(usize),
+enum StreamFault {
+    None,
+    CutAt(usize),
+    SilentAt(usize),
 }
 
-fn pass(
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     faults: Faults,
-    fate: Fate,
-    mut lots: StdRng,
-    done: &FaultCounts,
+    fault: StreamFault,
+    mut rng: StdRng,
+    counts: &FaultCounts,
 ) {
     let _ = to.set_nodelay(true);
-    let mut left = match fate {
-        Fate::Whole => usize::MAX,
-        Fate::Cut(at) | Fate::Silent(at) => at,
+    let mut remaining = match fault {
+        StreamFault::None => usize::MAX,
+        StreamFault::CutAt(at) | StreamFault::SilentAt(at) => at,
     };
     let mut chunk = vec![0; 16 * 1024];
     loop {
-        let read = match from.read(&mut chunk) {
+        let count = match from.read(&mut chunk) {
             Ok(n) if n > 0 => n,
             _ => break,
         };
-        let mut rest = &chunk[..read.min(left)];
-        let over = read > left;
-        left -= rest.len();
-        while !rest.is_empty() {
-            let most = if faults.max_piece_len == 0 {
-                rest.len()
+        let mut unsent = &chunk[..count.min(remaining)];
+        let fault_reached = count > remaining;
+        remaining -= unsent.len();
+        while !unsent.is_empty() {
+            let max_len = if faults.max_piece_len == 0 {
+                unsent.len()
             } else {
-                faults.max_piece_len.min(rest.len())
+                faults.max_piece_len.min(unsent.len())
             };
-            let size = if faults.max_piece_len == 0 {
-                most
+            let len = if faults.max_piece_len == 0 {
+                max_len
             } else {
-                lots.random_range(1..=most)
+                rng.random_range(1..=max_len)
             };
-            let (piece, after) = rest.split_at(size);
-            rest = after;
+            let (piece, rest) = unsent.split_at(len);
+            unsent = rest;
             if !faults.max_delay.is_zero() {
-                thread::sleep(faults.max_delay.mul_f64(lots.random::<f64>()));
+                thread::sleep(faults.max_delay.mul_f64(rng.random::<f64>()));
             }
             if to.write_all(piece).is_err() {
                 let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
                 return;
             }
         }
-        match fate {
-            Fate::Cut(_) if over => {
-                done.cut.fetch_add(1, Ordering::Relaxed);
+        match fault {
+            StreamFault::CutAt(_) if fault_reached => {
+                counts.cut.fetch_add(1, Ordering::Relaxed);
                 let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
                 return;
             }
-            Fate::Silent(_) if over => {
-                // It reads on, passes nothing, and closes nothing while the client stays.
-                done.silenced.fetch_add(1, Ordering::Relaxed);
+            StreamFault::SilentAt(_) if fault_reached => {
+                // Keeps reading without forwarding, and closes nothing while the client stays connected.
+                counts.silenced.fetch_add(1, Ordering::Relaxed);
                 while matches!(from.read(&mut chunk), Ok(n) if n > 0) {}
                 return;
             }
--- a/crates/heathspur-testkit/src/relay.rs
+++ b/crates/heathspur-testkit/src/relay.rs
@@ -1,5 +1,5 @@
-//! A fault relay for datagrams between members on loopback: each member is reached at its relay port, and
-//! what passes is dropped, delayed, duplicated or cut by rules that a test changes while it runs.
+//! A fault relay for datagrams between members on loopback. Each member is reached at its relay address; datagrams
+//! are dropped, delayed, duplicated or blocked by rules that a test changes while the relay runs.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -11,23 +11,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the relay does now.
+/// The faults that the relay injects.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// The share of datagrams lost, 0 to 1.
+    /// The probability that a datagram is lost, 0 to 1.
     pub loss: f64,
-    /// The share delivered twice.
+    /// The probability that a datagram is delivered twice, 0 to 1.
     pub duplicate: f64,
-    /// Every datagram from or to member `i` waits `slow[i]` more.
+    /// The extra delay by member of every datagram from or to it; those of sender and receiver add up.
     pub extra_delay: Vec<Duration>,
-    /// A side for each member; between different sides nothing passes.
+    /// The partition by member; nothing passes between different partitions. A member without an entry reaches all.
     pub partitions: Vec<u8>,
-    /// Links cut one way, (from, to).
+    /// One-way links that carry nothing, as (sender, receiver).
     pub blocked_links: HashSet<(usize, usize)>,
 }
 
 impl Rules {
-    fn passes(&self, from: usize, to: usize) -> bool {
+    fn allows(&self, from: usize, to: usize) -> bool {
         !self.blocked_links.contains(&(from, to))
             && match (self.partitions.get(from), self.partitions.get(to)) {
                 (Some(a), Some(b)) => a == b,
@@ -36,107 +36,132 @@
     }
 }
 
-/// The relay: member `i` listens on `real[i]` and is told to others as `ports[i]`.
+/// A relay whose threads run until the process ends.
+///
+/// Member `i` listens on `member_addresses[i]` and advertises `relay_addresses[i]`.
 pub struct Relay {
-    /// Where members are reached through the relay.
+    /// Where the relay takes datagrams for each member.
     pub relay_addresses: Vec<SocketAddr>,
-    /// Where members really listen.
+    /// Where each member listens.
     pub member_addresses: Vec<SocketAddr>,
-    /// Its rules, changed by the test.
+    /// The rules in effect.
     pub rules: Arc<Mutex<Rules>>,
-    /// Datagrams and bytes that came to it so far, from all members.
+    /// The numbers of datagrams and bytes that the relay has received from all members.
     pub received_totals: Arc<(AtomicU64, AtomicU64)>,
 }
 
-/// Datagrams held back for delay at once.
-const DELAYED: usize = 4_096;
+/// The capacity of the queue of delayed datagrams, and the largest number that wait to become due.
+const MAX_DELAYED_DATAGRAMS: usize = 4_096;
 
-struct Later {
-    at: Instant,
+struct DelayedDatagram {
+    due: Instant,
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
 impl Relay {
-    /// A relay for `members` members, on free loopback ports.
+    /// Starts a relay for `members` members on free loopback ports.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a port cannot be bound.
     pub fn start(members: usize) -> Relay {
-        let sockets: Vec<UdpSocket> = (0..members)
-            .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
-            .collect();
-        let ports: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
-        // Free ports for the members themselves: all bound, read, and only then let go, so that none comes twice.
-        let free: Vec<UdpSocket> = (0..members)
-            .map(|_| UdpSocket::bind("127.0.0.1:0").unwrap())
-            .collect();
-        let real: Vec<SocketAddr> = free.iter().map(|s| s.local_addr().unwrap()).collect();
-        drop(free);
+        let sockets: Vec<UdpSocket> = (0..members).map(|_| bind_udp_loopback()).collect();
+        let relay_addresses: Vec<SocketAddr> = sockets.iter().map(local_address).collect();
+        // All sockets for the members are bound before any is dropped, so that no address is chosen twice.
+        let member_sockets: Vec<UdpSocket> = (0..members).map(|_| bind_udp_loopback()).collect();
+        let member_addresses: Vec<SocketAddr> = member_sockets.iter().map(local_address).collect();
+        drop(member_sockets);
         let rules = Arc::new(Mutex::new(Rules {
             extra_delay: vec![Duration::ZERO; members],
             ..Rules::default()
         }));
         let sockets: Arc<Vec<UdpSocket>> = Arc::new(sockets);
-        let came = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
-        // Bounded: past it a delayed datagram is lost, as on a full link.
-        let (later, queue) = mpsc::sync_channel::<Later>(DELAYED);
-        let out = sockets.clone();
-        let targets = real.clone();
-        thread::spawn(move || delayed(queue, out, targets));
+        let received_totals = Arc::new((AtomicU64::new(0), AtomicU64::new(0)));
+        // The queue is bounded: datagrams beyond its capacity are lost, as on a congested link.
+        let (delay_queue, delayed) = mpsc::sync_channel::<DelayedDatagram>(MAX_DELAYED_DATAGRAMS);
+        let (delay_sockets, delay_targets) = (sockets.clone(), member_addresses.clone());
+        thread::spawn(move || send_delayed(delayed, delay_sockets, delay_targets));
         for to in 0..members {
-            let (sockets, rules, real, later) =
-                (sockets.clone(), rules.clone(), real.clone(), later.clone());
-            let came = came.clone();
-            thread::spawn(move || forward(to, sockets, rules, real, later, came));
+            let (sockets, rules, member_addresses, delay_queue) = (
+                sockets.clone(),
+                rules.clone(),
+                member_addresses.clone(),
+                delay_queue.clone(),
+            );
+            let received_totals = received_totals.clone();
+            thread::spawn(move || {
+                forward(
+                    to,
+                    sockets,
+                    rules,
+                    member_addresses,
+                    delay_queue,
+                    received_totals,
+                )
+            });
         }
         Relay {
-            relay_addresses: ports,
-            member_addresses: real,
+            relay_addresses,
+            member_addresses,
             rules,
-            received_totals: came,
+            received_totals,
         }
     }
 
-    /// Changes the rules.
+    /// Changes the rules; datagrams received from then on follow them.
     pub fn update_rules(&self, change: impl FnOnce(&mut Rules)) {
-        change(&mut self.rules.lock().unwrap());
+        change(&mut self.rules.lock().expect("lock the relay's rules"));
     }
 }
 
+fn bind_udp_loopback() -> UdpSocket {
+    UdpSocket::bind("127.0.0.1:0").expect("bind a UDP socket to a free loopback port")
+}
+
+fn local_address(socket: &UdpSocket) -> SocketAddr {
+    socket
+        .local_addr()
+        .expect("read the UDP socket's local address")
+}
+
+/// Forwards the datagrams that arrive at the relay address of member `to`.
 fn forward(
     to: usize,
     sockets: Arc<Vec<UdpSocket>>,
     rules: Arc<Mutex<Rules>>,
-    real: Vec<SocketAddr>,
-    later: SyncSender<Later>,
-    came: Arc<(AtomicU64, AtomicU64)>,
+    member_addresses: Vec<SocketAddr>,
+    delay_queue: SyncSender<DelayedDatagram>,
+    received_totals: Arc<(AtomicU64, AtomicU64)>,
 ) {
     let mut buffer = [0u8; 2048];
-    let mut draw = StdRng::seed_from_u64(0x2545_f491_4f6c_dd1d ^ to as u64);
-    let mut chance = move || draw.random::<f64>();
+    let mut rng = StdRng::seed_from_u64(0x2545_f491_4f6c_dd1d ^ to as u64);
+    let mut draw = move || rng.random::<f64>();
     loop {
         let Ok((len, source)) = sockets[to].recv_from(&mut buffer) else {
             continue;
         };
-        // Members send from the socket they listen on, so the source tells who sent.
-        let Some(from) = real.iter().position(|r| *r == source) else {
+        // A member sends from the socket it listens on, so the source address identifies the sender.
+        let Some(from) = member_addresses.iter().position(|a| *a == source) else {
             continue;
         };
-        came.0.fetch_add(1, Ordering::Relaxed);
-        came.1.fetch_add(len as u64, Ordering::Relaxed);
-        let rules = rules.lock().unwrap().clone();
-        if !rules.passes(from, to) || chance() < rules.loss {
+        received_totals.0.fetch_add(1, Ordering::Relaxed);
+        received_totals.1.fetch_add(len as u64, Ordering::Relaxed);
+        let rules = rules.lock().expect("lock the relay's rules").clone();
+        if !rules.allows(from, to) || draw() < rules.loss {
             continue;
         }
-        let copies = if chance() < rules.duplicate { 2 } else { 1 };
-        let wait = rules.extra_delay[from] + rules.extra_delay[to];
+        let copies = if draw() < rules.duplicate { 2 } else { 1 };
+        let delay = rules.extra_delay[from] + rules.extra_delay[to];
         for _ in 0..copies {
             let bytes = buffer[..len].to_vec();
-            if wait.is_zero() {
-                // Out of the sender's relay port, so that the receiver sees the address it knows the sender by.
-                let _ = sockets[from].send_to(&bytes, real[to]);
+            if delay.is_zero() {
+                // Sent from the sender's relay socket, so that the receiver sees the address the sender advertises.
+                let _ = sockets[from].send_to(&bytes, member_addresses[to]);
             } else {
-                let _ = later.try_send(Later {
-                    at: Instant::now() + wait,
+                let _ = delay_queue.try_send(DelayedDatagram {
+                    due: Instant::now() + delay,
                     from,
                     to,
                     bytes,
@@ -146,24 +171,30 @@
     }
 }
 
-fn delayed(queue: Receiver<Later>, sockets: Arc<Vec<UdpSocket>>, real: Vec<SocketAddr>) {
-    let mut waiting: Vec<Later> = Vec::new();
+/// Sends delayed datagrams when they are due.
+fn send_delayed(
+    delayed: Receiver<DelayedDatagram>,
+    sockets: Arc<Vec<UdpSocket>>,
+    member_addresses: Vec<SocketAddr>,
+) {
+    let mut waiting: Vec<DelayedDatagram> = Vec::new();
     loop {
-        let next = waiting.iter().map(|l| l.at).min();
-        let wait = next.map_or(Duration::from_millis(50), |at| {
-            at.saturating_duration_since(Instant::now())
+        let next_due = waiting.iter().map(|datagram| datagram.due).min();
+        let wait = next_due.map_or(Duration::from_millis(50), |due| {
+            due.saturating_duration_since(Instant::now())
         });
-        match queue.recv_timeout(wait) {
-            Ok(later) if waiting.len() < DELAYED => waiting.push(later),
+        match delayed.recv_timeout(wait) {
+            Ok(datagram) if waiting.len() < MAX_DELAYED_DATAGRAMS => waiting.push(datagram),
             Ok(_) => {}
             Err(mpsc::RecvTimeoutError::Timeout) => {}
             Err(mpsc::RecvTimeoutError::Disconnected) => return,
         }
         let now = Instant::now();
-        let (due, kept): (Vec<Later>, Vec<Later>) = waiting.drain(..).partition(|l| l.at <= now);
-        waiting = kept;
-        for l in due {
-            let _ = sockets[l.from].send_to(&l.bytes, real[l.to]);
+        let (due, not_due): (Vec<DelayedDatagram>, Vec<DelayedDatagram>) =
+            waiting.drain(..).partition(|datagram| datagram.due <= now);
+        waiting = not_due;
+        for datagram in due {
+            let _ = sockets[datagram.from].send_to(&datagram.bytes, member_addresses[datagram.to]);
         }
     }
 }
--- a/crates/heathspur-testkit/src/replica.rs
+++ b/crates/heathspur-testkit/src/replica.rs
@@ -1,4 +1,5 @@
-//! A replica of the dependency: agrees to every call after its time, can be killed, revived and slowed, and counts.
+//! A stub replica of the dependency: it answers every call with success after a delay, can be killed, restarted
+//! and slowed down, and counts its calls.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,25 +12,35 @@
 struct State {
     up: AtomicBool,
     delay_ms: AtomicU64,
-    calls: AtomicU64,
-    under_way: AtomicU64,
-    most: AtomicU64,
+    completed_calls: AtomicU64,
+    in_flight: AtomicU64,
+    max_in_flight: AtomicU64,
 }
 
+/// A stub replica; it is killed when dropped.
 pub struct StubReplica {
+    /// Where it listens; the same after a restart.
     pub address: SocketAddr,
     state: Arc<State>,
-    accepts: Option<JoinHandle<()>>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
 impl StubReplica {
+    /// Starts a replica on a free loopback port, without delay.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no port can be bound.
     pub fn start() -> StubReplica {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
+        let listener =
+            TcpListener::bind("127.0.0.1:0").expect("bind the replica to a loopback port");
+        let address = listener
+            .local_addr()
+            .expect("read the replica's local address");
         let mut replica = StubReplica {
             address,
             state: Arc::new(State::default()),
-            accepts: None,
+            accept_thread: None,
         };
         replica.accept(listener);
         replica
@@ -37,9 +48,11 @@
 
     fn accept(&mut self, listener: TcpListener) {
         self.state.up.store(true, Ordering::SeqCst);
-        listener.set_nonblocking(true).unwrap();
+        listener
+            .set_nonblocking(true)
+            .expect("set the replica's listener to non-blocking mode");
         let state = self.state.clone();
-        self.accepts = Some(thread::spawn(move || {
+        self.accept_thread = Some(thread::spawn(move || {
             while state.up.load(Ordering::SeqCst) {
                 match listener.accept() {
                     Ok((stream, _)) => {
@@ -52,35 +65,42 @@
         }));
     }
 
-    /// It stops: nothing listens there any more, and what is connected breaks.
+    /// Stops the replica: its listener is closed, and each connection is closed at its next call or reply.
     pub fn kill(&mut self) {
         self.state.up.store(false, Ordering::SeqCst);
-        if let Some(accepts) = self.accepts.take() {
-            accepts.join().unwrap();
+        if let Some(accept_thread) = self.accept_thread.take() {
+            accept_thread
+                .join()
+                .expect("join the replica's accept thread");
         }
     }
 
-    /// It is there again.
+    /// Listens again on the same address after [`kill`](Self::kill).
+    ///
+    /// # Panics
+    ///
+    /// Panics if the address cannot be bound again.
     pub fn restart(&mut self) {
-        let listener = TcpListener::bind(self.address).unwrap();
+        let listener = TcpListener::bind(self.address)
+            .unwrap_or_else(|e| panic!("bind the replica to {} again: {e}", self.address));
         self.accept(listener);
     }
 
-    /// Each call takes so long from now on.
+    /// Sets how long each call takes from now on, with a resolution of a millisecond.
     pub fn set_delay(&self, delay: Duration) {
         self.state
             .delay_ms
             .store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// Calls that it agreed to so far.
+    /// Returns how many calls the replica has answered.
     pub fn completed_calls(&self) -> u64 {
-        self.state.calls.load(Ordering::SeqCst)
+        self.state.completed_calls.load(Ordering::SeqCst)
     }
 
-    /// The most calls that it ever had in hand at once.
+    /// Returns the largest number of calls that were in flight at once.
     pub fn max_in_flight(&self) -> u64 {
-        self.state.most.load(Ordering::SeqCst)
+        self.state.max_in_flight.load(Ordering::SeqCst)
     }
 }
 
@@ -106,15 +126,15 @@
         };
         let mut body = vec![0; length.parse::<usize>().ok()? + 2];
         reader.read_exact(&mut body).ok()?;
-        let under_way = 1 + state.under_way.fetch_add(1, Ordering::SeqCst);
-        state.most.fetch_max(under_way, Ordering::SeqCst);
+        let in_flight = 1 + state.in_flight.fetch_add(1, Ordering::SeqCst);
+        state.max_in_flight.fetch_max(in_flight, Ordering::SeqCst);
         thread::sleep(Duration::from_millis(state.delay_ms.load(Ordering::SeqCst)));
-        state.under_way.fetch_sub(1, Ordering::SeqCst);
+        state.in_flight.fetch_sub(1, Ordering::SeqCst);
         if !state.up.load(Ordering::SeqCst) {
             return None;
         }
         let reply = format!("{id} OK {length}\r\n").into_bytes();
         (&stream).write_all(&[reply, body].concat()).ok()?;
-        state.calls.fetch_add(1, Ordering::SeqCst);
+        state.completed_calls.fetch_add(1, Ordering::SeqCst);
     }
 }
