--- a/crates/heathspur-testkit/src/auto_stubs.rs
+++ b/crates/heathspur-testkit/src/auto_stubs.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that answer at once, for measuring what a request costs the server.
+//! Stub peers that answer by themselves at once, for measuring what a request costs the server.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -10,52 +10,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often each body ran, as it came in base64.
+/// The number of runs by request body, in base64.
 pub type RunCounts = Arc<Mutex<HashMap<String, u64>>>;
 
-/// An interpreter that ends each run at once with the request's own body, and counts runs of each.
+/// Serves an interpreter in background threads that ends each run at once with the request's own body, and
+/// returns the counts of its runs.
 pub fn interpreter(listener: TcpListener) -> RunCounts {
     interpreter_with(listener, InterpreterOptions::default())
 }
 
-/// How an interpreter answers.
+/// How a stub interpreter answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InterpreterOptions {
-    /// Each run takes this long.
+    /// How long each run takes.
     pub run_duration: Duration,
-    /// Bytes of each result; none for the request's own body.
+    /// The length of each result in bytes; `None` for a copy of the request's body.
     pub result_len: Option<usize>,
-    /// Each run calls the dependency once, with the request's own body, and ends with the reply. Not with `work`.
+    /// Whether each run calls the dependency once, with the request's own body, and ends with the reply. Has no
+    /// effect unless `run_duration` is zero.
     pub calls_dependency: bool,
 }
 
-/// The same, in this manner.
-pub fn interpreter_with(listener: TcpListener, manner: InterpreterOptions) -> RunCounts {
-    let runs = RunCounts::default();
-    let counted = runs.clone();
+/// Serves an interpreter with options in background threads and returns the counts of its runs.
+pub fn interpreter_with(listener: TcpListener, options: InterpreterOptions) -> RunCounts {
+    let run_counts = RunCounts::default();
+    let returned = run_counts.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let runs = runs.clone();
-            thread::spawn(move || match manner.run_duration.is_zero() {
-                true => link(stream, &runs, manner),
-                false => late(stream, &runs, manner),
+            let run_counts = run_counts.clone();
+            thread::spawn(move || match options.run_duration.is_zero() {
+                true => serve_immediately(stream, &run_counts, options),
+                false => serve_delayed(stream, &run_counts, options),
             });
         }
     });
-    counted
+    returned
 }
 
-/// Runs that take their time, one behind the other in the order of their ends.
-fn late(stream: TcpStream, runs: &RunCounts, manner: InterpreterOptions) -> Option<()> {
+/// Serves a link on which each run takes `run_duration`; a second thread sends the results in the order in which
+/// the runs end.
+fn serve_delayed(
+    stream: TcpStream,
+    run_counts: &RunCounts,
+    options: InterpreterOptions,
+) -> Option<()> {
     stream.set_nodelay(true).ok()?;
-    let (due, ends) = mpsc::channel::<(Instant, Value)>();
-    let out = Arc::new(Mutex::new(stream.try_clone().ok()?));
-    let later = out.clone();
+    let (result_sender, results) = mpsc::channel::<(Instant, Value)>();
+    let writer = Arc::new(Mutex::new(stream.try_clone().ok()?));
+    let result_writer = writer.clone();
     thread::spawn(move || {
-        for (index, (at, mut value)) in ends.into_iter().enumerate() {
-            thread::sleep(at.saturating_duration_since(Instant::now()));
-            value["index"] = json!(index + 1);
-            if writeln!(later.lock().expect("a writer"), "{value}").is_err() {
+        for (index, (due, mut result)) in results.into_iter().enumerate() {
+            thread::sleep(due.saturating_duration_since(Instant::now()));
+            result["index"] = json!(index + 1);
+            let mut writer = result_writer.lock().expect("lock the link's writer");
+            if writeln!(writer, "{result}").is_err() {
                 return;
             }
         }
@@ -70,23 +78,24 @@
         let command: Value = serde_json::from_str(&line).ok()?;
         let reply = match command["verb"].as_str()? {
             "APPLY" => {
-                due.send((
-                    Instant::now() + manner.run_duration,
-                    ended(&command, runs, manner, 0)?,
-                ))
-                .ok()?;
+                result_sender
+                    .send((
+                        Instant::now() + options.run_duration,
+                        count_run(&command, run_counts, options, 0)?,
+                    ))
+                    .ok()?;
                 continue;
             }
-            _ => said(&command),
+            _ => reply_to_other_command(&command),
         };
         if !reply.is_null() {
-            writeln!(out.lock().ok()?, "{reply}").ok()?;
+            writeln!(writer.lock().ok()?, "{reply}").ok()?;
         }
     }
 }
 
-/// The reply to a command that starts no run; nothing for some.
-fn said(command: &Value) -> Value {
+/// Returns the reply to a command that starts no run; null if it has none.
+fn reply_to_other_command(command: &Value) -> Value {
     match command["verb"].as_str() {
         Some("CONNECT") => json!({"verb": "BANNER", "outcome": "hot", "spent": 60_000}),
         Some("TOP") => {
@@ -96,19 +105,19 @@
     }
 }
 
-/// The end of a run, which is counted.
-fn ended(
+/// Counts a run and returns the notice that ends it.
+fn count_run(
     command: &Value,
-    runs: &RunCounts,
-    manner: InterpreterOptions,
+    run_counts: &RunCounts,
+    options: InterpreterOptions,
     index: u64,
 ) -> Option<Value> {
-    *runs
+    *run_counts
         .lock()
         .ok()?
         .entry(command["bytes"].as_str()?.to_string())
         .or_default() += 1;
-    let bytes = match manner.result_len {
+    let bytes = match options.result_len {
         None => command["bytes"].clone(),
         Some(count) => json!(STANDARD.encode(vec![b'r'; count])),
     };
@@ -118,10 +127,15 @@
     )
 }
 
-fn link(stream: TcpStream, runs: &RunCounts, manner: InterpreterOptions) -> Option<()> {
+/// Serves a link on which each run ends at once, or once its call to the dependency returns.
+fn serve_immediately(
+    stream: TcpStream,
+    run_counts: &RunCounts,
+    options: InterpreterOptions,
+) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut reader = BufReader::new(stream.try_clone().ok()?);
-    let (mut line, mut index, mut out) = (String::new(), 0, Vec::new());
+    let (mut line, mut index, mut output) = (String::new(), 0, Vec::new());
     loop {
         line.clear();
         if reader.read_line(&mut line).ok()? == 0 {
@@ -129,10 +143,10 @@
         }
         let command: Value = serde_json::from_str(&line).ok()?;
         let reply = match command["verb"].as_str()? {
-            "APPLY" if manner.calls_dependency => {
+            "APPLY" if options.calls_dependency => {
                 index += 1;
-                // Counted as run; it ends when the call has come back.
-                ended(&command, runs, manner, index)?;
+                // The run is counted here; it ends when the call returns.
+                count_run(&command, run_counts, options, index)?;
                 json!({"verb": "AWAIT", "index": index, "task": command["task"], "bytes": command["bytes"]})
             }
             "RESOLVE" | "STUB" => {
@@ -147,22 +161,23 @@
             }
             "APPLY" => {
                 index += 1;
-                ended(&command, runs, manner, index)?
+                count_run(&command, run_counts, options, index)?
             }
-            _ => said(&command),
+            _ => reply_to_other_command(&command),
         };
         if !reply.is_null() {
-            out.extend_from_slice(reply.to_string().as_bytes());
-            out.push(b'\n');
+            output.extend_from_slice(reply.to_string().as_bytes());
+            output.push(b'\n');
         }
+        // Replies to commands that arrived together are written together.
         if reader.buffer().is_empty() {
-            (&stream).write_all(&out).ok()?;
-            out.clear();
+            (&stream).write_all(&output).ok()?;
+            output.clear();
         }
     }
 }
 
-/// An announce service that takes every report.
+/// Serves a registration service in background threads that acknowledges every report.
 pub fn registration(listener: TcpListener) {
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -1,33 +1,42 @@
-//! Captures made up: conversations of two sides, packet by packet; and what reading one gives.
+//! Packet captures for tests: conversations of a client and a server, built packet by packet, and the contents that
+//! parsing a capture yields.
 
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::write::{self, TcpConversation};
 use heathspur_capture::{ConnId, Item, Options, Pipeline, Side, Stamp, Tally};
 use std::net::SocketAddr;
 
+/// Nanoseconds in a millisecond.
 pub const NANOS_PER_MS: u64 = 1_000_000;
-/// When captures of tests begin.
+/// When captures begin, in nanoseconds since the Unix epoch.
 pub const CAPTURE_START_NANOS: u64 = 1_790_000_000_000_000_000;
 
+/// Returns the address of the client with this port.
 pub fn client_address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 7], port))
 }
 
+/// Returns the address of the server.
 pub fn server_address() -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 6565))
 }
 
-/// A packet and when it was captured, in nanoseconds from [`START`].
+/// When a packet was captured, in nanoseconds from [`CAPTURE_START_NANOS`], and the packet.
 pub type TimedPacket = (u64, Vec<u8>);
 
-/// A conversation, its packets in the order in which they were sent, a millisecond apart.
+/// Builds the packets of one conversation in the order in which they are sent, a millisecond apart.
 pub struct CaptureBuilder {
+    /// The TCP conversation that makes the packets.
     pub conversation: TcpConversation,
+    /// The packets so far.
     pub packets: Vec<TimedPacket>,
+    /// When the last packet was captured, in nanoseconds from [`CAPTURE_START_NANOS`].
     pub elapsed_nanos: u64,
 }
 
 impl CaptureBuilder {
+    /// Returns a builder for a conversation of the client with this port, without packets. The client's sequence
+    /// numbers wrap around after about 700 bytes.
     pub fn new(port: u16) -> CaptureBuilder {
         CaptureBuilder {
             conversation: TcpConversation::new(
@@ -40,28 +49,31 @@
         }
     }
 
+    /// Returns a builder for a conversation that begins with the TCP handshake.
     pub fn open(port: u16) -> CaptureBuilder {
-        let mut script = CaptureBuilder::new(port);
-        for packet in script.conversation.open() {
-            script.push_packet(packet);
+        let mut builder = CaptureBuilder::new(port);
+        for packet in builder.conversation.open() {
+            builder.push_packet(packet);
         }
-        script
+        builder
     }
 
+    /// Adds a packet, a millisecond after the last.
     pub fn push_packet(&mut self, packet: Vec<u8>) {
         self.elapsed_nanos += NANOS_PER_MS;
         self.packets.push((self.elapsed_nanos, packet));
     }
 
-    /// A side's bytes in segments of that length.
-    pub fn send(&mut self, side: Side, bytes: &[u8], segment: usize) {
-        for part in bytes.chunks(segment) {
-            for packet in self.conversation.send(side, part) {
+    /// Adds the packets of bytes that one side sends, in segments of at most `segment_len` bytes.
+    pub fn send(&mut self, side: Side, bytes: &[u8], segment_len: usize) {
+        for segment in bytes.chunks(segment_len) {
+            for packet in self.conversation.send(side, segment) {
                 self.push_packet(packet);
             }
         }
     }
 
+    /// Adds the packets with which both sides close the connection.
     pub fn close(&mut self) {
         for side in [Side::Client, Side::Server] {
             if let Some(packet) = self.conversation.finish(side) {
@@ -71,30 +83,38 @@
     }
 }
 
-/// A file of whole packets.
+/// Returns a pcap file of the packets, each captured in full.
 pub fn pcap_file(packets: &[TimedPacket]) -> Vec<u8> {
-    let mut out = write::pcap_header(write::RAW_IP, 0);
+    let mut file = write::pcap_header(write::RAW_IP, 0);
     for (at, packet) in packets {
-        out.extend(write::pcap_record(
+        file.extend(write::pcap_record(
             Stamp(CAPTURE_START_NANOS + at),
             packet,
             packet.len() as u32,
         ));
     }
-    out
+    file
 }
 
+/// The contents of a parsed capture.
 #[derive(Default)]
 pub struct ParsedCapture {
+    /// Requests with their connections and their indices there.
     pub requests: Vec<(ConnId, u64, Message)>,
+    /// Final responses with their connections and the indices of their requests, where known.
     pub responses: Vec<(ConnId, Option<u64>, Message)>,
+    /// Bytes that belong to no complete message.
     pub skipped: Vec<Found>,
+    /// Connection events.
     pub connections: Vec<Item>,
+    /// The pipeline's counts at the end.
     pub tally: Tally,
+    /// The largest number of bytes that the pipeline buffered after any piece of the file.
     pub max_buffered_bytes: usize,
 }
 
 impl ParsedCapture {
+    /// Returns the bodies of the requests.
     pub fn request_bodies(&self) -> Vec<Vec<u8>> {
         self.requests
             .iter()
@@ -103,32 +123,34 @@
     }
 }
 
-pub fn parse_capture(file: &[u8], options: Options, piece: usize) -> ParsedCapture {
+/// Parses a capture file that is fed to the pipeline in pieces of `piece_len` bytes.
+pub fn parse_capture(file: &[u8], options: Options, piece_len: usize) -> ParsedCapture {
     let mut pipeline = Pipeline::new(options);
-    let mut read = ParsedCapture::default();
-    let take = |read: &mut ParsedCapture, item: Item| match item {
+    let mut capture = ParsedCapture::default();
+    let record = |capture: &mut ParsedCapture, item: Item| match item {
         Item::Message(Found::Request {
             conn,
             index,
             message,
-        }) => read.requests.push((conn, index, message)),
+        }) => capture.requests.push((conn, index, message)),
         Item::Message(Found::Answer { conn, to, message }) => {
-            read.responses.push((conn, to, message))
+            capture.responses.push((conn, to, message))
         }
-        Item::Message(passed) => read.skipped.push(passed),
-        Item::Connection(event) => read.connections.push(Item::Connection(event)),
+        Item::Message(skipped) => capture.skipped.push(skipped),
+        Item::Connection(event) => capture.connections.push(Item::Connection(event)),
     };
-    for part in file.chunks(piece.max(1)) {
-        if !pipeline.feed(part, |item| take(&mut read, item)) {
+    for piece in file.chunks(piece_len.max(1)) {
+        if !pipeline.feed(piece, |item| record(&mut capture, item)) {
             break;
         }
-        read.max_buffered_bytes = read.max_buffered_bytes.max(pipeline.buffered_bytes());
+        capture.max_buffered_bytes = capture.max_buffered_bytes.max(pipeline.buffered_bytes());
     }
-    pipeline.finish(|item| take(&mut read, item));
-    read.tally = pipeline.tally();
-    read
+    pipeline.finish(|item| record(&mut capture, item));
+    capture.tally = pipeline.tally();
+    capture
 }
 
+/// Returns a request to the class `pay` whose `X-Txn` is `number`.
 pub fn request(number: u64, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /svc/pay HTTP/1.1\r\nX-Txn: {number:016x}\r\nContent-Length: {}\r\n\r\n",
@@ -137,6 +159,7 @@
     [head.as_bytes(), body].concat()
 }
 
+/// Returns a response.
 pub fn response(status: u16, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status} OK\r\nContent-Length: {}\r\n\r\n",
--- a/crates/heathspur-testkit/src/example_peers.rs
+++ b/crates/heathspur-testkit/src/example_peers.rs
@@ -1,7 +1,9 @@
-//! A toy of all that one server talks to: the interpreter, the store and the announce service.
+//! The peers that the example program `toy` runs for one server: an interpreter, a store and a registration
+//! service.
 //!
-//! It listens where the server's configuration says they are. Each request "runs" for 50 ms and
-//! comes back in capitals; what the settings let call below asks the store first, which agrees to all.
+//! They listen at the addresses of the server's configuration. Each run takes 50 ms and returns the request's body
+//! in upper case. Runs of classes that call the dependency by the settings call the store first, which answers
+//! every call with success.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -14,46 +16,51 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The result of serving a peer or one of its connections.
 pub type PeerResult = Result<(), Box<dyn Error + Send + Sync>>;
 
-/// The time that a request runs.
-const WORK: Duration = Duration::from_millis(50);
+/// How long each run takes.
+const RUN_DURATION: Duration = Duration::from_millis(50);
 
-/// Serves what this configuration names, for ever.
-pub fn run(file: &Path) -> PeerResult {
-    let config: Value = serde_json::from_slice(&std::fs::read(file)?)?;
-    let listen = |what: &str| -> Result<TcpListener, Box<dyn Error + Send + Sync>> {
-        let address = config[what]
+/// Runs the peers of the server that this configuration file describes, until the process is terminated.
+///
+/// # Errors
+///
+/// Returns an error if the configuration cannot be read, lacks an address, or an address cannot be bound.
+pub fn run(config_file: &Path) -> PeerResult {
+    let config: Value = serde_json::from_slice(&std::fs::read(config_file)?)?;
+    let listen = |field: &str| -> Result<TcpListener, Box<dyn Error + Send + Sync>> {
+        let address = config[field]
             .as_str()
-            .ok_or(format!("the configuration names no {what}"))?;
+            .ok_or(format!("the configuration names no {field}"))?;
         Ok(TcpListener::bind(address)?)
     };
-    let calls = Arc::new(calling_classes(&config["settings"]));
-    let links = listen("vm")?;
-    let parts = [
+    let calling_classes = Arc::new(calling_classes(&config["settings"]));
+    let interpreter_listener = listen("vm")?;
+    let other_peers = [
         (
             listen("store")?,
-            store as fn(TcpStream) -> PeerResult,
+            serve_store as fn(TcpStream) -> PeerResult,
             "store",
         ),
         (
             listen("announce")?,
-            announce as fn(TcpStream) -> PeerResult,
+            serve_registration as fn(TcpStream) -> PeerResult,
             "announce",
         ),
     ];
-    for (listener, serve, name) in parts {
-        thread::spawn(move || each(listener, name, serve));
+    for (listener, serve, name) in other_peers {
+        thread::spawn(move || serve_connections(listener, name, serve));
     }
     println!("toy: ready");
-    each(links, "interpreter", move |stream| {
-        interpreter(stream, &calls)
+    serve_connections(interpreter_listener, "interpreter", move |stream| {
+        serve_interpreter(stream, &calling_classes)
     });
     Ok(())
 }
 
 /// Serves every connection in a thread of its own.
-fn each(
+fn serve_connections(
     listener: TcpListener,
     name: &'static str,
     serve: impl Fn(TcpStream) -> PeerResult + Send + Clone + 'static,
@@ -68,7 +75,7 @@
     }
 }
 
-/// Names of the classes whose requests call below.
+/// Returns the names of the classes whose requests call the dependency.
 fn calling_classes(settings: &Value) -> Vec<String> {
     let calls = settings["family-info"]["calls-by-class"].as_array();
     let names = settings["services"]
@@ -87,20 +94,20 @@
         .collect()
 }
 
-/// One line to the server, with the number of a notice where it is one.
-fn say(mut stream: &TcpStream, line: Value) -> PeerResult {
-    Ok(stream.write_all(format!("{line}\n").as_bytes())?)
+/// Sends a message to the server as one line.
+fn send(mut stream: &TcpStream, message: Value) -> PeerResult {
+    Ok(stream.write_all(format!("{message}\n").as_bytes())?)
 }
 
-fn interpreter(stream: TcpStream, calls: &[String]) -> PeerResult {
+fn serve_interpreter(stream: TcpStream, calling_classes: &[String]) -> PeerResult {
     let start = Instant::now();
-    // Ends of runs reach the one writer of notices, which numbers them.
-    let (notices, to_number) = mpsc::channel::<Value>();
+    // One thread writes all notices, so that their indices match the order in which they are sent.
+    let (notice_sender, notices) = mpsc::channel::<Value>();
     let writer = stream.try_clone()?;
     thread::spawn(move || -> PeerResult {
-        for (number, mut notice) in to_number.into_iter().enumerate() {
+        for (number, mut notice) in notices.into_iter().enumerate() {
             notice["index"] = json!(number + 1);
-            say(&writer, notice)?;
+            send(&writer, notice)?;
         }
         Ok(())
     });
@@ -112,21 +119,21 @@
         );
         match command["verb"].as_str().unwrap_or("") {
             "CONNECT" => {
-                let ms = start.elapsed().as_millis() as u64;
-                say(
+                let elapsed_ms = start.elapsed().as_millis() as u64;
+                send(
                     &stream,
-                    json!({"verb": "BANNER", "outcome": "hot", "spent": ms}),
+                    json!({"verb": "BANNER", "outcome": "hot", "spent": elapsed_ms}),
                 )?;
             }
             "TOP" => {
-                say(
+                send(
                     &stream,
                     json!({"verb": "TOPS", "nonce": command["nonce"], "readings": [0.1, 1, 0.1, 2]}),
                 )?;
             }
-            "APPLY" if calls.iter().any(|c| command["handler"] == **c) => {
+            "APPLY" if calling_classes.iter().any(|c| command["handler"] == **c) => {
                 println!("toy: running {task}, which calls the store");
-                notices.send(json!({"verb": "AWAIT", "task": task, "bytes": bytes}))?;
+                notice_sender.send(json!({"verb": "AWAIT", "task": task, "bytes": bytes}))?;
             }
             verb @ ("APPLY" | "RESOLVE" | "STUB") => {
                 println!(
@@ -137,19 +144,19 @@
                         "going on with"
                     }
                 );
-                let notices = notices.clone();
+                let notice_sender = notice_sender.clone();
                 thread::spawn(move || -> PeerResult {
-                    thread::sleep(WORK);
+                    thread::sleep(RUN_DURATION);
                     let result = STANDARD.encode(STANDARD.decode(bytes)?.to_ascii_uppercase());
-                    let spent = WORK.as_millis() as u64;
+                    let spent = RUN_DURATION.as_millis() as u64;
                     let done = json!({"verb": "VALUE", "task": task, "outcome": "complete", "spent": spent, "bytes": result});
-                    Ok(notices.send(done)?)
+                    Ok(notice_sender.send(done)?)
                 });
             }
             "BREAK" => {
-                let stopped =
+                let cancelled =
                     json!({"verb": "VALUE", "task": task, "outcome": "cancelled", "spent": 0});
-                notices.send(stopped)?;
+                notice_sender.send(cancelled)?;
             }
             other => println!("toy: {other} is not for a toy"),
         }
@@ -157,8 +164,8 @@
     Ok(())
 }
 
-/// Agrees to every call with the call's own body.
-fn store(stream: TcpStream) -> PeerResult {
+/// Answers every call with success and the call's own body.
+fn serve_store(stream: TcpStream) -> PeerResult {
     let mut reader = BufReader::new(stream.try_clone()?);
     let mut line = String::new();
     while reader.read_line(&mut line)? > 0 {
@@ -175,10 +182,10 @@
     Ok(())
 }
 
-/// Takes every report.
-fn announce(stream: TcpStream) -> PeerResult {
+/// Acknowledges every report and prints those that differ from the one before.
+fn serve_registration(stream: TcpStream) -> PeerResult {
     let mut reader = BufReader::new(stream.try_clone()?);
-    let (mut line, mut length, mut last) = (String::new(), 0, String::new());
+    let (mut line, mut length, mut last_report) = (String::new(), 0, String::new());
     while reader.read_line(&mut line)? > 0 {
         if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
             length = value.trim().parse()?;
@@ -187,9 +194,9 @@
             let mut body = vec![0; length];
             reader.read_exact(&mut body)?;
             let report = String::from_utf8_lossy(&body).into_owned();
-            if report != last {
+            if report != last_report {
                 println!("toy: announced {report}");
-                last = report;
+                last_report = report;
             }
             (&stream).write_all(b"HTTP/1.1 204 No Content\r\n\r\n")?;
         }
--- a/crates/heathspur-testkit/src/lib.rs
+++ b/crates/heathspur-testkit/src/lib.rs
@@ -1,10 +1,16 @@
-//! Stand-ins on loopback: all that a server talks to, scripted or by itself; callers; captures made up and
-//! damaged; a server that keeps what it is sent; a proxy that breaks connections byte by byte.
+//! Test doubles on loopback for a server's peers, and fixtures that run the server itself.
 //!
-//! For tests, the example and measurements. A stand-in that is not met as it expects panics: that fails the
-//! test which it stands in for.
+//! - [`server_fixture`] starts the server process with the mocks of its peers; [`fleet`] starts several servers
+//!   that are members of one another.
+//! - Mocks ([`mock_interpreter`], [`mock_store`], [`mock_registration`]) are driven by a test step by step.
+//! - Stubs ([`auto_stubs`], [`replica`], [`recording_server`]) answer by themselves.
+//! - [`http1`] and [`http2`] are clients; [`proxy`] and [`relay`] inject faults into TCP connections and
+//!   datagrams; [`capture`] builds packet captures.
+//! - [`example_peers`] holds the peers that the example program runs.
+//!
+//! For tests, the example and measurements only. A double that meets an unexpected message or waits longer than
+//! its timeout panics, which fails the test.
 #![forbid(unsafe_code)]
-#![allow(missing_docs)]
 
 pub mod auto_stubs;
 pub mod capture;
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,4 @@
-//! A toy of all that one server talks to: `toy CONFIG`. See `heathspur_testkit::example_peers`.
+//! Runs the example peers of one server: `toy CONFIG`. See `heathspur_testkit::example_peers`.
 #![forbid(unsafe_code)]
 
 use std::path::Path;
