--- a/crates/heathspur-testkit/src/mock_interpreter.rs
+++ b/crates/heathspur-testkit/src/mock_interpreter.rs
@@ -14,7 +14,7 @@
 /// Reads panic if the link is closed or carries nothing for [`EVENT_TIMEOUT`]; writes panic if it is broken.
 pub struct MockInterpreter {
     pub(crate) reader: BufReader<TcpStream>,
-    /// The index of the last notice that the server had received when it connected.
+    /// The index of the last notice that the server had processed when it connected.
     pub resume_index: u64,
     /// The index of the last notice that was sent.
     pub last_index: u64,
