--- a/crates/heathspurd/tests/close.rs
+++ b/crates/heathspurd/tests/close.rs
@@ -1,6 +1,6 @@
-//! How connections end: what came on them by then is answered, no answer goes with a reset, and whoever fills the
-//! pool of connections keeps nobody else out. The bad order is made by holding bytes back, by a full pool, or by
-//! stopping the process.
+//! Tests of how connections end: requests that have arrived by then are answered, no response is lost to a TCP reset,
+//! and clients that fill the connection pool do not lock out others. Each failure's order of events is forced by
+//! delaying bytes, by filling the pool, or by suspending the process.
 
 use heathspur_testkit::prelude::*;
 use procfs::process::Process;
@@ -10,68 +10,82 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors of a small server, and the connections that it then takes.
-const SOCKETS: usize = 64;
-const POOL: usize = 36;
+/// File descriptor limit of a small server.
+const DESCRIPTOR_LIMIT: usize = 64;
+/// Size of the connection pool that follows from `DESCRIPTOR_LIMIT`.
+const POOL_SIZE: usize = 36;
 
-fn task(txn: u64) -> String {
+fn task_id(txn: u64) -> String {
     format!("{txn:016x}")
 }
 
-fn small() -> ServerFixture {
-    ServerFixture::start_with_config(|config| config["limits"]["sockets"] = json!(SOCKETS))
+/// Starts a server with a small file descriptor limit.
+fn start_with_descriptor_limit() -> ServerFixture {
+    ServerFixture::start_with_config(|config| config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT))
 }
 
-/// The same request, which says that it is the last.
-fn last_request(txn: u64) -> Vec<u8> {
+/// Returns the request with `Connection: close`.
+fn closing_request(txn: u64) -> Vec<u8> {
     let text = String::from_utf8(request(txn, None, b"abc")).unwrap();
     text.replacen("Host:", "Connection: close\r\nHost:", 1)
         .into_bytes()
 }
 
-/// Waits for what must come; what never comes fails the test.
-fn until(what: &str, mut test: impl FnMut() -> bool) {
+/// Waits until the condition holds.
+///
+/// # Panics
+///
+/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !test() {
-        assert!(start.elapsed() < EVENT_TIMEOUT, "never came: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "timed out waiting until {description}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn stopped(rig: &ServerFixture) {
-    rig.process.signal("STOP");
-    let process = Process::new(rig.process.0.id() as i32).unwrap();
-    until("it stands still", || process.stat().unwrap().state == 'T');
+/// Suspends the server process with SIGSTOP and waits until it is stopped.
+fn suspend(server: &ServerFixture) {
+    server.process.signal("STOP");
+    let process = Process::new(server.process.0.id() as i32).unwrap();
+    wait_until("the process is stopped", || {
+        process.stat().unwrap().state == 'T'
+    });
 }
 
-fn descriptors(rig: &ServerFixture) -> usize {
-    Process::new(rig.process.0.id() as i32)
+/// Returns the number of open file descriptors of the server process.
+fn descriptor_count(server: &ServerFixture) -> usize {
+    Process::new(server.process.0.id() as i32)
         .unwrap()
         .fd_count()
         .unwrap()
 }
 
-/// Connections that send nothing, or the first words of a request.
-fn flood(rig: &ServerFixture, count: usize, words: &[u8]) -> Vec<TcpStream> {
-    let join = |_| {
-        let mut stream = TcpStream::connect(rig.address).unwrap();
-        stream.write_all(words).unwrap();
+/// Opens connections that each send `bytes`: nothing, the start of a request, or a health check.
+fn open_connections(server: &ServerFixture, count: usize, bytes: &[u8]) -> Vec<TcpStream> {
+    let open = |_| {
+        let mut stream = TcpStream::connect(server.address).unwrap();
+        stream.write_all(bytes).unwrap();
         stream
     };
-    (0..count).map(join).collect()
+    (0..count).map(open).collect()
 }
 
 #[test]
-fn an_answer_that_is_the_last_reaches_a_caller_that_goes_on_sending() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
+fn final_response_reaches_client_that_keeps_sending() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
     for txn in 1..4 {
-        let mut client = rig.connect_client();
-        client.send(&last_request(txn));
-        assert_eq!(vm.read_apply().0, task(txn));
-        // More than the server reads ahead lies unread when it closes: a close at once would be a reset.
+        let mut client = server.connect_client();
+        client.send(&closing_request(txn));
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
+        // More bytes are unread at the close than the server reads ahead: an immediate close would send a TCP reset,
+        // which may discard the response.
         client.send(&[b'x'; 96 * 1024]);
-        vm.send_value(&task(txn), "complete", b"done");
+        interpreter.send_value(&task_id(txn), "complete", b"done");
         let (status, _, body) = client.read_response();
         assert_eq!((status, &body[..]), (200, &b"done"[..]));
         client.assert_closed();
@@ -79,56 +93,59 @@
 }
 
 #[test]
-fn what_comes_behind_our_end_is_read_off_and_never_sent_on() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
-    client.send(&last_request(1));
-    assert_eq!(vm.read_apply().0, task(1));
-    vm.send_value(&task(1), "complete", b"done");
+fn request_after_server_half_close_is_discarded() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
+    client.send(&closing_request(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(client.read_response().0, 200);
     client.assert_closed();
-    // Our side is shut, theirs is open still.
+    // The server has closed its sending side; the client can still send.
     client.send(&request(2, None, b"abc"));
-    let mut other = rig.connect_client();
+    let mut other = server.connect_client();
     other.send(&request(3, None, b"abc"));
-    assert_eq!(vm.read_apply().0, task(3));
+    assert_eq!(interpreter.read_apply().0, task_id(3));
 }
 
 #[test]
-fn a_caller_that_never_closes_keeps_no_descriptor_and_no_drain() {
-    let mut rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    // From then on all links are up.
-    rig.registration_reports
+fn client_that_never_closes_does_not_leak_descriptor_or_delay_drain() {
+    let mut server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    // The first report is sent once all links are established.
+    server
+        .registration_reports
         .recv_timeout(EVENT_TIMEOUT)
         .unwrap();
-    let before = descriptors(&rig);
-    let mut stay: Vec<Http1Client> = Vec::new();
+    let baseline = descriptor_count(&server);
+    let mut unclosed_clients: Vec<Http1Client> = Vec::new();
     for txn in 1..20 {
-        let mut client = rig.connect_client();
-        client.send(&last_request(txn));
-        assert_eq!(vm.read_apply().0, task(txn));
-        vm.send_value(&task(txn), "complete", b"done");
+        let mut client = server.connect_client();
+        client.send(&closing_request(txn));
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
+        interpreter.send_value(&task_id(txn), "complete", b"done");
         assert_eq!(client.read_response().0, 200);
-        stay.push(client);
+        unclosed_clients.push(client);
     }
-    until("descriptors as before", || descriptors(&rig) <= before);
-    rig.process.terminate();
-    assert_eq!(rig.process.wait().code(), Some(0));
+    wait_until("the descriptor count is back at its baseline", || {
+        descriptor_count(&server) <= baseline
+    });
+    server.process.terminate();
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
-/// A connection whose request is in the server's hands, and behind a health check so that it is known to be open.
-fn asked(rig: &ServerFixture, txn: u64) -> Http1Client {
-    let mut client = rig.connect_client();
+/// Opens a connection and sends a request on it, after a health check that shows that the server has accepted it.
+fn connect_and_request(server: &ServerFixture, txn: u64) -> Http1Client {
+    let mut client = server.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     client.read_response();
     client.send(&request(txn, None, b"abc"));
     client
 }
 
-/// It is answered, and its connection ends with that.
-fn answered_and_closed(client: &mut Http1Client) {
+/// Checks that the client gets a response of status 200 or 503 and that its connection is then closed.
+fn assert_answered_and_closed(client: &mut Http1Client) {
     let (status, fields, _) = client.read_response();
     assert!(status == 200 || status == 503, "{status}");
     assert_eq!(fields["connection"], "close");
@@ -136,189 +153,202 @@
 }
 
 #[test]
-fn connections_behind_a_full_pool_are_answered_though_the_grace_passes_meanwhile() {
+fn connections_beyond_full_pool_are_answered_after_drain_grace_expires() {
     let grace = Duration::from_millis(300);
-    let mut rig = ServerFixture::start_with_config(|config| {
-        config["limits"]["sockets"] = json!(SOCKETS);
+    let mut server = ServerFixture::start_with_config(|config| {
+        config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
         config["settings"]["guarantees"]["drain-grace-s"] = json!(grace.as_secs_f64());
         config["stop_ms"] = json!(10_000);
-        // So many that all may run at once, and that what runs here is too little to count as stalled.
+        // Enough that all requests may run at once, and that the runs of this test are too few to count as stalled.
         config["settings"]["family-info"]["n-cores"] = json!(200);
     });
-    let mut vm = rig.accept_link();
-    let ask = |txn| {
-        let mut client = rig.connect_client();
+    let mut interpreter = server.accept_link();
+    let send_request = |txn| {
+        let mut client = server.connect_client();
         client.send(&request(txn, None, b"abc"));
         client
     };
-    // With the process standing still all are there with their requests at once, so that none of them is idle: the
-    // server takes as many as it has permits for, and the machine has accepted the others.
-    stopped(&rig);
-    let mut clients: Vec<Http1Client> = (1..POOL as u64 + 6).map(ask).collect();
-    rig.process.signal("CONT");
-    let (first, ..) = vm.read_apply();
-    rig.process.terminate();
-    while rig
+    // While the process is suspended, all connections and their requests arrive, so that none of them is idle: the
+    // server then accepts as many as it has permits for, and the others stay in the kernel's accept queue.
+    suspend(&server);
+    let mut clients: Vec<Http1Client> = (1..POOL_SIZE as u64 + 6).map(send_request).collect();
+    server.process.signal("CONT");
+    let (first, ..) = interpreter.read_apply();
+    server.process.terminate();
+    while server
         .registration_reports
         .recv_timeout(EVENT_TIMEOUT)
         .unwrap()
         != json!({"accepting": "false"})
     {}
-    // The front is shut when the grace is over, which nothing shows while all connections are busy.
+    // The listener is closed when the grace period ends, which cannot be observed while all connections are busy.
     thread::sleep(grace + Duration::from_millis(200));
-    clients.extend((201..204).map(ask));
-    vm.send_value(&first, "complete", b"done");
-    let vm = vm.complete_all_runs();
-    clients.iter_mut().for_each(answered_and_closed);
-    assert_eq!(rig.process.wait().code(), Some(0));
-    let started = vm.join().unwrap();
+    clients.extend((201..204).map(send_request));
+    interpreter.send_value(&first, "complete", b"done");
+    let interpreter = interpreter.complete_all_runs();
+    clients.iter_mut().for_each(assert_answered_and_closed);
+    assert_eq!(server.process.wait().code(), Some(0));
+    let started = interpreter.join().unwrap();
     assert!(
-        (201..204).all(|txn| !started.contains(&task(txn))),
-        "past the grace: {started:?}"
+        (201..204).all(|txn| !started.contains(&task_id(txn))),
+        "started after the grace period: {started:?}"
     );
 }
 
 #[test]
-fn a_server_that_got_no_time_until_its_end_answers_before_it_leaves() {
-    let mut rig = ServerFixture::start_with_config(|config| config["stop_ms"] = json!(3000));
-    let mut vm = rig.accept_link();
-    let mut clients: Vec<Http1Client> = (1..=8).map(|txn| asked(&rig, txn)).collect();
-    assert_eq!(vm.read_apply().0, task(1));
-    rig.process.terminate();
-    while rig
+fn process_suspended_past_stop_deadline_answers_before_exit() {
+    let mut server = ServerFixture::start_with_config(|config| config["stop_ms"] = json!(3000));
+    let mut interpreter = server.accept_link();
+    let mut clients: Vec<Http1Client> = (1..=8)
+        .map(|txn| connect_and_request(&server, txn))
+        .collect();
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    server.process.terminate();
+    while server
         .registration_reports
         .recv_timeout(EVENT_TIMEOUT)
         .unwrap()
         != json!({"accepting": "false"})
     {}
-    stopped(&rig);
+    suspend(&server);
     thread::sleep(Duration::from_millis(3100));
-    rig.process.signal("CONT");
+    server.process.signal("CONT");
     for client in &mut clients {
         let (status, _, _) = client.read_response();
         assert!(status >= 500, "{status}");
     }
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
 #[test]
-fn a_request_that_has_begun_stays_when_idle_connections_fill_the_pool() {
+fn partly_received_request_survives_when_idle_connections_fill_pool() {
     for _ in 0..10 {
-        let rig = small();
-        let mut vm = rig.accept_link();
-        let whole = request(1, None, b"abc");
-        let mut begun = rig.connect_client();
-        begun.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        begun.read_response();
-        begun.send(&whole[..40]);
-        let since = Instant::now();
-        // All of these were heard as well, and rest for less long.
-        let _idle = flood(&rig, POOL + 4, b"GET /status/live HTTP/1.1\r\n\r\n");
-        // One that comes last is heard, so all before it were looked at.
-        let _last = asked(&rig, 2);
-        assert_eq!(vm.read_apply().0, task(2));
-        begun.send(&whole[40..]);
-        // A request has two seconds to be whole; only a machine without time for this test takes so long.
-        if since.elapsed() < Duration::from_millis(1500) {
-            assert_eq!(vm.read_apply().0, task(1));
-            vm.send_value(&task(1), "complete", b"done");
-            assert_eq!(begun.read_response().0, 200);
+        let server = start_with_descriptor_limit();
+        let mut interpreter = server.accept_link();
+        let full_request = request(1, None, b"abc");
+        let mut partial = server.connect_client();
+        partial.send(b"GET /status/live HTTP/1.1\r\n\r\n");
+        partial.read_response();
+        partial.send(&full_request[..40]);
+        let partial_sent = Instant::now();
+        // All of these send a complete health check as well, and have been idle for less time.
+        let _idle = open_connections(&server, POOL_SIZE + 4, b"GET /status/live HTTP/1.1\r\n\r\n");
+        // The last connection is answered, so the server has handled all connections before it.
+        let _last = connect_and_request(&server, 2);
+        assert_eq!(interpreter.read_apply().0, task_id(2));
+        partial.send(&full_request[40..]);
+        // A request must be complete within 2 s; only an overloaded machine takes as long as that for these steps.
+        if partial_sent.elapsed() < Duration::from_millis(1500) {
+            assert_eq!(interpreter.read_apply().0, task_id(1));
+            interpreter.send_value(&task_id(1), "complete", b"done");
+            assert_eq!(partial.read_response().0, 200);
             return;
         }
     }
-    panic!("this machine gives the test no time");
+    panic!("the machine was too slow for this test in each attempt");
 }
 
 #[test]
-fn a_request_that_is_whole_when_its_connection_has_to_leave_is_answered() {
-    let rig = small();
-    let vm = rig.accept_link();
-    let mut first: Vec<Http1Client> = (0..POOL as u64 / 2).map(|_| rig.connect_client()).collect();
-    // Nothing of them is read while the process stands still, and room for all who come is asked of them then.
-    stopped(&rig);
-    for (client, txn) in first.iter_mut().zip(1..) {
+fn complete_request_is_answered_when_its_connection_is_evicted() {
+    let server = start_with_descriptor_limit();
+    let interpreter = server.accept_link();
+    let mut clients: Vec<Http1Client> = (0..POOL_SIZE as u64 / 2)
+        .map(|_| server.connect_client())
+        .collect();
+    // Their requests are unread while the process is suspended; when it resumes, the new connections require the
+    // eviction of these clients.
+    suspend(&server);
+    for (client, txn) in clients.iter_mut().zip(1..) {
         client.send(&request(txn, None, b"abc"));
     }
-    let _idle = flood(&rig, 2 * POOL, b"");
-    rig.process.signal("CONT");
-    let _vm = vm.complete_all_runs();
-    for client in &mut first {
+    let _idle = open_connections(&server, 2 * POOL_SIZE, b"");
+    server.process.signal("CONT");
+    let _vm = interpreter.complete_all_runs();
+    for client in &mut clients {
         let status = client.read_response().0;
         assert!(status == 200 || status == 503, "{status}");
     }
 }
 
-/// Work on a new connection is served, with its call below, whoever else holds connections.
-fn serves_with_a_call(rig: &ServerFixture, vm: &mut MockInterpreter, txn: u64) {
-    let mut client = rig.connect_client();
-    // Of a class whose call is neither left out nor made again, however slow this machine is.
-    client.send(&request(txn, Some(&task(txn)), b"abc"));
-    assert_eq!(vm.read_apply().0, task(txn));
-    vm.send_await(&task(txn), b"ask");
-    let mut store = MockStore::accept(rig);
-    assert_eq!(store.read_call().0, task(txn));
+/// Checks that a request on a new connection is served, including its call to the store, whatever other connections
+/// are open.
+fn assert_request_with_call_is_served(
+    server: &ServerFixture,
+    interpreter: &mut MockInterpreter,
+    txn: u64,
+) {
+    let mut client = server.connect_client();
+    // A class whose call is neither skipped nor retried, however slow the machine is.
+    client.send(&request(txn, Some(&task_id(txn)), b"abc"));
+    assert_eq!(interpreter.read_apply().0, task_id(txn));
+    interpreter.send_await(&task_id(txn), b"ask");
+    let mut store = MockStore::accept(server);
+    assert_eq!(store.read_call().0, task_id(txn));
     store.send_ok(txn, "fine");
-    assert_eq!(vm.read_command()["verb"], "RESOLVE");
-    vm.send_value(&task(txn), "complete", b"done");
+    assert_eq!(interpreter.read_command()["verb"], "RESOLVE");
+    interpreter.send_value(&task_id(txn), "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
-fn floods_of_silent_and_slow_callers_leave_links_and_new_work_their_descriptors() {
-    // Nobody listens where a listener was dropped: no report gets through meanwhile.
-    let rig = ServerFixture::start_with_config(|config| {
-        config["limits"]["sockets"] = json!(SOCKETS);
+fn connection_floods_leave_descriptors_for_links_and_new_requests() {
+    // The listener at this address is dropped, so connections are refused and no report is delivered.
+    let server = ServerFixture::start_with_config(|config| {
+        config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
         config["announce"] = json!(bind_loopback().local_addr().unwrap());
     });
-    let mut vm = rig.accept_link();
-    serves_with_a_call(&rig, &mut vm, 1);
-    let before = descriptors(&rig);
-    for (words, txn) in [
+    let mut interpreter = server.accept_link();
+    assert_request_with_call_is_served(&server, &mut interpreter, 1);
+    let baseline = descriptor_count(&server);
+    for (bytes, txn) in [
         (&b""[..], 2),
         (b"POST /svc/look HTTP/1.1\r\n", 3),
         (b"GET /status/live HTTP/1.1\r\n\r\n", 4),
     ] {
-        let crowd = flood(&rig, 3 * POOL, words);
-        serves_with_a_call(&rig, &mut vm, txn);
-        // The interpreter's link can break and come back in it.
-        drop(vm);
-        vm = rig.accept_link();
-        serves_with_a_call(&rig, &mut vm, 10 + txn);
+        let flood = open_connections(&server, 3 * POOL_SIZE, bytes);
+        assert_request_with_call_is_served(&server, &mut interpreter, txn);
+        // The interpreter's link can break and be re-established during the flood.
+        drop(interpreter);
+        interpreter = server.accept_link();
+        assert_request_with_call_is_served(&server, &mut interpreter, 10 + txn);
         assert!(
-            descriptors(&rig) <= SOCKETS,
+            descriptor_count(&server) <= DESCRIPTOR_LIMIT,
             "{} descriptors",
-            descriptors(&rig)
+            descriptor_count(&server)
         );
-        drop(crowd);
-        until("descriptors as before", || descriptors(&rig) <= before);
+        drop(flood);
+        wait_until("the descriptor count is back at its baseline", || {
+            descriptor_count(&server) <= baseline
+        });
     }
-    serves_with_a_call(&rig, &mut vm, 20);
+    assert_request_with_call_is_served(&server, &mut interpreter, 20);
 }
 
 #[test]
-fn a_connection_that_idles_out_ends_without_a_reset_whatever_was_sent_of_a_next_request() {
-    let rig = ServerFixture::start_with_config(|config| {
+fn idle_timeout_during_partial_request_closes_without_reset() {
+    let server = ServerFixture::start_with_config(|config| {
         config["settings"]["family-info"]["idle-s"] = json!(0.5)
     });
-    let mut vm = rig.accept_link();
+    let mut interpreter = server.accept_link();
     for txn in 1..10 {
-        let mut client = asked(&rig, txn);
-        assert_eq!(vm.read_apply().0, task(txn));
-        vm.send_value(&task(txn), "complete", b"done");
+        let mut client = connect_and_request(&server, txn);
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
+        interpreter.send_value(&task_id(txn), "complete", b"done");
         assert_eq!(client.read_response().0, 200);
-        // It is told of our end first, and sends half a line across it.
+        // The client sees the server's half-close first and then sends part of a request line.
         assert_eq!(client.peek(&mut [0; 1]), 0);
-        let told = Instant::now();
+        let closed_at = Instant::now();
         client.send(b"POST /svc/lo");
-        // Had that met a closed socket, this would meet the reset that it brought.
-        let mut check = rig.connect_client();
-        check.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        check.read_response();
+        // If those bytes had reached a closed socket, the reset sent in reply would have arrived after this exchange
+        // and would fail the next send.
+        let mut probe = server.connect_client();
+        probe.send(b"GET /status/live HTTP/1.1\r\n\r\n");
+        probe.read_response();
         client.send(b"ok HTTP/1.1\r\n");
-        // What comes later than that is read off no more; only a machine without time for this test sends it so late.
-        if told.elapsed() < Duration::from_millis(500) {
+        // The server discards later bytes only for this long; only an overloaded machine sends them later.
+        if closed_at.elapsed() < Duration::from_millis(500) {
             return client.assert_closed();
         }
     }
-    panic!("this machine gives the test no time");
+    panic!("the machine was too slow for this test in each attempt");
 }
--- a/crates/heathspurd/tests/cold.rs
+++ b/crates/heathspurd/tests/cold.rs
@@ -1,4 +1,5 @@
-//! A process that starts cold: how much work it lets its interpreter have, and what it tells callers it turns away.
+//! Tests of a server that starts cold: how many runs it starts at its interpreter, and the throttle hint that it sends
+//! with rejections.
 
 use heathspur_testkit::prelude::*;
 use serde_json::json;
@@ -6,112 +7,118 @@
 use std::thread;
 
 const REQUESTS: u64 = 40;
-/// What a server with these settings survives at a cold start and once warm: cores x (1 + (multiple - 1) x warmth).
-const COLD: f64 = 4.0 * (1.0 + 4.0 * 0.2);
-const WARM: f64 = 4.0 * (1.0 + 4.0);
-/// The longest that a caller is told to stay away.
-const AWAY: u64 = 1000;
+/// Concurrent runs that a server with these settings survives at a cold start: cores x (1 + (multiple - 1) x warmth).
+const COLD_RUN_LIMIT: f64 = 4.0 * (1.0 + 4.0 * 0.2);
+/// Concurrent runs that the same server survives once warm.
+const WARM_RUN_LIMIT: f64 = 4.0 * (1.0 + 4.0);
+/// Longest delay, in milliseconds, that a rejection asks of a client.
+const MAX_THROTTLE_MS: u64 = 1000;
 
-/// A server whose interpreter comes up so, and to which all requests come at once. All of its runs wait at a call that
-/// is never answered, so that their cores are free for others.
-struct Crowd {
-    _rig: ServerFixture,
-    vm: MockInterpreter,
+/// A server that receives all requests at once. Each run waits for a call that is never answered, so that its core is
+/// free for other runs.
+struct Burst {
+    _server: ServerFixture,
+    interpreter: MockInterpreter,
     clients: Vec<Http1Client>,
 }
 
-impl Crowd {
-    fn come(state: &str) -> Crowd {
-        let rig = ServerFixture::start_with_config(|config| {
-            config["settings"]["family-info"]["cold"] = json!(state == "chilly");
-            // It stays as cold as it starts while the test lasts.
+impl Burst {
+    /// Starts the server with this outcome in its interpreter's `BANNER` and sends all requests.
+    fn send(banner_outcome: &str) -> Burst {
+        let server = ServerFixture::start_with_config(|config| {
+            config["settings"]["family-info"]["cold"] = json!(banner_outcome == "chilly");
+            // The server stays as cold as at its start for the duration of the test.
             config["settings"]["guarantees"]["warm-up-s"] = json!(100.0);
-            // Runs end when the server has them stopped, for their requests' time is up.
+            // Runs end when the server cancels them because the deadlines of their requests have passed.
             config["settings"]["services"][1]["slo-s"] = json!(2.0);
             config["settings"]["services"][1]["give-up-s"] = json!(3.0);
         });
-        let mut vm = rig.accept_link_before_banner();
-        vm.send(json!({"verb": "BANNER", "outcome": state, "spent": 0}));
+        let mut interpreter = server.accept_link_before_banner();
+        interpreter.send(json!({"verb": "BANNER", "outcome": banner_outcome, "spent": 0}));
         assert_eq!(
-            rig.registration_reports
+            server
+                .registration_reports
                 .recv_timeout(EVENT_TIMEOUT)
                 .unwrap(),
             json!({"accepting": "true"})
         );
-        let mut clients: Vec<Http1Client> = (0..REQUESTS).map(|_| rig.connect_client()).collect();
+        let mut clients: Vec<Http1Client> =
+            (0..REQUESTS).map(|_| server.connect_client()).collect();
         for (client, txn) in clients.iter_mut().zip(1..) {
             client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
         }
-        Crowd {
-            _rig: rig,
-            vm,
+        Burst {
+            _server: server,
+            interpreter,
             clients,
         }
     }
 
-    /// The most runs at once until all have their answers, and what was answered with how long to stay away.
-    fn answered(mut self) -> (usize, Vec<(u16, Option<u64>)>) {
+    /// Returns the highest number of concurrent runs until all requests are answered, and for each response its status
+    /// and its throttle hint in milliseconds.
+    fn into_peak_and_responses(mut self) -> (usize, Vec<(u16, Option<u64>)>) {
         let clients = std::mem::take(&mut self.clients);
-        let answers = thread::spawn(move || {
-            let answer = |mut client: Http1Client| {
+        let reader = thread::spawn(move || {
+            let read = |mut client: Http1Client| {
                 let (status, fields, _) = client.read_response();
                 (
                     status,
                     fields.get("x-throttle-ms").map(|ms| ms.parse().unwrap()),
                 )
             };
-            clients.into_iter().map(answer).collect::<Vec<_>>()
+            clients.into_iter().map(read).collect::<Vec<_>>()
         });
-        let (mut runs, mut most) = (HashSet::new(), 0);
-        while !answers.is_finished() {
-            let command = self.vm.read_any_command();
-            let task = command["task"].as_str().unwrap_or_default().to_string();
+        let (mut runs, mut peak) = (HashSet::new(), 0);
+        while !reader.is_finished() {
+            let command = self.interpreter.read_any_command();
+            let task_id = command["task"].as_str().unwrap_or_default().to_string();
             match command["verb"].as_str() {
                 Some("APPLY") => {
-                    self.vm.send_await(&task, b"ask");
-                    runs.insert(task);
+                    self.interpreter.send_await(&task_id, b"ask");
+                    runs.insert(task_id);
                 }
                 Some("BREAK") => {
-                    runs.remove(&task);
-                    self.vm.send_value(&task, "cancelled", b"");
+                    runs.remove(&task_id);
+                    self.interpreter.send_value(&task_id, "cancelled", b"");
                 }
                 _ => {
                     let nonce = &command["nonce"];
-                    self.vm
+                    self.interpreter
                         .send(json!({"verb": "TOPS", "nonce": nonce, "readings": [1.0, runs.len(), 0.1, 2]}));
                 }
             }
-            most = most.max(runs.len());
+            peak = peak.max(runs.len());
         }
-        (most, answers.join().unwrap())
+        (peak, reader.join().unwrap())
     }
 }
 
 #[test]
-fn a_cold_process_starts_less_than_makes_it_fall_and_tells_the_others_to_stay_away() {
-    let (most, answers) = Crowd::come("chilly").answered();
+fn cold_server_limits_concurrent_runs_and_throttles_rejected_clients() {
+    let (peak, responses) = Burst::send("chilly").into_peak_and_responses();
     assert!(
-        (1..=COLD as usize).contains(&most),
-        "{most} runs at once, {COLD} survived"
+        (1..=COLD_RUN_LIMIT as usize).contains(&peak),
+        "{peak} concurrent runs, limit {COLD_RUN_LIMIT}"
     );
-    let refused: Vec<_> = answers
+    let rejected: Vec<_> = responses
         .iter()
         .filter(|(status, _)| *status == 503 || *status == 429)
         .collect();
-    assert!(refused.len() >= REQUESTS as usize / 2, "{answers:?}");
+    assert!(rejected.len() >= REQUESTS as usize / 2, "{responses:?}");
     assert!(
-        refused
+        rejected
             .iter()
-            .all(|(_, away)| away.is_some_and(|ms| (1..=AWAY).contains(&ms))),
-        "{answers:?}"
+            .all(|(_, throttle_ms)| throttle_ms
+                .is_some_and(|ms| (1..=MAX_THROTTLE_MS).contains(&ms))),
+        "{responses:?}"
     );
 }
 
 #[test]
-fn a_process_that_starts_hot_starts_more() {
-    let (most, _) = Crowd::come("hot").answered();
+fn hot_server_starts_more_concurrent_runs_than_cold_server() {
+    let (peak, _) = Burst::send("hot").into_peak_and_responses();
     assert!(
-        (COLD as usize + 1..=WARM as usize).contains(&most),
-        "{most} runs at once, {WARM} survived"
+        (COLD_RUN_LIMIT as usize + 1..=WARM_RUN_LIMIT as usize).contains(&peak),
+        "{peak} concurrent runs, limit {WARM_RUN_LIMIT}"
     );
 }
