--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -1,4 +1,5 @@
-//! HTTP/2 as the process speaks it, against scripted stand-ins: the four rules, each limit, each abuse.
+//! Tests of the server's HTTP/2 frontend against scripted mock peers: handling of requests, each limit and each kind of
+//! abuse.
 
 use heathspur_testkit::http2::*;
 use heathspur_testkit::prelude::{
@@ -10,113 +11,115 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-struct File(PathBuf);
+/// A temporary file, removed on drop.
+struct TempFile(PathBuf);
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-fn operator(name: &str, inner: &str) -> File {
+/// Writes an operator file that enables HTTP/2, with these elements inside `<http2>`.
+fn write_operator_file(name: &str, http2_elements: &str) -> TempFile {
     let file = std::env::temp_dir().join(format!(
         "heathspurd-http2-{}-{name}.xml",
         std::process::id()
     ));
     let text = format!(
-        "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\">{inner}</http2></operator>"
+        "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\">{http2_elements}</http2></operator>"
     );
     std::fs::write(&file, text).unwrap();
-    File(file)
+    TempFile(file)
 }
 
-/// A server with the port on, and where that is.
-fn start(name: &str, inner: &str) -> (ServerFixture, MockInterpreter, SocketAddr) {
-    let file = operator(name, inner);
-    let rig = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
+/// Starts a server with HTTP/2 enabled; the address is that of its HTTP/2 listener.
+fn start(name: &str, http2_elements: &str) -> (ServerFixture, MockInterpreter, SocketAddr) {
+    let file = write_operator_file(name, http2_elements);
+    let server = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
         if name == "fair" {
-            // Room for 600 bodies at once: what a full memory turns away is not what is tested there.
+            // Enough memory for 600 bodies at once: rejections for lack of memory are not the subject of that test.
             c["settings"]["family-info"]["mem-limit-kb"] = 90_000.0.into();
         }
     });
-    let address = rig.wait_for_listen_address();
-    let vm = rig.accept_link();
-    (rig, vm, address)
+    let address = server.wait_for_listen_address();
+    let interpreter = server.accept_link();
+    (server, interpreter, address)
 }
 
-fn task(txn: u64) -> String {
+fn task_id(txn: u64) -> String {
     format!("{txn:016x}")
 }
 
-/// Requests of another connection are still answered.
-fn serves(address: SocketAddr, vm: &mut MockInterpreter, txn: u64) {
-    let mut caller = Http2Client::connect(address);
-    let id = caller.send_request(txn, None, b"good");
-    assert_eq!(vm.read_apply().0, task(txn));
-    vm.send_value(&task(txn), "complete", b"fine");
-    let (status, _, body) = caller.read_response(id);
+/// Checks that a request on a new connection is served.
+fn assert_served(address: SocketAddr, interpreter: &mut MockInterpreter, txn: u64) {
+    let mut client = Http2Client::connect(address);
+    let id = client.send_request(txn, None, b"good");
+    assert_eq!(interpreter.read_apply().0, task_id(txn));
+    interpreter.send_value(&task_id(txn), "complete", b"fine");
+    let (status, _, body) = client.read_response(id);
     assert_eq!((status, &body[..]), (200, &b"fine"[..]));
 }
 
 #[test]
-fn many_requests_of_one_connection_are_answered_in_any_order() {
-    let (_rig, mut vm, address) = start("order", "");
-    let mut caller = Http2Client::connect(address);
+fn concurrent_streams_are_answered_in_any_order() {
+    let (_rig, mut interpreter, address) = start("order", "");
+    let mut client = Http2Client::connect(address);
     let body: Vec<u8> = (0..=255).collect();
     let ids: Vec<u32> = (1..6)
-        .map(|txn| caller.send_request(txn, None, &body))
+        .map(|txn| client.send_request(txn, None, &body))
         .collect();
-    let mut applied: Vec<_> = (1..6).map(|_| vm.read_apply()).collect();
+    let mut applied: Vec<_> = (1..6).map(|_| interpreter.read_apply()).collect();
     applied.sort();
     assert!(applied
         .iter()
         .all(|(_, class, bytes)| class == "look" && *bytes == body));
     for txn in (1..6).rev() {
-        vm.send_value(&task(txn), "complete", &body[txn as usize..]);
+        interpreter.send_value(&task_id(txn), "complete", &body[txn as usize..]);
     }
     for (txn, id) in (1..6).zip(ids) {
-        let (status, fields, result) = caller.read_response(id);
+        let (status, fields, result) = client.read_response(id);
         assert_eq!((status, &result[..]), (200, &body[txn..]));
         assert_eq!(fields["content-length"], result.len().to_string());
     }
-    assert!(caller.goaways.is_empty());
+    assert!(client.goaways.is_empty());
 }
 
 #[test]
-fn every_byte_may_come_alone() {
-    let (_rig, mut vm, address) = start("bytes", "");
-    let mut caller = Http2Client::connect_without_preface(address);
+fn request_sent_byte_by_byte_is_accepted() {
+    let (_rig, mut interpreter, address) = start("bytes", "");
+    let mut client = Http2Client::connect_without_preface(address);
     let (id, mut bytes) = (
-        caller.allocate_stream_id(),
+        client.allocate_stream_id(),
         [PREFACE, &settings_frame(&[])].concat(),
     );
-    bytes.extend(caller.encode_request(id, 1, Some("k"), b"abc"));
+    bytes.extend(client.encode_request(id, 1, Some("k"), b"abc"));
     for byte in bytes {
-        caller.send_raw(&[byte]);
+        client.send_raw(&[byte]);
     }
     assert_eq!(
-        vm.read_apply(),
-        (task(1), "pay".to_string(), b"abc".to_vec())
+        interpreter.read_apply(),
+        (task_id(1), "pay".to_string(), b"abc".to_vec())
     );
-    vm.send_value(&task(1), "complete", b"");
-    assert_eq!(caller.read_response(id).0, 200);
+    interpreter.send_value(&task_id(1), "complete", b"");
+    assert_eq!(client.read_response(id).0, 200);
 }
 
 #[test]
-fn a_refusal_says_the_same_as_over_http1() {
-    let file = operator("refusal", "");
-    let rig = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
+fn rejection_has_same_extension_headers_as_over_http1() {
+    let file = write_operator_file("refusal", "");
+    let server = ServerFixture::start_with_operator_file_and_config(&file.0, |c| {
         c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0)
     });
-    let address = rig.wait_for_listen_address();
-    let _vm = rig.accept_link();
-    let mut caller = Http2Client::connect(address);
-    let id = caller.send_request(1, None, b"abc");
-    let (status, fields, _) = caller.read_response(id);
-    let mut client = rig.connect_client();
-    client.send(&request(2, None, b"abc"));
-    let (other, its, _) = client.read_response();
-    assert_eq!((status, other), (503, 503));
+    let address = server.wait_for_listen_address();
+    let _vm = server.accept_link();
+    let mut client = Http2Client::connect(address);
+    let id = client.send_request(1, None, b"abc");
+    let (status, fields, _) = client.read_response(id);
+    let mut http1_client = server.connect_client();
+    http1_client.send(&request(2, None, b"abc"));
+    let (http1_status, http1_fields, _) = http1_client.read_response();
+    assert_eq!((status, http1_status), (503, 503));
     let names = |fields: &Fields| {
         fields
             .keys()
@@ -124,82 +127,86 @@
             .cloned()
             .collect::<Vec<_>>()
     };
-    assert_eq!(names(&fields), names(&its));
+    assert_eq!(names(&fields), names(&http1_fields));
     assert!(fields["x-throttle-ms"].parse::<u64>().unwrap() > 0);
 }
 
 #[test]
-fn a_capture_that_is_reset_runs_once_and_its_result_is_kept_for_any_protocol() {
-    let (rig, mut vm, address) = start("reset", "");
-    let mut caller = Http2Client::connect(address);
-    let first = caller.send_request(1, Some("k1"), b"pay");
-    assert_eq!(vm.read_apply().0, task(1));
-    caller.send_reset(first, CANCEL);
-    // Another stream, another connection, another protocol: all wait for the one run.
-    let second = caller.send_request(2, Some("k1"), b"pay");
+fn reset_keyed_request_runs_once_and_retries_get_result_over_any_protocol() {
+    let (server, mut interpreter, address) = start("reset", "");
+    let mut client = Http2Client::connect(address);
+    let first = client.send_request(1, Some("k1"), b"pay");
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    client.send_reset(first, CANCEL);
+    // Retries on another stream, another connection and another protocol all wait for the same run.
+    let second = client.send_request(2, Some("k1"), b"pay");
     let mut other = Http2Client::connect(address);
     let third = other.send_request(3, Some("k1"), b"pay");
-    let mut client = rig.connect_client();
-    client.send(&request(4, Some("k1"), b"pay"));
+    let mut http1_client = server.connect_client();
+    http1_client.send(&request(4, Some("k1"), b"pay"));
     let marker = other.send_request(5, Some("k2"), b"pay");
-    assert_eq!(vm.read_apply().0, task(5), "no repeat runs");
-    vm.send_value(&task(1), "complete", b"done");
-    assert_eq!(caller.read_response(second).2, b"done");
+    assert_eq!(
+        interpreter.read_apply().0,
+        task_id(5),
+        "a retry was run again"
+    );
+    interpreter.send_value(&task_id(1), "complete", b"done");
+    assert_eq!(client.read_response(second).2, b"done");
     assert_eq!(other.read_response(third).2, b"done");
-    assert_eq!(client.read_response().2, b"done");
-    // And after it has ended.
-    let late = other.send_request(6, Some("k1"), b"pay");
-    assert_eq!(other.read_response(late).2, b"done");
-    vm.send_value(&task(5), "complete", b"other");
+    assert_eq!(http1_client.read_response().2, b"done");
+    // A retry after the run has ended gets the retained result.
+    let late_retry = other.send_request(6, Some("k1"), b"pay");
+    assert_eq!(other.read_response(late_retry).2, b"done");
+    interpreter.send_value(&task_id(5), "complete", b"other");
     assert_eq!(other.read_response(marker).2, b"other");
-    // The key goes with one body whatever the protocol.
-    let wrong = other.send_request(7, Some("k1"), b"another");
-    assert_eq!(other.read_response(wrong).0, 422);
+    // An idempotency key is bound to one body, whatever the protocol.
+    let mismatched = other.send_request(7, Some("k1"), b"another");
+    assert_eq!(other.read_response(mismatched).0, 422);
 }
 
 #[test]
-fn a_reset_counts_as_the_caller_having_gone_and_so_does_a_lost_connection() {
-    let (_rig, mut vm, address) = start("gone", "");
+fn stream_reset_and_lost_connection_cancel_run() {
+    let (_rig, mut interpreter, address) = start("gone", "");
     for txn in 1..40 {
-        let mut caller = Http2Client::connect(address);
-        let id = caller.send_request(txn, None, b"abc");
-        assert_eq!(vm.read_apply().0, task(txn));
+        let mut client = Http2Client::connect(address);
+        let id = client.send_request(txn, None, b"abc");
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
         match txn % 2 {
-            0 => caller.send_reset(id, CANCEL),
-            _ => drop(caller),
+            0 => client.send_reset(id, CANCEL),
+            _ => drop(client),
         }
-        let stop = vm.read_command();
+        let cancellation = interpreter.read_command();
         assert_eq!(
-            (&stop["verb"], &stop["task"]),
-            (&json!("BREAK"), &json!(task(txn)))
+            (&cancellation["verb"], &cancellation["task"]),
+            (&json!("BREAK"), &json!(task_id(txn)))
         );
-        vm.send_value(&task(txn), "cancelled", b"");
+        interpreter.send_value(&task_id(txn), "cancelled", b"");
     }
 }
 
 #[test]
-fn what_is_no_request_is_answered_and_the_connection_stays() {
-    let (_rig, mut vm, address) = start("wrong", "");
-    let mut caller = Http2Client::connect(address);
-    let id = caller.send_get("/svc/look");
-    assert_eq!(caller.read_response(id).0, 405);
-    let id = caller.send_get("/nothing");
-    assert_eq!(caller.read_response(id).0, 404);
+fn invalid_requests_are_answered_and_connection_stays_open() {
+    let (_rig, mut interpreter, address) = start("wrong", "");
+    let mut client = Http2Client::connect(address);
+    let id = client.send_get("/svc/look");
+    assert_eq!(client.read_response(id).0, 405);
+    let id = client.send_get("/nothing");
+    assert_eq!(client.read_response(id).0, 404);
     let head = [
         (":method", "POST"),
         (":scheme", "http"),
         (":path", "/svc/look"),
         (":authority", "b"),
     ];
-    let id = caller.open_stream(&head, true);
-    assert_eq!(caller.read_response(id).0, 400);
-    let id = caller.open_stream(&head, false);
-    caller.send_data(id, &[0; 1500], false);
-    caller.send_data(id, &[0; 549], false);
-    assert_eq!(caller.read_response(id).0, 413);
-    let id = caller.send_get("/status/live");
-    assert!(matches!(caller.read_response(id).0, 200 | 503));
-    let id = caller.open_stream(
+    let id = client.open_stream(&head, true);
+    assert_eq!(client.read_response(id).0, 400);
+    let id = client.open_stream(&head, false);
+    client.send_data(id, &[0; 1500], false);
+    client.send_data(id, &[0; 549], false);
+    assert_eq!(client.read_response(id).0, 413);
+    let id = client.send_get("/status/live");
+    assert!(matches!(client.read_response(id).0, 200 | 503));
+    let id = client.open_stream(
         &[
             (":method", "HEAD"),
             head[1],
@@ -208,79 +215,79 @@
         ],
         true,
     );
-    assert!(caller.read_response(id).2.is_empty());
-    serves(address, &mut vm, 1);
-    let id = caller.send_request(2, None, b"x");
-    vm.read_apply();
-    vm.send_value(&task(2), "complete", b"y");
-    assert_eq!(caller.read_response(id).2, b"y");
+    assert!(client.read_response(id).2.is_empty());
+    assert_served(address, &mut interpreter, 1);
+    let id = client.send_request(2, None, b"x");
+    interpreter.read_apply();
+    interpreter.send_value(&task_id(2), "complete", b"y");
+    assert_eq!(client.read_response(id).2, b"y");
 }
 
 #[test]
-fn a_request_that_stops_half_way_is_answered_in_time() {
-    let (_rig, mut vm, address) = start("half", "<request whole=\"200 ms\"/>");
-    let mut caller = Http2Client::connect(address);
+fn incomplete_request_times_out_and_trailers_complete_request() {
+    let (_rig, mut interpreter, address) = start("half", "<request whole=\"200 ms\"/>");
+    let mut client = Http2Client::connect(address);
     let head = [
         (":method", "POST"),
         (":scheme", "http"),
         (":path", "/svc/look"),
         (":authority", "b"),
     ];
-    let id = caller.open_stream(&head, false);
-    caller.send_data(id, b"abc", false);
-    assert_eq!(caller.read_response(id).0, 408);
-    // Trailers may end a request.
-    let id = caller.allocate_stream_id();
-    let bytes = caller.encode_request(id, 1, None, b"abc");
-    let at = bytes.len() - 3 - 9 + 4;
-    let mut open = bytes.clone();
-    open[at] = 0;
-    caller.send_raw(&open);
-    let block = caller.encode_headers(&[("x-note", "end")]);
-    caller.send_raw(&encode_frame(HEADERS, END_HEADERS | END_STREAM, id, &block));
-    assert_eq!(vm.read_apply().2, b"abc");
-    vm.send_value(&task(1), "complete", b"y");
-    assert_eq!(caller.read_response(id).2, b"y");
+    let id = client.open_stream(&head, false);
+    client.send_data(id, b"abc", false);
+    assert_eq!(client.read_response(id).0, 408);
+    // Trailers may end a request: the DATA frame is sent without END_STREAM.
+    let id = client.allocate_stream_id();
+    let bytes = client.encode_request(id, 1, None, b"abc");
+    let flags_offset = bytes.len() - 3 - 9 + 4;
+    let mut unfinished = bytes.clone();
+    unfinished[flags_offset] = 0;
+    client.send_raw(&unfinished);
+    let block = client.encode_headers(&[("x-note", "end")]);
+    client.send_raw(&encode_frame(HEADERS, END_HEADERS | END_STREAM, id, &block));
+    assert_eq!(interpreter.read_apply().2, b"abc");
+    interpreter.send_value(&task_id(1), "complete", b"y");
+    assert_eq!(client.read_response(id).2, b"y");
 }
 
 #[test]
-fn another_version_is_told_so_in_words_it_can_read_and_silence_is_ended() {
-    let (_rig, mut vm, address) = start("version", "<request whole=\"200 ms\"/>");
-    let mut client = Http1Client::connect(address);
-    client.send(&request(1, None, b"abc"));
-    let (status, fields, body) = client.read_response();
+fn http1_request_gets_505_and_incomplete_preface_times_out() {
+    let (_rig, mut interpreter, address) = start("version", "<request whole=\"200 ms\"/>");
+    let mut http1_client = Http1Client::connect(address);
+    http1_client.send(&request(1, None, b"abc"));
+    let (status, fields, body) = http1_client.read_response();
     assert_eq!((status, fields["connection"].as_str()), (505, "close"));
     assert!(String::from_utf8(body).unwrap().contains("HTTP/2"));
-    client.assert_closed();
+    http1_client.assert_closed();
     let silent = Http2Client::connect_without_preface(address);
     assert_eq!(silent.socket().read(&mut [0; 9]).unwrap(), 0);
-    let mut half = Http2Client::connect_without_preface(address);
-    half.send_raw(&PREFACE[..12]);
-    assert_eq!(half.socket().read(&mut [0; 9]).unwrap(), 0);
-    half.auto_reply = false;
-    serves(address, &mut vm, 2);
+    let mut partial = Http2Client::connect_without_preface(address);
+    partial.send_raw(&PREFACE[..12]);
+    assert_eq!(partial.socket().read(&mut [0; 9]).unwrap(), 0);
+    partial.auto_reply = false;
+    assert_served(address, &mut interpreter, 2);
 }
 
 #[test]
-fn streams_past_a_limit_are_refused_with_proof_that_nothing_ran() {
-    let (_rig, mut vm, address) = start("limit", "<streams connection=\"2\" all=\"4\"/>");
-    let mut caller = Http2Client::connect(address);
+fn streams_beyond_limits_are_reset_with_refused_stream() {
+    let (_rig, mut interpreter, address) = start("limit", "<streams connection=\"2\" all=\"4\"/>");
+    let mut client = Http2Client::connect(address);
     let ids: Vec<u32> = (1..3)
-        .map(|txn| caller.send_request(txn, None, b"abc"))
+        .map(|txn| client.send_request(txn, None, b"abc"))
         .collect();
-    (1..3).for_each(|_| drop(vm.read_apply()));
-    // It was told so, and has acknowledged it.
-    let id = caller.send_request(9, None, b"abc");
+    (1..3).for_each(|_| drop(interpreter.read_apply()));
+    // The client has received the limit in SETTINGS and acknowledged it.
+    let id = client.send_request(9, None, b"abc");
     assert_eq!(
-        caller.wait_for_outcome(id),
+        client.wait_for_outcome(id),
         StreamOutcome::Reset(REFUSED_STREAM)
     );
-    assert_eq!(caller.peer_settings[&3], 2);
+    assert_eq!(client.peer_settings[&3], 2);
     let mut second = Http2Client::connect(address);
     let more: Vec<u32> = (20..22)
         .map(|txn| second.send_request(txn, None, b"abc"))
         .collect();
-    (20..22).for_each(|_| drop(vm.read_apply()));
+    (20..22).for_each(|_| drop(interpreter.read_apply()));
     let mut third = Http2Client::connect(address);
     let id = third.send_request(30, None, b"abc");
     assert_eq!(
@@ -288,44 +295,44 @@
         StreamOutcome::Reset(REFUSED_STREAM)
     );
     for (txn, id) in (1..3).zip(ids) {
-        vm.send_value(&task(txn), "complete", b"x");
-        assert_eq!(caller.read_response(id).0, 200);
+        interpreter.send_value(&task_id(txn), "complete", b"x");
+        assert_eq!(client.read_response(id).0, 200);
     }
     let id = third.send_request(31, None, b"abc");
-    assert_eq!(vm.read_apply().0, task(31));
-    vm.send_value(&task(31), "complete", b"x");
+    assert_eq!(interpreter.read_apply().0, task_id(31));
+    interpreter.send_value(&task_id(31), "complete", b"x");
     assert_eq!(third.read_response(id).0, 200);
     drop((second, more));
 }
 
 #[test]
-fn a_stalled_readers_answers_are_dropped_in_time_and_what_ran_is_kept() {
-    let (_rig, mut vm, address) = start("stall", "<patience stalled=\"300 ms\"/>");
-    // Its window is shut from the start, and it never opens it.
-    let mut caller =
+fn stalled_responses_are_reset_after_timeout_and_results_are_retained() {
+    let (_rig, mut interpreter, address) = start("stall", "<patience stalled=\"300 ms\"/>");
+    // Its initial window is 0, and it never sends WINDOW_UPDATE.
+    let mut client =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
     let ids: Vec<u32> = (1..6)
-        .map(|txn| caller.send_request(txn, Some(&format!("k{txn}")), b"pay"))
+        .map(|txn| client.send_request(txn, Some(&format!("k{txn}")), b"pay"))
         .collect();
     for _ in 1..6 {
-        let (task, ..) = vm.read_apply();
-        vm.send_value(&task, "complete", b"receipt");
+        let (task_id, ..) = interpreter.read_apply();
+        interpreter.send_value(&task_id, "complete", b"receipt");
     }
     for id in ids {
         assert_eq!(
-            caller.wait_for_outcome(id),
+            client.wait_for_outcome(id),
             StreamOutcome::Reset(ENHANCE_YOUR_CALM)
         );
     }
-    let mut client = Http2Client::connect(address);
-    let id = client.send_request(9, Some("k3"), b"pay");
-    assert_eq!(client.read_response(id).2, b"receipt");
+    let mut other = Http2Client::connect(address);
+    let id = other.send_request(9, Some("k3"), b"pay");
+    assert_eq!(other.read_response(id).2, b"receipt");
 }
 
 #[test]
-fn what_nobody_reads_stays_within_its_budget_and_the_one_who_stalls_pays() {
+fn unread_responses_stay_within_budget_at_cost_of_largest_connection() {
     let memory = "<memory answers=\"64 KiB\" connection=\"64 KiB\"/><patience stalled=\"60 s\"/>";
-    let (_rig, mut vm, address) = start("budget", memory);
+    let (_rig, mut interpreter, address) = start("budget", memory);
     let mut stalled =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
     let answer = vec![7; 6000];
@@ -333,29 +340,29 @@
         .map(|txn| stalled.send_request(txn, None, b"x"))
         .collect();
     for _ in 1..21 {
-        let (task, ..) = vm.read_apply();
-        vm.send_value(&task, "complete", &answer);
+        let (task_id, ..) = interpreter.read_apply();
+        interpreter.send_value(&task_id, "complete", &answer);
     }
-    // 10 of 6,000 bytes have room; the oldest ten gave way.
+    // The budget holds 10 responses of 6,000 bytes; the oldest ten were evicted.
     for id in &ids[..10] {
         assert_eq!(
             stalled.wait_for_outcome(*id),
             StreamOutcome::Reset(ENHANCE_YOUR_CALM)
         );
     }
-    // Another one that is slow as well pays only once it holds more.
+    // Another slow connection that buffers less is spared: its response evicts one of the first connection's.
     let mut modest =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
     let id = modest.send_request(40, None, b"x");
-    vm.read_apply();
-    vm.send_value(&task(40), "complete", &answer);
+    interpreter.read_apply();
+    interpreter.send_value(&task_id(40), "complete", &answer);
     assert_eq!(
         stalled.wait_for_outcome(ids[10]),
         StreamOutcome::Reset(ENHANCE_YOUR_CALM)
     );
     modest.send_raw(&encode_frame(WINDOW_UPDATE, 0, id, &6000u32.to_be_bytes()));
     assert_eq!(modest.read_response(id).2.len(), 6000);
-    // What has room is there once the window opens.
+    // A response that stayed within the budget is sent once the window opens.
     stalled.send_raw(&encode_frame(
         WINDOW_UPDATE,
         0,
@@ -365,58 +372,64 @@
     assert_eq!(stalled.read_response(ids[19]).2.len(), 6000);
 }
 
-/// Sends until the connection ends; what GOAWAY said.
+/// Sends frames until the connection ends and returns the error code of its GOAWAY, or `NO_ERROR` without one.
 fn flood(
     address: SocketAddr,
-    prepare: impl Fn(&mut Http2Client),
-    mut each: impl FnMut(&mut Http2Client) -> Vec<u8>,
+    setup: impl Fn(&mut Http2Client),
+    mut next_bytes: impl FnMut(&mut Http2Client) -> Vec<u8>,
 ) -> u32 {
-    let mut caller = Http2Client::connect(address);
-    prepare(&mut caller);
+    let mut client = Http2Client::connect(address);
+    setup(&mut client);
     let start = Instant::now();
-    // Another thread reads, so that nobody waits for a full socket.
-    let mut reader = caller.split_reader();
-    let said = std::thread::spawn(move || reader.read_until_closed());
+    // Reads on another thread, so that neither side blocks on a full socket buffer.
+    let mut reader = client.split_reader();
+    let goaway = std::thread::spawn(move || reader.read_until_closed());
     loop {
-        let bytes = each(&mut caller);
-        if !caller.try_send_raw(&bytes) || said.is_finished() {
+        let bytes = next_bytes(&mut client);
+        if !client.try_send_raw(&bytes) || goaway.is_finished() {
             break;
         }
-        assert!(start.elapsed() < EVENT_TIMEOUT, "it takes everything");
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "the server did not end the flood"
+        );
     }
-    said.join().unwrap().map_or(NO_ERROR, |(_, reason)| reason)
+    goaway
+        .join()
+        .unwrap()
+        .map_or(NO_ERROR, |(_, reason)| reason)
 }
 
 #[test]
-fn floods_are_ended_and_others_unharmed() {
-    let (_rig, mut vm, address) = start("floods", "");
+fn frame_floods_are_ended_and_other_connections_are_served() {
+    let (_rig, mut interpreter, address) = start("floods", "");
     let head = [
         (":method", "POST"),
         (":scheme", "http"),
         (":path", "/svc/look"),
         (":authority", "b"),
     ];
-    let none = |_: &mut Http2Client| {};
+    let no_setup = |_: &mut Http2Client| {};
     let reasons = [
         (
             "settings",
-            flood(address, none, |_| settings_frame(&[]).repeat(50)),
+            flood(address, no_setup, |_| settings_frame(&[]).repeat(50)),
         ),
         (
             "pings",
-            flood(address, none, |_| {
+            flood(address, no_setup, |_| {
                 encode_frame(PING, 0, 0, &[0; 8]).repeat(50)
             }),
         ),
         (
             "priorities",
-            flood(address, none, |_| {
+            flood(address, no_setup, |_| {
                 encode_frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1]).repeat(50)
             }),
         ),
         (
             "windows",
-            flood(address, none, |_| {
+            flood(address, no_setup, |_| {
                 encode_frame(WINDOW_UPDATE, 0, 0, &[0, 0, 0, 1]).repeat(50)
             }),
         ),
@@ -440,8 +453,8 @@
             ),
         ),
         (
-            "tables up and down",
-            flood(address, none, |_| {
+            "header table resizes",
+            flood(address, no_setup, |_| {
                 [settings_frame(&[(1, 0)]), settings_frame(&[(1, 65_536)])]
                     .concat()
                     .repeat(20)
@@ -451,15 +464,15 @@
     for (name, reason) in reasons {
         assert_eq!(reason, ENHANCE_YOUR_CALM, "{name}");
     }
-    serves(address, &mut vm, 1);
-    // Rapid reset: each stream is opened and given up at once.
+    assert_served(address, &mut interpreter, 1);
+    // Rapid reset: each stream is reset as soon as it is opened.
     let mut txn = 100;
-    let reason = flood(address, none, |caller| {
+    let reason = flood(address, no_setup, |client| {
         txn += 1;
-        let id = caller.allocate_stream_id();
-        let asked = caller.encode_request(id, txn, None, b"x");
+        let id = client.allocate_stream_id();
+        let headers_and_data = client.encode_request(id, txn, None, b"x");
         [
-            asked,
+            headers_and_data,
             encode_frame(RST_STREAM, 0, id, &CANCEL.to_be_bytes()),
         ]
         .concat()
@@ -468,9 +481,9 @@
 }
 
 #[test]
-fn header_bombs_and_broken_frames_end_their_stream_or_connection_alone() {
-    let (_rig, mut vm, address) = start("broken", "");
-    let mut caller = Http2Client::connect(address);
+fn oversized_headers_and_malformed_frames_end_only_their_stream_or_connection() {
+    let (_rig, mut interpreter, address) = start("broken", "");
+    let mut client = Http2Client::connect(address);
     let large = "x".repeat(9000);
     let head = [
         (":method", "POST"),
@@ -478,153 +491,161 @@
         (":path", "/svc/look"),
         (":authority", "b"),
     ];
-    let id = caller.open_stream(&[&head[..], &[("x-large", &large)]].concat(), true);
+    let id = client.open_stream(&[&head[..], &[("x-large", &large)]].concat(), true);
     assert!(matches!(
-        caller.wait_for_outcome(id),
+        client.wait_for_outcome(id),
         StreamOutcome::Response(431, ..) | StreamOutcome::Reset(_)
     ));
-    let id = caller.send_request(1, None, b"x");
-    vm.read_apply();
-    vm.send_value(&task(1), "complete", b"y");
-    assert_eq!(caller.read_response(id).0, 200, "the connection stays");
-    let broken: [Vec<u8>; 5] = [
-        // A window that overflows.
+    let id = client.send_request(1, None, b"x");
+    interpreter.read_apply();
+    interpreter.send_value(&task_id(1), "complete", b"y");
+    assert_eq!(client.read_response(id).0, 200, "the connection stays");
+    let malformed: [Vec<u8>; 5] = [
+        // A window overflow.
         encode_frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
-        // A frame that is too long, a header block that makes no sense, data of no stream, a window of nothing.
+        // A frame beyond the maximum size, an invalid header block, DATA on an idle stream, a window increment of 0.
         encode_frame(DATA, 0, 1, &vec![0; 20_000]),
         encode_frame(HEADERS, END_HEADERS, 1, &[0xff; 40]),
         encode_frame(DATA, 0, 99, b"abc"),
         encode_frame(WINDOW_UPDATE, 0, 0, &[0; 4]),
     ];
-    for bytes in broken {
-        let mut caller = Http2Client::connect(address);
-        caller.send_raw(&bytes);
-        let (_, reason) = caller.read_until_closed().expect("a GOAWAY");
+    for bytes in malformed {
+        let mut client = Http2Client::connect(address);
+        client.send_raw(&bytes);
+        let (_, reason) = client.read_until_closed().expect("a GOAWAY");
         assert_ne!(reason, NO_ERROR, "{bytes:?}");
     }
-    serves(address, &mut vm, 2);
+    assert_served(address, &mut interpreter, 2);
 }
 
 #[test]
-fn a_drain_names_the_highest_id_then_the_last_one_and_answers_all_that_was_read() {
-    let (mut rig, mut vm, address) = start("drain", "");
-    let mut caller = Http2Client::connect(address);
-    let first = caller.send_request(1, Some("k1"), b"pay");
-    vm.read_apply();
-    caller.auto_reply = false;
-    rig.process.terminate();
-    assert_eq!(caller.wait_for_goaway(), Some((0x7fff_ffff, NO_ERROR)));
-    // What was on its way is read still, until the round trip is over.
-    let second = caller.send_request(2, Some("k2"), b"pay");
-    assert_eq!(vm.read_apply().0, task(2));
-    caller.auto_reply = true;
-    let ping = caller.read_frame().expect("a PING");
+fn drain_sends_goaway_with_highest_then_last_stream_id_and_answers_requests_read() {
+    let (mut server, mut interpreter, address) = start("drain", "");
+    let mut client = Http2Client::connect(address);
+    let first = client.send_request(1, Some("k1"), b"pay");
+    interpreter.read_apply();
+    client.auto_reply = false;
+    server.process.terminate();
+    assert_eq!(client.wait_for_goaway(), Some((0x7fff_ffff, NO_ERROR)));
+    // Requests already on their way are still accepted until the PING round trip is complete.
+    let second = client.send_request(2, Some("k2"), b"pay");
+    assert_eq!(interpreter.read_apply().0, task_id(2));
+    client.auto_reply = true;
+    let ping = client.read_frame().expect("a PING");
     assert_eq!((ping.kind, ping.flags), (PING, 0));
-    caller.send_raw(&encode_frame(PING, ACK, 0, &ping.payload));
-    assert_eq!(caller.wait_for_goaway(), Some((second, NO_ERROR)));
-    // Whoever ignores that gets nothing run.
-    let third = caller.send_request(3, Some("k3"), b"pay");
-    vm.send_value(&task(1), "complete", b"one");
-    vm.send_value(&task(2), "complete", b"two");
+    client.send_raw(&encode_frame(PING, ACK, 0, &ping.payload));
+    assert_eq!(client.wait_for_goaway(), Some((second, NO_ERROR)));
+    // A request sent after the second GOAWAY is not run.
+    let third = client.send_request(3, Some("k3"), b"pay");
+    interpreter.send_value(&task_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(2), "complete", b"two");
     assert_eq!(
         (
-            caller.read_response(first).2,
-            caller.read_response(second).2
+            client.read_response(first).2,
+            client.read_response(second).2
         ),
         (b"one".to_vec(), b"two".to_vec())
     );
     assert_eq!(
-        caller.wait_for_outcome(third),
+        client.wait_for_outcome(third),
         StreamOutcome::ConnectionClosed
     );
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
 #[test]
-fn a_drain_whose_round_trip_never_ends_is_bounded_and_refuses_what_follows() {
-    let (mut rig, mut vm, address) = start("no-pong", "<patience round-trip=\"100 ms\"/>");
-    let mut caller = Http2Client::connect(address);
-    let first = caller.send_request(1, None, b"x");
-    vm.read_apply();
-    caller.auto_reply = false;
-    rig.process.terminate();
-    assert_eq!(caller.wait_for_goaway(), Some((0x7fff_ffff, NO_ERROR)));
+fn drain_without_ping_ack_times_out_and_refuses_later_streams() {
+    let (mut server, mut interpreter, address) =
+        start("no-pong", "<patience round-trip=\"100 ms\"/>");
+    let mut client = Http2Client::connect(address);
+    let first = client.send_request(1, None, b"x");
+    interpreter.read_apply();
+    client.auto_reply = false;
+    server.process.terminate();
+    assert_eq!(client.wait_for_goaway(), Some((0x7fff_ffff, NO_ERROR)));
     std::thread::sleep(std::time::Duration::from_millis(700));
-    let second = caller.send_request(2, None, b"x");
+    let second = client.send_request(2, None, b"x");
     assert_eq!(
-        caller.wait_for_outcome(second),
+        client.wait_for_outcome(second),
         StreamOutcome::Reset(REFUSED_STREAM)
     );
-    vm.send_value(&task(1), "complete", b"one");
-    assert_eq!(caller.read_response(first).2, b"one");
-    // The last stream is told before the end.
+    interpreter.send_value(&task_id(1), "complete", b"one");
+    assert_eq!(client.read_response(first).2, b"one");
+    // The server sends the final GOAWAY before it closes the connection.
     assert_eq!(
-        caller.read_until_closed().map(|(_, reason)| reason),
+        client.read_until_closed().map(|(_, reason)| reason),
         Some(NO_ERROR)
     );
-    assert_eq!(rig.process.wait().code(), Some(0));
+    assert_eq!(server.process.wait().code(), Some(0));
 }
 
 #[test]
-fn a_thousand_stalled_streams_do_not_hold_the_stop_up() {
+fn stalled_streams_do_not_delay_shutdown() {
     let bounds = "<streams connection=\"1000\" all=\"1000\"/><patience stalled=\"60 s\"/>";
-    let (mut rig, mut vm, address) = start("stalled-stop", bounds);
-    let mut caller =
+    let (mut server, mut interpreter, address) = start("stalled-stop", bounds);
+    let mut client =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
     let ids: Vec<u32> = (1..200)
-        .map(|txn| caller.send_request(txn, None, b"x"))
+        .map(|txn| client.send_request(txn, None, b"x"))
         .collect();
-    // It serves for as long as there is a link.
+    // Completes each run at once for as long as the link is open.
     std::thread::spawn(move || loop {
-        let command = vm.read_command();
+        let command = interpreter.read_command();
         if command["verb"] == "APPLY" {
-            vm.send_value(command["task"].as_str().unwrap(), "complete", b"answer");
+            interpreter.send_value(command["task"].as_str().unwrap(), "complete", b"answer");
         }
     });
-    while caller.started_response_count() < ids.len() {
-        assert!(caller.process_frame(), "the connection ended");
+    while client.started_response_count() < ids.len() {
+        assert!(client.process_frame(), "the connection ended");
     }
-    rig.process.terminate();
-    // Their deadline lies far behind the stop; whoever waited for it would never end here.
-    let told = Instant::now();
-    while rig.process.0.try_wait().unwrap().is_none() {
-        assert!(told.elapsed() < EVENT_TIMEOUT, "it does not leave");
+    server.process.terminate();
+    // The stall timeout of the streams is much longer than `EVENT_TIMEOUT`: a server that waited for it would fail here.
+    let terminated_at = Instant::now();
+    while server.process.0.try_wait().unwrap().is_none() {
+        assert!(
+            terminated_at.elapsed() < EVENT_TIMEOUT,
+            "the server does not exit"
+        );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
-    assert_eq!(rig.process.wait().code(), Some(0));
-    // They were let go of before the end: whoever still listens is told so on each stream.
+    assert_eq!(server.process.wait().code(), Some(0));
+    // The streams were ended before the connection: a client that still reads receives the outcome of each.
     assert!(ids
         .iter()
-        .all(|id| caller.wait_for_outcome(*id) != StreamOutcome::ConnectionClosed));
+        .all(|id| client.wait_for_outcome(*id) != StreamOutcome::ConnectionClosed));
 }
 
 #[test]
-fn a_flood_on_one_front_starves_no_other() {
-    let (rig, mut vm, address) = start("fair", "<streams connection=\"1000\" all=\"1000\"/>");
-    let mut caller = Http2Client::connect(address);
+fn http2_flood_does_not_starve_http1_requests() {
+    let (server, mut interpreter, address) =
+        start("fair", "<streams connection=\"1000\" all=\"1000\"/>");
+    let mut client = Http2Client::connect(address);
     let mut bytes = Vec::new();
     for txn in 1000..1600 {
-        let id = caller.allocate_stream_id();
-        bytes.extend(caller.encode_request(id, txn, None, b"flood"));
+        let id = client.allocate_stream_id();
+        bytes.extend(client.encode_request(id, txn, None, b"flood"));
     }
-    caller.send_raw(&bytes);
-    let mut client = rig.connect_client();
-    client.send(&request(1, Some("k1"), b"pay"));
-    // The capture is worth more and is taken in among the first, so it runs long before the flood has.
-    let mut before = 0;
+    client.send_raw(&bytes);
+    let mut http1_client = server.connect_client();
+    http1_client.send(&request(1, Some("k1"), b"pay"));
+    // The `pay` request has a higher value and is admitted among the first, so it runs long before the flood is done.
+    let mut started_before = 0;
     loop {
-        let command = vm.read_command();
+        let command = interpreter.read_command();
         if command["verb"] != "APPLY" {
             continue;
         }
-        let name = command["task"].as_str().unwrap().to_string();
-        if name == task(1) {
-            vm.send_value(&name, "complete", b"done");
+        let started = command["task"].as_str().unwrap().to_string();
+        if started == task_id(1) {
+            interpreter.send_value(&started, "complete", b"done");
             break;
         }
-        before += 1;
-        vm.send_value(&name, "complete", b"x");
+        started_before += 1;
+        interpreter.send_value(&started, "complete", b"x");
     }
-    assert!(before < 300, "{before} of the flood ran first");
-    assert_eq!(client.read_response().2, b"done");
+    assert!(
+        started_before < 300,
+        "{started_before} requests of the flood ran first"
+    );
+    assert_eq!(http1_client.read_response().2, b"done");
 }
