--- a/crates/heathspurd/tests/common/mod.rs
+++ b/crates/heathspurd/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Peers that are not there at first: they refuse connections, or take none.
-// Each test program uses its own part.
+//! Listeners of peers that are unavailable at first: they refuse connections, or leave them unaccepted.
+// Each test binary uses only some of these items.
 #![allow(dead_code)]
 
 use heathspur_testkit::prelude::*;
@@ -10,55 +10,69 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An address that refuses connections until it is [`up`]; nobody else gets it meanwhile.
-pub fn refusing() -> TcpListener {
+/// Binds a loopback address that refuses connections until [`start_listening`] is called. The bound socket reserves the
+/// address meanwhile.
+pub fn bind_refusing() -> TcpListener {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     rustix::net::bind(&socket, &SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap();
     TcpListener::from(socket)
 }
 
-/// Listens from now on.
-pub fn up(listener: TcpListener) -> TcpListener {
+/// Makes a listener from [`bind_refusing`] accept connections.
+pub fn start_listening(listener: TcpListener) -> TcpListener {
     rustix::net::listen(&listener, 64).unwrap();
     listener
 }
 
-/// Longer than a dial was once waited for; its packet is sent again after about each second.
-pub const SLOW: Duration = Duration::from_millis(1500);
+/// Time for which a connect attempt is kept pending. Longer than the server's former connect timeout; the kernel resends
+/// the SYN about every second.
+pub const SLOW_CONNECT: Duration = Duration::from_millis(1500);
 
-/// A listener that takes no connection for now: its queue is full, so the system drops packets of a dial.
-pub struct Full {
+/// A listener that accepts no connection for now: its accept queue is full, so the kernel drops the SYN packets of
+/// connect attempts.
+pub struct FullAcceptQueue {
     pub listener: TcpListener,
-    _first: TcpStream,
+    _queued: TcpStream,
 }
 
-impl Full {
-    pub fn new() -> Full {
+impl FullAcceptQueue {
+    pub fn new() -> FullAcceptQueue {
         let listener = bind_loopback();
         rustix::net::listen(&listener, 0).unwrap();
-        let _first = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        Full { listener, _first }
+        let _queued = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        FullAcceptQueue { listener, _queued }
     }
 
     fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits until one and the same dial has stood for `SLOW`, and makes room for one connection then.
-    pub fn let_in(self) -> TcpListener {
-        let (start, mut dials) = (Instant::now(), HashMap::new());
+    /// Waits until one connect attempt has been pending for `SLOW_CONNECT`, then accepts the queued connection to free
+    /// space for one more.
+    ///
+    /// # Panics
+    ///
+    /// Panics if no attempt stays pending that long within `EVENT_TIMEOUT`.
+    pub fn unblock_after_slow_connect(self) -> TcpListener {
+        let (start, mut attempts) = (Instant::now(), HashMap::new());
         loop {
-            assert!(start.elapsed() < EVENT_TIMEOUT, "no dial stood so long");
-            let open: Vec<_> = procfs::net::tcp().unwrap();
-            let open = open
+            assert!(
+                start.elapsed() < EVENT_TIMEOUT,
+                "no connect attempt stayed pending for {SLOW_CONNECT:?}"
+            );
+            let sockets: Vec<_> = procfs::net::tcp().unwrap();
+            let pending = sockets
                 .iter()
                 .filter(|c| c.state == TcpState::SynSent && c.remote_address == self.address());
-            let open: Vec<_> = open.map(|c| c.inode).collect();
-            dials.retain(|dial, _| open.contains(dial));
-            for dial in open {
-                dials.entry(dial).or_insert_with(Instant::now);
+            let pending: Vec<_> = pending.map(|c| c.inode).collect();
+            attempts.retain(|inode, _| pending.contains(inode));
+            for inode in pending {
+                attempts.entry(inode).or_insert_with(Instant::now);
             }
-            if dials.values().any(|since| since.elapsed() >= SLOW) {
+            if attempts
+                .values()
+                .any(|since| since.elapsed() >= SLOW_CONNECT)
+            {
                 break;
             }
             thread::sleep(Duration::from_millis(5));
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -1,9 +1,10 @@
-//! Clients that rest fill the descriptors while the announce service is down: links, reports, calls and new work get
-//! theirs all the same, whoever rests leaves, and all comes back once they are gone.
+//! Test of file descriptor exhaustion: idle clients fill the connection pool while the registration service is down.
+//! Peer links, reports, calls and new requests must still get descriptors, idle clients must be evicted, and the server
+//! must return to its baseline once they are gone.
 
 mod common;
 
-use common::{refusing, up};
+use common::{bind_refusing, start_listening};
 use heathspur_testkit::prelude::*;
 use procfs::process::Process;
 use serde_json::json;
@@ -12,124 +13,144 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors of the server, and the connections that it then takes and keeps free.
-const SOCKETS: usize = 64;
-const POOL: usize = 36;
-const FREE: usize = 9;
-/// Failures to report that are logged before the service comes up.
-const FAILURES: usize = 6;
+/// File descriptor limit of the server.
+const DESCRIPTOR_LIMIT: usize = 64;
+/// Size of the connection pool that follows from `DESCRIPTOR_LIMIT`.
+const POOL_SIZE: usize = 36;
+/// Part of the pool that is reserved for new connections.
+const RESERVED_CONNECTIONS: usize = 9;
+/// Failed reports that are logged before the registration service becomes available.
+const FAILED_REPORTS: usize = 6;
 
-/// Waits for what must come; what never comes fails the test.
-fn until(what: &str, mut test: impl FnMut() -> bool) {
+/// Waits until the condition holds.
+///
+/// # Panics
+///
+/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !test() {
-        assert!(start.elapsed() < EVENT_TIMEOUT, "never came: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "timed out waiting until {description}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn descriptors(rig: &ServerFixture) -> usize {
-    Process::new(rig.process.0.id() as i32)
+/// Returns the number of open file descriptors of the server process.
+fn descriptor_count(server: &ServerFixture) -> usize {
+    Process::new(server.process.0.id() as i32)
         .unwrap()
         .fd_count()
         .unwrap()
 }
 
-/// So many more that rest: with nothing said, with half a line, or behind an answer.
-fn rest(rig: &ServerFixture, crowd: &mut Vec<TcpStream>, count: usize) {
-    let words = [
+/// Opens `count` more idle connections: in turn without any bytes sent, after part of a request line, and after an
+/// answered health check.
+fn open_idle_connections(server: &ServerFixture, connections: &mut Vec<TcpStream>, count: usize) {
+    let prefixes = [
         &b""[..],
         b"POST /svc/lo",
         b"GET /status/live HTTP/1.1\r\n\r\n",
     ];
-    for words in words.into_iter().cycle().take(count) {
-        let mut stream = TcpStream::connect(rig.address).unwrap();
-        // It may have been asked to leave already.
-        let _ = stream.write_all(words);
+    for bytes in prefixes.into_iter().cycle().take(count) {
+        let mut stream = TcpStream::connect(server.address).unwrap();
+        // The server may have evicted the connection already.
+        let _ = stream.write_all(bytes);
         stream.set_nonblocking(true).unwrap();
-        crowd.push(stream);
+        connections.push(stream);
     }
 }
 
-/// How many of them the server has ended.
-fn left(crowd: &mut [TcpStream]) -> usize {
-    let rests = |stream: &mut TcpStream| loop {
+/// Returns the number of these connections that the server has closed.
+fn closed_count(connections: &mut [TcpStream]) -> usize {
+    let is_open = |stream: &mut TcpStream| loop {
         match stream.read(&mut [0; 512]) {
             Ok(n) if n > 0 => {}
             Err(e) => return e.kind() == ErrorKind::WouldBlock,
             Ok(_) => return false,
         }
     };
-    crowd
+    connections
         .iter_mut()
-        .filter_map(|stream| (!rests(stream)).then_some(()))
+        .filter_map(|stream| (!is_open(stream)).then_some(()))
         .count()
 }
 
-/// Work on a new connection is served, with its call below, and no descriptor too many is held.
-fn serves_with_a_call(rig: &ServerFixture, vm: &mut MockInterpreter, txn: u64) {
-    let (mut client, task) = (rig.connect_client(), format!("{txn:016x}"));
-    client.send(&request(txn, Some(&task), b"abc"));
-    assert_eq!(vm.read_apply().0, task);
-    vm.send_await(&task, b"ask");
-    let mut store = MockStore::accept(rig);
-    assert_eq!(store.read_call().0, task);
+/// Checks that a request on a new connection is served, including its call to the store, and that the server stays within
+/// its descriptor limit.
+fn assert_request_with_call_is_served(
+    server: &ServerFixture,
+    interpreter: &mut MockInterpreter,
+    txn: u64,
+) {
+    let (mut client, task_id) = (server.connect_client(), format!("{txn:016x}"));
+    client.send(&request(txn, Some(&task_id), b"abc"));
+    assert_eq!(interpreter.read_apply().0, task_id);
+    interpreter.send_await(&task_id, b"ask");
+    let mut store = MockStore::accept(server);
+    assert_eq!(store.read_call().0, task_id);
     store.send_ok(txn, "fine");
-    assert_eq!(vm.read_command()["verb"], "RESOLVE");
-    vm.send_value(&task, "complete", b"done");
+    assert_eq!(interpreter.read_command()["verb"], "RESOLVE");
+    interpreter.send_value(&task_id, "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
     assert!(
-        descriptors(rig) <= SOCKETS,
+        descriptor_count(server) <= DESCRIPTOR_LIMIT,
         "{} descriptors",
-        descriptors(rig)
+        descriptor_count(server)
     );
 }
 
 #[test]
-fn who_rests_while_discovery_is_down_keeps_no_descriptor_from_links_reports_calls_and_new_work() {
-    let service = refusing();
-    let rig = ServerFixture::start_with_config(|config| {
-        config["limits"]["sockets"] = json!(SOCKETS);
-        config["announce"] = json!(service.local_addr().unwrap());
+fn idle_connections_during_registration_outage_do_not_exhaust_descriptors() {
+    let registration = bind_refusing();
+    let server = ServerFixture::start_with_config(|config| {
+        config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT);
+        config["announce"] = json!(registration.local_addr().unwrap());
     });
-    let mut vm = rig.accept_link();
-    serves_with_a_call(&rig, &mut vm, 1);
-    let (before, mut crowd) = (descriptors(&rig), Vec::new());
-    // To half of the limit, which balancers may take, and far beyond.
-    for (count, txn) in [(SOCKETS / 2, 2), (2 * SOCKETS, 4)] {
-        rest(&rig, &mut crowd, count);
-        until("the table is full", || {
-            descriptors(&rig) >= before + POOL - 2 * FREE
+    let mut interpreter = server.accept_link();
+    assert_request_with_call_is_served(&server, &mut interpreter, 1);
+    let (baseline, mut idle) = (descriptor_count(&server), Vec::new());
+    // First half of the descriptor limit, as load balancers may use, then far more.
+    for (count, txn) in [(DESCRIPTOR_LIMIT / 2, 2), (2 * DESCRIPTOR_LIMIT, 4)] {
+        open_idle_connections(&server, &mut idle, count);
+        wait_until("the connection pool is nearly full", || {
+            descriptor_count(&server) >= baseline + POOL_SIZE - 2 * RESERVED_CONNECTIONS
         });
-        serves_with_a_call(&rig, &mut vm, txn);
-        // The interpreter's link breaks and is made again meanwhile.
-        drop(vm);
-        vm = rig.accept_link();
-        serves_with_a_call(&rig, &mut vm, txn + 1);
+        assert_request_with_call_is_served(&server, &mut interpreter, txn);
+        // The interpreter's link breaks and is re-established meanwhile.
+        drop(interpreter);
+        interpreter = server.accept_link();
+        assert_request_with_call_is_served(&server, &mut interpreter, txn + 1);
     }
-    until("most of the crowd have left", || {
-        left(&mut crowd) >= crowd.len() - POOL
+    wait_until("most idle connections are closed", || {
+        closed_count(&mut idle) >= idle.len() - POOL_SIZE
     });
-    let _: Vec<_> = rig.log_lines.try_iter().collect();
-    for _ in 0..FAILURES {
-        rig.wait_for_log("cannot report readiness to the registration service at ");
+    let _: Vec<_> = server.log_lines.try_iter().collect();
+    for _ in 0..FAILED_REPORTS {
+        server.wait_for_log("cannot report readiness to the registration service at ");
     }
-    rest(&rig, &mut crowd, SOCKETS);
-    let reports = mock_registration(up(service));
+    open_idle_connections(&server, &mut idle, DESCRIPTOR_LIMIT);
+    let reports = mock_registration(start_listening(registration));
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
-    serves_with_a_call(&rig, &mut vm, 6);
-    drop(crowd);
-    // One more than before: reports have a connection now.
-    until("descriptors as before", || descriptors(&rig) <= before + 1);
-    let mut fresh: Vec<Http1Client> = (0..POOL - FREE).map(|_| rig.connect_client()).collect();
-    for client in &mut fresh {
+    assert_request_with_call_is_served(&server, &mut interpreter, 6);
+    drop(idle);
+    // One more than the baseline: the reports now have a connection.
+    wait_until("the descriptor count is back at its baseline", || {
+        descriptor_count(&server) <= baseline + 1
+    });
+    let mut clients: Vec<Http1Client> = (0..POOL_SIZE - RESERVED_CONNECTIONS)
+        .map(|_| server.connect_client())
+        .collect();
+    for client in &mut clients {
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         assert_eq!(client.read_response().0, 200);
     }
-    serves_with_a_call(&rig, &mut vm, 7);
+    assert_request_with_call_is_served(&server, &mut interpreter, 7);
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -1,9 +1,9 @@
-//! Peers that are slow, silent, or answer out of order: the announce service, the interpreter and the store
-//! as scripted stand-ins.
+//! Tests against peers that are slow, silent, or respond out of order: the registration service, the interpreter and the
+//! store are scripted mocks.
 
 mod common;
 
-use common::{Full, SLOW};
+use common::{FullAcceptQueue, SLOW_CONNECT};
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -11,25 +11,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between reports.
-const PERIOD: Duration = Duration::from_millis(800);
+/// Time between two reports.
+const REPORT_PERIOD: Duration = Duration::from_millis(800);
 
-/// The announce service's end of a connection.
-struct Announce(BufReader<TcpStream>);
+/// The registration service's end of a connection.
+struct RegistrationConnection(BufReader<TcpStream>);
 
-impl Announce {
-    /// The next connection that a report comes on, and the report.
-    fn accept(listener: &TcpListener) -> (Announce, String) {
+impl RegistrationConnection {
+    /// Accepts connections until one carries a report, and returns both.
+    fn accept(listener: &TcpListener) -> (RegistrationConnection, String) {
         loop {
-            let mut connection = Announce(BufReader::new(accept(listener)));
-            if let Some(report) = connection.next() {
+            let mut connection = RegistrationConnection(BufReader::new(accept(listener)));
+            if let Some(report) = connection.next_report() {
                 return (connection, report);
             }
         }
     }
 
-    /// The next report on it; none once the server has closed it.
-    fn next(&mut self) -> Option<String> {
+    /// Returns the `accepting` value of the next report, or `None` once the server has closed the connection.
+    fn next_report(&mut self) -> Option<String> {
         let mut line = String::new();
         let mut length = 0;
         while line != "\r\n" {
@@ -45,17 +45,18 @@
         Some(body["accepting"].as_str().unwrap().to_string())
     }
 
-    /// Nothing if the server has gone meanwhile.
-    fn answer(&mut self, status: &str) -> Option<()> {
+    /// Sends an empty response with this status. Returns `None` if the connection is broken.
+    fn respond(&mut self, status: &str) -> Option<()> {
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n");
         self.0.get_mut().write_all(text.as_bytes()).ok()
     }
 
-    fn taken(&mut self) -> Option<()> {
-        self.answer("204 No Content")
+    /// Accepts the last report. Returns `None` if the connection is broken.
+    fn accept_report(&mut self) -> Option<()> {
+        self.respond("204 No Content")
     }
 
-    /// Something if the server still holds it, with nothing written.
+    /// Returns `Some` if the connection is open and the server has sent nothing more on it.
     fn is_open(&mut self) -> Option<()> {
         self.0.get_ref().set_nonblocking(true).unwrap();
         let read = self.0.get_ref().peek(&mut [0]);
@@ -64,274 +65,280 @@
     }
 }
 
-fn at(listener: &TcpListener) -> Value {
+fn address_json(listener: &TcpListener) -> Value {
     json!(listener.local_addr().unwrap())
 }
 
-/// A server that reports to this listener, linked to its interpreter.
-fn reporting_to(listener: &TcpListener) -> (ServerFixture, MockInterpreter) {
-    let rig = ServerFixture::start_with_config(|c| {
-        c["announce"] = at(listener);
+/// Starts a server that reports to this listener, and accepts its link to the interpreter.
+fn start_reporting_to(listener: &TcpListener) -> (ServerFixture, MockInterpreter) {
+    let server = ServerFixture::start_with_config(|c| {
+        c["announce"] = address_json(listener);
         c["stop_ms"] = json!(30_000);
     });
-    let vm = rig.accept_link();
-    (rig, vm)
+    let interpreter = server.accept_link();
+    (server, interpreter)
 }
 
-/// The server waits by its own clock, which a machine that stands still for seconds uses up; a try that this
-/// spoilt is made again. What fails without a standstill fails each time.
-fn in_one_of_five(attempt: impl Fn() -> Option<()>) {
-    let tries = (1..=5)
+/// Runs a test up to five times, until it returns `Some`. The server measures its timeouts in real time, which a
+/// machine that stalls for seconds uses up; such an attempt is repeated. A failure that needs no stall occurs each time.
+fn assert_passes_in_five_attempts(attempt: impl Fn() -> Option<()>) {
+    let attempts = (1..=5)
         .find(|_| attempt().is_some())
-        .expect("it failed each time");
-    println!("tries: {tries}");
+        .expect("each attempt failed");
+    println!("attempts: {attempts}");
 }
 
 #[test]
-fn a_service_that_is_slow_to_take_connections_is_reported_to() {
-    let service = Full::new();
-    let (_rig, _vm) = reporting_to(&service.listener);
-    assert_eq!(Announce::accept(&service.let_in()).1, "true");
+fn registration_service_slow_to_accept_receives_report() {
+    let service = FullAcceptQueue::new();
+    let (_server, _interpreter) = start_reporting_to(&service.listener);
+    assert_eq!(
+        RegistrationConnection::accept(&service.unblock_after_slow_connect()).1,
+        "true"
+    );
 }
 
 #[test]
-fn a_report_that_is_answered_late_keeps_its_connection_while_another_one_is_tried() {
-    in_one_of_five(|| {
+fn late_report_response_keeps_connection_while_another_is_tried() {
+    assert_passes_in_five_attempts(|| {
         let service = bind_loopback();
-        let (_rig, _vm) = reporting_to(&service);
-        let mut slow = Announce::accept(&service).0;
-        // Nothing is heard of the first, so another connection tells; the first is not broken off for it.
-        let (_other, _) = Announce::accept(&service);
+        let (_server, _interpreter) = start_reporting_to(&service);
+        let mut slow = RegistrationConnection::accept(&service).0;
+        // Without a response to the first report, the server reports on another connection and keeps the first open.
+        let (_other, _) = RegistrationConnection::accept(&service);
         slow.is_open()?;
-        slow.taken()?;
-        // It counts, and the connection is kept.
-        slow.next().map(|_| ())
+        slow.accept_report()?;
+        // The late response is accepted, and the connection stays in use.
+        slow.next_report().map(|_| ())
     });
 }
 
 #[test]
-fn a_drain_is_told_again_after_an_older_report_has_ended() {
-    in_one_of_five(|| {
+fn drain_is_reported_again_after_older_report_completes() {
+    assert_passes_in_five_attempts(|| {
         let service = bind_loopback();
-        let (rig, mut vm) = reporting_to(&service);
-        let mut slow = Announce::accept(&service).0;
-        // What runs keeps the server from leaving at once.
-        let mut client = rig.connect_client();
+        let (server, mut interpreter) = start_reporting_to(&service);
+        let mut slow = RegistrationConnection::accept(&service).0;
+        // A request in flight delays the exit of the server.
+        let mut client = server.connect_client();
         client.send(&request(1, None, b"abc"));
-        vm.read_apply();
-        rig.process.terminate();
-        let (mut other, mut told) = Announce::accept(&service);
-        while told != "false" {
-            other.taken()?;
-            told = other.next()?;
+        interpreter.read_apply();
+        server.process.terminate();
+        let (mut other, mut accepting) = RegistrationConnection::accept(&service);
+        while accepting != "false" {
+            other.accept_report()?;
+            accepting = other.next_report()?;
         }
-        // The service may have taken the later report first: then the older one has the last word.
+        // The service may have processed the later report first; the older one then determines its state.
         slow.is_open()?;
-        other.taken()?;
-        slow.taken()?;
-        // Whichever connection it comes on, the other one is closed.
-        let again = thread::spawn(move || slow.next());
-        let heard = [other.next(), again.join().unwrap()];
-        assert!(!heard.contains(&Some("true".to_string())), "{heard:?}");
-        heard.contains(&Some("false".to_string())).then_some(())
+        other.accept_report()?;
+        slow.accept_report()?;
+        // The report may come on either connection; the other one is closed.
+        let slow_report = thread::spawn(move || slow.next_report());
+        let reports = [other.next_report(), slow_report.join().unwrap()];
+        assert!(!reports.contains(&Some("true".to_string())), "{reports:?}");
+        reports.contains(&Some("false".to_string())).then_some(())
     });
 }
 
 #[test]
-fn a_change_there_and_back_is_told_once_an_older_report_has_ended() {
-    in_one_of_five(|| {
+fn reverted_readiness_change_is_reported_once_older_report_completes() {
+    assert_passes_in_five_attempts(|| {
         let service = bind_loopback();
-        let rig = ServerFixture::start_with_config(|c| {
-            c["announce"] = at(&service);
-            // So few that one request counts as stalled when it doesn't end.
+        let server = ServerFixture::start_with_config(|c| {
+            c["announce"] = address_json(&service);
+            // So few that a single request that does not end counts as stalled.
             c["settings"]["family-info"]["n-cores"] = json!(2);
         });
-        let mut vm = rig.accept_link();
-        let mut slow = Announce::accept(&service).0;
-        let mut client = rig.connect_client();
+        let mut interpreter = server.accept_link();
+        let mut slow = RegistrationConnection::accept(&service).0;
+        let mut client = server.connect_client();
         client.send(&request(1, None, b"abc"));
-        let (task, _, _) = vm.read_apply();
-        slow.taken()?;
-        (slow.next()? == "true").then_some(())?;
-        // It is held while the server is not ready, and is again.
-        rig.wait_for_log("work has stalled");
-        vm.send_value(&task, "complete", b"one");
-        rig.wait_for_log("work has resumed");
-        // However the request fared.
+        let (task_id, _, _) = interpreter.read_apply();
+        slow.accept_report()?;
+        (slow.next_report()? == "true").then_some(())?;
+        // This report stays unanswered while the server becomes not ready and then ready again.
+        server.wait_for_log("work has stalled");
+        interpreter.send_value(&task_id, "complete", b"one");
+        server.wait_for_log("work has resumed");
+        // The outcome of the request does not matter.
         client.read_response();
-        // The reports hear of the change in a turn of their own: before this answer at the latest.
+        // The reporting task processes the change asynchronously, at the latest before this response.
         client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(client.read_response().0, 200);
         slow.is_open()?;
-        let answered = Instant::now();
-        slow.taken()?;
-        // It was sent before the changes: what holds is told at once, not with the next period.
-        (slow.next()? == "true" && answered.elapsed() < PERIOD / 2).then_some(())
+        let responded_at = Instant::now();
+        slow.accept_report()?;
+        // The report predates the changes, so the current state is reported at once, not after the next period.
+        (slow.next_report()? == "true" && responded_at.elapsed() < REPORT_PERIOD / 2).then_some(())
     });
 }
 
 #[test]
-fn a_report_that_was_not_taken_is_made_again_on_its_connection() {
-    in_one_of_five(|| {
+fn failed_report_is_retried_on_same_connection() {
+    assert_passes_in_five_attempts(|| {
         let service = bind_loopback();
-        let (_rig, _vm) = reporting_to(&service);
-        let mut connection = Announce::accept(&service).0;
+        let (_server, _interpreter) = start_reporting_to(&service);
+        let mut connection = RegistrationConnection::accept(&service).0;
         for _ in 0..3 {
-            connection.answer("500 Internal Server Error")?;
-            connection.next()?;
+            connection.respond("500 Internal Server Error")?;
+            connection.next_report()?;
         }
         Some(())
     });
 }
 
 #[test]
-fn a_second_answer_to_one_report_does_not_count_for_the_next() {
+fn extra_response_is_not_matched_to_next_report() {
     let service = bind_loopback();
-    let (_rig, _vm) = reporting_to(&service);
-    let (mut connection, _) = Announce::accept(&service);
-    let twice = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
-    let _ = connection.0.get_mut().write_all(twice);
-    // It can't be told whose answers come on it, so the next report has a connection of its own.
-    assert_eq!(connection.next(), None);
-    assert_eq!(Announce::accept(&service).1, "true");
+    let (_server, _interpreter) = start_reporting_to(&service);
+    let (mut connection, _) = RegistrationConnection::accept(&service);
+    let two_responses = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
+    let _ = connection.0.get_mut().write_all(two_responses);
+    // Responses on this connection can no longer be matched to reports, so the next report uses a new one.
+    assert_eq!(connection.next_report(), None);
+    assert_eq!(RegistrationConnection::accept(&service).1, "true");
 }
 
 #[test]
-fn a_service_that_closes_each_connection_at_once_is_not_stormed() {
+fn reconnects_are_delayed_when_registration_service_closes_each_connection() {
     let service = bind_loopback();
-    let (_rig, _vm) = reporting_to(&service);
-    let began = Instant::now();
+    let (_server, _interpreter) = start_reporting_to(&service);
+    let start = Instant::now();
     for _ in 0..11 {
         drop(accept(&service));
     }
-    // A tenth of a second lies between one failure and the next dial.
+    // The server waits a tenth of a second between a failure and the next connect attempt.
     assert!(
-        began.elapsed() > Duration::from_millis(500),
+        start.elapsed() > Duration::from_millis(500),
         "{:?}",
-        began.elapsed()
+        start.elapsed()
     );
 }
 
-/// The call that comes next: its id and the milliseconds it is waited for.
-fn call(stream: &mut BufReader<TcpStream>) -> (String, u64) {
+/// Reads the next call and returns its id and its timeout in milliseconds.
+fn read_call(stream: &mut BufReader<TcpStream>) -> (String, u64) {
     let mut line = String::new();
     stream.read_line(&mut line).unwrap();
-    let words: Vec<_> = line.split_whitespace().collect();
-    assert_eq!(words[0], "CALL", "{line}");
-    let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
+    let fields: Vec<_> = line.split_whitespace().collect();
+    assert_eq!(fields[0], "CALL", "{line}");
+    let mut body = vec![0; fields[3].parse::<usize>().unwrap() + 2];
     stream.read_exact(&mut body).unwrap();
-    (words[1].to_string(), words[2].parse().unwrap())
+    (fields[1].to_string(), fields[2].parse().unwrap())
 }
 
 #[test]
-fn a_store_that_is_slow_to_take_connections_is_called() {
-    let store = Full::new();
-    let mut rig = ServerFixture::start_with_config(|c| c["store"] = at(&store.listener));
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+fn store_slow_to_accept_is_called_with_remaining_timeout() {
+    let store = FullAcceptQueue::new();
+    let mut server =
+        ServerFixture::start_with_config(|c| c["store"] = address_json(&store.listener));
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    let (task, _, _) = vm.read_apply();
-    let asked = Instant::now();
-    vm.send_await(&task, b"ask");
-    rig.store_listener = store.let_in();
-    let mut stream = BufReader::new(accept(&rig.store_listener));
-    let (id, limit) = call(&mut stream);
-    // The longest patience is 15 s, and what the dial took is gone of it.
+    let (task_id, _, _) = interpreter.read_apply();
+    let call_requested_at = Instant::now();
+    interpreter.send_await(&task_id, b"ask");
+    server.store_listener = store.unblock_after_slow_connect();
+    let mut stream = BufReader::new(accept(&server.store_listener));
+    let (id, timeout_ms) = read_call(&mut stream);
+    // The longest call timeout is 15 s, and the time spent connecting is deducted from it.
     assert!(
-        Duration::from_millis(limit) + SLOW <= Duration::from_secs(15),
-        "{limit}"
+        Duration::from_millis(timeout_ms) + SLOW_CONNECT <= Duration::from_secs(15),
+        "{timeout_ms}"
     );
-    assert!(asked.elapsed() > SLOW);
+    assert!(call_requested_at.elapsed() > SLOW_CONNECT);
     stream
         .get_mut()
         .write_all(format!("{id} OK 2\r\nok\r\n").as_bytes())
         .unwrap();
-    assert_eq!(vm.read_command()["verb"], "RESOLVE");
-    vm.send_value(&task, "complete", b"one");
+    assert_eq!(interpreter.read_command()["verb"], "RESOLVE");
+    interpreter.send_value(&task_id, "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
-fn an_interpreter_that_is_slow_to_take_connections_is_linked_to() {
-    let interpreter = Full::new();
-    let mut rig = ServerFixture::start_with_config(|c| c["vm"] = at(&interpreter.listener));
-    rig.interpreter_listener = interpreter.let_in();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+fn interpreter_slow_to_accept_is_linked() {
+    let interpreter_queue = FullAcceptQueue::new();
+    let mut server =
+        ServerFixture::start_with_config(|c| c["vm"] = address_json(&interpreter_queue.listener));
+    server.interpreter_listener = interpreter_queue.unblock_after_slow_connect();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(vm.read_apply().2, b"abc");
+    assert_eq!(interpreter.read_apply().2, b"abc");
 }
 
 #[test]
-fn it_is_ready_in_time_with_slow_peers_and_no_store() {
-    in_one_of_five(|| {
-        let (interpreter, service) = (Full::new(), Full::new());
-        let nobody = bind_loopback().local_addr().unwrap();
-        let began = Instant::now();
-        let mut rig = ServerFixture::start_with_config(|c| {
-            c["vm"] = at(&interpreter.listener);
-            c["announce"] = at(&service.listener);
-            c["store"] = json!(nobody);
+fn server_is_ready_in_time_with_slow_peers_and_no_store() {
+    assert_passes_in_five_attempts(|| {
+        let (interpreter_queue, service) = (FullAcceptQueue::new(), FullAcceptQueue::new());
+        let refused_address = bind_loopback().local_addr().unwrap();
+        let start = Instant::now();
+        let mut server = ServerFixture::start_with_config(|c| {
+            c["vm"] = address_json(&interpreter_queue.listener);
+            c["announce"] = address_json(&service.listener);
+            c["store"] = json!(refused_address);
         });
-        rig.interpreter_listener = interpreter.let_in();
-        let _vm = rig.accept_link();
-        let (mut connection, told) = Announce::accept(&service.let_in());
-        assert_eq!(told, "true");
-        connection.taken()?;
-        let mut check = rig.connect_client();
-        check.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(check.read_response().0, 200);
-        (began.elapsed() < Duration::from_secs(10)).then_some(())
+        server.interpreter_listener = interpreter_queue.unblock_after_slow_connect();
+        let _interpreter = server.accept_link();
+        let (mut connection, accepting) =
+            RegistrationConnection::accept(&service.unblock_after_slow_connect());
+        assert_eq!(accepting, "true");
+        connection.accept_report()?;
+        let mut health_client = server.connect_client();
+        health_client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
+        assert_eq!(health_client.read_response().0, 200);
+        (start.elapsed() < Duration::from_secs(10)).then_some(())
     });
 }
 
 #[test]
-fn a_notice_whose_request_cannot_be_read_comes_again_on_the_next_link() {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+fn notice_with_invalid_task_id_is_resent_on_next_link() {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    let (task, _, _) = vm.read_apply();
-    vm.send_value("9b1f", "complete", b"one");
-    let mut vm = rig.accept_link();
-    assert_eq!(vm.resume_index, 0);
-    vm.send_value(&task, "complete", b"one");
+    let (task_id, _, _) = interpreter.read_apply();
+    interpreter.send_value("9b1f", "complete", b"one");
+    let mut interpreter = server.accept_link();
+    assert_eq!(interpreter.resume_index, 0);
+    interpreter.send_value(&task_id, "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
-/// A server whose one keyed request was told on a link that broke. The interpreter is slow: on the new link
-/// its gauges do not come in the time that they are waited for, nor does what was missed before them.
-fn late_link() -> (ServerFixture, MockInterpreter, Http1Client, Value) {
-    let rig = ServerFixture::start();
-    let mut vm = rig.accept_link();
-    let mut client = rig.connect_client();
+/// Starts a server whose only request, a keyed one, was sent on a link that broke. The interpreter is slow: on the new
+/// link neither the missed notices nor the gauges that follow them arrive within the server's timeout.
+fn start_with_late_gauges() -> (ServerFixture, MockInterpreter, Http1Client, Value) {
+    let server = ServerFixture::start();
+    let mut interpreter = server.accept_link();
+    let mut client = server.connect_client();
     client.send(&request(1, Some("k"), b"abc"));
-    vm.read_apply();
-    drop(vm);
-    let mut vm = rig.accept_link();
-    assert_eq!(vm.read_any_command()["verb"], "TOP");
-    // Timers ask again once the first question is no longer waited for.
-    let next = vm.read_any_command();
-    assert_eq!(next["verb"], "TOP", "{next}");
-    (rig, vm, client, next["nonce"].clone())
+    interpreter.read_apply();
+    drop(interpreter);
+    let mut interpreter = server.accept_link();
+    assert_eq!(interpreter.read_any_command()["verb"], "TOP");
+    // The server queries again by its timer once the first query has timed out.
+    let second_query = interpreter.read_any_command();
+    assert_eq!(second_query["verb"], "TOP", "{second_query}");
+    (server, interpreter, client, second_query["nonce"].clone())
 }
 
 #[test]
-fn a_run_that_may_have_ended_is_not_told_again_while_missed_notices_may_come() {
-    let (_rig, mut vm, mut client, _) = late_link();
-    vm.send_value("0000000000000001", "complete", b"one");
+fn run_is_not_restarted_while_missed_notices_may_arrive() {
+    let (_server, mut interpreter, mut client, _) = start_with_late_gauges();
+    interpreter.send_value("0000000000000001", "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
 #[test]
-fn a_run_is_told_again_once_late_gauges_show_that_no_notice_was_missed() {
-    let (_rig, mut vm, mut client, nonce) = late_link();
-    vm.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
-    let again = vm.read_command_ignoring_gauges();
+fn run_is_restarted_when_late_gauges_show_no_missed_notice() {
+    let (_server, mut interpreter, mut client, nonce) = start_with_late_gauges();
+    interpreter.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
+    let restarted = interpreter.read_command_ignoring_gauges();
     assert_eq!(
-        (again["verb"].as_str(), again["task"].as_str()),
+        (restarted["verb"].as_str(), restarted["task"].as_str()),
         (Some("APPLY"), Some("0000000000000001"))
     );
-    vm.send_value("0000000000000001", "complete", b"one");
+    interpreter.send_value("0000000000000001", "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -1,9 +1,10 @@
-//! A process that starts is ready within 10 s, that is, answers its health check well and has its report taken, though
-//! the registry, its interpreter or the store refuses connections at first, is slow to take them, or says nothing.
+//! Tests that a started process is ready within 10 s, that is, its health check succeeds and its report is accepted, even
+//! if the registration service, its interpreter or the store initially refuses connections, is slow to accept them, or
+//! does not respond.
 
 mod common;
 
-use common::{refusing, up, Full};
+use common::{bind_refusing, start_listening, FullAcceptQueue};
 use heathspur_testkit::prelude::*;
 use serde_json::json;
 use std::io::Read;
@@ -11,25 +12,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const READY: Duration = Duration::from_secs(10);
-/// Connections that a peer refuses before it comes up.
-const FAILURES: usize = 6;
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Connections that a peer refuses before it becomes available.
+const REFUSED_CONNECTIONS: usize = 6;
 
-/// How a peer is at first.
+/// The initial state of a peer.
 enum Peer {
-    Up(TcpListener),
+    Available(TcpListener),
     Refusing(TcpListener),
-    Slow(Full),
-    /// Takes connections, with no answer on them.
+    SlowToAccept(FullAcceptQueue),
+    /// Accepts connections and sends nothing on them.
     Silent(TcpListener),
 }
 
-/// Which of a process's peers are not up at first.
+/// The peers of a process that are not available at first.
 #[derive(Clone, Copy, Debug)]
-enum At {
-    Registry,
-    SlowRegistry,
-    SilentRegistry,
+enum Unavailable {
+    Registration,
+    SlowRegistration,
+    SilentRegistration,
     Interpreter,
     SlowInterpreter,
     Store,
@@ -39,192 +40,208 @@
 impl Peer {
     fn listener(&self) -> &TcpListener {
         match self {
-            Peer::Up(listener) | Peer::Refusing(listener) | Peer::Silent(listener) => listener,
-            Peer::Slow(full) => &full.listener,
+            Peer::Available(listener) | Peer::Refusing(listener) | Peer::Silent(listener) => {
+                listener
+            }
+            Peer::SlowToAccept(queue) => &queue.listener,
         }
     }
 
-    /// Comes up once the process has met it as it is, which its log says in these words where it is refused.
-    fn comes_up(self, rig: &ServerFixture, words: &str) -> TcpListener {
+    /// Makes the peer available once the process has encountered its initial state. For a peer that refuses connections
+    /// that is shown by log lines that contain `failure_log`.
+    fn become_available(self, server: &ServerFixture, failure_log: &str) -> TcpListener {
         match self {
-            Peer::Up(listener) => listener,
+            Peer::Available(listener) => listener,
             Peer::Refusing(listener) => {
-                let since = Instant::now();
-                for _ in 0..FAILURES {
-                    rig.wait_for_log(words);
-                    assert!(since.elapsed() < READY, "it is seldom tried");
+                let start = Instant::now();
+                for _ in 0..REFUSED_CONNECTIONS {
+                    server.wait_for_log(failure_log);
+                    assert!(
+                        start.elapsed() < READY_TIMEOUT,
+                        "too few connect attempts within {READY_TIMEOUT:?}"
+                    );
                 }
-                up(listener)
+                start_listening(listener)
             }
-            Peer::Slow(full) => full.let_in(),
+            Peer::SlowToAccept(queue) => queue.unblock_after_slow_connect(),
             Peer::Silent(listener) => {
-                let mut held = (accept(&listener), accept(&listener));
-                // Until the first was given up.
-                while matches!(held.0.read(&mut [0; 512]), Ok(n) if n > 0) {}
+                let mut connections = (accept(&listener), accept(&listener));
+                // Waits until the process closes the first connection after its timeout.
+                while matches!(connections.0.read(&mut [0; 512]), Ok(n) if n > 0) {}
                 listener
             }
         }
     }
 }
 
-fn health(rig: &ServerFixture) -> u16 {
-    let mut client = rig.connect_client();
+/// Returns the status of a health check.
+fn health_status(server: &ServerFixture) -> u16 {
+    let mut client = server.connect_client();
     client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
     client.read_response().0
 }
 
-/// A started process, and its peers.
-struct Started {
-    rig: ServerFixture,
-    registry: Peer,
+/// A started process and its peers.
+struct StartedServer {
+    server: ServerFixture,
+    registration: Peer,
     interpreter: Peer,
     store: TcpListener,
 }
 
-impl Started {
-    fn new(at: At) -> Started {
-        let registry = match at {
-            At::Registry | At::All => Peer::Refusing(refusing()),
-            At::SlowRegistry => Peer::Slow(Full::new()),
-            At::SilentRegistry => Peer::Silent(bind_loopback()),
-            _ => Peer::Up(bind_loopback()),
+impl StartedServer {
+    fn new(unavailable: Unavailable) -> StartedServer {
+        let registration = match unavailable {
+            Unavailable::Registration | Unavailable::All => Peer::Refusing(bind_refusing()),
+            Unavailable::SlowRegistration => Peer::SlowToAccept(FullAcceptQueue::new()),
+            Unavailable::SilentRegistration => Peer::Silent(bind_loopback()),
+            _ => Peer::Available(bind_loopback()),
         };
-        let interpreter = match at {
-            At::Interpreter | At::All => Peer::Refusing(refusing()),
-            At::SlowInterpreter => Peer::Slow(Full::new()),
-            _ => Peer::Up(bind_loopback()),
+        let interpreter = match unavailable {
+            Unavailable::Interpreter | Unavailable::All => Peer::Refusing(bind_refusing()),
+            Unavailable::SlowInterpreter => Peer::SlowToAccept(FullAcceptQueue::new()),
+            _ => Peer::Available(bind_loopback()),
         };
-        let store = if matches!(at, At::Store | At::All) {
-            refusing()
+        let store = if matches!(unavailable, Unavailable::Store | Unavailable::All) {
+            bind_refusing()
         } else {
             bind_loopback()
         };
         let address = |l: &TcpListener| json!(l.local_addr().unwrap());
-        let rig = ServerFixture::start_with_config(|config| {
-            config["announce"] = address(registry.listener());
+        let server = ServerFixture::start_with_config(|config| {
+            config["announce"] = address(registration.listener());
             config["vm"] = address(interpreter.listener());
             config["store"] = address(&store);
         });
-        Started {
-            rig,
-            registry,
+        StartedServer {
+            server,
+            registration,
             interpreter,
             store,
         }
     }
 
-    /// Waits until the process is ready; what is down comes up meanwhile, but for the store. Gives its interpreter's
-    /// end of the link.
-    fn gets_ready(self) -> (ServerFixture, MockInterpreter) {
-        let Started {
-            mut rig,
-            registry,
-            interpreter,
+    /// Waits until the process is ready and returns the interpreter's end of its link. Unavailable peers become available
+    /// meanwhile, except the store.
+    fn wait_until_ready(self) -> (ServerFixture, MockInterpreter) {
+        let StartedServer {
+            mut server,
+            registration,
+            interpreter: interpreter_peer,
             store,
         } = self;
-        assert_eq!(health(&rig), 503);
-        rig.interpreter_listener =
-            interpreter.comes_up(&rig, "cannot connect to the interpreter at ");
-        let vm = rig.accept_link();
-        let reports = mock_registration(registry.comes_up(
-            &rig,
+        assert_eq!(health_status(&server), 503);
+        server.interpreter_listener =
+            interpreter_peer.become_available(&server, "cannot connect to the interpreter at ");
+        let interpreter = server.accept_link();
+        let reports = mock_registration(registration.become_available(
+            &server,
             "cannot report readiness to the registration service at ",
         ));
         assert_eq!(
             reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
             json!({"accepting": "true"})
         );
-        assert_eq!(health(&rig), 200);
-        rig.store_listener = store;
-        (rig, vm)
+        assert_eq!(health_status(&server), 200);
+        server.store_listener = store;
+        (server, interpreter)
     }
 }
 
-fn is_ready_in_time(at: At) -> (ServerFixture, MockInterpreter) {
-    let since = Instant::now();
-    let ready = Started::new(at).gets_ready();
-    assert!(since.elapsed() < READY, "{at:?}: {:?}", since.elapsed());
+/// Starts a process and checks that it is ready within the limit.
+fn assert_ready_in_time(unavailable: Unavailable) -> (ServerFixture, MockInterpreter) {
+    let start = Instant::now();
+    let ready = StartedServer::new(unavailable).wait_until_ready();
+    assert!(
+        start.elapsed() < READY_TIMEOUT,
+        "{unavailable:?}: {:?}",
+        start.elapsed()
+    );
     ready
 }
 
 #[test]
-fn it_is_ready_in_time_though_the_registry_refuses_connections_at_first() {
-    is_ready_in_time(At::Registry);
+fn server_is_ready_in_time_when_registration_service_initially_refuses_connections() {
+    assert_ready_in_time(Unavailable::Registration);
 }
 
 #[test]
-fn it_is_ready_in_time_though_the_registry_says_nothing_at_first() {
-    is_ready_in_time(At::SilentRegistry);
+fn server_is_ready_in_time_when_registration_service_initially_does_not_respond() {
+    assert_ready_in_time(Unavailable::SilentRegistration);
 }
 
 #[test]
-fn it_is_ready_in_time_though_the_interpreter_refuses_connections_at_first() {
-    is_ready_in_time(At::Interpreter);
+fn server_is_ready_in_time_when_interpreter_initially_refuses_connections() {
+    assert_ready_in_time(Unavailable::Interpreter);
 }
 
 #[test]
-fn it_is_ready_in_time_without_the_store_and_calls_it_once_it_is_up() {
-    let (rig, mut vm) = is_ready_in_time(At::Store);
-    let asks = |vm: &mut MockInterpreter, txn: u64| {
-        let mut client = rig.connect_client();
+fn server_is_ready_in_time_without_store_and_calls_store_once_available() {
+    let (server, mut interpreter) = assert_ready_in_time(Unavailable::Store);
+    let start_call = |interpreter: &mut MockInterpreter, txn: u64| {
+        let mut client = server.connect_client();
         client.send(&request(txn, Some(&format!("{txn:032x}")), b"abc"));
-        let (task, ..) = vm.read_apply();
-        vm.send_await(&task, b"ask");
-        (client, task)
+        let (task_id, ..) = interpreter.read_apply();
+        interpreter.send_await(&task_id, b"ask");
+        (client, task_id)
     };
-    let (mut client, task) = asks(&mut vm, 1);
-    // Its call gets nowhere, and the caller has an answer.
+    let (mut client, task_id) = start_call(&mut interpreter, 1);
+    // The call fails, and the client still receives a response.
     assert_ne!(client.read_response().0, 200);
-    vm.send_value(&task, "cancelled", b"");
-    rustix::net::listen(&rig.store_listener, 64).unwrap();
-    let (mut client, task) = asks(&mut vm, 2);
-    let mut store = MockStore::accept(&rig);
+    interpreter.send_value(&task_id, "cancelled", b"");
+    rustix::net::listen(&server.store_listener, 64).unwrap();
+    let (mut client, task_id) = start_call(&mut interpreter, 2);
+    let mut store = MockStore::accept(&server);
     store.read_call();
     store.send_ok(2, "fine");
-    assert_eq!(vm.read_command()["verb"], "RESOLVE");
-    vm.send_value(&task, "complete", b"done");
+    assert_eq!(interpreter.read_command()["verb"], "RESOLVE");
+    interpreter.send_value(&task_id, "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
 }
 
 #[test]
-fn of_ten_processes_that_start_again_together_nine_are_ready_in_time() {
-    let first: Vec<_> = (0..10).map(|_| ServerFixture::start()).collect();
-    for rig in &first {
-        drop(rig.accept_link());
+fn at_least_nine_of_ten_servers_restarted_together_are_ready_in_time() {
+    let previous: Vec<_> = (0..10).map(|_| ServerFixture::start()).collect();
+    for server in &previous {
+        drop(server.accept_link());
     }
-    for mut rig in first {
-        rig.process.0.kill().unwrap();
+    for mut server in previous {
+        server.process.0.kill().unwrap();
     }
-    let kinds = [
-        At::Registry,
-        At::SlowRegistry,
-        At::SilentRegistry,
-        At::Interpreter,
-        At::SlowInterpreter,
-        At::Store,
-        At::All,
+    let cases = [
+        Unavailable::Registration,
+        Unavailable::SlowRegistration,
+        Unavailable::SilentRegistration,
+        Unavailable::Interpreter,
+        Unavailable::SlowInterpreter,
+        Unavailable::Store,
+        Unavailable::All,
     ];
-    let since = Instant::now();
-    let started: Vec<_> = kinds
+    let start = Instant::now();
+    let started: Vec<_> = cases
         .into_iter()
         .cycle()
         .take(10)
-        .map(Started::new)
+        .map(StartedServer::new)
         .collect();
-    let ready = |started: Started| {
+    let spawn_wait = |started: StartedServer| {
         thread::spawn(move || {
-            let _ready = started.gets_ready();
-            since.elapsed()
+            let _ready = started.wait_until_ready();
+            start.elapsed()
         })
     };
-    let all: Vec<_> = started.into_iter().map(ready).collect();
-    let took: Vec<_> = all
+    let waits: Vec<_> = started.into_iter().map(spawn_wait).collect();
+    let durations: Vec<_> = waits
         .into_iter()
-        .filter_map(|process| process.join().ok())
+        .filter_map(|wait| wait.join().ok())
         .collect();
-    println!("{took:?}");
+    println!("{durations:?}");
     assert!(
-        took.iter().filter(|&&took| took < READY).count() >= 9,
-        "{took:?}"
+        durations
+            .iter()
+            .filter(|&&duration| duration < READY_TIMEOUT)
+            .count()
+            >= 9,
+        "{durations:?}"
     );
 }
