--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -1,5 +1,6 @@
-//! Three zones of three servers in two regions, a replica of the dependency in each zone: replicas killed, slowed,
-//! made to flap, members cut off. Tests wait on logs and counts; figures belong to a measurement.
+//! Tests of failover between replicas of the dependency: three zones of three servers in two regions, with one replica
+//! per zone. Replicas are killed, slowed down and made to flap, and members are partitioned. The tests wait for log
+//! messages and counts; they do not measure latencies.
 
 use heathspur_testkit::auto_stubs::{self, InterpreterOptions, RunCounts};
 use heathspur_testkit::fleet::Fleet;
@@ -12,39 +13,42 @@
 
 const SERVERS: usize = 9;
 const ZONES: usize = 3;
-/// The dwell of these tests.
+/// Dwell time between two decisions, as configured for these tests.
 const DWELL: Duration = Duration::from_secs(4);
 const SETTINGS: &str = "period=\"500 ms\" probe-timeout=\"200 ms\"";
 
-/// Two tests at a time: with four side by side, thirty-six servers and their callers on four cores, a replica that
-/// answers at once looks slow by what the machine itself takes. Each test takes the place that is named for it.
-static PLACES: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
+/// Lets two tests run at a time, each in the slot that it names. With four at a time (36 servers and their clients on
+/// four cores) the machine's own delays make a replica that answers at once appear slow.
+static TEST_SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 
-struct Zones {
+/// The servers, their interpreters and the replicas of all zones.
+struct ZonedFleet {
     fleet: Fleet,
     replicas: Vec<StubReplica>,
     runs: Vec<RunCounts>,
-    _place: MutexGuard<'static, ()>,
+    _test_slot: MutexGuard<'static, ()>,
 }
 
-impl Zones {
-    /// Zones z0 and z1 are in the west, z2 in the east; server `i` is in zone `i % 3`.
-    fn start(place: usize) -> Zones {
-        // A test that failed has left it poisoned, and nothing behind it.
-        let taken = PLACES[place].lock().unwrap_or_else(PoisonError::into_inner);
+impl ZonedFleet {
+    /// Starts the fleet: zones z0 and z1 are in the west, z2 in the east; server `i` is in zone `i % 3`.
+    fn start(test_slot: usize) -> ZonedFleet {
+        // A failed test poisons the mutex, but leaves no state that affects the next one.
+        let slot_guard = TEST_SLOTS[test_slot]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let replicas: Vec<StubReplica> = (0..ZONES).map(|_| StubReplica::start()).collect();
-        let listed: String = replicas
+        let replica_elements: String = replicas
             .iter()
             .enumerate()
             .map(|(z, r)| format!("<replica zone=\"z{z}\" address=\"{}\"/>", r.address))
             .collect();
         let failover = format!(
-            "<failover dwell=\"{} s\" leave=\"500 ms\" back=\"1 s\" check=\"200 ms\">{listed}</failover>",
+            "<failover dwell=\"{} s\" leave=\"500 ms\" back=\"1 s\" check=\"200 ms\">{replica_elements}</failover>",
             DWELL.as_secs()
         );
         let region = |i| if i % ZONES == 2 { "east" } else { "west" };
         let mut fleet = Fleet::start_with_regions(SERVERS, SETTINGS, region, &failover);
-        let manner = InterpreterOptions {
+        let options = InterpreterOptions {
             calls_dependency: true,
             ..InterpreterOptions::default()
         };
@@ -52,25 +56,26 @@
             .map(|i| {
                 auto_stubs::interpreter_with(
                     fleet.fixture(i).interpreter_listener.try_clone().unwrap(),
-                    manner,
+                    options,
                 )
             })
             .collect();
-        fleet.assert_eventually("all see all", Fleet::all_views_alive);
-        Zones {
+        fleet.assert_eventually("all members see all others alive", Fleet::all_views_alive);
+        ZonedFleet {
             fleet,
             replicas,
             runs,
-            _place: taken,
+            _test_slot: slot_guard,
         }
     }
 
+    /// Returns the indexes of the servers in the zone.
     fn members(zone: usize) -> impl Iterator<Item = usize> {
         (0..SERVERS).filter(move |i| i % ZONES == zone)
     }
 
-    /// Calls that each replica has agreed to, in a span from now on.
-    fn calls_in(&mut self, span: Duration) -> Vec<u64> {
+    /// Returns the number of calls that each replica completes in the next `span`.
+    fn count_calls_for(&mut self, span: Duration) -> Vec<u64> {
         let before: Vec<u64> = self
             .replicas
             .iter()
@@ -84,52 +89,55 @@
             .collect()
     }
 
-    /// The levels of the decisions that a server logged, in order.
-    fn levels(fleet: &Fleet, i: usize) -> Vec<u8> {
-        let said = fleet.members[i]
+    /// Returns the local traffic, in tenths, of each decision that the server has logged, in order.
+    fn logged_local_tenths(fleet: &Fleet, i: usize) -> Vec<u8> {
+        let decisions = fleet.members[i]
             .failover_log
             .iter()
-            .filter(|(_, said)| said.contains("accepted decision of epoch"));
+            .filter(|(_, message)| message.contains("accepted decision of epoch"));
         // "accepted decision of epoch 1: 0 tenths of the traffic stay local"
-        said.filter_map(|(_, said)| said.split(": ").nth(1)?.split(' ').next()?.parse().ok())
+        decisions
+            .filter_map(|(_, message)| message.split(": ").nth(1)?.split(' ').next()?.parse().ok())
             .collect()
     }
 
-    fn zone_holds(fleet: &Fleet, zone: usize, near: u8) -> bool {
-        Zones::members(zone).all(|i| Zones::levels(fleet, i).last() == Some(&near))
+    /// Returns whether the last decision logged by each server of the zone has this local traffic, in tenths.
+    fn zone_local_tenths_is(fleet: &Fleet, zone: usize, local_tenths: u8) -> bool {
+        ZonedFleet::members(zone)
+            .all(|i| ZonedFleet::logged_local_tenths(fleet, i).last() == Some(&local_tenths))
     }
 }
 
-/// Callers of some servers, one after another request each, all with keys of their own.
-struct Callers {
-    over: Arc<AtomicBool>,
+/// Clients, one per server, that each send one request after another, every request with its own idempotency key.
+struct Clients {
+    stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    /// Server and status of each answer.
-    answers: Arc<Mutex<Vec<(usize, u16)>>>,
+    /// Server index and status of each response.
+    responses: Arc<Mutex<Vec<(usize, u16)>>>,
 }
 
-impl Callers {
-    fn start(zones: &Zones, servers: impl Iterator<Item = usize>, pause: Duration) -> Callers {
-        let (over, answers) = (
+impl Clients {
+    fn start(zones: &ZonedFleet, servers: impl Iterator<Item = usize>, pause: Duration) -> Clients {
+        let (stopped, responses) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(Mutex::new(Vec::new())),
         );
         let threads = servers
             .map(|i| {
                 let address = zones.fleet.fixture(i).address;
-                let (over, answers) = (over.clone(), answers.clone());
+                let (stopped, responses) = (stopped.clone(), responses.clone());
                 thread::spawn(move || {
                     let mut client = Http1Client::connect(address);
                     for n in 0.. {
-                        if over.load(Ordering::Relaxed) {
+                        if stopped.load(Ordering::Relaxed) {
                             return;
                         }
                         let number = ((i as u64) << 32) + n;
                         let key = format!("{number:032x}");
                         client.send(&request(number, Some(&key), key.as_bytes()));
-                        // None is left without its answer: reading waits for it.
+                        // Blocks until the response arrives, so that every request must be answered.
                         let (status, fields, _) = client.read_response();
-                        answers.lock().unwrap().push((i, status));
+                        responses.lock().unwrap().push((i, status));
                         if fields.get("connection").is_some_and(|c| c == "close") {
                             client = Http1Client::connect(address);
                         }
@@ -138,95 +146,112 @@
                 })
             })
             .collect();
-        Callers {
-            over,
+        Clients {
+            stopped,
             threads,
-            answers,
+            responses,
         }
     }
 
-    /// Waits until each caller has had two more answers: what went out before has come back then.
-    fn rounds(&self, fleet: &mut Fleet, servers: impl Iterator<Item = usize>) {
+    /// Waits until each of these clients has received two more responses. Its earlier requests are answered then.
+    fn wait_for_two_responses(&self, fleet: &mut Fleet, servers: impl Iterator<Item = usize>) {
         let count = |i| {
-            self.answers
+            self.responses
                 .lock()
                 .unwrap()
                 .iter()
-                .filter(|(from, _)| *from == i)
+                .filter(|(server, _)| *server == i)
                 .count()
         };
         let before: Vec<(usize, usize)> = servers.map(|i| (i, count(i))).collect();
-        fleet.assert_eventually("two more answers of each", |_| {
-            before.iter().all(|(i, had)| count(*i) >= had + 2)
+        fleet.assert_eventually("each client has received two more responses", |_| {
+            before.iter().all(|(i, previous)| count(*i) >= previous + 2)
         });
     }
 
-    /// Answers in all, and those that served.
-    fn stop(self, zones: &Zones) -> (usize, usize) {
-        self.over.store(true, Ordering::Relaxed);
+    /// Stops the clients and returns the number of responses and the number of those with status 200.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a request was run more than once.
+    fn stop(self, zones: &ZonedFleet) -> (usize, usize) {
+        self.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads {
             thread.join().unwrap();
         }
         for runs in &zones.runs {
             let runs = runs.lock().unwrap();
-            assert!(runs.values().all(|times| *times == 1), "a key ran twice");
+            assert!(
+                runs.values().all(|count| *count == 1),
+                "a request with one key was run more than once"
+            );
         }
-        let answers = self.answers.lock().unwrap();
+        let responses = self.responses.lock().unwrap();
         (
-            answers.len(),
-            answers.iter().filter(|(_, status)| *status == 200).count(),
+            responses.len(),
+            responses
+                .iter()
+                .filter(|(_, status)| *status == 200)
+                .count(),
         )
     }
 }
 
+/// Pause of a client between a response and its next request.
 const PAUSE: Duration = Duration::from_millis(20);
 
 #[test]
-fn a_zone_whose_replica_dies_moves_to_its_region_together_and_comes_back() {
-    let mut zones = Zones::start(0);
-    let callers = Callers::start(&zones, Zones::members(0), PAUSE);
-    let calm = zones.calls_in(Duration::from_secs(2));
+fn zone_fails_over_within_region_when_replica_dies_and_fails_back() {
+    let mut zones = ZonedFleet::start(0);
+    let clients = Clients::start(&zones, ZonedFleet::members(0), PAUSE);
+    let baseline = zones.count_calls_for(Duration::from_secs(2));
     assert!(
-        calm[0] > 30 && calm[1] == 0 && calm[2] == 0,
-        "calls in calm, by replica: {calm:?}"
+        baseline[0] > 30 && baseline[1] == 0 && baseline[2] == 0,
+        "calls before the failure, by replica: {baseline:?}"
     );
     zones.replicas[0].kill();
     zones
         .fleet
-        .assert_eventually("all of z0 hold that nothing stays near", |f| {
-            Zones::zone_holds(f, 0, 0)
+        .assert_eventually("all of z0 have decided that no traffic stays local", |f| {
+            ZonedFleet::zone_local_tenths_is(f, 0, 0)
         });
-    callers.rounds(&mut zones.fleet, Zones::members(0));
-    let away = zones.calls_in(Duration::from_secs(2));
+    clients.wait_for_two_responses(&mut zones.fleet, ZonedFleet::members(0));
+    let failed_over = zones.count_calls_for(Duration::from_secs(2));
     assert!(
-        away[1] > 30 && away[2] == 0,
-        "calls after the move, by replica: {away:?}"
+        failed_over[1] > 30 && failed_over[2] == 0,
+        "calls after failover, by replica: {failed_over:?}"
     );
     zones.replicas[0].restart();
-    zones
-        .fleet
-        .assert_eventually("all of z0 hold that all is near again", |f| {
-            Zones::zone_holds(f, 0, 10)
-        });
-    // A call that went the old way may still be under way when its server says so.
-    callers.rounds(&mut zones.fleet, Zones::members(0));
-    let back = zones.calls_in(Duration::from_secs(2));
+    zones.fleet.assert_eventually(
+        "all of z0 have decided that all traffic is local again",
+        |f| ZonedFleet::zone_local_tenths_is(f, 0, 10),
+    );
+    // A call sent to the previous replica may still be in flight when its server logs the decision.
+    clients.wait_for_two_responses(&mut zones.fleet, ZonedFleet::members(0));
+    let failed_back = zones.count_calls_for(Duration::from_secs(2));
     assert!(
-        back[0] > 30 && back[1] == 0,
-        "calls after the way back, by replica: {back:?}"
+        failed_back[0] > 30 && failed_back[1] == 0,
+        "calls after failback, by replica: {failed_back:?}"
     );
-    // Nobody else moved.
-    for i in Zones::members(1).chain(Zones::members(2)) {
-        assert_eq!(Zones::levels(&zones.fleet, i), [] as [u8; 0], "m{i}");
+    // No other zone has changed its decision.
+    for i in ZonedFleet::members(1).chain(ZonedFleet::members(2)) {
+        assert_eq!(
+            ZonedFleet::logged_local_tenths(&zones.fleet, i),
+            [] as [u8; 0],
+            "m{i}"
+        );
     }
-    let (answered, served) = callers.stop(&zones);
-    assert!(served * 10 > answered * 7, "{served} of {answered} served");
+    let (responses, served) = clients.stop(&zones);
+    assert!(
+        served * 10 > responses * 7,
+        "{served} of {responses} served"
+    );
 }
 
 #[test]
-fn a_replica_that_flaps_changes_its_zone_once_in_a_dwell() {
-    let mut zones = Zones::start(1);
-    let callers = Callers::start(&zones, Zones::members(0), PAUSE);
+fn flapping_replica_changes_zone_decision_at_most_once_per_dwell() {
+    let mut zones = ZonedFleet::start(1);
+    let clients = Clients::start(&zones, ZonedFleet::members(0), PAUSE);
     let start = Instant::now();
     zones.fleet.read_logs_for(Duration::from_secs(1));
     while start.elapsed() < Duration::from_secs(14) {
@@ -236,104 +261,116 @@
         zones.fleet.read_logs_for(Duration::from_millis(500));
     }
     zones.fleet.read_logs();
-    let most = 1 + (start.elapsed().as_millis() / DWELL.as_millis()) as usize;
-    for i in Zones::members(0) {
-        let levels = Zones::levels(&zones.fleet, i);
+    let max_decisions = 1 + (start.elapsed().as_millis() / DWELL.as_millis()) as usize;
+    for i in ZonedFleet::members(0) {
+        let decisions = ZonedFleet::logged_local_tenths(&zones.fleet, i);
         assert!(
-            (1..=most).contains(&levels.len()),
-            "m{i}, at most {most}: {levels:?}"
+            (1..=max_decisions).contains(&decisions.len()),
+            "m{i}, at most {max_decisions}: {decisions:?}"
         );
     }
-    callers.stop(&zones);
+    clients.stop(&zones);
 }
 
 #[test]
-fn a_zone_cut_off_from_the_others_and_a_member_cut_off_alone_stay_near_with_a_good_replica() {
-    let mut zones = Zones::start(0);
-    let callers = Callers::start(&zones, 0..SERVERS, PAUSE);
-    // Zone z0 sees nobody else; its replica is fine.
+fn partitioned_zone_and_member_keep_healthy_local_replica() {
+    let mut zones = ZonedFleet::start(0);
+    let clients = Clients::start(&zones, 0..SERVERS, PAUSE);
+    // Zone z0 is partitioned from the other members; its replica is healthy.
     zones
         .fleet
         .relay
         .update_rules(|r| r.partitions = (0..SERVERS).map(|i| (i % ZONES == 0) as u8).collect());
     zones
         .fleet
-        .assert_eventually("z0 holds the others dead", |f| {
-            Zones::members(0).all(|i| f.view_shows(i, 1, "dead"))
+        .assert_eventually("z0 considers another zone's member dead", |f| {
+            ZonedFleet::members(0).all(|i| f.view_shows(i, 1, "dead"))
         });
-    let cut = zones.calls_in(Duration::from_secs(2));
+    let calls = zones.count_calls_for(Duration::from_secs(2));
     assert!(
-        cut.iter().all(|calls| *calls > 60),
-        "calls by replica: {cut:?}"
+        calls.iter().all(|count| *count > 60),
+        "calls by replica: {calls:?}"
     );
     zones
         .fleet
         .relay
         .update_rules(|r| r.partitions = (0..SERVERS).map(|i| (i == 4) as u8).collect());
-    let alone = |f: &Fleet| {
+    let has_no_quorum = |f: &Fleet| {
         f.members[4]
             .failover_log
             .iter()
-            .any(|(_, said)| said.contains("no quorum"))
+            .any(|(_, message)| message.contains("no quorum"))
     };
     zones
         .fleet
-        .assert_eventually("m4 says that it hears no quorum", alone);
-    let cut = zones.calls_in(Duration::from_secs(2));
+        .assert_eventually("m4 logs that it has no quorum", has_no_quorum);
+    let calls = zones.count_calls_for(Duration::from_secs(2));
     assert!(
-        cut.iter().all(|calls| *calls > 60),
-        "calls by replica: {cut:?}"
+        calls.iter().all(|count| *count > 60),
+        "calls by replica: {calls:?}"
     );
     for i in 0..SERVERS {
-        assert_eq!(Zones::levels(&zones.fleet, i), [] as [u8; 0], "m{i}");
+        assert_eq!(
+            ZonedFleet::logged_local_tenths(&zones.fleet, i),
+            [] as [u8; 0],
+            "m{i}"
+        );
     }
-    let (answered, served) = callers.stop(&zones);
+    let (responses, served) = clients.stop(&zones);
     assert!(
-        served * 100 >= answered * 99,
-        "{served} of {answered} served"
+        served * 100 >= responses * 99,
+        "{served} of {responses} served"
     );
 }
 
 #[test]
-fn a_slow_replica_moves_a_part_of_its_zone_and_a_lost_region_crosses_to_the_other() {
-    let mut zones = Zones::start(1);
+fn slow_replica_shifts_part_of_zone_traffic_and_lost_region_fails_over() {
+    let mut zones = ZonedFleet::start(1);
     zones
         .replicas
         .iter()
         .for_each(|r| r.set_delay(Duration::from_millis(10)));
-    let callers = Callers::start(&zones, 0..SERVERS, PAUSE);
+    let clients = Clients::start(&zones, 0..SERVERS, PAUSE);
     zones.fleet.read_logs_for(Duration::from_secs(3));
-    // Five times as slow: some four tenths of its speed count.
+    // Five times as slow: its latency score falls to about 0.4.
     zones.replicas[0].set_delay(Duration::from_millis(50));
-    let partly = |f: &Fleet| {
-        Zones::members(0).all(|i| {
-            Zones::levels(f, i)
+    let some_traffic_is_local = |f: &Fleet| {
+        ZonedFleet::members(0).all(|i| {
+            ZonedFleet::logged_local_tenths(f, i)
                 .last()
-                .is_some_and(|near| (2..=8).contains(near))
+                .is_some_and(|tenths| (2..=8).contains(tenths))
         })
     };
-    zones
-        .fleet
-        .assert_eventually("all of z0 hold that a part stays near", partly);
-    let split = zones.calls_in(Duration::from_secs(2));
+    zones.fleet.assert_eventually(
+        "all of z0 have decided that part of the traffic stays local",
+        some_traffic_is_local,
+    );
+    let split = zones.count_calls_for(Duration::from_secs(2));
     assert!(
         split[0] > 10 && split[1] > split[2],
         "calls by replica: {split:?}"
     );
-    // The west is lost: what z0 and z1 would do near goes to the east.
+    // Both replicas in the west are lost: the traffic of z0 and z1 goes to the east.
     zones.replicas[0].kill();
     zones.replicas[1].kill();
-    let gone = |f: &Fleet| Zones::zone_holds(f, 0, 0) && Zones::zone_holds(f, 1, 0);
-    zones
-        .fleet
-        .assert_eventually("z0 and z1 hold that nothing stays near", gone);
-    let crossed = zones.calls_in(Duration::from_secs(2));
+    let no_traffic_is_local = |f: &Fleet| {
+        ZonedFleet::zone_local_tenths_is(f, 0, 0) && ZonedFleet::zone_local_tenths_is(f, 1, 0)
+    };
+    zones.fleet.assert_eventually(
+        "z0 and z1 have decided that no traffic stays local",
+        no_traffic_is_local,
+    );
+    let after_loss = zones.count_calls_for(Duration::from_secs(2));
     assert!(
-        crossed[0] + crossed[1] == 0 && crossed[2] > split[2] * 3 / 2,
-        "calls by replica: {crossed:?}, before {split:?}"
+        after_loss[0] + after_loss[1] == 0 && after_loss[2] > split[2] * 3 / 2,
+        "calls by replica: {after_loss:?}, before {split:?}"
     );
-    for i in Zones::members(2) {
-        assert_eq!(Zones::levels(&zones.fleet, i), [] as [u8; 0], "m{i}");
+    for i in ZonedFleet::members(2) {
+        assert_eq!(
+            ZonedFleet::logged_local_tenths(&zones.fleet, i),
+            [] as [u8; 0],
+            "m{i}"
+        );
     }
-    callers.stop(&zones);
+    clients.stop(&zones);
 }
--- a/crates/heathspurd/tests/ramp.rs
+++ b/crates/heathspurd/tests/ramp.rs
@@ -1,6 +1,6 @@
-//! A fleet of cold processes, each with an interpreter of its own, and one shared store below all of them: what the
-//! store gets from all together stays within the sum of their parts. Each process knows its own part and nothing of
-//! the others; all become ready in the same moment, with callers that wait.
+//! Tests of the slow start of a fleet of cold processes. Each has its own interpreter and all call one shared store,
+//! whose total load must stay within the sum of the processes' call quotas. Each process is configured with its own
+//! quota only; all become ready at the same moment, while clients wait.
 
 use heathspur_testkit::prelude::*;
 use serde_json::json;
@@ -13,38 +13,42 @@
 use std::time::{Duration, Instant};
 
 const PROCESSES: u64 = 24;
-/// Callers of each, which ask one request after the other.
-const CALLERS: u64 = 4;
-/// Each one's part of the store, the time of its mean, a call, and an abandoned call, in seconds.
-const PART: f64 = 0.1;
-const OVER: f64 = 1.0;
-const CALL: f64 = 0.2;
-const LINGER: f64 = 0.1;
-/// Past this a server has not got going: its part pays for a first call of unknown length far sooner.
-const GOING: Duration = Duration::from_secs(9);
+/// Clients per process, each of which sends one request after another.
+const CLIENTS: u64 = 4;
+/// Quota of one process: its mean number of calls in flight at the store.
+const QUOTA_CALLS: f64 = 0.1;
+/// Window over which that mean is taken, in seconds.
+const QUOTA_WINDOW_S: f64 = 1.0;
+/// Duration of a call, in seconds.
+const CALL_S: f64 = 0.2;
+/// Time for which an abandoned call occupies the store, in seconds.
+const LINGER_S: f64 = 0.1;
+/// Time within which each server must get a call through: its quota allows a first call of unknown duration far
+/// sooner.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// Two fleets at once are more than a small machine bears.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the tests: two fleets at once overload a small machine.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 
-/// A call as it reached the store.
-struct Called {
+/// A call as received by the store.
+struct ReceivedCall {
     at: Instant,
-    /// The process and life that it came from.
-    from: (u64, u64),
-    taken: bool,
+    /// The process and fleet generation that sent it.
+    origin: (u64, u64),
+    accepted: bool,
 }
 
-/// The one store, which takes every call or, while it is full, none.
-struct Shared {
-    calls: Mutex<Vec<Called>>,
+/// The store shared by all processes. Accepts every call or, while it is full, none.
+struct SharedStore {
+    calls: Mutex<Vec<ReceivedCall>>,
     full: AtomicBool,
 }
 
-impl Shared {
-    fn start() -> (Arc<Shared>, SocketAddr) {
+impl SharedStore {
+    fn start() -> (Arc<SharedStore>, SocketAddr) {
         let (listener, shared) = (
             bind_loopback(),
-            Arc::new(Shared {
+            Arc::new(SharedStore {
                 calls: Mutex::default(),
                 full: false.into(),
             }),
@@ -54,214 +58,225 @@
         (shared, address)
     }
 
-    fn listen(self: Arc<Shared>, listener: &TcpListener) {
+    fn listen(self: Arc<SharedStore>, listener: &TcpListener) {
         for stream in listener.incoming().flatten() {
             let store = self.clone();
             thread::spawn(move || store.serve(stream));
         }
     }
 
-    /// Ends with the connection.
+    /// Serves one connection until it is closed.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         let mut reader = BufReader::new(stream);
         loop {
             let mut line = String::new();
             reader.read_line(&mut line).ok().filter(|&n| n > 0)?;
-            let words: Vec<_> = line.split_whitespace().collect();
-            assert_eq!(words[0], "CALL", "{line}");
-            let taken = !self.full.load(Ordering::SeqCst);
-            let txn = u64::from_str_radix(words[1], 16).unwrap();
-            self.calls.lock().unwrap().push(Called {
+            let fields: Vec<_> = line.split_whitespace().collect();
+            assert_eq!(fields[0], "CALL", "{line}");
+            let accepted = !self.full.load(Ordering::SeqCst);
+            let txn = u64::from_str_radix(fields[1], 16).unwrap();
+            self.calls.lock().unwrap().push(ReceivedCall {
                 at: Instant::now(),
-                from: (txn >> 48, txn >> 32 & 0xffff),
-                taken,
+                origin: (txn >> 48, txn >> 32 & 0xffff),
+                accepted,
             });
             reader
-                .read_exact(&mut vec![0; words[3].parse::<usize>().unwrap() + 2])
+                .read_exact(&mut vec![0; fields[3].parse::<usize>().unwrap() + 2])
                 .ok()?;
-            let reply = match taken {
+            let reply = match accepted {
                 true => {
-                    thread::sleep(Duration::from_secs_f64(CALL));
-                    format!("{} OK 2\r\nok\r\n", words[1])
+                    thread::sleep(Duration::from_secs_f64(CALL_S));
+                    format!("{} OK 2\r\nok\r\n", fields[1])
                 }
-                false => format!("{} BUSY\r\n", words[1]),
+                false => format!("{} BUSY\r\n", fields[1]),
             };
             reader.get_mut().write_all(reply.as_bytes()).ok()?;
         }
     }
 
-    /// Waits for that of all calls so far; fails the test once it takes longer than any server may to get going.
-    fn until(&self, what: &str, done: impl Fn(&[Called]) -> bool) {
+    /// Waits until the condition holds for the calls received so far.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the condition does not hold within `STARTUP_TIMEOUT`.
+    fn wait_until(&self, description: &str, condition: impl Fn(&[ReceivedCall]) -> bool) {
         let start = Instant::now();
-        while !done(&self.calls.lock().unwrap()) {
+        while !condition(&self.calls.lock().unwrap()) {
             let calls = self.calls.lock().unwrap().len();
             assert!(
-                start.elapsed() < GOING,
-                "not in {GOING:?}: {what}; {calls} calls so far"
+                start.elapsed() < STARTUP_TIMEOUT,
+                "timed out after {STARTUP_TIMEOUT:?} waiting until {description}; {calls} calls received"
             );
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// In no window did more calls come than the sum of the parts allows, but for chance.
-    fn kept_to_its_sum(&self) {
-        let mut at: Vec<_> = self
+    /// Checks that no window contains more calls than the sum of the quotas allows, with a margin for random variation.
+    fn assert_within_total_quota(&self) {
+        let mut times: Vec<_> = self
             .calls
             .lock()
             .unwrap()
             .iter()
             .map(|call| call.at)
             .collect();
-        at.sort();
-        let n = PART * PROCESSES as f64 * OVER / CALL;
-        let allowed = n + 2.0 * n.sqrt() + 2.0;
-        let over = Duration::from_secs_f64(OVER);
-        let within = |i: usize| at[i..].partition_point(|&t| t < at[i] + over);
-        let most = (0..at.len()).map(within).max().unwrap_or(0);
+        times.sort();
+        let expected = QUOTA_CALLS * PROCESSES as f64 * QUOTA_WINDOW_S / CALL_S;
+        let allowed = expected + 2.0 * expected.sqrt() + 2.0;
+        let window = Duration::from_secs_f64(QUOTA_WINDOW_S);
+        let calls_from = |i: usize| times[i..].partition_point(|&t| t < times[i] + window);
+        let most = (0..times.len()).map(calls_from).max().unwrap_or(0);
         println!(
-            "{} calls, {most} in a window, {allowed:.1} allowed",
-            at.len()
+            "{} calls, at most {most} in a window, {allowed:.1} allowed",
+            times.len()
         );
         assert!(
             most as f64 <= allowed,
-            "{most} calls in a window of {OVER} s, {allowed:.1} allowed"
+            "{most} calls in a window of {QUOTA_WINDOW_S} s, {allowed:.1} allowed"
         );
     }
 }
 
-/// One life of the fleet: processes that are linked, and wait for their interpreters to come up.
+/// One generation of the fleet: processes that are linked to their interpreters and wait for their `BANNER`.
 struct Fleet {
-    life: u64,
-    rigs: Vec<ServerFixture>,
-    links: Vec<MockInterpreter>,
-    over: Arc<AtomicBool>,
+    generation: u64,
+    servers: Vec<ServerFixture>,
+    interpreters: Vec<MockInterpreter>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Fleet {
-    fn start(life: u64, store: SocketAddr) -> Fleet {
-        let rig = |i| {
+    fn start(generation: u64, store: SocketAddr) -> Fleet {
+        let start = |i| {
             ServerFixture::start_with_config(|config| {
                 config["store"] = json!(store);
                 config["seed"] = json!(format!(
                     "{:016x}",
-                    0x9e37_79b9_7f4a_7c15u64.wrapping_mul(life << 8 | i | 1 << 20)
+                    0x9e37_79b9_7f4a_7c15u64.wrapping_mul(generation << 8 | i | 1 << 20)
                 ));
                 let info = &mut config["settings"]["family-info"];
                 info["depends-on"] = json!("shared");
-                info["calls-out"] = json!(PART);
-                info["calls-over-s"] = json!(OVER);
-                info["linger-s"] = json!(LINGER);
+                info["calls-out"] = json!(QUOTA_CALLS);
+                info["calls-over-s"] = json!(QUOTA_WINDOW_S);
+                info["linger-s"] = json!(LINGER_S);
                 info["cold"] = json!(true);
                 config["settings"]["servers"] = json!(PROCESSES);
             })
         };
-        let rigs: Vec<ServerFixture> = (0..PROCESSES).map(rig).collect();
-        let links = rigs
+        let servers: Vec<ServerFixture> = (0..PROCESSES).map(start).collect();
+        let interpreters = servers
             .iter()
             .map(ServerFixture::accept_link_before_banner)
             .collect();
         Fleet {
-            life,
-            rigs,
-            links,
-            over: Arc::default(),
+            generation,
+            servers,
+            interpreters,
+            stopped: Arc::default(),
         }
     }
 
-    /// All interpreters are up in the same moment, cold, and callers come.
-    fn up(&mut self) {
-        for vm in &mut self.links {
-            vm.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
+    /// Makes all interpreters ready at the same moment, cold, and starts the clients.
+    fn start_serving(&mut self) {
+        for interpreter in &mut self.interpreters {
+            interpreter.send(json!({"verb": "BANNER", "outcome": "chilly", "spent": 0}));
         }
-        self.links
+        self.interpreters
             .drain(..)
             .for_each(MockInterpreter::complete_all_runs_after_call);
-        for (rig, process) in self.rigs.iter().zip(0..) {
-            for caller in 0..CALLERS {
-                let (address, life, over) = (rig.address, self.life, self.over.clone());
-                let first = process << 48 | life << 32 | caller << 16;
-                thread::spawn(move || ask_on(address, first, &over));
+        for (server, process) in self.servers.iter().zip(0..) {
+            for client in 0..CLIENTS {
+                let (address, generation, stopped) =
+                    (server.address, self.generation, self.stopped.clone());
+                let first = process << 48 | generation << 32 | client << 16;
+                thread::spawn(move || send_requests(address, first, &stopped));
             }
         }
     }
 
-    /// All die in the same moment.
-    fn die(mut self) {
-        self.over.store(true, Ordering::SeqCst);
-        for rig in &mut self.rigs {
-            rig.process.0.kill().unwrap();
+    /// Kills all processes at the same moment.
+    fn kill(mut self) {
+        self.stopped.store(true, Ordering::SeqCst);
+        for server in &mut self.servers {
+            server.process.0.kill().unwrap();
         }
     }
 }
 
-/// Asks for work that has to make its call, again and again until the fleet's life is over.
-fn ask_on(address: SocketAddr, first: u64, over: &AtomicBool) -> Option<()> {
+/// Sends requests that must make their call, one after another, until the fleet is killed.
+fn send_requests(address: SocketAddr, first: u64, stopped: &AtomicBool) -> Option<()> {
     for txn in first.. {
         let mut stream = TcpStream::connect(address).ok()?;
         stream
             .write_all(&request(txn, Some(&format!("{txn:032x}")), b"abc"))
             .ok()?;
-        // To its end: the request says no more, and a refusal closes nothing.
-        let mut answer = [0; 12];
-        stream.read_exact(&mut answer).ok()?;
-        if over.load(Ordering::SeqCst) {
+        // Reads up to the end of the status code only: the request does not ask for a close and a rejection does not
+        // cause one, so the stream would not end.
+        let mut status_line = [0; 12];
+        stream.read_exact(&mut status_line).ok()?;
+        if stopped.load(Ordering::SeqCst) {
             return None;
         }
-        // Who was refused comes back later.
-        if !answer.ends_with(b"200") {
+        // Waits after a rejection before the next request.
+        if !status_line.ends_with(b"200") {
             thread::sleep(Duration::from_millis(200));
         }
     }
     None
 }
 
-/// How many processes of that life reached the store, with a call that it took.
-fn going(calls: &[Called], life: u64) -> u64 {
-    let taken = calls
+/// Returns the number of processes of this generation that sent a call which the store accepted.
+fn processes_with_accepted_call(calls: &[ReceivedCall], generation: u64) -> u64 {
+    let accepted = calls
         .iter()
-        .filter(|call| call.taken && call.from.1 == life);
-    taken.map(|call| call.from.0).collect::<HashSet<_>>().len() as u64
+        .filter(|call| call.accepted && call.origin.1 == generation);
+    accepted
+        .map(|call| call.origin.0)
+        .collect::<HashSet<_>>()
+        .len() as u64
 }
 
 #[test]
-fn a_cold_fleet_that_starts_again_at_once_keeps_to_the_sum_of_its_parts_and_gets_going() {
-    let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
-    let (shared, store) = Shared::start();
+fn restarted_cold_fleet_stays_within_total_quota_and_reaches_store() {
+    let _lock = TEST_LOCK.lock().unwrap_or_else(|e| e.into_inner());
+    let (shared, store) = SharedStore::start();
     let mut fleet = Fleet::start(1, store);
-    let mut next = Fleet::start(2, store);
-    fleet.up();
-    shared.until("half of the fleet calls", |calls| {
-        going(calls, 1) >= PROCESSES / 2
+    let mut restarted = Fleet::start(2, store);
+    fleet.start_serving();
+    shared.wait_until("half of the fleet has reached the store", |calls| {
+        processes_with_accepted_call(calls, 1) >= PROCESSES / 2
     });
-    fleet.die();
-    next.up();
-    shared.until("all of the next fleet call", |calls| {
-        going(calls, 2) == PROCESSES
+    fleet.kill();
+    restarted.start_serving();
+    shared.wait_until("all of the next fleet has reached the store", |calls| {
+        processes_with_accepted_call(calls, 2) == PROCESSES
     });
     let first = shared.calls.lock().unwrap().len();
-    shared.until("half of them call again", |calls| {
+    shared.wait_until("the store has received PROCESSES / 2 more calls", |calls| {
         calls.len() as u64 >= first as u64 + PROCESSES / 2
     });
-    shared.kept_to_its_sum();
+    shared.assert_within_total_quota();
 }
 
 #[test]
-fn a_cold_fleet_whose_store_turns_all_away_does_not_come_back_in_step() {
-    let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
-    let (shared, store) = Shared::start();
+fn cold_fleet_rejected_by_store_does_not_retry_in_step() {
+    let _lock = TEST_LOCK.lock().unwrap_or_else(|e| e.into_inner());
+    let (shared, store) = SharedStore::start();
     shared.full.store(true, Ordering::SeqCst);
     let mut fleet = Fleet::start(1, store);
-    fleet.up();
-    shared.until("all were turned away", |calls| {
+    fleet.start_serving();
+    shared.wait_until("all processes were rejected", |calls| {
         calls
             .iter()
-            .map(|call| call.from.0)
+            .map(|call| call.origin.0)
             .collect::<HashSet<_>>()
             .len() as u64
             == PROCESSES
     });
     shared.full.store(false, Ordering::SeqCst);
-    shared.until("all come back", |calls| going(calls, 1) == PROCESSES);
-    shared.kept_to_its_sum();
+    shared.wait_until("all processes have an accepted call", |calls| {
+        processes_with_accepted_call(calls, 1) == PROCESSES
+    });
+    shared.assert_within_total_quota();
 }
