--- a/crates/heathspurd/tests/close.rs
+++ b/crates/heathspurd/tests/close.rs
@@ -152,6 +152,8 @@
     client.assert_closed();
 }
 
+/// Guards against connections in the accept queue that are never answered because the drain grace period ends while the
+/// connection pool is full. Requests that arrive after the grace period must not be run.
 #[test]
 fn connections_beyond_full_pool_are_answered_after_drain_grace_expires() {
     let grace = Duration::from_millis(300);
@@ -181,14 +183,15 @@
         .unwrap()
         != json!({"accepting": "false"})
     {}
-    // The listener is closed when the grace period ends, which cannot be observed while all connections are busy.
+    // The frontend stops accepting requests when the grace period ends. That cannot be observed while all connections
+    // are busy, hence the sleep.
     thread::sleep(grace + Duration::from_millis(200));
     clients.extend((201..204).map(send_request));
     interpreter.send_value(&first, "complete", b"done");
-    let interpreter = interpreter.complete_all_runs();
+    let completed_runs = interpreter.complete_all_runs();
     clients.iter_mut().for_each(assert_answered_and_closed);
     assert_eq!(server.process.wait().code(), Some(0));
-    let started = interpreter.join().unwrap();
+    let started = completed_runs.join().unwrap();
     assert!(
         (201..204).all(|txn| !started.contains(&task_id(txn))),
         "started after the grace period: {started:?}"
@@ -263,7 +266,7 @@
     }
     let _idle = open_connections(&server, 2 * POOL_SIZE, b"");
     server.process.signal("CONT");
-    let _vm = interpreter.complete_all_runs();
+    let _completed_runs = interpreter.complete_all_runs();
     for client in &mut clients {
         let status = client.read_response().0;
         assert!(status == 200 || status == 503, "{status}");
--- a/crates/heathspurd/tests/common/mod.rs
+++ b/crates/heathspurd/tests/common/mod.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Binds a loopback address that refuses connections until [`start_listening`] is called. The bound socket reserves the
-/// address meanwhile.
+/// Binds a loopback address that refuses connections until [`start_listening`] is called. The bound socket reserves
+/// the address meanwhile.
 pub fn bind_refusing() -> TcpListener {
     let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     rustix::net::bind(&socket, &SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).unwrap();
@@ -24,8 +24,8 @@
     listener
 }
 
-/// Time for which a connect attempt is kept pending. Longer than the server's former connect timeout; the kernel resends
-/// the SYN about every second.
+/// Time for which a connect attempt is kept pending. Longer than the server's former connect timeout; the kernel
+/// resends the SYN about every second.
 pub const SLOW_CONNECT: Duration = Duration::from_millis(1500);
 
 /// A listener that accepts no connection for now: its accept queue is full, so the kernel drops the SYN packets of
--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/full.rs
@@ -78,8 +78,8 @@
         .count()
 }
 
-/// Checks that a request on a new connection is served, including its call to the store, and that the server stays within
-/// its descriptor limit.
+/// Checks that a request on a new connection is served, including its call to the store, and that the server stays
+/// within its descriptor limit.
 fn assert_request_with_call_is_served(
     server: &ServerFixture,
     interpreter: &mut MockInterpreter,
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -51,6 +51,14 @@
     format!("{txn:016x}")
 }
 
+/// Pseudo-header fields of a `look` request.
+const LOOK_REQUEST_HEAD: [(&str, &str); 4] = [
+    (":method", "POST"),
+    (":scheme", "http"),
+    (":path", "/svc/look"),
+    (":authority", "b"),
+];
+
 /// Checks that a request on a new connection is served.
 fn assert_served(address: SocketAddr, interpreter: &mut MockInterpreter, txn: u64) {
     let mut client = Http2Client::connect(address);
@@ -63,7 +71,7 @@
 
 #[test]
 fn concurrent_streams_are_answered_in_any_order() {
-    let (_rig, mut interpreter, address) = start("order", "");
+    let (_server, mut interpreter, address) = start("order", "");
     let mut client = Http2Client::connect(address);
     let body: Vec<u8> = (0..=255).collect();
     let ids: Vec<u32> = (1..6)
@@ -87,7 +95,7 @@
 
 #[test]
 fn request_sent_byte_by_byte_is_accepted() {
-    let (_rig, mut interpreter, address) = start("bytes", "");
+    let (_server, mut interpreter, address) = start("bytes", "");
     let mut client = Http2Client::connect_without_preface(address);
     let (id, mut bytes) = (
         client.allocate_stream_id(),
@@ -112,7 +120,7 @@
         c["settings"]["family-info"]["mem-limit-kb"] = json!(20.0)
     });
     let address = server.wait_for_listen_address();
-    let _vm = server.accept_link();
+    let _interpreter = server.accept_link();
     let mut client = Http2Client::connect(address);
     let id = client.send_request(1, None, b"abc");
     let (status, fields, _) = client.read_response(id);
@@ -166,7 +174,7 @@
 
 #[test]
 fn stream_reset_and_lost_connection_cancel_run() {
-    let (_rig, mut interpreter, address) = start("gone", "");
+    let (_server, mut interpreter, address) = start("gone", "");
     for txn in 1..40 {
         let mut client = Http2Client::connect(address);
         let id = client.send_request(txn, None, b"abc");
@@ -186,18 +194,13 @@
 
 #[test]
 fn invalid_requests_are_answered_and_connection_stays_open() {
-    let (_rig, mut interpreter, address) = start("wrong", "");
+    let (_server, mut interpreter, address) = start("wrong", "");
     let mut client = Http2Client::connect(address);
     let id = client.send_get("/svc/look");
     assert_eq!(client.read_response(id).0, 405);
     let id = client.send_get("/nothing");
     assert_eq!(client.read_response(id).0, 404);
-    let head = [
-        (":method", "POST"),
-        (":scheme", "http"),
-        (":path", "/svc/look"),
-        (":authority", "b"),
-    ];
+    let head = LOOK_REQUEST_HEAD;
     let id = client.open_stream(&head, true);
     assert_eq!(client.read_response(id).0, 400);
     let id = client.open_stream(&head, false);
@@ -225,14 +228,9 @@
 
 #[test]
 fn incomplete_request_times_out_and_trailers_complete_request() {
-    let (_rig, mut interpreter, address) = start("half", "<request whole=\"200 ms\"/>");
+    let (_server, mut interpreter, address) = start("half", "<request whole=\"200 ms\"/>");
     let mut client = Http2Client::connect(address);
-    let head = [
-        (":method", "POST"),
-        (":scheme", "http"),
-        (":path", "/svc/look"),
-        (":authority", "b"),
-    ];
+    let head = LOOK_REQUEST_HEAD;
     let id = client.open_stream(&head, false);
     client.send_data(id, b"abc", false);
     assert_eq!(client.read_response(id).0, 408);
@@ -252,7 +250,7 @@
 
 #[test]
 fn http1_request_gets_505_and_incomplete_preface_times_out() {
-    let (_rig, mut interpreter, address) = start("version", "<request whole=\"200 ms\"/>");
+    let (_server, mut interpreter, address) = start("version", "<request whole=\"200 ms\"/>");
     let mut http1_client = Http1Client::connect(address);
     http1_client.send(&request(1, None, b"abc"));
     let (status, fields, body) = http1_client.read_response();
@@ -270,7 +268,8 @@
 
 #[test]
 fn streams_beyond_limits_are_reset_with_refused_stream() {
-    let (_rig, mut interpreter, address) = start("limit", "<streams connection=\"2\" all=\"4\"/>");
+    let (_server, mut interpreter, address) =
+        start("limit", "<streams connection=\"2\" all=\"4\"/>");
     let mut client = Http2Client::connect(address);
     let ids: Vec<u32> = (1..3)
         .map(|txn| client.send_request(txn, None, b"abc"))
@@ -307,7 +306,7 @@
 
 #[test]
 fn stalled_responses_are_reset_after_timeout_and_results_are_retained() {
-    let (_rig, mut interpreter, address) = start("stall", "<patience stalled=\"300 ms\"/>");
+    let (_server, mut interpreter, address) = start("stall", "<patience stalled=\"300 ms\"/>");
     // Its initial window is 0, and it never sends WINDOW_UPDATE.
     let mut client =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
@@ -332,16 +331,16 @@
 #[test]
 fn unread_responses_stay_within_budget_at_cost_of_largest_connection() {
     let memory = "<memory answers=\"64 KiB\" connection=\"64 KiB\"/><patience stalled=\"60 s\"/>";
-    let (_rig, mut interpreter, address) = start("budget", memory);
+    let (_server, mut interpreter, address) = start("budget", memory);
     let mut stalled =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
-    let answer = vec![7; 6000];
+    let response_body = vec![7; 6000];
     let ids: Vec<u32> = (1..21)
         .map(|txn| stalled.send_request(txn, None, b"x"))
         .collect();
     for _ in 1..21 {
         let (task_id, ..) = interpreter.read_apply();
-        interpreter.send_value(&task_id, "complete", &answer);
+        interpreter.send_value(&task_id, "complete", &response_body);
     }
     // The budget holds 10 responses of 6,000 bytes; the oldest ten were evicted.
     for id in &ids[..10] {
@@ -355,7 +354,7 @@
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
     let id = modest.send_request(40, None, b"x");
     interpreter.read_apply();
-    interpreter.send_value(&task_id(40), "complete", &answer);
+    interpreter.send_value(&task_id(40), "complete", &response_body);
     assert_eq!(
         stalled.wait_for_outcome(ids[10]),
         StreamOutcome::Reset(ENHANCE_YOUR_CALM)
@@ -402,13 +401,8 @@
 
 #[test]
 fn frame_floods_are_ended_and_other_connections_are_served() {
-    let (_rig, mut interpreter, address) = start("floods", "");
-    let head = [
-        (":method", "POST"),
-        (":scheme", "http"),
-        (":path", "/svc/look"),
-        (":authority", "b"),
-    ];
+    let (_server, mut interpreter, address) = start("floods", "");
+    let head = LOOK_REQUEST_HEAD;
     let no_setup = |_: &mut Http2Client| {};
     let reasons = [
         (
@@ -482,15 +476,10 @@
 
 #[test]
 fn oversized_headers_and_malformed_frames_end_only_their_stream_or_connection() {
-    let (_rig, mut interpreter, address) = start("broken", "");
+    let (_server, mut interpreter, address) = start("broken", "");
     let mut client = Http2Client::connect(address);
     let large = "x".repeat(9000);
-    let head = [
-        (":method", "POST"),
-        (":scheme", "http"),
-        (":path", "/svc/look"),
-        (":authority", "b"),
-    ];
+    let head = LOOK_REQUEST_HEAD;
     let id = client.open_stream(&[&head[..], &[("x-large", &large)]].concat(), true);
     assert!(matches!(
         client.wait_for_outcome(id),
@@ -499,7 +488,11 @@
     let id = client.send_request(1, None, b"x");
     interpreter.read_apply();
     interpreter.send_value(&task_id(1), "complete", b"y");
-    assert_eq!(client.read_response(id).0, 200, "the connection stays");
+    assert_eq!(
+        client.read_response(id).0,
+        200,
+        "the connection was not kept open"
+    );
     let malformed: [Vec<u8>; 5] = [
         // A window overflow.
         encode_frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
@@ -599,7 +592,7 @@
         assert!(client.process_frame(), "the connection ended");
     }
     server.process.terminate();
-    // The stall timeout of the streams is much longer than `EVENT_TIMEOUT`: a server that waited for it would fail here.
+    // The stall timeout of the streams is much longer than `EVENT_TIMEOUT`, so a server that waits for it fails here.
     let terminated_at = Instant::now();
     while server.process.0.try_wait().unwrap().is_none() {
         assert!(
@@ -628,7 +621,8 @@
     client.send_raw(&bytes);
     let mut http1_client = server.connect_client();
     http1_client.send(&request(1, Some("k1"), b"pay"));
-    // The `pay` request has a higher value and is admitted among the first, so it runs long before the flood is done.
+    // The `pay` request has a higher value and is among the first to be accepted, so it runs long before the flood is
+    // complete.
     let mut started_before = 0;
     loop {
         let command = interpreter.read_command();
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Tests against peers that are slow, silent, or respond out of order: the registration service, the interpreter and the
-//! store are scripted mocks.
+//! Tests against peers that are slow, silent, or respond out of order: the registration service, the interpreter and
+//! the store are scripted mocks.
 
 mod common;
 
@@ -80,7 +80,8 @@
 }
 
 /// Runs a test up to five times, until it returns `Some`. The server measures its timeouts in real time, which a
-/// machine that stalls for seconds uses up; such an attempt is repeated. A failure that needs no stall occurs each time.
+/// machine that stalls for seconds uses up; such an attempt is repeated. A failure that needs no stall occurs in each
+/// attempt.
 fn assert_passes_in_five_attempts(attempt: impl Fn() -> Option<()>) {
     let attempts = (1..=5)
         .find(|_| attempt().is_some())
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/ready.rs
@@ -1,6 +1,6 @@
-//! Tests that a started process is ready within 10 s, that is, its health check succeeds and its report is accepted, even
-//! if the registration service, its interpreter or the store initially refuses connections, is slow to accept them, or
-//! does not respond.
+//! Tests that a started process is ready within 10 s, that is, its health check succeeds and its report is accepted,
+//! even if the registration service, its interpreter or the store initially refuses connections, is slow to accept
+//! them, or does not respond.
 
 mod common;
 
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Waits until the process is ready and returns the interpreter's end of its link. Unavailable peers become available
-    /// meanwhile, except the store.
+    /// Waits until the process is ready and returns the interpreter's end of its link. Unavailable peers become
+    /// available meanwhile, except the store.
     fn wait_until_ready(self) -> (ServerFixture, MockInterpreter) {
         let StartedServer {
             mut server,
