--- a/crates/heathspur-server-core/src/connection_permits.rs
+++ b/crates/heathspur-server-core/src/connection_permits.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of permits reserved for new connections.
 const MAX_RESERVED_PERMITS: usize = 16;
-/// At most one in so many permits is reserved.
+/// One permit in this many is reserved for new connections, up to [`MAX_RESERVED_PERMITS`].
 const PERMITS_PER_RESERVED: usize = 4;
 /// Time after which a new connection without a complete request loses its protection from eviction. Clients send the
 /// first request immediately after they connect, in one or two TCP segments.
@@ -48,8 +48,8 @@
 
 #[derive(Debug)]
 struct IdleConnection<T> {
-    /// Whether a complete request arrived earlier.
-    served_request: bool,
+    /// Whether a complete request has arrived on the connection.
+    has_received_request: bool,
     /// Whether a part of the next request has arrived.
     reading_request: bool,
     idle_since: Duration,
@@ -65,14 +65,15 @@
     TimedOutInRequest,
     /// Between requests, or new.
     Idle,
-    /// A part of a request has arrived. Evicted only if no permit is left.
+    /// A part of a request has arrived. Evicted only if no permit is free and no lingering connection is left to free
+    /// one.
     ReadingRequest,
 }
 
 impl<T> IdleConnection<T> {
     fn eviction_order(&self, now: Duration) -> EvictionOrder {
         let waiting = now.saturating_sub(self.idle_since);
-        let timed_out = !self.served_request && waiting >= FIRST_REQUEST_TIMEOUT;
+        let timed_out = !self.has_received_request && waiting >= FIRST_REQUEST_TIMEOUT;
         match (timed_out, self.reading_request) {
             (true, false) => EvictionOrder::TimedOutWithoutInput,
             (true, true) => EvictionOrder::TimedOutInRequest,
@@ -123,14 +124,14 @@
         self.acquired = self.acquired.saturating_sub(1);
     }
 
-    /// Registers a connection as idle: one that is new, or (`served_request`) one that has received a complete request.
-    /// Returns a token that is valid while the connection is idle.
-    pub fn mark_idle(&mut self, now: Duration, served_request: bool, handle: T) -> u64 {
+    /// Registers a connection as idle: one that is new, or (`has_received_request`) one that has received a complete
+    /// request. Returns a token that is valid while the connection is idle.
+    pub fn mark_idle(&mut self, now: Duration, has_received_request: bool, handle: T) -> u64 {
         let token = self.allocate_token();
         self.idle.insert(
             token,
             IdleConnection {
-                served_request,
+                has_received_request,
                 reading_request: false,
                 idle_since: now,
                 handle,
--- a/crates/heathspur-server-core/src/registration/connections.rs
+++ b/crates/heathspur-server-core/src/registration/connections.rs
@@ -52,6 +52,7 @@
 }
 
 impl Connections {
+    /// Returns whether [`MAX_CONNECTIONS`] is reached.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= MAX_CONNECTIONS
     }
@@ -61,6 +62,7 @@
         self.entries.first()
     }
 
+    /// Returns the idle connection that has been idle for longest.
     pub fn idle(&self) -> Option<ConnectionId> {
         self.find(|connection| connection.state == ConnectionState::Idle)
     }
@@ -70,6 +72,7 @@
         self.find(|connection| connection.deadline.is_some_and(|deadline| deadline <= now))
     }
 
+    /// Returns when the first state times out.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.entries
             .iter()
@@ -77,7 +80,7 @@
             .min()
     }
 
-    /// Adds a connection attempt.
+    /// Adds a connection attempt. Its timeout is shorter if another attempt is in progress.
     pub fn add_connecting(&mut self, now: Duration) -> ConnectionId {
         let is_hedge = self
             .find(|connection| connection.state == ConnectionState::Connecting)
@@ -99,6 +102,7 @@
         id
     }
 
+    /// Adds an idle connection. `reused` states whether it has carried a report.
     pub fn add_idle(&mut self, id: ConnectionId, now: Duration, reused: bool) {
         self.entries.push(Connection {
             id,
@@ -109,6 +113,7 @@
         });
     }
 
+    /// Adds a connection on which a report has been sent.
     pub fn add_reporting(&mut self, id: ConnectionId, now: Duration, report: Report, reused: bool) {
         self.entries.push(Connection {
             id,
@@ -119,14 +124,18 @@
         });
     }
 
+    /// Removes a connection attempt. Returns `None` if the connection is in another state.
     pub fn remove_connecting(&mut self, id: ConnectionId) -> Option<Connection> {
         self.remove(id, |state| *state == ConnectionState::Connecting)
     }
 
+    /// Removes an idle connection. Returns `None` if the connection is in another state.
     pub fn remove_idle(&mut self, id: ConnectionId) -> Option<Connection> {
         self.remove(id, |state| *state == ConnectionState::Idle)
     }
 
+    /// Removes a connection with a report in flight, and returns the report. Returns `None` if the connection is in
+    /// another state.
     pub fn remove_reporting(&mut self, id: ConnectionId) -> Option<FinishedReport> {
         let is_reporting = |state: &ConnectionState| matches!(state, ConnectionState::Reporting(_));
         let connection = self.remove(id, is_reporting)?;
--- a/crates/heathspur-server-core/src/reload.rs
+++ b/crates/heathspur-server-core/src/reload.rs
@@ -14,15 +14,16 @@
     pub name: &'a str,
     /// The address for connections from load balancers.
     pub listen: SocketAddr,
-    /// The address of the next tier; `None` for the last tier. Only its presence is part of the server's identity.
+    /// The address of the proxy to the next tier; `None` for the last tier. Only its presence is part of the server's
+    /// identity.
     pub store: Option<SocketAddr>,
-    /// Time from the drain signal to the end of the process.
+    /// The time from the signal to drain until the platform kills the process.
     pub stop_timeout: Duration,
     /// Memory limit of the process, in bytes.
     pub memory_bytes: usize,
     /// Limit on open file descriptors of the process.
     pub file_descriptors: usize,
-    /// Settings of admission.
+    /// The settings of the admission controller.
     pub settings: &'a Settings,
     /// Names of the classes, in the order of the settings.
     pub classes: &'a [String],
--- a/crates/heathspur-server-core/tests/unit/connection_permits.rs
+++ b/crates/heathspur-server-core/tests/unit/connection_permits.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/connection_permits.rs`, which includes this file as its test module.
+//! Unit tests of `src/connection_permits.rs`, which includes this file as its test module.
 
 use super::*;
 use proptest::prelude::*;
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ModelConnection {
     id: usize,
-    served_request: bool,
+    has_received_request: bool,
     state: State,
     /// Whether it was selected for eviction and has not ended yet.
     evicted: bool,
@@ -80,7 +80,7 @@
 
     /// Returns whether no complete request has arrived within the timeout of the first request.
     fn is_timed_out(&self, now: Duration) -> bool {
-        matches!(self.state, State::Idle { since, .. } if !self.served_request && now - since >= FIRST_REQUEST_TIMEOUT)
+        matches!(self.state, State::Idle { since, .. } if !self.has_received_request && now - since >= FIRST_REQUEST_TIMEOUT)
     }
 
     fn is_in_request(&self, now: Duration) -> bool {
@@ -134,7 +134,7 @@
                     if let Some(id) = ids.next().filter(|_| acquired) {
                         let token = permits.mark_idle(now, false, id);
                         let state = State::Idle { reading: false, since: now, token };
-                        connections.push(ModelConnection { id, served_request: false, state, evicted: false });
+                        connections.push(ModelConnection { id, has_received_request: false, state, evicted: false });
                     }
                 }
                 (4 | 5, Some(index)) => match connections[index].state {
@@ -145,7 +145,7 @@
                     }
                     State::Idle { token, .. } => {
                         permits.remove_idle(token);
-                        connections[index] = ModelConnection { served_request: true, state: State::Serving, evicted: false, ..connections[index] };
+                        connections[index] = ModelConnection { has_received_request: true, state: State::Serving, evicted: false, ..connections[index] };
                     }
                     State::Serving => {
                         let token = permits.mark_idle(now, true, connections[index].id);
--- a/crates/heathspur-server-core/tests/unit/registration.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/registration/mod.rs`, which includes this file as its test module: the schedule runs against a
+//! Unit tests of `src/registration/mod.rs`, which includes this file as its test module: the schedule runs against a
 //! simulated service, whose connection attempts and answers follow a generated plan.
 
 use super::*;
--- a/crates/heathspur-server-core/tests/unit/reload.rs
+++ b/crates/heathspur-server-core/tests/unit/reload.rs
@@ -1,5 +1,5 @@
-//! Tests of `src/reload.rs`, which includes this file as its test module. The configuration tests of `heathspurd` check
-//! the field names against a configuration file.
+//! Unit tests of `src/reload.rs`, which includes this file as its test module. The configuration tests of `heathspurd`
+//! check the field names against a configuration file.
 
 use super::*;
 use heathspur::{Class, Idempotency, Span};
--- a/crates/heathspur-streams/src/frame_cost.rs
+++ b/crates/heathspur-streams/src/frame_cost.rs
@@ -1,9 +1,9 @@
 //! Detects floods of frames on a connection by a balance of points.
 //!
 //! Frames are counted as their bytes arrive, so that frames which an HTTP/2 library answers by
-//! itself count too. Each frame costs points by its type; submitted requests, responses that the
-//! client read and elapsed time add points. A connection whose balance is exhausted has to be
-//! closed with `ENHANCE_YOUR_CALM`.
+//! itself count too. Each frame costs points by its type; submitted requests, responses and elapsed
+//! time add points. A connection whose balance is exhausted has to be closed with
+//! `ENHANCE_YOUR_CALM`.
 
 use crate::Time;
 
@@ -14,9 +14,9 @@
 const POINTS_PER_SECOND: u64 = 200;
 /// Points credited for a submitted request. The frames of an ordinary request cost less.
 const POINTS_PER_REQUEST: i64 = 14;
-/// Points credited for a response that was read; they pay for the client's window updates.
+/// Points credited for a response; they pay for the client's window updates.
 const POINTS_PER_RESPONSE: i64 = 2;
-/// Points credited for each KiB of a response that was read.
+/// Points credited for each KiB of a response's body.
 const POINTS_PER_RESPONSE_KIB: i64 = 1;
 /// Highest number of KiB of one response for which points are credited.
 const MAX_RESPONSE_KIB: u64 = 1 << 20;
@@ -118,7 +118,7 @@
         self.credit(POINTS_PER_REQUEST);
     }
 
-    /// Adds the points of a response of `bytes` bytes that the client has read.
+    /// Adds the points of a response whose body has `bytes` bytes.
     pub fn credit_response(&mut self, bytes: u64) {
         let kib = (bytes / BYTES_PER_KIB).min(MAX_RESPONSE_KIB) as i64;
         self.credit(POINTS_PER_RESPONSE + POINTS_PER_RESPONSE_KIB * kib);
--- a/crates/heathspur-streams/src/stream_lifecycle.rs
+++ b/crates/heathspur-streams/src/stream_lifecycle.rs
@@ -213,7 +213,7 @@
             let state = StreamState::SendingResponse { remaining: bytes };
             (state, StreamAction::SendHeaders)
         }
-        // The request may be running; the event loop decides what to do about the disconnect.
+        // The request may be running; the caller decides what to do about the disconnect.
         StreamEvent::Reset => close(StreamEnd::Reset, StreamAction::ReportDisconnect),
         StreamEvent::ConnectionLost => {
             close(StreamEnd::ConnectionLost, StreamAction::ReportDisconnect)
--- a/crates/heathspur-streams/tests/model.rs
+++ b/crates/heathspur-streams/tests/model.rs
@@ -406,7 +406,7 @@
                 },
             ),
             Property::always(
-                "rule 2: a key runs index most once, and is not rejected after it ran",
+                "rule 2: a key runs at most once, and is not rejected after it ran",
                 |_, server: &Server| server.runs <= 1 && !server.rejected_after_run,
             ),
             Property::always(
