--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -2,7 +2,8 @@
 //! failover state machine of `heathspur-failover`.
 //!
 //! The event loop counts the outcomes of its calls. The membership thread feeds these counts into the state machine and
-//! publishes the resulting routing plan as a versioned snapshot. Neither thread waits for the other.
+//! publishes the resulting routing plan as a versioned snapshot. Neither thread waits for the other, except for the
+//! lock on the plan, which is held only to copy or replace a pointer.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -103,8 +104,8 @@
         self.plan_version.fetch_add(1, Ordering::Release);
     }
 
-    /// Locks the plan, which callers only do to copy or replace the pointer. A poisoned lock is used nevertheless, since
-    /// a pointer is never partly written.
+    /// Locks the plan, which callers do only to copy or replace the pointer. A poisoned lock is used nevertheless,
+    /// because a pointer is never partly written.
     fn lock_plan(&self) -> MutexGuard<'_, Arc<RoutingPlan>> {
         self.plan.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -1,8 +1,8 @@
-//! Fleet membership: a thread with its own local executor, which runs the SWIM state machine of `heathspur-members` over
-//! UDP.
+//! Fleet membership: a thread with its own local executor, which runs the SWIM state machine of `heathspur-members`
+//! over UDP.
 //!
-//! The event loop and this thread share only a few atomic numbers and a bounded channel, and neither waits for the
-//! other.
+//! The event loop and this thread share a few atomic values, a bounded channel and, with zone failover, the routing
+//! plan. The lock on the plan is held only to copy or replace a pointer; otherwise neither thread waits for the other.
 
 pub(crate) mod failover;
 mod load_gauge;
@@ -114,7 +114,14 @@
         })?;
         let seeds = config.seed.iter().filter_map(|seed| ipv4(seed.address));
         let incarnation = first_incarnation();
-        info!(member = %config.id, incarnation, address = %local.address, "members: joining");
+        info!(
+            member = %config.id,
+            incarnation,
+            address = %local.address,
+            "members: joining as {} at {} with incarnation {incarnation}",
+            config.id,
+            local.address
+        );
         let random_seed = incarnation ^ RANDOM_SEED_MASK;
         let membership =
             Membership::new(settings, local, incarnation, seeds.collect(), random_seed);
@@ -163,7 +170,7 @@
         executor.spawn(failover.run_checks()).detach();
     }
     if let Err(error) = async_io::block_on(executor.run(worker.run(socket))) {
-        warn!(%error, "members: stopped: {error}");
+        warn!(%error, "members: the membership thread stopped: {error}");
     }
 }
 
--- a/crates/heathspurd/src/membership/worker.rs
+++ b/crates/heathspurd/src/membership/worker.rs
@@ -1,4 +1,5 @@
-//! The membership thread's loop, which passes datagrams, ticks and commands to the state machine and performs its actions.
+//! The membership thread's loop, which passes datagrams, ticks and commands to the state machine and performs its
+//! actions.
 
 use crate::membership::failover::FailoverWorker;
 use crate::membership::load_gauge::LoadSampler;
@@ -172,7 +173,10 @@
             );
         }
         Action::IncarnationRaised(incarnation) => {
-            info!(incarnation, "members: own incarnation raised");
+            info!(
+                incarnation,
+                "members: own incarnation raised to {incarnation}"
+            );
         }
         Action::InputRejected(report) => log_rejections(&report),
     }
