--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -82,7 +82,7 @@
     pub reason: String,
 }
 
-/// The JSON document in the configuration file.
+/// The JSON document in the configuration file. [`Config`] explains the fields.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -100,6 +100,7 @@
     settings: WireSettings,
 }
 
+/// The resource limits that the platform imposes on the process.
 #[derive(Deserialize)]
 struct Limits {
     memory_mb: u64,
--- a/crates/heathspurd/src/event_loop/dispatch.rs
+++ b/crates/heathspurd/src/event_loop/dispatch.rs
@@ -41,8 +41,8 @@
 
     /// Answers a request as rejected and discards it.
     fn reject(&mut self, id: RequestId, retry_after: Option<Span>, no_retry: bool) {
-        if let Some(members) = &self.members {
-            members.count_rejection();
+        if let Some(membership) = &self.membership {
+            membership.count_rejection();
         }
         let answer = Answer::Rejected {
             retry_after,
--- a/crates/heathspurd/src/event_loop/execution.rs
+++ b/crates/heathspurd/src/event_loop/execution.rs
@@ -16,7 +16,7 @@
     Resume,
     /// Continue the run with the reply to its call.
     CompleteCall(Bytes),
-    /// Continue the run without its call; the number is that of the notice that requested the call.
+    /// Continue the run without its call; the number is that of the notice that reported the need for it.
     SkipCall(u64),
 }
 
@@ -36,7 +36,7 @@
 /// A dependency call that a run needs.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingCall {
-    /// The number of the notice that requested it.
+    /// The number of the notice that reported the need for the call.
     pub index: u64,
     pub body: Bytes,
 }
@@ -46,7 +46,7 @@
 pub(crate) struct InFlightCall {
     pub id: CallId,
     pub started: Time,
-    /// When the event loop abandons the call.
+    /// When the event loop abandons the call if it has not ended.
     pub deadline: Time,
 }
 
@@ -56,7 +56,7 @@
     /// When the run was first started. Pausing and resuming do not change it.
     pub started: Time,
     /// Whether the controller has requested that the run be stopped. Remains set until the run ends, even if the run
-    /// requests a call before the interpreter has processed the stop.
+    /// needs a call before the interpreter has processed the stop.
     pub stop_requested: bool,
 }
 
@@ -71,7 +71,7 @@
         last_command: LastCommand,
         delivery: CommandDelivery,
     },
-    /// The controller has stopped the run, and can resume it.
+    /// The run was stopped at the controller's request, and can be resumed.
     Paused { started: Time },
     /// The run needs a call that is not in flight.
     AwaitingCall { run: Run, call: PendingCall },
--- a/crates/heathspurd/src/event_loop/inbox.rs
+++ b/crates/heathspurd/src/event_loop/inbox.rs
@@ -11,7 +11,9 @@
     ClientDisconnected(RequestId),
     /// A connection has closed while the server drains.
     ConnectionClosed,
+    /// The link to the interpreter has reported an event.
     Interpreter(interpreter::InterpreterEvent),
+    /// A dependency call has ended.
     Store(store::CallCompleted),
 }
 
--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -1,4 +1,4 @@
-//! Handling of events from the interpreter's link: ended runs, requested calls, gauges and the state of the link.
+//! Handling of events from the interpreter's link: ended runs, calls that runs need, gauges and the state of the link.
 
 use crate::event_loop::deadlines::timer_without_gauges;
 use crate::event_loop::execution::{CallRequirement, PendingCall};
@@ -11,11 +11,13 @@
 use heathspur_wire::interpreter::{RunOutcome, Warmth};
 use tracing::warn;
 
-/// The verbs by which the interpreter names a command that it has rejected.
+/// The verb of a gauge query, by which the interpreter reports its rejection.
 const GAUGES_COMMAND: &str = "TOP";
+/// The verb of the command that starts a run, by which the interpreter reports its rejection.
 const START_COMMAND: &str = "APPLY";
 
 impl EventLoop {
+    /// Handles an event from the link. A run's end or call is ignored if its attempt is not in the request table.
     pub(super) fn on_interpreter_event(&mut self, event: InterpreterEvent) {
         match event {
             InterpreterEvent::Connected {
@@ -33,7 +35,7 @@
                     self.on_run_ended(id, outcome, body);
                 }
             }
-            InterpreterEvent::CallRequested {
+            InterpreterEvent::CallNeeded {
                 attempt,
                 index,
                 body,
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -65,7 +65,9 @@
 enum Wakeup {
     Request(IncomingRequest),
     Event(LoopEvent),
+    /// A signal has requested a drain or a reload.
     Signal,
+    /// A deadline has passed, or events wait for the controller's decision.
     Deadline,
 }
 
@@ -83,7 +85,7 @@
     pub peer_addresses: PeerAddresses,
     pub idempotency: IdempotencyStore,
     /// The fleet membership, if it is enabled.
-    pub members: Option<MembershipHandle>,
+    pub membership: Option<MembershipHandle>,
     pub signals: Rc<SignalState>,
     /// Closed by the event loop once no new requests are accepted.
     pub stop_accepting: Sender<()>,
@@ -103,13 +105,14 @@
     frontend: Rc<FrontendContext>,
     readiness: Rc<Readiness>,
     /// The fleet membership, if it is enabled.
-    members: Option<MembershipHandle>,
+    membership: Option<MembershipHandle>,
     signals: Rc<SignalState>,
     drain: Drain,
     connection_closed: Sender<()>,
     clock: Clock,
     /// The time of the current iteration.
     now: Time,
+    /// When expired idempotency entries and idle store connections are removed next.
     next_prune: Time,
 }
 
@@ -128,7 +131,7 @@
             peer_addresses: parts.peer_addresses,
             frontend: parts.frontend,
             readiness: parts.readiness,
-            members: parts.members,
+            membership: parts.membership,
             signals: parts.signals,
             drain: Drain::new(parts.stop_timeout, parts.stop_accepting),
             connection_closed: parts.connection_closed,
@@ -250,8 +253,8 @@
             return;
         };
         self.dispatch_all(actions);
-        if let Some(members) = &self.members {
-            members.set_load(self.table.len(), concurrency_limit);
+        if let Some(membership) = &self.membership {
+            membership.set_load(self.table.len(), concurrency_limit);
         }
     }
 
--- a/crates/heathspurd/src/event_loop/request_table.rs
+++ b/crates/heathspurd/src/event_loop/request_table.rs
@@ -8,7 +8,7 @@
 use heathspur::{ClassId, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// One request.
+/// A request that was submitted and not released yet.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub attempt: AttemptId,
@@ -16,7 +16,7 @@
     pub body: Bytes,
     /// Receives the answer; `None` once the request is answered or its client has disconnected.
     reply: Option<Sender<Answer>>,
-    /// The key that it shares with its repeats, if any.
+    /// The key that the request shares with its repeats, if any.
     pub key: Option<Key>,
     pub execution: ExecutionState,
 }
--- a/crates/heathspurd/src/event_loop/shutdown.rs
+++ b/crates/heathspurd/src/event_loop/shutdown.rs
@@ -25,8 +25,8 @@
         self.start_controller(self.controller.settings().cold_start, self.now);
         let grace = self.controller.settings().drain_grace;
         let plan = self.drain.begin(self.now, grace);
-        if let Some(members) = &self.members {
-            members.leave();
+        if let Some(membership) = &self.membership {
+            membership.leave();
         }
         self.frontend.draining.set(true);
         self.frontend
@@ -45,7 +45,8 @@
             return false;
         }
         self.drain.stop_accepting_if_due(self.now);
-        let is_idle = || self.frontend.connections.open() == 0 && !self.table.owes_reply();
+        let is_idle =
+            || self.frontend.connections.open_connections() == 0 && !self.table.owes_reply();
         self.drain.has_stopped_accepting() && (is_idle() || self.drain.is_exit_due(self.now))
     }
 
@@ -64,8 +65,9 @@
             self.controller.push(timer_without_gauges(token));
         }
         self.decide(&mut actions);
-        let closed =
-            async { while self.frontend.connections.open() > 0 && inbox.recv().await.is_ok() {} };
+        let closed = async {
+            while self.frontend.connections.open_connections() > 0 && inbox.recv().await.is_ok() {}
+        };
         let timeout = async {
             Timer::after(LAST_WRITES_TIMEOUT).await;
         };
--- a/crates/heathspurd/src/event_loop/store_calls.rs
+++ b/crates/heathspurd/src/event_loop/store_calls.rs
@@ -20,7 +20,7 @@
     pub attempt: AttemptId,
     pub timeout: Span,
     pub body: Bytes,
-    /// Whether the call needs a new connection.
+    /// Whether the call requires a new connection; see [`Call::new_connection`].
     pub new_connection: bool,
 }
 
--- a/crates/heathspurd/src/frontend/accept.rs
+++ b/crates/heathspurd/src/frontend/accept.rs
@@ -11,7 +11,8 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Delay before the next attempt after permits or file descriptors have run out.
+/// Delay before the next attempt if no permit is free or the last attempt failed, for example because file descriptors
+/// have run out.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections and passes each to `serve`, until no new requests are accepted and the listener's backlog is
--- a/crates/heathspurd/src/frontend/connection_pool.rs
+++ b/crates/heathspurd/src/frontend/connection_pool.rs
@@ -29,6 +29,7 @@
 }
 
 impl ConnectionPool {
+    /// Creates a pool with `max_connections` permits, at least one.
     pub fn new(max_connections: usize) -> ConnectionPool {
         ConnectionPool {
             permits: RefCell::new(Permits::new(max_connections)),
@@ -45,7 +46,7 @@
     }
 
     /// Returns the number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.permits.borrow().acquired()
     }
 
--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -15,6 +15,7 @@
 /// State shared between the frontends and the event loop. The event loop writes the public cells; the frontends only
 /// read them.
 pub(crate) struct FrontendContext {
+    /// The names of classes, tenants and gauges on the wire.
     pub names: WireNames,
     /// For each class, whether its requests carry an idempotency key; they carry no subject then.
     pub keyed_classes: Vec<bool>,
@@ -40,6 +41,7 @@
 }
 
 impl FrontendContext {
+    /// Creates the state of a server that is not ready and does not drain.
     pub fn new(
         names: WireNames,
         keyed_classes: Vec<bool>,
--- a/crates/heathspurd/src/frontend/header.rs
+++ b/crates/heathspurd/src/frontend/header.rs
@@ -3,6 +3,7 @@
 /// A header field of requests that the server evaluates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestHeader {
+    /// The client's identifier of the attempt.
     AttemptId,
     /// When the request reached the machine, in milliseconds since the Unix epoch.
     ReceivedAt,
@@ -12,8 +13,11 @@
     ShedRank,
     /// Number of the router that forwarded the request. The field is required; its value is only validated.
     Router,
+    /// Name of the tenant. Required if the settings have tenants, and not allowed otherwise.
     Tenant,
+    /// 1 if the request is a retry; the field has no other valid value.
     IsRetry,
+    /// Identifies retries of the same request. Required in classes with idempotency keys, and not allowed in others.
     IdempotencyKey,
     /// How long the client still waits, in milliseconds.
     ClientTimeout,
--- a/crates/heathspurd/src/frontend/http1/input.rs
+++ b/crates/heathspurd/src/frontend/http1/input.rs
@@ -42,6 +42,7 @@
 }
 
 impl Input {
+    /// Creates the input of a connection on which nothing has been received.
     pub fn new(stream: Stream) -> Input {
         Input {
             stream,
@@ -54,6 +55,7 @@
         &self.stream
     }
 
+    /// Returns whether all received bytes were consumed.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -27,7 +27,7 @@
     ClosedByClient,
     /// The server closes the connection: it was idle for too long, or no further requests are accepted on it.
     NoMoreRequests,
-    /// The received bytes are not a valid request. The status of the response.
+    /// The received bytes are not a valid request. Contains the status of the response.
     InvalidRequest(u16),
 }
 
@@ -35,11 +35,11 @@
 enum ParsedMessage {
     HealthCheck,
     Request(Box<IncomingRequest>, Receiver<Answer>),
-    /// Not a valid request. The status of the response.
+    /// The message is not a valid request. Contains the status of the response.
     Invalid(u16),
 }
 
-/// A complete message, and whether the client wants the connection to be closed after the answer.
+/// A complete message, and whether the client asks for the connection to be closed after the answer.
 struct ReceivedMessage {
     content: ParsedMessage,
     connection_option: ConnectionOption,
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -47,6 +47,7 @@
         }
     }
 
+    /// Returns the state that the frontends share with the event loop.
     pub fn context(&self) -> &FrontendContext {
         &self.frontend.handle.context
     }
@@ -58,17 +59,17 @@
     }
 }
 
-/// A stream's slot in the stream quota. Dropping it releases the slot.
+/// A stream's slot within the stream limits. Dropping it releases the slot.
 pub(super) struct StreamSlot {
     connection: Rc<ConnectionState>,
 }
 
 impl StreamSlot {
-    /// Acquires a slot. Returns `None` if the quota is used up.
+    /// Acquires a slot. Returns `None` if a limit is reached.
     fn acquire(connection: &Rc<ConnectionState>) -> Option<StreamSlot> {
         let open_streams = connection.open_streams.get();
-        let mut quota = connection.frontend.stream_quota.borrow_mut();
-        quota.try_open(open_streams).ok()?;
+        let mut limits = connection.frontend.stream_limits.borrow_mut();
+        limits.try_open(open_streams).ok()?;
         connection.open_streams.set(open_streams + 1);
         Some(StreamSlot {
             connection: connection.clone(),
@@ -87,7 +88,11 @@
             .open_streams
             .set(connection.open_streams.get() - 1);
         connection.idle_since.set(Instant::now());
-        connection.frontend.stream_quota.borrow_mut().close_stream();
+        connection
+            .frontend
+            .stream_limits
+            .borrow_mut()
+            .close_stream();
     }
 }
 
@@ -104,7 +109,7 @@
         permit,
         drain: ConnectionDrain::new(round_trip.as_micros() as u64),
         accepting_stopped: false,
-        seen_ping_acks: 0,
+        handled_ping_acks: 0,
     };
     if let ConnectionEnd::GoAway(reason) = driver.run().await {
         go_away(h2, reason).await;
@@ -145,7 +150,7 @@
     /// Whether the drain has handled that no new requests are accepted.
     accepting_stopped: bool,
     /// Number of PING acknowledgements that the drain has handled.
-    seen_ping_acks: u64,
+    handled_ping_acks: u64,
 }
 
 impl Driver<'_> {
@@ -222,7 +227,7 @@
                 responder.send_reset(Reason::REFUSED_STREAM);
             }
         }
-        let window = frontend.stream_quota.borrow().connection_window();
+        let window = frontend.stream_limits.borrow().connection_window();
         self.h2.set_target_window_size(window);
     }
 
@@ -237,12 +242,12 @@
     /// Advances the drain by new PING acknowledgements, or by the time.
     fn advance_drain(&mut self) -> DrainStep {
         let ping_acks = self.state.monitor.meter.borrow().counts().ping_acks;
-        let step = if ping_acks > self.seen_ping_acks {
+        let step = if ping_acks > self.handled_ping_acks {
             self.drain.on_ping_acknowledged()
         } else {
             self.drain.check_timeout(self.state.monitor.now())
         };
-        self.seen_ping_acks = ping_acks;
+        self.handled_ping_acks = ping_acks;
         step
     }
 
@@ -253,12 +258,15 @@
             warn!(
                 frames = counts.frames,
                 resets = counts.resets,
-                "closing HTTP/2 connection: client exceeded the frame cost limit"
+                "closing HTTP/2 connection: client exceeded the frame cost limit after {} frames, {} of them resets",
+                counts.frames,
+                counts.resets
             );
             return Some(ConnectionEnd::GoAway(Reason::ENHANCE_YOUR_CALM));
         }
         if self.is_stalled() {
-            debug!("closing HTTP/2 connection: client does not read");
+            let blocked_ms = self.state.monitor.blocked_for().as_millis();
+            debug!("closing HTTP/2 connection: client has read nothing for {blocked_ms} ms");
             return Some(ConnectionEnd::Close);
         }
         // The server itself ends a drained connection. The library would accept streams until its PING is acknowledged,
@@ -268,7 +276,8 @@
         is_drained.then_some(ConnectionEnd::GoAway(Reason::NO_ERROR))
     }
 
-    /// Returns whether the client has read nothing for too long.
+    /// Returns whether the client has read nothing for too long, or reads nothing when unread answers have to be
+    /// dropped.
     fn is_stalled(&self) -> bool {
         let monitor = &self.state.monitor;
         let timeout = self.state.frontend.settings.client_timeouts.stalled.0;
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -45,31 +45,32 @@
     handle: FrontendHandle,
     settings: Http2,
     /// Limits the open streams and assigns the connections their receive windows.
-    stream_quota: RefCell<StreamLimits>,
+    stream_limits: RefCell<StreamLimits>,
     response_budget: Rc<ResponseBudget>,
-    /// Origin of the times that are passed to `stream_quota`.
+    /// Origin of the times that are passed to `stream_limits`.
     start: Instant,
 }
 
 impl Http2Frontend {
+    /// Returns the time since the frontend started.
     fn now(&self) -> heathspur_streams::Time {
         heathspur_streams::Time(self.start.elapsed().as_micros() as u64)
     }
 }
 
-/// A connection's registration with the stream quota. Dropping it removes the registration.
-struct QuotaRegistration(Rc<Http2Frontend>);
+/// A connection's registration with the stream limits. Dropping it removes the registration.
+struct ConnectionRegistration(Rc<Http2Frontend>);
 
-impl QuotaRegistration {
-    fn new(frontend: &Rc<Http2Frontend>) -> QuotaRegistration {
-        frontend.stream_quota.borrow_mut().connection_opened();
-        QuotaRegistration(frontend.clone())
+impl ConnectionRegistration {
+    fn new(frontend: &Rc<Http2Frontend>) -> ConnectionRegistration {
+        frontend.stream_limits.borrow_mut().connection_opened();
+        ConnectionRegistration(frontend.clone())
     }
 }
 
-impl Drop for QuotaRegistration {
+impl Drop for ConnectionRegistration {
     fn drop(&mut self) {
-        self.0.stream_quota.borrow_mut().connection_closed();
+        self.0.stream_limits.borrow_mut().connection_closed();
     }
 }
 
@@ -80,7 +81,7 @@
     settings: Http2,
     response_budget: Rc<ResponseBudget>,
 ) -> impl Fn(Stream, Permit) {
-    let stream_quota = StreamLimits::new(LimitSettings {
+    let stream_limits = StreamLimits::new(LimitSettings {
         per_connection: settings.streams.connection,
         total: settings.streams.all,
         receive_bytes: settings.memory.receive.0,
@@ -89,7 +90,7 @@
         executor: executor.clone(),
         handle,
         settings,
-        stream_quota: RefCell::new(stream_quota),
+        stream_limits: RefCell::new(stream_limits),
         response_budget,
         start: Instant::now(),
     });
@@ -109,7 +110,7 @@
     };
     let (stream, monitor) = (Rc::new(stream), TransportMonitor::new());
     let transport = Transport::new(stream.clone(), received, PREFACE.len(), monitor.clone());
-    let _registration = QuotaRegistration::new(&frontend);
+    let _registration = ConnectionRegistration::new(&frontend);
     let handshake = builder(&frontend).handshake::<_, Bytes>(transport);
     let timeout = frontend.settings.request.receive_timeout.0;
     let handshake = within(timeout, async { handshake.await.map_err(io::Error::other) });
@@ -124,15 +125,15 @@
 }
 
 fn builder(frontend: &Http2Frontend) -> Builder {
-    let (settings, quota) = (&frontend.settings, frontend.stream_quota.borrow());
+    let (settings, limits) = (&frontend.settings, frontend.stream_limits.borrow());
     let to_u32 = |bytes: u64| u32::try_from(bytes).unwrap_or(u32::MAX);
     let mut builder = Builder::new();
     builder
-        .max_concurrent_streams(quota.advertised_limit())
+        .max_concurrent_streams(limits.advertised_limit())
         .max_header_list_size(to_u32(settings.request.header_list.0))
         // One byte more than the limit on a body, so that a body that is too long is detected.
         .initial_window_size(to_u32(settings.request.body.0 + 1))
-        .initial_connection_window_size(quota.connection_window())
+        .initial_connection_window_size(limits.connection_window())
         .max_send_buffer_size(settings.memory.stream.0 as usize);
     builder
 }
--- a/crates/heathspurd/src/frontend/http2/receive.rs
+++ b/crates/heathspurd/src/frontend/http2/receive.rs
@@ -23,6 +23,7 @@
 }
 
 impl RequestReceiver {
+    /// Creates the receiver of a request whose header block is complete. The body has to be complete within `timeout`.
     pub fn new(
         request: Request<RecvStream>,
         timeout: Duration,
--- a/crates/heathspurd/src/frontend/http2/send.rs
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -35,6 +35,7 @@
 }
 
 impl ResponseSender {
+    /// Creates a sender whose response is not set yet.
     pub fn new(connection: Rc<ConnectionState>, responder: SendResponse<Bytes>) -> ResponseSender {
         ResponseSender {
             connection,
@@ -70,7 +71,7 @@
         let frontend = self.connection.frontend.clone();
         self.deadline = Some(Instant::now() + frontend.settings.client_timeouts.stalled.0);
         let failed = self.send_head(&response, response.body.is_empty()).err();
-        frontend.stream_quota.borrow_mut().on_response();
+        frontend.stream_limits.borrow_mut().on_response();
         let mut meter = self.connection.monitor.meter.borrow_mut();
         meter.credit_response(response.body.len() as u64);
         drop(meter);
--- a/crates/heathspurd/src/frontend/http2/stream.rs
+++ b/crates/heathspurd/src/frontend/http2/stream.rs
@@ -156,7 +156,7 @@
         let frontend = &self.connection.frontend;
         if let Err(full) = frontend.handle.requests.try_send(request) {
             let now = frontend.now();
-            frontend.stream_quota.borrow_mut().on_backpressure(now);
+            frontend.stream_limits.borrow_mut().on_backpressure(now);
             // Fails only once the event loop has ended. That is after all connections, so no answer is required then.
             let _ = frontend.handle.requests.send(full.into_inner()).await;
         }
--- a/crates/heathspurd/src/frontend/http2/transport.rs
+++ b/crates/heathspurd/src/frontend/http2/transport.rs
@@ -22,7 +22,9 @@
 
 /// State of a connection's transport, shared between the transport, the connection's task and its streams' tasks.
 pub(crate) struct TransportMonitor {
+    /// Origin of the times that [`now`](Self::now) returns.
     start: Instant,
+    /// Charges the connection for the frames that are received on it.
     pub meter: RefCell<FrameCostMeter>,
     bytes_read_this_poll: Cell<usize>,
     /// Whether the library may have received streams that wait to be accepted.
@@ -38,6 +40,7 @@
 }
 
 impl TransportMonitor {
+    /// Creates the state of a connection that begins now.
     pub fn new() -> Rc<TransportMonitor> {
         Rc::new(TransportMonitor {
             start: Instant::now(),
--- a/crates/heathspurd/src/frontend/lingering_close.rs
+++ b/crates/heathspurd/src/frontend/lingering_close.rs
@@ -1,7 +1,7 @@
 //! Lingering close of a TCP connection.
 //!
 //! Closing a socket with unread input resets the connection, and an answer that is still in transit is lost. Therefore
-//! only the write side is shut down at first, and remaining input is read and buffer until the client closes.
+//! only the write side is shut down at first, and remaining input is read and discarded until the client closes.
 
 use crate::clock::within;
 use crate::recording::recorded_stream::Stream;
@@ -14,7 +14,7 @@
 const MAX_LINGER_TIME: Duration = Duration::from_secs(1);
 /// Maximum number of bytes read from a closing connection.
 const MAX_LINGER_BYTES: usize = 16 << 20;
-/// Maximum number of bytes buffer by one read.
+/// Maximum number of bytes discarded by one read.
 const DISCARD_BUFFER_BYTES: usize = 2 * 1024;
 
 /// Shuts down the write side, then discards input until the client has closed its side or a limit is reached.
--- a/crates/heathspurd/src/frontend/mod.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -4,7 +4,7 @@
 //! channel for its answer, reports clients that have disconnected, and sends exactly one final answer per request. The
 //! event loop is independent of the protocols.
 //!
-//! Each request carries its estimated memory (`queued_memory_kb`), and each connection occupies a permit of the
+//! Each request carries the memory that it declares (`queued_memory_kb`), and each connection occupies a permit of the
 //! [`ConnectionPool`](connection_pool::ConnectionPool).
 
 pub(crate) mod accept;
@@ -40,6 +40,7 @@
             .then_some(AttemptId(digits))
     }
 
+    /// Returns the digits as text, as the client sent them.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or("")
     }
@@ -48,6 +49,7 @@
 /// A validated request that was received on a connection.
 #[derive(Debug)]
 pub(crate) struct IncomingRequest {
+    /// The controller's identifier of the request, unique among all frontends.
     pub id: RequestId,
     pub attempt: AttemptId,
     pub class: ClassId,
@@ -58,15 +60,16 @@
     pub idempotency_key: Option<Bytes>,
     /// Whether the request carries a subject, which is then its `idempotency_key`.
     pub has_subject: bool,
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
     /// How long the client waits, counted from `received_unix_micros`, if the request specifies it.
     pub client_timeout: Option<Span>,
     /// Estimated work in seconds, if the request specifies it.
     pub cost_hint: Option<f64>,
-    /// Memory that the request occupies while it is queued, in kilobytes.
+    /// Memory that the request declares to occupy while it is queued, in kilobytes.
     pub queued_memory_kb: f64,
     pub body: Bytes,
-    /// Channel for the answer. It is closed once the client has disconnected.
+    /// The channel for the answer. It is closed once the client has disconnected.
     pub reply: Sender<Answer>,
 }
 
@@ -97,6 +100,7 @@
 #[derive(Clone)]
 pub(crate) struct FrontendHandle {
     pub context: Rc<FrontendContext>,
+    /// This frontend's request queue.
     pub requests: Sender<IncomingRequest>,
     /// Requests whose clients have disconnected.
     pub disconnected: Sender<RequestId>,
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -10,6 +10,7 @@
 
 /// Path prefix of requests. The rest of the path is the name of the class.
 const SERVICE_PATH_PREFIX: &[u8] = b"/svc/";
+/// Path of health checks.
 const HEALTH_CHECK_PATH: &[u8] = b"/status/live";
 /// How far a request's timestamp may be ahead of the local clock.
 const MAX_CLOCK_SKEW_MICROS: u64 = 60_000_000;
@@ -20,10 +21,12 @@
 
 /// What a request is directed to, by its method and path.
 pub(crate) enum RequestTarget {
+    /// A health check.
     HealthCheck,
     /// A service request of this class.
     Service(ClassId),
-    /// No resource of this server, or a method that is not allowed. The status of the response.
+    /// The path names no resource of this server, or the method is not allowed for it. Contains the status of the
+    /// response.
     Invalid(u16),
 }
 
--- a/crates/heathspurd/src/frontend/request_queue.rs
+++ b/crates/heathspurd/src/frontend/request_queue.rs
@@ -14,6 +14,7 @@
 }
 
 impl<T> RequestQueues<T> {
+    /// Creates a round-robin consumer of these queues that starts with the first one.
     pub fn new(queues: Vec<Receiver<T>>) -> RequestQueues<T> {
         RequestQueues {
             queues,
--- a/crates/heathspurd/src/frontend/response_buffer.rs
+++ b/crates/heathspurd/src/frontend/response_buffer.rs
@@ -20,6 +20,7 @@
 }
 
 impl ResponseBudget {
+    /// Creates a budget without reservations.
     pub fn new(limits: MemoryLimits) -> Rc<ResponseBudget> {
         Rc::new(ResponseBudget {
             memory: RefCell::new(ResponseMemory::new(limits)),
--- a/crates/heathspurd/src/idempotency/entry.rs
+++ b/crates/heathspurd/src/idempotency/entry.rs
@@ -8,6 +8,7 @@
 #[derive(Debug)]
 pub(super) enum Run {
     NotStarted,
+    /// This attempt runs.
     Running(RequestId),
     /// The run has ended; the result is `None` if the run failed or was abandoned, or if its result is not cached.
     Ended(RequestId, Option<Bytes>),
@@ -42,6 +43,7 @@
 /// The run of an entry that was replaced.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PreviousRun {
+    /// The attempt that runs or ran.
     pub attempt: RequestId,
     /// Until when the replaced entry was retained.
     pub retained_until: UnixMicros,
@@ -72,6 +74,7 @@
     /// The run of the entry that this one replaced, if any. An attempt that reached the machine while that entry was
     /// retained, but is read only now, must not run.
     pub previous_run: Option<PreviousRun>,
+    /// The digest of the first attempt's body.
     pub body_digest: u64,
     /// Until when an attempt with the same key and another body is rejected.
     pub fingerprint_expires_at: UnixMicros,
--- a/crates/heathspurd/src/logging.rs
+++ b/crates/heathspurd/src/logging.rs
@@ -97,6 +97,7 @@
 /// Formats log lines. A line is preceded by the counts of the lines that were suppressed since the previous one.
 struct LineFormat {
     limiter: SharedLimiter,
+    /// The formatter of the JSON format; `None` in the plain format.
     json: Option<tracing_subscriber::fmt::format::Format<Json>>,
 }
 
--- a/crates/heathspurd/src/peers/interpreter/mod.rs
+++ b/crates/heathspurd/src/peers/interpreter/mod.rs
@@ -50,7 +50,7 @@
         body: Bytes,
     },
     /// A run waits for the reply to a call. `index` is the number of the notice, which identifies the call.
-    CallRequested {
+    CallNeeded {
         attempt: AttemptId,
         index: u64,
         body: Bytes,
@@ -96,6 +96,7 @@
 }
 
 impl Link {
+    /// Creates a link without queued commands.
     pub fn new() -> Rc<Link> {
         Rc::new(Link {
             queued_commands: RefCell::new(Vec::new()),
--- a/crates/heathspurd/src/peers/interpreter/notice_sequence.rs
+++ b/crates/heathspurd/src/peers/interpreter/notice_sequence.rs
@@ -36,9 +36,9 @@
 }
 
 impl RejectedNumbers {
-    /// Returns whether `number`, the first one on a new connection, confirms the rejected one: it is equal, or higher by
-    /// at most the notices that the interpreter may have sent in the meantime. If the rejected number had been corrupted
-    /// in transit, the interpreter would send the correct number this time.
+    /// Returns whether `number`, the first one on a new connection, confirms the rejected one: it is equal, or higher
+    /// by at most the notices that the interpreter may have sent in the meantime. If the rejected number had been
+    /// corrupted in transit, the interpreter would send the correct number this time.
     fn is_confirmed_by(&self, number: u64) -> bool {
         number >= self.lowest && number - self.lowest <= RETAINED_NOTICES
     }
@@ -50,7 +50,8 @@
 pub(crate) struct NoticeSequence {
     /// The last accepted number; 0 if there is none.
     last: u64,
-    /// Whether no numbered notice has been read on this connection yet, so that missed ones may still arrive.
+    /// Whether neither a numbered notice nor the answer to a query has been read on this connection yet, so that missed
+    /// notices may still arrive.
     at_connection_start: bool,
     rejected: Option<RejectedNumbers>,
     /// Whether this interpreter is known to skip numbers, so that a gap does not indicate a fault.
--- a/crates/heathspurd/src/peers/interpreter/notices.rs
+++ b/crates/heathspurd/src/peers/interpreter/notices.rs
@@ -150,7 +150,7 @@
             index,
             request_id,
             body,
-        } => Some(InterpreterEvent::CallRequested {
+        } => Some(InterpreterEvent::CallNeeded {
             attempt: AttemptId::read(request_id.as_bytes())?,
             index,
             body: body.into(),
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -35,6 +35,7 @@
 }
 
 impl Readiness {
+    /// Creates a readiness that is not set.
     pub fn new() -> Rc<Readiness> {
         Rc::new(Readiness {
             ready: Cell::new(None),
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -33,8 +33,9 @@
     pub attempt: AttemptId,
     pub timeout_ms: u64,
     pub body: Bytes,
-    /// Whether the call requires a new connection. The store may have silently dropped an idle connection, and if a
-    /// connection breaks after the call was written, it is unknown whether the call has run.
+    /// Whether the call requires a new connection, which is so unless the request's class is idempotent. The store may
+    /// have silently dropped an idle connection, and if a connection breaks after the call was written, it is unknown
+    /// whether the call has run.
     pub new_connection: bool,
 }
 
@@ -47,7 +48,7 @@
     pub body: Bytes,
 }
 
-/// A call in flight, as its task sees it.
+/// The state of a call in flight that the call's task owns.
 struct OutgoingCall {
     call: Call,
     started: Instant,
@@ -74,19 +75,20 @@
 }
 
 /// The link's record of a call in flight. Dropping the task closes the call's connection.
-struct PendingCall {
+struct CallTask {
     task: Task<()>,
     written: Rc<Cell<bool>>,
     destination: Destination,
 }
 
-/// The event loop's end of the link. The number of calls is bounded by the number of requests that wait for one, and the
-/// number of connections by the pool's slots.
+/// The event loop's end of the link. The number of calls is bounded by the number of requests that wait for one, and
+/// the number of connections by the pool's slots.
 pub(crate) struct Link<N> {
     executor: Rc<LocalExecutor<'static>>,
     address: Cell<Option<SocketAddr>>,
     pool: Pool,
-    pending: RefCell<HashMap<CallId, PendingCall>>,
+    /// The calls in flight that can be abandoned.
+    tasks: RefCell<HashMap<CallId, CallTask>>,
     events: Sender<N>,
     /// Selects a replica for each call if zone failover is enabled. Otherwise, all calls go to `address`.
     router: Option<Rc<Router>>,
@@ -106,7 +108,7 @@
             executor,
             address: Cell::new(address),
             pool: Pool::new(max_connections, router.is_some(), recorder),
-            pending: RefCell::default(),
+            tasks: RefCell::default(),
             events,
             router,
         })
@@ -131,12 +133,12 @@
         let task = self
             .executor
             .spawn(async move { link.run_call(&outgoing, &task_destination).await });
-        let pending = PendingCall {
+        let call_task = CallTask {
             task,
             written,
             destination,
         };
-        self.pending.borrow_mut().insert(id, pending);
+        self.tasks.borrow_mut().insert(id, call_task);
     }
 
     /// Selects the destination of the next call.
@@ -175,16 +177,16 @@
 
     /// Removes a completed call from those that can be abandoned, and lets its task report the outcome.
     fn detach(&self, call: CallId) {
-        if let Some(pending) = self.pending.borrow_mut().remove(&call) {
-            pending.task.detach();
+        if let Some(call_task) = self.tasks.borrow_mut().remove(&call) {
+            call_task.task.detach();
         }
     }
 
     /// Abandons a call that timed out, and counts the timeout as a failure of the call's replica. Returns the same as
     /// [`abandon`](Link::abandon).
     pub fn abandon_timed_out(&self, call: CallId) -> Outcome {
-        if let Some(pending) = self.pending.borrow().get(&call) {
-            if let Destination::Replica(route) = &pending.destination {
+        if let Some(call_task) = self.tasks.borrow().get(&call) {
+            if let Destination::Replica(route) = &call_task.destination {
                 route.complete(Outcome::Timeout);
             }
         }
@@ -194,9 +196,9 @@
     /// Abandons a call, whose outcome is then not reported. Returns [`Outcome::ConnectFailed`] if the call cannot have
     /// run because it was never written to a connection, otherwise [`Outcome::Timeout`].
     pub fn abandon(&self, call: CallId) -> Outcome {
-        let pending = self.pending.borrow_mut().remove(&call);
-        match pending {
-            Some(pending) if !pending.written.get() => Outcome::ConnectFailed,
+        let call_task = self.tasks.borrow_mut().remove(&call);
+        match call_task {
+            Some(call_task) if !call_task.written.get() => Outcome::ConnectFailed,
             _ => Outcome::Timeout,
         }
     }
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -116,7 +116,7 @@
         store,
         peer_addresses,
         idempotency,
-        members: fleet.membership,
+        membership: fleet.membership,
         signals: signal_state,
         stop_accepting,
         connection_closed,
--- a/crates/heathspurd/src/signals.rs
+++ b/crates/heathspurd/src/signals.rs
@@ -25,6 +25,7 @@
 /// What signals have requested since the last [`SignalState::take`].
 #[derive(Debug, Default)]
 pub(crate) struct SignalRequests {
+    /// Whether SIGTERM or SIGINT has requested a drain.
     pub drain: bool,
     /// The configuration that was reloaded.
     pub config: Option<Config>,
--- a/crates/heathspurd/src/startup.rs
+++ b/crates/heathspurd/src/startup.rs
@@ -70,20 +70,21 @@
         .map_err(Error::Thread)
 }
 
-/// Starts the fleet membership, and the failover between zones if this server's zone has a replica.
+/// Starts the fleet membership if it is enabled, and with it the failover between zones if that is enabled and this
+/// server's zone has a replica.
 fn start_membership(
     operator: &Operator,
 ) -> Result<(Option<MembershipThread>, Option<ReplicaRoutes>), Error> {
     let Some(members) = &operator.members else {
         return Ok((None, None));
     };
-    let home_zone = operator
+    let failover_and_replica = operator
         .failover
         .as_ref()
         .and_then(|failover| Some((failover, failover.replica_of(&members.zone)?)));
-    let (decider, routes) = home_zone
-        .map(|(failover, home)| failover::start(failover, home, &members.region))
+    let (worker, routes) = failover_and_replica
+        .map(|(failover, replica)| failover::start(failover, replica, &members.region))
         .unzip();
-    let membership = MembershipThread::start(members, decider).map_err(Error::Membership)?;
+    let membership = MembershipThread::start(members, worker).map_err(Error::Membership)?;
     Ok((Some(membership), routes))
 }
--- a/crates/heathspurd/tests/unit/connection_pool.rs
+++ b/crates/heathspurd/tests/unit/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/frontend/connection_pool.rs`, which includes this file as its test module.
+//! Unit tests of `src/frontend/connection_pool.rs`, which includes this file as its test module.
 
 use super::*;
 use std::future::pending;
--- a/crates/heathspurd/tests/unit/interpreter.rs
+++ b/crates/heathspurd/tests/unit/interpreter.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/peers/interpreter/notices.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/interpreter/notices.rs`, which includes this file as its test module.
 
 use super::*;
 use futures_lite::future;
--- a/crates/heathspurd/tests/unit/interpreter_events.rs
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -44,7 +44,7 @@
         store: crate::peers::store::Link::new(Rc::default(), None, 1, inbox, None, None),
         peer_addresses: PeerAddresses::new(&config),
         idempotency: IdempotencyStore::new(1, 1, Span(1)),
-        members: None,
+        membership: None,
         signals: SignalState::new(),
         stop_accepting,
         connection_closed: async_channel::bounded(1).0,
@@ -83,7 +83,7 @@
     event_loop.table.insert(request, None);
     event_loop.start_run(ID);
     event_loop.stop_run(ID);
-    event_loop.on_interpreter_event(InterpreterEvent::CallRequested {
+    event_loop.on_interpreter_event(InterpreterEvent::CallNeeded {
         attempt: attempt(),
         index: 1,
         body: Bytes::new(),
--- a/crates/heathspurd/tests/unit/recorded_stream.rs
+++ b/crates/heathspurd/tests/unit/recorded_stream.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/recording/recorded_stream.rs`, which names this file as its module of tests.
+//! Unit tests of `src/recording/recorded_stream.rs`, which includes this file as its test module.
 
 use super::*;
 use crate::recording::handle::QueuedEvent;
--- a/crates/heathspurd/tests/unit/recorder_handle.rs
+++ b/crates/heathspurd/tests/unit/recorder_handle.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/recording/handle.rs`, which names this file as its module of tests.
+//! Unit tests of `src/recording/handle.rs`, which includes this file as its test module.
 
 use super::*;
 use std::net::SocketAddr;
--- a/crates/heathspurd/tests/unit/response_buffer.rs
+++ b/crates/heathspurd/tests/unit/response_buffer.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/frontend/response_buffer.rs`, which includes this file as its test module.
+//! Unit tests of `src/frontend/response_buffer.rs`, which includes this file as its test module.
 
 use super::*;
 
--- a/crates/heathspurd/tests/unit/store.rs
+++ b/crates/heathspurd/tests/unit/store.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/peers/store/mod.rs`, which names this file as its module of tests.
+//! Unit tests of `src/peers/store/mod.rs`, which includes this file as its test module.
 
 use super::*;
 use std::io::Read;
