--- a/crates/heathspur-server-core/src/registration/connections.rs
+++ b/crates/heathspur-server-core/src/registration/connections.rs
@@ -18,6 +18,7 @@
 /// A report in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Report {
+    /// The readiness that the report carries.
     pub ready: bool,
     /// Whether the report carries the current readiness and the service will accept no earlier report after it, other
     /// than outdated ones that are still in flight.
--- a/crates/heathspurd/src/event_loop/execution.rs
+++ b/crates/heathspurd/src/event_loop/execution.rs
@@ -38,6 +38,7 @@
 pub(crate) struct PendingCall {
     /// The number of the notice that reported the need for the call.
     pub index: u64,
+    /// The body to send to the store.
     pub body: Bytes,
 }
 
--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -73,12 +73,15 @@
 
 /// The components from which an [`EventLoop`] is created.
 pub(crate) struct EventLoopParts {
+    /// The settings of the admission controller.
     pub settings: Settings,
     /// The seed of the controller's random numbers.
     pub seed: u64,
     /// The time from the signal to drain until the platform kills the process.
     pub stop_timeout: Duration,
+    /// The state that the frontends share with the event loop.
     pub frontend: Rc<FrontendContext>,
+    /// The readiness that is reported to the registration service.
     pub readiness: Rc<Readiness>,
     pub interpreter: Rc<interpreter::Link>,
     pub store: Rc<store::Link<LoopEvent>>,
@@ -86,6 +89,7 @@
     pub idempotency: IdempotencyStore,
     /// The fleet membership, if it is enabled.
     pub membership: Option<MembershipHandle>,
+    /// What signals have requested.
     pub signals: Rc<SignalState>,
     /// Closed by the event loop once no new requests are accepted.
     pub stop_accepting: Sender<()>,
--- a/crates/heathspurd/src/frontend/http2/connection.rs
+++ b/crates/heathspurd/src/frontend/http2/connection.rs
@@ -164,7 +164,7 @@
             if steps.iter().any(|step| *step != DrainStep::None) {
                 self.h2.graceful_shutdown();
             }
-            if let Some(end) = self.end() {
+            if let Some(end) = self.required_end() {
                 return end;
             }
         }
@@ -252,7 +252,7 @@
     }
 
     /// Returns how the connection has to end, if it has to.
-    fn end(&self) -> Option<ConnectionEnd> {
+    fn required_end(&self) -> Option<ConnectionEnd> {
         if self.state.monitor.meter.borrow().is_exhausted() {
             let counts = self.state.monitor.meter.borrow().counts();
             warn!(
--- a/crates/heathspurd/src/frontend/mod.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -53,6 +53,7 @@
     pub id: RequestId,
     pub attempt: AttemptId,
     pub class: ClassId,
+    /// The tenant, if the settings have tenants.
     pub tenant: Option<TenantId>,
     /// When the request reached the machine, in microseconds since the Unix epoch.
     pub received_unix_micros: u64,
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -28,10 +28,15 @@
 
 /// A call to make.
 pub(crate) struct Call {
+    /// The request whose run needs the call.
     pub request: RequestId,
     pub call: CallId,
+    /// The attempt id of the request, by which the store's reply is matched.
     pub attempt: AttemptId,
+    /// The time for the call from its start, including the wait for a slot and for the connection. The event loop
+    /// abandons the call shortly after it has passed.
     pub timeout_ms: u64,
+    /// The body to send, as received from the interpreter.
     pub body: Bytes,
     /// Whether the call requires a new connection, which is so unless the request's class is idempotent. The store may
     /// have silently dropped an idle connection, and if a connection breaks after the call was written, it is unknown
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -54,6 +54,7 @@
 /// The handles of fleet membership and of failover, if they are enabled.
 pub(crate) struct FleetHandles {
     pub membership: Option<MembershipHandle>,
+    /// The replicas between which failover routes the calls to the store.
     pub routes: Option<ReplicaRoutes>,
 }
 
