--- a/crates/heathspurd/src/event_loop/mod.rs
+++ b/crates/heathspurd/src/event_loop/mod.rs
@@ -65,25 +65,31 @@
 enum Wakeup {
     Request(IncomingRequest),
     Event(LoopEvent),
+    /// A signal has requested a drain or a reload.
     Signal,
+    /// A deadline has passed, or events wait for the controller's decision.
     Deadline,
 }
 
 /// The components from which an [`EventLoop`] is created.
 pub(crate) struct EventLoopParts {
+    /// The settings of the admission controller.
     pub settings: Settings,
     /// The seed of the controller's random numbers.
     pub seed: u64,
     /// The time from the signal to drain until the platform kills the process.
     pub stop_timeout: Duration,
+    /// The state that the frontends share with the event loop.
     pub frontend: Rc<FrontendContext>,
+    /// The readiness that is reported to the registration service.
     pub readiness: Rc<Readiness>,
     pub interpreter: Rc<interpreter::Link>,
     pub store: Rc<store::Link<LoopEvent>>,
     pub peer_addresses: PeerAddresses,
     pub idempotency: IdempotencyStore,
     /// The fleet membership, if it is enabled.
-    pub members: Option<MembershipHandle>,
+    pub membership: Option<MembershipHandle>,
+    /// What signals have requested.
     pub signals: Rc<SignalState>,
     /// Closed by the event loop once no new requests are accepted.
     pub stop_accepting: Sender<()>,
@@ -103,13 +109,14 @@
     frontend: Rc<FrontendContext>,
     readiness: Rc<Readiness>,
     /// The fleet membership, if it is enabled.
-    members: Option<MembershipHandle>,
+    membership: Option<MembershipHandle>,
     signals: Rc<SignalState>,
     drain: Drain,
     connection_closed: Sender<()>,
     clock: Clock,
     /// The time of the current iteration.
     now: Time,
+    /// When expired idempotency entries and idle store connections are removed next.
     next_prune: Time,
 }
 
@@ -128,7 +135,7 @@
             peer_addresses: parts.peer_addresses,
             frontend: parts.frontend,
             readiness: parts.readiness,
-            members: parts.members,
+            membership: parts.membership,
             signals: parts.signals,
             drain: Drain::new(parts.stop_timeout, parts.stop_accepting),
             connection_closed: parts.connection_closed,
@@ -250,8 +257,8 @@
             return;
         };
         self.dispatch_all(actions);
-        if let Some(members) = &self.members {
-            members.set_load(self.table.len(), concurrency_limit);
+        if let Some(membership) = &self.membership {
+            membership.set_load(self.table.len(), concurrency_limit);
         }
     }
 
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -54,6 +54,7 @@
 /// The handles of fleet membership and of failover, if they are enabled.
 pub(crate) struct FleetHandles {
     pub membership: Option<MembershipHandle>,
+    /// The replicas between which failover routes the calls to the store.
     pub routes: Option<ReplicaRoutes>,
 }
 
@@ -116,7 +117,7 @@
         store,
         peer_addresses,
         idempotency,
-        members: fleet.membership,
+        membership: fleet.membership,
         signals: signal_state,
         stop_accepting,
         connection_closed,
