--- a/crates/heathspur-testkit/src/auto_stubs.rs
+++ b/crates/heathspur-testkit/src/auto_stubs.rs
@@ -1,4 +1,4 @@
-//! Stub peers that answer by themselves at once, for measuring what a request costs the server.
+//! Stub peers that answer by themselves, for measuring what a request costs the server.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -13,8 +13,8 @@
 /// The number of runs by request body, in base64.
 pub type RunCounts = Arc<Mutex<HashMap<String, u64>>>;
 
-/// Serves an interpreter in background threads that ends each run at once with the request's own body, and
-/// returns the counts of its runs.
+/// Starts background threads that serve an interpreter, and returns the counts of its runs. Each run ends at once
+/// with the request's own body.
 pub fn interpreter(listener: TcpListener) -> RunCounts {
     interpreter_with(listener, InterpreterOptions::default())
 }
@@ -26,12 +26,12 @@
     pub run_duration: Duration,
     /// The length of each result in bytes; `None` for a copy of the request's body.
     pub result_len: Option<usize>,
-    /// Whether each run calls the dependency once, with the request's own body, and ends with the reply. Has no
-    /// effect unless `run_duration` is zero.
+    /// Whether each run calls the dependency once, with the request's own body, and ends with the reply, whatever
+    /// `result_len` is. Has no effect unless `run_duration` is zero.
     pub calls_dependency: bool,
 }
 
-/// Serves an interpreter with options in background threads and returns the counts of its runs.
+/// Starts background threads that serve an interpreter with these options, and returns the counts of its runs.
 pub fn interpreter_with(listener: TcpListener, options: InterpreterOptions) -> RunCounts {
     let run_counts = RunCounts::default();
     let returned = run_counts.clone();
@@ -177,7 +177,8 @@
     }
 }
 
-/// Serves a registration service in background threads that acknowledges every report.
+/// Starts background threads that serve a registration service. It acknowledges each read of bytes, which contains
+/// one report as long as the server waits for the acknowledgement before it sends the next report.
 pub fn registration(listener: TcpListener) {
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -109,7 +109,7 @@
     pub connections: Vec<Item>,
     /// The pipeline's counts at the end.
     pub tally: Tally,
-    /// The largest number of bytes that the pipeline buffered after any piece of the file.
+    /// The largest number of bytes that the pipeline buffered after any chunk of the file.
     pub max_buffered_bytes: usize,
 }
 
@@ -123,8 +123,8 @@
     }
 }
 
-/// Parses a capture file that is fed to the pipeline in pieces of `piece_len` bytes.
-pub fn parse_capture(file: &[u8], options: Options, piece_len: usize) -> ParsedCapture {
+/// Parses a capture file that is fed to the pipeline in chunks of `chunk_len` bytes.
+pub fn parse_capture(file: &[u8], options: Options, chunk_len: usize) -> ParsedCapture {
     let mut pipeline = Pipeline::new(options);
     let mut capture = ParsedCapture::default();
     let record = |capture: &mut ParsedCapture, item: Item| match item {
@@ -139,8 +139,8 @@
         Item::Message(skipped) => capture.skipped.push(skipped),
         Item::Connection(event) => capture.connections.push(Item::Connection(event)),
     };
-    for piece in file.chunks(piece_len.max(1)) {
-        if !pipeline.feed(piece, |item| record(&mut capture, item)) {
+    for chunk in file.chunks(chunk_len.max(1)) {
+        if !pipeline.feed(chunk, |item| record(&mut capture, item)) {
             break;
         }
         capture.max_buffered_bytes = capture.max_buffered_bytes.max(pipeline.buffered_bytes());
@@ -159,7 +159,7 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Returns a response.
+/// Returns a response with this status, the reason phrase `OK` and this body.
 pub fn response(status: u16, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status} OK\r\nContent-Length: {}\r\n\r\n",
--- a/crates/heathspur-testkit/src/example_peers.rs
+++ b/crates/heathspur-testkit/src/example_peers.rs
@@ -28,12 +28,18 @@
 ///
 /// Returns an error if the configuration cannot be read, lacks an address, or an address cannot be bound.
 pub fn run(config_file: &Path) -> PeerResult {
-    let config: Value = serde_json::from_slice(&std::fs::read(config_file)?)?;
+    let text = std::fs::read(config_file)
+        .map_err(|e| format!("read the configuration {}: {e}", config_file.display()))?;
+    let config: Value = serde_json::from_slice(&text)
+        .map_err(|e| format!("parse the configuration {}: {e}", config_file.display()))?;
     let listen = |field: &str| -> Result<TcpListener, Box<dyn Error + Send + Sync>> {
-        let address = config[field]
-            .as_str()
-            .ok_or(format!("the configuration names no {field}"))?;
-        Ok(TcpListener::bind(address)?)
+        let address = config[field].as_str().ok_or(format!(
+            "the configuration {} names no {field}",
+            config_file.display()
+        ))?;
+        let listener = TcpListener::bind(address)
+            .map_err(|e| format!("listen on {address} for {field}: {e}"))?;
+        Ok(listener)
     };
     let calling_classes = Arc::new(calling_classes(&config["settings"]));
     let interpreter_listener = listen("vm")?;
--- a/crates/heathspur-testkit/src/fleet.rs
+++ b/crates/heathspur-testkit/src/fleet.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Timeout of [`Fleet::assert_eventually`]. It is generous because it only bounds the test of an event that never
-/// happens; how fast an event happens is a matter for measurements.
+/// Timeout of [`Fleet::assert_eventually`]. It is long because it only ends tests whose event never happens; how fast
+/// an event happens is checked by measurements.
 pub const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(40);
 /// Interval between reads of the logs.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/heathspur-testkit/src/http1.rs
+++ b/crates/heathspur-testkit/src/http1.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 client that sends bytes as a test gives them, and the requests for it.
+//! An HTTP/1.1 client that sends bytes unchanged, and a function that builds requests for it.
 
 use crate::loopback::EVENT_TIMEOUT;
 use std::collections::BTreeMap;
--- a/crates/heathspur-testkit/src/http2.rs
+++ b/crates/heathspur-testkit/src/http2.rs
@@ -251,7 +251,7 @@
         [headers, encode_frame(DATA, END_STREAM, id, body)].concat()
     }
 
-    /// Sends a request as of [`encode_request`](Self::encode_request) on a new stream and returns its identifier.
+    /// Sends the frames of [`encode_request`](Self::encode_request) on a new stream and returns its identifier.
     pub fn send_request(&mut self, txn: u64, key: Option<&str>, body: &[u8]) -> u32 {
         let id = self.allocate_stream_id();
         let bytes = self.encode_request(id, txn, key, body);
--- a/crates/heathspur-testkit/src/mock_interpreter.rs
+++ b/crates/heathspur-testkit/src/mock_interpreter.rs
@@ -100,8 +100,8 @@
         commands
     }
 
-    /// Completes every run at once in a background thread until the server closes the link. The thread returns
-    /// the tasks of the runs that were started.
+    /// Completes every run at once in a background thread until the server closes the link. Gauge queries are not
+    /// answered. The thread returns the tasks of the runs that were started.
     pub fn complete_all_runs(mut self) -> thread::JoinHandle<Vec<String>> {
         thread::spawn(move || {
             let (mut started, mut line) = (Vec::new(), String::new());
@@ -122,8 +122,8 @@
         })
     }
 
-    /// Has every run make one call, and completes the run once the call's result arrives, in a background thread
-    /// until the server closes the link.
+    /// Has every run make one call, and completes the run once the call's result arrives or the call is skipped, in a
+    /// background thread until the server closes the link.
     pub fn complete_all_runs_after_call(mut self) {
         thread::spawn(move || {
             let mut line = String::new();
--- a/crates/heathspur-testkit/src/mock_registration.rs
+++ b/crates/heathspur-testkit/src/mock_registration.rs
@@ -10,8 +10,7 @@
 /// Serves a registration service on the listener in background threads and returns the reports it receives.
 ///
 /// Each report is acknowledged with 204. A connection's thread panics on a request that is not a report of the
-/// server `n3` of [`server_config`](crate::config::server_config); the reports that it would have sent are missing
-/// then.
+/// server `n3` of [`server_config`](crate::config::server_config); no later report on that connection is returned.
 pub fn mock_registration(listener: TcpListener) -> Receiver<Value> {
     let (report_sender, reports) = mpsc::channel();
     thread::spawn(move || {
--- a/crates/heathspur-testkit/src/proxy.rs
+++ b/crates/heathspur-testkit/src/proxy.rs
@@ -17,11 +17,13 @@
     pub max_piece_len: usize,
     /// The longest delay before each piece.
     pub max_delay: Duration,
-    /// How many of a thousand connections are closed at a byte of the client's below `fault_window_bytes`.
+    /// How many of a thousand connections are cut: closed after a random number of the client's bytes, below
+    /// `fault_window_bytes`.
     pub cut_per_mille: u32,
-    /// How many of a thousand connections stop forwarding at such a byte and stay open.
+    /// How many of a thousand connections are silenced: after a random number of the client's bytes, below
+    /// `fault_window_bytes`, they stay open and forward no more bytes of the client.
     pub silent_per_mille: u32,
-    /// The number of a client's first bytes within which connections are cut or silenced. The byte is drawn before
+    /// The upper bound, exclusive, of the number of a client's bytes before a fault. The number is drawn before
     /// anything is forwarded, so that it does not depend on how the stream is split into reads.
     pub fault_window_bytes: usize,
 }
@@ -80,7 +82,7 @@
     (address, returned)
 }
 
-/// The fault of one direction of a connection, with the byte at which it happens.
+/// The fault of one direction of a connection, with the number of bytes that are forwarded before it.
 #[derive(Clone, Copy, Debug)]
 enum StreamFault {
     None,
--- a/crates/heathspur-testkit/src/relay.rs
+++ b/crates/heathspur-testkit/src/relay.rs
@@ -40,7 +40,7 @@
 ///
 /// Member `i` listens on `member_addresses[i]` and advertises `relay_addresses[i]`.
 pub struct Relay {
-    /// Where the relay takes datagrams for each member.
+    /// Where the relay receives the datagrams for each member.
     pub relay_addresses: Vec<SocketAddr>,
     /// Where each member listens.
     pub member_addresses: Vec<SocketAddr>,
--- a/crates/heathspur-testkit/src/server_fixture.rs
+++ b/crates/heathspur-testkit/src/server_fixture.rs
@@ -206,9 +206,9 @@
             resume_index: 0,
             last_index: 0,
         };
-        let hello = interpreter.read_any_command();
-        assert_eq!(hello["verb"], "CONNECT");
-        interpreter.resume_index = hello["index"]
+        let connect = interpreter.read_any_command();
+        assert_eq!(connect["verb"], "CONNECT");
+        interpreter.resume_index = connect["index"]
             .as_u64()
             .expect("the index of CONNECT is an integer");
         interpreter.last_index = interpreter.resume_index;
