--- a/crates/heathspur-capture/src/file/error.rs
+++ b/crates/heathspur-capture/src/file/error.rs
@@ -11,7 +11,7 @@
     /// A record or block claims more bytes than allowed.
     #[error("a record states a length of {0} bytes, which exceeds the limit")]
     TooLong(u64),
-    /// The lengths or fields of a block contradict each other.
+    /// The lengths or fields of a record or block contradict each other, or a field has an invalid value.
     #[error("the lengths or fields of a block contradict each other")]
     Malformed,
     /// A packet refers to an interface that was not described.
--- a/crates/heathspur-capture/src/file/mod.rs
+++ b/crates/heathspur-capture/src/file/mod.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Adds the next bytes of the file. Memory is bounded by one block and the bytes of one call if all packets are
-    /// taken with [`Reader::next_packet`] before each call.
+    /// Adds the next bytes of the file. If all packets are taken with [`Reader::next_packet`] before each call, the
+    /// buffer is bounded by one block, the bytes of one call and 1 MiB of bytes that were already consumed.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.error.is_some() {
             return;
@@ -122,8 +122,11 @@
         self.buffer_offset + self.consumed as u64
     }
 
-    /// Returns the next packet, or `None` if more bytes are needed. After an error, each later call returns the same
-    /// error.
+    /// Returns the next packet, or `None` if more bytes are needed.
+    ///
+    /// # Errors
+    /// Returns an error if the next bytes are not a record or block of a capture file, or exceed a limit. Each later
+    /// call returns the same error.
     pub fn next_packet(&mut self) -> Result<Option<Packet<'_>>, FileError> {
         loop {
             if let Some(error) = self.error {
@@ -141,8 +144,11 @@
         }
     }
 
-    /// Ends the file. Returns an error if reading stopped earlier, or if the file ended in the middle of a record or
-    /// before its format was recognised.
+    /// Ends the file.
+    ///
+    /// # Errors
+    /// Returns an error if reading stopped earlier, or if the file ended in the middle of a record or before its format
+    /// was recognised.
     pub fn finish(&mut self) -> Result<(), FileError> {
         if self.error.is_none() {
             self.error = self.error_at_end();
--- a/crates/heathspur-capture/src/file/pcap.rs
+++ b/crates/heathspur-capture/src/file/pcap.rs
@@ -10,7 +10,7 @@
 pub(super) const FILE_HEADER_LEN: usize = 24;
 /// Length of the header of a record, in bytes.
 const RECORD_HEADER_LEN: usize = 16;
-/// Offset of the captured length in the header of a record.
+/// Offset of the captured length in the header of a record, in bytes.
 const CAPTURED_LENGTH_OFFSET: usize = 8;
 /// The magic numbers of micro- and nanosecond files in both byte orders, read as little-endian.
 const MAGIC_NUMBERS: [u32; 4] = [0xa1b2_c3d4, 0xd4c3_b2a1, 0xa1b2_3c4d, 0x4d3c_b2a1];
--- a/crates/heathspur-capture/src/file/pcapng.rs
+++ b/crates/heathspur-capture/src/file/pcapng.rs
@@ -16,13 +16,13 @@
 pub(super) const MAX_INTERFACES: usize = 4096;
 /// The longest block that is buffered, in bytes: a packet with its options.
 const MAX_BLOCK_BYTES: usize = MAX_PACKET_BYTES + 64 * 1024;
-/// The shortest block: its type and its length, which is stated twice.
+/// The length of the shortest block, in bytes: its type and its length, which is stated twice.
 const MIN_BLOCK_LEN: usize = 12;
-/// Blocks are padded to a multiple of this length.
+/// Blocks are padded to a multiple of this length, in bytes.
 const BLOCK_ALIGNMENT: usize = 4;
-/// Offset of the packet in an enhanced packet block.
+/// Offset of the packet in an enhanced packet block, in bytes.
 const ENHANCED_DATA_OFFSET: usize = 28;
-/// Offset of the packet in a simple packet block.
+/// Offset of the packet in a simple packet block, in bytes.
 const SIMPLE_DATA_OFFSET: usize = 12;
 const NANOS_PER_SECOND: u32 = 1_000_000_000;
 
--- a/crates/heathspur-capture/src/frame/fragments.rs
+++ b/crates/heathspur-capture/src/frame/fragments.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Fragments {
     datagrams: BTreeMap<DatagramId, Datagram>,
-    /// The number of datagrams that were discarded incomplete.
+    /// The number of datagrams that expired or were evicted incomplete. Those with conflicting fragments do not count.
     pub incomplete_datagrams: u64,
 }
 
--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Returns the number of fragmented datagrams that were discarded incomplete.
+    /// Returns the number of fragmented datagrams that expired or were evicted incomplete. Those with conflicting
+    /// fragments do not count.
     pub fn incomplete_datagrams(&self) -> u64 {
         self.fragments.incomplete_datagrams
     }
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -32,7 +32,7 @@
     /// The number of packets and of bytes on a recording's interpreter and store connections. These do not carry HTTP
     /// and are not parsed.
     pub links: BTreeMap<Leg, (u64, u64)>,
-    /// Fragmented datagrams that were discarded incomplete.
+    /// Fragmented datagrams that expired or were evicted incomplete; see [`Frames::incomplete_datagrams`].
     pub incomplete_datagrams: u64,
     /// Counters of the reassembly.
     pub tcp: Counts,
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -23,8 +23,8 @@
 
 /// The age of gaps is checked this many times within [`Limits::gap_time`].
 const CHECKS_PER_GAP_TIME: u64 = 8;
-/// The table divided by this number is evicted at once, so that a flood of connections does not need a search for each
-/// connection.
+/// When the table of connections is full, its capacity divided by this number is evicted at once, so that a flood of
+/// connections does not cause a search of the table for each of them.
 const TABLE_TO_EVICTED_RATIO: usize = 16;
 
 /// Bounds of the reassembly.
@@ -176,8 +176,8 @@
         self.open(flow, segment, Start::Handshake);
     }
 
-    /// Removes a connection that was closed too long ago for late segments. Its ports are then used by a new
-    /// connection, whose SYN was not captured.
+    /// Removes a connection that was closed too long ago for late segments. A segment on its ports then belongs to a new
+    /// connection whose SYN was not captured.
     fn remove_if_expired(&mut self, flow: FlowKey) {
         let closed_at = self.connections.get(&flow).and_then(|c| c.closed_at);
         if closed_at.is_some_and(|time| self.now.since(time) > self.limits.linger) {
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Returns a test runner with a fixed seed, so that all machines and runs test the same cases.
-fn seeded(cases: u32) -> TestRunner {
+/// Returns a test runner with a fixed seed, so that every run tests the same cases.
+fn seeded_runner(cases: u32) -> TestRunner {
     let config = Config {
         cases,
         failure_persistence: None,
@@ -21,23 +21,23 @@
 /// lengths of the request bodies of each conversation.
 fn conversations(
     body_lengths: &[Vec<u16>],
-    segment: usize,
+    segment_len: usize,
 ) -> (Vec<TimedPacket>, Vec<Vec<Vec<u8>>>) {
     let (mut packets, mut sent) = (Vec::new(), Vec::new());
     for (conversation, lengths) in body_lengths.iter().enumerate() {
-        let mut script = CaptureBuilder::open(4000 + conversation as u16);
+        let mut builder = CaptureBuilder::open(4000 + conversation as u16);
         let mut requests = Vec::new();
         for (number, &length) in lengths.iter().enumerate() {
             let body: Vec<u8> = (0..length)
                 .map(|position| (usize::from(position) * 7 + number + conversation) as u8)
                 .collect();
             let request = request(number as u64, &body);
-            script.send(Side::Client, &request, segment);
-            script.send(Side::Server, &response(200, b"ok"), 1000);
+            builder.send(Side::Client, &request, segment_len);
+            builder.send(Side::Server, &response(200, b"ok"), 1000);
             requests.push(request);
         }
-        script.close();
-        packets.extend(script.packets);
+        builder.close();
+        packets.extend(builder.packets);
         sent.push(requests);
     }
     packets.sort_by_key(|(at, _)| *at);
@@ -45,10 +45,10 @@
 }
 
 /// Returns the requests that were read, grouped by the client's port.
-fn requests_by_connection(read: &ParsedCapture) -> Vec<Vec<Vec<u8>>> {
+fn requests_by_connection(capture: &ParsedCapture) -> Vec<Vec<Vec<u8>>> {
     let mut by_port: std::collections::BTreeMap<_, Vec<Vec<u8>>> = Default::default();
     let mut ports = std::collections::BTreeMap::new();
-    for item in &read.connections {
+    for item in &capture.connections {
         if let heathspur_capture::Item::Connection(heathspur_capture::reassembly::Event::Opened {
             conn,
             client,
@@ -58,7 +58,7 @@
             ports.insert(*conn, *client);
         }
     }
-    for (conn, _, message) in &read.requests {
+    for (conn, _, message) in &capture.requests {
         by_port
             .entry(ports[conn])
             .or_default()
@@ -72,11 +72,11 @@
     let body_lengths = prop::collection::vec(prop::collection::vec(0_u16..900, 1..5), 1..5);
     // The delay of each packet in milliseconds, and whether a copy follows.
     let delays = prop::collection::vec((0_u64..12, any::<bool>()), 400);
-    seeded(150)
+    seeded_runner(150)
         .run(
             &(body_lengths, 30_usize..700, delays),
-            |(body_lengths, segment, delays)| {
-                let (packets, sent) = conversations(&body_lengths, segment);
+            |(body_lengths, segment_len, delays)| {
+                let (packets, sent) = conversations(&body_lengths, segment_len);
                 let mut reordered = Vec::new();
                 for (position, (time, packet)) in packets.into_iter().enumerate() {
                     let (delay, is_duplicated) = delays[position % delays.len()];
@@ -92,11 +92,11 @@
                     reordered.push((time + delay, packet));
                 }
                 reordered.sort_by_key(|(time, _)| *time);
-                let read = parse_capture(&pcap_file(&reordered), Options::default(), 333);
-                prop_assert_eq!(requests_by_connection(&read), sent);
-                prop_assert_eq!(read.tally.holes, 0);
-                prop_assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
-                prop_assert!(read.responses.iter().all(|(_, to, _)| to.is_some()));
+                let capture = parse_capture(&pcap_file(&reordered), Options::default(), 333);
+                prop_assert_eq!(requests_by_connection(&capture), sent);
+                prop_assert_eq!(capture.tally.holes, 0);
+                prop_assert_eq!(capture.tally.tcp.anomalies.conflicting, 0);
+                prop_assert!(capture.responses.iter().all(|(_, to, _)| to.is_some()));
                 Ok(())
             },
         )
@@ -107,11 +107,11 @@
 fn lost_packets_cost_only_nearby_requests() {
     let body_lengths = prop::collection::vec(prop::collection::vec(100_u16..900, 2..6), 1..4);
     let lost = prop::collection::vec(0_usize..200, 1..8);
-    seeded(150)
+    seeded_runner(150)
         .run(
             &(body_lengths, 50_usize..400, lost),
-            |(body_lengths, segment, lost)| {
-                let (packets, sent) = conversations(&body_lengths, segment);
+            |(body_lengths, segment_len, lost)| {
+                let (packets, sent) = conversations(&body_lengths, segment_len);
                 let is_captured = |(position, (time, _)): &(usize, TimedPacket)| {
                     *time <= 3 * NANOS_PER_MS || !lost.contains(&(position % 200))
                 };
@@ -121,15 +121,15 @@
                     .filter(is_captured)
                     .map(|(_, packet)| packet)
                     .collect();
-                let read = parse_capture(&pcap_file(&captured), Options::default(), 1 << 16);
-                for (found, sent) in requests_by_connection(&read).iter().zip(&sent) {
+                let capture = parse_capture(&pcap_file(&captured), Options::default(), 1 << 16);
+                for (found, sent) in requests_by_connection(&capture).iter().zip(&sent) {
                     // Each request that is found was sent, and the order is that of sending.
                     let mut remaining = sent.iter();
                     for request in found {
                         prop_assert!(remaining.any(|sent| sent == request));
                     }
                 }
-                let found: usize = read.requests.len();
+                let found: usize = capture.requests.len();
                 let sent: usize = sent.iter().map(Vec::len).sum();
                 prop_assert!(found + 2 * lost.len() * 4 >= sent);
                 Ok(())
@@ -166,12 +166,12 @@
         heathspur_capture::write::ng_start(&["a", "b"]),
         Vec::new(),
     ]);
-    seeded(400)
+    seeded_runner(400)
         .run(
             &(heads, bytes, 1_usize..300),
             |(head, bytes, chunk_size)| {
-                let read = parse_capture(&[head, bytes].concat(), small_bounds(), chunk_size);
-                prop_assert!(read.max_buffered_bytes <= 16_000);
+                let capture = parse_capture(&[head, bytes].concat(), small_bounds(), chunk_size);
+                prop_assert!(capture.max_buffered_bytes <= 16_000);
                 Ok(())
             },
         )
@@ -182,11 +182,11 @@
 fn corrupted_captures_are_processed_within_memory_bounds() {
     let body_lengths = prop::collection::vec(prop::collection::vec(0_u16..600, 1..5), 1..12);
     let changes = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..60);
-    seeded(300)
+    seeded_runner(300)
         .run(
             &(body_lengths, 20_usize..500, changes, any::<bool>()),
-            |(body_lengths, segment, changes, is_pcapng)| {
-                let (packets, _) = conversations(&body_lengths, segment);
+            |(body_lengths, segment_len, changes, is_pcapng)| {
+                let (packets, _) = conversations(&body_lengths, segment_len);
                 let mut file = if is_pcapng {
                     heathspur_capture::write::ng_start(&["a"])
                 } else {
@@ -206,11 +206,11 @@
                     let position = position.index(file.len());
                     file[position] = byte;
                 }
-                let read = parse_capture(&file, small_bounds(), 700);
+                let capture = parse_capture(&file, small_bounds(), 700);
                 prop_assert!(
-                    read.max_buffered_bytes <= 16_000,
+                    capture.max_buffered_bytes <= 16_000,
                     "{}",
-                    read.max_buffered_bytes
+                    capture.max_buffered_bytes
                 );
                 Ok(())
             },
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -4,7 +4,7 @@
 use heathspur_capture::write;
 use heathspur_testkit::capture::*;
 
-/// The time, data, wire length and link type of a packet.
+/// The time in nanoseconds, data, wire length and link type of a packet.
 type PacketFields = (u64, Vec<u8>, u32, LinkType);
 
 /// Reads a file that is fed in chunks of this size. Returns the packets, and how reading ended.
@@ -285,10 +285,10 @@
 
 #[test]
 fn file_truncated_at_any_byte_yields_all_complete_packets() {
-    let mut script = CaptureBuilder::open(4000);
-    script.send(heathspur_capture::Side::Client, &request(1, b"abc"), 20);
-    let pcap_file = heathspur_testkit::capture::pcap_file(&script.packets);
-    let pcap_record_ends: Vec<usize> = script
+    let mut builder = CaptureBuilder::open(4000);
+    builder.send(heathspur_capture::Side::Client, &request(1, b"abc"), 20);
+    let pcap_file = heathspur_testkit::capture::pcap_file(&builder.packets);
+    let pcap_record_ends: Vec<usize> = builder
         .packets
         .iter()
         .scan(24, |end, (_, packet)| {
@@ -298,7 +298,7 @@
         .collect();
     let mut pcapng_file = write::ng_start(&["front"]);
     let mut pcapng_block_ends = Vec::new();
-    for (time, packet) in &script.packets {
+    for (time, packet) in &builder.packets {
         pcapng_file.extend(write::ng_packet(
             0,
             heathspur_capture::Stamp(CAPTURE_START_NANOS + time),
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn found<'a>(
+fn find_segment<'a>(
     frames: &mut Frames,
     link: LinkType,
     data: &'a [u8],
@@ -59,7 +59,7 @@
         (LinkType::Loopback, [&[2, 0, 0, 0][..], &ip].concat()),
     ];
     for (link, data) in packets {
-        let segment = found(&mut Frames::new(true), link, &data).unwrap();
+        let segment = find_segment(&mut Frames::new(true), link, &data).unwrap();
         assert_eq!(
             (segment.from, segment.to),
             (client_address(4000), server_address()),
@@ -72,7 +72,7 @@
         );
     }
     assert_eq!(
-        found(&mut Frames::new(false), LinkType::Other(147), &ip),
+        find_segment(&mut Frames::new(false), LinkType::Other(147), &ip),
         Err(SkipReason::UnsupportedLinkType)
     );
 }
@@ -90,7 +90,7 @@
     let length = extended.len() as u16 - 40;
     extended[4..6].copy_from_slice(&length.to_be_bytes());
     for data in [plain, extended] {
-        let segment = found(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
+        let segment = find_segment(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
         assert_eq!(
             (segment.from, segment.to, &segment.payload[..]),
             (from, to, &b"hello"[..])
@@ -115,7 +115,7 @@
         );
     }
     assert_eq!(
-        found(&mut Frames::new(false), LinkType::Ip, &complete[..30]),
+        find_segment(&mut Frames::new(false), LinkType::Ip, &complete[..30]),
         Err(SkipReason::InvalidHeaders)
     );
 }
@@ -124,9 +124,9 @@
 fn wrong_checksum_is_rejected_only_if_checksums_are_verified() {
     let mut data = ip_packet(b"hello");
     *data.last_mut().unwrap() ^= 1;
-    assert!(found(&mut Frames::new(false), LinkType::Ip, &data).is_ok());
+    assert!(find_segment(&mut Frames::new(false), LinkType::Ip, &data).is_ok());
     assert_eq!(
-        found(&mut Frames::new(true), LinkType::Ip, &data),
+        find_segment(&mut Frames::new(true), LinkType::Ip, &data),
         Err(SkipReason::WrongChecksum)
     );
 }
@@ -155,12 +155,12 @@
         assert_eq!(fragments.len(), 4);
         for &position in &order[..3] {
             assert_eq!(
-                found(&mut frames, LinkType::Ip, &fragments[position]),
+                find_segment(&mut frames, LinkType::Ip, &fragments[position]),
                 Err(SkipReason::Fragment)
             );
         }
         assert_eq!(
-            found(&mut frames, LinkType::Ip, &fragments[order[3]])
+            find_segment(&mut frames, LinkType::Ip, &fragments[order[3]])
                 .unwrap()
                 .payload
                 .len(),
@@ -175,7 +175,7 @@
     let mut frames = Frames::new(false);
     for id in 0..1000 {
         assert_eq!(
-            found(&mut frames, LinkType::Ip, &fragments(&complete, 8, id)[0]),
+            find_segment(&mut frames, LinkType::Ip, &fragments(&complete, 8, id)[0]),
             Err(SkipReason::Fragment)
         );
     }
@@ -205,7 +205,7 @@
     data[0] = 0x47;
     let length = data.len() as u16;
     data[2..4].copy_from_slice(&length.to_be_bytes());
-    let segment = found(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
+    let segment = find_segment(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
     assert_eq!((&segment.payload[..], segment.lost), (&b"hello"[..], 0));
 }
 
@@ -227,7 +227,7 @@
         data[6] = 44;
         let length = data.len() as u16 - 40;
         data[4..6].copy_from_slice(&length.to_be_bytes());
-        let segment = found(&mut frames, LinkType::Ip, &data);
+        let segment = find_segment(&mut frames, LinkType::Ip, &data);
         match position {
             0 => assert_eq!(segment.unwrap().payload.len(), 100),
             _ => assert_eq!(segment, Err(SkipReason::Fragment)),
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -17,29 +17,29 @@
     parse_capture(&pcap_file(packets), Options::default(), 1000)
 }
 
-/// Returns a conversation with three requests, each followed by its response. The requests are sent in segments of this
-/// length.
-fn three_exchanges(segment: usize) -> CaptureBuilder {
-    let mut script = CaptureBuilder::open(4000);
+/// Returns a conversation with three requests, each followed by its response. The requests are sent in segments of at most
+/// this length.
+fn three_exchanges(segment_len: usize) -> CaptureBuilder {
+    let mut builder = CaptureBuilder::open(4000);
     for number in 0..3 {
-        script.send(
+        builder.send(
             Side::Client,
             &request(number, &[b'a' + number as u8; 300]),
-            segment,
+            segment_len,
         );
-        script.send(Side::Server, &response(200 + number as u16, b"done"), 1000);
+        builder.send(Side::Server, &response(200 + number as u16, b"done"), 1000);
     }
-    script.close();
-    script
+    builder.close();
+    builder
 }
 
 /// Asserts that the exchanges of [`three_exchanges`] were found completely.
-fn assert_complete(read: &ParsedCapture) {
+fn assert_complete(capture: &ParsedCapture) {
     assert_eq!(
-        read.request_bodies(),
+        capture.request_bodies(),
         [[b'a'; 300], [b'b'; 300], [b'c'; 300]]
     );
-    let responses: Vec<_> = read
+    let responses: Vec<_> = capture
         .responses
         .iter()
         .map(|(_, to, message)| (*to, message.status()))
@@ -52,39 +52,39 @@
             (Some(2), Some(202))
         ]
     );
-    assert_eq!(read.skipped, []);
-    assert_eq!(read.tally.holes, 0);
+    assert_eq!(capture.skipped, []);
+    assert_eq!(capture.tally.holes, 0);
 }
 
 /// Returns how the connections ended.
-fn ends(read: &ParsedCapture) -> Vec<End> {
+fn ends(capture: &ParsedCapture) -> Vec<End> {
     let end = |item: &Item| match item {
         Item::Connection(Event::Closed { end, .. }) => Some(*end),
         _ => None,
     };
-    read.connections.iter().filter_map(end).collect()
+    capture.connections.iter().filter_map(end).collect()
 }
 
 #[test]
 fn sequence_numbers_wrap_without_loss() {
     // The client's initial sequence number is 700 below the wrap.
-    let read = read_packets(&three_exchanges(50).packets);
-    assert_complete(&read);
-    assert_eq!(ends(&read), [End::Closed]);
-    assert_eq!(read.tally.tcp.anomalies, Default::default());
+    let capture = read_packets(&three_exchanges(50).packets);
+    assert_complete(&capture);
+    assert_eq!(ends(&capture), [End::Closed]);
+    assert_eq!(capture.tally.tcp.anomalies, Default::default());
 }
 
 #[test]
 fn out_of_order_segments_keep_their_capture_times() {
-    let mut script = three_exchanges(100);
+    let mut builder = three_exchanges(100);
     // The second and third segment of the first request are captured in the wrong order.
-    let (second, third) = (script.packets[4].1.clone(), script.packets[5].1.clone());
-    script.packets[4].1 = third;
-    script.packets[5].1 = second;
-    let read = read_packets(&script.packets);
-    assert_complete(&read);
-    assert_eq!(read.tally.tcp.anomalies.out_of_order, 1);
-    let first = &read.requests[0].2;
+    let (second, third) = (builder.packets[4].1.clone(), builder.packets[5].1.clone());
+    builder.packets[4].1 = third;
+    builder.packets[5].1 = second;
+    let capture = read_packets(&builder.packets);
+    assert_complete(&capture);
+    assert_eq!(capture.tally.tcp.anomalies.out_of_order, 1);
+    let first = &capture.requests[0].2;
     assert_eq!(
         (
             first.first.0 - CAPTURE_START_NANOS,
@@ -96,45 +96,45 @@
 
 #[test]
 fn copies_are_dropped_and_first_of_conflicting_copies_is_used() {
-    let mut script = three_exchanges(100);
-    let copies: Vec<_> = script
+    let mut builder = three_exchanges(100);
+    let copies: Vec<_> = builder
         .packets
         .iter()
         .map(|(time, packet)| (time + NANOS_PER_MS / 2, packet.clone()))
         .collect();
-    script.packets = script
+    builder.packets = builder
         .packets
         .into_iter()
         .zip(copies)
         .flat_map(|(packet, copy)| [packet, copy])
         .collect();
-    let read = read_packets(&script.packets);
-    assert_complete(&read);
-    assert!(read.tally.tcp.anomalies.repeated > 10);
-    assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
+    let capture = read_packets(&builder.packets);
+    assert_complete(&capture);
+    assert!(capture.tally.tcp.anomalies.repeated > 10);
+    assert_eq!(capture.tally.tcp.anomalies.conflicting, 0);
 
-    let mut script = three_exchanges(100);
+    let mut builder = three_exchanges(100);
     // The second segment is copied with other bytes: here after its bytes were delivered, and below while they are
     // buffered behind a gap.
-    let mut conflicting = script.packets[4].1.clone();
+    let mut conflicting = builder.packets[4].1.clone();
     let start = conflicting.len() - 10;
     conflicting[start..].fill(b'#');
-    script
+    builder
         .packets
         .insert(5, (5 * NANOS_PER_MS, conflicting.clone()));
-    let read = read_packets(&script.packets);
-    assert_complete(&read);
-    assert_eq!(read.tally.tcp.anomalies.conflicting, 1);
+    let capture = read_packets(&builder.packets);
+    assert_complete(&capture);
+    assert_eq!(capture.tally.tcp.anomalies.conflicting, 1);
 
-    let mut script = three_exchanges(100);
-    let (time, first) = script.packets.remove(3);
-    script.packets.insert(4, (5 * NANOS_PER_MS, conflicting));
-    script
+    let mut builder = three_exchanges(100);
+    let (time, first) = builder.packets.remove(3);
+    builder.packets.insert(4, (5 * NANOS_PER_MS, conflicting));
+    builder
         .packets
         .insert(5, (time.max(5 * NANOS_PER_MS), first));
-    let read = read_packets(&script.packets);
-    assert_complete(&read);
-    assert_eq!(read.tally.tcp.anomalies.conflicting, 1);
+    let capture = read_packets(&builder.packets);
+    assert_complete(&capture);
+    assert_eq!(capture.tally.tcp.anomalies.conflicting, 1);
 }
 
 #[test]
@@ -163,28 +163,28 @@
         packets.push(((2 + position as u64) * NANOS_PER_MS, part(from, to)));
     }
     packets.push((9 * NANOS_PER_MS, part(5, bytes.len())));
-    let read = read_packets(&packets);
-    assert_eq!(read.request_bodies(), [b"0123456789"]);
-    assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
+    let capture = read_packets(&packets);
+    assert_eq!(capture.request_bodies(), [b"0123456789"]);
+    assert_eq!(capture.tally.tcp.anomalies.conflicting, 0);
 }
 
 #[test]
 fn lost_segment_loses_only_its_own_request() {
-    let mut script = three_exchanges(100);
-    script.packets.remove(4);
-    let read = read_packets(&script.packets);
-    assert_eq!(read.request_bodies(), [[b'b'; 300], [b'c'; 300]]);
-    assert_eq!((read.tally.holes, read.tally.missing_bytes), (1, 100));
+    let mut builder = three_exchanges(100);
+    builder.packets.remove(4);
+    let capture = read_packets(&builder.packets);
+    assert_eq!(capture.request_bodies(), [[b'b'; 300], [b'c'; 300]]);
+    assert_eq!((capture.tally.holes, capture.tally.missing_bytes), (1, 100));
     let [Found::Skipped {
         side: Side::Client,
         cause: Cause::Hole,
         ..
-    }] = read.skipped[..]
+    }] = capture.skipped[..]
     else {
-        panic!("{:?}", read.skipped)
+        panic!("{:?}", capture.skipped)
     };
     // The response to the lost request is not matched to another request.
-    let responses: Vec<_> = read
+    let responses: Vec<_> = capture
         .responses
         .iter()
         .map(|(_, to, message)| (*to, message.status()))
@@ -196,12 +196,12 @@
 fn gap_is_abandoned_after_its_time_or_byte_limit() {
     // Returns the requests found and the gaps abandoned if the requests after the gap are `interval` ns apart.
     let run = |limits: Limits, interval: u64| {
-        let mut script = CaptureBuilder::open(4000);
-        script.send(Side::Client, &request(1, &[b'a'; 300]), 100);
-        script.packets.remove(4);
+        let mut builder = CaptureBuilder::open(4000);
+        builder.send(Side::Client, &request(1, &[b'a'; 300]), 100);
+        builder.packets.remove(4);
         for number in 2..6 {
-            script.elapsed_nanos += interval;
-            script.send(Side::Client, &request(number, &[b'b'; 300]), 100);
+            builder.elapsed_nanos += interval;
+            builder.send(Side::Client, &request(number, &[b'b'; 300]), 100);
         }
         // The capture does not end, so requests are found only if the gap is abandoned.
         let mut pipeline = heathspur_capture::Pipeline::new(Options {
@@ -209,7 +209,7 @@
             ..Options::default()
         });
         let mut requests = 0;
-        pipeline.feed(&pcap_file(&script.packets), |item| {
+        pipeline.feed(&pcap_file(&builder.packets), |item| {
             requests += u64::from(matches!(item, Item::Message(Found::Request { .. })));
         });
         (requests, pipeline.tally().tcp.abandoned_gaps)
@@ -229,12 +229,12 @@
 
 #[test]
 fn midstream_capture_resumes_at_next_request() {
-    let script = three_exchanges(100);
-    for from in 3..script.packets.len() - 1 {
-        let read = read_packets(&script.packets[from..]);
-        let first = read.request_bodies().first().map(|body| body[0]);
+    let builder = three_exchanges(100);
+    for from in 3..builder.packets.len() - 1 {
+        let capture = read_packets(&builder.packets[from..]);
+        let first = capture.request_bodies().first().map(|body| body[0]);
         assert!(from < 5 || first != Some(b'a'), "{from}");
-        for (_, _, message) in &read.requests {
+        for (_, _, message) in &capture.requests {
             assert!(
                 message.bytes.starts_with(b"POST /svc/pay HTTP/1.1\r\n"),
                 "{from}"
@@ -244,7 +244,7 @@
             client: found_client,
             start,
             ..
-        })) = read.connections.first()
+        })) = capture.connections.first()
         else {
             continue;
         };
@@ -258,9 +258,9 @@
         servers: vec![6565],
         ..Limits::default()
     };
-    for from in 3..script.packets.len() - 2 {
-        let read = parse_capture(
-            &pcap_file(&script.packets[from..]),
+    for from in 3..builder.packets.len() - 2 {
+        let capture = parse_capture(
+            &pcap_file(&builder.packets[from..]),
             Options {
                 reassembly: limits.clone(),
                 ..Options::default()
@@ -270,7 +270,7 @@
         let Some(Item::Connection(Event::Opened {
             client: found_client,
             ..
-        })) = read.connections.first()
+        })) = capture.connections.first()
         else {
             panic!()
         };
@@ -280,9 +280,9 @@
 
 #[test]
 fn truncated_packet_is_hole_of_known_length() {
-    let script = three_exchanges(100);
+    let builder = three_exchanges(100);
     let mut file = heathspur_capture::write::pcap_header(101, 0);
-    for (position, (time, packet)) in script.packets.iter().enumerate() {
+    for (position, (time, packet)) in builder.packets.iter().enumerate() {
         let captured = if position == 5 {
             packet.len() - 30
         } else {
@@ -295,18 +295,18 @@
             packet.len() as u32,
         ));
     }
-    let read = parse_capture(&file, Options::default(), 512);
-    assert_eq!(read.request_bodies(), [[b'b'; 300], [b'c'; 300]]);
+    let capture = parse_capture(&file, Options::default(), 512);
+    assert_eq!(capture.request_bodies(), [[b'b'; 300], [b'c'; 300]]);
     assert_eq!(
         (
-            read.tally.holes,
-            read.tally.missing_bytes,
-            read.tally.truncated_packets
+            capture.tally.holes,
+            capture.tally.missing_bytes,
+            capture.tally.truncated_packets
         ),
         (1, 30, 1)
     );
     // The position of the next request is known, so responses are still matched by order.
-    let responses: Vec<_> = read
+    let responses: Vec<_> = capture
         .responses
         .iter()
         .map(|(_, to, message)| (*to, message.status()))
@@ -324,36 +324,36 @@
 #[test]
 fn fin_or_reset_captured_before_earlier_bytes_loses_nothing() {
     // The FINs are captured before the bytes that precede them.
-    let mut script = three_exchanges(100);
-    let fins = script.packets.split_off(script.packets.len() - 2);
+    let mut builder = three_exchanges(100);
+    let fins = builder.packets.split_off(builder.packets.len() - 2);
     for fin in fins {
-        script.packets.insert(3, (3 * NANOS_PER_MS, fin.1));
+        builder.packets.insert(3, (3 * NANOS_PER_MS, fin.1));
     }
-    let read = read_packets(&script.packets);
-    assert_complete(&read);
-    assert_eq!(ends(&read), [End::Closed]);
+    let capture = read_packets(&builder.packets);
+    assert_complete(&capture);
+    assert_eq!(ends(&capture), [End::Closed]);
 
     // The same applies to a reset.
-    let mut script = CaptureBuilder::open(4000);
-    script.send(Side::Client, &request(1, &[b'a'; 300]), 100);
-    let reset = script.conversation.reset(Side::Client);
-    script.packets.insert(5, (5 * NANOS_PER_MS, reset));
-    let read = read_packets(&script.packets);
-    assert_eq!(read.request_bodies(), [[b'a'; 300]]);
-    assert_eq!(ends(&read), [End::Reset]);
+    let mut builder = CaptureBuilder::open(4000);
+    builder.send(Side::Client, &request(1, &[b'a'; 300]), 100);
+    let reset = builder.conversation.reset(Side::Client);
+    builder.packets.insert(5, (5 * NANOS_PER_MS, reset));
+    let capture = read_packets(&builder.packets);
+    assert_eq!(capture.request_bodies(), [[b'a'; 300]]);
+    assert_eq!(ends(&capture), [End::Reset]);
 }
 
 #[test]
 fn late_copy_after_close_opens_no_connection() {
-    let mut script = three_exchanges(100);
-    let late = script.packets[4].1.clone();
-    script.push_packet(late);
-    let read = read_packets(&script.packets);
-    assert_complete(&read);
+    let mut builder = three_exchanges(100);
+    let late = builder.packets[4].1.clone();
+    builder.push_packet(late);
+    let capture = read_packets(&builder.packets);
+    assert_complete(&capture);
     assert_eq!(
         (
-            read.tally.tcp.connections,
-            read.tally.tcp.anomalies.after_end
+            capture.tally.tcp.connections,
+            capture.tally.tcp.anomalies.after_end
         ),
         (1, 1)
     );
@@ -362,26 +362,26 @@
 #[test]
 fn reused_port_is_new_connection_after_close_or_without() {
     for is_closed in [true, false] {
-        let mut script = CaptureBuilder::open(4000);
-        script.send(Side::Client, &request(1, b"old"), 100);
+        let mut builder = CaptureBuilder::open(4000);
+        builder.send(Side::Client, &request(1, b"old"), 100);
         if is_closed {
-            script.close();
+            builder.close();
         }
-        script.conversation =
+        builder.conversation =
             TcpConversation::new(client_address(4000), server_address(), [5000, 6000]);
-        let syn = script.conversation.open();
+        let syn = builder.conversation.open();
         // The SYN is sent twice.
-        script.push_packet(syn[0].clone());
+        builder.push_packet(syn[0].clone());
         for packet in syn {
-            script.push_packet(packet);
+            builder.push_packet(packet);
         }
-        script.send(Side::Client, &request(2, b"new"), 100);
-        script.close();
-        let read = read_packets(&script.packets);
-        assert_eq!(read.request_bodies(), [b"old", b"new"]);
-        assert_eq!(read.tally.tcp.connections, 2);
+        builder.send(Side::Client, &request(2, b"new"), 100);
+        builder.close();
+        let capture = read_packets(&builder.packets);
+        assert_eq!(capture.request_bodies(), [b"old", b"new"]);
+        assert_eq!(capture.tally.tcp.connections, 2);
         assert_eq!(
-            ends(&read)[0],
+            ends(&capture)[0],
             if is_closed {
                 End::Closed
             } else {
@@ -456,12 +456,12 @@
             ),
         ),
     ];
-    let read = read_packets(&packets);
-    assert_eq!(read.request_bodies(), [b"abc", b"abc"]);
+    let capture = read_packets(&packets);
+    assert_eq!(capture.request_bodies(), [b"abc", b"abc"]);
     assert_eq!(
         (
-            read.tally.tcp.anomalies.keep_alives,
-            read.tally.tcp.anomalies.conflicting
+            capture.tally.tcp.anomalies.keep_alives,
+            capture.tally.tcp.anomalies.conflicting
         ),
         (1, 0)
     );
@@ -469,8 +469,8 @@
 
 #[test]
 fn stray_segments_are_skipped_until_direction_resynchronises() {
-    let mut script = CaptureBuilder::open(4000);
-    script.send(Side::Client, &request(1, b"abc"), 1000);
+    let mut builder = CaptureBuilder::open(4000);
+    builder.send(Side::Client, &request(1, b"abc"), 1000);
     let stray = |number: u64, seq: u32| {
         segment(
             client_address(4000),
@@ -483,14 +483,14 @@
     };
     let length = request(1, b"far").len() as u32;
     for n in 0..6 {
-        script.push_packet(stray(2 + u64::from(n), 500_000_000 + n * length));
+        builder.push_packet(stray(2 + u64::from(n), 500_000_000 + n * length));
     }
-    let read = read_packets(&script.packets);
-    assert_eq!(read.requests.len(), 1 + 4);
+    let capture = read_packets(&builder.packets);
+    assert_eq!(capture.requests.len(), 1 + 4);
     assert_eq!(
         (
-            read.tally.tcp.anomalies.stray,
-            read.tally.tcp.anomalies.resynchronised
+            capture.tally.tcp.anomalies.stray,
+            capture.tally.tcp.anomalies.resynchronised
         ),
         (3, 1)
     );
@@ -504,14 +504,14 @@
     };
     let mut packets = Vec::new();
     for port in 0..200 {
-        let mut script = CaptureBuilder::open(4000 + port);
-        script.send(Side::Client, &request(1, &[b'a'; 1500]), 500);
+        let mut builder = CaptureBuilder::open(4000 + port);
+        builder.send(Side::Client, &request(1, &[b'a'; 1500]), 500);
         // The first segment of the request is lost.
-        script.packets.remove(3);
-        packets.extend(script.packets);
+        builder.packets.remove(3);
+        packets.extend(builder.packets);
     }
     packets.sort_by_key(|(time, _)| *time);
-    let read = parse_capture(
+    let capture = parse_capture(
         &pcap_file(&packets),
         Options {
             reassembly: limits,
@@ -520,16 +520,16 @@
         100,
     );
     assert!(
-        read.max_buffered_bytes < 51_000 + 200 * 1600,
+        capture.max_buffered_bytes < 51_000 + 200 * 1600,
         "{}",
-        read.max_buffered_bytes
+        capture.max_buffered_bytes
     );
     assert!(
-        read.tally.tcp.gaps_abandoned_for_memory > 100,
+        capture.tally.tcp.gaps_abandoned_for_memory > 100,
         "{:?}",
-        read.tally.tcp
+        capture.tally.tcp
     );
-    assert_eq!(read.tally.holes, 200);
+    assert_eq!(capture.tally.holes, 200);
 }
 
 #[test]
@@ -538,55 +538,55 @@
         connections: 64,
         ..Limits::default()
     };
-    let mut script = CaptureBuilder::open(4000);
+    let mut builder = CaptureBuilder::open(4000);
     for port in 0..1000 {
         let mut other = CaptureBuilder::open(10_000 + port);
         other.send(Side::Client, &request(1, b"x"), 1000);
         for (_, packet) in other.packets {
-            script.push_packet(packet);
+            builder.push_packet(packet);
         }
         // The connection that remains active is not evicted.
-        script.send(Side::Client, &request(u64::from(port), b"stay"), 1000);
+        builder.send(Side::Client, &request(u64::from(port), b"stay"), 1000);
     }
-    let read = parse_capture(
-        &pcap_file(&script.packets),
+    let capture = parse_capture(
+        &pcap_file(&builder.packets),
         Options {
             reassembly: limits,
             ..Options::default()
         },
         1000,
     );
-    assert_eq!(read.requests.len(), 2000);
-    assert!(read.tally.tcp.evicted > 900);
-    assert_eq!(read.tally.tcp.connections, 1001);
+    assert_eq!(capture.requests.len(), 2000);
+    assert!(capture.tally.tcp.evicted > 900);
+    assert_eq!(capture.tally.tcp.connections, 1001);
 }
 
 #[test]
 fn chunked_oversized_bodiless_and_unterminated_messages_are_delimited() {
-    let mut script = CaptureBuilder::open(4000);
+    let mut builder = CaptureBuilder::open(4000);
     let chunked = b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\nabcd\r\n2\r\nef\r\n0\r\nX-Sum: 1\r\n\r\n";
     let oversized = request(2, &vec![b'x'; 2 << 20]);
-    script.send(Side::Client, chunked, 7);
-    script.send(Side::Client, &oversized, 16_000);
-    script.send(Side::Client, b"HEAD /b HTTP/1.1\r\n\r\n", 100);
-    script.send(Side::Client, &request(3, b"last"), 100);
-    script.send(Side::Server, b"HTTP/1.1 100 Continue\r\n\r\n", 100);
+    builder.send(Side::Client, chunked, 7);
+    builder.send(Side::Client, &oversized, 16_000);
+    builder.send(Side::Client, b"HEAD /b HTTP/1.1\r\n\r\n", 100);
+    builder.send(Side::Client, &request(3, b"last"), 100);
+    builder.send(Side::Server, b"HTTP/1.1 100 Continue\r\n\r\n", 100);
     for status in [201, 202] {
-        script.send(Side::Server, &response(status, b"x"), 100);
+        builder.send(Side::Server, &response(status, b"x"), 100);
     }
-    script.send(
+    builder.send(
         Side::Server,
         b"HTTP/1.1 203 To a HEAD\r\nContent-Length: 900\r\n\r\n",
         100,
     );
-    script.send(
+    builder.send(
         Side::Server,
         b"HTTP/1.1 204 Nothing\r\n\r\nHTTP/1.1 200 Unasked\r\n\r\nup to the end",
         100,
     );
-    script.close();
-    let read = read_packets(&script.packets);
-    let requests: Vec<_> = read
+    builder.close();
+    let capture = read_packets(&builder.packets);
+    let requests: Vec<_> = capture
         .requests
         .iter()
         .map(|(_, index, message)| (*index, message.bytes.len()))
@@ -597,12 +597,12 @@
         cause: Cause::TooLarge,
         bytes,
         ..
-    }] = read.skipped[..]
+    }] = capture.skipped[..]
     else {
-        panic!("{:?}", read.skipped)
+        panic!("{:?}", capture.skipped)
     };
     assert_eq!(bytes, oversized.len() as u64);
-    let responses: Vec<_> = read
+    let responses: Vec<_> = capture
         .responses
         .iter()
         .map(|(_, to, message)| (*to, message.status().unwrap(), message.body().len()))
