--- a/crates/heathspur-record/src/rotation.rs
+++ b/crates/heathspur-record/src/rotation.rs
@@ -81,8 +81,8 @@
 }
 
 impl FileRotation {
-    /// Creates the state without an open file. `prefix` distinguishes the files of this server from those of others;
-    /// `existing` are the names of all files in the directory.
+    /// Creates the state without an open file. File names begin with `prefix` and a dash, which distinguishes the files
+    /// of this server from those of others. `existing` are the names of all files in the directory.
     pub fn new(
         prefix: &str,
         limits: Limits,
@@ -198,7 +198,8 @@
     }
 }
 
-/// Returns whether [`FileRotation`] makes file names of this form with this prefix.
+/// Returns whether a file name consists of the prefix, a time, a number and the extension, as [`FileRotation`] forms
+/// them.
 fn is_recording(prefix: &str, name: &str) -> bool {
     let time_and_number = name
         .strip_prefix(prefix)
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -2,7 +2,7 @@
 //! Also tests the rotation of files.
 
 use bytes::Bytes;
-use heathspur_capture::reassembly::{End, Event as Read, Start};
+use heathspur_capture::reassembly::{End, Event as CaptureEvent, Start};
 use heathspur_capture::{Item, Options, Side, Stamp};
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
@@ -39,7 +39,8 @@
     }
 }
 
-fn recorded(policy: RedactionPolicy, events: &[Event]) -> Vec<u8> {
+/// Returns a recording of the events.
+fn record(policy: RedactionPolicy, events: &[Event]) -> Vec<u8> {
     let mut recorder = Recorder::new(policy);
     let mut file = recorder.file_header();
     for event in events {
@@ -73,21 +74,21 @@
 
 #[test]
 fn unredacted_recording_reads_back_with_same_bytes_times_and_end() {
-    let read = parse_capture(
-        &recorded(RedactionPolicy::default(), &conversation()),
+    let capture = parse_capture(
+        &record(RedactionPolicy::default(), &conversation()),
         Options {
             checksums: true,
             ..Options::default()
         },
         97,
     );
-    let requests: Vec<_> = read
+    let requests: Vec<_> = capture
         .requests
         .iter()
         .map(|(_, _, message)| message.bytes.to_vec())
         .collect();
     assert_eq!(requests, [request(1, b"4929001234567890"), request(2, b"")]);
-    let first = &read.requests[0].2;
+    let first = &capture.requests[0].2;
     assert_eq!(
         (
             first.first.0 - CAPTURE_START_NANOS,
@@ -95,7 +96,7 @@
         ),
         (5 * NANOS_PER_MS, 9 * NANOS_PER_MS)
     );
-    let responses: Vec<_> = read
+    let responses: Vec<_> = capture
         .responses
         .iter()
         .map(|(_, to, message)| (*to, message.status(), message.body().to_vec()))
@@ -108,24 +109,24 @@
         ]
     );
     assert!(matches!(
-        read.connections[0],
-        Item::Connection(Read::Opened {
+        capture.connections[0],
+        Item::Connection(CaptureEvent::Opened {
             start: Start::Handshake,
             ..
         })
     ));
     assert!(matches!(
-        read.connections.last(),
-        Some(Item::Connection(Read::Closed {
+        capture.connections.last(),
+        Some(Item::Connection(CaptureEvent::Closed {
             end: End::Closed,
             ..
         }))
     ));
     assert_eq!(
         (
-            read.tally.holes,
-            read.tally.damage,
-            read.tally.skipped_packets.len()
+            capture.tally.holes,
+            capture.tally.damage,
+            capture.tally.skipped_packets.len()
         ),
         (0, None, 0)
     );
@@ -142,19 +143,19 @@
             reset: true,
         },
     );
-    let read = parse_capture(
-        &recorded(RedactionPolicy::default(), &events),
+    let capture = parse_capture(
+        &record(RedactionPolicy::default(), &events),
         Options::default(),
         1000,
     );
     assert!(matches!(
-        read.connections.last(),
-        Some(Item::Connection(Read::Closed {
+        capture.connections.last(),
+        Some(Item::Connection(CaptureEvent::Closed {
             end: End::Reset,
             ..
         }))
     ));
-    assert_eq!(read.requests.len(), 2);
+    assert_eq!(capture.requests.len(), 2);
 }
 
 #[test]
@@ -187,25 +188,25 @@
                 reset: false,
             },
         ));
-        let file = recorded(policy.clone(), &events);
+        let file = record(policy.clone(), &events);
         assert!(
             !file.windows(4).any(|bytes| bytes == b"4929"),
             "{chunk_size}"
         );
-        let read = parse_capture(&file, Options::default(), 1000);
+        let capture = parse_capture(&file, Options::default(), 1000);
         assert_eq!(
-            (read.requests.len(), read.responses.len()),
+            (capture.requests.len(), capture.responses.len()),
             (3, 3),
             "{chunk_size}"
         );
-        for (_, _, message) in &read.requests {
+        for (_, _, message) in &capture.requests {
             assert_eq!(message.body(), b"xxxxxxxxxxxxxxxx");
             assert_eq!(message.field("X-Txn").unwrap(), b"xxxxxxxxxxxxxxxx");
             assert_eq!(message.bytes.len(), request(0, b"4929001234567890").len());
         }
         // A byte keeps its arrival time even if it was buffered.
         assert_eq!(
-            read.requests[0].2.first.0,
+            capture.requests[0].2.first.0,
             CAPTURE_START_NANOS + NANOS_PER_MS
         );
     }
@@ -247,13 +248,16 @@
         // The start of this connection was not recorded.
         event(3, 5, data(Side::Server, b"4929001234567890 HTTP/1.1")),
     ];
-    let file = recorded(policy, &events);
+    let file = record(policy, &events);
     assert!(!file.windows(4).any(|bytes| bytes == b"4929"));
     assert!(file
         .windows(24)
         .any(|text| text == b"70 bytes before this pac"));
-    let read = parse_capture(&file, Options::default(), 1000);
-    assert_eq!((read.requests.len(), read.tally.missing_bytes), (0, 70));
+    let capture = parse_capture(&file, Options::default(), 1000);
+    assert_eq!(
+        (capture.requests.len(), capture.tally.missing_bytes),
+        (0, 70)
+    );
 }
 
 #[test]
@@ -283,7 +287,7 @@
         failure_persistence: None,
         ..Config::default()
     };
-    let mut cases =
+    let mut runner =
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]));
     // The sender of a chunk, which is the client if true, and its bytes.
     let chunk = (any::<bool>(), prop::collection::vec(any::<u8>(), 1..80));
@@ -293,7 +297,7 @@
         b"GET / ".to_vec(),
         Vec::new(),
     ]);
-    cases
+    runner
         .run(
             &(start, prop::collection::vec(chunk, 0..30), any::<bool>()),
             |(start, chunks, redact_bodies)| {
@@ -319,7 +323,7 @@
                         reset: false,
                     },
                 ));
-                let file = recorded(
+                let file = record(
                     RedactionPolicy {
                         bodies: redact_bodies,
                         fields: Vec::new(),
@@ -337,8 +341,8 @@
                 assembler.finish();
                 let mut recorded = [Vec::new(), Vec::new()];
                 while let Some(event) = assembler.next_event() {
-                    prop_assert!(!matches!(event, Read::Hole { .. }), "a hole");
-                    if let Read::Bytes { side, bytes, .. } = event {
+                    prop_assert!(!matches!(event, CaptureEvent::Hole { .. }), "a hole");
+                    if let CaptureEvent::Bytes { side, bytes, .. } = event {
                         recorded[usize::from(side == Side::Server)].extend_from_slice(&bytes);
                     }
                 }
--- a/crates/heathspur-wire/src/http/fields.rs
+++ b/crates/heathspur-wire/src/http/fields.rs
@@ -4,6 +4,7 @@
 
 /// The most digits of a decimal number. Every number with this many digits fits into a `u64`.
 const MAX_DIGITS: usize = 18;
+/// The control character DEL.
 const DELETE: u8 = 127;
 
 /// An iterator over the names and values of a head's fields. A malformed line yields an error.
--- a/crates/heathspur-wire/src/http/reader.rs
+++ b/crates/heathspur-wire/src/http/reader.rs
@@ -28,10 +28,11 @@
 
 /// Reads one message after another from the front of a growing buffer.
 ///
-/// The reader remembers how many bytes it has searched, so that bytes that arrive one by one are searched once.
+/// The reader stores how many bytes it has searched, so that bytes that arrive one by one are searched once.
 #[derive(Debug)]
 pub struct Reader {
     limits: Limits,
+    /// The number of bytes at the front of the buffer that were searched for the end of the head.
     searched: usize,
     /// The message whose head is complete and whose body is not.
     pending: Option<Message>,
@@ -49,6 +50,10 @@
 
     /// Returns the message at the front of `bytes` once it is complete. The next call then expects the bytes after
     /// this message's body.
+    ///
+    /// # Errors
+    /// Returns an error if the head or the body exceeds its limit, if a field is malformed, if `Content-Length` is
+    /// repeated or not a number, or if there is a `Transfer-Encoding`.
     pub fn read(&mut self, bytes: &[u8]) -> Result<Option<Message>, Error> {
         if self.pending.is_none() {
             let Some(head_end) = self.find_head_end(bytes)? else {
--- a/crates/heathspur-wire/src/http/start_line.rs
+++ b/crates/heathspur-wire/src/http/start_line.rs
@@ -6,6 +6,9 @@
 const STATUS_DIGITS: usize = 3;
 
 /// Parses the first line of a request into its method and target.
+///
+/// # Errors
+/// Returns [`Error::Malformed`] if the line is not a method, a target and `HTTP/1.1`.
 pub fn request_line(line: &[u8]) -> Result<(&[u8], &[u8]), Error> {
     let mut parts = line.split(|&byte| byte == b' ');
     match (parts.next(), parts.next(), parts.next(), parts.next()) {
@@ -21,6 +24,9 @@
 }
 
 /// Parses the first line of a response into its status.
+///
+/// # Errors
+/// Returns [`Error::Malformed`] if the line does not begin with `HTTP/1.1` and a status of three digits.
 pub fn status_line(line: &[u8]) -> Result<u16, Error> {
     let rest = line.strip_prefix(b"HTTP/1.1 ").ok_or(Error::Malformed)?;
     let digits = rest.get(..STATUS_DIGITS).ok_or(Error::Malformed)?;
--- a/crates/heathspur-wire/src/http/writer.rs
+++ b/crates/heathspur-wire/src/http/writer.rs
@@ -9,7 +9,7 @@
     Close,
 }
 
-/// Appends a response. Each field is a name and a number. An empty body gets `Content-Length: 0`.
+/// Appends a response with these header fields, each a name and a number, and a `Content-Length`.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
@@ -29,7 +29,7 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a request.
+/// Appends a request with the header fields `Host` and `Content-Length`.
 pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, host: &str, body: &[u8]) {
     let length = body.len();
     let head =
--- a/crates/heathspur-wire/src/interpreter/notice.rs
+++ b/crates/heathspur-wire/src/interpreter/notice.rs
@@ -64,7 +64,7 @@
     Gauges {
         /// The nonce of the query.
         nonce: Cow<'a, str>,
-        /// The values, in the order of the settings.
+        /// The values, in the order in which the settings name the gauges.
         readings: Vec<f64>,
     },
     /// A command was rejected.
@@ -128,6 +128,10 @@
 }
 
 /// Parses one line, without its line end.
+///
+/// # Errors
+/// Returns an error if the line is not a JSON object with a known verb, or if a field of the notice is missing or
+/// invalid.
 pub fn parse_notice(line: &[u8]) -> Result<Notice<'_>, Error> {
     let notice: WireNotice<'_> = serde_json::from_slice(line)?;
     match &*notice.verb {
--- a/crates/heathspur-wire/src/store.rs
+++ b/crates/heathspur-wire/src/store.rs
@@ -51,6 +51,10 @@
 }
 
 /// Parses the reply at the front of `bytes` once it is complete.
+///
+/// # Errors
+/// Returns an error if the line is longer than [`MAX_LINE_BYTES`] or is not a reply, if the body is longer than
+/// [`MAX_BODY_BYTES`], or if no line end follows the body.
 pub fn parse_reply(bytes: &[u8]) -> Result<Option<Reply>, Error> {
     let within_limit = &bytes[..bytes.len().min(MAX_LINE_BYTES)];
     let Some(line_length) = memchr::memmem::find(within_limit, LINE_END) else {
@@ -115,7 +119,7 @@
     Ok(length as usize)
 }
 
-/// Appends a call with a timeout in milliseconds.
+/// Appends a call with this body and a timeout in milliseconds.
 pub fn write_call(out: &mut Vec<u8>, request_id: &str, timeout_ms: u64, body: &[u8]) {
     let length = body.len();
     out.extend_from_slice(format!("CALL {request_id} {timeout_ms} {length}\r\n").as_bytes());
