--- a/crates/heathspur-config/tests/read.rs
+++ b/crates/heathspur-config/tests/read.rs
@@ -6,17 +6,17 @@
 use std::path::Path;
 use std::time::Duration;
 
-fn read(text: &str) -> Result<Operator, String> {
+fn parse(text: &str) -> Result<Operator, String> {
     Operator::parse(text, Path::new("o.xml"), None).map_err(|error| error.to_string())
 }
 
-fn schema_accepts(text: &str) -> bool {
+fn matches_schema(text: &str) -> bool {
     let schema = uppsala::parse(SCHEMA).expect("the schema is well-formed XML");
     let schema = uppsala::XsdValidator::from_schema(&schema).expect("the schema is valid");
     uppsala::parse(text).is_ok_and(|document| schema.validate(&document).is_empty())
 }
 
-fn file(inner: &str) -> String {
+fn operator_text(inner: &str) -> String {
     format!("<?xml version=\"1.0\"?>\n<operator xmlns=\"urn:heathspur:operator:1\">\n{inner}\n</operator>\n")
 }
 
@@ -126,21 +126,21 @@
 #[test]
 fn reader_and_schema_accept_same_documents() {
     for inner in VALID {
-        let text = file(inner);
-        assert!(read(&text).is_ok(), "{inner}: {:?}", read(&text));
-        assert!(schema_accepts(&text), "{inner}");
+        let text = operator_text(inner);
+        assert!(parse(&text).is_ok(), "{inner}: {:?}", parse(&text));
+        assert!(matches_schema(&text), "{inner}");
     }
     for (inner, _) in INVALID {
-        let text = file(inner);
-        assert!(read(&text).is_err(), "{inner}");
-        assert!(!schema_accepts(&text), "{inner}");
+        let text = operator_text(inner);
+        assert!(parse(&text).is_err(), "{inner}");
+        assert!(!matches_schema(&text), "{inner}");
     }
 }
 
 #[test]
 fn errors_name_file_line_element_and_expected_value() {
     for (inner, expected) in INVALID.iter().chain(&OUT_OF_BOUNDS) {
-        let error = read(&file(inner)).expect_err(inner);
+        let error = parse(&operator_text(inner)).expect_err(inner);
         assert!(
             error.contains(expected),
             "{inner}\n  error    {error}\n  expected {expected}"
@@ -175,41 +175,41 @@
             "o.xml:1: operator: a document type declaration is not allowed",
         ),
     ] {
-        let error = read(text).expect_err(text);
+        let error = parse(text).expect_err(text);
         assert!(
             error.contains(expected),
             "{text}\n  error    {error}\n  expected {expected}"
         );
     }
-    let deep = file(&["<a>"; 100].concat());
-    assert!(read(&deep).unwrap_err().contains("too deep"));
+    let deep = operator_text(&["<a>"; 100].concat());
+    assert!(parse(&deep).unwrap_err().contains("too deep"));
 }
 
 #[test]
 fn commented_example_is_valid_and_enables_nothing() {
     let text = include_str!("../../../deploy/operator.xml");
-    let operator = read(text).unwrap();
+    let operator = parse(text).unwrap();
     assert_eq!((operator.record, operator.http2), (None, None));
     assert_eq!(operator.log, Default::default());
-    assert!(schema_accepts(text));
+    assert!(matches_schema(text));
     // The elements in its comments are valid as well, and state the default values.
     let comment = text
         .split("<!--")
         .find(|part| part.contains("<record"))
         .unwrap();
     let record = &comment[comment.find("<record").unwrap()..comment.find("</record>").unwrap() + 9];
-    let text = file(record);
-    assert!(schema_accepts(&text));
-    let record = read(&text).unwrap().record.unwrap();
+    let text = operator_text(record);
+    assert!(matches_schema(&text));
+    let record = parse(&text).unwrap().record.unwrap();
     assert_eq!((record.files, record.budget), Default::default());
     assert_eq!(
         (record.contents, record.links, record.mask.len()),
         (Contents::Headers, false, 1)
     );
     let example = &commented_element(include_str!("../../../deploy/operator.xml"), "http2");
-    assert!(schema_accepts(&file(example)));
-    let http2 = read(&file(example)).unwrap().http2.unwrap();
-    let with_defaults = read(&file("<http2 listen=\"127.0.0.1:8443\"/>"))
+    assert!(matches_schema(&operator_text(example)));
+    let http2 = parse(&operator_text(example)).unwrap().http2.unwrap();
+    let with_defaults = parse(&operator_text("<http2 listen=\"127.0.0.1:8443\"/>"))
         .unwrap()
         .http2
         .unwrap();
@@ -224,12 +224,13 @@
 
 #[test]
 fn http2_memory_over_half_of_process_memory_is_rejected() {
-    let text = file("<http2 listen=\"127.0.0.1:1\">\n<memory answers=\"20 MiB\"/></http2>");
-    let parse = |memory| {
+    let text =
+        operator_text("<http2 listen=\"127.0.0.1:1\">\n<memory answers=\"20 MiB\"/></http2>");
+    let parse_with_memory = |memory| {
         Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
     };
-    assert!(parse(64 << 20).is_ok());
-    let error = parse(32 << 20).unwrap_err();
+    assert!(parse_with_memory(64 << 20).is_ok());
+    let error = parse_with_memory(32 << 20).unwrap_err();
     assert!(
         error.contains("o.xml:4: memory: 27 MiB in total") && error.contains("at most 16 MiB"),
         "{error}"
@@ -238,10 +239,10 @@
 
 #[test]
 fn values_are_parsed_with_units() {
-    let text = file(
+    let text = operator_text(
         "<log format=\"json\"/><record directory=\"/x\"><files size=\"3 MiB\" age=\"2min\"/><budget memory=\"70000 B\"/></record>",
     );
-    let operator = read(&text).unwrap();
+    let operator = parse(&text).unwrap();
     let record = operator.record.unwrap();
     assert_eq!(operator.log.format, Format::Json);
     assert_eq!(record.files.size, Size(3 << 20));
@@ -251,12 +252,12 @@
 
 #[test]
 fn budget_over_quarter_of_process_memory_is_rejected() {
-    let text = file("<record directory=\"/x\">\n<budget memory=\"9 MiB\"/></record>");
-    let parse = |memory| {
+    let text = operator_text("<record directory=\"/x\">\n<budget memory=\"9 MiB\"/></record>");
+    let parse_with_memory = |memory| {
         Operator::parse(&text, Path::new("o.xml"), Some(memory)).map_err(|e| e.to_string())
     };
-    assert!(parse(36 << 20).is_ok());
-    let error = parse(32 << 20).unwrap_err();
+    assert!(parse_with_memory(36 << 20).is_ok());
+    let error = parse_with_memory(32 << 20).unwrap_err();
     assert!(
         error.contains("o.xml:4: budget@memory: 9 MiB where at most 8 MiB"),
         "{error}"
--- a/crates/heathspur-load/src/plan.rs
+++ b/crates/heathspur-load/src/plan.rs
@@ -88,7 +88,7 @@
 pub enum Arrivals {
     /// Equal gaps.
     Regular,
-    /// Exponential gaps, as from many independent callers.
+    /// Exponential gaps, as from many independent clients.
     #[default]
     Poisson,
     /// Log-normal gaps whose logarithm has a standard deviation of 1.5: bursts separated by pauses.
--- a/crates/heathspur-load/src/validation.rs
+++ b/crates/heathspur-load/src/validation.rs
@@ -6,6 +6,7 @@
 
 /// Allowed number of targets, of stages and of classes, each.
 const ELEMENT_COUNT: RangeInclusive<usize> = 1..=100;
+// The bounds of the attributes, which `crate::plan` documents.
 const CLIENT_TIMEOUT_MS: RangeInclusive<u128> = 10..=600_000;
 const IN_FLIGHT_LIMIT: RangeInclusive<u32> = 1..=100_000;
 const CONNECTIONS: RangeInclusive<u32> = 1..=10_000;
--- a/crates/heathspur-replay/src/renew.rs
+++ b/crates/heathspur-replay/src/renew.rs
@@ -1,6 +1,6 @@
 //! Fresh IDs, keys and time stamps for replayed requests, because a server rejects the recorded ones.
 //!
-//! The caller names the header fields whose values are replaced; all other bytes are unchanged. Requests recorded
+//! [`FieldNames`] selects the header fields whose values are replaced; all other bytes are unchanged. Requests recorded
 //! with the same key get the same fresh key within one copy of the recording, so that retries remain retries.
 //! Different copies never share a key.
 
--- a/crates/heathspur-replay/src/runner.rs
+++ b/crates/heathspur-replay/src/runner.rs
@@ -20,7 +20,7 @@
 const CONNECT_LEAD_TIME: Nanos = 20_000_000;
 /// Interval at which a connection that must be opened is checked again while the limit on connections is reached.
 const CAPACITY_CHECK_INTERVAL: Nanos = 5_000_000;
-/// Prevents overflow when the backoff is doubled.
+/// The most doublings of the backoff, which prevents overflow. [`Limits::max_backoff`] usually applies earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/heathspur-replay/tests/runner.rs
+++ b/crates/heathspur-replay/tests/runner.rs
@@ -39,9 +39,10 @@
 
 struct Replayed {
     outcomes: Vec<Outcome>,
-    /// Index in the plan and time of each request, in sending order.
+    /// Index in the plan and sending time in nanoseconds of each request, in sending order.
     sent: Vec<(usize, u64)>,
     counts: heathspur_replay::outcome::Counts,
+    /// Virtual time of the end, in nanoseconds from the start.
     ended_at: u64,
 }
 
