--- a/crates/heathspurctl/src/cli.rs
+++ b/crates/heathspurctl/src/cli.rs
@@ -71,7 +71,7 @@
 /// Parses the command line, runs the command and returns its exit code.
 pub fn main() -> ExitCode {
     let result = match Cli::parse().command {
-        Command::Pcap(Pcap::Info(source)) => info::run(&source),
+        Command::Pcap(Pcap::Info(options)) => info::run(&options),
         Command::Pcap(Pcap::Requests(options)) => requests::run(&options),
         Command::Pcap(Pcap::Cut(options)) => cut::run(&options),
         Command::Pcap(Pcap::Replay(options)) => replay::run(&options),
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(flatten)]
-    source: CaptureOptions,
+    capture: CaptureOptions,
     /// Path of the new capture; an existing file is not overwritten
     #[arg(long, short, value_name = "FILE")]
     output: PathBuf,
@@ -97,7 +97,7 @@
 impl Options {
     /// Returns whether a request selects its connection.
     fn selects(&self, message: &Message) -> bool {
-        let tenant = source::field(message, &self.source.tenant_field);
+        let tenant = source::field(message, &self.capture.tenant_field);
         self.class.contains(&source::class(message))
             || tenant.is_some_and(|name| self.tenant.contains(&name))
     }
@@ -129,7 +129,7 @@
             from: time(options.from),
             to: time(options.to),
             spans: options.selects_connections().then_some(spans),
-            frames: Frames::new(options.source.checksums),
+            frames: Frames::new(options.capture.checksums),
         }
     }
 
@@ -201,7 +201,7 @@
 /// Writes the selected part of a capture.
 pub fn run(options: &Options) -> Result<(), Error> {
     let mut search = ConnectionSearch::default();
-    let tally = source::read(&options.source, |item| search.add(item, options))?;
+    let tally = source::read(&options.capture, |item| search.add(item, options))?;
     let capture_start = tally.first.unwrap_or_default();
     let mut filter = PacketFilter::new(options, capture_start, search.spans);
     let file_error = |source| Error::File {
@@ -212,7 +212,7 @@
     let mut writer = CaptureWriter::new(file).map_err(file_error)?;
     let mut reader = Reader::new();
     let mut write_result = Ok(());
-    source::read_chunks(&options.source.file, |bytes| {
+    source::read_chunks(&options.capture.file, |bytes| {
         reader.feed(bytes);
         while let Ok(Some(packet)) = reader.next_packet() {
             if write_result.is_ok() && filter.accepts(&packet) {
@@ -225,5 +225,5 @@
         .and_then(|()| writer.output.flush())
         .map_err(file_error)?;
     println!("{}: {} packets", options.output.display(), writer.packets);
-    source::check_damage(&options.source, &tally)
+    source::check_damage(&options.capture, &tally)
 }
--- a/crates/heathspurctl/src/error.rs
+++ b/crates/heathspurctl/src/error.rs
@@ -65,7 +65,7 @@
     /// A load lost requests, or retries got different results.
     #[error("{unanswered} requests without a response, {mismatched_retries} retries with a different result")]
     LoadFailed {
-        /// Requests without an answer.
+        /// Requests without a response.
         unanswered: u64,
         /// Retries whose result differs from that of the first attempt.
         mismatched_retries: u64,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The exit code of the program.
+    /// Returns the exit code that reports the error.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::ReplayViolatesRules
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -10,7 +10,8 @@
 use heathspur_replay::histogram::DurationHistogram;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Largest number of unanswered requests tracked for each connection; the oldest is dropped beyond it.
+/// Largest number of unanswered requests that are tracked for each connection. Beyond it, the oldest is no longer
+/// tracked, and its response is counted as unmatched.
 const MAX_UNANSWERED: usize = 2048;
 
 /// Requests and responses of a class.
@@ -23,9 +24,10 @@
 
 /// A request without a response.
 struct UnansweredRequest {
-    /// Number of the request on its connection.
-    number: u64,
+    /// Index of the request on its connection.
+    index: u64,
     class: String,
+    /// Capture time of its last byte, in Unix nanoseconds.
     last_byte_at: u64,
 }
 
@@ -73,7 +75,7 @@
         }
     }
 
-    fn add_request(&mut self, connection: ConnectionId, number: u64, message: &Message) {
+    fn add_request(&mut self, connection: ConnectionId, index: u64, message: &Message) {
         let class = source::class(message);
         self.classes.entry(class.clone()).or_default().requests += 1;
         let unanswered = self.unanswered.entry(connection).or_default();
@@ -81,7 +83,7 @@
             unanswered.pop_front();
         }
         unanswered.push_back(UnansweredRequest {
-            number,
+            index,
             class,
             last_byte_at: message.last.0,
         });
@@ -89,11 +91,8 @@
 
     fn add_response(&mut self, connection: ConnectionId, request: Option<u64>, message: &Message) {
         let unanswered = self.unanswered.entry(connection).or_default();
-        let position = request.and_then(|number| {
-            unanswered
-                .iter()
-                .position(|request| request.number == number)
-        });
+        let position =
+            request.and_then(|index| unanswered.iter().position(|request| request.index == index));
         let Some(request) = position.and_then(|position| unanswered.remove(position)) else {
             self.unmatched += 1;
             return;
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -17,7 +17,7 @@
     pub requests: Vec<RecordedRequest>,
     /// The range of each request's header fields.
     pub fields: Vec<Range<usize>>,
-    /// Capture times at which connections were opened.
+    /// Capture times at which connections were opened, in Unix nanoseconds, by the number of the connection.
     pub opened: BTreeMap<u64, u64>,
     /// Bytes sent by clients that were skipped because they belong to no complete request, by cause.
     pub skipped_bytes: BTreeMap<Cause, u64>,
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -37,8 +37,8 @@
 
 /// Requests the view and prints it.
 pub fn run(options: &Options) -> Result<(), Error> {
-    let wait = Duration::from_millis(options.wait);
-    let view = request_view(options.address, wait).map_err(|source| Error::MembershipView {
+    let timeout = Duration::from_millis(options.wait);
+    let view = request_view(options.address, timeout).map_err(|source| Error::MembershipView {
         address: options.address,
         source,
     })?;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-fn request_view(address: SocketAddrV4, wait: Duration) -> io::Result<View> {
+fn request_view(address: SocketAddrV4, timeout: Duration) -> io::Result<View> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.connect(address)?;
     let mut rows: Vec<ViewRow> = Vec::new();
@@ -58,7 +58,7 @@
     loop {
         sequence += 1;
         let after = rows.last().map(|row| row.member.id.clone());
-        let (from, part) = request_part(&socket, sequence, after, wait)?;
+        let (from, part) = request_part(&socket, sequence, after, timeout)?;
         // Terminates even if the view changes meanwhile, because IDs only increase.
         let more = part.more && !part.rows.is_empty();
         let mut head = part.clone();
@@ -75,13 +75,13 @@
     socket: &UdpSocket,
     sequence: u32,
     after: Option<MemberId>,
-    wait: Duration,
+    timeout: Duration,
 ) -> io::Result<(MemberId, ViewResponse)> {
     let request = encode_request(sequence, after)?;
     let mut last_error = io::Error::new(io::ErrorKind::TimedOut, "no response");
     for _ in 0..MAX_ATTEMPTS {
         socket.send(&request)?;
-        match receive_part(socket, sequence, Instant::now() + wait)? {
+        match receive_part(socket, sequence, Instant::now() + timeout)? {
             Attempt::Answered(from, part) => return Ok((from, part)),
             Attempt::Unanswered(Some(error)) => last_error = error,
             Attempt::Unanswered(None) => {}
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(flatten)]
-    source: CaptureOptions,
+    capture: CaptureOptions,
     /// Address of the server
     #[arg(long, value_name = "ADDRESS:PORT")]
     to_server: SocketAddr,
@@ -142,12 +142,12 @@
 pub fn run(options: &Options) -> Result<(), Error> {
     options.check_renew()?;
     let loaded = load(
-        &options.source,
+        &options.capture,
         options.most_bytes.saturating_mul(BYTES_PER_MIB),
     )?;
     let plan = Plan::build(&loaded.requests, &loaded.opened, &options.plan_options()).map_err(
         |source| Error::ReplayPlan {
-            path: options.source.file.clone(),
+            path: options.capture.file.clone(),
             source,
         },
     )?;
@@ -193,8 +193,9 @@
     async_io::block_on(executor.run(driver.run()))
 }
 
-/// A connection that the runner has requested.
+/// A connection that the runner has requested and that has not ended.
 struct OpenConnection {
+    /// Distinguishes the connection from earlier ones of the same index.
     incarnation: u64,
     requests: Sender<OutgoingRequest>,
 }
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -19,7 +19,7 @@
     pub outcomes: Vec<Outcome>,
     /// Counts of the runner.
     pub counts: Counts,
-    /// Number of values replaced in the requests.
+    /// Numbers of values replaced in the requests.
     pub renewed: RenewedValues,
 }
 
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Args)]
 pub struct Options {
     #[command(flatten)]
-    source: CaptureOptions,
+    capture: CaptureOptions,
     /// Output format
     #[arg(long, value_enum, default_value = "table")]
     format: Format,
@@ -42,13 +42,14 @@
     client: Option<SocketAddr>,
     /// Unix time of the first byte, in seconds.
     at: f64,
-    /// Time from the first byte to the last byte of the request.
+    /// Time from the first byte to the last byte of the request, in milliseconds.
     arriving_ms: f64,
     class: String,
     tenant: Option<String>,
     bytes: usize,
     status: Option<u16>,
     latency_ms: Option<f64>,
+    /// Capture time of the last byte of the request, in Unix nanoseconds.
     #[serde(skip)]
     last_byte_at: u64,
 }
@@ -116,7 +117,7 @@
             at: message.first.0 as f64 / 1e9,
             arriving_ms: message.last.since(message.first) as f64 / 1e6,
             class: source::class(message),
-            tenant: source::field(message, &self.options.source.tenant_field),
+            tenant: source::field(message, &self.options.capture.tenant_field),
             bytes: message.bytes.len(),
             status: None,
             latency_ms: None,
@@ -165,11 +166,11 @@
         unanswered: BTreeMap::new(),
         write_error: None,
     };
-    let tally = source::read(&options.source, |item| printer.add(item))?;
+    let tally = source::read(&options.capture, |item| printer.add(item))?;
     match printer.write_error {
         // The process that reads the pipe may exit early.
         Some(e) if e.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
         Some(e) => Err(Error::stdout(e)),
-        None => source::check_damage(&options.source, &tally),
+        None => source::check_damage(&options.capture, &tally),
     }
 }
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -44,31 +44,31 @@
 }
 
 /// Converts command-line options to pipeline options.
-fn pipeline_options(source: &CaptureOptions) -> Options {
+fn pipeline_options(options: &CaptureOptions) -> Options {
     let reassembly = reassembly::Limits {
-        servers: source.server_ports.clone(),
+        servers: options.server_ports.clone(),
         ..Default::default()
     };
     Options {
-        checksums: source.checksums,
+        checksums: options.checksums,
         reassembly,
         ..Options::default()
     }
 }
 
 /// Reads a capture and passes each item in it to the callback.
-pub fn read(source: &CaptureOptions, mut on_item: impl FnMut(Item)) -> Result<Tally, Error> {
-    let mut pipeline = Pipeline::new(pipeline_options(source));
-    read_chunks(&source.file, |bytes| pipeline.feed(bytes, &mut on_item))?;
+pub fn read(options: &CaptureOptions, mut on_item: impl FnMut(Item)) -> Result<Tally, Error> {
+    let mut pipeline = Pipeline::new(pipeline_options(options));
+    read_chunks(&options.file, |bytes| pipeline.feed(bytes, &mut on_item))?;
     pipeline.finish(&mut on_item);
     Ok(pipeline.tally())
 }
 
 /// Returns an error if a capture is damaged. Commands call this last, after printing what they read.
-pub fn check_damage(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
+pub fn check_damage(options: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
     match tally.damage {
         Some(damage) => Err(Error::DamagedCapture {
-            path: source.file.clone(),
+            path: options.file.clone(),
             damage,
         }),
         None => Ok(()),
--- a/crates/heathspurctl/tests/load.rs
+++ b/crates/heathspurctl/tests/load.rs
@@ -47,7 +47,7 @@
         c["settings"]["family-info"]["calls-by-class"] = serde_json::json!([false, false]);
     });
     let (http1, http2) = (fixture.address, fixture.wait_for_listen_address());
-    let executions = auto_stubs::interpreter(fixture.interpreter_listener.try_clone().unwrap());
+    let run_counts = auto_stubs::interpreter(fixture.interpreter_listener.try_clone().unwrap());
     let targets = format!(
         "<target protocol=\"http1\" address=\"{http1}\"/><target protocol=\"http2\" address=\"{http2}\" connections=\"2\"/>"
     );
@@ -74,8 +74,8 @@
         assert!(part["statuses"]["200"].as_u64().unwrap() > 0, "{text}");
     }
     assert!(
-        executions.lock().unwrap().values().all(|&count| count == 1),
-        "a key was executed more than once"
+        run_counts.lock().unwrap().values().all(|&count| count == 1),
+        "a key ran more than once"
     );
     let _ = std::fs::remove_file(&operator);
     let _: &ProcessGuard = &fixture.process;
--- a/crates/heathspurctl/tests/members.rs
+++ b/crates/heathspurctl/tests/members.rs
@@ -56,7 +56,10 @@
 #[test]
 fn view_shows_load_and_draining_member_as_left_while_request_is_in_flight() {
     let mut fleet = Fleet::start(3);
-    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    fleet.assert_eventually(
+        "all members view each other as alive",
+        Fleet::all_views_alive,
+    );
     let observer = fleet.relay.member_addresses[0];
     let mut interpreter = fleet.fixture(1).accept_link();
     let mut client = fleet.fixture(1).connect_client();
@@ -94,7 +97,10 @@
 #[test]
 fn view_is_printed_as_table_and_stopped_daemon_is_an_error() {
     let mut fleet = Fleet::start(2);
-    fleet.assert_eventually("all see all", Fleet::all_views_alive);
+    fleet.assert_eventually(
+        "all members view each other as alive",
+        Fleet::all_views_alive,
+    );
     let output = members(fleet.relay.member_addresses[1], &[]);
     let stdout = String::from_utf8(output.stdout).unwrap();
     assert!(
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -1,5 +1,5 @@
-//! Tests of the commands as processes: captures are read, cut and replayed to a fake server on loopback, and operator's
-//! files are checked.
+//! Tests of the commands as processes: captures are read, cut and replayed to a recording server on loopback, and
+//! operator's files are checked.
 
 use heathspur_capture::{Side, Stamp};
 use heathspur_testkit::capture::*;
@@ -151,7 +151,7 @@
 
 #[test]
 fn cut_contains_only_selected_connections_or_interval() {
-    let (file, _) = capture("whole.pcap");
+    let (file, _) = capture("complete.pcap");
     let file = file.to_str().unwrap();
     let part = temporary_path("part.pcapng");
     let count_requests = |part: &PathBuf| {
