--- a/crates/heathspur-bench/src/cost.rs
+++ b/crates/heathspur-bench/src/cost.rs
@@ -16,8 +16,9 @@
 use std::time::Instant;
 
 /// Clients that send requests at the same time. With more than one, the number of requests that the server handles in
-/// one pass of its event loop differs between samples, and the cost of each request with it by a tenth.
+/// one pass of its event loop differs between samples, which changes the cost of a request by a tenth.
 const CLIENTS: u64 = 1;
+/// Measured requests of each sample.
 const REQUESTS: u64 = 20_000;
 /// Requests before each sample that aren't measured.
 const WARM_UP_REQUESTS: u64 = 2_000;
@@ -28,7 +29,7 @@
 /// Idempotency keys of these requests.
 const KEYS: u64 = 500;
 
-/// What one server process needed for [`REQUESTS`] requests.
+/// The cost of [`REQUESTS`] requests in one server process.
 #[derive(Clone, Copy, Default)]
 struct Sample {
     requests_per_second: f64,
@@ -279,8 +280,8 @@
 
 /// Returns the instructions of a request, as counted by valgrind's callgrind; NaN if there is no count.
 ///
-/// The CPU time differs by a tenth between samples, the number of instructions by far less. The difference of two
-/// processes with different numbers of requests leaves out start and stop.
+/// The CPU time differs by a tenth between samples, the number of instructions by far less. The count is the difference
+/// between two processes with different numbers of requests, which excludes start and stop.
 pub fn instructions_per_request(program: &Path, folder: &Path) -> f64 {
     let count_instructions = |requests: u64| {
         let output_file = folder.join("callgrind.out");
--- a/crates/heathspur-bench/src/daemon.rs
+++ b/crates/heathspur-bench/src/daemon.rs
@@ -11,6 +11,7 @@
 
 /// A running server process, killed when dropped.
 pub struct Daemon {
+    /// The server process.
     pub process: ProcessGuard,
     /// The address of the HTTP/1.1 listener.
     pub http1_address: SocketAddr,
@@ -43,17 +44,19 @@
                 .local_addr()
                 .expect("failed to read the address of a listener")
         };
-        let mut settings = server_config(
+        let mut config = server_config(
             address_of(&interpreter),
             address_of(&registration),
             address_of(&store),
         );
-        settings["settings"]["realms"][0]["quota-per-s"] = json!(1e6);
-        settings["settings"]["family-info"]["calls-by-class"] = json!([false, true]);
-        settings["settings"]["family-info"]["mem-limit-kb"] = json!(90_000.0);
-        edit(&mut settings);
+        config["settings"]["realms"][0]["quota-per-s"] = json!(1e6);
+        config["settings"]["family-info"]["calls-by-class"] = json!([false, true]);
+        config["settings"]["family-info"]["mem-limit-kb"] = json!(90_000.0);
+        edit(&mut config);
         let file = folder.join("config.json");
-        std::fs::write(&file, settings.to_string()).expect("failed to write the configuration");
+        std::fs::write(&file, config.to_string()).unwrap_or_else(|e| {
+            panic!("failed to write the configuration {}: {e}", file.display())
+        });
         let run_counts = auto_stubs::interpreter_with(interpreter, interpreter_options);
         auto_stubs::registration(registration);
         command.env("NODE_CONFIG", &file).stderr(Stdio::piped());
@@ -70,16 +73,16 @@
         let mut next_logged_address = |message: &str| {
             let line = lines
                 .find(|line| line.contains(message))
-                .expect("the server exited before it logged its address");
+                .unwrap_or_else(|| panic!("the server exited before it logged {message:?}"));
             line.rsplit(' ')
                 .next()
                 .and_then(|address| address.parse::<SocketAddr>().ok())
-                .expect("the log line does not end with an address")
+                .unwrap_or_else(|| panic!("the log line does not end with an address: {line}"))
         };
         let http1_address = next_logged_address("listening on");
         let http2_address = http2_enabled.then(|| next_logged_address("listening for"));
-        // The log is read to its end, since a full pipe would block the server. A panic and the lines after it are
-        // printed, 20 in all.
+        // The log is read to its end, since a full pipe would block the server. A line about a panic is printed with
+        // the 19 lines after it.
         thread::spawn(move || {
             let mut printed = 0;
             for line in lines {
--- a/crates/heathspur-bench/src/http2/abuse.rs
+++ b/crates/heathspur-bench/src/http2/abuse.rs
@@ -16,7 +16,8 @@
 const RATE: u64 = 200;
 /// How long they are sent, alone and beside each kind of abuse.
 const DURATION: Duration = Duration::from_secs(4);
-/// Least share to be served: of all well-behaved requests without abuse, and beside abuse of the share served without.
+/// Least share of well-behaved requests that must be served. Beside abuse, it applies to the ratio of the share served
+/// then to the share served without abuse.
 const MIN_SERVED_SHARE: f64 = 0.99;
 /// The identifier of SETTINGS_HEADER_TABLE_SIZE (RFC 9113, section 6.5.2).
 const SETTINGS_HEADER_TABLE_SIZE: u16 = 1;
@@ -62,13 +63,14 @@
     read.join().expect("the reader thread panicked")
 }
 
-/// Abuses the server at an address until the flag is set; counts the connections that the server ended with
-/// ENHANCE_YOUR_CALM.
+/// A function that abuses the server at an address until the flag is set, and counts the connections that the server
+/// ended with ENHANCE_YOUR_CALM.
 type Abuse = fn(SocketAddr, &AtomicBool, &AtomicU64);
 
 /// Sends the bytes that `next_bytes` returns as fast as the server accepts them, until `stop` is set.
 ///
-/// Connects again when the server ends the connection. `prepare` runs once on each connection.
+/// Connects again when the server ends the connection. `prepare` runs once on each connection. `ended` counts the
+/// connections that the server ended with ENHANCE_YOUR_CALM.
 fn flood(
     address: SocketAddr,
     stop: &AtomicBool,
@@ -290,7 +292,7 @@
 /// Measures well-behaved requests alone, then beside each kind of abuse, and the server's memory at the end.
 pub fn measure(folder: &Path, table: &mut Table) {
     let (daemon, address) = start(folder, "abuse", "", InterpreterOptions::default());
-    // The first requests aren't measured: admission control has to learn the capacity of the machine.
+    // The first requests aren't measured, because admission control first estimates the capacity of the machine.
     send_well_behaved(address);
     let (share_alone, p99_alone_ms) = send_well_behaved(address);
     table.add_check(
--- a/crates/heathspur-bench/src/http2/cost.rs
+++ b/crates/heathspur-bench/src/http2/cost.rs
@@ -10,6 +10,7 @@
 use std::path::Path;
 use std::time::Instant;
 
+/// Measured requests of each protocol.
 const REQUESTS: u64 = 20_000;
 /// Requests before each measurement that aren't measured.
 const WARM_UP_REQUESTS: u64 = 2_000;
--- a/crates/heathspur-bench/src/http2/drain.rs
+++ b/crates/heathspur-bench/src/http2/drain.rs
@@ -18,15 +18,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Connections of each drain.
 const CONNECTIONS: u64 = 200;
 const STREAMS_PER_CONNECTION: u64 = 25;
-/// How long after the notice to stop operators kill the process (`stop_ms` of the configuration).
+/// Time after SIGTERM at which operators kill the process (`stop_ms` of the configuration).
 const STOP_TIMEOUT: Duration = Duration::from_millis(3_200);
 
 /// How the streams of one connection ended.
 #[derive(Default)]
 struct Outcomes {
-    /// Streams up to the last one that GOAWAY named that have no response, not even a started one, and weren't reset.
+    /// Streams up to the last stream identifier of GOAWAY that were neither reset nor answered, not even in part.
     lost: u64,
     answered: u64,
     /// Streams that the server reset with REFUSED_STREAM.
@@ -35,7 +36,7 @@
     reset: u64,
     /// Streams whose response started and couldn't be completed.
     incomplete: u64,
-    /// Bodies of the streams that were refused or are beyond the last one that GOAWAY named. They must not run.
+    /// Bodies of the streams that were refused or are beyond the last stream identifier of GOAWAY. They must not run.
     not_accepted: Vec<String>,
 }
 
@@ -99,7 +100,7 @@
             Some(_) => outcomes.reset += 1,
             None if cancelled => outcomes.reset += 1,
             None if id > last_accepted => outcomes.not_accepted.push(body),
-            // The closed window holds back the body; the response headers show that the stream was answered.
+            // The closed window delays the body; the response headers show that the stream was answered.
             None if client.response_in_progress(id) => outcomes.incomplete += 1,
             None => outcomes.lost += 1,
         }
@@ -134,12 +135,12 @@
             })
             .collect();
         half_sent.wait();
-        // Some requests of the second half are in flight when the notice arrives.
+        // Some requests of the second half are in flight when SIGTERM arrives.
         thread::sleep(Duration::from_millis(8));
         daemon.process.terminate();
-        let notified = Instant::now();
+        let terminated_at = Instant::now();
         let status = daemon.process.wait();
-        longest_stop = longest_stop.max(notified.elapsed());
+        longest_stop = longest_stop.max(terminated_at.elapsed());
         failed_exits += u64::from(status.code() != Some(0));
         let run_counts = daemon
             .run_counts
--- a/crates/heathspur-bench/src/http2/mod.rs
+++ b/crates/heathspur-bench/src/http2/mod.rs
@@ -44,12 +44,12 @@
     interpreter_options: InterpreterOptions,
 ) -> (Daemon, std::net::SocketAddr) {
     let operator = write_operator_file(folder, name, http2_elements);
-    let edit = |settings: &mut Value| {
-        settings["limits"]["memory_mb"] = json!(MEMORY_MB);
-        settings["limits"]["sockets"] = json!(4096);
+    let edit = |config: &mut Value| {
+        config["limits"]["memory_mb"] = json!(MEMORY_MB);
+        config["limits"]["sockets"] = json!(4096);
         // Enough for the retained results of thousands of keys: the memory limit of the machine isn't measured here.
-        settings["settings"]["family-info"]["key-kb"] = json!(0.5);
-        settings["settings"]["family-info"]["mem-limit-kb"] = json!(900_000.0);
+        config["settings"]["family-info"]["key-kb"] = json!(0.5);
+        config["settings"]["family-info"]["mem-limit-kb"] = json!(900_000.0);
     };
     let daemon = Daemon::start(
         Command::new(program_path("heathspurd")),
--- a/crates/heathspur-bench/src/http2/repeats.rs
+++ b/crates/heathspur-bench/src/http2/repeats.rs
@@ -18,7 +18,8 @@
 const REQUESTS: u64 = 50_000;
 /// Keys that a client uses at a time.
 const KEYS: u64 = 40;
-/// Average number of attempts per key: a client goes on to the next [`KEYS`] keys after so many requests for each.
+/// Average number of attempts per key: a client changes to the next [`KEYS`] keys after this number of requests for
+/// each key.
 const ATTEMPTS_PER_KEY: u64 = 4;
 
 /// How requests ended.
@@ -33,7 +34,7 @@
     /// Requests whose connection ended, and responses with another status.
     unanswered: u64,
     /// Responses that differ from the first one to the same key.
-    differ: u64,
+    mismatched: u64,
 }
 
 /// Sends the requests of one client, each over one of its two connections.
@@ -85,7 +86,7 @@
         match status {
             200 => {
                 counts.answered += 1;
-                counts.differ +=
+                counts.mismatched +=
                     u64::from(results.entry(number).or_insert_with(|| result.clone()) != &result);
             }
             503 => counts.refused += 1,
@@ -114,7 +115,7 @@
         total.refused += counts.refused;
         total.reset += counts.reset;
         total.unanswered += counts.unanswered;
-        total.differ += counts.differ;
+        total.mismatched += counts.mismatched;
     }
     let run_counts = daemon
         .run_counts
@@ -139,9 +140,9 @@
     );
     table.add_check(
         "keys with two results",
-        total.differ.to_string(),
+        total.mismatched.to_string(),
         "0",
-        total.differ == 0,
+        total.mismatched == 0,
     );
     table.add_check(
         "requests without an answer",
--- a/crates/heathspur-bench/src/main.rs
+++ b/crates/heathspur-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements of the server and its tools on loopback that take too long for tests.
+//! Measurements on loopback, of the server and its tools, that take too long for tests.
 //!
 //! `measure pcap`, `measure http2` and `measure members` print their results and write them to a page. `measure cost`
 //! runs one part of `measure pcap` and only prints its results. The program exits with 1 when a requirement isn't met or
@@ -29,7 +29,7 @@
 enum Measurement {
     /// Reading, replaying and recording pcap files.
     Pcap {
-        /// Program of an earlier server, whose cost of a request is compared.
+        /// Path of an earlier server program; the cost of its requests is compared.
         #[arg(long)]
         baseline: PathBuf,
         /// Directory of the page and the charts.
@@ -41,7 +41,7 @@
     },
     /// HTTP/2 on its own port.
     Http2 {
-        /// Program of an earlier server, whose cost of a request is compared.
+        /// Path of an earlier server program; the cost of its requests is compared.
         #[arg(long)]
         baseline: PathBuf,
         /// Directory of the page.
@@ -59,7 +59,7 @@
     },
     /// CPU time and instructions of a request, without and with recording.
     Cost {
-        /// Program of an earlier server, whose cost of a request is compared.
+        /// Path of an earlier server program; the cost of its requests is compared.
         #[arg(long)]
         baseline: PathBuf,
     },
--- a/crates/heathspur-bench/src/members.rs
+++ b/crates/heathspur-bench/src/members.rs
@@ -1,7 +1,7 @@
 //! SWIM membership: server processes on loopback behind the fault relay, and the same code in the emulator.
 //!
-//! Measures how soon a crash, a restart and the end of a partition are known, how many members that run are declared
-//! dead, and the traffic per member.
+//! Measures how soon a crash, a restart and the end of a partition are in all views, how many running members are
+//! declared dead, and the traffic per member.
 
 use crate::table::Table;
 use heathspur_testkit::fleet::Fleet;
@@ -24,12 +24,12 @@
 const PARTITION_PERIOD: Duration = Duration::from_secs(10);
 /// How long false deaths are counted after a partition.
 const AFTER_PARTITION_PERIOD: Duration = Duration::from_secs(5);
-/// Longest time until all of 1,000 members know of a crash, in milliseconds.
+/// Longest time until all of 1,000 members view a crashed member as dead, in milliseconds.
 const MAX_DETECTION_MS: u64 = 5_000;
 /// Most bytes that each of 1,000 members may send per second.
 const MAX_BYTES_PER_MEMBER_SECOND: f64 = 2_048.0;
 
-/// Returns the directory of the example experiments_folder.
+/// Returns the directory of the example experiments.
 fn experiments_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/experiments")
 }
@@ -73,7 +73,7 @@
     ms.map_or("not always".into(), |ms| format!("{:.2}", ms as f64 / 1e3))
 }
 
-/// Formats p50 and p99 of a time in a course of the report, in seconds.
+/// Formats p50 and p99 of a time in seconds. `course` is the entry of a fault in `courses` of the report.
 fn p50_and_p99(course: &Value, time: &str) -> String {
     let quantile = |name: &str| format_seconds(course[time][name].as_u64());
     format!("{}, {}", quantile("p50"), quantile("p99"))
@@ -97,7 +97,8 @@
     );
     // Times from a kill until the first, 99% and all of the others view the member as dead, and from its restart until
     // all view it as alive; in milliseconds.
-    let (mut first, mut most, mut all, mut back) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut first, mut most, mut all, mut rejoined) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for crash in 0..CRASHES {
         let victim = 1 + (crash * 7) % (count - 1);
         fleet.kill(victim);
@@ -121,11 +122,11 @@
         fleet.start_member(victim);
         let start = Instant::now();
         let elapsed_ms_if = |occurred: bool| occurred.then(|| start.elapsed().as_millis() as u64);
-        back.push(elapsed_ms_if(
+        rejoined.push(elapsed_ms_if(
             fleet.wait_until(VIEW_CHANGE_TIMEOUT, Fleet::all_views_alive),
         ));
     }
-    let all_known = all.iter().all(Option::is_some) && back.iter().all(Option::is_some);
+    let all_known = all.iter().all(Option::is_some) && rejoined.iter().all(Option::is_some);
     let median_and_max = |mut times: Vec<Option<u64>>| {
         times.sort_by_key(|ms| ms.unwrap_or(u64::MAX));
         format!(
@@ -136,7 +137,7 @@
     };
     table.add_check(
         &format!("{count} processes, {CRASHES} kills: first death, 99%, all, back in one view; p50, worst"),
-        format!("{}; {}; {}; {} s", median_and_max(first), median_and_max(most), median_and_max(all), median_and_max(back)),
+        format!("{}; {}; {}; {} s", median_and_max(first), median_and_max(most), median_and_max(all), median_and_max(rejoined)),
         "all known",
         all_known,
     );
@@ -190,13 +191,13 @@
     }
 }
 
-/// Measures how soon a crash and a restart are known among emulated members.
+/// Measures how soon a crash and a restart are in the views of emulated members.
 ///
-/// The time until all know of the crash is bounded for 1,000 members only.
+/// The time until all views show the crash is bounded for 1,000 members only.
 fn measure_crash(folder: &Path, results: &Path, members: u64, table: &mut Table) {
     let example = format!("crash-{members}.xml");
     let report = run_experiment(folder, &example, &[]);
-    let (crash, back) = (&report["courses"][0], &report["courses"][1]);
+    let (crash, restart) = (&report["courses"][0], &report["courses"][1]);
     let all = crash["all_ms"]["p99"].as_u64();
     let met = members < 1_000 || all.is_some_and(|ms| ms <= MAX_DETECTION_MS);
     let crash_times = |name| p50_and_p99(crash, name);
@@ -220,7 +221,7 @@
     );
     table.add_value(
         &format!("{members} emulated, its restart: one view; p50, p99"),
-        format!("{} s", p50_and_p99(back, "settled_ms")),
+        format!("{} s", p50_and_p99(restart, "settled_ms")),
     );
     if members == 1_000 {
         table.add_figure(format!(
@@ -346,7 +347,7 @@
     );
 }
 
-/// Measures fleets of processes, then the experiments_folder in the emulator. Copies charts to `results`.
+/// Measures fleets of processes, then the example experiments in the emulator. Copies charts to `results`.
 pub fn measure(folder: &Path, results: &Path, table: &mut Table) {
     table.set_environment(
         "Processes on loopback behind the fault relay (period 500 ms, suspicion 2), and the same core in the \
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -82,8 +82,8 @@
         packets.extend(builder.packets.into_iter().zip(parts));
     }
     // Damages the clients' packets: of 1,000, 2 are missing, 2 cut and 36 repeated, and 100 are delayed by up to 3 ms,
-    // past packets that follow a millisecond apart. An entry has the time, the captured bytes, the original length and
-    // the index of the packet.
+    // past packets that follow a millisecond apart. The server's packets are unchanged. An entry has the time, the
+    // captured bytes, the original length and the index of the packet.
     let mut captured: Vec<(u64, Vec<u8>, usize, usize)> = Vec::new();
     for (packet_index, ((at, packet), part)) in packets.iter().enumerate() {
         let from_client = part.is_some();
