--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -35,7 +35,7 @@
     /// The captured bytes of the payload.
     pub payload: Cow<'a, [u8]>,
     /// The number of bytes after `payload` that the capture truncated.
-    pub lost: u32,
+    pub truncated: u32,
 }
 
 /// The reason why a packet contains no segment.
@@ -115,17 +115,17 @@
         let Some(TransportSlice::Tcp(tcp)) = &sliced.transport else {
             return Err(SkipReason::InvalidHeaders);
         };
-        let lost = if payload.incomplete {
+        let truncated = if payload.incomplete {
             ip.payload_len.saturating_sub(payload.payload.len())
         } else {
             0
         };
-        if lost == 0 {
+        if truncated == 0 {
             self.verify_checksum(tcp, &ip)?;
         }
         Ok(Segment {
             payload: Cow::Borrowed(tcp.payload()),
-            lost: lost as u32,
+            truncated: truncated as u32,
             ..segment_header(packet.time, &ip, tcp)
         })
     }
@@ -173,7 +173,7 @@
         fin: tcp.fin(),
         rst: tcp.rst(),
         payload: Cow::Borrowed(&[]),
-        lost: 0,
+        truncated: 0,
     }
 }
 
--- a/crates/heathspur-capture/src/reassembly/connection.rs
+++ b/crates/heathspur-capture/src/reassembly/connection.rs
@@ -75,7 +75,7 @@
             time: segment.time,
             seq,
             bytes: &segment.payload,
-            truncated: segment.lost.into(),
+            truncated: segment.truncated.into(),
         };
         direction.add_payload(payload, anomalies);
         if segment.rst {
@@ -85,7 +85,7 @@
         } else if segment.fin {
             let payload_end = seq
                 .wrapping_add(segment.payload.len() as u32)
-                .wrapping_add(segment.lost);
+                .wrapping_add(segment.truncated);
             direction.end_at(payload_end, false);
         }
     }
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -130,7 +130,7 @@
         }
         self.remove_if_expired(flow);
         if !self.connections.contains_key(&flow) {
-            if segment.payload.is_empty() && segment.lost == 0 {
+            if segment.payload.is_empty() && segment.truncated == 0 {
                 self.counts.without_connection += u64::from(!segment.syn);
                 return;
             }
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -66,7 +66,7 @@
             "{link:?}"
         );
         assert_eq!(
-            (&segment.payload[..], segment.lost),
+            (&segment.payload[..], segment.truncated),
             (&b"hello"[..], 0),
             "{link:?}"
         );
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn truncated_packet_yields_segment_with_number_of_lost_bytes() {
+fn truncated_packet_yields_segment_with_number_of_truncated_bytes() {
     let complete = ip_packet(&[7; 100]);
     for captured in 40..140 {
         let data = &complete[..captured];
@@ -110,7 +110,7 @@
             })
             .unwrap();
         assert_eq!(
-            (segment.payload.len(), segment.lost as usize),
+            (segment.payload.len(), segment.truncated as usize),
             (captured - 40, 140 - captured)
         );
     }
@@ -206,7 +206,10 @@
     let length = data.len() as u16;
     data[2..4].copy_from_slice(&length.to_be_bytes());
     let segment = find_segment(&mut Frames::new(true), LinkType::Ip, &data).unwrap();
-    assert_eq!((&segment.payload[..], segment.lost), (&b"hello"[..], 0));
+    assert_eq!(
+        (&segment.payload[..], segment.truncated),
+        (&b"hello"[..], 0)
+    );
 }
 
 #[test]
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn reused_port_is_new_connection_after_close_or_without() {
+fn reused_port_is_new_connection_with_or_without_close() {
     for is_closed in [true, false] {
         let mut builder = CaptureBuilder::open(4000);
         builder.send(Side::Client, &request(1, b"old"), 100);
