--- a/crates/heathspur-bench/src/cost.rs
+++ b/crates/heathspur-bench/src/cost.rs
@@ -111,13 +111,19 @@
 /// Writes an operator's file that records `contents` of the traffic to the directory `records-<name>`.
 fn write_operator_file(folder: &Path, name: &str, contents: &str) -> PathBuf {
     let records = folder.join(format!("records-{name}"));
-    std::fs::create_dir_all(&records).expect("failed to create the directory for recordings");
+    std::fs::create_dir_all(&records)
+        .unwrap_or_else(|e| panic!("failed to create the directory {}: {e}", records.display()));
     let file = folder.join(format!("{name}.xml"));
     let text = format!(
         "<operator xmlns=\"urn:heathspur:operator:1\"><record directory=\"{}\" contents=\"{contents}\"><files keep=\"2\"/></record></operator>",
         records.display()
     );
-    std::fs::write(&file, text).expect("failed to write the operator's file");
+    std::fs::write(&file, text).unwrap_or_else(|e| {
+        panic!(
+            "failed to write the operator's file {}: {e}",
+            file.display()
+        )
+    });
     file
 }
 
--- a/crates/heathspur-bench/src/http2/mod.rs
+++ b/crates/heathspur-bench/src/http2/mod.rs
@@ -32,7 +32,12 @@
     let text = format!(
         "<operator xmlns=\"urn:heathspur:operator:1\"><http2 listen=\"127.0.0.1:0\">{http2_elements}</http2></operator>"
     );
-    std::fs::write(&file, text).expect("failed to write the operator's file");
+    std::fs::write(&file, text).unwrap_or_else(|e| {
+        panic!(
+            "failed to write the operator's file {}: {e}",
+            file.display()
+        )
+    });
     file
 }
 
--- a/crates/heathspur-bench/src/large.rs
+++ b/crates/heathspur-bench/src/large.rs
@@ -66,7 +66,8 @@
 /// Measures `heathspurctl pcap info` on a capture of `size` bytes.
 pub fn measure(folder: &Path, size: u64, table: &mut Table) {
     let file = folder.join("large.pcap");
-    let requests = write_capture(&file, size).expect("failed to write the capture");
+    let requests = write_capture(&file, size)
+        .unwrap_or_else(|e| panic!("failed to write the capture {}: {e}", file.display()));
     let start = Instant::now();
     let mut child = Command::new(program_path("heathspurctl"))
         .args(["pcap", "info"])
--- a/crates/heathspur-bench/src/main.rs
+++ b/crates/heathspur-bench/src/main.rs
@@ -68,7 +68,12 @@
 fn main() -> ExitCode {
     let measurement = Cli::parse().measurement;
     let folder = std::env::temp_dir().join(format!("heathspur-bench-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("failed to create the working directory");
+    std::fs::create_dir_all(&folder).unwrap_or_else(|e| {
+        panic!(
+            "failed to create the working directory {}: {e}",
+            folder.display()
+        )
+    });
     let exit_code = match measurement {
         Measurement::Pcap {
             baseline,
--- a/crates/heathspur-bench/src/members.rs
+++ b/crates/heathspur-bench/src/members.rs
@@ -40,8 +40,9 @@
 ///
 /// Panics if a text to replace is missing or the experiment fails.
 fn run_experiment(folder: &Path, example: &str, replacements: &[(&str, &str)]) -> Value {
-    let mut text = std::fs::read_to_string(experiments_folder().join(example))
-        .expect("failed to read the example");
+    let example_file = experiments_folder().join(example);
+    let mut text = std::fs::read_to_string(&example_file)
+        .unwrap_or_else(|e| panic!("failed to read the example {}: {e}", example_file.display()));
     for (from, to) in replacements {
         assert!(text.contains(from), "{example} has no {from}");
         text = text.replace(from, to);
@@ -50,7 +51,8 @@
         folder.join(example),
         folder.join(format!("{example}-report")),
     );
-    std::fs::write(&plan, text).expect("failed to write the plan");
+    std::fs::write(&plan, text)
+        .unwrap_or_else(|e| panic!("failed to write the plan {}: {e}", plan.display()));
     let output = Command::new(program_path("heathspurctl"))
         .arg("experiment")
         .arg(&plan)
@@ -63,12 +65,13 @@
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let report =
-        std::fs::read(report_folder.join("report.json")).expect("failed to read the report");
+    let report_file = report_folder.join("report.json");
+    let report = std::fs::read(&report_file)
+        .unwrap_or_else(|e| panic!("failed to read the report {}: {e}", report_file.display()));
     serde_json::from_slice(&report).expect("the report is not valid JSON")
 }
 
-/// Formats milliseconds as seconds; `None` stands for an event that did not occur in every case.
+/// Formats milliseconds as seconds; `None` stands for an event that did not occur.
 fn format_seconds(ms: Option<u64>) -> String {
     ms.map_or("not always".into(), |ms| format!("{:.2}", ms as f64 / 1e3))
 }
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -164,7 +164,8 @@
         incomplete_count += count - requests.len();
     }
     let path = folder.join("storm.pcap");
-    std::fs::write(&path, file).expect("failed to write the capture");
+    std::fs::write(&path, file)
+        .unwrap_or_else(|e| panic!("failed to write the capture {}: {e}", path.display()));
     DamagedCapture {
         file: path,
         complete: requests,
--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// Formats a time in milliseconds as seconds; `None` means that it was infinite.
+/// Formats a time in milliseconds as seconds; `None` stands for an event that did not occur.
 fn format_seconds(time_ms: Option<u64>) -> String {
     time_ms.map_or("not always".to_string(), |ms| {
         format!("{:.2} s", ms as f64 / 1e3)
@@ -54,7 +54,7 @@
     runs.iter().filter_map(move |run| run.outcomes.get(index))
 }
 
-/// Function that returns a time of an outcome, in milliseconds after the fault; `None` means infinite.
+/// A function that returns a time of an outcome, in milliseconds after the fault; `None` if the event did not occur.
 type TimeMetric = fn(&FaultOutcome) -> Option<u64>;
 
 /// The reported times of a fault, with their names in the report.
--- a/crates/heathspurctl/src/load_run.rs
+++ b/crates/heathspurctl/src/load_run.rs
@@ -138,41 +138,41 @@
         targets,
         plan,
     });
-    let sender = run.clone();
+    let shared_run = run.clone();
     async_io::block_on(executor.run(async {
-        let plan = sender.plan.clone();
+        let plan = shared_run.plan.clone();
         for request in Schedule::new(&plan) {
-            let send_at = sender.start + Duration::from_nanos(request.at);
+            let send_at = shared_run.start + Duration::from_nanos(request.at);
             if Instant::now() < send_at {
                 Timer::at(send_at).await;
             } else {
-                // Lets other tasks run even if the sender is behind its schedule.
+                // Lets other tasks run even if sending is behind the schedule.
                 future::yield_now().await;
             }
-            if sender.in_flight.get() >= plan.max_in_flight {
-                sender.audit.borrow_mut().record_outcome(
+            if shared_run.in_flight.get() >= plan.max_in_flight {
+                shared_run.audit.borrow_mut().record_outcome(
                     &request,
                     Outcome::Skipped,
-                    sender.elapsed_nanos(),
+                    shared_run.elapsed_nanos(),
                 );
                 continue;
             }
-            sender.in_flight.set(sender.in_flight.get() + 1);
-            sender
+            shared_run.in_flight.set(shared_run.in_flight.get() + 1);
+            shared_run
                 .audit
                 .borrow_mut()
-                .record_sent(sender.elapsed_nanos().saturating_sub(request.at));
-            let run = sender.clone();
+                .record_sent(shared_run.elapsed_nanos().saturating_sub(request.at));
+            let run = shared_run.clone();
             executor
                 .spawn(async move { send_request(&run, request).await })
                 .detach();
         }
         // Terminates: each request ends by the client's timeout at the latest.
-        while sender.in_flight.get() > 0 {
+        while shared_run.in_flight.get() > 0 {
             Timer::after(COMPLETION_CHECK_INTERVAL).await;
         }
     }));
-    drop((sender, executor));
+    drop((shared_run, executor));
     match Rc::try_unwrap(run) {
         Ok(run) => run.audit.into_inner(),
         Err(run) => std::mem::replace(&mut *run.audit.borrow_mut(), Audit::new(&run.plan)),
