--- a/crates/heathspur-replay/src/plan.rs
+++ b/crates/heathspur-replay/src/plan.rs
@@ -263,8 +263,8 @@
         Ok(())
     }
 
-    /// Chooses how often a connection is replayed in a round. Connections are dropped or copied as a whole, because
-    /// a part of one would not be the recorded sequence of requests.
+    /// Chooses how often a connection is replayed in a round. Connections are dropped or copied completely,
+    /// because a part of one would not be the recorded sequence of requests.
     fn choose_copies(&mut self) -> u64 {
         let load = self.options.load;
         let min_copies = load.floor();
--- a/crates/heathspur-testkit/src/auto_stubs.rs
+++ b/crates/heathspur-testkit/src/auto_stubs.rs
@@ -177,8 +177,8 @@
     }
 }
 
-/// Starts background threads that serve a registration service. It acknowledges each read of bytes, which contains
-/// one report as long as the server waits for the acknowledgement before it sends the next report.
+/// Starts background threads that serve a registration service. It acknowledges each read of bytes, on
+/// the assumption that a read returns one complete report.
 pub fn registration(listener: TcpListener) {
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
