--- a/crates/heathspur/src/action.rs
+++ b/crates/heathspur/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that an admission controller requests of its host, which carries them out in order.
+//! Actions that an admission controller requests from its host, which carries them out in order.
 
 use crate::event::{RequestId, Token};
 use crate::time::Span;
@@ -19,7 +19,7 @@
         /// Whether the caller is asked not to retry on another server.
         no_retry: bool,
     },
-    /// Answer with an error.
+    /// Answer a request with an error, since it may have taken effect and cannot be rejected.
     Fail(RequestId),
     /// Make the call to the dependency that a request waits for.
     Call {
@@ -48,9 +48,10 @@
         /// Whether health checks are answered from this state, without the work of a full check.
         cached: bool,
     },
-    /// Advertise this value of the load signal.
+    /// Advertise this value to callers. Its meaning and bounds are those of the settings'
+    /// [`LoadSignal`](crate::LoadSignal).
     SetLoadSignal(f64),
-    /// Close connections that have been idle for this long.
+    /// Set the idle timeout after which client connections are closed.
     CloseIdleConnections(Span),
     /// Set a timer.
     SetTimer {
--- a/crates/heathspur/src/controller/arrival.rs
+++ b/crates/heathspur/src/controller/arrival.rs
@@ -19,7 +19,7 @@
         let mut state = self.new_state(request);
         self.record_arrival(request);
         let may_run = self.join_attempts(request, &mut state);
-        let deadline = self.stated_deadline(request, state.arrived_at);
+        let deadline = self.client_deadline(request, state.arrived_at);
         let is_due = self.now + self.answer_margin() >= deadline;
         let is_past_grace = self
             .drain
@@ -40,7 +40,7 @@
         let class = request.class.0;
         let arrived_at = self.now - request.queueing_delay;
         let relative_size = self.estimates.relative_size(class, request.cost_hint);
-        let deadline = self.stated_deadline(request, arrived_at);
+        let deadline = self.client_deadline(request, arrived_at);
         let objective_deadline =
             self.objective_deadline(request, arrived_at, deadline, relative_size);
         let is_over_quota = self.is_over_quota(request);
@@ -50,7 +50,7 @@
             arrived_at,
             deadline: self.drain.bound_deadline(deadline),
             objective_deadline,
-            memory_kb: request.queued_memory_kb,
+            queued_memory_kb: request.queued_memory_kb,
             relative_size,
             has_stated_deadline: request.remaining_deadline.is_some(),
             phase: Phase::Queued,
@@ -66,7 +66,9 @@
         }
     }
 
-    fn stated_deadline(&self, request: &Request, arrived_at: Time) -> Time {
+    /// Returns when the client stops waiting: at the deadline that it states, or else when the
+    /// client timeout of its class has passed since the arrival.
+    fn client_deadline(&self, request: &Request, arrived_at: Time) -> Time {
         match request.remaining_deadline {
             Some(remaining) => self.now + remaining,
             None => arrived_at + self.settings.classes[request.class.0].client_timeout,
@@ -144,14 +146,15 @@
             request.previous_attempt.is_some(),
             window,
             self.now,
-            self.memory.fits_dedup_entry(self.idempotency.entries()),
+            self.memory
+                .fits_idempotency_entry(self.idempotency.entries()),
         );
         match outcome {
             JoinOutcome::AlreadyRan => true,
             JoinOutcome::NoCapacity => false,
             JoinOutcome::Entered { is_new_entry } => {
                 if is_new_entry {
-                    self.memory.add_dedup_entry();
+                    self.memory.add_idempotency_entry();
                 }
                 self.actions.push(Action::RetainResult {
                     id: request.id,
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Returns whether an attempt of the same keyed request has run.
+    /// Returns whether an attempt of the same keyed request has started to run.
     pub(super) fn has_group_run(&self, id: RequestId) -> bool {
         self.requests
             .get(id)
--- a/crates/heathspur/src/controller/completion.rs
+++ b/crates/heathspur/src/controller/completion.rs
@@ -14,7 +14,8 @@
 
 impl AdmissionController {
     pub(super) fn on_run_completed(&mut self, id: RequestId, outcome: Outcome, latency: Span) {
-        // A run that never started because its client had cancelled occupies a slot all the same.
+        // This also releases the slot of a run that the host never started, because its client had
+        // cancelled.
         let Some(request) = self.release(id) else {
             return;
         };
@@ -153,7 +154,7 @@
     fn leave_group(&mut self, id: RequestId) {
         if let Some(entry) = self.idempotency.leave(id) {
             self.actions.push(Action::EvictResult(entry));
-            self.memory.release_dedup_entry();
+            self.memory.release_idempotency_entry();
         }
     }
 
@@ -161,9 +162,9 @@
     fn release(&mut self, id: RequestId) -> Option<RequestState> {
         let request = self.requests.remove(id)?;
         if request.is_before_run() {
-            self.memory.release_queued(request.memory_kb);
+            self.memory.release_queued(request.queued_memory_kb);
         } else {
-            self.memory.release_run(request.memory_kb);
+            self.memory.release_run(request.queued_memory_kb);
         }
         if request.phase == Phase::Running {
             self.slot_budgets.vacate(request.class);
--- a/crates/heathspur/src/controller/dispatch.rs
+++ b/crates/heathspur/src/controller/dispatch.rs
@@ -23,7 +23,7 @@
             let Some(id) = self.first_waiting(queue) else {
                 return;
             };
-            let memory_kb = self.requests.get(id).map_or(0.0, |r| r.memory_kb);
+            let memory_kb = self.requests.get(id).map_or(0.0, |r| r.queued_memory_kb);
             if !self.memory.fits_run(memory_kb) {
                 return;
             }
--- a/crates/heathspur/src/controller/tick.rs
+++ b/crates/heathspur/src/controller/tick.rs
@@ -176,7 +176,7 @@
             .idempotency
             .expire(self.now, |id| requests.contains(id));
         for _ in 0..expired {
-            self.memory.release_dedup_entry();
+            self.memory.release_idempotency_entry();
         }
     }
 
--- a/crates/heathspur/src/dependency_calls/mod.rs
+++ b/crates/heathspur/src/dependency_calls/mod.rs
@@ -29,7 +29,7 @@
 const BASE_BACKOFF_S: f64 = 0.05;
 /// Largest number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// Least jitter factor of the backoff. The factor is less than 1 above it.
+/// Least jitter factor of the backoff. The factor is drawn uniformly from this value to 1 above it.
 const MIN_BACKOFF_JITTER: f64 = 0.5;
 
 /// A request that waits for its call to be made.
--- a/crates/heathspur/src/idempotency_groups.rs
+++ b/crates/heathspur/src/idempotency_groups.rs
@@ -1,8 +1,8 @@
 //! Groups of the attempts of one keyed request.
 //!
 //! An attempt joins its group when it is read, so that a retry is recognized while the first
-//! attempt is queued or running or has a retained result. Once an attempt of a group has run, no
-//! other attempt of the group is run.
+//! attempt is queued or running or has a retained result. Once an attempt of a group has started to
+//! run, no other attempt of the group is run.
 
 use crate::event::RequestId;
 use crate::time::{Span, Time};
@@ -22,9 +22,10 @@
 
 #[derive(Debug)]
 struct AttemptGroup {
+    /// Whether an attempt of the group has started to run.
     has_run: bool,
     entry: Option<StoreEntry>,
-    /// Unfinished attempts that joined before any attempt ran.
+    /// Unfinished attempts that joined before any attempt started to run.
     waiting: Vec<RequestId>,
     retained_until: Time,
 }
@@ -39,7 +40,7 @@
 /// The result of joining an attempt to its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JoinOutcome {
-    /// An attempt of the group has run, so this one must not run.
+    /// An attempt of the group is running or has run, so this one must not run.
     AlreadyRan,
     /// The attempt joined, and the group's entry in the idempotency store is now under it.
     Entered {
@@ -69,8 +70,9 @@
         }
     }
 
-    /// Joins an attempt to the group of `first_attempt`. `has_capacity` is whether a new entry fits
-    /// into the idempotency store.
+    /// Joins an attempt to the group of `first_attempt`. `is_repeat` is whether it repeats an earlier
+    /// attempt, `window` is the deduplication window of its class, and `has_capacity` is whether a
+    /// new entry fits into the idempotency store.
     pub fn join(
         &mut self,
         id: RequestId,
@@ -111,7 +113,7 @@
         JoinOutcome::Entered { is_new_entry }
     }
 
-    /// Returns whether an attempt of the group has run.
+    /// Returns whether an attempt of the group has started to run.
     pub fn has_run(&self, first_attempt: RequestId) -> bool {
         self.groups
             .get(&first_attempt)
--- a/crates/heathspur/src/idle_connections.rs
+++ b/crates/heathspur/src/idle_connections.rs
@@ -31,7 +31,7 @@
 /// Factor on the idle timeout in each control period in which connections are rarely reused.
 const SHRINK_FACTOR: f64 = 0.5;
 /// Factor on the idle timeout in each control period in which most connections are reused, or in
-/// which a flood is to find the table full.
+/// which the table is left to fill up during a flood of requests.
 const GROW_FACTOR: f64 = 2.0;
 
 /// The idle timeout of connections and the measurements that it follows from.
--- a/crates/heathspur/src/memory_guard.rs
+++ b/crates/heathspur/src/memory_guard.rs
@@ -62,7 +62,7 @@
 
     /// Returns whether one more idempotency entry fits in memory in addition to `entries` existing
     /// ones and the memory reserved for runs.
-    pub fn fits_dedup_entry(&self, entries: usize) -> bool {
+    pub fn fits_idempotency_entry(&self, entries: usize) -> bool {
         let reserved_kb = RESERVED_RUNS_PER_CORE
             * self.cores
             * self.mean_request_kb.value()
@@ -73,12 +73,12 @@
     }
 
     /// Adds an idempotency entry.
-    pub fn add_dedup_entry(&mut self) {
+    pub fn add_idempotency_entry(&mut self) {
         self.used_kb += self.dedup_entry_kb;
     }
 
     /// Releases an idempotency entry.
-    pub fn release_dedup_entry(&mut self) {
+    pub fn release_idempotency_entry(&mut self) {
         self.used_kb -= self.dedup_entry_kb;
     }
 
--- a/crates/heathspur/src/requests.rs
+++ b/crates/heathspur/src/requests.rs
@@ -42,7 +42,7 @@
     /// When the latency objective passes, as far as it can be derived from this attempt.
     pub objective_deadline: Time,
     /// Memory while queued, in kilobytes.
-    pub memory_kb: f64,
+    pub queued_memory_kb: f64,
     /// The request's work, relative to the mean of its class.
     pub relative_size: f64,
     /// Whether the client stated how long it still waits.
@@ -124,7 +124,8 @@
         self.requests.get(&id)
     }
 
-    /// Returns a mutable reference to a request, whose phase must not be changed through it.
+    /// Returns a mutable reference to a request. Its phase must not be changed through the
+    /// reference, since the table counts the requests in some phases.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
@@ -134,7 +135,8 @@
         self.requests.iter().map(|(&id, request)| (id, request))
     }
 
-    /// Returns mutable references to all requests, whose phases must not be changed through them.
+    /// Returns mutable references to all requests. As with [`RequestTable::get_mut`], the phases must
+    /// not be changed.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut RequestState> {
         self.requests.values_mut()
     }
--- a/crates/heathspur/src/settings.rs
+++ b/crates/heathspur/src/settings.rs
@@ -45,7 +45,7 @@
     Shared {
         /// This server's share of the dependency's capacity, as a mean number of concurrent calls.
         capacity_share: f64,
-        /// The window over which that mean is taken.
+        /// The window over which the mean number of concurrent calls is taken.
         averaging_window: Span,
         /// How long the dependency may continue to work on an abandoned call.
         abandoned_call_lifetime: Span,
@@ -60,11 +60,11 @@
     /// Callers ignore the signal, and the server must not set it.
     #[default]
     None,
-    /// Admission level: callers send no requests of a lower priority rank.
+    /// Admission level, from 0 to 1: callers send no requests whose priority rank is lower.
     Level,
-    /// Credit: each caller has at most this many requests outstanding.
+    /// Credit, in requests: each caller has at most this many requests outstanding.
     Credit,
-    /// Load-balancing weight: the probability that a caller does not skip this server.
+    /// Load-balancing weight, from 0 to 1: the probability that a caller does not skip this server.
     Weight,
 }
 
@@ -87,7 +87,7 @@
     pub latency_objective_per_work: f64,
     /// Total time that a client waits for an answer, over all attempts of a request.
     pub client_timeout: Span,
-    /// Weight of an answer within the latency objective.
+    /// Weight of an answer within the latency objective, relative to the other classes.
     pub priority_weight: f64,
     /// Fraction of the weight that a late answer earns.
     pub late_weight: f64,
@@ -141,7 +141,7 @@
     pub warm_up: Span,
     /// Running requests per core above which a warm server is overloaded.
     pub overload_concurrency: f64,
-    /// The window over which that concurrency is averaged.
+    /// The window over which the number of running requests is averaged for that limit.
     pub overload_window: Span,
     /// How long after its deadline an answer still counts.
     pub answer_slack: Span,
--- a/crates/heathspur/src/slot_budgets.rs
+++ b/crates/heathspur/src/slot_budgets.rs
@@ -162,7 +162,8 @@
     (TARGET_WAIT_FRACTION * spare_s).max(least_s)
 }
 
-/// The PI law in velocity form: `U(m) = U(m-1) + g (E(m) - r E(m-1))`.
+/// Returns the next output of the PI law in velocity form, `U(m) = U(m-1) + g (E(m) - r E(m-1))`,
+/// where `U` is the output, `E` the error, `g` is [`GAIN`] and `r` is [`PREVIOUS_ERROR_FRACTION`].
 fn pi_step(output: f64, error_s: f64, previous_error_s: f64) -> f64 {
     output + GAIN * (error_s - PREVIOUS_ERROR_FRACTION * previous_error_s)
 }
