--- a/crates/heathspur/tests/common/mod.rs
+++ b/crates/heathspur/tests/common/mod.rs
@@ -116,7 +116,7 @@
     /// When its run or its latest call started; when it was delivered if neither has.
     pub started_at: Time,
     pub idempotency_key: u64,
-    /// A call may be made: the first one, or a retry of one that was idempotent or never ran.
+    /// Whether a call may be made: a first one, or a retry of one that was idempotent or never ran.
     pub may_call: bool,
 }
 
@@ -127,7 +127,7 @@
     pub stops_at: Time,
 }
 
-/// A controller with the events that it was given and the actions that it returned.
+/// A controller, with the state of its requests as events and actions have changed it.
 pub struct Harness {
     pub settings: Settings,
     pub controller: AdmissionController,
--- a/crates/heathspur/tests/deadline_factor.rs
+++ b/crates/heathspur/tests/deadline_factor.rs
@@ -1,5 +1,5 @@
-//! What the controller learns from completed and wasted runs: the concurrency limit, run-time
-//! estimates, and the safety factor on the remaining time by which queued requests are rejected.
+//! The effects of completed and wasted runs on the concurrency limit, on run-time estimates, and on
+//! the safety factor on the remaining time by which queued requests are rejected.
 
 mod common;
 use common::*;
@@ -9,9 +9,9 @@
 
 /// The idempotent class whose requests are checked for admission.
 const TESTED: usize = 0;
-/// An idempotent class whose runs the controller learns from.
+/// An idempotent class whose runs change the estimates, the limit and the factor.
 const IDEMPOTENT_LOAD: usize = 1;
-/// A non-idempotent class that occupies cores and whose runs the controller learns from.
+/// A non-idempotent class that occupies cores and whose runs have the same effects.
 const NON_IDEMPOTENT_LOAD: usize = 2;
 
 /// Returns a server with the classes above, each with an objective of 2 s and a client timeout of
@@ -63,8 +63,8 @@
     assert_eq!(harness.running().len() as u64, CORES);
 }
 
-/// Fails all runs, including those that start meanwhile. The controller learns nothing from failed
-/// runs.
+/// Fails all runs, including those that start meanwhile. Failed runs change no estimate, limit or
+/// factor.
 fn fail_all_runs(harness: &mut Harness) {
     while let Some(&id) = harness.running().first() {
         harness.complete_run(id, Outcome::Error);
--- a/crates/heathspur/tests/fleet.rs
+++ b/crates/heathspur/tests/fleet.rs
@@ -39,7 +39,7 @@
     initial_requests: usize,
     /// Requests that each server reads afterwards, per second.
     arrival_rate_per_s: f64,
-    /// Requests arrive at all servers at the same times.
+    /// Whether requests arrive at all servers at the same times.
     synchronized_arrivals: bool,
     /// Period in which calls take `slow_factor` times as long, in seconds from the start.
     slow_period_s: Range<f64>,
@@ -131,7 +131,7 @@
     started_at: Time,
     deadline: Time,
     answered: bool,
-    /// The work before the call is done.
+    /// Whether the work before the call is done.
     has_reached_call: bool,
     /// Index of its latest call in [`Fleet::calls`].
     call: usize,
@@ -718,8 +718,8 @@
     }
 }
 
-/// If rejected calls cost no tokens, all servers save tokens while the dependency is full and call
-/// it at once when it has capacity again.
+/// If rejected calls cost no tokens, all servers accumulate tokens while the dependency is full and
+/// call it at the same time when it has capacity again.
 #[test]
 fn rejected_calls_use_tokens_and_retries_are_spread() {
     for (capacity_share, call_s) in [(0.05, 0.4), (0.25, 0.4)] {
@@ -766,7 +766,7 @@
             "{started_calls} calls started, {allowed_starts:.1} allowed: {:?}",
             fleet.scenario
         );
-        // The shares and the number of requests both bound the calls of the whole scenario.
+        // The shares and the number of requests both bound the calls of the complete scenario.
         let affordable_calls =
             fleet.total_share() * fleet.scenario.duration_s / fleet.scenario.call_s;
         let least_calls = 0.1 * affordable_calls.min(fleet.requests_read as f64);
--- a/crates/heathspur/tests/lifecycle.rs
+++ b/crates/heathspur/tests/lifecycle.rs
@@ -99,8 +99,8 @@
 }
 
 /// Runs that do not slow each other raise the concurrency limit to the overload ceiling. Requests
-/// of a class that may call then must not wait for capacity at calls while no request is at a call:
-/// nothing would free that capacity, and the server would start no request any more.
+/// of a class that may call must then not wait for call capacity while no request is blocked on a
+/// call: nothing would free that capacity, and the server would start no request any more.
 #[test]
 fn requests_that_call_still_start_when_limit_reaches_ceiling() {
     let mut harness = Harness::new(Settings {
--- a/crates/heathspur/tests/scheduling.rs
+++ b/crates/heathspur/tests/scheduling.rs
@@ -463,7 +463,7 @@
     assert_eq!(harness.rejected(), [9]);
 }
 
-/// A longer `Retry-After` in a small fleet would also keep away requests within the quota.
+/// A longer `Retry-After` in a small fleet would also delay requests within the quota.
 #[test]
 fn over_quota_rejection_carries_short_retry_after_in_small_fleet() {
     let mut settings = settings();
