--- a/crates/heathspur-settings/src/names.rs
+++ b/crates/heathspur-settings/src/names.rs
@@ -8,8 +8,8 @@
 const MEMORY_GAUGE: &str = "mem_used";
 const CONNECTIONS_GAUGE: &str = "sockets";
 
-/// The names of one server's classes, tenants and gauges, and the events that its interpreter
-/// reports.
+/// The names of one server's classes, tenants and gauges, and whether its interpreter reports
+/// cancellations.
 #[derive(Clone, Debug)]
 pub struct WireNames {
     /// Names of the classes, in the order of [`ClassId`](heathspur::ClassId).
--- a/crates/heathspur-simulator-adapter/src/error.rs
+++ b/crates/heathspur-simulator-adapter/src/error.rs
@@ -46,6 +46,6 @@
     #[error("outcome code {0} is not in the protocol")]
     UnknownOutcome(u64),
     /// The token of a timer is not an unsigned integer.
-    #[error("timer token {0:?} is not a number")]
+    #[error("timer token {0:?} is not an unsigned integer")]
     InvalidToken(String),
 }
--- a/crates/heathspur-simulator-adapter/src/messages/incoming.rs
+++ b/crates/heathspur-simulator-adapter/src/messages/incoming.rs
@@ -116,10 +116,10 @@
     pub tenant: Option<serde_json::Value>,
     #[serde(rename = "route-key", default)]
     pub subject: Option<u64>,
-    /// 0 if the request has no deadline.
+    /// How long the client still waits, in seconds; 0 if the client states no deadline.
     #[serde(rename = "patience-left-s", default)]
     pub remaining_deadline_s: f64,
-    /// 0 if the request has no cost hint.
+    /// The expected work on a standard core, in seconds; 0 if the client states none.
     #[serde(rename = "cost-s", default)]
     pub cost_hint_s: f64,
     #[serde(rename = "size-kb", default)]
@@ -128,7 +128,7 @@
     pub is_retry: bool,
     #[serde(rename = "waited-s", default)]
     pub queueing_delay_s: f64,
-    /// 0 if the request is a first attempt.
+    /// The earlier attempt that the request repeats; 0 for a first attempt.
     #[serde(rename = "dup-of", default)]
     pub previous_attempt: u64,
 }
