--- a/crates/heathspur-members/src/event.rs
+++ b/crates/heathspur-members/src/event.rs
@@ -31,7 +31,7 @@
     ProbeMissed,
     /// Another member reported the change.
     Gossip,
-    /// The member refuted a suspicion with a higher incarnation.
+    /// The member announced a higher incarnation, by which it refuted an accusation or came back after a restart.
     Refuted,
     /// The suspicion of the member timed out.
     SuspicionTimeout,
@@ -80,6 +80,7 @@
     /// The local member raised its own incarnation, to refute a suspicion, to publish a vote or to leave. The caller
     /// may persist it.
     IncarnationRaised(u64),
-    /// Input was rejected since the last report. There is at most one report in a protocol period.
+    /// Input was rejected since the last report. There is at most one report in a protocol period, and at most one in a
+    /// second.
     InputRejected(RejectionReport),
 }
--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -130,8 +130,8 @@
     }
 
     /// Returns the time in which the ack of a member usually arrives, in milliseconds: twice the longest of its
-    /// measured round trip, the local average and the average that it publishes. It prevents repeated suspicions of a
-    /// slow member that does answer.
+    /// measured round trip, the local average and the average that it publishes, bounded by [`MAX_ACK_WAIT_PERIODS`];
+    /// 0 without Lifeguard. It prevents repeated suspicions of a slow member that does answer.
     fn usual_ack_wait(&self, entry: &MemberEntry, settings: &Settings) -> u64 {
         if !settings.lifeguard {
             return 0;
--- a/crates/heathspur-members/src/input_limits.rs
+++ b/crates/heathspur-members/src/input_limits.rs
@@ -77,7 +77,7 @@
     }
 
     /// Returns the number of source addresses that are counted in the current window.
-    pub(crate) fn counted_sources(&self) -> usize {
+    pub(crate) fn counted_addresses(&self) -> usize {
         self.datagrams_by_source.len()
     }
 
--- a/crates/heathspur-members/src/join.rs
+++ b/crates/heathspur-members/src/join.rs
@@ -39,7 +39,8 @@
         &self.seeds
     }
 
-    /// Returns whether a seed or another member has answered.
+    /// Returns whether the local member has joined: it has received a message of another member that is not
+    /// a nack, or was given known members.
     pub(crate) fn joined(&self) -> bool {
         self.joined
     }
@@ -48,8 +49,8 @@
         self.joined = true;
     }
 
-    /// Returns whether the local member joined so recently that the fleet already has the members it receives by
-    /// push-pull.
+    /// Returns whether the local member started to join so recently that the fleet already has the members that it
+    /// receives by push-pull.
     pub(crate) fn is_newcomer(&self, now: u64) -> bool {
         now < self.newcomer_until
     }
--- a/crates/heathspur-members/src/member_table.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// An index of members by state, so that a tick does not scan the whole table.
+/// An index of members by state, so that a tick does not scan the complete table.
 #[derive(Default)]
 struct StateIndex {
     suspects: BTreeSet<MemberId>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// All other members known here, by id.
+/// All other members in the local view, by id.
 pub(crate) struct MemberTable {
     entries: BTreeMap<MemberId, MemberEntry>,
     index: StateIndex,
--- a/crates/heathspur-members/src/membership/mod.rs
+++ b/crates/heathspur-members/src/membership/mod.rs
@@ -145,7 +145,7 @@
 
     /// Returns the number of source addresses that are counted for the rate limit; at most twice `max_members`.
     pub fn counted_addresses(&self) -> usize {
-        self.limits.counted_sources()
+        self.limits.counted_addresses()
     }
 
     /// Returns the number of updates that are queued for gossip.
@@ -153,7 +153,8 @@
         self.others.gossip().len()
     }
 
-    /// Returns whether a seed or another member has answered.
+    /// Returns whether the local member has joined: it has received a message of another member that is not
+    /// a nack, or was given known members.
     pub fn joined(&self) -> bool {
         self.join.joined()
     }
--- a/crates/heathspur-members/src/settings.rs
+++ b/crates/heathspur-members/src/settings.rs
@@ -30,7 +30,8 @@
     pub max_queued_updates: usize,
     /// The number of datagrams that are accepted from one source address in one second; at least 10.
     pub max_datagrams_per_source_per_second: u32,
-    /// How long a member that died or left stays in the table, so that it is still contacted after a partition heals.
+    /// How long a member that died or left stays in the table, so that it is still contacted after a partition heals;
+    /// any value.
     pub dead_retention_ms: u64,
     /// The first backoff between join attempts; at least 10 ms. It doubles up to `max_join_backoff_ms`, with jitter.
     pub initial_join_backoff_ms: u64,
--- a/crates/heathspur-members/src/view.rs
+++ b/crates/heathspur-members/src/view.rs
@@ -98,7 +98,7 @@
         after.is_none_or(|after| self.local.id() > after)
     }
 
-    /// Returns the rows that may fit in one datagram. The limit prevents a flood of requests from reading the whole
+    /// Returns the rows that may fit in one datagram. The limit prevents a flood of requests from reading the complete
     /// table each time.
     fn rows_after(&self, request: &ViewRequest) -> Vec<ViewRow> {
         let others = self.table.after(request.after.as_ref()).take(MAX_ROWS);
--- a/crates/heathspur-members/tests/model.rs
+++ b/crates/heathspur-members/tests/model.rs
@@ -343,7 +343,7 @@
                 },
             ),
             Property::sometimes(
-                "the others know a crashed member as dead",
+                "the others consider a crashed member dead",
                 |_, state: &Fleet| {
                     !state.nodes[2].up
                         && (0..2).all(|observer| {
