--- a/crates/heathspur-failover/src/decision_register.rs
+++ b/crates/heathspur-failover/src/decision_register.rs
@@ -66,7 +66,7 @@
 pub struct Ballot {
     /// The decision that the instance has accepted.
     pub accepted: Decision,
-    /// The level that the instance prefers.
+    /// The level that the instance prefers, in tenths.
     pub preferred: u8,
 }
 
--- a/crates/heathspur-failover/src/replica_health.rs
+++ b/crates/heathspur-failover/src/replica_health.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Returns the level that the health justifies; `None` if the health is unknown. Checks alone justify at most
+    /// Returns the level that the health justifies, in tenths; `None` if it is unknown. Checks alone justify at most
     /// [`MAX_LEVEL_BY_CHECKS`], since a replica that accepts connections may still fail calls.
     pub fn level(&self) -> Option<u8> {
         let all_traffic = f64::from(ALL_TRAFFIC_TENTHS);
--- a/crates/heathspur-failover/src/zone_failover.rs
+++ b/crates/heathspur-failover/src/zone_failover.rs
@@ -25,9 +25,10 @@
 /// The routing of an instance's calls until the next plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RoutingPlan {
-    /// The part of the calls that each replica receives, in thousandths.
+    /// The part of the calls that each replica receives, in thousandths, by the index of its zone.
     pub shares: Vec<u16>,
-    /// The maximum number of calls in flight to each replica of another zone; 0 for the local one, which has no limit.
+    /// The maximum number of calls in flight to each replica of another zone, by the index of its zone; 0 for the local
+    /// one, which has no limit.
     pub call_limits: Vec<u32>,
 }
 
