--- a/crates/heathspur-emulator/src/node.rs
+++ b/crates/heathspur-emulator/src/node.rs
@@ -16,14 +16,15 @@
     pub membership: Option<Membership>,
     /// The record that it publishes about itself.
     pub member: Member,
-    /// The time until which its process is paused and neither receives nor sends, in milliseconds.
+    /// The true time until which its process is paused and neither receives nor sends, in milliseconds.
     pub paused_until: u64,
     /// The extra delay of every datagram that it sends or receives, in milliseconds.
     pub extra_delay_ms: u64,
     /// The rate of its clock relative to true time; 1.0 is exact.
     pub clock_rate: f64,
-    /// The time at which its process ends after a graceful leave.
+    /// The true time at which its process ends after a graceful leave, in milliseconds; `None` unless it is leaving.
     pub(crate) stops_at: Option<u64>,
+    /// The time of its clock, in milliseconds.
     clock_ms: f64,
     /// The incarnation at its next start.
     pub(crate) next_incarnation: u64,
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -30,7 +30,7 @@
     /// The first seed.
     #[serde(rename = "@first-seed", default = "default::first_seed")]
     pub first_seed: u64,
-    /// The emulated duration of each run; up to 24 h.
+    /// The emulated duration of each run; 1 ms to 24 h.
     #[serde(rename = "@duration")]
     pub duration: Span,
     /// Whether every member has all others in its view at the start. Otherwise all join through the first one at once.
@@ -39,7 +39,8 @@
     /// The protocol period; 50 ms to 60 s.
     #[serde(rename = "@period", default = "default::period")]
     pub period: Span,
-    /// How long a direct probe waits for its ack before indirect probes start; shorter than the protocol period.
+    /// How long a direct probe waits for its ack before indirect probes start; at least 10 ms and shorter than the
+    /// protocol period.
     #[serde(rename = "@probe-timeout", default = "default::probe_timeout")]
     pub probe_timeout: Span,
     /// The suspicion multiplier: the minimum suspicion timeout is this many protocol periods times log10 of the number
@@ -49,7 +50,7 @@
     /// Whether the Lifeguard extensions of SWIM are on. They are switched off only for comparison.
     #[serde(rename = "@lifeguard", default = "default::lifeguard")]
     pub lifeguard: bool,
-    /// The faults, in order of time.
+    /// The faults, in order of time; at most 1,000.
     #[serde(rename = "fault", default)]
     pub faults: Vec<Fault>,
 }
@@ -58,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When the fault happens, from the start of the run.
+    /// When the fault happens, from the start of the run; before its end and not before the previous fault.
     #[serde(rename = "@at")]
     pub at: Span,
     /// The kind of the fault.
--- a/crates/heathspur-emulator/src/validation.rs
+++ b/crates/heathspur-emulator/src/validation.rs
@@ -2,14 +2,22 @@
 
 use crate::plan::{Fault, FaultKind, Plan, NAMESPACE};
 use heathspur_config::InvalidValue;
+use std::fmt;
 use std::ops::RangeInclusive;
 
+/// The number of members of a fleet.
 const MEMBERS: RangeInclusive<usize> = 2..=2_000;
+/// The number of zones of a fleet.
 const ZONES: RangeInclusive<usize> = 1..=100;
+/// The number of seeds, and so of runs.
 const SEEDS: RangeInclusive<u64> = 1..=1_000;
+/// The duration of a run, in milliseconds; up to 24 h.
 const DURATION_MS: RangeInclusive<u128> = 1..=86_400_000;
+/// The maximum number of faults, as in the schema.
 const MAX_FAULTS: usize = 1_000;
+/// The share of the datagrams that a fault affects.
 const SHARE: RangeInclusive<f64> = 0.0..=1.0;
+/// The rate of a clock relative to true time.
 const CLOCK_RATE: RangeInclusive<f64> = 0.5..=2.0;
 
 /// Checks a plan and returns its first error.
@@ -18,7 +26,11 @@
     check_ranges(plan)?;
     check_settings(plan)?;
     if plan.faults.len() > MAX_FAULTS {
-        return Err(InvalidValue::new("", "at most 1000 faults are expected"));
+        let reason = format!(
+            "{} faults where at most 1000 are expected",
+            plan.faults.len()
+        );
+        return Err(InvalidValue::new("", reason));
     }
     for (index, fault) in plan.faults.iter().enumerate() {
         check_fault(fault, plan).map_err(|error| InvalidValue {
@@ -27,10 +39,12 @@
         })?;
         if index > 0 && plan.faults[index - 1].at.0 > fault.at.0 {
             let path = format!("fault[{index}].@at");
-            return Err(InvalidValue::new(
-                path,
-                "a time not before that of the previous fault is expected",
-            ));
+            let reason = format!(
+                "{:?} where a time not before that of the previous fault, {:?}, is expected",
+                fault.at.0,
+                plan.faults[index - 1].at.0
+            );
+            return Err(InvalidValue::new(path, reason));
         }
     }
     Ok(())
@@ -47,20 +61,26 @@
 
 fn check_ranges(plan: &Plan) -> Result<(), InvalidValue> {
     if !MEMBERS.contains(&plan.members) {
-        return Err(InvalidValue::new("@members", "2 to 2000 is expected"));
+        return Err(out_of_range("@members", plan.members, "2 to 2000"));
     }
     if !ZONES.contains(&plan.zones) {
-        return Err(InvalidValue::new("@zones", "1 to 100 is expected"));
+        return Err(out_of_range("@zones", plan.zones, "1 to 100"));
     }
     if !SEEDS.contains(&plan.seeds) {
-        return Err(InvalidValue::new("@seeds", "1 to 1000 is expected"));
+        return Err(out_of_range("@seeds", plan.seeds, "1 to 1000"));
     }
     if !DURATION_MS.contains(&plan.duration.0.as_millis()) {
-        return Err(InvalidValue::new("@duration", "1 ms to 24 h is expected"));
+        let duration = format!("{:?}", plan.duration.0);
+        return Err(out_of_range("@duration", duration, "1 ms to 24 h"));
     }
     Ok(())
 }
 
+/// Returns the error for a value outside its range.
+fn out_of_range(path: &str, value: impl fmt::Display, range: &str) -> InvalidValue {
+    InvalidValue::new(path, format!("{value} where {range} is expected"))
+}
+
 /// Checks the bounds of the members' settings.
 fn check_settings(plan: &Plan) -> Result<(), InvalidValue> {
     plan.settings()
@@ -72,20 +92,23 @@
 fn check_fault(fault: &Fault, plan: &Plan) -> Result<(), InvalidValue> {
     check_attributes(fault)?;
     for (path, member) in [("@member", fault.member), ("@other", fault.other)] {
-        if member.is_some_and(|member| member >= plan.members) {
-            let reason = format!("under {} is expected, the number of members", plan.members);
+        if let Some(member) = member.filter(|member| *member >= plan.members) {
+            let reason = format!(
+                "{member} where less than {} is expected, the number of members",
+                plan.members
+            );
             return Err(InvalidValue::new(path, reason));
         }
     }
-    if fault.share.is_some_and(|share| !SHARE.contains(&share)) {
-        return Err(InvalidValue::new("@share", "0 to 1 is expected"));
+    if let Some(share) = fault.share.filter(|share| !SHARE.contains(share)) {
+        return Err(out_of_range("@share", share, "0 to 1"));
     }
-    if fault.rate.is_some_and(|rate| !CLOCK_RATE.contains(&rate)) {
-        return Err(InvalidValue::new("@rate", "0.5 to 2 is expected"));
+    if let Some(rate) = fault.rate.filter(|rate| !CLOCK_RATE.contains(rate)) {
+        return Err(out_of_range("@rate", rate, "0.5 to 2"));
     }
     if fault.at.0 >= plan.duration.0 {
-        let reason = "a time before the end of the run is expected";
-        return Err(InvalidValue::new("@at", reason));
+        let at = format!("{:?}", fault.at.0);
+        return Err(out_of_range("@at", at, "a time before the end of the run"));
     }
     Ok(())
 }
