--- a/crates/heathspur/src/concurrency_limit.rs
+++ b/crates/heathspur/src/concurrency_limit.rs
@@ -18,6 +18,7 @@
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
     cores: f64,
+    /// Recent run times, as a multiple of the baseline of their class.
     latency_inflation: Ewma,
     completions_since_decrease: f64,
 }
--- a/crates/heathspur/src/event.rs
+++ b/crates/heathspur/src/event.rs
@@ -66,7 +66,7 @@
     pub cpu: Option<f64>,
     /// Number of runnable tasks.
     pub runnable: Option<f64>,
-    /// Fraction of the memory in use.
+    /// Fraction of the memory in use. The controller does not use it.
     pub memory: Option<f64>,
     /// Number of open connections.
     pub connections: Option<f64>,
--- a/crates/heathspur/src/idempotency_groups.rs
+++ b/crates/heathspur/src/idempotency_groups.rs
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Joins an attempt to the group of `first_attempt`. `is_repeat` is whether it repeats an earlier
-    /// attempt, `window` is the deduplication window of its class, and `has_capacity` is whether a
-    /// new entry fits into the idempotency store.
+    /// Joins an attempt to the group of `first_attempt`. `is_repeat` is whether it repeats an
+    /// earlier attempt, `window` is the deduplication window of its class, and `has_capacity` is
+    /// whether a new entry fits into the idempotency store.
     pub fn join(
         &mut self,
         id: RequestId,
--- a/crates/heathspur/src/idle_connections.rs
+++ b/crates/heathspur/src/idle_connections.rs
@@ -45,6 +45,7 @@
     reads: f64,
     reads_per_s: Ewma,
     open_connections: f64,
+    /// Until when the connection table is left full after requests waited unread.
     keep_full_until: Time,
 }
 
--- a/crates/heathspur/src/overload_ceiling.rs
+++ b/crates/heathspur/src/overload_ceiling.rs
@@ -12,6 +12,7 @@
 #[derive(Debug)]
 pub(crate) struct OverloadCeiling {
     cores: f64,
+    /// Fraction of the full capacity at the start; 1 for a warm server.
     initial_capacity: f64,
     warm_up_s: f64,
     overload_concurrency_per_core: f64,
--- a/crates/heathspur/src/requests.rs
+++ b/crates/heathspur/src/requests.rs
@@ -135,8 +135,8 @@
         self.requests.iter().map(|(&id, request)| (id, request))
     }
 
-    /// Returns mutable references to all requests. As with [`RequestTable::get_mut`], the phases must
-    /// not be changed.
+    /// Returns mutable references to all requests. As with [`RequestTable::get_mut`], the phases
+    /// must not be changed.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut RequestState> {
         self.requests.values_mut()
     }
--- a/crates/heathspur/src/settings.rs
+++ b/crates/heathspur/src/settings.rs
@@ -117,7 +117,7 @@
     pub tenants: Vec<Tenant>,
     /// Weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// The unit to which a priority weight applies.
+    /// The unit to which a priority weight applies. The controller does not use it.
     pub weight_unit: WeightUnit,
     /// Number of servers of this tier that were listed when this one started.
     pub servers: u64,
@@ -141,7 +141,8 @@
     pub warm_up: Span,
     /// Running requests per core above which a warm server is overloaded.
     pub overload_concurrency: f64,
-    /// The window over which the number of running requests is averaged for that limit.
+    /// The window over which the number of running requests is averaged for that limit. The
+    /// controller does not use it.
     pub overload_window: Span,
     /// How long after its deadline an answer still counts.
     pub answer_slack: Span,
@@ -160,6 +161,7 @@
     /// The longest `Retry-After` that callers honour; `None` if it is not passed on to them.
     pub max_retry_after: Option<Span>,
     /// Weight of the worst-served class in the platform's objective, as a fraction of all weights.
+    /// The controller does not use it.
     pub worst_class_weight: f64,
     /// The smallest step of the clock between batches.
     pub tick: Span,
--- a/crates/heathspur/src/tenant_quotas.rs
+++ b/crates/heathspur/src/tenant_quotas.rs
@@ -25,6 +25,7 @@
 struct Bucket {
     /// Quota over all servers, in requests per second.
     quota_per_s: f64,
+    /// Requests that are still within the quota.
     tokens: f64,
     /// First attempts since the last refill.
     arrivals: f64,
--- a/crates/heathspur/tests/unit/budget.rs
+++ b/crates/heathspur/tests/unit/budget.rs
@@ -9,7 +9,7 @@
     Time(n * 1_000_000)
 }
 
-/// A budget whose share allows about three calls at once, with full tokens.
+/// Returns a budget whose share allows three calls at once, with a full token bucket.
 fn budget() -> (CallBudget, CallStatistics) {
     let statistics = CallStatistics::new();
     let mut budget = CallBudget::new(10.0, WINDOW, LIFETIME);
--- a/crates/heathspur/tests/unit/idle_connections.rs
+++ b/crates/heathspur/tests/unit/idle_connections.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// A server with 100 callers that reads ten requests in the first period.
+/// Returns the state of a server with 100 callers that reads ten requests in the first period.
 fn connections(open: f64) -> IdleConnections {
     let mut connections = IdleConnections::new(&Settings {
         client_idle_timeout: TIMEOUT,
