--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -1,5 +1,6 @@
-//! The failure detector: direct and indirect probes (SWIM, section 3.1), and the local health multiplier that slows a
-//! member whose own probes fail (Lifeguard, section 4.1).
+//! The failure detector: direct and indirect probes (SWIM, section 3.1), and the local health score, which slows a
+//! member whose own probes fail (Lifeguard, section 4.1): the probe interval and timeout are multiplied by the score
+//! plus 1.
 //!
 //! It chooses the probe targets and determines which probes have failed. The caller sends the datagrams and starts the
 //! suspicions.
@@ -29,7 +30,9 @@
     target: MemberId,
     sequence: u32,
     started_at: u64,
+    /// When the indirect probes start unless the target has acked, in milliseconds.
     indirect_at: u64,
+    /// When the probe fails unless the target has acked, in milliseconds.
     fails_at: u64,
     indirect_sent: bool,
     nacks_expected: u32,
@@ -40,6 +43,7 @@
 struct RelayedProbe {
     sequence: u32,
     requester: Requester,
+    /// When the requester receives a nack unless the target has acked, in milliseconds.
     nack_at: u64,
 }
 
@@ -89,7 +93,7 @@
     target_order: Vec<MemberId>,
     next_target: usize,
     next_probe_at: u64,
-    /// Lifeguard's local health multiplier less one; 0 is healthy.
+    /// The local health score (Lifeguard); 0 is healthy.
     local_health: u32,
     /// The moving average of all members' round trips.
     usual_round_trip_ms: u64,
@@ -114,7 +118,7 @@
         self.local_health
     }
 
-    /// Worsens the local health by `by`, after a failed probe or a refutation.
+    /// Raises the local health score by `by`, up to its maximum, after a failed probe or a refutation.
     pub(crate) fn degrade_local_health(&mut self, by: u32, settings: &Settings) {
         self.local_health = (self.local_health + by).min(settings.max_local_health);
     }
@@ -310,7 +314,8 @@
         }
     }
 
-    /// Adds a round trip to the moving average, and returns the average as it is to be published, in milliseconds.
+    /// Adds a round trip to the moving average, with a weight of 1/8, and returns the average as it is to be published,
+    /// in milliseconds.
     pub(crate) fn record_round_trip(&mut self, round_trip_ms: u64) -> u64 {
         self.usual_round_trip_ms = (7 * self.usual_round_trip_ms + round_trip_ms) / 8;
         self.usual_round_trip_ms / PUBLISHED_ROUND_TRIP_STEP_MS * PUBLISHED_ROUND_TRIP_STEP_MS
@@ -353,7 +358,8 @@
 }
 
 impl Probe {
-    /// Returns by how much the failure worsens the local health. Missing nacks indicate that the fault may be local.
+    /// Returns by how much the failure raises the local health score. Missing nacks indicate that the fault may be
+    /// local.
     fn local_health_penalty(&self) -> u32 {
         if self.nacks_expected == 0 {
             1
--- a/crates/heathspur-members/src/member_table.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -322,7 +322,7 @@
             return false;
         };
         let known = entry.round_trip_ms;
-        // A longer round trip takes effect at once, a shorter one gradually.
+        // A longer round trip takes effect at once; a shorter one lowers the value by a quarter of the difference.
         entry.round_trip_ms = if round_trip_ms >= known {
             round_trip_ms
         } else {
--- a/crates/heathspur-members/src/membership/mod.rs
+++ b/crates/heathspur-members/src/membership/mod.rs
@@ -133,7 +133,7 @@
         self.local.incarnation()
     }
 
-    /// Returns Lifeguard's local health multiplier less one; 0 is healthy.
+    /// Returns the local health score (Lifeguard), up to `max_local_health`; 0 is healthy.
     pub fn local_health(&self) -> u32 {
         self.detector.local_health()
     }
--- a/crates/heathspur-members/src/suspicion.rs
+++ b/crates/heathspur-members/src/suspicion.rs
@@ -20,7 +20,9 @@
     started_at: u64,
     timeout: SuspicionTimeout,
     accusers: BTreeSet<MemberId>,
+    /// Whether another member has declared the suspect dead.
     declared_dead: bool,
+    /// Whether the last direct query of the suspect has been sent.
     queried: bool,
 }
 
