--- a/crates/heathspur-members/src/member_table.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// An index of members by state, so that a tick does not scan the whole table.
+/// An index of members by state, so that a tick does not scan the complete table.
 #[derive(Default)]
 struct StateIndex {
     suspects: BTreeSet<MemberId>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// All other members known here, by id.
+/// All other members in the local view, by id.
 pub(crate) struct MemberTable {
     entries: BTreeMap<MemberId, MemberEntry>,
     index: StateIndex,
@@ -322,7 +322,7 @@
             return false;
         };
         let known = entry.round_trip_ms;
-        // A longer round trip takes effect at once, a shorter one gradually.
+        // A longer round trip takes effect at once; a shorter one lowers the value by a quarter of the difference.
         entry.round_trip_ms = if round_trip_ms >= known {
             round_trip_ms
         } else {
