--- a/crates/heathspur-members/src/anti_entropy.rs
+++ b/crates/heathspur-members/src/anti_entropy.rs
@@ -4,7 +4,7 @@
 use crate::member::MemberState;
 use crate::member_table::MemberTable;
 use crate::settings::Settings;
-use crate::wire::{self, Body, Envelope, Update};
+use crate::wire::{self, Envelope, Message, Update};
 use rand::rngs::StdRng;
 use rand::RngExt;
 use std::net::SocketAddrV4;
@@ -63,7 +63,7 @@
 ) -> Vec<Envelope> {
     let push_pull = |reply| Envelope {
         from: local.id().clone(),
-        body: Body::PushPull { reply },
+        body: Message::PushPull { reply },
         updates: Vec::new(),
     };
     let others = table.iter().map(|entry| entry.update(local.id()));
--- a/crates/heathspur-members/src/failure_detector.rs
+++ b/crates/heathspur-members/src/failure_detector.rs
@@ -92,7 +92,7 @@
     /// Lifeguard's local health multiplier less one; 0 is healthy.
     local_health: u32,
     /// The moving average of all members' round trips.
-    usual_round_trip_ms: u64,
+    average_round_trip_ms: u64,
 }
 
 impl FailureDetector {
@@ -106,7 +106,7 @@
             next_target: 0,
             next_probe_at: 0,
             local_health: 0,
-            usual_round_trip_ms: 0,
+            average_round_trip_ms: 0,
         }
     }
 
@@ -138,8 +138,8 @@
         }
         let round_trip = entry
             .round_trip_ms()
-            .max(self.usual_round_trip_ms)
-            .max(u64::from(entry.member.usual_round_trip_ms));
+            .max(self.average_round_trip_ms)
+            .max(u64::from(entry.member.average_round_trip_ms));
         (2 * round_trip).min(MAX_ACK_WAIT_PERIODS * settings.protocol_period_ms)
     }
 
@@ -312,8 +312,8 @@
 
     /// Adds a round trip to the moving average, and returns the average as it is to be published, in milliseconds.
     pub(crate) fn record_round_trip(&mut self, round_trip_ms: u64) -> u64 {
-        self.usual_round_trip_ms = (7 * self.usual_round_trip_ms + round_trip_ms) / 8;
-        self.usual_round_trip_ms / PUBLISHED_ROUND_TRIP_STEP_MS * PUBLISHED_ROUND_TRIP_STEP_MS
+        self.average_round_trip_ms = (7 * self.average_round_trip_ms + round_trip_ms) / 8;
+        self.average_round_trip_ms / PUBLISHED_ROUND_TRIP_STEP_MS * PUBLISHED_ROUND_TRIP_STEP_MS
     }
 
     fn scale_by_local_health(&self, milliseconds: u64, settings: &Settings) -> u64 {
@@ -344,7 +344,7 @@
     fn take_live_target(&mut self, table: &MemberTable) -> Option<MemberId> {
         while let Some(id) = self.target_order.get(self.next_target) {
             self.next_target += 1;
-            if table.get(id).is_some_and(|entry| entry.state.live()) {
+            if table.get(id).is_some_and(|entry| entry.state.is_live()) {
                 return Some(id.clone());
             }
         }
--- a/crates/heathspur-members/src/local_member.rs
+++ b/crates/heathspur-members/src/local_member.rs
@@ -64,8 +64,8 @@
         self.member.load = load;
     }
 
-    pub(crate) fn set_usual_round_trip(&mut self, milliseconds: u64) {
-        self.member.usual_round_trip_ms = milliseconds as u32;
+    pub(crate) fn set_average_round_trip(&mut self, milliseconds: u64) {
+        self.member.average_round_trip_ms = milliseconds as u32;
     }
 
     /// Sets a new vote and raises the incarnation. Returns false, without a change, if the vote is the same or the
@@ -76,7 +76,7 @@
         }
         self.member.decision_epoch = vote.decision_epoch;
         self.member.local_traffic_tenths = vote.local_traffic_tenths;
-        self.member.preferred_tenths = vote.preferred_tenths;
+        self.member.preferred_local_traffic_tenths = vote.preferred_local_traffic_tenths;
         self.raise_incarnation(self.incarnation + 1);
         true
     }
--- a/crates/heathspur-members/src/member.rs
+++ b/crates/heathspur-members/src/member.rs
@@ -47,13 +47,13 @@
     pub load: Load,
     /// The moving average of its probes' round trips, in milliseconds. Others adapt their wait for its acks to it,
     /// within a bound.
-    pub usual_round_trip_ms: u32,
+    pub average_round_trip_ms: u32,
     /// The epoch of the zone decision that it has accepted; 0 before the first decision or without failover.
     pub decision_epoch: u64,
     /// The level of that decision: tenths of the zone's traffic that stay in the zone, 0 to [`ALL_TRAFFIC_TENTHS`].
     pub local_traffic_tenths: u8,
     /// The level that the member itself prefers.
-    pub preferred_tenths: u8,
+    pub preferred_local_traffic_tenths: u8,
 }
 
 /// A member's vote on the decision of its zone.
@@ -64,7 +64,7 @@
     /// The level of the accepted decision.
     pub local_traffic_tenths: u8,
     /// The level that the member prefers.
-    pub preferred_tenths: u8,
+    pub preferred_local_traffic_tenths: u8,
 }
 
 impl Member {
@@ -72,7 +72,7 @@
     pub fn is_well_formed(&self) -> bool {
         let fits = |name: &str| name.len() <= MAX_NAME_BYTES;
         let levels_fit = self.local_traffic_tenths <= ALL_TRAFFIC_TENTHS
-            && self.preferred_tenths <= ALL_TRAFFIC_TENTHS;
+            && self.preferred_local_traffic_tenths <= ALL_TRAFFIC_TENTHS;
         let id_fits = !self.id.0.is_empty() && fits(&self.id.0);
         levels_fit && id_fits && fits(&self.zone) && fits(&self.region)
     }
@@ -82,7 +82,7 @@
         ZoneVote {
             decision_epoch: self.decision_epoch,
             local_traffic_tenths: self.local_traffic_tenths,
-            preferred_tenths: self.preferred_tenths,
+            preferred_local_traffic_tenths: self.preferred_local_traffic_tenths,
         }
     }
 }
@@ -112,7 +112,7 @@
     }
 
     /// Returns whether a member in this state counts as part of the fleet.
-    pub fn live(self) -> bool {
+    pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
--- a/crates/heathspur-members/src/member_table.rs
+++ b/crates/heathspur-members/src/member_table.rs
@@ -89,14 +89,14 @@
         if state == MemberState::Suspect {
             self.suspects.insert(id.clone());
         }
-        self.departed += usize::from(!state.live());
+        self.departed += usize::from(!state.is_live());
     }
 
     fn remove(&mut self, id: &MemberId, state: MemberState) {
         if state == MemberState::Suspect {
             self.suspects.remove(id);
         }
-        self.departed -= usize::from(!state.live());
+        self.departed -= usize::from(!state.is_live());
     }
 }
 
@@ -153,13 +153,13 @@
 
     /// Returns the ids of all live members, in order.
     pub(crate) fn live_ids(&self) -> Vec<MemberId> {
-        let live = self.iter().filter(|entry| entry.state.live());
+        let live = self.iter().filter(|entry| entry.state.is_live());
         live.map(|entry| entry.member.id.clone()).collect()
     }
 
     /// Returns the addresses of all live members, in the order of ids.
     pub(crate) fn live_addresses(&self) -> Vec<SocketAddrV4> {
-        self.addresses(|entry| entry.state.live())
+        self.addresses(|entry| entry.state.is_live())
     }
 
     /// Returns the addresses of the members for which `matches` returns true, in the order of ids.
@@ -292,7 +292,7 @@
     /// Removes and returns the members that have been dead or left for at least `retention_ms`.
     pub(crate) fn reap(&mut self, now: u64, retention_ms: u64) -> Vec<MemberEntry> {
         let expired = |entry: &&MemberEntry| {
-            !entry.state.live() && now.saturating_sub(entry.state_since) >= retention_ms
+            !entry.state.is_live() && now.saturating_sub(entry.state_since) >= retention_ms
         };
         let ids: Vec<MemberId> = self
             .iter()
--- a/crates/heathspur-members/src/membership/mod.rs
+++ b/crates/heathspur-members/src/membership/mod.rs
@@ -17,7 +17,7 @@
 use crate::rejected_input::RejectedInput;
 use crate::settings::Settings;
 use crate::view::{self, View};
-use crate::wire::Body;
+use crate::wire::Message;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -184,7 +184,7 @@
         self.detector.stop();
         self.announce_incarnation(actions);
         for to in self.random_live_addresses(self.settings.gossip_fanout * LEAVE_FANOUT_FACTOR) {
-            self.send(to, Body::Gossip, actions);
+            self.send(to, Message::Gossip, actions);
         }
     }
 
@@ -196,7 +196,7 @@
 
     fn gossip_to_random_members(&mut self, actions: &mut Vec<Action>) {
         for to in self.random_live_addresses(self.settings.gossip_fanout) {
-            self.send(to, Body::Gossip, actions);
+            self.send(to, Message::Gossip, actions);
         }
     }
 
--- a/crates/heathspur-members/src/membership/receive.rs
+++ b/crates/heathspur-members/src/membership/receive.rs
@@ -6,7 +6,7 @@
 use crate::member::MemberId;
 use crate::rejected_input::RejectionReason;
 use crate::view::ViewResponder;
-use crate::wire::{self, Body, DecodeError};
+use crate::wire::{self, DecodeError, Message};
 use std::net::SocketAddrV4;
 
 impl Membership {
@@ -26,7 +26,7 @@
                 return;
             }
         };
-        if let Body::ViewRequest(request) = &envelope.body {
+        if let Message::ViewRequest(request) = &envelope.body {
             self.on_view_request(from, request, bytes.len(), actions);
             return;
         }
@@ -34,7 +34,10 @@
             self.limits.reject(RejectionReason::IdConflict, from);
             return;
         }
-        if !matches!(envelope.body, Body::Nack { .. } | Body::ViewResponse(_)) {
+        if !matches!(
+            envelope.body,
+            Message::Nack { .. } | Message::ViewResponse(_)
+        ) {
             self.join.mark_joined();
         }
         self.apply_updates(&envelope, from, actions);
@@ -43,14 +46,14 @@
         }
     }
 
-    fn on_message(&mut self, from: SocketAddrV4, message: Body, actions: &mut Vec<Action>) {
+    fn on_message(&mut self, from: SocketAddrV4, message: Message, actions: &mut Vec<Action>) {
         match message {
-            Body::Ping { sequence, target } => {
+            Message::Ping { sequence, target } => {
                 if target == *self.local.id() {
-                    self.send(from, Body::Ack { sequence }, actions);
+                    self.send(from, Message::Ack { sequence }, actions);
                 }
             }
-            Body::PingReq {
+            Message::PingReq {
                 sequence,
                 target,
                 address,
@@ -61,14 +64,14 @@
                 };
                 self.relay_probe(requester, target, address, actions);
             }
-            Body::Ack { sequence } => self.on_ack(sequence, from, actions),
-            Body::Nack { sequence } => self.detector.on_nack(sequence),
-            Body::PushPull { reply } => {
+            Message::Ack { sequence } => self.on_ack(sequence, from, actions),
+            Message::Nack { sequence } => self.detector.on_nack(sequence),
+            Message::PushPull { reply } => {
                 if reply && self.limits.admit_push_pull_reply() {
                     self.send_push_pull(from, false, actions);
                 }
             }
-            Body::Gossip | Body::ViewRequest(_) | Body::ViewResponse(_) => {}
+            Message::Gossip | Message::ViewRequest(_) | Message::ViewResponse(_) => {}
         }
     }
 
@@ -100,7 +103,7 @@
     ) {
         let sequence = self.detector.relay(requester, self.now, &self.settings);
         if let Some(sequence) = sequence {
-            self.send(address, Body::Ping { sequence, target }, actions);
+            self.send(address, Message::Ping { sequence, target }, actions);
         }
     }
 
@@ -112,7 +115,7 @@
             }) => self.record_round_trip(&target, from, round_trip_ms),
             Some(AckedProbe::Relayed(requester)) => {
                 let sequence = requester.sequence;
-                self.send(requester.address, Body::Ack { sequence }, actions);
+                self.send(requester.address, Message::Ack { sequence }, actions);
             }
             None => {}
         }
@@ -122,8 +125,8 @@
     /// the target's round trip.
     fn record_round_trip(&mut self, target: &MemberId, from: SocketAddrV4, round_trip_ms: u64) {
         if self.others.record_round_trip(target, from, round_trip_ms) {
-            let usual = self.detector.record_round_trip(round_trip_ms);
-            self.local.set_usual_round_trip(usual);
+            let average = self.detector.record_round_trip(round_trip_ms);
+            self.local.set_average_round_trip(average);
         }
     }
 }
--- a/crates/heathspur-members/src/membership/send.rs
+++ b/crates/heathspur-members/src/membership/send.rs
@@ -4,7 +4,7 @@
 use crate::anti_entropy;
 use crate::event::Action;
 use crate::member::{MemberId, MemberState};
-use crate::wire::{self, Body, Envelope, Update};
+use crate::wire::{self, Envelope, Message, Update};
 use std::net::SocketAddrV4;
 
 impl Membership {
@@ -23,7 +23,7 @@
     pub(super) fn send_accusation(
         &mut self,
         suspect: &MemberId,
-        body: Body,
+        body: Message,
         actions: &mut Vec<Action>,
     ) {
         let Some(entry) = self.others.table().get(suspect) else {
@@ -35,7 +35,7 @@
     }
 
     /// Sends `body` with the local member's own update, which carries its load, and with queued gossip.
-    pub(super) fn send(&mut self, to: SocketAddrV4, body: Body, actions: &mut Vec<Action>) {
+    pub(super) fn send(&mut self, to: SocketAddrV4, body: Message, actions: &mut Vec<Action>) {
         self.send_with_first_update(to, body, self.local.update(), actions);
     }
 
@@ -43,7 +43,7 @@
     fn send_with_first_update(
         &mut self,
         to: SocketAddrV4,
-        body: Body,
+        body: Message,
         first: Update,
         actions: &mut Vec<Action>,
     ) {
--- a/crates/heathspur-members/src/membership/timers.rs
+++ b/crates/heathspur-members/src/membership/timers.rs
@@ -7,7 +7,7 @@
 use crate::member::{MemberId, MemberState};
 use crate::member_states::Accusation;
 use crate::member_table::MemberEntry;
-use crate::wire::Body;
+use crate::wire::Message;
 
 impl Membership {
     pub(super) fn on_tick(&mut self, actions: &mut Vec<Action>) {
@@ -40,7 +40,7 @@
     /// missed their refutation.
     fn query_suspects(&mut self, actions: &mut Vec<Action>) {
         for id in self.others.take_suspects_to_query(self.now) {
-            self.send_accusation(&id, Body::Gossip, actions);
+            self.send_accusation(&id, Message::Gossip, actions);
         }
     }
 
@@ -57,7 +57,7 @@
         for requester in self.detector.take_unanswered_relays(self.now) {
             if self.settings.lifeguard {
                 let sequence = requester.sequence;
-                self.send(requester.address, Body::Nack { sequence }, actions);
+                self.send(requester.address, Message::Nack { sequence }, actions);
             }
         }
     }
@@ -123,7 +123,7 @@
     }
 
     fn send_direct_probe(&mut self, probe: DirectProbe, actions: &mut Vec<Action>) {
-        let ping = Body::Ping {
+        let ping = Message::Ping {
             sequence: probe.sequence,
             target: probe.target.clone(),
         };
@@ -145,14 +145,14 @@
         } = probe;
         if self.settings.lifeguard {
             // The direct probe is repeated, since the first ping or its ack may have been lost.
-            let ping = Body::Ping {
+            let ping = Message::Ping {
                 sequence,
                 target: target.clone(),
             };
             self.send(address, ping, actions);
         }
         for helper in helpers {
-            let request = Body::PingReq {
+            let request = Message::PingReq {
                 sequence,
                 target: target.clone(),
                 address,
@@ -175,7 +175,7 @@
         if known.state == MemberState::Alive && self.settings.lifeguard {
             // The accusation is sent now instead of with the next probe, so that the suspect has the full timeout to
             // refute it.
-            self.send_accusation(target, Body::Gossip, actions);
+            self.send_accusation(target, Message::Gossip, actions);
         }
     }
 }
--- a/crates/heathspur-members/src/membership/updates.rs
+++ b/crates/heathspur-members/src/membership/updates.rs
@@ -7,7 +7,7 @@
 use crate::rejected_input::RejectionReason;
 use crate::state_record::{refuting_incarnation, UpdateEffect};
 use crate::update_check::{check_known_update, check_update, is_too_far_ahead, UpdateSource};
-use crate::wire::{Body, Envelope, Update};
+use crate::wire::{Envelope, Message, Update};
 use std::net::SocketAddrV4;
 
 impl Membership {
@@ -20,7 +20,7 @@
         // The fleet already has the members that a newcomer receives by push-pull, so the newcomer does not gossip
         // them.
         let known_by_fleet =
-            matches!(envelope.body, Body::PushPull { .. }) && self.join.is_newcomer(self.now);
+            matches!(envelope.body, Message::PushPull { .. }) && self.join.is_newcomer(self.now);
         let source = UpdateSource {
             sender: &envelope.from,
             address: from,
@@ -63,7 +63,7 @@
     }
 
     fn apply_newcomer(&mut self, update: &Update, gossip: bool, actions: &mut Vec<Action>) {
-        if !update.state.live() {
+        if !update.state.is_live() {
             return;
         }
         if self.table_is_full() {
@@ -127,7 +127,7 @@
             // The sender has missed the refutation. Without a reply it would be the only member to declare this one
             // dead.
             if self.settings.lifeguard && update.state != MemberState::Alive {
-                self.send(from, Body::Gossip, actions);
+                self.send(from, Message::Gossip, actions);
             }
             return;
         };
@@ -141,7 +141,7 @@
         }
         self.announce_incarnation(actions);
         // The refutation is sent at once to the accuser and some random members instead of with the next gossip round.
-        self.send(from, Body::Gossip, actions);
+        self.send(from, Message::Gossip, actions);
         self.gossip_to_random_members(actions);
     }
 
--- a/crates/heathspur-members/src/state_record.rs
+++ b/crates/heathspur-members/src/state_record.rs
@@ -42,7 +42,7 @@
             MemberState::Alive if !older && self.state == MemberState::Alive => {
                 UpdateEffect::Unchanged
             }
-            MemberState::Suspect | MemberState::Dead if self.state.live() && !older => {
+            MemberState::Suspect | MemberState::Dead if self.state.is_live() && !older => {
                 UpdateEffect::Accused {
                     declared_dead: reported.state == MemberState::Dead,
                 }
@@ -55,7 +55,7 @@
     /// Returns the record after a suspicion at `incarnation`; `None` if it changes nothing.
     pub fn suspect(self, incarnation: u64) -> Option<StateRecord> {
         let starts = self.state == MemberState::Alive || incarnation > self.incarnation;
-        let applies = self.state.live() && incarnation >= self.incarnation;
+        let applies = self.state.is_live() && incarnation >= self.incarnation;
         (applies && starts).then_some(StateRecord {
             state: MemberState::Suspect,
             incarnation,
--- a/crates/heathspur-members/src/view.rs
+++ b/crates/heathspur-members/src/view.rs
@@ -3,7 +3,7 @@
 use crate::local_member::LocalMember;
 use crate::member::{Member, MemberState};
 use crate::member_table::MemberTable;
-use crate::wire::{self, Body, Envelope, ViewRequest, ViewResponse, ViewRow};
+use crate::wire::{self, Envelope, Message, ViewRequest, ViewResponse, ViewRow};
 
 /// The maximum number of view rows in a datagram. The shortest rows take about 35 bytes.
 const MAX_ROWS: usize = 40;
@@ -138,7 +138,7 @@
     fn envelope(&self, response: ViewResponse) -> Envelope {
         Envelope {
             from: self.local.id().clone(),
-            body: Body::ViewResponse(response),
+            body: Message::ViewResponse(response),
             updates: Vec::new(),
         }
     }
--- a/crates/heathspur-members/src/wire.rs
+++ b/crates/heathspur-members/src/wire.rs
@@ -29,14 +29,14 @@
     /// The sender.
     pub from: MemberId,
     /// The message.
-    pub body: Body,
+    pub body: Message,
     /// Piggybacked updates about members.
     pub updates: Vec<Update>,
 }
 
 /// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum Message {
     /// A probe, answered by an ack with the same sequence number.
     Ping {
         /// The sequence number of the probe.
--- a/crates/heathspur-members/tests/input.rs
+++ b/crates/heathspur-members/tests/input.rs
@@ -1,6 +1,6 @@
 //! Invalid input is counted and dropped, tables and queues stay within their bounds, and no datagram causes a panic.
 
-use heathspur_members::wire::{self, Body, Envelope, Update, MAX_DATAGRAM_BYTES};
+use heathspur_members::wire::{self, Envelope, Message, Update, MAX_DATAGRAM_BYTES};
 use heathspur_members::{
     Action, Event, Load, Member, MemberId, MemberState, Membership, Settings, ZoneVote,
 };
@@ -15,10 +15,10 @@
         region: "r".into(),
         version: 1,
         load: Load::default(),
-        usual_round_trip_ms: 0,
+        average_round_trip_ms: 0,
         decision_epoch: 0,
         local_traffic_tenths: 10,
-        preferred_tenths: 10,
+        preferred_local_traffic_tenths: 10,
     }
 }
 
@@ -71,7 +71,7 @@
     );
     let mut datagram = wire::encode(&Envelope {
         from: MemberId("m9".into()),
-        body: Body::Gossip,
+        body: Message::Gossip,
         updates: vec![],
     })
     .unwrap();
@@ -117,7 +117,7 @@
     let mut membership = new_membership();
     let envelope = Envelope {
         from: MemberId("m1".into()),
-        body: Body::Gossip,
+        body: Message::Gossip,
         updates: vec![alive(1, 5)],
     };
     deliver(&mut membership, member(1).address, &envelope);
@@ -128,7 +128,7 @@
         member(2).address,
         &Envelope {
             from: MemberId("m2".into()),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates: vec![impostor],
         },
     );
@@ -145,7 +145,7 @@
     let mut membership = new_membership();
     let envelope = Envelope {
         from: MemberId("m1".into()),
-        body: Body::Gossip,
+        body: Message::Gossip,
         updates: vec![alive(1, 5)],
     };
     deliver(&mut membership, member(1).address, &envelope);
@@ -162,7 +162,7 @@
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates: vec![implausible, about_local_member],
         },
     );
@@ -188,7 +188,7 @@
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates: vec![suspect],
         },
     );
@@ -212,7 +212,7 @@
         member(1).address,
         &Envelope {
             from: MemberId("m1".into()),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates,
         },
     );
@@ -254,14 +254,14 @@
     for chunk in updates.chunks(10) {
         let envelope = Envelope {
             from: MemberId("m1".into()),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates: chunk.to_vec(),
         };
         deliver(&mut membership, member(1).address, &envelope);
     }
     let push_pull = Envelope {
         from: MemberId("m7".into()),
-        body: Body::PushPull { reply: true },
+        body: Message::PushPull { reply: true },
         updates: vec![alive(7, 1)],
     };
     let actions = deliver(&mut membership, member(7).address, &push_pull);
@@ -313,7 +313,7 @@
         let updates = vec![suspect.clone()];
         let envelope = Envelope {
             from: MemberId(format!("m{accuser}")),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates,
         };
         deliver(membership, member(accuser).address, &envelope)
@@ -347,7 +347,7 @@
         let updates = incarnations.map(accuse).collect();
         let envelope = Envelope {
             from: MemberId("m1".into()),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates,
         };
         deliver(&mut membership, member(1).address, &envelope).len()
@@ -371,7 +371,7 @@
     let vote = ZoneVote {
         decision_epoch: 3,
         local_traffic_tenths: 4,
-        preferred_tenths: 2,
+        preferred_local_traffic_tenths: 2,
     };
     membership.set_zone_vote(vote, &mut actions);
     assert!(actions.contains(&Action::IncarnationRaised(11)));
@@ -393,7 +393,7 @@
         (
             received.decision_epoch,
             received.local_traffic_tenths,
-            received.preferred_tenths
+            received.preferred_local_traffic_tenths
         ),
         (3, 4, 2)
     );
@@ -427,7 +427,7 @@
         };
         let request = Envelope {
             from: MemberId("?".into()),
-            body: Body::ViewRequest(request),
+            body: Message::ViewRequest(request),
             updates: vec![],
         };
         let request_len = wire::encode(&request).unwrap().len();
@@ -441,7 +441,7 @@
             "a response of {} bytes to a request of {request_len}",
             bytes.len()
         );
-        let Body::ViewResponse(response) = wire::decode(bytes).unwrap().body else {
+        let Message::ViewResponse(response) = wire::decode(bytes).unwrap().body else {
             panic!("no view response")
         };
         assert_eq!((response.sequence, response.members), (sequence, 60));
@@ -471,7 +471,7 @@
     };
     let short_request = Envelope {
         from: MemberId("?".into()),
-        body: Body::ViewRequest(short_request),
+        body: Message::ViewRequest(short_request),
         updates: vec![],
     };
     assert!(deliver(&mut membership, member(99).address, &short_request).is_empty());
@@ -495,7 +495,7 @@
         let updates = vec![suspicion(1, *accuser)];
         let envelope = Envelope {
             from: MemberId(format!("m{sender}")),
-            body: Body::Gossip,
+            body: Message::Gossip,
             updates,
         };
         deliver(&mut membership, member(*sender).address, &envelope);
@@ -530,7 +530,7 @@
     let restarted = alive(1, 1_700_000_000_000 + 366 * 86_400_000);
     let envelope = Envelope {
         from: MemberId("m1".into()),
-        body: Body::Gossip,
+        body: Message::Gossip,
         updates: vec![restarted.clone()],
     };
     deliver(&mut membership, member(1).address, &envelope);
@@ -575,7 +575,7 @@
     assert!(!actions
         .iter()
         .any(|action| matches!(action, Action::Send { bytes, .. }
-        if matches!(wire::decode(bytes).unwrap().body, Body::Ping { .. }))));
+        if matches!(wire::decode(bytes).unwrap().body, Message::Ping { .. }))));
 }
 
 proptest! {
@@ -596,7 +596,7 @@
     fn encoded_envelope_decodes_to_itself(incarnation in 0u64..1 << 40, sequence in any::<u32>(), n in 0u8..10) {
         let envelope = Envelope {
             from: MemberId("m1".into()),
-            body: Body::Ping { sequence, target: MemberId("m2".into()) },
+            body: Message::Ping { sequence, target: MemberId("m2".into()) },
             updates: (0..n).map(|i| alive(i, incarnation)).collect(),
         };
         prop_assert_eq!(wire::decode(&wire::encode(&envelope).unwrap()).unwrap(), envelope);
--- a/crates/heathspur-members/tests/model.rs
+++ b/crates/heathspur-members/tests/model.rs
@@ -110,7 +110,7 @@
         }
         let Some(known) = self.nodes[observer].view[subject] else {
             // A newcomer is added unless it is dead.
-            if reported.state.live() {
+            if reported.state.is_live() {
                 self.nodes[observer].view[subject] = Some(StateRecord {
                     state: MemberState::Alive,
                     ..reported
@@ -157,7 +157,8 @@
     /// Returns the members to which `from` sends its view. They include dead ones, so that the sides of a partition
     /// merge.
     fn receivers(&self, from: usize, mutant: Mutant) -> Vec<usize> {
-        let dead = |to: usize| self.nodes[from].view[to].is_some_and(|known| !known.state.live());
+        let dead =
+            |to: usize| self.nodes[from].view[to].is_some_and(|known| !known.state.is_live());
         let skip = |to: usize| mutant == Mutant::NoViewsToDead && dead(to);
         (0..MEMBERS)
             .filter(|&to| to != from && self.reaches(from, to) && !skip(to))
@@ -174,7 +175,7 @@
             })
             .collect();
         for (observer, subject) in pairs() {
-            let live = self.nodes[observer].view[subject].filter(|known| known.state.live());
+            let live = self.nodes[observer].view[subject].filter(|known| known.state.is_live());
             if let Some(known) =
                 live.filter(|_| self.nodes[observer].up && !self.reaches(observer, subject))
             {
@@ -201,7 +202,8 @@
         pairs()
             .filter(|(observer, _)| self.nodes[*observer].up)
             .all(|(observer, subject)| {
-                let known = self.nodes[observer].view[subject].filter(|known| known.state.live());
+                let known =
+                    self.nodes[observer].view[subject].filter(|known| known.state.is_live());
                 match self.nodes[subject].up {
                     true => {
                         known
--- a/crates/heathspur-members/tests/wire_format.rs
+++ b/crates/heathspur-members/tests/wire_format.rs
@@ -1,6 +1,8 @@
 //! The recorded bytes of every kind of datagram. They must not change, since members of different builds share a fleet.
 
-use heathspur_members::wire::{self, Body, Envelope, Update, ViewRequest, ViewResponse, ViewRow};
+use heathspur_members::wire::{
+    self, Envelope, Message, Update, ViewRequest, ViewResponse, ViewRow,
+};
 use heathspur_members::{Load, Member, MemberId, MemberState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -28,10 +30,10 @@
             concurrency_limit: 300,
             rejections_per_second: 5,
         },
-        usual_round_trip_ms: 150,
+        average_round_trip_ms: 150,
         decision_epoch: 70_000,
         local_traffic_tenths: 4,
-        preferred_tenths: 0,
+        preferred_local_traffic_tenths: 0,
     }
 }
 
@@ -43,10 +45,10 @@
         region: String::new(),
         version: 1,
         load: Load::default(),
-        usual_round_trip_ms: 0,
+        average_round_trip_ms: 0,
         decision_epoch: 0,
         local_traffic_tenths: 10,
-        preferred_tenths: 10,
+        preferred_local_traffic_tenths: 10,
     }
 }
 
@@ -59,7 +61,7 @@
     }
 }
 
-fn datagram(body: Body, updates: Vec<Update>) -> Envelope {
+fn datagram(body: Message, updates: Vec<Update>) -> Envelope {
     Envelope {
         from: id("m1"),
         body,
@@ -68,11 +70,11 @@
 }
 
 fn recorded() -> Vec<Recorded> {
-    let ping = Body::Ping {
+    let ping = Message::Ping {
         sequence: 300,
         target: id("m2"),
     };
-    let ping_req = Body::PingReq {
+    let ping_req = Message::PingReq {
         sequence: 301,
         target: id("m2"),
         address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 2), 7946),
@@ -83,12 +85,12 @@
         update(MemberState::Dead, Some(id("m1")), member_with_decision()),
         update(MemberState::Left, None, member_with_decision()),
     ];
-    let view_request = Body::ViewRequest(ViewRequest {
+    let view_request = Message::ViewRequest(ViewRequest {
         sequence: 9,
         after: Some(id("m1")),
         padding: vec![0; 4],
     });
-    let view_response = Body::ViewResponse(ViewResponse {
+    let view_response = Message::ViewResponse(ViewResponse {
         sequence: 9,
         version: 1_000,
         members: 60,
@@ -119,32 +121,32 @@
         Recorded {
             kind: "ack",
             envelope: datagram(
-                Body::Ack { sequence: 300 },
+                Message::Ack { sequence: 300 },
                 vec![update(MemberState::Alive, None, member_with_decision())],
             ),
             hex: "686d02026d3102ac02010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
         },
         Recorded {
             kind: "nack",
-            envelope: datagram(Body::Nack { sequence: 301 }, vec![]),
+            envelope: datagram(Message::Nack { sequence: 301 }, vec![]),
             hex: "686d02026d3103ad0200",
         },
         Recorded {
             kind: "push-pull that requests a reply",
             envelope: datagram(
-                Body::PushPull { reply: true },
+                Message::PushPull { reply: true },
                 vec![update(MemberState::Alive, None, member_with_decision())],
             ),
             hex: "686d02026d310401010080d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
         },
         Recorded {
             kind: "push-pull reply",
-            envelope: datagram(Body::PushPull { reply: false }, vec![]),
+            envelope: datagram(Message::PushPull { reply: false }, vec![]),
             hex: "686d02026d31040000",
         },
         Recorded {
             kind: "gossip of every state",
-            envelope: datagram(Body::Gossip, gossip_updates),
+            envelope: datagram(Message::Gossip, gossip_updates),
             hex: "686d02026d3105040080d095ffbc3100026d317f000001d83600000100000000000a0a0180d095ffbc3101026d33026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a20404000280d095ffbc3101026d31026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a20404000380d095ffbc3100026d320a0001028a3e06726967612d310662616c74696393943d07ac02059601f0a2040400",
         },
         Recorded {
@@ -199,14 +201,17 @@
 
 #[test]
 fn zone_decision_is_encoded_at_end_of_member() {
-    let encoded_with = |decision_epoch, local_traffic_tenths, preferred_tenths| {
+    let encoded_with = |decision_epoch, local_traffic_tenths, preferred_local_traffic_tenths| {
         let member = Member {
             decision_epoch,
             local_traffic_tenths,
-            preferred_tenths,
+            preferred_local_traffic_tenths,
             ..member_without_decision()
         };
-        let gossip = datagram(Body::Gossip, vec![update(MemberState::Alive, None, member)]);
+        let gossip = datagram(
+            Message::Gossip,
+            vec![update(MemberState::Alive, None, member)],
+        );
         to_hex(&wire::encode(&gossip).unwrap())
     };
     // The epoch is a variable-length integer; the accepted and the preferred level have one byte each.
--- a/crates/heathspurctl/src/members.rs
+++ b/crates/heathspurctl/src/members.rs
@@ -4,7 +4,7 @@
 use crate::table::plain;
 use clap::Args;
 use heathspur_members::wire::{
-    self, Body, Envelope, ViewRequest, ViewResponse, ViewRow, MAX_DATAGRAM_BYTES,
+    self, Envelope, Message, ViewRequest, ViewResponse, ViewRow, MAX_DATAGRAM_BYTES,
 };
 use heathspur_members::MemberId;
 use serde_json::json;
@@ -94,7 +94,7 @@
 fn encode_request(sequence: u32, after: Option<MemberId>) -> io::Result<Vec<u8>> {
     let mut envelope = Envelope {
         from: MemberId("heathspurctl".into()),
-        body: Body::ViewRequest(ViewRequest {
+        body: Message::ViewRequest(ViewRequest {
             sequence,
             after: after.clone(),
             padding: Vec::new(),
@@ -103,7 +103,7 @@
     };
     // The encoded length of the padding takes two bytes instead of one.
     let padding = vec![0; MAX_DATAGRAM_BYTES - wire::encoded_len(&envelope) - 1];
-    envelope.body = Body::ViewRequest(ViewRequest {
+    envelope.body = Message::ViewRequest(ViewRequest {
         sequence,
         after,
         padding,
@@ -148,7 +148,7 @@
     match wire::decode(datagram) {
         Ok(Envelope {
             from,
-            body: Body::ViewResponse(part),
+            body: Message::ViewResponse(part),
             ..
         }) if part.sequence == sequence => Ok(Some((from, part))),
         Err(wire::DecodeError::UnsupportedVersion { .. }) => Err(io::Error::other(
@@ -179,7 +179,7 @@
             json!({
                 "id": member.id.0, "state": row.state.as_str(), "incarnation": row.incarnation, "for_ms": row.in_state_ms,
                 "address": member.address, "zone": member.zone, "region": member.region, "version": member.version,
-                "in_flight": load.in_flight, "cap": load.concurrency_limit, "refusals_per_s": load.rejections_per_second, "lag_ms": member.usual_round_trip_ms, "epoch": member.decision_epoch, "near": member.local_traffic_tenths, "wants": member.preferred_tenths,
+                "in_flight": load.in_flight, "cap": load.concurrency_limit, "refusals_per_s": load.rejections_per_second, "lag_ms": member.average_round_trip_ms, "epoch": member.decision_epoch, "near": member.local_traffic_tenths, "wants": member.preferred_local_traffic_tenths,
             })
         })
         .collect();
@@ -240,11 +240,11 @@
             in_flight,
             cap,
             refusals,
-            format!("{} ms", member.usual_round_trip_ms),
+            format!("{} ms", member.average_round_trip_ms),
             member.decision_epoch.to_string(),
             format!(
                 "{}/10, wants {}",
-                member.local_traffic_tenths, member.preferred_tenths
+                member.local_traffic_tenths, member.preferred_local_traffic_tenths
             ),
         ]);
     }
--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -198,7 +198,7 @@
         ZoneVote {
             decision_epoch: accepted.epoch,
             local_traffic_tenths: accepted.local_traffic_tenths,
-            preferred_tenths: preferred,
+            preferred_local_traffic_tenths: preferred,
         }
     }
 
@@ -274,7 +274,7 @@
     Peer {
         zone: member.zone.clone(),
         region: member.region.clone(),
-        live: state.live(),
+        live: state.is_live(),
         load: PeerLoad {
             concurrency_limit: member.load.concurrency_limit,
             in_flight: member.load.in_flight,
@@ -284,7 +284,7 @@
                 epoch: member.decision_epoch,
                 local_traffic_tenths: member.local_traffic_tenths,
             },
-            preferred: member.preferred_tenths,
+            preferred: member.preferred_local_traffic_tenths,
         },
     }
 }
--- a/crates/heathspurd/src/membership/mod.rs
+++ b/crates/heathspurd/src/membership/mod.rs
@@ -178,10 +178,10 @@
         region: config.region.clone(),
         version: program_version(),
         load: Load::default(),
-        usual_round_trip_ms: 0,
+        average_round_trip_ms: 0,
         decision_epoch: 0,
         local_traffic_tenths: ALL_TRAFFIC_TENTHS,
-        preferred_tenths: ALL_TRAFFIC_TENTHS,
+        preferred_local_traffic_tenths: ALL_TRAFFIC_TENTHS,
     })
 }
 
