--- a/crates/heathspur-emulator/src/experiment.rs
+++ b/crates/heathspur-emulator/src/experiment.rs
@@ -78,7 +78,7 @@
 impl Runner {
     fn new(plan: &Plan, seed: u64) -> Runner {
         let settings = plan.settings();
-        let fleet = if plan.standing {
+        let fleet = if plan.established {
             Fleet::established(plan.members, plan.zones, settings, seed)
         } else {
             Fleet::new(plan.members, plan.zones, settings, seed)
@@ -90,7 +90,7 @@
             member_ms: 0,
             samples: Vec::new(),
         };
-        if !plan.standing {
+        if !plan.established {
             runner.start_measurement(INITIAL_JOIN, FaultKind::Restart, None);
         }
         runner
@@ -200,7 +200,7 @@
     let elapsed_ms = fleet.now - measurement.started_at;
     if let Some(member) = measurement.stopped_member {
         update_detection(outcome, fleet, member, elapsed_ms);
-        if outcome.all_ms.is_none() {
+        if outcome.all_detected_ms.is_none() {
             return false;
         }
     }
@@ -217,9 +217,9 @@
     let detected_by_all = detection.detected_by == detection.observers;
     for (time, reached) in [
         (&mut outcome.suspected_ms, fleet.views.is_suspected(member)),
-        (&mut outcome.first_ms, detection.detected_by > 0),
-        (&mut outcome.most_ms, detected_by_most),
-        (&mut outcome.all_ms, detected_by_all),
+        (&mut outcome.first_detected_ms, detection.detected_by > 0),
+        (&mut outcome.most_detected_ms, detected_by_most),
+        (&mut outcome.all_detected_ms, detected_by_all),
     ] {
         if reached {
             time.get_or_insert(elapsed_ms);
--- a/crates/heathspur-emulator/src/outcome.rs
+++ b/crates/heathspur-emulator/src/outcome.rs
@@ -15,11 +15,14 @@
     #[serde(rename = "noticed_ms")]
     pub suspected_ms: Option<u64>,
     /// The time until the first other member considered the stopped one dead or left.
-    pub first_ms: Option<u64>,
+    #[serde(rename = "first_ms")]
+    pub first_detected_ms: Option<u64>,
     /// The time until 99% of the other members considered it dead or left.
-    pub most_ms: Option<u64>,
+    #[serde(rename = "most_ms")]
+    pub most_detected_ms: Option<u64>,
     /// The time until all other members considered it dead or left.
-    pub all_ms: Option<u64>,
+    #[serde(rename = "all_ms")]
+    pub all_detected_ms: Option<u64>,
     /// The time until the views of all running members were correct.
     #[serde(rename = "settled_ms")]
     pub converged_ms: Option<u64>,
@@ -31,9 +34,9 @@
             fault,
             kind,
             suspected_ms: None,
-            first_ms: None,
-            most_ms: None,
-            all_ms: None,
+            first_detected_ms: None,
+            most_detected_ms: None,
+            all_detected_ms: None,
             converged_ms: None,
         }
     }
--- a/crates/heathspur-emulator/src/plan.rs
+++ b/crates/heathspur-emulator/src/plan.rs
@@ -34,8 +34,8 @@
     #[serde(rename = "@duration")]
     pub duration: Span,
     /// Whether every member has all others in its view at the start. Otherwise all join through the first one at once.
-    #[serde(rename = "@standing", default = "default::standing")]
-    pub standing: bool,
+    #[serde(rename = "@standing", default = "default::established")]
+    pub established: bool,
     /// The protocol period; 50 ms to 60 s.
     #[serde(rename = "@period", default = "default::period")]
     pub period: Span,
@@ -136,7 +136,7 @@
         1
     }
 
-    pub(super) fn standing() -> bool {
+    pub(super) fn established() -> bool {
         true
     }
 
--- a/crates/heathspur-emulator/tests/plan.rs
+++ b/crates/heathspur-emulator/tests/plan.rs
@@ -142,10 +142,13 @@
             "seed {seed}: {join:?}"
         );
         assert!(
-            crash.all_ms.is_some_and(|ms| ms < 35_000),
+            crash.all_detected_ms.is_some_and(|ms| ms < 35_000),
             "seed {seed}: {crash:?}"
         );
-        assert!(crash.suspected_ms <= crash.first_ms && crash.first_ms <= crash.most_ms);
+        assert!(
+            crash.suspected_ms <= crash.first_detected_ms
+                && crash.first_detected_ms <= crash.most_detected_ms
+        );
         assert!(restart.converged_ms.is_some(), "seed {seed}: {restart:?}");
         assert_eq!(samples.len(), 120);
     }
--- a/crates/heathspurctl/src/experiment.rs
+++ b/crates/heathspurctl/src/experiment.rs
@@ -60,9 +60,9 @@
 /// The reported times of a fault, with their names in the report.
 const TIME_METRICS: [(&str, TimeMetric); 5] = [
     ("noticed", |outcome| outcome.suspected_ms),
-    ("first", |outcome| outcome.first_ms),
-    ("most", |outcome| outcome.most_ms),
-    ("all", |outcome| outcome.all_ms),
+    ("first", |outcome| outcome.first_detected_ms),
+    ("most", |outcome| outcome.most_detected_ms),
+    ("all", |outcome| outcome.all_detected_ms),
     ("settled", |outcome| outcome.converged_ms),
 ];
 
