--- a/crates/heathspurd/src/membership/failover.rs
+++ b/crates/heathspurd/src/membership/failover.rs
@@ -129,14 +129,14 @@
     zones: Vec<String>,
     addresses: Vec<SocketAddr>,
     /// The index of the local zone.
-    home: usize,
+    local_index: usize,
 }
 
-/// Creates the membership thread's part and the event loop's part of failover. `home` is the index of the local zone's
-/// replica.
+/// Creates the membership thread's part and the event loop's part of failover. `local_index` is the index of the local
+/// zone's replica.
 pub(crate) fn start(
     config: &FailoverConfig,
-    home: usize,
+    local_index: usize,
     region: &str,
 ) -> (FailoverWorker, ReplicaRoutes) {
     let zones: Vec<String> = config.replica.iter().map(|r| r.zone.clone()).collect();
@@ -144,18 +144,23 @@
     let shared = Arc::new(Shared::default());
     let worker = FailoverWorker {
         shared: shared.clone(),
-        failover: Failover::new(zones.clone(), home, region.to_string(), hysteresis(config)),
+        failover: Failover::new(
+            zones.clone(),
+            local_index,
+            region.to_string(),
+            hysteresis(config),
+        ),
         advanced_to: Instant::now(),
         plan: RoutingPlan::default(),
         without_quorum: false,
-        local_replica: addresses[home],
+        local_replica: addresses[local_index],
         check_interval: config.health_check_interval.0,
     };
     let routes = ReplicaRoutes {
         shared,
         zones,
         addresses,
-        home,
+        local_index,
     };
     (worker, routes)
 }
@@ -294,7 +299,7 @@
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
     /// The index of the local zone.
-    home: usize,
+    local_index: usize,
     /// The version of the plan that `picker` uses.
     plan_version: Cell<u64>,
     picker: RefCell<ReplicaPicker>,
@@ -304,10 +309,10 @@
     /// Creates the router. Must be called on the event loop's thread.
     pub(crate) fn into_router(self) -> Rc<Router> {
         Rc::new(Router {
-            picker: RefCell::new(ReplicaPicker::new(self.zones, self.home)),
+            picker: RefCell::new(ReplicaPicker::new(self.zones, self.local_index)),
             shared: self.shared,
             addresses: self.addresses,
-            home: self.home,
+            local_index: self.local_index,
             plan_version: Cell::new(0),
         })
     }
@@ -355,7 +360,7 @@
 
     /// Counts the outcome of the call if it went to the local replica. Only the first outcome counts.
     pub(crate) fn complete(&self, outcome: Outcome) {
-        if self.replica != self.router.home || self.completed.replace(true) {
+        if self.replica != self.router.local_index || self.completed.replace(true) {
             return;
         }
         let counters = &self.router.shared.counters;
--- a/crates/heathspurd/src/startup.rs
+++ b/crates/heathspurd/src/startup.rs
@@ -77,12 +77,12 @@
     let Some(members) = &operator.members else {
         return Ok((None, None));
     };
-    let home_zone = operator
+    let failover_and_index = operator
         .failover
         .as_ref()
         .and_then(|failover| Some((failover, failover.replica_of(&members.zone)?)));
-    let (decider, routes) = home_zone
-        .map(|(failover, home)| failover::start(failover, home, &members.region))
+    let (decider, routes) = failover_and_index
+        .map(|(failover, local_index)| failover::start(failover, local_index, &members.region))
         .unzip();
     let membership = MembershipThread::start(members, decider).map_err(Error::Membership)?;
     Ok((Some(membership), routes))
