--- a/crates/heathspur-bench/src/large.rs
+++ b/crates/heathspur-bench/src/large.rs
@@ -1,7 +1,7 @@
 //! Speed and peak memory of reading a large capture file.
 
 use crate::table::Table;
-use heathspur_capture::{write, Side, Stamp};
+use heathspur_capture::{write, Side, Timestamp};
 use heathspur_testkit::capture::{
     client_address, request, response, server_address, CAPTURE_START_NANOS, NANOS_PER_MS,
 };
@@ -32,7 +32,7 @@
     let write_packet =
         |out: &mut BufWriter<File>, packet: &[u8], elapsed_nanos: u64| -> std::io::Result<u64> {
             let record = write::pcap_record(
-                Stamp(CAPTURE_START_NANOS + elapsed_nanos),
+                Timestamp(CAPTURE_START_NANOS + elapsed_nanos),
                 packet,
                 packet.len() as u32,
             );
--- a/crates/heathspur-bench/src/storm.rs
+++ b/crates/heathspur-bench/src/storm.rs
@@ -3,7 +3,7 @@
 //! In the capture, segments are out of order, repeated, cut short or missing, and the file ends within a packet.
 
 use crate::table::Table;
-use heathspur_capture::{write, Side, Stamp};
+use heathspur_capture::{write, Side, Timestamp};
 use heathspur_testkit::capture::{response, CaptureBuilder, CAPTURE_START_NANOS, NANOS_PER_MS};
 use heathspur_testkit::prelude::program_path;
 use heathspur_testkit::recording_server::{ReceivedRequest, RecordingServer, ResponseOptions};
@@ -126,7 +126,7 @@
     let mut record_ends = Vec::new();
     for (at, data, full_len, _) in &captured {
         file.extend(write::pcap_record(
-            Stamp(CAPTURE_START_NANOS + at),
+            Timestamp(CAPTURE_START_NANOS + at),
             data,
             *full_len as u32,
         ));
--- a/crates/heathspur-capture/src/exchange/matching.rs
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -4,7 +4,7 @@
 //! are matched by capture time until no request is open.
 
 use super::message::{Found, Message};
-use crate::{ConnectionId, Stamp};
+use crate::{ConnectionId, Timestamp};
 use std::collections::VecDeque;
 
 /// A request whose response was not found yet.
@@ -13,7 +13,7 @@
     index: u64,
     is_head: bool,
     /// The latest capture time of its bytes.
-    last: Stamp,
+    last: Timestamp,
 }
 
 /// The open requests of one connection, and responses without a request.
@@ -72,7 +72,7 @@
     }
 
     /// Adds a request that was skipped and whose end is known. It has a response like other requests.
-    pub fn skip_request(&mut self, time: Stamp, found: &mut VecDeque<Found>) {
+    pub fn skip_request(&mut self, time: Timestamp, found: &mut VecDeque<Found>) {
         let request = OpenRequest {
             index: self.take_index(),
             is_head: false,
@@ -152,7 +152,7 @@
 
     /// Removes and returns the latest request that was complete at `time`. Also removes the requests before it, whose
     /// responses are lost.
-    fn take_latest_before(&mut self, time: Stamp) -> Option<OpenRequest> {
+    fn take_latest_before(&mut self, time: Timestamp) -> Option<OpenRequest> {
         let position = self.open.iter().rposition(|request| request.last <= time)?;
         self.open.drain(..=position).next_back()
     }
--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -1,6 +1,6 @@
 //! Messages found in a capture, and reports of bytes that belong to none.
 
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use bytes::Bytes;
 use heathspur_wire::http::{request_line, status_line, Fields};
 use std::fmt;
@@ -18,9 +18,9 @@
     /// The range of the body, including any chunk framing.
     pub body: Range<usize>,
     /// The capture time of the first byte.
-    pub first: Stamp,
+    pub first: Timestamp,
     /// The latest capture time of its bytes.
-    pub last: Stamp,
+    pub last: Timestamp,
 }
 
 impl Message {
@@ -109,6 +109,6 @@
         /// The number of bytes that were captured and skipped.
         bytes: u64,
         /// The capture time of the first of them.
-        time: Stamp,
+        time: Timestamp,
     },
 }
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -5,7 +5,7 @@
 use super::resync::find_message_start;
 use super::stream::{Mode, SkippedBytes, Stream};
 use super::Limits;
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use heathspur_wire::framing::{self, Chunks, Head, Kind, Length};
 use heathspur_wire::http::{self, request_line, status_line};
 use std::collections::VecDeque;
@@ -39,7 +39,7 @@
 
 impl Parser<'_> {
     /// Processes bytes that the side sent.
-    pub fn process_bytes(&mut self, time: Stamp, bytes: &[u8]) {
+    pub fn process_bytes(&mut self, time: Timestamp, bytes: &[u8]) {
         self.stream.push(time, bytes);
         self.parse_buffer();
     }
--- a/crates/heathspur-capture/src/exchange/stream.rs
+++ b/crates/heathspur-capture/src/exchange/stream.rs
@@ -1,7 +1,7 @@
 //! The unparsed bytes of one side of a connection, with their capture times.
 
 use super::message::Cause;
-use crate::Stamp;
+use crate::Timestamp;
 use bytes::{Bytes, BytesMut};
 use heathspur_wire::framing::{Chunks, Head};
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
 pub(super) struct SkippedBytes {
     pub count: u64,
     /// The capture time of the first of them.
-    pub time: Stamp,
+    pub time: Timestamp,
 }
 
 /// The parser state of one side of a connection.
@@ -35,7 +35,7 @@
     pub mode: Mode,
     pub buffer: BytesMut,
     /// The length and capture time of each chunk in the buffer.
-    chunks: VecDeque<(usize, Stamp)>,
+    chunks: VecDeque<(usize, Timestamp)>,
     pub skipped: Option<SkippedBytes>,
     /// Whether a message head was parsed on this side.
     pub is_http: bool,
@@ -52,20 +52,20 @@
         }
     }
 
-    pub fn push(&mut self, time: Stamp, bytes: &[u8]) {
+    pub fn push(&mut self, time: Timestamp, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
         self.chunks.push_back((bytes.len(), time));
     }
 
     /// Returns the capture time of the first byte in the buffer.
-    pub fn first_time(&self) -> Stamp {
+    pub fn first_time(&self) -> Timestamp {
         self.chunks
             .front()
-            .map_or(Stamp::default(), |&(_, time)| time)
+            .map_or(Timestamp::default(), |&(_, time)| time)
     }
 
     /// Returns the latest capture time of the first `count` bytes in the buffer.
-    pub fn latest_time(&self, count: usize) -> Stamp {
+    pub fn latest_time(&self, count: usize) -> Timestamp {
         let mut latest = self.first_time();
         let mut covered = 0;
         for &(length, time) in &self.chunks {
--- a/crates/heathspur-capture/src/file/mod.rs
+++ b/crates/heathspur-capture/src/file/mod.rs
@@ -12,7 +12,7 @@
 pub use error::{FileError, FileErrorKind};
 pub use link::LinkType;
 
-use crate::{Leg, Stamp};
+use crate::{Leg, Timestamp};
 use std::ops::Range;
 
 /// The longest packet that is accepted, in bytes. Capture programs write at most this by default.
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
     /// The capture time.
-    pub time: Stamp,
+    pub time: Timestamp,
     /// The link type.
     pub link: LinkType,
     /// The bytes that were captured.
@@ -58,7 +58,7 @@
     record_len: usize,
     /// The range of the captured bytes in the record or block.
     data: Range<usize>,
-    time: Stamp,
+    time: Timestamp,
     link: LinkType,
     wire_len: u32,
     leg: Option<Leg>,
--- a/crates/heathspur-capture/src/file/pcap.rs
+++ b/crates/heathspur-capture/src/file/pcap.rs
@@ -3,7 +3,7 @@
 use super::error::FileErrorKind;
 use super::link::LinkType;
 use super::{read_u32, PacketRecord, Parsed, MAX_PACKET_BYTES};
-use crate::Stamp;
+use crate::Timestamp;
 use pcap_parser::pcap::{parse_pcap_frame, parse_pcap_frame_be, parse_pcap_header};
 
 /// Length of the file header, in bytes.
@@ -77,7 +77,7 @@
     Ok(Parsed::Packet(PacketRecord {
         record_len,
         data: RECORD_HEADER_LEN..record_len,
-        time: Stamp(seconds + u64::from(record.ts_usec) * nanos_per_unit),
+        time: Timestamp(seconds + u64::from(record.ts_usec) * nanos_per_unit),
         link: header.link,
         wire_len: record.origlen,
         leg: None,
--- a/crates/heathspur-capture/src/file/pcapng.rs
+++ b/crates/heathspur-capture/src/file/pcapng.rs
@@ -3,7 +3,7 @@
 use super::error::FileErrorKind;
 use super::link::LinkType;
 use super::{read_u32, PacketRecord, Parsed, MAX_PACKET_BYTES};
-use crate::{Leg, Stamp};
+use crate::{Leg, Timestamp};
 use pcap_parser::pcapng::{
     parse_block_be, parse_block_le, Block, EnhancedPacketBlock, InterfaceDescriptionBlock,
     OptionCode, SimplePacketBlock,
@@ -146,7 +146,7 @@
         Ok(PacketRecord {
             record_len,
             data: SIMPLE_DATA_OFFSET..SIMPLE_DATA_OFFSET + captured,
-            time: Stamp::default(),
+            time: Timestamp::default(),
             link: interface.link,
             wire_len: block.origlen,
             leg: interface.leg,
@@ -207,10 +207,10 @@
         })
     }
 
-    fn time(&self, units: u64) -> Stamp {
+    fn time(&self, units: u64) -> Timestamp {
         let offset = i128::from(self.offset_seconds) * i128::from(NANOS_PER_SECOND);
         let nanos = self.resolution.nanos(units) as i128 + offset;
-        Stamp(nanos.clamp(0, u64::MAX.into()) as u64)
+        Timestamp(nanos.clamp(0, u64::MAX.into()) as u64)
     }
 }
 
--- a/crates/heathspur-capture/src/frame/fragments.rs
+++ b/crates/heathspur-capture/src/frame/fragments.rs
@@ -1,7 +1,7 @@
 //! Reassembly of fragmented IP datagrams with bounded memory.
 
 use super::SkipReason;
-use crate::Stamp;
+use crate::Timestamp;
 use etherparse::defrag::IpDefragBuf;
 use etherparse::{IpFragOffset, IpNumber};
 use std::collections::BTreeMap;
@@ -31,12 +31,12 @@
 #[derive(Debug)]
 struct Datagram {
     /// The capture time of the fragment that was captured first.
-    first_fragment: Stamp,
+    first_fragment: Timestamp,
     buffer: IpDefragBuf,
 }
 
 impl Datagram {
-    fn new(time: Stamp) -> Datagram {
+    fn new(time: Timestamp) -> Datagram {
         Datagram {
             first_fragment: time,
             buffer: IpDefragBuf::new(IpNumber::TCP, Vec::new(), Vec::new()),
@@ -56,7 +56,7 @@
     /// Adds a fragment. Returns the payload of its datagram once the datagram is complete.
     pub fn add(
         &mut self,
-        time: Stamp,
+        time: Timestamp,
         id: DatagramId,
         header: &FragmentHeader,
         payload: &[u8],
@@ -88,7 +88,7 @@
         Ok(payload)
     }
 
-    fn discard_expired(&mut self, now: Stamp) {
+    fn discard_expired(&mut self, now: Timestamp) {
         let count = self.datagrams.len();
         self.datagrams
             .retain(|_, datagram| now.since(datagram.first_fragment) < FRAGMENT_TIMEOUT_NANOS);
--- a/crates/heathspur-capture/src/frame/mod.rs
+++ b/crates/heathspur-capture/src/frame/mod.rs
@@ -5,7 +5,7 @@
 mod headers;
 
 use crate::file::Packet;
-use crate::Stamp;
+use crate::Timestamp;
 use etherparse::{IpNumber, LaxNetSlice, TcpSlice, TransportSlice};
 use fragments::{DatagramId, FragmentHeader, Fragments};
 use headers::{ip_header, slice, IpHeader};
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Segment<'a> {
     /// The capture time of its packet, or of the last fragment.
-    pub time: Stamp,
+    pub time: Timestamp,
     /// The sender.
     pub from: SocketAddr,
     /// The receiver.
@@ -132,7 +132,7 @@
     /// Returns the segment of a fragmented datagram once the datagram is complete.
     fn fragment<'a>(
         &mut self,
-        time: Stamp,
+        time: Timestamp,
         ip: &IpHeader,
         fragment: &FragmentHeader,
         payload: &[u8],
@@ -161,7 +161,7 @@
 }
 
 /// Returns a segment without its payload.
-fn segment_header<'a>(time: Stamp, ip: &IpHeader, tcp: &TcpSlice<'_>) -> Segment<'a> {
+fn segment_header<'a>(time: Timestamp, ip: &IpHeader, tcp: &TcpSlice<'_>) -> Segment<'a> {
     Segment {
         time,
         from: SocketAddr::new(ip.from, tcp.source_port()),
--- a/crates/heathspur-capture/src/lib.rs
+++ b/crates/heathspur-capture/src/lib.rs
@@ -18,11 +18,11 @@
 
 /// A point in capture time, in nanoseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Stamp(pub u64);
+pub struct Timestamp(pub u64);
 
-impl Stamp {
+impl Timestamp {
     /// Returns the nanoseconds from another point to this one; 0 if the other point is later.
-    pub fn since(self, earlier: Stamp) -> u64 {
+    pub fn since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -4,7 +4,7 @@
 use crate::file::{FileError, Packet, Reader};
 use crate::frame::{Frames, SkipReason};
 use crate::reassembly::{self, Assembler, Counts, Event};
-use crate::{Leg, Stamp};
+use crate::{Leg, Timestamp};
 use std::collections::BTreeMap;
 
 /// Options for reading a capture.
@@ -41,9 +41,9 @@
     /// Places in connections where bytes are missing.
     pub holes: u64,
     /// The capture time of the first packet that has one.
-    pub first: Option<Stamp>,
+    pub first: Option<Timestamp>,
     /// The latest capture time.
-    pub last: Stamp,
+    pub last: Timestamp,
     /// The error that stopped reading before the end of the file.
     pub damage: Option<FileError>,
 }
@@ -53,7 +53,7 @@
         let is_truncated = (packet.data.len() as u64) < packet.wire_len.into();
         self.packets += 1;
         self.truncated_packets += u64::from(is_truncated);
-        if packet.time > Stamp::default() {
+        if packet.time > Timestamp::default() {
             self.first.get_or_insert(packet.time);
             self.last = self.last.max(packet.time);
         }
--- a/crates/heathspur-capture/src/reassembly/connection.rs
+++ b/crates/heathspur-capture/src/reassembly/connection.rs
@@ -3,7 +3,7 @@
 use super::direction::{Anomalies, Direction, Payload};
 use super::event::Start;
 use crate::frame::Segment;
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use std::net::SocketAddr;
 
 #[derive(Debug)]
@@ -15,9 +15,9 @@
     /// The sequence numbers of the SYNs that were captured, in the same order.
     syn: [Option<u32>; 2],
     /// The capture time of the latest segment.
-    pub last_segment: Stamp,
+    pub last_segment: Timestamp,
     /// The capture time at which the connection ended.
-    pub closed_at: Option<Stamp>,
+    pub closed_at: Option<Timestamp>,
     /// The number of bytes buffered behind gaps, as last added to the assembler's total.
     pub buffered_bytes: usize,
 }
--- a/crates/heathspur-capture/src/reassembly/direction.rs
+++ b/crates/heathspur-capture/src/reassembly/direction.rs
@@ -6,7 +6,7 @@
 
 use super::pieces::{Piece, Pieces};
 use super::recent::RecentBytes;
-use crate::Stamp;
+use crate::Timestamp;
 use bytes::Bytes;
 use std::collections::VecDeque;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Output {
     /// The next bytes, with the time at which they were first captured.
-    Bytes { time: Stamp, bytes: Bytes },
+    Bytes { time: Timestamp, bytes: Bytes },
     /// Missing bytes. Their number is unknown where the direction resynchronised.
     Hole { length: Option<u64> },
     /// The FIN or RST, after all bytes that precede it.
@@ -51,7 +51,7 @@
 /// The payload of a segment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Payload<'a> {
-    pub time: Stamp,
+    pub time: Timestamp,
     /// The sequence number of the first byte.
     pub seq: u32,
     pub bytes: &'a [u8],
@@ -132,7 +132,7 @@
     }
 
     /// Returns the capture time of the oldest piece behind a gap.
-    pub fn waiting_since(&self) -> Option<Stamp> {
+    pub fn waiting_since(&self) -> Option<Timestamp> {
         self.pieces.oldest_time()
     }
 
--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -1,7 +1,7 @@
 //! The events and counters of the reassembly.
 
 use super::direction::Anomalies;
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use bytes::Bytes;
 use std::net::SocketAddr;
 
@@ -41,7 +41,7 @@
         /// The address of the side that accepted the connection.
         server: SocketAddr,
         /// The capture time of its first packet.
-        time: Stamp,
+        time: Timestamp,
         /// Whether its start was captured.
         start: Start,
     },
@@ -52,7 +52,7 @@
         /// The sender.
         side: Side,
         /// The time at which they were first captured.
-        time: Stamp,
+        time: Timestamp,
         /// The bytes.
         bytes: Bytes,
     },
@@ -74,7 +74,7 @@
         /// How the side ended.
         end: End,
         /// The capture time at which the end was determined.
-        time: Stamp,
+        time: Timestamp,
     },
     /// The connection has ended. This is its last event.
     Closed {
@@ -83,7 +83,7 @@
         /// How the connection ended.
         end: End,
         /// The capture time at which the end was determined.
-        time: Stamp,
+        time: Timestamp,
     },
 }
 
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -15,7 +15,7 @@
 pub use event::{Counts, End, Event, Start};
 
 use crate::frame::Segment;
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use connection::{is_probably_from_client, Connection};
 use direction::{Direction, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -78,9 +78,9 @@
     next_id: u64,
     buffered_bytes: usize,
     /// The latest capture time.
-    now: Stamp,
+    now: Timestamp,
     /// The capture time at which the age of gaps was last checked.
-    gaps_checked: Stamp,
+    gaps_checked: Timestamp,
     events: VecDeque<Event>,
     counts: Counts,
 }
@@ -97,8 +97,8 @@
             waiting: BTreeMap::new(),
             next_id: 0,
             buffered_bytes: 0,
-            now: Stamp::default(),
-            gaps_checked: Stamp::default(),
+            now: Timestamp::default(),
+            gaps_checked: Timestamp::default(),
             events: VecDeque::new(),
             counts: Counts::default(),
         }
@@ -214,7 +214,7 @@
     }
 
     /// Queues the output of a connection as events, and closes the connection if it has ended.
-    fn emit(&mut self, flow: FlowKey, time: Stamp) {
+    fn emit(&mut self, flow: FlowKey, time: Timestamp) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
         };
@@ -406,12 +406,12 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionCandidate {
     is_open: bool,
-    last_segment: Stamp,
+    last_segment: Timestamp,
     id: ConnectionId,
     flow: FlowKey,
 }
 
-fn output_event(conn: ConnectionId, side: Side, time: Stamp, output: Output) -> Event {
+fn output_event(conn: ConnectionId, side: Side, time: Timestamp, output: Output) -> Event {
     match output {
         Output::Bytes { time, bytes } => Event::Bytes {
             conn,
--- a/crates/heathspur-capture/src/reassembly/pieces.rs
+++ b/crates/heathspur-capture/src/reassembly/pieces.rs
@@ -4,7 +4,7 @@
 //! receivers have already delivered these to their application.
 
 use super::direction::Anomalies;
-use crate::Stamp;
+use crate::Timestamp;
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -12,8 +12,8 @@
 /// Captured bytes, or the place of bytes that are missing because the capture truncated their packet.
 #[derive(Clone, Debug)]
 pub(super) enum Piece {
-    Bytes { time: Stamp, bytes: Bytes },
-    Truncated { time: Stamp, length: u64 },
+    Bytes { time: Timestamp, bytes: Bytes },
+    Truncated { time: Timestamp, length: u64 },
 }
 
 impl Piece {
@@ -24,7 +24,7 @@
         }
     }
 
-    fn time(&self) -> Stamp {
+    fn time(&self) -> Timestamp {
         match self {
             Piece::Bytes { time, .. } | Piece::Truncated { time, .. } => *time,
         }
@@ -33,7 +33,7 @@
 
 /// A part of a segment that is being inserted: the captured payload, or the place of truncated bytes.
 struct Incoming<'a> {
-    time: Stamp,
+    time: Timestamp,
     range: Range<u64>,
     /// `None` for truncated bytes.
     payload: Option<&'a [u8]>,
@@ -87,7 +87,7 @@
         self.by_offset.keys().next().copied()
     }
 
-    pub fn oldest_time(&self) -> Option<Stamp> {
+    pub fn oldest_time(&self) -> Option<Timestamp> {
         self.by_offset.values().map(Piece::time).min()
     }
 
@@ -112,7 +112,7 @@
     /// Inserts a payload and the place of the truncated bytes after it.
     pub fn insert(
         &mut self,
-        time: Stamp,
+        time: Timestamp,
         start: u64,
         payload: &[u8],
         truncated: u64,
@@ -210,7 +210,7 @@
         self.by_offset.insert(start, piece);
     }
 
-    fn put_truncated(&mut self, time: Stamp, range: Range<u64>) {
+    fn put_truncated(&mut self, time: Timestamp, range: Range<u64>) {
         if !range.is_empty() {
             let length = range.end - range.start;
             self.by_offset
--- a/crates/heathspur-capture/src/write.rs
+++ b/crates/heathspur-capture/src/write.rs
@@ -2,7 +2,7 @@
 //! sides exchanged. Conversations have handshakes, sequence numbers, checksums and ends, so that any capture tool can
 //! read them.
 
-use crate::{Side, Stamp};
+use crate::{Side, Timestamp};
 use etherparse::PacketBuilder;
 use pcap_parser::pcapng::{
     EnhancedPacketBlock, InterfaceDescriptionBlock, InterfaceStatisticsBlock, OptionCode,
@@ -35,7 +35,7 @@
 }
 
 /// Encodes a record of a pcap file. `data` is the captured part of a packet of `wire_len` bytes.
-pub fn pcap_record(time: Stamp, data: &[u8], wire_len: u32) -> Vec<u8> {
+pub fn pcap_record(time: Timestamp, data: &[u8], wire_len: u32) -> Vec<u8> {
     let record = LegacyPcapBlock {
         ts_sec: (time.0 / 1_000_000_000) as u32,
         ts_usec: (time.0 % 1_000_000_000) as u32,
@@ -47,7 +47,7 @@
 }
 
 /// Encodes the section header of a pcapng file.
-pub fn ng_section() -> Vec<u8> {
+pub fn pcapng_section() -> Vec<u8> {
     let mut section = SectionHeaderBlock {
         block_type: 0,
         block_len1: 0,
@@ -63,7 +63,7 @@
 
 /// Encodes an interface description of a pcapng file, with time stamps in nanoseconds. Packets refer to an interface by
 /// its position among all interfaces.
-pub fn ng_interface(link: i32, name: &str) -> Vec<u8> {
+pub fn pcapng_interface(link: i32, name: &str) -> Vec<u8> {
     let mut interface = InterfaceDescriptionBlock {
         block_type: 0,
         block_len1: 0,
@@ -82,17 +82,17 @@
 }
 
 /// Encodes the start of a pcapng file: the section header and the interfaces of these names, all with raw IP.
-pub fn ng_start(interfaces: &[&str]) -> Vec<u8> {
+pub fn pcapng_start(interfaces: &[&str]) -> Vec<u8> {
     let described = interfaces
         .iter()
-        .flat_map(|name| ng_interface(RAW_IP, name));
-    ng_section().into_iter().chain(described).collect()
+        .flat_map(|name| pcapng_interface(RAW_IP, name));
+    pcapng_section().into_iter().chain(described).collect()
 }
 
 /// Encodes an enhanced packet block of a pcapng file, with a comment unless `comment` is empty.
-pub fn ng_packet(
+pub fn pcapng_packet(
     interface: u32,
-    time: Stamp,
+    time: Timestamp,
     data: &[u8],
     wire_len: u32,
     comment: &str,
@@ -118,7 +118,7 @@
 
 /// Encodes an interface statistics block of a pcapng file: the number of packets that an interface received and dropped
 /// up to a time (`isb_ifrecv`, `isb_ifdrop`).
-pub fn ng_statistics(interface: u32, time: Stamp, received: u64, dropped: u64) -> Vec<u8> {
+pub fn pcapng_statistics(interface: u32, time: Timestamp, received: u64, dropped: u64) -> Vec<u8> {
     let (received, dropped) = (received.to_le_bytes(), dropped.to_le_bytes());
     let mut block = InterfaceStatisticsBlock {
         block_type: 0,
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -163,7 +163,7 @@
     let heads = prop::sample::select(vec![
         heathspur_capture::write::pcap_header(1, 0),
         heathspur_capture::write::pcap_header(101, 0),
-        heathspur_capture::write::ng_start(&["a", "b"]),
+        heathspur_capture::write::pcapng_start(&["a", "b"]),
         Vec::new(),
     ]);
     seeded(400)
@@ -188,17 +188,19 @@
             |(body_lengths, segment, changes, is_pcapng)| {
                 let (packets, _) = conversations(&body_lengths, segment);
                 let mut file = if is_pcapng {
-                    heathspur_capture::write::ng_start(&["a"])
+                    heathspur_capture::write::pcapng_start(&["a"])
                 } else {
                     pcap_file(&[])
                 };
                 for (time, packet) in &packets {
                     let (time, length) = (
-                        heathspur_capture::Stamp(CAPTURE_START_NANOS + time),
+                        heathspur_capture::Timestamp(CAPTURE_START_NANOS + time),
                         packet.len() as u32,
                     );
                     file.extend(match is_pcapng {
-                        true => heathspur_capture::write::ng_packet(0, time, packet, length, ""),
+                        true => {
+                            heathspur_capture::write::pcapng_packet(0, time, packet, length, "")
+                        }
                         false => heathspur_capture::write::pcap_record(time, packet, length),
                     });
                 }
--- a/crates/heathspur-capture/tests/file.rs
+++ b/crates/heathspur-capture/tests/file.rs
@@ -296,12 +296,12 @@
             Some(*end)
         })
         .collect();
-    let mut pcapng_file = write::ng_start(&["front"]);
+    let mut pcapng_file = write::pcapng_start(&["front"]);
     let mut pcapng_block_ends = Vec::new();
     for (time, packet) in &script.packets {
-        pcapng_file.extend(write::ng_packet(
+        pcapng_file.extend(write::pcapng_packet(
             0,
-            heathspur_capture::Stamp(CAPTURE_START_NANOS + time),
+            heathspur_capture::Timestamp(CAPTURE_START_NANOS + time),
             packet,
             packet.len() as u32,
             "x",
--- a/crates/heathspur-capture/tests/frames.rs
+++ b/crates/heathspur-capture/tests/frames.rs
@@ -3,7 +3,7 @@
 use heathspur_capture::file::{LinkType, Packet};
 use heathspur_capture::frame::{Frames, Segment, SkipReason};
 use heathspur_capture::write::{segment, Flags};
-use heathspur_capture::Stamp;
+use heathspur_capture::Timestamp;
 use heathspur_testkit::capture::*;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 
 fn packet(link: LinkType, data: &[u8]) -> Packet<'_> {
     Packet {
-        time: Stamp(CAPTURE_START_NANOS),
+        time: Timestamp(CAPTURE_START_NANOS),
         link,
         data,
         wire_len: data.len() as u32,
@@ -181,7 +181,7 @@
     }
     assert_eq!(frames.incomplete_datagrams(), 1000 - 64);
     let late = Packet {
-        time: Stamp(CAPTURE_START_NANOS + 16_000_000_000),
+        time: Timestamp(CAPTURE_START_NANOS + 16_000_000_000),
         ..packet(LinkType::Ip, &complete)
     };
     assert!(frames.segment(&late).is_ok());
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -288,7 +288,7 @@
         } else {
             packet.len()
         };
-        let time = heathspur_capture::Stamp(CAPTURE_START_NANOS + time);
+        let time = heathspur_capture::Timestamp(CAPTURE_START_NANOS + time);
         file.extend(heathspur_capture::write::pcap_record(
             time,
             &packet[..captured],
--- a/crates/heathspur-record/src/conversation.rs
+++ b/crates/heathspur-record/src/conversation.rs
@@ -4,7 +4,7 @@
 use crate::redaction::{RedactionPolicy, Redactor, TimedBytes};
 use bytes::Bytes;
 use heathspur_capture::write::TcpConversation;
-use heathspur_capture::{Side, Stamp};
+use heathspur_capture::{Side, Timestamp};
 
 /// Multiplier that spreads connection ids over the sequence numbers: 2^32 divided by the golden ratio.
 const SEQUENCE_MULTIPLIER: u32 = 0x9e37_79b9;
@@ -12,7 +12,7 @@
 /// A packet to be recorded.
 #[derive(Debug)]
 pub(crate) struct Packet {
-    pub time: Stamp,
+    pub time: Timestamp,
     /// The packet from its IP header on.
     pub bytes: Vec<u8>,
     /// The packet's comment in the file; empty for none.
@@ -20,7 +20,7 @@
 }
 
 impl Packet {
-    fn new(time: Stamp, bytes: Vec<u8>) -> Packet {
+    fn new(time: Timestamp, bytes: Vec<u8>) -> Packet {
         Packet {
             time,
             bytes,
@@ -36,12 +36,12 @@
     /// The redactors of the client's and of the server's bytes, in this order.
     redactors: [Redactor; 2],
     /// The time of the latest event.
-    pub last_event: Stamp,
+    pub last_event: Timestamp,
 }
 
 impl Conversation {
     /// Creates a conversation at its start.
-    pub fn new(connection: &ConnectionInfo, time: Stamp) -> Conversation {
+    pub fn new(connection: &ConnectionInfo, time: Timestamp) -> Conversation {
         // Different initial sequence numbers distinguish successive connections that use the same ports.
         let client_sequence = (connection.id as u32).wrapping_mul(SEQUENCE_MULTIPLIER);
         let sequences = [client_sequence, !client_sequence];
@@ -54,7 +54,7 @@
 
     /// Creates a conversation whose start was not recorded. The positions in the current messages are unknown, so all
     /// bytes are overwritten if anything is redacted.
-    pub fn without_start(connection: &ConnectionInfo, time: Stamp) -> Conversation {
+    pub fn without_start(connection: &ConnectionInfo, time: Timestamp) -> Conversation {
         let mut conversation = Conversation::new(connection, time);
         for redactor in &mut conversation.redactors {
             redactor.lose_position(&mut Vec::new());
@@ -89,7 +89,7 @@
         &mut self,
         policy: &RedactionPolicy,
         side: Side,
-        time: Stamp,
+        time: Timestamp,
         bytes: &Bytes,
     ) -> Vec<Packet> {
         let mut released = Vec::new();
@@ -108,7 +108,7 @@
         packets
     }
 
-    fn close(&mut self, by: Side, reset: bool, time: Stamp) -> Vec<Packet> {
+    fn close(&mut self, by: Side, reset: bool, time: Timestamp) -> Vec<Packet> {
         let mut packets = self.flush(Side::Client);
         packets.extend(self.flush(Side::Server));
         if reset {
--- a/crates/heathspur-record/src/recorder.rs
+++ b/crates/heathspur-record/src/recorder.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use heathspur_capture::write;
 pub use heathspur_capture::Leg;
-use heathspur_capture::{Side, Stamp};
+use heathspur_capture::{Side, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -56,7 +56,7 @@
     /// The connection.
     pub connection: ConnectionInfo,
     /// The time of the event.
-    pub time: Stamp,
+    pub time: Timestamp,
     /// The kind of the event.
     pub kind: EventKind,
 }
@@ -104,7 +104,7 @@
 
     /// Returns the blocks at the start of each file.
     pub fn file_header(&self) -> Vec<u8> {
-        write::ng_start(&Leg::ALL.map(Leg::name))
+        write::pcapng_start(&Leg::ALL.map(Leg::name))
     }
 
     /// Adds to the number of events of a leg that were dropped before they reached the recorder.
@@ -125,7 +125,7 @@
     }
 
     /// Returns the interface statistics of all legs, which end a file.
-    pub fn final_statistics(&self, time: Stamp) -> Vec<u8> {
+    pub fn final_statistics(&self, time: Timestamp) -> Vec<u8> {
         Leg::ALL
             .into_iter()
             .flat_map(|leg| self.statistics(leg, time))
@@ -133,7 +133,7 @@
     }
 
     /// Returns the statistics of a leg if events were dropped since the last report of drops.
-    fn unreported_drops(&mut self, leg: Leg, time: Stamp) -> Vec<u8> {
+    fn unreported_drops(&mut self, leg: Leg, time: Timestamp) -> Vec<u8> {
         let counters = &mut self.counters[leg as usize];
         if counters.dropped_events <= counters.reported_drops {
             return Vec::new();
@@ -142,10 +142,10 @@
         self.statistics(leg, time)
     }
 
-    fn statistics(&self, leg: Leg, time: Stamp) -> Vec<u8> {
+    fn statistics(&self, leg: Leg, time: Timestamp) -> Vec<u8> {
         let counters = self.counters[leg as usize];
         let received = counters.recorded_packets + counters.dropped_events;
-        write::ng_statistics(leg as u32, time, received, counters.dropped_events)
+        write::pcapng_statistics(leg as u32, time, received, counters.dropped_events)
     }
 
     fn packets(&mut self, event: &Event) -> Vec<Packet> {
@@ -190,7 +190,7 @@
 
 fn packet_block(leg: Leg, packet: &Packet) -> Vec<u8> {
     let wire_len = packet.bytes.len() as u32;
-    write::ng_packet(
+    write::pcapng_packet(
         leg as u32,
         packet.time,
         &packet.bytes,
--- a/crates/heathspur-record/src/redaction.rs
+++ b/crates/heathspur-record/src/redaction.rs
@@ -5,7 +5,7 @@
 //! HTTP/1.1 are all overwritten, because they may contain anything.
 
 use bytes::{Bytes, BytesMut};
-use heathspur_capture::Stamp;
+use heathspur_capture::Timestamp;
 use heathspur_wire::framing::{self, Head, Kind, Length};
 use heathspur_wire::http::{self, request_line, status_line, Fields};
 use std::collections::VecDeque;
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedBytes {
     /// The time at which the bytes arrived.
-    pub time: Stamp,
+    pub time: Timestamp,
     /// The redacted bytes.
     pub bytes: Bytes,
 }
@@ -64,7 +64,7 @@
     position: Position,
     buffer: BytesMut,
     /// The length and arrival time of each chunk in the buffer.
-    chunks: VecDeque<(usize, Stamp)>,
+    chunks: VecDeque<(usize, Timestamp)>,
 }
 
 impl Default for Redactor {
@@ -82,7 +82,7 @@
     pub fn redact(
         &mut self,
         policy: &RedactionPolicy,
-        time: Stamp,
+        time: Timestamp,
         bytes: &Bytes,
         out: &mut Vec<TimedBytes>,
     ) {
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use heathspur_capture::reassembly::{End, Event as Read, Start};
-use heathspur_capture::{Item, Options, Side, Stamp};
+use heathspur_capture::{Item, Options, Side, Timestamp};
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
 use heathspur_record::rotation::{FileAction, FileRotation, Limits, StatusChange};
@@ -26,7 +26,7 @@
 fn event(number: u64, ms: u64, kind: EventKind) -> Event {
     Event {
         connection: connection(number),
-        time: Stamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
+        time: Timestamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
         kind,
     }
 }
@@ -45,7 +45,7 @@
     for event in events {
         file.extend(recorder.encode(event));
     }
-    file.extend(recorder.final_statistics(Stamp(CAPTURE_START_NANOS)));
+    file.extend(recorder.final_statistics(Timestamp(CAPTURE_START_NANOS)));
     file
 }
 
@@ -262,9 +262,9 @@
     let len_without_drops = recorder.encode(&event(1, 0, EventKind::Opened)).len();
     recorder.add_dropped(Leg::Front, 7);
     let after_drops = recorder.encode(&event(2, 1, EventKind::Opened));
-    let statistics = heathspur_capture::write::ng_statistics(
+    let statistics = heathspur_capture::write::pcapng_statistics(
         0,
-        Stamp(CAPTURE_START_NANOS + NANOS_PER_MS),
+        Timestamp(CAPTURE_START_NANOS + NANOS_PER_MS),
         3 + 7,
         7,
     );
--- a/crates/heathspur-record/tests/stored_format.rs
+++ b/crates/heathspur-record/tests/stored_format.rs
@@ -2,7 +2,7 @@
 //! always be encoded as the same bytes.
 
 use bytes::Bytes;
-use heathspur_capture::{Side, Stamp};
+use heathspur_capture::{Side, Timestamp};
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
 use heathspur_testkit::capture::{request, response, CAPTURE_START_NANOS, NANOS_PER_MS};
@@ -26,7 +26,7 @@
             client: client.parse().unwrap(),
             server: server.parse().unwrap(),
         },
-        time: Stamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
+        time: Timestamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
         kind,
     }
 }
@@ -74,7 +74,7 @@
         }
         file.extend(recorder.encode(event));
     }
-    file.extend(recorder.final_statistics(Stamp(CAPTURE_START_NANOS + 12 * NANOS_PER_MS)));
+    file.extend(recorder.final_statistics(Timestamp(CAPTURE_START_NANOS + 12 * NANOS_PER_MS)));
     file
 }
 
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -3,7 +3,7 @@
 
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::write::{self, TcpConversation};
-use heathspur_capture::{ConnectionId, Item, Options, Pipeline, Side, Stamp, Tally};
+use heathspur_capture::{ConnectionId, Item, Options, Pipeline, Side, Tally, Timestamp};
 use std::net::SocketAddr;
 
 /// Nanoseconds in a millisecond.
@@ -88,7 +88,7 @@
     let mut file = write::pcap_header(write::RAW_IP, 0);
     for (at, packet) in packets {
         file.extend(write::pcap_record(
-            Stamp(CAPTURE_START_NANOS + at),
+            Timestamp(CAPTURE_START_NANOS + at),
             packet,
             packet.len() as u32,
         ));
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -9,7 +9,7 @@
 use heathspur_capture::frame::{Frames, SkipReason};
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::write;
-use heathspur_capture::{ConnectionId, Item, Stamp};
+use heathspur_capture::{ConnectionId, Item, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -41,7 +41,7 @@
 }
 
 /// First and last time of each selected connection, by sender and receiver address. Both directions have entries.
-type Spans = HashMap<(SocketAddr, SocketAddr), Vec<(Stamp, Stamp)>>;
+type Spans = HashMap<(SocketAddr, SocketAddr), Vec<(Timestamp, Timestamp)>>;
 
 /// Packets up to this long after the end of a connection belong to it, such as retransmissions; in nanoseconds.
 const LATE_PACKET_NANOS: u64 = 1_000_000_000;
@@ -52,7 +52,7 @@
 #[derive(Default)]
 struct ConnectionSearch {
     /// Client, server and start of each open connection.
-    open: BTreeMap<ConnectionId, (SocketAddr, SocketAddr, Stamp)>,
+    open: BTreeMap<ConnectionId, (SocketAddr, SocketAddr, Timestamp)>,
     selected: BTreeSet<ConnectionId>,
     spans: Spans,
 }
@@ -80,13 +80,13 @@
         }
     }
 
-    fn close(&mut self, connection: ConnectionId, closed_at: Stamp) {
+    fn close(&mut self, connection: ConnectionId, closed_at: Timestamp) {
         let opened = self.open.remove(&connection);
         let is_selected = self.selected.remove(&connection);
         let Some((client, server, from)) = opened.filter(|_| is_selected) else {
             return;
         };
-        let until = Stamp(closed_at.0.saturating_add(LATE_PACKET_NANOS));
+        let until = Timestamp(closed_at.0.saturating_add(LATE_PACKET_NANOS));
         for direction in [(client, server), (server, client)] {
             let spans = self.spans.entry(direction).or_default();
             spans.push((from, until));
@@ -110,19 +110,19 @@
 
 /// Decides which packets are written.
 struct PacketFilter {
-    from: Option<Stamp>,
-    to: Option<Stamp>,
+    from: Option<Timestamp>,
+    to: Option<Timestamp>,
     /// The selected connections; `None` if packets are selected by time only.
     spans: Option<Spans>,
     frames: Frames,
 }
 
 impl PacketFilter {
-    fn new(options: &Options, capture_start: Stamp, spans: Spans) -> PacketFilter {
+    fn new(options: &Options, capture_start: Timestamp, spans: Spans) -> PacketFilter {
         let time = |seconds: Option<f64>| {
             seconds.map(|seconds| {
                 let offset = (seconds.max(0.0) * 1e9) as u64;
-                Stamp(capture_start.0.saturating_add(offset))
+                Timestamp(capture_start.0.saturating_add(offset))
             })
         };
         PacketFilter {
@@ -154,7 +154,7 @@
     }
 }
 
-fn contains(spans: &[(Stamp, Stamp)], time: Stamp) -> bool {
+fn contains(spans: &[(Timestamp, Timestamp)], time: Timestamp) -> bool {
     spans
         .iter()
         .any(|(from, until)| (*from..=*until).contains(&time))
@@ -170,7 +170,7 @@
 impl CaptureWriter {
     fn new(file: File) -> io::Result<CaptureWriter> {
         let mut output = BufWriter::new(file);
-        output.write_all(&write::ng_section())?;
+        output.write_all(&write::pcapng_section())?;
         Ok(CaptureWriter {
             output,
             links: Vec::new(),
@@ -180,7 +180,7 @@
 
     fn write(&mut self, packet: &Packet<'_>) -> io::Result<()> {
         let interface = self.interface(packet.link)?;
-        let block = write::ng_packet(interface, packet.time, packet.data, packet.wire_len, "");
+        let block = write::pcapng_packet(interface, packet.time, packet.data, packet.wire_len, "");
         self.output.write_all(&block)?;
         self.packets += 1;
         Ok(())
@@ -191,7 +191,7 @@
         if let Some(interface) = self.links.iter().position(|existing| *existing == link) {
             return Ok(interface as u32);
         }
-        let block = write::ng_interface(link.number(), INTERFACE_NAME);
+        let block = write::pcapng_interface(link.number(), INTERFACE_NAME);
         self.output.write_all(&block)?;
         self.links.push(link);
         Ok(self.links.len() as u32 - 1)
--- a/crates/heathspurctl/tests/pcap.rs
+++ b/crates/heathspurctl/tests/pcap.rs
@@ -1,7 +1,7 @@
 //! Tests of the commands as processes: captures are read, cut and replayed to a fake server on loopback, and operator's
 //! files are checked.
 
-use heathspur_capture::{Side, Stamp};
+use heathspur_capture::{Side, Timestamp};
 use heathspur_testkit::capture::*;
 use heathspur_testkit::proxy::{self, Faults};
 use heathspur_testkit::recording_server::{RecordingServer, ResponseOptions};
@@ -369,9 +369,9 @@
     builder.close();
     use heathspur_capture::write;
     let mut file = [
-        write::ng_section(),
-        write::ng_interface(101, "a"),
-        write::ng_interface(1, "b"),
+        write::pcapng_section(),
+        write::pcapng_interface(101, "a"),
+        write::pcapng_interface(1, "b"),
     ]
     .concat();
     for (n, (at, packet)) in builder.packets.iter().enumerate() {
@@ -380,9 +380,9 @@
         } else {
             [&[0; 12][..], &[8, 0], packet].concat()
         };
-        file.extend(write::ng_packet(
+        file.extend(write::pcapng_packet(
             n as u32 % 2,
-            Stamp(CAPTURE_START_NANOS + at),
+            Timestamp(CAPTURE_START_NANOS + at),
             &data,
             data.len() as u32,
             "",
--- a/crates/heathspurd/src/recording/handle.rs
+++ b/crates/heathspurd/src/recording/handle.rs
@@ -1,7 +1,7 @@
 //! The handle through which recorded streams queue their events for the recorder's thread.
 
 use super::unix_time;
-use heathspur_capture::Stamp;
+use heathspur_capture::Timestamp;
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg};
 use std::cell::Cell;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -119,8 +119,8 @@
     }
 
     /// Returns the current timestamp.
-    fn now(&self) -> Stamp {
-        Stamp(self.start_unix_nanos + self.start.elapsed().as_nanos() as u64)
+    fn now(&self) -> Timestamp {
+        Timestamp(self.start_unix_nanos + self.start.elapsed().as_nanos() as u64)
     }
 }
 
--- a/crates/heathspurd/src/recording/writer.rs
+++ b/crates/heathspurd/src/recording/writer.rs
@@ -2,7 +2,7 @@
 
 use super::handle::QueuedEvent;
 use super::unix_time;
-use heathspur_capture::Stamp;
+use heathspur_capture::Timestamp;
 use heathspur_config::{Contents, Record};
 use heathspur_record::recorder::{Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
@@ -110,7 +110,7 @@
     /// Writes the pending blocks and the final statistics of the open file.
     fn end_recording(&mut self) {
         if self.file.is_some() {
-            let now = Stamp(unix_time().as_nanos() as u64);
+            let now = Timestamp(unix_time().as_nanos() as u64);
             let blocks = self.recorder.final_statistics(now);
             self.pending_blocks.extend(blocks);
         }
