--- a/crates/heathspur-capture/src/exchange/matching.rs
+++ b/crates/heathspur-capture/src/exchange/matching.rs
@@ -13,13 +13,13 @@
     index: u64,
     is_head: bool,
     /// The latest capture time of its bytes.
-    last: Timestamp,
+    last_byte_at: Timestamp,
 }
 
 /// The open requests of one connection, and responses without a request.
 #[derive(Debug)]
 pub(super) struct Matcher {
-    conn: ConnectionId,
+    connection: ConnectionId,
     /// The maximum number of open requests, and of responses without a request.
     max_open: usize,
     next_index: u64,
@@ -31,9 +31,9 @@
 }
 
 impl Matcher {
-    pub fn new(conn: ConnectionId, max_open: usize, by_time: bool) -> Matcher {
+    pub fn new(connection: ConnectionId, max_open: usize, by_time: bool) -> Matcher {
         Matcher {
-            conn,
+            connection,
             max_open,
             next_index: 0,
             open: VecDeque::new(),
@@ -57,16 +57,16 @@
         let is_head = message
             .request_line()
             .is_some_and(|(method, _)| method == b"HEAD");
-        let last = message.last;
+        let last_byte_at = message.last_byte_at;
         found.push_back(Found::Request {
-            conn: self.conn,
+            connection: self.connection,
             index,
             message,
         });
         let request = OpenRequest {
             index,
             is_head,
-            last,
+            last_byte_at,
         };
         self.open_request(request, found);
     }
@@ -76,7 +76,7 @@
         let request = OpenRequest {
             index: self.take_index(),
             is_head: false,
-            last: time,
+            last_byte_at: time,
         };
         self.open_request(request, found);
     }
@@ -98,21 +98,21 @@
             return;
         }
         let request = if self.by_time {
-            self.take_latest_before(message.first)
+            self.take_latest_before(message.first_byte_at)
         } else {
             self.open.pop_front()
         };
         self.by_time &= !self.open.is_empty();
-        let to = request.map(|request| request.index);
-        found.push_back(self.matched(to, message));
+        let request_index = request.map(|request| request.index);
+        found.push_back(self.matched(request_index, message));
     }
 
     /// Reports the responses whose request was not found.
     pub fn finish(self, found: &mut VecDeque<Found>) {
-        let conn = self.conn;
+        let connection = self.connection;
         found.extend(self.early.into_iter().map(|message| Found::Response {
-            conn,
-            to: None,
+            connection,
+            request_index: None,
             message,
         }));
     }
@@ -128,12 +128,12 @@
             // Clients do not pipeline this many requests, so the response to the oldest one must be lost.
             self.open.pop_front();
         }
-        let (index, last) = (request.index, request.last);
+        let (index, last_byte_at) = (request.index, request.last_byte_at);
         self.open.push_back(request);
         // Packets may be captured out of order, so a response can precede its request. The capture time is more
         // reliable than the order only if bytes are missing.
         while let Some(early) = self.early.pop_front() {
-            if !self.by_time || early.first >= last {
+            if !self.by_time || early.first_byte_at >= last_byte_at {
                 self.open.pop_back();
                 found.push_back(self.matched(Some(index), early));
                 break;
@@ -153,14 +153,17 @@
     /// Removes and returns the latest request that was complete at `time`. Also removes the requests before it, whose
     /// responses are lost.
     fn take_latest_before(&mut self, time: Timestamp) -> Option<OpenRequest> {
-        let position = self.open.iter().rposition(|request| request.last <= time)?;
+        let position = self
+            .open
+            .iter()
+            .rposition(|request| request.last_byte_at <= time)?;
         self.open.drain(..=position).next_back()
     }
 
-    fn matched(&self, to: Option<u64>, message: Message) -> Found {
+    fn matched(&self, request_index: Option<u64>, message: Message) -> Found {
         Found::Response {
-            conn: self.conn,
-            to,
+            connection: self.connection,
+            request_index,
             message,
         }
     }
--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -18,9 +18,9 @@
     /// The range of the body, including any chunk framing.
     pub body: Range<usize>,
     /// The capture time of the first byte.
-    pub first: Timestamp,
+    pub first_byte_at: Timestamp,
     /// The latest capture time of its bytes.
-    pub last: Timestamp,
+    pub last_byte_at: Timestamp,
 }
 
 impl Message {
@@ -83,7 +83,7 @@
     /// A request.
     Request {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The index of the request on its connection, from 0. Skipped requests whose end is known count as well.
         index: u64,
         /// The request.
@@ -92,16 +92,16 @@
     /// A final response.
     Response {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The index of its request, if known.
-        to: Option<u64>,
+        request_index: Option<u64>,
         /// The response.
         message: Message,
     },
     /// Bytes that belong to no complete message.
     Skipped {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The sender.
         side: Side,
         /// The reason why they were skipped.
--- a/crates/heathspur-capture/src/exchange/mod.rs
+++ b/crates/heathspur-capture/src/exchange/mod.rs
@@ -99,23 +99,31 @@
     /// Processes the next event.
     pub fn process(&mut self, event: &Event) {
         match event {
-            Event::Opened { conn, start, .. } => {
-                let connection = Connection::new(*conn, *start, &self.limits);
-                self.connections.insert(*conn, connection);
+            Event::Opened {
+                connection, start, ..
+            } => {
+                let state = Connection::new(*connection, *start, &self.limits);
+                self.connections.insert(*connection, state);
             }
             Event::Bytes {
-                conn,
+                connection,
                 side,
                 time,
                 bytes,
-            } => self.parse(*conn, *side, |parser| parser.process_bytes(*time, bytes)),
-            Event::Hole { conn, side, length } => {
-                self.parse(*conn, *side, |parser| parser.process_hole(*length));
-            }
-            Event::Ended { conn, side, .. } => {
-                self.parse(*conn, *side, |parser| parser.process_end())
+            } => self.parse(*connection, *side, |parser| {
+                parser.process_bytes(*time, bytes)
+            }),
+            Event::Hole {
+                connection,
+                side,
+                length,
+            } => {
+                self.parse(*connection, *side, |parser| parser.process_hole(*length));
             }
-            Event::Closed { conn, .. } => self.close(*conn),
+            Event::Ended {
+                connection, side, ..
+            } => self.parse(*connection, *side, |parser| parser.process_end()),
+            Event::Closed { connection, .. } => self.close(*connection),
         }
     }
 
@@ -134,7 +142,7 @@
             return;
         };
         let mut parser = Parser {
-            conn: id,
+            connection: id,
             side,
             limits: &self.limits,
             stream: &mut connection.streams[side.index()],
--- a/crates/heathspur-capture/src/exchange/parser.rs
+++ b/crates/heathspur-capture/src/exchange/parser.rs
@@ -29,7 +29,7 @@
 
 /// One side of a connection while an event of it is processed.
 pub(super) struct Parser<'a> {
-    pub conn: ConnectionId,
+    pub connection: ConnectionId,
     pub side: Side,
     pub limits: &'a Limits,
     pub stream: &'a mut Stream,
@@ -196,14 +196,15 @@
         let Mode::Body { head, .. } = mode else {
             return;
         };
-        let (first, last) = (self.stream.first_time(), self.stream.latest_time(end));
+        let (first_byte_at, last_byte_at) =
+            (self.stream.first_time(), self.stream.latest_time(end));
         let message = Message {
             bytes: self.stream.consume(end),
             line: head.start_line,
             fields: head.fields,
             body: head.end..end,
-            first,
-            last,
+            first_byte_at,
+            last_byte_at,
         };
         match self.side {
             Side::Client => self.matcher.add_request(message, self.found),
@@ -271,7 +272,7 @@
     fn report_skipped(&mut self, cause: Cause) {
         if let Some(SkippedBytes { count, time }) = self.stream.skipped.take() {
             self.found.push_back(Found::Skipped {
-                conn: self.conn,
+                connection: self.connection,
                 side: self.side,
                 cause,
                 bytes: count,
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -45,7 +45,7 @@
     /// The latest capture time.
     pub last: Timestamp,
     /// The error that stopped reading before the end of the file.
-    pub damage: Option<FileError>,
+    pub error: Option<FileError>,
 }
 
 impl Tally {
@@ -121,7 +121,7 @@
                 Ok(Some(packet)) => packet,
                 Ok(None) => return true,
                 Err(error) => {
-                    self.tally.damage = Some(error);
+                    self.tally.error = Some(error);
                     return false;
                 }
             };
@@ -148,7 +148,7 @@
     /// Ends the file and passes the remaining items to `found`.
     pub fn finish(&mut self, mut found: impl FnMut(Item)) {
         if let Err(error) = self.reader.finish() {
-            self.tally.damage = Some(error);
+            self.tally.error = Some(error);
         }
         self.assembler.finish();
         deliver(
--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -35,7 +35,7 @@
     /// A connection was found. This is its first event.
     Opened {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The address of the side that opened the connection.
         client: SocketAddr,
         /// The address of the side that accepted the connection.
@@ -48,7 +48,7 @@
     /// The next bytes of one side.
     Bytes {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The sender.
         side: Side,
         /// The time at which they were first captured.
@@ -59,7 +59,7 @@
     /// Bytes of one side are missing here.
     Hole {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The sender.
         side: Side,
         /// The number of missing bytes, if known.
@@ -68,7 +68,7 @@
     /// One side has ended: no further bytes or holes of it follow.
     Ended {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The side.
         side: Side,
         /// How the side ended.
@@ -79,7 +79,7 @@
     /// The connection has ended. This is its last event.
     Closed {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// How the connection ended.
         end: End,
         /// The capture time at which the end was determined.
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -205,7 +205,7 @@
         let connection = Connection::new(id, client, segment, start);
         self.connections.insert(flow, connection);
         self.events.push_back(Event::Opened {
-            conn: id,
+            connection: id,
             client,
             server,
             time: segment.time,
@@ -267,11 +267,11 @@
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
         };
-        let conn = connection.id;
+        let id = connection.id;
         for side in [Side::Client, Side::Server] {
             if !connection.directions[side.index()].has_ended() {
                 self.events.push_back(Event::Ended {
-                    conn,
+                    connection: id,
                     side,
                     end,
                     time,
@@ -280,7 +280,11 @@
         }
         connection.directions = Default::default();
         self.update_buffered(flow);
-        self.events.push_back(Event::Closed { conn, end, time });
+        self.events.push_back(Event::Closed {
+            connection: id,
+            end,
+            time,
+        });
     }
 
     /// Abandons gaps after which too many bytes are buffered or too much time has elapsed, and further ones while the
@@ -411,17 +415,21 @@
     flow: FlowKey,
 }
 
-fn output_event(conn: ConnectionId, side: Side, time: Timestamp, output: Output) -> Event {
+fn output_event(connection: ConnectionId, side: Side, time: Timestamp, output: Output) -> Event {
     match output {
         Output::Bytes { time, bytes } => Event::Bytes {
-            conn,
+            connection,
             side,
             time,
             bytes,
         },
-        Output::Hole { length } => Event::Hole { conn, side, length },
+        Output::Hole { length } => Event::Hole {
+            connection,
+            side,
+            length,
+        },
         Output::End { reset } => Event::Ended {
-            conn,
+            connection,
             side,
             end: if reset { End::Reset } else { End::Closed },
             time,
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -50,17 +50,17 @@
     let mut ports = std::collections::BTreeMap::new();
     for item in &read.connections {
         if let heathspur_capture::Item::Connection(heathspur_capture::reassembly::Event::Opened {
-            conn,
+            connection,
             client,
             ..
         }) = item
         {
-            ports.insert(*conn, *client);
+            ports.insert(*connection, *client);
         }
     }
-    for (conn, _, message) in &read.requests {
+    for (connection, _, message) in &read.requests {
         by_port
-            .entry(ports[conn])
+            .entry(ports[connection])
             .or_default()
             .push(message.bytes.to_vec());
     }
@@ -96,7 +96,10 @@
                 prop_assert_eq!(requests_by_connection(&read), sent);
                 prop_assert_eq!(read.tally.holes, 0);
                 prop_assert_eq!(read.tally.tcp.anomalies.conflicting, 0);
-                prop_assert!(read.responses.iter().all(|(_, to, _)| to.is_some()));
+                prop_assert!(read
+                    .responses
+                    .iter()
+                    .all(|(_, request_index, _)| request_index.is_some()));
                 Ok(())
             },
         )
--- a/crates/heathspur-capture/tests/reassembly.rs
+++ b/crates/heathspur-capture/tests/reassembly.rs
@@ -42,7 +42,7 @@
     let responses: Vec<_> = read
         .responses
         .iter()
-        .map(|(_, to, message)| (*to, message.status()))
+        .map(|(_, request_index, message)| (*request_index, message.status()))
         .collect();
     assert_eq!(
         responses,
@@ -87,8 +87,8 @@
     let first = &read.requests[0].2;
     assert_eq!(
         (
-            first.first.0 - CAPTURE_START_NANOS,
-            first.last.0 - CAPTURE_START_NANOS
+            first.first_byte_at.0 - CAPTURE_START_NANOS,
+            first.last_byte_at.0 - CAPTURE_START_NANOS
         ),
         (4 * NANOS_PER_MS, 7 * NANOS_PER_MS)
     );
@@ -187,7 +187,7 @@
     let responses: Vec<_> = read
         .responses
         .iter()
-        .map(|(_, to, message)| (*to, message.status()))
+        .map(|(_, request_index, message)| (*request_index, message.status()))
         .collect();
     assert_eq!(responses[1..], [(Some(1), Some(201)), (Some(2), Some(202))]);
 }
@@ -309,7 +309,7 @@
     let responses: Vec<_> = read
         .responses
         .iter()
-        .map(|(_, to, message)| (*to, message.status()))
+        .map(|(_, request_index, message)| (*request_index, message.status()))
         .collect();
     assert_eq!(
         responses,
@@ -605,7 +605,13 @@
     let responses: Vec<_> = read
         .responses
         .iter()
-        .map(|(_, to, message)| (*to, message.status().unwrap(), message.body().len()))
+        .map(|(_, request_index, message)| {
+            (
+                *request_index,
+                message.status().unwrap(),
+                message.body().len(),
+            )
+        })
         .collect();
     assert_eq!(
         responses,
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -90,15 +90,17 @@
     let first = &read.requests[0].2;
     assert_eq!(
         (
-            first.first.0 - CAPTURE_START_NANOS,
-            first.last.0 - CAPTURE_START_NANOS
+            first.first_byte_at.0 - CAPTURE_START_NANOS,
+            first.last_byte_at.0 - CAPTURE_START_NANOS
         ),
         (5 * NANOS_PER_MS, 9 * NANOS_PER_MS)
     );
     let responses: Vec<_> = read
         .responses
         .iter()
-        .map(|(_, to, message)| (*to, message.status(), message.body().to_vec()))
+        .map(|(_, request_index, message)| {
+            (*request_index, message.status(), message.body().to_vec())
+        })
         .collect();
     assert_eq!(
         responses,
@@ -124,7 +126,7 @@
     assert_eq!(
         (
             read.tally.holes,
-            read.tally.damage,
+            read.tally.error,
             read.tally.skipped_packets.len()
         ),
         (0, None, 0)
@@ -205,7 +207,7 @@
         }
         // A byte keeps its arrival time even if it was buffered.
         assert_eq!(
-            read.requests[0].2.first.0,
+            read.requests[0].2.first_byte_at.0,
             CAPTURE_START_NANOS + NANOS_PER_MS
         );
     }
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -129,13 +129,15 @@
     let mut capture = ParsedCapture::default();
     let record = |capture: &mut ParsedCapture, item: Item| match item {
         Item::Message(Found::Request {
-            conn,
+            connection,
             index,
             message,
-        }) => capture.requests.push((conn, index, message)),
-        Item::Message(Found::Response { conn, to, message }) => {
-            capture.responses.push((conn, to, message))
-        }
+        }) => capture.requests.push((connection, index, message)),
+        Item::Message(Found::Response {
+            connection,
+            request_index,
+            message,
+        }) => capture.responses.push((connection, request_index, message)),
         Item::Message(skipped) => capture.skipped.push(skipped),
         Item::Connection(event) => capture.connections.push(Item::Connection(event)),
     };
--- a/crates/heathspurctl/src/cut.rs
+++ b/crates/heathspurctl/src/cut.rs
@@ -61,20 +61,26 @@
     fn add(&mut self, item: Item, options: &Options) {
         match item {
             Item::Connection(Event::Opened {
-                conn,
+                connection,
                 client,
                 server,
                 time,
                 ..
             }) => {
-                self.open.insert(conn, (client, server, time));
-                if options.connection.contains(&conn.0) {
-                    self.selected.insert(conn);
+                self.open.insert(connection, (client, server, time));
+                if options.connection.contains(&connection.0) {
+                    self.selected.insert(connection);
                 }
             }
-            Item::Connection(Event::Closed { conn, time, .. }) => self.close(conn, time),
-            Item::Message(Found::Request { conn, message, .. }) if options.selects(&message) => {
-                self.selected.insert(conn);
+            Item::Connection(Event::Closed {
+                connection, time, ..
+            }) => self.close(connection, time),
+            Item::Message(Found::Request {
+                connection,
+                message,
+                ..
+            }) if options.selects(&message) => {
+                self.selected.insert(connection);
             }
             Item::Connection(_) | Item::Message(_) => {}
         }
--- a/crates/heathspurctl/src/info.rs
+++ b/crates/heathspurctl/src/info.rs
@@ -53,20 +53,26 @@
     fn add(&mut self, item: Item) {
         match item {
             Item::Message(Found::Request {
-                conn,
+                connection,
                 index,
                 message,
-            }) => self.add_request(conn, index, &message),
-            Item::Message(Found::Response { conn, to, message }) => {
-                self.add_response(conn, to, &message);
+            }) => self.add_request(connection, index, &message),
+            Item::Message(Found::Response {
+                connection,
+                request_index,
+                message,
+            }) => {
+                self.add_response(connection, request_index, &message);
             }
             Item::Message(Found::Skipped { cause, bytes, .. }) => {
                 let skipped = self.skipped.entry(cause).or_default();
                 skipped.count += 1;
                 skipped.bytes += bytes;
             }
-            Item::Connection(Event::Closed { conn, end, .. }) => {
-                self.unanswered.remove(&conn);
+            Item::Connection(Event::Closed {
+                connection, end, ..
+            }) => {
+                self.unanswered.remove(&connection);
                 *self.ends.entry(end).or_default() += 1;
             }
             Item::Connection(_) => {}
@@ -83,7 +89,7 @@
         unanswered.push_back(UnansweredRequest {
             number,
             class,
-            last_byte_at: message.last.0,
+            last_byte_at: message.last_byte_at.0,
         });
     }
 
@@ -101,7 +107,7 @@
         let class = self.classes.entry(request.class).or_default();
         let status = message.status().unwrap_or(0);
         *class.responses.entry(status).or_default() += 1;
-        let latency = message.last.0.saturating_sub(request.last_byte_at);
+        let latency = message.last_byte_at.0.saturating_sub(request.last_byte_at);
         class.latency.record(latency);
     }
 }
--- a/crates/heathspurctl/src/load.rs
+++ b/crates/heathspurctl/src/load.rs
@@ -75,19 +75,21 @@
 impl Loader {
     fn add(&mut self, item: Item) {
         match item {
-            Item::Connection(Event::Opened { conn, time, .. }) => {
-                self.loaded.opened.insert(conn.0, time.0);
+            Item::Connection(Event::Opened {
+                connection, time, ..
+            }) => {
+                self.loaded.opened.insert(connection.0, time.0);
             }
             Item::Message(Found::Request {
-                conn,
+                connection,
                 index,
                 message,
-            }) => self.add_request(conn, index, &message),
+            }) => self.add_request(connection, index, &message),
             Item::Message(Found::Response {
-                conn,
-                to: Some(request),
+                connection,
+                request_index: Some(request),
                 message,
-            }) => self.add_response(conn, request, &message),
+            }) => self.add_response(connection, request, &message),
             Item::Message(Found::Skipped {
                 side: Side::Client,
                 cause,
@@ -110,8 +112,8 @@
         self.loaded.fields.push(message.fields.clone());
         self.loaded.requests.push(RecordedRequest {
             connection: connection.0,
-            first_byte_at: message.first.0,
-            last_byte_at: message.last.0,
+            first_byte_at: message.first_byte_at.0,
+            last_byte_at: message.last_byte_at.0,
             // Copied, because a slice would keep the buffer that it was read into alive.
             bytes: bytes::Bytes::copy_from_slice(&message.bytes),
             response: None,
@@ -124,8 +126,8 @@
         };
         self.loaded.requests[index].response = Some(RecordedResponse {
             status: message.status().unwrap_or(0),
-            first_byte_at: message.first.0,
-            last_byte_at: message.last.0,
+            first_byte_at: message.first_byte_at.0,
+            last_byte_at: message.last_byte_at.0,
             body_digest: source::digest(message.body()),
         });
     }
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -79,8 +79,8 @@
             bytes.to_string(),
         );
     }
-    if let Some(damage) = loaded.tally.damage {
-        row("the capture is damaged", damage.to_string());
+    if let Some(error) = loaded.tally.error {
+        row("the capture is damaged", error.to_string());
     }
     println!("{table}");
 }
--- a/crates/heathspurctl/src/requests.rs
+++ b/crates/heathspurctl/src/requests.rs
@@ -66,26 +66,28 @@
 impl RowPrinter<'_> {
     fn add(&mut self, item: Item) {
         match item {
-            Item::Connection(Event::Opened { conn, client, .. }) => {
-                self.clients.insert(conn, client);
+            Item::Connection(Event::Opened {
+                connection, client, ..
+            }) => {
+                self.clients.insert(connection, client);
             }
-            Item::Connection(Event::Closed { conn, .. }) => {
-                self.clients.remove(&conn);
+            Item::Connection(Event::Closed { connection, .. }) => {
+                self.clients.remove(&connection);
                 let keys: Vec<_> = self
                     .unanswered
-                    .range((conn, 0)..=(conn, u64::MAX))
+                    .range((connection, 0)..=(connection, u64::MAX))
                     .map(|(key, _)| *key)
                     .collect();
                 keys.into_iter().for_each(|key| self.print(key));
             }
             Item::Connection(_) | Item::Message(Found::Skipped { .. }) => {}
             Item::Message(Found::Request {
-                conn,
+                connection,
                 index,
                 message,
             }) => {
-                let row = self.row(conn, index, &message);
-                self.unanswered.insert((conn, index), row);
+                let row = self.row(connection, index, &message);
+                self.unanswered.insert((connection, index), row);
                 if self.unanswered.len() > MAX_UNANSWERED {
                     if let Some(&oldest) = self.unanswered.keys().next() {
                         self.print(oldest);
@@ -93,34 +95,34 @@
                 }
             }
             Item::Message(Found::Response {
-                conn,
-                to: Some(to),
+                connection,
+                request_index: Some(index),
                 message,
             }) => {
-                if let Some(row) = self.unanswered.get_mut(&(conn, to)) {
+                if let Some(row) = self.unanswered.get_mut(&(connection, index)) {
                     row.status = message.status();
                     row.latency_ms =
-                        Some(message.last.0.saturating_sub(row.last_byte_at) as f64 / 1e6);
-                    self.print((conn, to));
+                        Some(message.last_byte_at.0.saturating_sub(row.last_byte_at) as f64 / 1e6);
+                    self.print((connection, index));
                 }
             }
             Item::Message(Found::Response { .. }) => {}
         }
     }
 
-    fn row(&self, conn: ConnectionId, index: u64, message: &Message) -> Row {
+    fn row(&self, connection: ConnectionId, index: u64, message: &Message) -> Row {
         Row {
-            connection: conn.0,
+            connection: connection.0,
             index,
-            client: self.clients.get(&conn).copied(),
-            at: message.first.0 as f64 / 1e9,
-            arriving_ms: message.last.since(message.first) as f64 / 1e6,
+            client: self.clients.get(&connection).copied(),
+            at: message.first_byte_at.0 as f64 / 1e9,
+            arriving_ms: message.last_byte_at.since(message.first_byte_at) as f64 / 1e6,
             class: source::class(message),
             tenant: source::field(message, &self.options.source.tenant_field),
             bytes: message.bytes.len(),
             status: None,
             latency_ms: None,
-            last_byte_at: message.last.0,
+            last_byte_at: message.last_byte_at.0,
         }
     }
 
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -66,7 +66,7 @@
 
 /// Returns an error if a capture is damaged. Commands call this last, after printing what they read.
 pub fn check_damage(source: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
-    match tally.damage {
+    match tally.error {
         Some(damage) => Err(Error::DamagedCapture {
             path: source.file.clone(),
             damage,
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -134,7 +134,7 @@
         (
             capture.responses.len(),
             capture.tally.holes,
-            capture.tally.damage
+            capture.tally.error
         ),
         (8, 0, None)
     );
@@ -145,7 +145,7 @@
     assert_eq!(closed_connections.count(), 2);
     // Timestamps are wall-clock times.
     let now = unix_ms() as u64 * 1_000_000;
-    let first = capture.requests[0].2.first.0;
+    let first = capture.requests[0].2.first_byte_at.0;
     assert!(first <= now && now - first < 600_000_000_000);
 }
 
@@ -268,7 +268,7 @@
     server.process.wait();
     let capture = directory.parse();
     assert_eq!(
-        (capture.tally.damage, capture.requests.len()),
+        (capture.tally.error, capture.requests.len()),
         (None, sent.len())
     );
     // After a restart, the server records to a new file.
