--- a/crates/heathspur-settings/src/convert.rs
+++ b/crates/heathspur-settings/src/convert.rs
@@ -4,7 +4,7 @@
     WireDependency, WireIdempotency, WireLoadSignal, WireObjective, WirePreemption, WireServer,
     WireSettings,
 };
-use crate::{GaugeLayout, WireNames};
+use crate::{GaugeLayout, ProtocolNames};
 use heathspur::{
     Class, Dependency, Idempotency, LoadSignal, Preemption, Settings, Span, Tenant, WeightUnit,
 };
@@ -17,14 +17,14 @@
     /// The settings of the admission controller.
     pub admission: Settings,
     /// Names that only the conversion of messages uses.
-    pub names: WireNames,
+    pub names: ProtocolNames,
 }
 
 impl From<WireSettings> for ServerSettings {
     fn from(wire: WireSettings) -> ServerSettings {
         ServerSettings {
             admission: admission_settings(&wire),
-            names: WireNames {
+            names: ProtocolNames {
                 classes: wire.classes.into_iter().map(|class| class.name).collect(),
                 tenants: wire.tenants.into_iter().map(|tenant| tenant.name).collect(),
                 gauges: GaugeLayout(wire.server.gauges),
--- a/crates/heathspur-settings/src/lib.rs
+++ b/crates/heathspur-settings/src/lib.rs
@@ -12,5 +12,5 @@
 pub mod wire;
 
 pub use convert::ServerSettings;
-pub use names::{GaugeLayout, WireNames};
+pub use names::{GaugeLayout, ProtocolNames};
 pub use wire::WireSettings;
--- a/crates/heathspur-settings/src/names.rs
+++ b/crates/heathspur-settings/src/names.rs
@@ -11,7 +11,7 @@
 /// The names of one server's classes, tenants and gauges, and the events that its interpreter
 /// reports.
 #[derive(Clone, Debug)]
-pub struct WireNames {
+pub struct ProtocolNames {
     /// Names of the classes, in the order of [`ClassId`](heathspur::ClassId).
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`TenantId`](heathspur::TenantId).
--- a/crates/heathspur-settings/tests/read.rs
+++ b/crates/heathspur-settings/tests/read.rs
@@ -1,7 +1,7 @@
 //! Tests that the JSON settings object is converted to the settings of the admission controller.
 
 use heathspur::*;
-use heathspur_settings::{ServerSettings, WireNames, WireSettings};
+use heathspur_settings::{ProtocolNames, ServerSettings, WireSettings};
 use serde_json::{json, Value};
 
 fn wire_settings() -> Value {
@@ -27,7 +27,7 @@
     })
 }
 
-fn read(value: Value) -> (Settings, WireNames) {
+fn read(value: Value) -> (Settings, ProtocolNames) {
     let wire: WireSettings = serde_json::from_value(value).unwrap();
     let settings = ServerSettings::from(wire);
     (settings.admission, settings.names)
--- a/crates/heathspur-simulator-adapter/src/convert.rs
+++ b/crates/heathspur-simulator-adapter/src/convert.rs
@@ -7,7 +7,7 @@
     SetLoadSignal, SetTimer,
 };
 use heathspur::{Action, ClassId, Event, Outcome, Request, RequestId, Span, TenantId, Token};
-use heathspur_settings::WireNames;
+use heathspur_settings::ProtocolNames;
 
 /// The protocol's outcome codes.
 const CODE_OK: u64 = 0;
@@ -20,7 +20,10 @@
 const CODE_CANCELLED: u64 = 125;
 
 /// Converts a request and looks up the indexes of its class and tenant.
-pub(crate) fn request(message: IncomingRequest, names: &WireNames) -> Result<Request, LineError> {
+pub(crate) fn request(
+    message: IncomingRequest,
+    names: &ProtocolNames,
+) -> Result<Request, LineError> {
     let class =
         position(&names.classes, &message.class).ok_or(LineError::UnknownClass(message.class))?;
     let tenant = match message.tenant {
--- a/crates/heathspur-simulator-adapter/src/session.rs
+++ b/crates/heathspur-simulator-adapter/src/session.rs
@@ -5,13 +5,13 @@
 use crate::messages::incoming::{BeginBatch, Incoming, StartServer};
 use crate::messages::outgoing::Outgoing;
 use heathspur::{Action, AdmissionController, Event, RequestId, Span, Time};
-use heathspur_settings::{ServerSettings, WireNames};
+use heathspur_settings::{ProtocolNames, ServerSettings};
 use std::collections::BTreeMap;
 
 /// A server of the simulator, with its admission controller.
 struct Server {
     controller: AdmissionController,
-    names: WireNames,
+    names: ProtocolNames,
     /// The server's events in the batch in progress.
     events: Vec<Event>,
     /// Whether the server has started or received an event in the batch in progress.
--- a/crates/heathspurd/src/config.rs
+++ b/crates/heathspurd/src/config.rs
@@ -2,7 +2,7 @@
 
 use heathspur::Settings;
 use heathspur_server_core::reload::{self, ConfigView, IdentityMismatchError};
-use heathspur_settings::{ServerSettings, WireNames, WireSettings};
+use heathspur_settings::{ProtocolNames, ServerSettings, WireSettings};
 use serde::{Deserialize, Deserializer};
 use std::ffi::OsString;
 use std::io;
@@ -42,7 +42,7 @@
     /// The settings of the admission controller.
     pub settings: Settings,
     /// The names used on the wire, as defined in the settings.
-    pub names: WireNames,
+    pub names: ProtocolNames,
 }
 
 /// An error in the platform's configuration.
--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use heathspur::{RequestId, Span};
-use heathspur_settings::WireNames;
+use heathspur_settings::ProtocolNames;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Instant;
@@ -15,7 +15,7 @@
 /// State shared between the frontends and the event loop. The event loop writes the public cells; the frontends only
 /// read them.
 pub(crate) struct FrontendContext {
-    pub names: WireNames,
+    pub names: ProtocolNames,
     /// For each class, whether its requests carry an idempotency key; they carry no subject then.
     pub keyed_classes: Vec<bool>,
     next_id: Cell<u64>,
@@ -41,7 +41,7 @@
 
 impl FrontendContext {
     pub fn new(
-        names: WireNames,
+        names: ProtocolNames,
         keyed_classes: Vec<bool>,
         idle_timeout: Span,
         stop_accepting: Receiver<()>,
