--- a/crates/heathspur-server-core/src/registration/mod.rs
+++ b/crates/heathspur-server-core/src/registration/mod.rs
@@ -58,7 +58,7 @@
     /// An idle connection is unusable: the peer closed it, or unexpected bytes arrived.
     Closed(ConnectionId),
     /// A report was answered.
-    ReportAnswered {
+    ReportCompleted {
         /// The connection.
         connection: ConnectionId,
         /// The status of the answer.
@@ -144,11 +144,11 @@
             } => self.on_failed(now, connection, timed_out, Failure::ConnectionFailed),
             Event::ReportSent(connection) => self.on_report_sent(now, connection),
             Event::Closed(connection) => self.on_closed(now, connection),
-            Event::ReportAnswered {
+            Event::ReportCompleted {
                 connection,
                 status,
                 reusable,
-            } => self.on_report_answered(now, connection, status, reusable),
+            } => self.on_report_completed(now, connection, status, reusable),
         }
     }
 
@@ -279,7 +279,13 @@
         }
     }
 
-    fn on_report_answered(&mut self, now: Duration, id: ConnectionId, status: u16, reusable: bool) {
+    fn on_report_completed(
+        &mut self,
+        now: Duration,
+        id: ConnectionId,
+        status: u16,
+        reusable: bool,
+    ) {
         let Some(finished) = self.connections.remove_reporting(id) else {
             return;
         };
--- a/crates/heathspur-server-core/tests/unit/registration.rs
+++ b/crates/heathspur-server-core/tests/unit/registration.rs
@@ -218,7 +218,7 @@
                     self.after(idle_ms, Occurrence::Closed(connection));
                 }
                 let sent = self.sent.len();
-                self.handle(Event::ReportAnswered {
+                self.handle(Event::ReportCompleted {
                     connection,
                     status,
                     reusable: stays_open,
--- a/crates/heathspur-server-core/tests/unit/registration_model.rs
+++ b/crates/heathspur-server-core/tests/unit/registration_model.rs
@@ -257,7 +257,7 @@
                     world.schedule.ready = Some(ready);
                     world.schedule.handle(
                         world.now(),
-                        Event::ReportAnswered {
+                        Event::ReportCompleted {
                             connection,
                             status: 204,
                             reusable: true,
@@ -267,7 +267,7 @@
                     world.handle(Event::Ready(world.ready), mutant);
                 } else {
                     world.handle(
-                        Event::ReportAnswered {
+                        Event::ReportCompleted {
                             connection,
                             status: 204,
                             reusable: true,
@@ -279,7 +279,7 @@
             Step::AnsweredAndClosed(connection) => {
                 world.remove(connection);
                 world.handle(
-                    Event::ReportAnswered {
+                    Event::ReportCompleted {
                         connection,
                         status: 204,
                         reusable: false,
--- a/crates/heathspurd/src/peers/registration.rs
+++ b/crates/heathspurd/src/peers/registration.rs
@@ -297,7 +297,7 @@
         if let Some(stream) = response.reusable {
             self.push_idle(id, stream);
         }
-        Event::ReportAnswered {
+        Event::ReportCompleted {
             connection: id,
             status: response.status,
             reusable,
