--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -18,10 +18,9 @@
 impl EventLoop {
     pub(super) fn on_interpreter_event(&mut self, event: InterpreterEvent) {
         match event {
-            InterpreterEvent::Connected {
-                warmth,
-                started_ms_ago,
-            } => self.on_connected(warmth, started_ms_ago),
+            InterpreterEvent::Connected { warmth, uptime_ms } => {
+                self.on_connected(warmth, uptime_ms)
+            }
             InterpreterEvent::Disconnected => self.on_disconnected(),
             InterpreterEvent::Gauges { nonce, readings } => self.on_gauges(nonce, &readings),
             InterpreterEvent::RunEnded {
@@ -49,9 +48,9 @@
         }
     }
 
-    /// Handles a new connection to an interpreter that started `started_ms_ago` milliseconds ago.
-    fn on_connected(&mut self, warmth: Warmth, started_ms_ago: f64) {
-        let age = Span::from_secs(started_ms_ago / 1000.0);
+    /// Handles a new connection to an interpreter that started `uptime_ms` milliseconds ago.
+    fn on_connected(&mut self, warmth: Warmth, uptime_ms: f64) {
+        let age = Span::from_secs(uptime_ms / 1000.0);
         self.start_controller(warmth == Warmth::Cold, self.now - age);
         self.interpreter.begin_resume(self.now);
     }
--- a/crates/heathspurd/src/event_loop/store_calls.rs
+++ b/crates/heathspurd/src/event_loop/store_calls.rs
@@ -55,7 +55,7 @@
         self.timeouts.insert((deadline, call.request));
         self.link.call(Call {
             request: call.request,
-            call: id,
+            id,
             attempt: call.attempt,
             timeout_ms: (call.timeout.0 / 1000).max(1),
             body: call.body,
@@ -97,6 +97,6 @@
 
     /// Closes idle connections that will not be reused.
     pub fn prune_connections(&self) {
-        self.link.prune();
+        self.link.close_expired();
     }
 }
--- a/crates/heathspurd/src/frontend/mod.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -32,7 +32,7 @@
 
 impl AttemptId {
     /// Parses an identifier. Returns `None` if the text is not 16 hexadecimal digits.
-    pub fn read(text: &[u8]) -> Option<AttemptId> {
+    pub fn parse(text: &[u8]) -> Option<AttemptId> {
         let digits: [u8; 16] = text.try_into().ok()?;
         digits
             .iter()
--- a/crates/heathspurd/src/frontend/request.rs
+++ b/crates/heathspurd/src/frontend/request.rs
@@ -98,7 +98,7 @@
     fn set(&mut self, header: RequestHeader, value: &[u8]) -> Option<bool> {
         let is_duplicate = match header {
             RequestHeader::AttemptId => {
-                let attempt = AttemptId::read(value)?;
+                let attempt = AttemptId::parse(value)?;
                 self.values.attempt.replace(attempt).is_some()
             }
             RequestHeader::ReceivedAt => {
--- a/crates/heathspurd/src/peers/interpreter/mod.rs
+++ b/crates/heathspurd/src/peers/interpreter/mod.rs
@@ -41,8 +41,8 @@
 /// An event that the link reports to the event loop.
 #[derive(Debug)]
 pub(crate) enum InterpreterEvent {
-    /// A connection is established. The interpreter was started `started_ms_ago` milliseconds before.
-    Connected { warmth: Warmth, started_ms_ago: f64 },
+    /// A connection is established. The interpreter was started `uptime_ms` milliseconds before.
+    Connected { warmth: Warmth, uptime_ms: f64 },
     /// A run has ended. `body` is the result of a run that succeeded.
     RunEnded {
         attempt: AttemptId,
--- a/crates/heathspurd/src/peers/interpreter/notices.rs
+++ b/crates/heathspurd/src/peers/interpreter/notices.rs
@@ -100,7 +100,7 @@
 fn require_request_id(notice: &Notice<'_>) -> Result<(), LinkError> {
     match notice {
         Notice::RunCompleted { request_id, .. } | Notice::CallNeeded { request_id, .. }
-            if AttemptId::read(request_id.as_bytes()).is_none() =>
+            if AttemptId::parse(request_id.as_bytes()).is_none() =>
         {
             Err(LinkError::InvalidRequestId)
         }
@@ -132,17 +132,16 @@
 /// Converts a notice into an event, or returns `None` if it does not concern the event loop.
 fn notice_event(notice: Notice<'_>) -> Option<InterpreterEvent> {
     match notice {
-        Notice::Connected { warmth, uptime_ms } => Some(InterpreterEvent::Connected {
-            warmth,
-            started_ms_ago: uptime_ms,
-        }),
+        Notice::Connected { warmth, uptime_ms } => {
+            Some(InterpreterEvent::Connected { warmth, uptime_ms })
+        }
         Notice::RunCompleted {
             request_id,
             outcome,
             body,
             ..
         } => Some(InterpreterEvent::RunEnded {
-            attempt: AttemptId::read(request_id.as_bytes())?,
+            attempt: AttemptId::parse(request_id.as_bytes())?,
             outcome,
             body: body.into(),
         }),
@@ -151,7 +150,7 @@
             request_id,
             body,
         } => Some(InterpreterEvent::CallRequested {
-            attempt: AttemptId::read(request_id.as_bytes())?,
+            attempt: AttemptId::parse(request_id.as_bytes())?,
             index,
             body: body.into(),
         }),
@@ -164,7 +163,7 @@
             request_id,
         } => Some(InterpreterEvent::CommandRejected {
             command: command.into_owned(),
-            attempt: AttemptId::read(request_id.as_bytes()),
+            attempt: AttemptId::parse(request_id.as_bytes()),
         }),
         Notice::Log { .. } => None,
     }
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -29,7 +29,7 @@
 /// A call to make.
 pub(crate) struct Call {
     pub request: RequestId,
-    pub call: CallId,
+    pub id: CallId,
     pub attempt: AttemptId,
     pub timeout_ms: u64,
     pub body: Bytes,
@@ -119,7 +119,7 @@
 
     /// Starts a call. A [`CallCompleted`] event follows unless the call is abandoned.
     pub fn call(self: &Rc<Self>, call: Call) {
-        let id = call.call;
+        let id = call.id;
         let destination = self.pick_destination();
         let written = Rc::new(Cell::new(false));
         let outgoing = OutgoingCall {
@@ -162,10 +162,10 @@
             // No part of the call was sent, so it cannot have run.
             Destination::NoCapacity => (Outcome::Rejected, Bytes::new()),
         };
-        self.detach(outgoing.call.call);
+        self.detach(outgoing.call.id);
         let completed = CallCompleted {
             request: outgoing.call.request,
-            call: outgoing.call.call,
+            call: outgoing.call.id,
             outcome,
             body,
         };
@@ -202,7 +202,7 @@
     }
 
     /// Closes the idle connections whose reuse window has passed.
-    pub fn prune(&self) {
+    pub fn close_expired(&self) {
         self.pool.close_expired();
     }
 
--- a/crates/heathspurd/tests/unit/interpreter_events.rs
+++ b/crates/heathspurd/tests/unit/interpreter_events.rs
@@ -58,7 +58,7 @@
 const ID: RequestId = RequestId(1);
 
 fn attempt() -> AttemptId {
-    AttemptId::read(b"9b1f03aa5c7e2d41").unwrap()
+    AttemptId::parse(b"9b1f03aa5c7e2d41").unwrap()
 }
 
 /// Returns an event loop with a run whose stop was requested just before the notice that it needs a call arrived.
--- a/crates/heathspurd/tests/unit/store.rs
+++ b/crates/heathspurd/tests/unit/store.rs
@@ -19,10 +19,10 @@
         None,
         None,
     );
-    let attempt = AttemptId::read(b"9b1f03aa5c7e2d41").unwrap();
+    let attempt = AttemptId::parse(b"9b1f03aa5c7e2d41").unwrap();
     let call = |n| Call {
         request: RequestId(1),
-        call: CallId(n),
+        id: CallId(n),
         attempt,
         timeout_ms: 250,
         body: Bytes::new(),
