--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -1,7 +1,7 @@
 //! State that all frontends share with the event loop.
 
 use crate::frontend::connection_pool::ConnectionPool;
-use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::response_budget::ResponseBudget;
 use crate::recording::RecorderHandle;
 use async_channel::Receiver;
 use async_io::Timer;
--- a/crates/heathspurd/src/frontend/http1/mod.rs
+++ b/crates/heathspurd/src/frontend/http1/mod.rs
@@ -1,10 +1,10 @@
 //! The HTTP/1.1 frontend. Each connection is served by its own task, so that a slow client delays only itself.
 //!
-//! The `input` module receives requests and the `answer` module writes responses. This module serves the requests of a
-//! connection one after another and decides when the connection is closed.
+//! The `input` module receives requests and the `response_writer` module writes responses. This module serves the
+//! requests of a connection one after another and decides when the connection is closed.
 
-mod answer;
 mod input;
+mod response_writer;
 
 use crate::frontend::connection_pool::{ConnectionPhase, Permit};
 use crate::frontend::lingering_close;
@@ -87,7 +87,9 @@
             CloseReason::ClosedByClient => {}
             CloseReason::NoMoreRequests => self.permit.linger(lingering_close::close(stream)).await,
             CloseReason::InvalidRequest(status) => {
-                self.permit.linger(answer::reject(stream, status)).await
+                self.permit
+                    .linger(response_writer::reject(stream, status))
+                    .await
             }
         }
     }
@@ -169,7 +171,7 @@
             }
         };
         let stream = self.input.stream();
-        answer::write(stream, &self.frontend.context, &response, connection_option)
+        response_writer::write(stream, &self.frontend.context, &response, connection_option)
             .await
             .map_err(|_| CloseReason::ClosedByClient)?;
         match connection_option {
--- a/crates/heathspurd/src/frontend/http1/answer.rs
+++ b/crates/heathspurd/src/frontend/http1/response_writer.rs
@@ -3,7 +3,7 @@
 use crate::clock::within;
 use crate::frontend::lingering_close;
 use crate::frontend::response::Response;
-use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::response_budget::ResponseBudget;
 use crate::frontend::FrontendContext;
 use crate::recording::recorded_stream::Stream;
 use futures_lite::{future, AsyncWriteExt};
--- a/crates/heathspurd/src/frontend/http2/mod.rs
+++ b/crates/heathspurd/src/frontend/http2/mod.rs
@@ -13,7 +13,7 @@
 use crate::clock::within;
 use crate::frontend::connection_pool::Permit;
 use crate::frontend::lingering_close;
-use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::response_budget::ResponseBudget;
 use crate::frontend::FrontendHandle;
 use crate::recording::recorded_stream::Stream;
 use async_executor::LocalExecutor;
--- a/crates/heathspurd/src/frontend/http2/send.rs
+++ b/crates/heathspurd/src/frontend/http2/send.rs
@@ -4,7 +4,7 @@
 use super::stream::failure_event;
 use super::transport::TransportMonitor;
 use crate::frontend::response::Response;
-use crate::frontend::response_buffer::Reservation;
+use crate::frontend::response_budget::Reservation;
 use async_io::Timer;
 use bytes::Bytes;
 use futures_lite::future;
--- a/crates/heathspurd/src/frontend/mod.rs
+++ b/crates/heathspurd/src/frontend/mod.rs
@@ -17,7 +17,7 @@
 pub(crate) mod request;
 pub(crate) mod request_queue;
 pub(crate) mod response;
-pub(crate) mod response_buffer;
+pub(crate) mod response_budget;
 
 pub(crate) use context::FrontendContext;
 
--- a/crates/heathspurd/src/frontend/response_buffer.rs
+++ b/crates/heathspurd/src/frontend/response_budget.rs
@@ -102,5 +102,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/response_buffer.rs"]
+#[path = "../../tests/unit/response_budget.rs"]
 mod tests;
--- a/crates/heathspurd/src/serve.rs
+++ b/crates/heathspurd/src/serve.rs
@@ -8,7 +8,7 @@
 use crate::frontend::http1;
 use crate::frontend::http2;
 use crate::frontend::request_queue::RequestQueues;
-use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::response_budget::ResponseBudget;
 use crate::frontend::{FrontendContext, FrontendHandle, IncomingRequest};
 use crate::idempotency::IdempotencyStore;
 use crate::membership::failover::ReplicaRoutes;
--- a/crates/heathspurd/tests/unit/response_buffer.rs
+++ b/crates/heathspurd/tests/unit/response_budget.rs
@@ -1,4 +1,4 @@
-//! Tests of `src/frontend/response_buffer.rs`, which includes this file as its test module.
+//! Tests of `src/frontend/response_budget.rs`, which includes this file as its test module.
 
 use super::*;
 
