--- a/crates/heathspurctl/src/charts.rs
+++ b/crates/heathspurctl/src/charts.rs
@@ -1,6 +1,6 @@
 //! Charts in SVG files.
 
-use crate::load::Loaded;
+use crate::recording::Loaded;
 use heathspur_replay::outcome::{Outcome, RequestState};
 use heathspur_replay::plan::Plan;
 use plotters::prelude::*;
--- a/crates/heathspurctl/src/cli.rs
+++ b/crates/heathspurctl/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::capture_options::CaptureOptions;
 use crate::error::Error;
-use crate::{config, cut, experiment, info, load_run, members, replay, requests};
+use crate::{config, cut, experiment, info, load_test, members, replay, requests};
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     #[command(subcommand)]
     Pcap(Pcap),
     /// Generate load over HTTP/1.1 and HTTP/2 according to a plan
-    Load(load_run::Options),
+    Load(load_test::Options),
     /// Show the membership view of a running daemon
     Members(members::Options),
     /// Inject faults into an emulated fleet according to a plan
@@ -75,7 +75,7 @@
         Command::Pcap(Pcap::Requests(options)) => requests::run(&options),
         Command::Pcap(Pcap::Cut(options)) => cut::run(&options),
         Command::Pcap(Pcap::Replay(options)) => replay::run(&options),
-        Command::Load(options) => load_run::run(&options),
+        Command::Load(options) => load_test::run(&options),
         Command::Members(options) => members::run(&options),
         Command::Experiment(options) => experiment::run(&options),
         Command::Config(Config::Check { file, memory }) => config::check(&file, memory),
--- a/crates/heathspurctl/src/replay.rs
+++ b/crates/heathspurctl/src/replay.rs
@@ -4,7 +4,7 @@
 use crate::capture_options::CaptureOptions;
 use crate::connection::{ConnectionTask, OutgoingRequest, Report};
 use crate::error::Error;
-use crate::load::{load, Loaded};
+use crate::recording::{load, Loaded};
 use crate::report::{self, Replayed};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a replay: a table on standard output, JSON files and charts.
 
 use crate::charts;
-use crate::load::Loaded;
+use crate::recording::Loaded;
 use crate::table::plain;
 use heathspur_replay::audit::Audit;
 use heathspur_replay::histogram::Quantiles;
