--- a/crates/heathspur-bench/src/main.rs
+++ b/crates/heathspur-bench/src/main.rs
@@ -7,10 +7,10 @@
 
 mod cost;
 mod daemon;
+mod damaged_capture;
 mod http2;
 mod large;
 mod members;
-mod storm;
 mod table;
 
 use clap::{Parser, Subcommand};
@@ -76,7 +76,7 @@
             large: large_mib,
         } => {
             let mut table = Table::new("pcap");
-            storm::measure(&folder, &results, &mut table);
+            damaged_capture::measure(&folder, &results, &mut table);
             large::measure(&folder, large_mib << 20, &mut table);
             cost::measure_record_and_replay(&folder, &mut table);
             cost::measure(&folder, &baseline, &mut table);
