--- a/crates/heathspur-capture/src/exchange/message.rs
+++ b/crates/heathspur-capture/src/exchange/message.rs
@@ -1,6 +1,6 @@
 //! Messages found in a capture, and reports of bytes that belong to none.
 
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use bytes::Bytes;
 use heathspur_wire::http::{request_line, status_line, Fields};
 use std::fmt;
@@ -18,9 +18,9 @@
     /// The range of the body, including any chunk framing.
     pub body: Range<usize>,
     /// The capture time of the first byte.
-    pub first: Stamp,
+    pub first_byte_at: Timestamp,
     /// The latest capture time of its bytes.
-    pub last: Stamp,
+    pub last_byte_at: Timestamp,
 }
 
 impl Message {
@@ -83,7 +83,7 @@
     /// A request.
     Request {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The index of the request on its connection, from 0. Skipped requests whose end is known count as well.
         index: u64,
         /// The request.
@@ -92,16 +92,16 @@
     /// A final response.
     Response {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The index of its request, if known.
-        to: Option<u64>,
+        request_index: Option<u64>,
         /// The response.
         message: Message,
     },
     /// Bytes that belong to no complete message.
     Skipped {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The sender.
         side: Side,
         /// The reason why they were skipped.
@@ -109,6 +109,6 @@
         /// The number of bytes that were captured and skipped.
         bytes: u64,
         /// The capture time of the first of them.
-        time: Stamp,
+        time: Timestamp,
     },
 }
--- a/crates/heathspur-capture/src/pipeline.rs
+++ b/crates/heathspur-capture/src/pipeline.rs
@@ -4,7 +4,7 @@
 use crate::file::{FileError, Packet, Reader};
 use crate::frame::{Frames, SkipReason};
 use crate::reassembly::{self, Assembler, Counts, Event};
-use crate::{Leg, Stamp};
+use crate::{Leg, Timestamp};
 use std::collections::BTreeMap;
 
 /// Options for reading a capture.
@@ -41,11 +41,11 @@
     /// Places in connections where bytes are missing.
     pub holes: u64,
     /// The capture time of the first packet that has one.
-    pub first: Option<Stamp>,
+    pub first: Option<Timestamp>,
     /// The latest capture time.
-    pub last: Stamp,
+    pub last: Timestamp,
     /// The error that stopped reading before the end of the file.
-    pub damage: Option<FileError>,
+    pub error: Option<FileError>,
 }
 
 impl Tally {
@@ -53,7 +53,7 @@
         let is_truncated = (packet.data.len() as u64) < packet.wire_len.into();
         self.packets += 1;
         self.truncated_packets += u64::from(is_truncated);
-        if packet.time > Stamp::default() {
+        if packet.time > Timestamp::default() {
             self.first.get_or_insert(packet.time);
             self.last = self.last.max(packet.time);
         }
@@ -121,7 +121,7 @@
                 Ok(Some(packet)) => packet,
                 Ok(None) => return true,
                 Err(error) => {
-                    self.tally.damage = Some(error);
+                    self.tally.error = Some(error);
                     return false;
                 }
             };
@@ -148,7 +148,7 @@
     /// Ends the file and passes the remaining items to `found`.
     pub fn finish(&mut self, mut found: impl FnMut(Item)) {
         if let Err(error) = self.reader.finish() {
-            self.tally.damage = Some(error);
+            self.tally.error = Some(error);
         }
         self.assembler.finish();
         deliver(
--- a/crates/heathspur-capture/src/reassembly/event.rs
+++ b/crates/heathspur-capture/src/reassembly/event.rs
@@ -1,7 +1,7 @@
 //! The events and counters of the reassembly.
 
 use super::direction::Anomalies;
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use bytes::Bytes;
 use std::net::SocketAddr;
 
@@ -35,31 +35,31 @@
     /// A connection was found. This is its first event.
     Opened {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The address of the side that opened the connection.
         client: SocketAddr,
         /// The address of the side that accepted the connection.
         server: SocketAddr,
         /// The capture time of its first packet.
-        time: Stamp,
+        time: Timestamp,
         /// Whether its start was captured.
         start: Start,
     },
     /// The next bytes of one side.
     Bytes {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The sender.
         side: Side,
         /// The time at which they were first captured.
-        time: Stamp,
+        time: Timestamp,
         /// The bytes.
         bytes: Bytes,
     },
     /// Bytes of one side are missing here.
     Hole {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The sender.
         side: Side,
         /// The number of missing bytes, if known.
@@ -68,22 +68,22 @@
     /// One side has ended: no further bytes or holes of it follow.
     Ended {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The side.
         side: Side,
         /// How the side ended.
         end: End,
         /// The capture time at which the end was determined.
-        time: Stamp,
+        time: Timestamp,
     },
     /// The connection has ended. This is its last event.
     Closed {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// How the connection ended.
         end: End,
         /// The capture time at which the end was determined.
-        time: Stamp,
+        time: Timestamp,
     },
 }
 
--- a/crates/heathspur-capture/src/reassembly/mod.rs
+++ b/crates/heathspur-capture/src/reassembly/mod.rs
@@ -15,7 +15,7 @@
 pub use event::{Counts, End, Event, Start};
 
 use crate::frame::Segment;
-use crate::{ConnectionId, Side, Stamp};
+use crate::{ConnectionId, Side, Timestamp};
 use connection::{is_probably_from_client, Connection};
 use direction::{Direction, Output};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -78,9 +78,9 @@
     next_id: u64,
     buffered_bytes: usize,
     /// The latest capture time.
-    now: Stamp,
+    now: Timestamp,
     /// The capture time at which the age of gaps was last checked.
-    gaps_checked: Stamp,
+    gaps_checked: Timestamp,
     events: VecDeque<Event>,
     counts: Counts,
 }
@@ -97,8 +97,8 @@
             waiting: BTreeMap::new(),
             next_id: 0,
             buffered_bytes: 0,
-            now: Stamp::default(),
-            gaps_checked: Stamp::default(),
+            now: Timestamp::default(),
+            gaps_checked: Timestamp::default(),
             events: VecDeque::new(),
             counts: Counts::default(),
         }
@@ -205,7 +205,7 @@
         let connection = Connection::new(id, client, segment, start);
         self.connections.insert(flow, connection);
         self.events.push_back(Event::Opened {
-            conn: id,
+            connection: id,
             client,
             server,
             time: segment.time,
@@ -214,7 +214,7 @@
     }
 
     /// Queues the output of a connection as events, and closes the connection if it has ended.
-    fn emit(&mut self, flow: FlowKey, time: Stamp) {
+    fn emit(&mut self, flow: FlowKey, time: Timestamp) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
         };
@@ -267,11 +267,11 @@
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
         };
-        let conn = connection.id;
+        let id = connection.id;
         for side in [Side::Client, Side::Server] {
             if !connection.directions[side.index()].has_ended() {
                 self.events.push_back(Event::Ended {
-                    conn,
+                    connection: id,
                     side,
                     end,
                     time,
@@ -280,7 +280,11 @@
         }
         connection.directions = Default::default();
         self.update_buffered(flow);
-        self.events.push_back(Event::Closed { conn, end, time });
+        self.events.push_back(Event::Closed {
+            connection: id,
+            end,
+            time,
+        });
     }
 
     /// Abandons gaps after which too many bytes are buffered or too much time has elapsed, and further ones while the
@@ -406,22 +410,26 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionCandidate {
     is_open: bool,
-    last_segment: Stamp,
+    last_segment: Timestamp,
     id: ConnectionId,
     flow: FlowKey,
 }
 
-fn output_event(conn: ConnectionId, side: Side, time: Stamp, output: Output) -> Event {
+fn output_event(connection: ConnectionId, side: Side, time: Timestamp, output: Output) -> Event {
     match output {
         Output::Bytes { time, bytes } => Event::Bytes {
-            conn,
+            connection,
             side,
             time,
             bytes,
         },
-        Output::Hole { length } => Event::Hole { conn, side, length },
+        Output::Hole { length } => Event::Hole {
+            connection,
+            side,
+            length,
+        },
         Output::End { reset } => Event::Ended {
-            conn,
+            connection,
             side,
             end: if reset { End::Reset } else { End::Closed },
             time,
--- a/crates/heathspur-capture/tests/any.rs
+++ b/crates/heathspur-capture/tests/any.rs
@@ -50,17 +50,17 @@
     let mut ports = std::collections::BTreeMap::new();
     for item in &capture.connections {
         if let heathspur_capture::Item::Connection(heathspur_capture::reassembly::Event::Opened {
-            conn,
+            connection,
             client,
             ..
         }) = item
         {
-            ports.insert(*conn, *client);
+            ports.insert(*connection, *client);
         }
     }
-    for (conn, _, message) in &capture.requests {
+    for (connection, _, message) in &capture.requests {
         by_port
-            .entry(ports[conn])
+            .entry(ports[connection])
             .or_default()
             .push(message.bytes.to_vec());
     }
@@ -96,7 +96,10 @@
                 prop_assert_eq!(requests_by_connection(&capture), sent);
                 prop_assert_eq!(capture.tally.holes, 0);
                 prop_assert_eq!(capture.tally.tcp.anomalies.conflicting, 0);
-                prop_assert!(capture.responses.iter().all(|(_, to, _)| to.is_some()));
+                prop_assert!(capture
+                    .responses
+                    .iter()
+                    .all(|(_, request_index, _)| request_index.is_some()));
                 Ok(())
             },
         )
@@ -163,7 +166,7 @@
     let heads = prop::sample::select(vec![
         heathspur_capture::write::pcap_header(1, 0),
         heathspur_capture::write::pcap_header(101, 0),
-        heathspur_capture::write::ng_start(&["a", "b"]),
+        heathspur_capture::write::pcapng_start(&["a", "b"]),
         Vec::new(),
     ]);
     seeded_runner(400)
@@ -188,17 +191,19 @@
             |(body_lengths, segment_len, changes, is_pcapng)| {
                 let (packets, _) = conversations(&body_lengths, segment_len);
                 let mut file = if is_pcapng {
-                    heathspur_capture::write::ng_start(&["a"])
+                    heathspur_capture::write::pcapng_start(&["a"])
                 } else {
                     pcap_file(&[])
                 };
                 for (time, packet) in &packets {
                     let (time, length) = (
-                        heathspur_capture::Stamp(CAPTURE_START_NANOS + time),
+                        heathspur_capture::Timestamp(CAPTURE_START_NANOS + time),
                         packet.len() as u32,
                     );
                     file.extend(match is_pcapng {
-                        true => heathspur_capture::write::ng_packet(0, time, packet, length, ""),
+                        true => {
+                            heathspur_capture::write::pcapng_packet(0, time, packet, length, "")
+                        }
                         false => heathspur_capture::write::pcap_record(time, packet, length),
                     });
                 }
--- a/crates/heathspur-record/tests/record.rs
+++ b/crates/heathspur-record/tests/record.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use heathspur_capture::reassembly::{End, Event as CaptureEvent, Start};
-use heathspur_capture::{Item, Options, Side, Stamp};
+use heathspur_capture::{Item, Options, Side, Timestamp};
 use heathspur_record::recorder::{ConnectionInfo, Event, EventKind, Leg, Recorder};
 use heathspur_record::redaction::RedactionPolicy;
 use heathspur_record::rotation::{FileAction, FileRotation, Limits, StatusChange};
@@ -26,7 +26,7 @@
 fn event(number: u64, ms: u64, kind: EventKind) -> Event {
     Event {
         connection: connection(number),
-        time: Stamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
+        time: Timestamp(CAPTURE_START_NANOS + ms * NANOS_PER_MS),
         kind,
     }
 }
@@ -46,7 +46,7 @@
     for event in events {
         file.extend(recorder.encode(event));
     }
-    file.extend(recorder.final_statistics(Stamp(CAPTURE_START_NANOS)));
+    file.extend(recorder.final_statistics(Timestamp(CAPTURE_START_NANOS)));
     file
 }
 
@@ -91,15 +91,17 @@
     let first = &capture.requests[0].2;
     assert_eq!(
         (
-            first.first.0 - CAPTURE_START_NANOS,
-            first.last.0 - CAPTURE_START_NANOS
+            first.first_byte_at.0 - CAPTURE_START_NANOS,
+            first.last_byte_at.0 - CAPTURE_START_NANOS
         ),
         (5 * NANOS_PER_MS, 9 * NANOS_PER_MS)
     );
     let responses: Vec<_> = capture
         .responses
         .iter()
-        .map(|(_, to, message)| (*to, message.status(), message.body().to_vec()))
+        .map(|(_, request_index, message)| {
+            (*request_index, message.status(), message.body().to_vec())
+        })
         .collect();
     assert_eq!(
         responses,
@@ -125,7 +127,7 @@
     assert_eq!(
         (
             capture.tally.holes,
-            capture.tally.damage,
+            capture.tally.error,
             capture.tally.skipped_packets.len()
         ),
         (0, None, 0)
@@ -206,7 +208,7 @@
         }
         // A byte keeps its arrival time even if it was buffered.
         assert_eq!(
-            capture.requests[0].2.first.0,
+            capture.requests[0].2.first_byte_at.0,
             CAPTURE_START_NANOS + NANOS_PER_MS
         );
     }
@@ -266,9 +268,9 @@
     let len_without_drops = recorder.encode(&event(1, 0, EventKind::Opened)).len();
     recorder.add_dropped(Leg::Front, 7);
     let after_drops = recorder.encode(&event(2, 1, EventKind::Opened));
-    let statistics = heathspur_capture::write::ng_statistics(
+    let statistics = heathspur_capture::write::pcapng_statistics(
         0,
-        Stamp(CAPTURE_START_NANOS + NANOS_PER_MS),
+        Timestamp(CAPTURE_START_NANOS + NANOS_PER_MS),
         3 + 7,
         7,
     );
--- a/crates/heathspur-testkit/src/capture.rs
+++ b/crates/heathspur-testkit/src/capture.rs
@@ -3,7 +3,7 @@
 
 use heathspur_capture::exchange::{Found, Message};
 use heathspur_capture::write::{self, TcpConversation};
-use heathspur_capture::{ConnectionId, Item, Options, Pipeline, Side, Stamp, Tally};
+use heathspur_capture::{ConnectionId, Item, Options, Pipeline, Side, Tally, Timestamp};
 use std::net::SocketAddr;
 
 /// Nanoseconds in a millisecond.
@@ -88,7 +88,7 @@
     let mut file = write::pcap_header(write::RAW_IP, 0);
     for (at, packet) in packets {
         file.extend(write::pcap_record(
-            Stamp(CAPTURE_START_NANOS + at),
+            Timestamp(CAPTURE_START_NANOS + at),
             packet,
             packet.len() as u32,
         ));
@@ -129,13 +129,15 @@
     let mut capture = ParsedCapture::default();
     let record = |capture: &mut ParsedCapture, item: Item| match item {
         Item::Message(Found::Request {
-            conn,
+            connection,
             index,
             message,
-        }) => capture.requests.push((conn, index, message)),
-        Item::Message(Found::Response { conn, to, message }) => {
-            capture.responses.push((conn, to, message))
-        }
+        }) => capture.requests.push((connection, index, message)),
+        Item::Message(Found::Response {
+            connection,
+            request_index,
+            message,
+        }) => capture.responses.push((connection, request_index, message)),
         Item::Message(skipped) => capture.skipped.push(skipped),
         Item::Connection(event) => capture.connections.push(Item::Connection(event)),
     };
--- a/crates/heathspurctl/src/report.rs
+++ b/crates/heathspurctl/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a replay: a table on standard output, JSON files and charts.
 
 use crate::charts;
-use crate::load::Loaded;
+use crate::recording::Loaded;
 use crate::table::plain;
 use heathspur_replay::audit::Audit;
 use heathspur_replay::histogram::Quantiles;
@@ -79,8 +79,8 @@
             bytes.to_string(),
         );
     }
-    if let Some(damage) = loaded.tally.damage {
-        row("the capture is damaged", damage.to_string());
+    if let Some(error) = loaded.tally.error {
+        row("the capture is damaged", error.to_string());
     }
     println!("{table}");
 }
--- a/crates/heathspurctl/src/source.rs
+++ b/crates/heathspurctl/src/source.rs
@@ -66,7 +66,7 @@
 
 /// Returns an error if a capture is damaged. Commands call this last, after printing what they read.
 pub fn check_damage(options: &CaptureOptions, tally: &Tally) -> Result<(), Error> {
-    match tally.damage {
+    match tally.error {
         Some(damage) => Err(Error::DamagedCapture {
             path: options.file.clone(),
             damage,
--- a/crates/heathspurd/src/event_loop/interpreter_events.rs
+++ b/crates/heathspurd/src/event_loop/interpreter_events.rs
@@ -20,10 +20,9 @@
     /// Handles an event from the link. A run's end or call is ignored if its attempt is not in the request table.
     pub(super) fn on_interpreter_event(&mut self, event: InterpreterEvent) {
         match event {
-            InterpreterEvent::Connected {
-                warmth,
-                started_ms_ago,
-            } => self.on_connected(warmth, started_ms_ago),
+            InterpreterEvent::Connected { warmth, uptime_ms } => {
+                self.on_connected(warmth, uptime_ms)
+            }
             InterpreterEvent::Disconnected => self.on_disconnected(),
             InterpreterEvent::Gauges { nonce, readings } => self.on_gauges(nonce, &readings),
             InterpreterEvent::RunEnded {
@@ -51,9 +50,9 @@
         }
     }
 
-    /// Handles a new connection to an interpreter that started `started_ms_ago` milliseconds ago.
-    fn on_connected(&mut self, warmth: Warmth, started_ms_ago: f64) {
-        let age = Span::from_secs(started_ms_ago / 1000.0);
+    /// Handles a new connection to an interpreter that started `uptime_ms` milliseconds ago.
+    fn on_connected(&mut self, warmth: Warmth, uptime_ms: f64) {
+        let age = Span::from_secs(uptime_ms / 1000.0);
         self.start_controller(warmth == Warmth::Cold, self.now - age);
         self.interpreter.begin_resume(self.now);
     }
--- a/crates/heathspurd/src/frontend/context.rs
+++ b/crates/heathspurd/src/frontend/context.rs
@@ -1,13 +1,13 @@
 //! State that all frontends share with the event loop.
 
 use crate::frontend::connection_pool::ConnectionPool;
-use crate::frontend::response_buffer::ResponseBudget;
+use crate::frontend::response_budget::ResponseBudget;
 use crate::recording::RecorderHandle;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
 use heathspur::{RequestId, Span};
-use heathspur_settings::WireNames;
+use heathspur_settings::ProtocolNames;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Instant;
@@ -16,7 +16,7 @@
 /// read them.
 pub(crate) struct FrontendContext {
     /// The names of classes, tenants and gauges on the wire.
-    pub names: WireNames,
+    pub names: ProtocolNames,
     /// For each class, whether its requests carry an idempotency key; they carry no subject then.
     pub keyed_classes: Vec<bool>,
     next_id: Cell<u64>,
@@ -43,7 +43,7 @@
 impl FrontendContext {
     /// Creates the state of a server that is not ready and does not drain.
     pub fn new(
-        names: WireNames,
+        names: ProtocolNames,
         keyed_classes: Vec<bool>,
         idle_timeout: Span,
         stop_accepting: Receiver<()>,
--- a/crates/heathspurd/src/peers/store/mod.rs
+++ b/crates/heathspurd/src/peers/store/mod.rs
@@ -30,7 +30,7 @@
 pub(crate) struct Call {
     /// The request whose run needs the call.
     pub request: RequestId,
-    pub call: CallId,
+    pub id: CallId,
     /// The attempt id of the request, by which the store's reply is matched.
     pub attempt: AttemptId,
     /// The time for the call from its start, including the wait for a slot and for the connection. The event loop
@@ -126,7 +126,7 @@
 
     /// Starts a call. A [`CallCompleted`] event follows unless the call is abandoned.
     pub fn call(self: &Rc<Self>, call: Call) {
-        let id = call.call;
+        let id = call.id;
         let destination = self.pick_destination();
         let written = Rc::new(Cell::new(false));
         let outgoing = OutgoingCall {
@@ -169,10 +169,10 @@
             // No part of the call was sent, so it cannot have run.
             Destination::NoCapacity => (Outcome::Rejected, Bytes::new()),
         };
-        self.detach(outgoing.call.call);
+        self.detach(outgoing.call.id);
         let completed = CallCompleted {
             request: outgoing.call.request,
-            call: outgoing.call.call,
+            call: outgoing.call.id,
             outcome,
             body,
         };
@@ -209,7 +209,7 @@
     }
 
     /// Closes the idle connections whose reuse window has passed.
-    pub fn prune(&self) {
+    pub fn close_expired(&self) {
         self.pool.close_expired();
     }
 
