--- a/crates/heathspurd/tests/program.rs
+++ b/crates/heathspurd/tests/program.rs
@@ -63,7 +63,7 @@
         Some(&config),
     )
     .stderr;
-    assert!(String::from_utf8_lossy(&stderr).contains("48 MiB at most"));
+    assert!(String::from_utf8_lossy(&stderr).contains("where at most 48 MiB is expected"));
     assert_eq!(run(&["check"], None).status.code(), Some(2));
     assert_eq!(run(&["sreve"], Some(&config)).status.code(), Some(2));
     assert!(String::from_utf8_lossy(&run(&["--version"], None).stdout).starts_with("heathspurd "));
