--- a/crates/heathspurd/tests/common/mod.rs
+++ b/crates/heathspurd/tests/common/mod.rs
@@ -1,15 +1,59 @@
-//! Listeners of peers that are unavailable at first: they refuse connections, or leave them unaccepted.
+//! Helpers that several of the process tests share: identifiers, waits, and listeners of peers that are unavailable at
+//! first because they refuse connections or leave them unaccepted.
 // Each test binary uses only some of these items.
 #![allow(dead_code)]
 
 use heathspur_testkit::prelude::*;
 use procfs::net::TcpState;
+use procfs::process::Process;
 use rustix::net::{AddressFamily, SocketType};
+use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::Receiver;
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Returns the task ID of the request with this `X-Txn`. It identifies the run on the interpreter's link and the call on
+/// the connection to the store.
+pub fn task_id(txn: u64) -> String {
+    format!("{txn:016x}")
+}
+
+/// Returns the address of the listener as a value of the configuration.
+pub fn address_json(listener: &TcpListener) -> Value {
+    json!(listener.local_addr().unwrap())
+}
+
+/// Waits until the condition holds.
+///
+/// # Panics
+///
+/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "timed out waiting until {description}"
+        );
+        thread::sleep(Duration::from_millis(5));
+    }
+}
+
+/// Waits until the server has reported to the registration service that it accepts no requests.
+pub fn wait_for_not_accepting_report(reports: &Receiver<Value>) {
+    while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
+}
+
+/// Returns the number of open file descriptors of the server process.
+pub fn descriptor_count(server: &ServerFixture) -> usize {
+    Process::new(server.process.0.id() as i32)
+        .unwrap()
+        .fd_count()
+        .unwrap()
+}
+
 /// Binds a loopback address that refuses connections until [`start_listening`] is called. The bound socket reserves
 /// the address meanwhile.
 pub fn bind_refusing() -> TcpListener {
--- a/crates/heathspurd/tests/connection_close.rs
+++ b/crates/heathspurd/tests/connection_close.rs
@@ -2,6 +2,9 @@
 //! and clients that fill the connection pool do not lock out others. Each failure's order of events is forced by
 //! delaying bytes, by filling the pool, or by suspending the process.
 
+mod common;
+
+use common::{descriptor_count, task_id, wait_for_not_accepting_report, wait_until};
 use heathspur_testkit::prelude::*;
 use procfs::process::Process;
 use serde_json::json;
@@ -15,10 +18,6 @@
 /// Size of the connection pool that follows from `DESCRIPTOR_LIMIT`.
 const POOL_SIZE: usize = 36;
 
-fn task_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
 /// Starts a server with a small file descriptor limit.
 fn start_with_descriptor_limit() -> ServerFixture {
     ServerFixture::start_with_config(|config| config["limits"]["sockets"] = json!(DESCRIPTOR_LIMIT))
@@ -31,22 +30,6 @@
         .into_bytes()
 }
 
-/// Waits until the condition holds.
-///
-/// # Panics
-///
-/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
-fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let start = Instant::now();
-    while !condition() {
-        assert!(
-            start.elapsed() < EVENT_TIMEOUT,
-            "timed out waiting until {description}"
-        );
-        thread::sleep(Duration::from_millis(5));
-    }
-}
-
 /// Suspends the server process with SIGSTOP and waits until it is stopped.
 fn suspend(server: &ServerFixture) {
     server.process.signal("STOP");
@@ -56,14 +39,6 @@
     });
 }
 
-/// Returns the number of open file descriptors of the server process.
-fn descriptor_count(server: &ServerFixture) -> usize {
-    Process::new(server.process.0.id() as i32)
-        .unwrap()
-        .fd_count()
-        .unwrap()
-}
-
 /// Opens connections that each send `bytes`: nothing, the start of a request, or a health check.
 fn open_connections(server: &ServerFixture, count: usize, bytes: &[u8]) -> Vec<TcpStream> {
     let open = |_| {
@@ -177,12 +152,7 @@
     server.process.signal("CONT");
     let (first, ..) = interpreter.read_apply();
     server.process.terminate();
-    while server
-        .registration_reports
-        .recv_timeout(EVENT_TIMEOUT)
-        .unwrap()
-        != json!({"accepting": "false"})
-    {}
+    wait_for_not_accepting_report(&server.registration_reports);
     // The frontend stops accepting requests when the grace period ends. That cannot be observed while all connections
     // are busy, hence the sleep.
     thread::sleep(grace + Duration::from_millis(200));
@@ -207,12 +177,7 @@
         .collect();
     assert_eq!(interpreter.read_apply().0, task_id(1));
     server.process.terminate();
-    while server
-        .registration_reports
-        .recv_timeout(EVENT_TIMEOUT)
-        .unwrap()
-        != json!({"accepting": "false"})
-    {}
+    wait_for_not_accepting_report(&server.registration_reports);
     suspend(&server);
     thread::sleep(Duration::from_millis(3100));
     server.process.signal("CONT");
--- a/crates/heathspurd/tests/descriptor_limit.rs
+++ b/crates/heathspurd/tests/descriptor_limit.rs
@@ -4,14 +4,11 @@
 
 mod common;
 
-use common::{bind_refusing, start_listening};
+use common::{bind_refusing, descriptor_count, start_listening, task_id, wait_until};
 use heathspur_testkit::prelude::*;
-use procfs::process::Process;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
-use std::thread;
-use std::time::{Duration, Instant};
 
 /// File descriptor limit of the server.
 const DESCRIPTOR_LIMIT: usize = 64;
@@ -22,30 +19,6 @@
 /// Failed reports that are logged before the registration service becomes available.
 const FAILED_REPORTS: usize = 6;
 
-/// Waits until the condition holds.
-///
-/// # Panics
-///
-/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
-fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let start = Instant::now();
-    while !condition() {
-        assert!(
-            start.elapsed() < EVENT_TIMEOUT,
-            "timed out waiting until {description}"
-        );
-        thread::sleep(Duration::from_millis(5));
-    }
-}
-
-/// Returns the number of open file descriptors of the server process.
-fn descriptor_count(server: &ServerFixture) -> usize {
-    Process::new(server.process.0.id() as i32)
-        .unwrap()
-        .fd_count()
-        .unwrap()
-}
-
 /// Opens `count` more idle connections: in turn without any bytes sent, after part of a request line, and after an
 /// answered health check.
 fn open_idle_connections(server: &ServerFixture, connections: &mut Vec<TcpStream>, count: usize) {
@@ -85,7 +58,7 @@
     interpreter: &mut MockInterpreter,
     txn: u64,
 ) {
-    let (mut client, task_id) = (server.connect_client(), format!("{txn:016x}"));
+    let (mut client, task_id) = (server.connect_client(), task_id(txn));
     client.send(&request(txn, Some(&task_id), b"abc"));
     assert_eq!(interpreter.read_apply().0, task_id);
     interpreter.send_await(&task_id, b"ask");
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -1,6 +1,9 @@
 //! Tests of the server's HTTP/2 frontend against scripted mock peers: handling of requests, each limit and each kind of
 //! abuse.
 
+mod common;
+
+use common::task_id;
 use heathspur_testkit::http2::*;
 use heathspur_testkit::prelude::{
     request, Fields, Http1Client, MockInterpreter, ServerFixture, EVENT_TIMEOUT,
@@ -47,10 +50,6 @@
     (server, interpreter, address)
 }
 
-fn task_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
 /// Pseudo-header fields of a `look` request.
 const LOOK_REQUEST_HEAD: [(&str, &str); 4] = [
     (":method", "POST"),
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{FullAcceptQueue, SLOW_CONNECT};
+use common::{address_json, FullAcceptQueue, SLOW_CONNECT};
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -65,10 +65,6 @@
     }
 }
 
-fn address_json(listener: &TcpListener) -> Value {
-    json!(listener.local_addr().unwrap())
-}
-
 /// Starts a server that reports to this listener, and accepts its link to the interpreter.
 fn start_reporting_to(listener: &TcpListener) -> (ServerFixture, MockInterpreter) {
     let server = ServerFixture::start_with_config(|c| {
--- a/crates/heathspurd/tests/readiness.rs
+++ b/crates/heathspurd/tests/readiness.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{bind_refusing, start_listening, FullAcceptQueue};
+use common::{address_json, bind_refusing, start_listening, FullAcceptQueue};
 use heathspur_testkit::prelude::*;
 use serde_json::json;
 use std::io::Read;
@@ -107,11 +107,10 @@
         } else {
             bind_loopback()
         };
-        let address = |l: &TcpListener| json!(l.local_addr().unwrap());
         let server = ServerFixture::start_with_config(|config| {
-            config["announce"] = address(registration.listener());
-            config["vm"] = address(interpreter.listener());
-            config["store"] = address(&store);
+            config["announce"] = address_json(registration.listener());
+            config["vm"] = address_json(interpreter.listener());
+            config["store"] = address_json(&store);
         });
         StartedServer {
             server,
--- a/crates/heathspurd/tests/reconnect.rs
+++ b/crates/heathspurd/tests/reconnect.rs
@@ -1,13 +1,12 @@
 //! Tests of reconnecting to the interpreter. The link breaks, or a notice crosses a command, at a defined point; a run
 //! must receive each command and reply exactly as often as it needs it. The script of the mock peers forces each order.
 
+mod common;
+
+use common::task_id;
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 
-fn task_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
 fn answer_gauge_query(interpreter: &mut MockInterpreter, nonce: &Value) {
     interpreter.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
 }
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -1,6 +1,9 @@
 //! Tests of traffic recording by the server process. They read back the recorded files, and check that disk errors do
 //! not affect clients.
 
+mod common;
+
+use common::task_id;
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{Item, Leg, Options};
 use heathspur_testkit::capture::{parse_capture, ParsedCapture};
@@ -100,7 +103,7 @@
         let bytes = request(txn, Some(&format!("key-{txn}")), b"4929001234567890");
         client.send(&bytes);
         assert_eq!(interpreter.read_apply().2, b"4929001234567890");
-        interpreter.send_value(&format!("{txn:016x}"), "complete", b"approved");
+        interpreter.send_value(&task_id(txn), "complete", b"approved");
         assert_eq!(client.read_response().0, 200);
         sent.push(bytes);
     }
@@ -289,7 +292,7 @@
     for txn in 1..120 {
         client.send(&request(txn, None, &[b'a'; 1900]));
         interpreter.read_apply();
-        interpreter.send_value(&format!("{txn:016x}"), "complete", b"x");
+        interpreter.send_value(&task_id(txn), "complete", b"x");
         assert_eq!(client.read_response().0, 200);
         // Blocks are buffered for a short time, and file sizes are checked when the blocks are written.
         if txn % 20 == 0 {
--- a/crates/heathspurd/tests/repeats.rs
+++ b/crates/heathspurd/tests/repeats.rs
@@ -1,14 +1,12 @@
 //! Tests of repeated attempts of keyed requests: the deduplication window, lost links, failed runs and disconnected
 //! clients. They wait for events; the timeouts expire only if an event never occurs.
 
+mod common;
+
+use common::task_id;
 use heathspur_testkit::prelude::*;
 use serde_json::json;
 
-/// Returns the identifier of a request as it is written on the wire.
-fn request_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
 /// The longest deduplication window that these tests set, in milliseconds.
 const DEDUP_WINDOW_MS: u128 = 50;
 
@@ -34,8 +32,8 @@
     ingress_ms: u128,
 ) {
     client.send(&request_with_ingress_time(1, "k", ingress_ms));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
-    interpreter.send_value(&request_id(1), "complete", b"done");
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
 }
 
@@ -63,7 +61,7 @@
         ));
         assert_eq!(
             interpreter.read_apply().0,
-            request_id(4),
+            task_id(4),
             "an attempt after the window is a new request"
         );
     }
@@ -76,13 +74,13 @@
     let (mut first, mut second) = (server.connect_client(), server.connect_client());
     let ingress_ms = unix_ms();
     first.send(&request_with_ingress_time(1, "k", ingress_ms));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
     second.send(&request_with_ingress_time(2, "k", ingress_ms + 1000));
     // The run of a later request shows that the repeat was read and not run.
     let mut other = server.connect_client();
     other.send(&request_with_ingress_time(3, "other", ingress_ms));
-    assert_eq!(interpreter.read_apply().0, request_id(3));
-    interpreter.send_value(&request_id(1), "complete", b"done");
+    assert_eq!(interpreter.read_apply().0, task_id(3));
+    interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(
         (first.read_response().2, second.read_response().2),
         (b"done".to_vec(), b"done".to_vec())
@@ -99,11 +97,11 @@
         server.connect_client(),
     );
     first.send(&request(1, Some("k"), b"pay"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
     second.send(&request(2, Some("k"), b"pay"));
     let mut other = server.connect_client();
     other.send(&request(3, Some("other"), b"pay"));
-    assert_eq!(interpreter.read_apply().0, request_id(3));
+    assert_eq!(interpreter.read_apply().0, task_id(3));
     // The first client disconnects and the link fails. Another attempt arrives while the link is down.
     drop(first);
     drop(interpreter);
@@ -111,17 +109,17 @@
     let mut interpreter = server.accept_link();
     let mut resent_ids = [interpreter.read_apply().0, interpreter.read_apply().0];
     resent_ids.sort();
-    assert_eq!(resent_ids, [request_id(1), request_id(3)]);
-    interpreter.send_value(&request_id(1), "complete", b"done");
+    assert_eq!(resent_ids, [task_id(1), task_id(3)]);
+    interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(
         (second.read_response().2, third.read_response().2),
         (b"done".to_vec(), b"done".to_vec())
     );
-    interpreter.send_value(&request_id(3), "complete", b"other");
+    interpreter.send_value(&task_id(3), "complete", b"other");
     assert_eq!(other.read_response().2, b"other");
     // The next command belongs to a new request, so nothing else was run.
     second.send(&request(5, None, b"look"));
-    assert_eq!(interpreter.read_apply().0, request_id(5));
+    assert_eq!(interpreter.read_apply().0, task_id(5));
 }
 
 #[test]
@@ -131,15 +129,14 @@
         let mut interpreter = server.accept_link();
         let (mut first, mut second) = (server.connect_client(), server.connect_client());
         first.send(&request(1, Some("k"), b"pay"));
-        assert_eq!(interpreter.read_apply().0, request_id(1));
+        assert_eq!(interpreter.read_apply().0, task_id(1));
         second.send(&request(2, Some("k"), b"pay"));
         let mut other = server.connect_client();
         other.send(&request(3, Some("other"), b"pay"));
-        assert_eq!(interpreter.read_apply().0, request_id(3));
+        assert_eq!(interpreter.read_apply().0, task_id(3));
         match failure {
-            "VALUE" => interpreter.send_value(&request_id(1), "unknown", b""),
-            _ => interpreter
-                .send(json!({"verb": "ERROR", "outcome": "APPLY", "task": request_id(1)})),
+            "VALUE" => interpreter.send_value(&task_id(1), "unknown", b""),
+            _ => interpreter.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": task_id(1)})),
         }
         assert_eq!(
             (first.read_response().0, second.read_response().0),
@@ -148,7 +145,7 @@
         first.send(&request(4, Some("k"), b"pay"));
         assert_eq!(first.read_response().0, 500);
         first.send(&request(5, None, b"look"));
-        assert_eq!(interpreter.read_apply().0, request_id(5));
+        assert_eq!(interpreter.read_apply().0, task_id(5));
     }
 }
 
@@ -168,7 +165,7 @@
     second.send(&request(3, Some("k"), b"pay"));
     assert_eq!(second.read_response().2, b"done");
     second.send(&request(4, None, b"look"));
-    assert_eq!(interpreter.read_apply().0, request_id(4));
+    assert_eq!(interpreter.read_apply().0, task_id(4));
 }
 
 #[test]
@@ -177,13 +174,13 @@
     let mut interpreter = server.accept_link();
     let (mut first, mut second) = (server.connect_client(), server.connect_client());
     first.send(&request(1, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
     second.send(&request(1, None, b"abc"));
     assert_eq!(second.read_response().0, 409);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(first.read_response().2, b"one");
     second.send(&request(1, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
-    interpreter.send_value(&request_id(1), "complete", b"two");
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    interpreter.send_value(&task_id(1), "complete", b"two");
     assert_eq!(second.read_response().2, b"two");
 }
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -1,21 +1,13 @@
 //! Tests of the server process on loopback against mock peers: serving, retries, reload, drain and invalid input. They
 //! wait for events; the timeouts expire only if an event never occurs.
 
+mod common;
+
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
+use common::{task_id, wait_for_not_accepting_report};
 use heathspur_testkit::prelude::*;
-use serde_json::{json, Value};
-use std::sync::mpsc::Receiver;
-
-/// Returns the identifier of a request as it is written on the wire.
-fn request_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
-/// Waits until the server has reported to the registration service that it accepts no requests.
-fn wait_for_not_accepting_report(reports: &Receiver<Value>) {
-    while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
-}
+use serde_json::json;
 
 /// Starts a server with one running request that has this idempotency key.
 fn start_with_running_request(key: Option<&str>) -> (ServerFixture, MockInterpreter, Http1Client) {
@@ -37,9 +29,9 @@
         client.send(&request(txn, None, &body));
         assert_eq!(
             interpreter.read_apply(),
-            (request_id(txn), "look".to_string(), body.clone())
+            (task_id(txn), "look".to_string(), body.clone())
         );
-        interpreter.send_value(&request_id(txn), "complete", &body[100..]);
+        interpreter.send_value(&task_id(txn), "complete", &body[100..]);
         let (status, fields, result) = client.read_response();
         assert_eq!((status, &result[..]), (200, &body[100..]));
         assert!(!fields.contains_key("connection"));
@@ -56,10 +48,10 @@
     }
     assert_eq!(interpreter.read_apply().2, b"abc");
     client.send(&request(2, None, b"def"));
-    interpreter.send_value(&request_id(1), "complete", b"x");
+    interpreter.send_value(&task_id(1), "complete", b"x");
     assert_eq!(client.read_response().0, 200);
     assert_eq!(interpreter.read_apply().2, b"def");
-    interpreter.send_value(&request_id(2), "error", b"");
+    interpreter.send_value(&task_id(2), "error", b"");
     assert_eq!(client.read_response().0, 500);
 }
 
@@ -86,18 +78,18 @@
         server.connect_client(),
     );
     first.send(&request(1, Some("k1"), b"pay"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
     second.send(&request(2, Some("k1"), b"pay"));
     // The run of a later request with another key shows that the repeat was read and not run.
     let mut other = server.connect_client();
     other.send(&request(3, Some("k2"), b"pay"));
-    assert_eq!(interpreter.read_apply().0, request_id(3));
-    interpreter.send_value(&request_id(1), "complete", b"\0done");
+    assert_eq!(interpreter.read_apply().0, task_id(3));
+    interpreter.send_value(&task_id(1), "complete", b"\0done");
     assert_eq!(first.read_response(), second.read_response());
     third.send(&request(4, Some("k1"), b"pay"));
     let (status, _, body) = third.read_response();
     assert_eq!((status, &body[..]), (200, &b"\0done"[..]));
-    interpreter.send_value(&request_id(3), "complete", b"other");
+    interpreter.send_value(&task_id(3), "complete", b"other");
     assert_eq!(other.read_response().2, b"other");
 }
 
@@ -107,11 +99,11 @@
     let mut interpreter = server.accept_link();
     let mut first = server.connect_client();
     first.send(&request(1, Some("k1"), b"pay"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
     drop(first);
     let mut second = server.connect_client();
     second.send(&request(2, Some("k1"), b"pay"));
-    interpreter.send_value(&request_id(1), "complete", b"done");
+    interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(second.read_response().2, b"done");
 }
 
@@ -122,14 +114,14 @@
     for txn in 1..40 {
         let mut client = server.connect_client();
         client.send(&request(txn, None, b"abc"));
-        assert_eq!(interpreter.read_apply().0, request_id(txn));
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
         drop(client);
         let stop = interpreter.read_command();
         assert_eq!(
             (&stop["verb"], &stop["task"]),
-            (&json!("BREAK"), &json!(request_id(txn)))
+            (&json!("BREAK"), &json!(task_id(txn)))
         );
-        interpreter.send_value(&request_id(txn), "cancelled", b"");
+        interpreter.send_value(&task_id(txn), "cancelled", b"");
     }
 }
 
@@ -140,8 +132,8 @@
     for txn in 1..80 {
         let mut client = server.connect_client();
         client.send(&request(txn, None, b"abc"));
-        assert_eq!(interpreter.read_apply().0, request_id(txn));
-        interpreter.send_value(&request_id(txn), "unknown", b"");
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
+        interpreter.send_value(&task_id(txn), "unknown", b"");
         assert_eq!(client.read_response().0, 500);
     }
 }
@@ -155,19 +147,19 @@
     interpreter.read_apply();
     second.send(&request(2, None, b"def"));
     interpreter.read_apply();
-    interpreter.send_value(&request_id(2), "complete", b"two");
+    interpreter.send_value(&task_id(2), "complete", b"two");
     assert_eq!(second.read_response().2, b"two");
     drop(interpreter);
     let mut interpreter = server.accept_link();
     assert_eq!(interpreter.resume_index, 1);
     // A notice whose index was already processed is ignored.
     interpreter.last_index = 0;
-    interpreter.send_value(&request_id(1), "error", b"");
+    interpreter.send_value(&task_id(1), "error", b"");
     assert_eq!(
         interpreter.read_apply(),
-        (request_id(1), "look".to_string(), b"abc".to_vec())
+        (task_id(1), "look".to_string(), b"abc".to_vec())
     );
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(first.read_response().2, b"one");
 }
 
@@ -176,10 +168,10 @@
     let (server, interpreter, mut client) = start_with_running_request(Some("k"));
     drop(interpreter);
     let mut interpreter = server.accept_link();
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     client.send(&request(2, None, b"def"));
-    assert_eq!(interpreter.read_apply().0, request_id(2));
+    assert_eq!(interpreter.read_apply().0, task_id(2));
 }
 
 #[test]
@@ -192,50 +184,50 @@
     let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
     interpreter.read_apply();
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().0, 200);
 }
 
 #[test]
 fn command_rejected_by_interpreter_fails_its_request() {
     let (_server, mut interpreter, mut client) = start_with_running_request(None);
-    interpreter.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": request_id(1)}));
+    interpreter.send(json!({"verb": "ERROR", "outcome": "APPLY", "task": task_id(1)}));
     assert_eq!(client.read_response().0, 500);
 }
 
 #[test]
 fn call_and_reply_bodies_pass_unchanged() {
     let (server, mut interpreter, mut client) = start_with_running_request(Some("k"));
-    interpreter.send_await(&request_id(1), b"\r\n\0ask");
+    interpreter.send_await(&task_id(1), b"\r\n\0ask");
     let mut store = MockStore::accept(&server);
     let (id, body) = store.read_call();
-    assert_eq!((id, &body[..]), (request_id(1), &b"\r\n\0ask"[..]));
+    assert_eq!((id, &body[..]), (task_id(1), &b"\r\n\0ask"[..]));
     // A reply to an unknown call is ignored.
     store.send(b"0000000000000009 OK 1\r\nx\r\n");
-    store.send(format!("{} OK 4\r\n\r\n\0!\r\n", request_id(1)).as_bytes());
+    store.send(format!("{} OK 4\r\n\r\n\0!\r\n", task_id(1)).as_bytes());
     let command = interpreter.read_command();
     assert_eq!(
         (&command["verb"], &command["task"]),
-        (&json!("RESOLVE"), &json!(request_id(1)))
+        (&json!("RESOLVE"), &json!(task_id(1)))
     );
     assert_eq!(
         STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
         b"\r\n\0!"
     );
-    interpreter.send_value(&request_id(1), "complete", b"paid");
+    interpreter.send_value(&task_id(1), "complete", b"paid");
     assert_eq!(client.read_response().2, b"paid");
 }
 
 #[test]
 fn call_rejected_as_busy_is_retried() {
     let (server, mut interpreter, _client) = start_with_running_request(Some("k"));
-    interpreter.send_await(&request_id(1), b"ask");
+    interpreter.send_await(&task_id(1), b"ask");
     let mut store = MockStore::accept(&server);
     store.read_call();
-    store.send(format!("{} BUSY\r\n", request_id(1)).as_bytes());
+    store.send(format!("{} BUSY\r\n", task_id(1)).as_bytes());
     let mut store = MockStore::accept(&server);
     assert_eq!(store.read_call().1, b"ask");
-    store.send(format!("{} OK 0\r\n\r\n", request_id(1)).as_bytes());
+    store.send(format!("{} OK 0\r\n\r\n", task_id(1)).as_bytes());
     assert_eq!(interpreter.read_command()["verb"], "RESOLVE");
 }
 
@@ -243,18 +235,18 @@
 #[test]
 fn keyed_call_on_broken_connection_is_not_retried() {
     let (server, mut interpreter, mut client) = start_with_running_request(Some("k"));
-    interpreter.send_await(&request_id(1), b"ask");
+    interpreter.send_await(&task_id(1), b"ask");
     let mut store = MockStore::accept(&server);
     store.read_call();
     drop(store);
     let (status, _, _) = client.read_response();
     assert!(status >= 500 && status != 503, "{status}");
-    interpreter.send_value(&request_id(1), "cancelled", b"");
+    interpreter.send_value(&task_id(1), "cancelled", b"");
     // The next call, on a new connection, belongs to another request.
     client.send(&request(2, Some("k2"), b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(2));
-    interpreter.send_await(&request_id(2), b"ask");
-    assert_eq!(MockStore::accept(&server).read_call().0, request_id(2));
+    assert_eq!(interpreter.read_apply().0, task_id(2));
+    interpreter.send_await(&task_id(2), b"ask");
+    assert_eq!(MockStore::accept(&server).read_call().0, task_id(2));
 }
 
 #[test]
@@ -266,28 +258,28 @@
     let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
     interpreter.read_apply();
-    let index = interpreter.send_await(&request_id(1), b"ask");
+    let index = interpreter.send_await(&task_id(1), b"ask");
     let command = interpreter.read_command();
     assert_eq!(
         (&command["verb"], &command["index"]),
         (&json!("STUB"), &json!(index))
     );
-    interpreter.send_value(&request_id(1), "complete", b"less");
+    interpreter.send_value(&task_id(1), "complete", b"less");
     assert_eq!(client.read_response().2, b"less");
 }
 
 #[test]
 fn client_disconnect_abandons_store_call() {
     let (server, mut interpreter, client) = start_with_running_request(None);
-    interpreter.send_await(&request_id(1), b"ask");
+    interpreter.send_await(&task_id(1), b"ask");
     let mut store = MockStore::accept(&server);
     store.read_call();
     drop(client);
     store.assert_closed();
-    interpreter.send_value(&request_id(1), "cancelled", b"");
+    interpreter.send_value(&task_id(1), "cancelled", b"");
     let mut client = server.connect_client();
     client.send(&request(2, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(2));
+    assert_eq!(interpreter.read_apply().0, task_id(2));
 }
 
 /// Starts a server with two runs that wait for the replies to their calls: first one that may be retried, then a keyed
@@ -302,10 +294,10 @@
     let calls = [(1, None), (2, Some("k"))].map(|(txn, key)| {
         let mut client = server.connect_client();
         client.send(&request(txn, key, b"abc"));
-        assert_eq!(interpreter.read_apply().0, request_id(txn));
-        interpreter.send_await(&request_id(txn), b"ask");
+        assert_eq!(interpreter.read_apply().0, task_id(txn));
+        interpreter.send_await(&task_id(txn), b"ask");
         let mut store = MockStore::accept(&server);
-        assert_eq!(store.read_call().0, request_id(txn));
+        assert_eq!(store.read_call().0, task_id(txn));
         (client, store)
     });
     (server, interpreter, calls)
@@ -316,7 +308,7 @@
     let command = interpreter.read_command();
     assert_eq!(
         (&command["verb"], &command["task"]),
-        (&json!("RESOLVE"), &json!(request_id(txn)))
+        (&json!("RESOLVE"), &json!(task_id(txn)))
     );
     assert_eq!(
         STANDARD.decode(command["bytes"].as_str().unwrap()).unwrap(),
@@ -341,7 +333,7 @@
         assert_resolved(&mut interpreter, 2, "fine");
         // The call of the failed connection may be retried, which happens on another connection.
         let mut retry_store = MockStore::accept(&server);
-        assert_eq!(retry_store.read_call().0, request_id(1));
+        assert_eq!(retry_store.read_call().0, task_id(1));
         retry_store.send_ok(1, "late");
         assert_resolved(&mut interpreter, 1, "late");
     }
@@ -351,25 +343,25 @@
 fn store_connection_with_unsolicited_reply_is_not_reused() {
     let (server, mut interpreter, [(mut client, mut retryable_store), (_other, mut keyed_store)]) =
         start_with_two_calls();
-    retryable_store.send(format!("{0} OK 1\r\na\r\n{0} OK 1\r\nb\r\n", request_id(1)).as_bytes());
+    retryable_store.send(format!("{0} OK 1\r\na\r\n{0} OK 1\r\nb\r\n", task_id(1)).as_bytes());
     assert_resolved(&mut interpreter, 1, "a");
     retryable_store.assert_closed();
     keyed_store.send_ok(9, "ahead");
     keyed_store.send_ok(2, "fine");
     assert_resolved(&mut interpreter, 2, "fine");
     keyed_store.assert_closed();
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     for txn in 3..6 {
         client.send(&request(txn, None, b"abc"));
         interpreter.read_apply();
-        interpreter.send_await(&request_id(txn), b"ask");
+        interpreter.send_await(&task_id(txn), b"ask");
         let mut store = MockStore::accept(&server);
-        assert_eq!(store.read_call().0, request_id(txn));
+        assert_eq!(store.read_call().0, task_id(txn));
         store.send_ok(9, "unasked");
         store.send_ok(txn, "fine");
         assert_resolved(&mut interpreter, txn, "fine");
-        interpreter.send_value(&request_id(txn), "complete", b"one");
+        interpreter.send_value(&task_id(txn), "complete", b"one");
         assert_eq!(client.read_response().2, b"one");
     }
 }
@@ -383,7 +375,7 @@
     ) = start_with_two_calls();
     let mut running_client = server.connect_client();
     running_client.send(&request(3, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(3));
+    assert_eq!(interpreter.read_apply().0, task_id(3));
     let index = interpreter.last_index;
     let reports = server.replace_peer_addresses();
     let mut interpreter = server.accept_link();
@@ -404,21 +396,21 @@
     let expected = [("RESOLVE", 1), ("RESOLVE", 2), ("APPLY", 3)];
     assert_eq!(
         commands,
-        expected.map(|(verb, txn)| (json!(verb), json!(request_id(txn))))
+        expected.map(|(verb, txn)| (json!(verb), json!(task_id(txn))))
     );
     for (client, txn) in [
         (&mut retryable_client, 1),
         (&mut keyed_client, 2),
         (&mut running_client, 3),
     ] {
-        interpreter.send_value(&request_id(txn), "complete", b"done");
+        interpreter.send_value(&task_id(txn), "complete", b"done");
         assert_eq!(client.read_response().2, b"done");
     }
     // New calls go to the new address.
     retryable_client.send(&request(4, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(4));
-    interpreter.send_await(&request_id(4), b"ask");
-    assert_eq!(MockStore::accept(&server).read_call().0, request_id(4));
+    assert_eq!(interpreter.read_apply().0, task_id(4));
+    interpreter.send_await(&task_id(4), b"ask");
+    assert_eq!(MockStore::accept(&server).read_call().0, task_id(4));
 }
 
 #[test]
@@ -431,7 +423,7 @@
     let mut interpreter = server.accept_link();
     let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
+    assert_eq!(interpreter.read_apply().0, task_id(1));
 }
 
 #[test]
@@ -443,8 +435,8 @@
     server.wait_for_log("configuration reload failed, keeping the current configuration");
     let mut client = server.connect_client();
     client.send(&request(1, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(1));
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
@@ -463,7 +455,7 @@
     let mut health_client = server.connect_client();
     health_client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(health_client.read_response().0, 503);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     let (status, fields, _) = client.read_response();
     assert_eq!((status, fields["connection"].as_str()), (200, "close"));
     client.assert_closed();
@@ -496,7 +488,7 @@
     interpreter.read_apply();
     let (status, _, _) = with_ttl.read_response();
     assert!(status == 503 || status == 504, "{status}");
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(without_ttl.read_response().2, b"one");
 }
 
@@ -510,7 +502,7 @@
     interpreter.read_apply();
     server.process.terminate();
     wait_for_not_accepting_report(&server.registration_reports);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     let (_, fields, _) = client.read_response();
     assert_eq!(fields["x-capacity"], "1");
 }
@@ -661,7 +653,7 @@
     }
     let mut client = server.connect_client();
     client.send(&request(2, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(2));
+    assert_eq!(interpreter.read_apply().0, task_id(2));
 }
 
 // Closing a socket with unread bytes sends a reset, which can discard the response before the client reads it.
@@ -688,7 +680,7 @@
     interpreter.read_apply();
     second.send(&request(1, None, b"abc"));
     assert_eq!(second.read_response().0, 409);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(first.read_response().2, b"one");
 }
 
@@ -699,7 +691,7 @@
     let mut served = server.connect_client();
     served.send(&request(1, Some("k"), b"abc"));
     interpreter.read_apply();
-    interpreter.send_await(&request_id(1), b"ask");
+    interpreter.send_await(&task_id(1), b"ask");
     let mut store = MockStore::accept(&server);
     store.read_call();
     // Far more connections than the descriptor limit allows. The request in flight and the new health check must be
@@ -708,7 +700,7 @@
     let mut last = server.connect_client();
     last.send(b"GET /status/live HTTP/1.1\r\n\r\n");
     assert_eq!(last.read_response().0, 200);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(served.read_response().0, 200);
     for mut client in silent {
         client.assert_closed();
@@ -750,7 +742,7 @@
         assert_eq!(other.read_response().0, 422);
     };
     assert_rejected(2);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     assert_rejected(3);
     client.send(&request(4, Some("k"), b"abc"));
@@ -816,7 +808,7 @@
             interpreter.read_apply();
         }
         server.process.signal("STOP");
-        interpreter.send_value(&request_id(1), "complete", b"x");
+        interpreter.send_value(&task_id(1), "complete", b"x");
         std::thread::sleep(std::time::Duration::from_millis(1300));
         server.process.signal("CONT");
         assert_eq!(clients[0].read_response().0, 200);
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -1,6 +1,9 @@
 //! Tests of signals that arrive during other work, and of reloads of invalid or changed configurations. They wait for
 //! events; the timeouts expire only if an event never occurs.
 
+mod common;
+
+use common::{address_json, task_id, wait_for_not_accepting_report};
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -8,7 +11,6 @@
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -20,16 +22,6 @@
 /// Logged when a drain begins.
 const DRAIN_STARTED: &str = "graceful shutdown started";
 
-/// Returns the identifier of a request as it is written on the wire.
-fn request_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
-/// Waits until the server has reported to the registration service that it accepts no requests.
-fn wait_for_not_accepting_report(reports: &Receiver<Value>) {
-    while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
-}
-
 /// Sends a health check and returns the status of the response.
 fn health_status(server: &ServerFixture) -> u16 {
     let mut client = server.connect_client();
@@ -37,10 +29,6 @@
     client.read_response().0
 }
 
-fn address_value(listener: &TcpListener) -> Value {
-    json!(listener.local_addr().unwrap())
-}
-
 /// Asserts that there was no connection to this listener. The caller has given the server enough time to connect.
 fn assert_no_connection(listener: &TcpListener) {
     listener.set_nonblocking(true).unwrap();
@@ -50,8 +38,8 @@
 /// Asserts that a request is served over this link to the interpreter.
 fn assert_serves(client: &mut Http1Client, interpreter: &mut MockInterpreter, txn: u64) {
     client.send(&request(txn, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(txn));
-    interpreter.send_value(&request_id(txn), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, task_id(txn));
+    interpreter.send_value(&task_id(txn), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
@@ -118,7 +106,7 @@
         let stopped = stopped.clone();
         let line = format!(
             "{}\n",
-            json!({"verb": "ERROR", "outcome": "STUB", "task": request_id(9)})
+            json!({"verb": "ERROR", "outcome": "STUB", "task": task_id(9)})
         );
         thread::spawn(move || {
             let lines = line.repeat(4096);
@@ -139,7 +127,7 @@
     server.process.terminate();
     server.process.signal("INT");
     wait_for_not_accepting_report(&server.registration_reports);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     assert_eq!(server.process.wait().code(), Some(0));
     assert_eq!(
@@ -178,8 +166,8 @@
     let reports = server.replace_peer_addresses();
     wait_for_not_accepting_report(&reports);
     let mut interpreter = server.accept_link();
-    assert_eq!(interpreter.read_apply().0, request_id(1));
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     assert_eq!(server.process.wait().code(), Some(0));
 }
@@ -221,7 +209,7 @@
     // Opening the FIFO blocks until the server has opened it too. The server then blocks until the test writes to it.
     let mut fifo = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
     let first = settings.to_string();
-    settings["vm"] = address_value(&new_interpreter);
+    settings["vm"] = address_json(&new_interpreter);
     let next: PathBuf = file.with_extension("next");
     std::fs::write(&next, settings.to_string()).unwrap();
     std::fs::rename(&next, &file).unwrap();
@@ -251,7 +239,7 @@
         ("announce", &registration),
         ("store", &store),
     ] {
-        server.config[field] = address_value(listener);
+        server.config[field] = address_json(listener);
     }
     match text(&mut server.config) {
         Some(text) => std::fs::write(&server.config_file, text).unwrap(),
@@ -265,15 +253,12 @@
     assert_serves(&mut client, &mut interpreter, 2);
     client.send(&request(3, None, b"abc"));
     interpreter.read_apply();
-    interpreter.send_await(&request_id(3), b"ask");
+    interpreter.send_await(&task_id(3), b"ask");
     let mut call = String::new();
     BufReader::new(accept(&server.store_listener))
         .read_line(&mut call)
         .unwrap();
-    assert!(
-        call.starts_with(&format!("CALL {} ", request_id(3))),
-        "{call}"
-    );
+    assert!(call.starts_with(&format!("CALL {} ", task_id(3))), "{call}");
     [interpreter_listener, registration, store]
         .iter()
         .for_each(assert_no_connection);
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -6,6 +6,9 @@
 //! The environment variable `HEATHSPUR_PROGRAMS` contains the directory of the programs under test. By default they are
 //! the ones that the test build has built.
 
+mod common;
+
+use common::{task_id, wait_for_not_accepting_report};
 use heathspur_testkit::auto_stubs;
 use heathspur_testkit::prelude::*;
 use object::read::elf::{Dyn, ElfFile64, FileHeader, ProgramHeader};
@@ -455,26 +458,20 @@
 
     /// Asserts that the next command starts the run of this request.
     fn assert_run_starts(&mut self, txn: u64) {
-        assert_eq!(self.interpreter.read_apply().0, format!("{txn:016x}"));
+        assert_eq!(self.interpreter.read_apply().0, task_id(txn));
     }
 
     /// Completes the run of this request.
     fn complete_run(&mut self, txn: u64) {
         self.interpreter
-            .send_value(&format!("{txn:016x}"), "complete", b"done");
+            .send_value(&task_id(txn), "complete", b"done");
     }
 
     /// Sends SIGTERM and waits until the server reports that it accepts no requests.
     fn begin_drain(&mut self) {
         self.server.process.terminate();
         self.terminated_at = Some(Instant::now());
-        while self
-            .server
-            .registration_reports
-            .recv_timeout(EVENT_TIMEOUT)
-            .unwrap()
-            != json!({"accepting": "false"})
-        {}
+        wait_for_not_accepting_report(&self.server.registration_reports);
     }
 
     /// Asserts that the server exits successfully before the platform would kill it, and starts no run that the
