--- a/crates/heathspurd/tests/cold_start.rs
+++ b/crates/heathspurd/tests/cold_start.rs
@@ -7,9 +7,10 @@
 use std::thread;
 
 const REQUESTS: u64 = 40;
-/// Concurrent runs that a server with these settings survives at a cold start: cores x (1 + (multiple - 1) x warmth).
+/// Concurrent runs above which a server with these settings fails at a cold start:
+/// `n-cores` x (1 + (`fall-multiple` - 1) x `start-capacity`).
 const COLD_RUN_LIMIT: f64 = 4.0 * (1.0 + 4.0 * 0.2);
-/// Concurrent runs that the same server survives once warm.
+/// Concurrent runs above which the same server fails once it is warm: `n-cores` x `fall-multiple`.
 const WARM_RUN_LIMIT: f64 = 4.0 * (1.0 + 4.0);
 /// Longest delay, in milliseconds, that a rejection asks of a client.
 const MAX_THROTTLE_MS: u64 = 1000;
@@ -98,19 +99,22 @@
     let (peak, responses) = Burst::send("chilly").into_peak_and_responses();
     assert!(
         (1..=COLD_RUN_LIMIT as usize).contains(&peak),
-        "{peak} concurrent runs, limit {COLD_RUN_LIMIT}"
+        "{peak} concurrent runs, expected 1 to {COLD_RUN_LIMIT}"
     );
     let rejected: Vec<_> = responses
         .iter()
         .filter(|(status, _)| *status == 503 || *status == 429)
         .collect();
-    assert!(rejected.len() >= REQUESTS as usize / 2, "{responses:?}");
+    assert!(
+        rejected.len() >= REQUESTS as usize / 2,
+        "fewer than half of the requests were rejected: {responses:?}"
+    );
     assert!(
         rejected
             .iter()
             .all(|(_, throttle_ms)| throttle_ms
                 .is_some_and(|ms| (1..=MAX_THROTTLE_MS).contains(&ms))),
-        "{responses:?}"
+        "a rejection has no throttle hint of 1 to {MAX_THROTTLE_MS} ms: {responses:?}"
     );
 }
 
@@ -119,6 +123,6 @@
     let (peak, _) = Burst::send("hot").into_peak_and_responses();
     assert!(
         (COLD_RUN_LIMIT as usize + 1..=WARM_RUN_LIMIT as usize).contains(&peak),
-        "{peak} concurrent runs, limit {WARM_RUN_LIMIT}"
+        "{peak} concurrent runs, expected more than {COLD_RUN_LIMIT} and at most {WARM_RUN_LIMIT}"
     );
 }
--- a/crates/heathspurd/tests/common/mod.rs
+++ b/crates/heathspurd/tests/common/mod.rs
@@ -68,8 +68,8 @@
     listener
 }
 
-/// Time for which a connect attempt is kept pending. Longer than the server's former connect timeout; the kernel
-/// resends the SYN about every second.
+/// Time for which a connect attempt is left pending. The kernel resends a dropped SYN about every second, so a server
+/// with a shorter connect timeout, as it once had, abandons each attempt before it can succeed.
 pub const SLOW_CONNECT: Duration = Duration::from_millis(1500);
 
 /// A listener that accepts no connection for now: its accept queue is full, so the kernel drops the SYN packets of
@@ -107,8 +107,8 @@
             let sockets: Vec<_> = procfs::net::tcp().unwrap();
             let pending = sockets
                 .iter()
-                .filter(|c| c.state == TcpState::SynSent && c.remote_address == self.address());
-            let pending: Vec<_> = pending.map(|c| c.inode).collect();
+                .filter(|s| s.state == TcpState::SynSent && s.remote_address == self.address());
+            let pending: Vec<_> = pending.map(|s| s.inode).collect();
             attempts.retain(|inode, _| pending.contains(inode));
             for inode in pending {
                 attempts.entry(inode).or_insert_with(Instant::now);
--- a/crates/heathspurd/tests/connection_close.rs
+++ b/crates/heathspurd/tests/connection_close.rs
@@ -122,13 +122,16 @@
 /// Checks that the client gets a response of status 200 or 503 and that its connection is then closed.
 fn assert_answered_and_closed(client: &mut Http1Client) {
     let (status, fields, _) = client.read_response();
-    assert!(status == 200 || status == 503, "{status}");
+    assert!(
+        status == 200 || status == 503,
+        "status {status}, expected 200 or 503"
+    );
     assert_eq!(fields["connection"], "close");
     client.assert_closed();
 }
 
-/// Guards against connections in the accept queue that are never answered because the drain grace period ends while the
-/// connection pool is full. Requests that arrive after the grace period must not be run.
+// Guards against connections in the accept queue that are never answered because the drain grace period ends while the
+// connection pool is full. Requests that arrive after the grace period must not be run.
 #[test]
 fn connections_beyond_full_pool_are_answered_after_drain_grace_expires() {
     let grace = Duration::from_millis(300);
@@ -156,14 +159,17 @@
     // The frontend stops accepting requests when the grace period ends. That cannot be observed while all connections
     // are busy, hence the sleep.
     thread::sleep(grace + Duration::from_millis(200));
-    clients.extend((201..204).map(send_request));
+    let late_txns = 201..204;
+    clients.extend(late_txns.clone().map(send_request));
     interpreter.send_value(&first, "complete", b"done");
     let completed_runs = interpreter.complete_all_runs();
     clients.iter_mut().for_each(assert_answered_and_closed);
     assert_eq!(server.process.wait().code(), Some(0));
     let started = completed_runs.join().unwrap();
     assert!(
-        (201..204).all(|txn| !started.contains(&task_id(txn))),
+        late_txns
+            .clone()
+            .all(|txn| !started.contains(&task_id(txn))),
         "started after the grace period: {started:?}"
     );
 }
@@ -183,7 +189,7 @@
     server.process.signal("CONT");
     for client in &mut clients {
         let (status, _, _) = client.read_response();
-        assert!(status >= 500, "{status}");
+        assert!(status >= 500, "status {status}, expected 500 or higher");
     }
     assert_eq!(server.process.wait().code(), Some(0));
 }
@@ -234,7 +240,10 @@
     let _completed_runs = interpreter.complete_all_runs();
     for client in &mut clients {
         let status = client.read_response().0;
-        assert!(status == 200 || status == 503, "{status}");
+        assert!(
+            status == 200 || status == 503,
+            "status {status}, expected 200 or 503"
+        );
     }
 }
 
@@ -281,7 +290,7 @@
         assert_request_with_call_is_served(&server, &mut interpreter, 10 + txn);
         assert!(
             descriptor_count(&server) <= DESCRIPTOR_LIMIT,
-            "{} descriptors",
+            "{} open descriptors, limit {DESCRIPTOR_LIMIT}",
             descriptor_count(&server)
         );
         drop(flood);
@@ -309,9 +318,9 @@
         client.send(b"POST /svc/lo");
         // If those bytes had reached a closed socket, the reset sent in reply would have arrived after this exchange
         // and would fail the next send.
-        let mut probe = server.connect_client();
-        probe.send(b"GET /status/live HTTP/1.1\r\n\r\n");
-        probe.read_response();
+        let mut health_client = server.connect_client();
+        health_client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
+        health_client.read_response();
         client.send(b"ok HTTP/1.1\r\n");
         // The server discards later bytes only for this long; only an overloaded machine sends them later.
         if closed_at.elapsed() < Duration::from_millis(500) {
--- a/crates/heathspurd/tests/descriptor_limit.rs
+++ b/crates/heathspurd/tests/descriptor_limit.rs
@@ -53,7 +53,7 @@
 
 /// Checks that a request on a new connection is served, including its call to the store, and that the server stays
 /// within its descriptor limit.
-fn assert_request_with_call_is_served(
+fn assert_served_within_descriptor_limit(
     server: &ServerFixture,
     interpreter: &mut MockInterpreter,
     txn: u64,
@@ -70,7 +70,7 @@
     assert_eq!(client.read_response().2, b"done");
     assert!(
         descriptor_count(server) <= DESCRIPTOR_LIMIT,
-        "{} descriptors",
+        "{} open descriptors, limit {DESCRIPTOR_LIMIT}",
         descriptor_count(server)
     );
 }
@@ -83,23 +83,25 @@
         config["announce"] = json!(registration.local_addr().unwrap());
     });
     let mut interpreter = server.accept_link();
-    assert_request_with_call_is_served(&server, &mut interpreter, 1);
+    assert_served_within_descriptor_limit(&server, &mut interpreter, 1);
     let (baseline, mut idle) = (descriptor_count(&server), Vec::new());
-    // First half of the descriptor limit, as load balancers may use, then far more.
+    // The first round opens as many connections as load balancers may hold, half of the descriptor limit; the second
+    // opens far more.
     for (count, txn) in [(DESCRIPTOR_LIMIT / 2, 2), (2 * DESCRIPTOR_LIMIT, 4)] {
         open_idle_connections(&server, &mut idle, count);
         wait_until("the connection pool is nearly full", || {
             descriptor_count(&server) >= baseline + POOL_SIZE - 2 * RESERVED_CONNECTIONS
         });
-        assert_request_with_call_is_served(&server, &mut interpreter, txn);
+        assert_served_within_descriptor_limit(&server, &mut interpreter, txn);
         // The interpreter's link breaks and is re-established meanwhile.
         drop(interpreter);
         interpreter = server.accept_link();
-        assert_request_with_call_is_served(&server, &mut interpreter, txn + 1);
+        assert_served_within_descriptor_limit(&server, &mut interpreter, txn + 1);
     }
     wait_until("most idle connections are closed", || {
         closed_count(&mut idle) >= idle.len() - POOL_SIZE
     });
+    // Only the failures that are logged from now on count.
     let _: Vec<_> = server.log_lines.try_iter().collect();
     for _ in 0..FAILED_REPORTS {
         server.wait_for_log("cannot report readiness to the registration service at ");
@@ -110,9 +112,9 @@
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
-    assert_request_with_call_is_served(&server, &mut interpreter, 6);
+    assert_served_within_descriptor_limit(&server, &mut interpreter, 6);
     drop(idle);
-    // One more than the baseline: the reports now have a connection.
+    // The reports now have a connection, which the baseline did not include.
     wait_until("the descriptor count is back at its baseline", || {
         descriptor_count(&server) <= baseline + 1
     });
@@ -123,7 +125,7 @@
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         assert_eq!(client.read_response().0, 200);
     }
-    assert_request_with_call_is_served(&server, &mut interpreter, 7);
+    assert_served_within_descriptor_limit(&server, &mut interpreter, 7);
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
--- a/crates/heathspurd/tests/failover.rs
+++ b/crates/heathspurd/tests/failover.rs
@@ -238,13 +238,13 @@
         assert_eq!(
             ZonedFleet::logged_local_tenths(&zones.fleet, i),
             [] as [u8; 0],
-            "m{i}"
+            "m{i} accepted a decision"
         );
     }
     let (responses, served) = clients.stop(&zones);
     assert!(
         served * 10 > responses * 7,
-        "{served} of {responses} served"
+        "{served} of {responses} served, expected more than 70%"
     );
 }
 
@@ -266,7 +266,7 @@
         let decisions = ZonedFleet::logged_local_tenths(&zones.fleet, i);
         assert!(
             (1..=max_decisions).contains(&decisions.len()),
-            "m{i}, at most {max_decisions}: {decisions:?}"
+            "m{i}, expected 1 to {max_decisions} decisions: {decisions:?}"
         );
     }
     clients.stop(&zones);
@@ -289,7 +289,7 @@
     let calls = zones.count_calls_for(Duration::from_secs(2));
     assert!(
         calls.iter().all(|count| *count > 60),
-        "calls by replica: {calls:?}"
+        "calls by replica, expected more than 60 each: {calls:?}"
     );
     zones
         .fleet
@@ -307,19 +307,19 @@
     let calls = zones.count_calls_for(Duration::from_secs(2));
     assert!(
         calls.iter().all(|count| *count > 60),
-        "calls by replica: {calls:?}"
+        "calls by replica, expected more than 60 each: {calls:?}"
     );
     for i in 0..SERVERS {
         assert_eq!(
             ZonedFleet::logged_local_tenths(&zones.fleet, i),
             [] as [u8; 0],
-            "m{i}"
+            "m{i} accepted a decision"
         );
     }
     let (responses, served) = clients.stop(&zones);
     assert!(
         served * 100 >= responses * 99,
-        "{served} of {responses} served"
+        "{served} of {responses} served, expected at least 99%"
     );
 }
 
@@ -369,7 +369,7 @@
         assert_eq!(
             ZonedFleet::logged_local_tenths(&zones.fleet, i),
             [] as [u8; 0],
-            "m{i}"
+            "m{i} accepted a decision"
         );
     }
     clients.stop(&zones);
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Writes an operator file that enables HTTP/2, with these elements inside `<http2>`.
+/// Writes an operator's file that enables HTTP/2, with these elements inside `<http2>`.
 fn write_operator_file(name: &str, http2_elements: &str) -> TempFile {
     let file = std::env::temp_dir().join(format!(
         "heathspurd-http2-{}-{name}.xml",
@@ -59,7 +59,7 @@
 ];
 
 /// Checks that a request on a new connection is served.
-fn assert_served(address: SocketAddr, interpreter: &mut MockInterpreter, txn: u64) {
+fn assert_request_is_served(address: SocketAddr, interpreter: &mut MockInterpreter, txn: u64) {
     let mut client = Http2Client::connect(address);
     let id = client.send_request(txn, None, b"good");
     assert_eq!(interpreter.read_apply().0, task_id(txn));
@@ -218,7 +218,7 @@
         true,
     );
     assert!(client.read_response(id).2.is_empty());
-    assert_served(address, &mut interpreter, 1);
+    assert_request_is_served(address, &mut interpreter, 1);
     let id = client.send_request(2, None, b"x");
     interpreter.read_apply();
     interpreter.send_value(&task_id(2), "complete", b"y");
@@ -262,7 +262,7 @@
     partial.send_raw(&PREFACE[..12]);
     assert_eq!(partial.socket().read(&mut [0; 9]).unwrap(), 0);
     partial.auto_reply = false;
-    assert_served(address, &mut interpreter, 2);
+    assert_request_is_served(address, &mut interpreter, 2);
 }
 
 #[test]
@@ -306,7 +306,7 @@
 #[test]
 fn stalled_responses_are_reset_after_timeout_and_results_are_retained() {
     let (_server, mut interpreter, address) = start("stall", "<patience stalled=\"300 ms\"/>");
-    // Its initial window is 0, and it never sends WINDOW_UPDATE.
+    // The initial window of this client is 0, and it never sends WINDOW_UPDATE.
     let mut client =
         Http2Client::connect_with_settings(address, &[(SETTINGS_INITIAL_WINDOW_SIZE, 0)]);
     let ids: Vec<u32> = (1..6)
@@ -457,7 +457,7 @@
     for (name, reason) in reasons {
         assert_eq!(reason, ENHANCE_YOUR_CALM, "{name}");
     }
-    assert_served(address, &mut interpreter, 1);
+    assert_request_is_served(address, &mut interpreter, 1);
     // Rapid reset: each stream is reset as soon as it is opened.
     let mut txn = 100;
     let reason = flood(address, no_setup, |client| {
@@ -492,22 +492,32 @@
         200,
         "the connection was not kept open"
     );
-    let malformed: [Vec<u8>; 5] = [
-        // A window overflow.
-        encode_frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
-        // A frame beyond the maximum size, an invalid header block, DATA on an idle stream, a window increment of 0.
-        encode_frame(DATA, 0, 1, &vec![0; 20_000]),
-        encode_frame(HEADERS, END_HEADERS, 1, &[0xff; 40]),
-        encode_frame(DATA, 0, 99, b"abc"),
-        encode_frame(WINDOW_UPDATE, 0, 0, &[0; 4]),
+    let malformed = [
+        (
+            "window overflow",
+            encode_frame(WINDOW_UPDATE, 0, 0, &0x7fff_ffffu32.to_be_bytes()),
+        ),
+        (
+            "frame beyond the maximum size",
+            encode_frame(DATA, 0, 1, &vec![0; 20_000]),
+        ),
+        (
+            "invalid header block",
+            encode_frame(HEADERS, END_HEADERS, 1, &[0xff; 40]),
+        ),
+        ("DATA on an idle stream", encode_frame(DATA, 0, 99, b"abc")),
+        (
+            "window increment of 0",
+            encode_frame(WINDOW_UPDATE, 0, 0, &[0; 4]),
+        ),
     ];
-    for bytes in malformed {
+    for (name, bytes) in malformed {
         let mut client = Http2Client::connect(address);
         client.send_raw(&bytes);
         let (_, reason) = client.read_until_closed().expect("a GOAWAY");
-        assert_ne!(reason, NO_ERROR, "{bytes:?}");
+        assert_ne!(reason, NO_ERROR, "{name}");
     }
-    assert_served(address, &mut interpreter, 2);
+    assert_request_is_served(address, &mut interpreter, 2);
 }
 
 #[test]
--- a/crates/heathspurd/tests/members.rs
+++ b/crates/heathspurd/tests/members.rs
@@ -102,7 +102,7 @@
     // Drops are logged once per period rather than once per datagram.
     assert!(
         fleet.members[1].drop_log_lines <= 6,
-        "{} log lines of drops",
+        "{} log lines about dropped datagrams, expected at most 6",
         fleet.members[1].drop_log_lines
     );
     let server = fleet.fixture(1);
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn late_report_response_keeps_connection_while_another_is_tried() {
+fn late_report_response_is_accepted_and_its_connection_stays_in_use() {
     assert_passes_in_five_attempts(|| {
         let service = bind_loopback();
         let (_server, _interpreter) = start_reporting_to(&service);
@@ -208,7 +208,7 @@
     // The server waits a tenth of a second between a failure and the next connect attempt.
     assert!(
         start.elapsed() > Duration::from_millis(500),
-        "{:?}",
+        "11 connections within {:?}, expected more than 500 ms",
         start.elapsed()
     );
 }
@@ -241,7 +241,7 @@
     // The longest call timeout is 15 s, and the time spent connecting is deducted from it.
     assert!(
         Duration::from_millis(timeout_ms) + SLOW_CONNECT <= Duration::from_secs(15),
-        "{timeout_ms}"
+        "the call's timeout of {timeout_ms} ms includes the time spent connecting"
     );
     assert!(call_requested_at.elapsed() > SLOW_CONNECT);
     stream
--- a/crates/heathspurd/tests/readiness.rs
+++ b/crates/heathspurd/tests/readiness.rs
@@ -12,6 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Time within which a started process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Connections that a peer refuses before it becomes available.
 const REFUSED_CONNECTIONS: usize = 6;
@@ -153,7 +154,7 @@
     let ready = StartedServer::new(unavailable).wait_until_ready();
     assert!(
         start.elapsed() < READY_TIMEOUT,
-        "{unavailable:?}: {:?}",
+        "{unavailable:?}: ready after {:?}, limit {READY_TIMEOUT:?}",
         start.elapsed()
     );
     ready
@@ -241,6 +242,6 @@
             .filter(|&&duration| duration < READY_TIMEOUT)
             .count()
             >= 9,
-        "{durations:?}"
+        "fewer than nine of ten servers were ready within {READY_TIMEOUT:?}: {durations:?}"
     );
 }
--- a/crates/heathspurd/tests/reconnect.rs
+++ b/crates/heathspurd/tests/reconnect.rs
@@ -7,6 +7,11 @@
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 
+/// The reply bodies `first`, `second` and `third` as they are written on the link, in Base64.
+const FIRST_BASE64: &str = "Zmlyc3Q=";
+const SECOND_BASE64: &str = "c2Vjb25k";
+const THIRD_BASE64: &str = "dGhpcmQ=";
+
 fn answer_gauge_query(interpreter: &mut MockInterpreter, nonce: &Value) {
     interpreter.send(json!({"verb": "TOPS", "nonce": nonce, "readings": [0.1, 0, 0.1, 2]}));
 }
@@ -38,7 +43,7 @@
     let reply = interpreter.read_command();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
-        (&json!("RESOLVE"), &json!("Zmlyc3Q="))
+        (&json!("RESOLVE"), &json!(FIRST_BASE64))
     );
     (server, interpreter, client, store)
 }
@@ -59,7 +64,7 @@
     let reply = interpreter.read_command();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
-        (&json!("RESOLVE"), &json!("c2Vjb25k"))
+        (&json!("RESOLVE"), &json!(SECOND_BASE64))
     );
     interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
@@ -74,7 +79,7 @@
     let reply = interpreter.read_command_ignoring_gauges();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
-        (&json!("RESOLVE"), &json!("Zmlyc3Q="))
+        (&json!("RESOLVE"), &json!(FIRST_BASE64))
     );
     interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
@@ -102,7 +107,7 @@
     let reply = interpreter.read_command();
     assert_eq!(
         (&reply["verb"], &reply["bytes"]),
-        (&json!("RESOLVE"), &json!("dGhpcmQ="))
+        (&json!("RESOLVE"), &json!(THIRD_BASE64))
     );
     interpreter.send_value(&task_id(1), "complete", b"done");
     assert_eq!(client.read_response().2, b"done");
@@ -172,8 +177,8 @@
     let server = ServerFixture::start();
     let mut interpreter = server.accept_link();
     let mut clients = [server.connect_client(), server.connect_client()];
-    for (client, key) in clients.iter_mut().zip([None, Some("k")]) {
-        client.send(&request(1 + u64::from(key.is_some()), key, b"abc"));
+    for (client, (txn, key)) in clients.iter_mut().zip([(1, None), (2, Some("k"))]) {
+        client.send(&request(txn, key, b"abc"));
         interpreter.read_apply();
     }
     (server, interpreter, clients)
@@ -215,7 +220,8 @@
 fn keyed_run_whose_final_notice_was_evicted_is_not_run_again() {
     let (server, interpreter, [mut first, mut second]) = start_two_runs();
     drop(interpreter);
-    // More notices were missed than the interpreter retains: two links begin with the same notice, far ahead.
+    // More notices were missed than the interpreter retains, so each of two links begins with the same notice, whose
+    // index is far above the last one received.
     let mut interpreter = server.accept_link();
     interpreter.last_index = 4_100;
     interpreter.send_value(&task_id(3), "complete", b"");
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -149,7 +149,10 @@
     // Timestamps are wall-clock times.
     let now = unix_ms() as u64 * 1_000_000;
     let first = capture.requests[0].2.first.0;
-    assert!(first <= now && now - first < 600_000_000_000);
+    assert!(
+        first <= now && now - first < 600_000_000_000,
+        "the first request is recorded at {first} ns, and it is {now} ns now"
+    );
 }
 
 #[test]
@@ -197,7 +200,10 @@
             .any(|part| part == text)
     };
     while !(is_recorded(b"\"APPLY\"") && is_recorded(b"CALL 0000000000000001")) {
-        assert!(start.elapsed() < EVENT_TIMEOUT);
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "the command or the call was not recorded"
+        );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     // The parser must attribute the packets to their links rather than treat them as invalid requests.
@@ -231,7 +237,10 @@
     let start = Instant::now();
     let mut txn = 100;
     while directory.parse().requests.is_empty() {
-        assert!(start.elapsed() < EVENT_TIMEOUT);
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "no request was recorded after the directory was created"
+        );
         serve_requests(&server, &mut interpreter, txn..txn + 1);
         txn += 1;
     }
@@ -254,7 +263,10 @@
     let start = Instant::now();
     let mut txn = 100;
     while directory.parse().requests.is_empty() {
-        assert!(start.elapsed() < EVENT_TIMEOUT);
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "no request was recorded after the directory was created"
+        );
         serve_requests(&server, &mut interpreter, txn..txn + 1);
         txn += 1;
     }
@@ -307,7 +319,7 @@
     let capture = directory.parse();
     assert!(
         capture.requests.len() > 20 && capture.requests.len() < 119,
-        "{}",
+        "{} requests are left, expected some but not all of 119",
         capture.requests.len()
     );
 }
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -116,9 +116,9 @@
         client.send(&request(txn, None, b"abc"));
         assert_eq!(interpreter.read_apply().0, task_id(txn));
         drop(client);
-        let stop = interpreter.read_command();
+        let cancellation = interpreter.read_command();
         assert_eq!(
-            (&stop["verb"], &stop["task"]),
+            (&cancellation["verb"], &cancellation["task"]),
             (&json!("BREAK"), &json!(task_id(txn)))
         );
         interpreter.send_value(&task_id(txn), "cancelled", b"");
@@ -240,7 +240,10 @@
     store.read_call();
     drop(store);
     let (status, _, _) = client.read_response();
-    assert!(status >= 500 && status != 503, "{status}");
+    assert!(
+        status >= 500 && status != 503,
+        "status {status}, expected 500 or higher but not 503"
+    );
     interpreter.send_value(&task_id(1), "cancelled", b"");
     // The next call, on a new connection, belongs to another request.
     client.send(&request(2, Some("k2"), b"abc"));
@@ -487,7 +490,10 @@
     );
     interpreter.read_apply();
     let (status, _, _) = with_ttl.read_response();
-    assert!(status == 503 || status == 504, "{status}");
+    assert!(
+        status == 503 || status == 504,
+        "status {status}, expected 503 or 504"
+    );
     interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(without_ttl.read_response().2, b"one");
 }
@@ -550,7 +556,10 @@
     client.send(&request(1, None, b"abc"));
     // Only the server's own timers can cause this response: no run ends, and no further gauge query is answered.
     let (status, _, _) = client.read_response();
-    assert!(status == 503 || status == 504, "{status}");
+    assert!(
+        status == 503 || status == 504,
+        "status {status}, expected 503 or 504"
+    );
 }
 
 #[test]
@@ -798,8 +807,8 @@
 // cancel runs although the end of a run had already arrived.
 #[test]
 fn notices_received_while_suspended_are_handled_before_overdue_timers() {
-    // Whether a timer waits for gauges at the moment of the stop is random, so many servers are stopped.
-    let suspend_server = || {
+    // Whether a timer waits for gauges when the process is suspended is random, so many servers are suspended.
+    let assert_notice_is_handled_first = || {
         let server = ServerFixture::start();
         let mut interpreter = server.accept_link();
         let mut clients: Vec<_> = (0..4).map(|_| server.connect_client()).collect();
@@ -822,7 +831,7 @@
     for _ in 0..3 {
         std::thread::scope(|scope| {
             for _ in 0..12 {
-                scope.spawn(suspend_server);
+                scope.spawn(assert_notice_is_handled_first);
             }
         });
     }
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -17,9 +17,9 @@
 
 /// How many times the server attempts to read an invalid configuration before it abandons the reload.
 const READ_ATTEMPTS: usize = 10;
-/// Logged for each failed attempt.
+/// Text that the server logs for each failed attempt.
 const RELOAD_FAILED: &str = "configuration reload failed, keeping the current configuration";
-/// Logged when a drain begins.
+/// Text that the server logs when a drain begins.
 const DRAIN_STARTED: &str = "graceful shutdown started";
 
 /// Sends a health check and returns the status of the response.
@@ -36,7 +36,7 @@
 }
 
 /// Asserts that a request is served over this link to the interpreter.
-fn assert_serves(client: &mut Http1Client, interpreter: &mut MockInterpreter, txn: u64) {
+fn assert_request_is_served(client: &mut Http1Client, interpreter: &mut MockInterpreter, txn: u64) {
     client.send(&request(txn, None, b"abc"));
     assert_eq!(interpreter.read_apply().0, task_id(txn));
     interpreter.send_value(&task_id(txn), "complete", b"one");
@@ -57,7 +57,7 @@
 
 #[test]
 fn termination_during_repeated_reload_attempts_starts_drain() {
-    // On a busy machine the signal may be sent too late to arrive between the attempts. Then the test starts over.
+    // On a busy machine the signal may be sent too late to arrive between the attempts; the test then starts over.
     loop {
         let server = ServerFixture::start_with_config(|c| {
             // Long enough for everything that the test checks.
@@ -68,10 +68,10 @@
         std::fs::write(&server.config_file, "{\"name\":\"n3\",").unwrap();
         server.process.signal("HUP");
         server.wait_for_log(RELOAD_FAILED);
-        let first_attempt = Instant::now();
+        let first_attempt_failed_at = Instant::now();
         server.process.terminate();
         // All attempts together take 0.9 s.
-        if first_attempt.elapsed() > Duration::from_millis(500) {
+        if first_attempt_failed_at.elapsed() > Duration::from_millis(500) {
             continue;
         }
         let mut attempts = 1;
@@ -100,7 +100,7 @@
     let server = ServerFixture::start();
     let mut interpreter = server.accept_link();
     let mut client = server.connect_client();
-    assert_serves(&mut client, &mut interpreter, 1);
+    assert_request_is_served(&mut client, &mut interpreter, 1);
     let stopped = Arc::new(AtomicBool::new(false));
     let flood = {
         let stopped = stopped.clone();
@@ -187,7 +187,7 @@
     server.process.signal("HUP");
     let _reports = server.replace_peer_addresses();
     let mut interpreter = server.accept_link();
-    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
 }
 
 #[test]
@@ -232,7 +232,7 @@
     let mut server = ServerFixture::start();
     let mut interpreter = server.accept_link();
     let mut client = server.connect_client();
-    assert_serves(&mut client, &mut interpreter, 1);
+    assert_request_is_served(&mut client, &mut interpreter, 1);
     let [interpreter_listener, registration, store] = [(); 3].map(|()| bind_loopback());
     for (field, listener) in [
         ("vm", &interpreter_listener),
@@ -250,7 +250,7 @@
         let line = server.wait_for_log(RELOAD_FAILED);
         assert!(line.contains(message), "{line}");
     }
-    assert_serves(&mut client, &mut interpreter, 2);
+    assert_request_is_served(&mut client, &mut interpreter, 2);
     client.send(&request(3, None, b"abc"));
     interpreter.read_apply();
     interpreter.send_await(&task_id(3), b"ask");
@@ -310,7 +310,7 @@
     server.config["settings"]["family-info"]["upstreams"] = json!(9);
     let _reports = server.replace_peer_addresses();
     let mut interpreter = server.accept_link();
-    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
     assert!(server
         .log_lines
         .try_iter()
@@ -331,5 +331,5 @@
         "{line}"
     );
     let mut interpreter = server.accept_link();
-    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
 }
--- a/crates/heathspurd/tests/slow_start.rs
+++ b/crates/heathspurd/tests/slow_start.rs
@@ -23,8 +23,8 @@
 const CALL_S: f64 = 0.2;
 /// Time for which an abandoned call occupies the store, in seconds.
 const LINGER_S: f64 = 0.1;
-/// Time within which each server must get a call through: its quota allows a first call of unknown duration far
-/// sooner.
+/// Timeout for each condition that the tests wait for, such as a call of every process that the store accepts. The
+/// quota of a process allows its first call, whose duration is unknown, far sooner.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// Serializes the tests: two fleets at once overload a small machine.
@@ -33,8 +33,9 @@
 /// A call as received by the store.
 struct ReceivedCall {
     at: Instant,
-    /// The process and fleet generation that sent it.
-    origin: (u64, u64),
+    /// The process that sent it, and the fleet generation of that process.
+    process: u64,
+    generation: u64,
     accepted: bool,
 }
 
@@ -46,16 +47,16 @@
 
 impl SharedStore {
     fn start() -> (Arc<SharedStore>, SocketAddr) {
-        let (listener, shared) = (
+        let (listener, store) = (
             bind_loopback(),
             Arc::new(SharedStore {
                 calls: Mutex::default(),
                 full: false.into(),
             }),
         );
-        let (address, store) = (listener.local_addr().unwrap(), shared.clone());
-        thread::spawn(move || store.listen(&listener));
-        (shared, address)
+        let (address, listening_store) = (listener.local_addr().unwrap(), store.clone());
+        thread::spawn(move || listening_store.listen(&listener));
+        (store, address)
     }
 
     fn listen(self: Arc<SharedStore>, listener: &TcpListener) {
@@ -78,7 +79,8 @@
             let txn = u64::from_str_radix(fields[1], 16).unwrap();
             self.calls.lock().unwrap().push(ReceivedCall {
                 at: Instant::now(),
-                origin: (txn >> 48, txn >> 32 & 0xffff),
+                process: txn >> 48,
+                generation: txn >> 32 & 0xffff,
                 accepted,
             });
             reader
@@ -126,31 +128,31 @@
         let allowed = expected + 2.0 * expected.sqrt() + 2.0;
         let window = Duration::from_secs_f64(QUOTA_WINDOW_S);
         let calls_from = |i: usize| times[i..].partition_point(|&t| t < times[i] + window);
-        let most = (0..times.len()).map(calls_from).max().unwrap_or(0);
+        let max_calls = (0..times.len()).map(calls_from).max().unwrap_or(0);
         println!(
-            "{} calls, at most {most} in a window, {allowed:.1} allowed",
+            "{} calls, at most {max_calls} in a window, {allowed:.1} allowed",
             times.len()
         );
         assert!(
-            most as f64 <= allowed,
-            "{most} calls in a window of {QUOTA_WINDOW_S} s, {allowed:.1} allowed"
+            max_calls as f64 <= allowed,
+            "{max_calls} calls in a window of {QUOTA_WINDOW_S} s, {allowed:.1} allowed"
         );
     }
 }
 
 /// One generation of the fleet: processes that are linked to their interpreters and wait for their `BANNER`.
-struct Fleet {
+struct ColdFleet {
     generation: u64,
     servers: Vec<ServerFixture>,
     interpreters: Vec<MockInterpreter>,
     stopped: Arc<AtomicBool>,
 }
 
-impl Fleet {
-    fn start(generation: u64, store: SocketAddr) -> Fleet {
+impl ColdFleet {
+    fn start(generation: u64, store_address: SocketAddr) -> ColdFleet {
         let start = |i| {
             ServerFixture::start_with_config(|config| {
-                config["store"] = json!(store);
+                config["store"] = json!(store_address);
                 config["seed"] = json!(format!(
                     "{:016x}",
                     0x9e37_79b9_7f4a_7c15u64.wrapping_mul(generation << 8 | i | 1 << 20)
@@ -169,7 +171,7 @@
             .iter()
             .map(ServerFixture::accept_link_before_banner)
             .collect();
-        Fleet {
+        ColdFleet {
             generation,
             servers,
             interpreters,
@@ -189,8 +191,9 @@
             for client in 0..CLIENTS {
                 let (address, generation, stopped) =
                     (server.address, self.generation, self.stopped.clone());
-                let first = process << 48 | generation << 32 | client << 16;
-                thread::spawn(move || send_requests(address, first, &stopped));
+                // The number of a request is its `X-Txn`, from which the store reads the origin of the call.
+                let first_txn = process << 48 | generation << 32 | client << 16;
+                thread::spawn(move || send_requests(address, first_txn, &stopped));
             }
         }
     }
@@ -205,8 +208,8 @@
 }
 
 /// Sends requests that must make their call, one after another, until the fleet is killed.
-fn send_requests(address: SocketAddr, first: u64, stopped: &AtomicBool) -> Option<()> {
-    for txn in first.. {
+fn send_requests(address: SocketAddr, first_txn: u64, stopped: &AtomicBool) -> Option<()> {
+    for txn in first_txn.. {
         let mut stream = TcpStream::connect(address).ok()?;
         stream
             .write_all(&request(txn, Some(&format!("{txn:032x}")), b"abc"))
@@ -230,9 +233,9 @@
 fn processes_with_accepted_call(calls: &[ReceivedCall], generation: u64) -> u64 {
     let accepted = calls
         .iter()
-        .filter(|call| call.accepted && call.origin.1 == generation);
+        .filter(|call| call.accepted && call.generation == generation);
     accepted
-        .map(|call| call.origin.0)
+        .map(|call| call.process)
         .collect::<HashSet<_>>()
         .len() as u64
 }
@@ -240,43 +243,43 @@
 #[test]
 fn restarted_cold_fleet_stays_within_total_quota_and_reaches_store() {
     let _lock = TEST_LOCK.lock().unwrap_or_else(|e| e.into_inner());
-    let (shared, store) = SharedStore::start();
-    let mut fleet = Fleet::start(1, store);
-    let mut restarted = Fleet::start(2, store);
+    let (store, store_address) = SharedStore::start();
+    let mut fleet = ColdFleet::start(1, store_address);
+    let mut restarted = ColdFleet::start(2, store_address);
     fleet.start_serving();
-    shared.wait_until("half of the fleet has reached the store", |calls| {
+    store.wait_until("half of the fleet has reached the store", |calls| {
         processes_with_accepted_call(calls, 1) >= PROCESSES / 2
     });
     fleet.kill();
     restarted.start_serving();
-    shared.wait_until("all of the next fleet has reached the store", |calls| {
+    store.wait_until("all of the next fleet has reached the store", |calls| {
         processes_with_accepted_call(calls, 2) == PROCESSES
     });
-    let first = shared.calls.lock().unwrap().len();
-    shared.wait_until("the store has received PROCESSES / 2 more calls", |calls| {
-        calls.len() as u64 >= first as u64 + PROCESSES / 2
+    let calls_before = store.calls.lock().unwrap().len();
+    store.wait_until("the store has received PROCESSES / 2 more calls", |calls| {
+        calls.len() as u64 >= calls_before as u64 + PROCESSES / 2
     });
-    shared.assert_within_total_quota();
+    store.assert_within_total_quota();
 }
 
 #[test]
-fn cold_fleet_rejected_by_store_does_not_retry_in_step() {
+fn cold_fleet_rejected_by_store_retries_within_total_quota() {
     let _lock = TEST_LOCK.lock().unwrap_or_else(|e| e.into_inner());
-    let (shared, store) = SharedStore::start();
-    shared.full.store(true, Ordering::SeqCst);
-    let mut fleet = Fleet::start(1, store);
+    let (store, store_address) = SharedStore::start();
+    store.full.store(true, Ordering::SeqCst);
+    let mut fleet = ColdFleet::start(1, store_address);
     fleet.start_serving();
-    shared.wait_until("all processes were rejected", |calls| {
+    store.wait_until("all processes were rejected", |calls| {
         calls
             .iter()
-            .map(|call| call.origin.0)
+            .map(|call| call.process)
             .collect::<HashSet<_>>()
             .len() as u64
             == PROCESSES
     });
-    shared.full.store(false, Ordering::SeqCst);
-    shared.wait_until("all processes have an accepted call", |calls| {
+    store.full.store(false, Ordering::SeqCst);
+    store.wait_until("all processes have an accepted call", |calls| {
         processes_with_accepted_call(calls, 1) == PROCESSES
     });
-    shared.assert_within_total_quota();
+    store.assert_within_total_quota();
 }
--- a/crates/heathspurd/tests/terms.rs
+++ b/crates/heathspurd/tests/terms.rs
@@ -142,7 +142,10 @@
         let mut client = Http1Client::connect(self.address);
         client.send(&request(txn, None, b"abc"));
         let status = client.read_response().0;
-        assert!(status == 200 || status == 503, "{status}");
+        assert!(
+            status == 200 || status == 503,
+            "status {status}, expected 200 or 503"
+        );
     }
 
     /// Returns the open descriptors of the process: the sockets by inode, and all others by name.
@@ -234,13 +237,17 @@
     }
 }
 
-/// Waits until the condition holds. Fails the test after [`EVENT_TIMEOUT`].
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until the condition holds, and checks it every 10 ms.
+///
+/// # Panics
+///
+/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
         assert!(
             start.elapsed() < EVENT_TIMEOUT,
-            "timed out waiting until {what}"
+            "timed out waiting until {description}"
         );
         thread::sleep(Duration::from_millis(10));
     }
@@ -269,7 +276,7 @@
         .collect();
     assert!(
         needed.iter().any(|name| name.starts_with("libc.so")),
-        "{needed:?}"
+        "the program does not need libc, only {needed:?}"
     );
 }
 
@@ -360,7 +367,10 @@
         let mut clients: Vec<Http1Client> = (0..1000).map(open_connection).collect();
         for client in &mut clients {
             let status = client.read_response().0;
-            assert!(status == 200 || status == 503, "{status}");
+            assert!(
+                status == 200 || status == 503,
+                "status {status}, expected 200 or 503"
+            );
         }
         assert!(
             open_sockets() > 1000,
@@ -374,11 +384,11 @@
     // The memory that the allocator retains after the first round is sufficient for all later rounds.
     assert!(
         resident[2] <= resident[0] + MAX_RETAINED_BYTES / 4,
-        "resident memory grows: {resident:?} bytes"
+        "resident memory by round grows: {resident:?} bytes"
     );
     assert!(
         resident[2] <= 64 << 20,
-        "resident memory: {resident:?} bytes"
+        "resident memory by round, expected at most 64 MiB: {resident:?} bytes"
     );
     server.assert_answers_request(9);
     server.assert_meets_requirements("after many connections");
@@ -440,8 +450,8 @@
     }
 
     /// Opens a connection that is idle after one response.
-    fn idle_connection(&mut self, txn: u64) -> Http1Client {
-        let mut client = self.running_connection(txn);
+    fn open_idle_connection(&mut self, txn: u64) -> Http1Client {
+        let mut client = self.open_running_connection(txn);
         self.complete_run(txn);
         let (status, fields, _) = client.read_response();
         assert_eq!((status, fields.get("connection")), (200, None));
@@ -449,7 +459,7 @@
     }
 
     /// Opens a connection whose request is running.
-    fn running_connection(&mut self, txn: u64) -> Http1Client {
+    fn open_running_connection(&mut self, txn: u64) -> Http1Client {
         let mut client = self.server.connect_client();
         client.send(&request(txn, None, b"abc"));
         self.assert_run_starts(txn);
@@ -513,7 +523,7 @@
 #[test]
 fn requests_on_idle_connections_within_drain_grace_are_answered() {
     let mut test = DrainTest::start(Duration::from_secs(2));
-    let (mut first, mut second) = (test.idle_connection(1), test.idle_connection(2));
+    let (mut first, mut second) = (test.open_idle_connection(1), test.open_idle_connection(2));
     test.begin_drain();
     // The first request arrives immediately, the second only in part.
     second.send(b"POST /svc/look ");
@@ -538,8 +548,8 @@
 #[test]
 fn requests_after_drain_grace_are_rejected_and_never_run() {
     let mut test = DrainTest::start(Duration::from_millis(500));
-    let (mut idle, mut partial) = (test.idle_connection(1), test.idle_connection(2));
-    let mut busy = test.running_connection(3);
+    let (mut idle, mut partial) = (test.open_idle_connection(1), test.open_idle_connection(2));
+    let mut busy = test.open_running_connection(3);
     test.begin_drain();
     partial.send(b"POST /svc/look ");
     // The server closes the idle connection once it accepts no requests any more.
@@ -562,7 +572,7 @@
 fn requests_received_while_suspended_past_drain_grace_are_rejected() {
     let grace = Duration::from_secs(1);
     let mut test = DrainTest::start(grace);
-    let mut idle = test.idle_connection(1);
+    let mut idle = test.open_idle_connection(1);
     test.begin_drain();
     test.server.process.signal("STOP");
     let process = Process::new(test.server.process.0.id() as i32).unwrap();
@@ -590,7 +600,7 @@
 fn pipelined_requests_across_drain_start_are_answered_and_only_last_closes() {
     for sent_before_drain in [false, true] {
         let mut test = DrainTest::start(Duration::from_secs(2));
-        let mut client = test.running_connection(1);
+        let mut client = test.open_running_connection(1);
         if sent_before_drain {
             client.send(&request(2, None, b"def"));
         }
@@ -612,7 +622,8 @@
 #[test]
 fn drain_closes_idle_connections_without_reset_and_exits_in_time() {
     let mut test = DrainTest::start(Duration::from_millis(500));
-    let mut idle_clients: Vec<Http1Client> = (1..5).map(|txn| test.idle_connection(txn)).collect();
+    let mut idle_clients: Vec<Http1Client> =
+        (1..5).map(|txn| test.open_idle_connection(txn)).collect();
     let mut silent = test.server.connect_client();
     test.begin_drain();
     // A health check is still answered, on an idle connection that stays open for it.
