--- a/crates/heathspurd/tests/descriptor_limit.rs
+++ b/crates/heathspurd/tests/descriptor_limit.rs
@@ -85,7 +85,7 @@
     let mut interpreter = server.accept_link();
     assert_served_within_descriptor_limit(&server, &mut interpreter, 1);
     let (baseline, mut idle) = (descriptor_count(&server), Vec::new());
-    // The first round opens as many connections as load balancers may hold, half of the descriptor limit; the second
+    // The first round opens as many connections as load balancers may keep open, half of the descriptor limit; the second
     // opens far more.
     for (count, txn) in [(DESCRIPTOR_LIMIT / 2, 2), (2 * DESCRIPTOR_LIMIT, 4)] {
         open_idle_connections(&server, &mut idle, count);
--- a/crates/heathspurd/tests/http2.rs
+++ b/crates/heathspurd/tests/http2.rs
@@ -341,7 +341,7 @@
         let (task_id, ..) = interpreter.read_apply();
         interpreter.send_value(&task_id, "complete", &response_body);
     }
-    // The budget holds 10 responses of 6,000 bytes; the oldest ten were evicted.
+    // The budget is enough for 10 responses of 6,000 bytes; the oldest ten were evicted.
     for id in &ids[..10] {
         assert_eq!(
             stalled.wait_for_outcome(*id),
@@ -490,7 +490,7 @@
     assert_eq!(
         client.read_response(id).0,
         200,
-        "the connection was not kept open"
+        "the connection did not stay open"
     );
     let malformed = [
         (
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -56,8 +56,8 @@
         self.respond("204 No Content")
     }
 
-    /// Returns `Some` if the connection is open and the server has sent nothing more on it.
-    fn is_open(&mut self) -> Option<()> {
+    /// Checks that the connection is open and that the server has sent nothing more on it. Returns `None` otherwise.
+    fn check_open(&mut self) -> Option<()> {
         self.0.get_ref().set_nonblocking(true).unwrap();
         let read = self.0.get_ref().peek(&mut [0]);
         self.0.get_ref().set_nonblocking(false).unwrap();
@@ -103,7 +103,7 @@
         let mut slow = RegistrationConnection::accept(&service).0;
         // Without a response to the first report, the server reports on another connection and keeps the first open.
         let (_other, _) = RegistrationConnection::accept(&service);
-        slow.is_open()?;
+        slow.check_open()?;
         slow.accept_report()?;
         // The late response is accepted, and the connection stays in use.
         slow.next_report().map(|_| ())
@@ -127,7 +127,7 @@
             accepting = other.next_report()?;
         }
         // The service may have processed the later report first; the older one then determines its state.
-        slow.is_open()?;
+        slow.check_open()?;
         other.accept_report()?;
         slow.accept_report()?;
         // The report may come on either connection; the other one is closed.
@@ -163,7 +163,7 @@
         // The reporting task processes the change asynchronously, at the latest before this response.
         client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(client.read_response().0, 200);
-        slow.is_open()?;
+        slow.check_open()?;
         let responded_at = Instant::now();
         slow.accept_report()?;
         // The report predates the changes, so the current state is reported at once, not after the next period.
--- a/crates/heathspurd/tests/program.rs
+++ b/crates/heathspurd/tests/program.rs
@@ -50,7 +50,7 @@
         assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert!(
             stderr.contains("wrong.xml:2: log@format: unknown variant `yaml`"),
-            "{stderr}"
+            "the error does not name the file, line and attribute: {stderr}"
         );
     }
     // The configuration limits the memory of the process to 192 MiB.
@@ -89,7 +89,7 @@
     assert_eq!(first["message"], json!(format!("listening on {address}")));
     assert!(
         first["level"] == "INFO" && first["timestamp"].is_string(),
-        "{first}"
+        "expected level INFO and a timestamp: {first}"
     );
     assert!(TcpStream::connect(address).is_ok());
     // The interpreter refuses connections, which the server logs more than once per second.
@@ -100,12 +100,12 @@
     assert!(left_out["left_out"].as_u64().unwrap() > 0);
     assert!(
         left_out["filename"].as_str().unwrap().ends_with(".rs"),
-        "{left_out}"
+        "expected the name of a source file: {left_out}"
     );
     let next = lines.find(|line| line["message"].is_string()).unwrap();
     assert!(
         next["error"].as_str().unwrap().contains("refused"),
-        "{next}"
+        "expected a refused connection: {next}"
     );
     server.terminate();
     assert_eq!(server.wait().code(), Some(0));
@@ -127,11 +127,11 @@
         .unwrap();
     assert!(
         first.starts_with("heathspurd: ") && !first.contains("listening"),
-        "{first}"
+        "expected a warning without the listen address: {first}"
     );
     assert!(
         first.contains("cannot connect to the interpreter at ")
             || first.contains("cannot report readiness to the registration service at "),
-        "{first}"
+        "expected a failure to connect or to report: {first}"
     );
 }
--- a/crates/heathspurd/tests/server.rs
+++ b/crates/heathspurd/tests/server.rs
@@ -782,7 +782,7 @@
         assert_eq!(output.status.code(), Some(2), "{stderr}");
         assert!(
             stderr.contains(field) && stderr.contains(file.to_str().unwrap()),
-            "{stderr}"
+            "the error does not contain {field} and the path of the file: {stderr}"
         );
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
         std::fs::remove_file(file).unwrap();
@@ -799,7 +799,10 @@
     let output = server_command(&file).output().unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
     assert_eq!(output.status.code(), Some(1), "{stderr}");
-    assert!(stderr.contains(&address.to_string()), "{stderr}");
+    assert!(
+        stderr.contains(&address.to_string()),
+        "the error does not contain {address}: {stderr}"
+    );
     std::fs::remove_file(file).unwrap();
 }
 
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -248,7 +248,10 @@
     server.process.signal("HUP");
     for _ in 0..READ_ATTEMPTS {
         let line = server.wait_for_log(RELOAD_FAILED);
-        assert!(line.contains(message), "{line}");
+        assert!(
+            line.contains(message),
+            "expected {message:?} in the log line: {line}"
+        );
     }
     assert_request_is_served(&mut client, &mut interpreter, 2);
     client.send(&request(3, None, b"abc"));
@@ -258,7 +261,11 @@
     BufReader::new(accept(&server.store_listener))
         .read_line(&mut call)
         .unwrap();
-    assert!(call.starts_with(&format!("CALL {} ", task_id(3))), "{call}");
+    assert!(
+        call.starts_with(&format!("CALL {} ", task_id(3))),
+        "expected the call of task {}: {call}",
+        task_id(3)
+    );
     [interpreter_listener, registration, store]
         .iter()
         .for_each(assert_no_connection);
@@ -328,7 +335,7 @@
     let line = server.wait_for_log("other changed fields require a restart");
     assert!(
         line.ends_with(": stop_ms, limits.memory_mb, settings"),
-        "{line}"
+        "expected the names of the three changed fields: {line}"
     );
     let mut interpreter = server.accept_link();
     assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
