--- a/crates/heathspurd/tests/full.rs
+++ b/crates/heathspurd/tests/descriptor_limit.rs
@@ -4,14 +4,11 @@
 
 mod common;
 
-use common::{bind_refusing, start_listening};
+use common::{bind_refusing, descriptor_count, start_listening, task_id, wait_until};
 use heathspur_testkit::prelude::*;
-use procfs::process::Process;
 use serde_json::json;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
-use std::thread;
-use std::time::{Duration, Instant};
 
 /// File descriptor limit of the server.
 const DESCRIPTOR_LIMIT: usize = 64;
@@ -22,30 +19,6 @@
 /// Failed reports that are logged before the registration service becomes available.
 const FAILED_REPORTS: usize = 6;
 
-/// Waits until the condition holds.
-///
-/// # Panics
-///
-/// Panics if the condition does not hold within `EVENT_TIMEOUT`.
-fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let start = Instant::now();
-    while !condition() {
-        assert!(
-            start.elapsed() < EVENT_TIMEOUT,
-            "timed out waiting until {description}"
-        );
-        thread::sleep(Duration::from_millis(5));
-    }
-}
-
-/// Returns the number of open file descriptors of the server process.
-fn descriptor_count(server: &ServerFixture) -> usize {
-    Process::new(server.process.0.id() as i32)
-        .unwrap()
-        .fd_count()
-        .unwrap()
-}
-
 /// Opens `count` more idle connections: in turn without any bytes sent, after part of a request line, and after an
 /// answered health check.
 fn open_idle_connections(server: &ServerFixture, connections: &mut Vec<TcpStream>, count: usize) {
@@ -80,12 +53,12 @@
 
 /// Checks that a request on a new connection is served, including its call to the store, and that the server stays
 /// within its descriptor limit.
-fn assert_request_with_call_is_served(
+fn assert_served_within_descriptor_limit(
     server: &ServerFixture,
     interpreter: &mut MockInterpreter,
     txn: u64,
 ) {
-    let (mut client, task_id) = (server.connect_client(), format!("{txn:016x}"));
+    let (mut client, task_id) = (server.connect_client(), task_id(txn));
     client.send(&request(txn, Some(&task_id), b"abc"));
     assert_eq!(interpreter.read_apply().0, task_id);
     interpreter.send_await(&task_id, b"ask");
@@ -97,7 +70,7 @@
     assert_eq!(client.read_response().2, b"done");
     assert!(
         descriptor_count(server) <= DESCRIPTOR_LIMIT,
-        "{} descriptors",
+        "{} open descriptors, limit {DESCRIPTOR_LIMIT}",
         descriptor_count(server)
     );
 }
@@ -110,23 +83,25 @@
         config["announce"] = json!(registration.local_addr().unwrap());
     });
     let mut interpreter = server.accept_link();
-    assert_request_with_call_is_served(&server, &mut interpreter, 1);
+    assert_served_within_descriptor_limit(&server, &mut interpreter, 1);
     let (baseline, mut idle) = (descriptor_count(&server), Vec::new());
-    // First half of the descriptor limit, as load balancers may use, then far more.
+    // The first round opens as many connections as load balancers may keep open, half of the descriptor limit; the second
+    // opens far more.
     for (count, txn) in [(DESCRIPTOR_LIMIT / 2, 2), (2 * DESCRIPTOR_LIMIT, 4)] {
         open_idle_connections(&server, &mut idle, count);
         wait_until("the connection pool is nearly full", || {
             descriptor_count(&server) >= baseline + POOL_SIZE - 2 * RESERVED_CONNECTIONS
         });
-        assert_request_with_call_is_served(&server, &mut interpreter, txn);
+        assert_served_within_descriptor_limit(&server, &mut interpreter, txn);
         // The interpreter's link breaks and is re-established meanwhile.
         drop(interpreter);
         interpreter = server.accept_link();
-        assert_request_with_call_is_served(&server, &mut interpreter, txn + 1);
+        assert_served_within_descriptor_limit(&server, &mut interpreter, txn + 1);
     }
     wait_until("most idle connections are closed", || {
         closed_count(&mut idle) >= idle.len() - POOL_SIZE
     });
+    // Only the failures that are logged from now on count.
     let _: Vec<_> = server.log_lines.try_iter().collect();
     for _ in 0..FAILED_REPORTS {
         server.wait_for_log("cannot report readiness to the registration service at ");
@@ -137,9 +112,9 @@
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
     );
-    assert_request_with_call_is_served(&server, &mut interpreter, 6);
+    assert_served_within_descriptor_limit(&server, &mut interpreter, 6);
     drop(idle);
-    // One more than the baseline: the reports now have a connection.
+    // The reports now have a connection, which the baseline did not include.
     wait_until("the descriptor count is back at its baseline", || {
         descriptor_count(&server) <= baseline + 1
     });
@@ -150,7 +125,7 @@
         client.send(b"GET /status/live HTTP/1.1\r\n\r\n");
         assert_eq!(client.read_response().0, 200);
     }
-    assert_request_with_call_is_served(&server, &mut interpreter, 7);
+    assert_served_within_descriptor_limit(&server, &mut interpreter, 7);
     assert_eq!(
         reports.recv_timeout(EVENT_TIMEOUT).unwrap(),
         json!({"accepting": "true"})
--- a/crates/heathspurd/tests/peers.rs
+++ b/crates/heathspurd/tests/peers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{FullAcceptQueue, SLOW_CONNECT};
+use common::{address_json, FullAcceptQueue, SLOW_CONNECT};
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -56,8 +56,8 @@
         self.respond("204 No Content")
     }
 
-    /// Returns `Some` if the connection is open and the server has sent nothing more on it.
-    fn is_open(&mut self) -> Option<()> {
+    /// Checks that the connection is open and that the server has sent nothing more on it. Returns `None` otherwise.
+    fn check_open(&mut self) -> Option<()> {
         self.0.get_ref().set_nonblocking(true).unwrap();
         let read = self.0.get_ref().peek(&mut [0]);
         self.0.get_ref().set_nonblocking(false).unwrap();
@@ -65,10 +65,6 @@
     }
 }
 
-fn address_json(listener: &TcpListener) -> Value {
-    json!(listener.local_addr().unwrap())
-}
-
 /// Starts a server that reports to this listener, and accepts its link to the interpreter.
 fn start_reporting_to(listener: &TcpListener) -> (ServerFixture, MockInterpreter) {
     let server = ServerFixture::start_with_config(|c| {
@@ -100,14 +96,14 @@
 }
 
 #[test]
-fn late_report_response_keeps_connection_while_another_is_tried() {
+fn late_report_response_is_accepted_and_its_connection_stays_in_use() {
     assert_passes_in_five_attempts(|| {
         let service = bind_loopback();
         let (_server, _interpreter) = start_reporting_to(&service);
         let mut slow = RegistrationConnection::accept(&service).0;
         // Without a response to the first report, the server reports on another connection and keeps the first open.
         let (_other, _) = RegistrationConnection::accept(&service);
-        slow.is_open()?;
+        slow.check_open()?;
         slow.accept_report()?;
         // The late response is accepted, and the connection stays in use.
         slow.next_report().map(|_| ())
@@ -131,7 +127,7 @@
             accepting = other.next_report()?;
         }
         // The service may have processed the later report first; the older one then determines its state.
-        slow.is_open()?;
+        slow.check_open()?;
         other.accept_report()?;
         slow.accept_report()?;
         // The report may come on either connection; the other one is closed.
@@ -167,7 +163,7 @@
         // The reporting task processes the change asynchronously, at the latest before this response.
         client.send(b"GET /status/live HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(client.read_response().0, 200);
-        slow.is_open()?;
+        slow.check_open()?;
         let responded_at = Instant::now();
         slow.accept_report()?;
         // The report predates the changes, so the current state is reported at once, not after the next period.
@@ -212,7 +208,7 @@
     // The server waits a tenth of a second between a failure and the next connect attempt.
     assert!(
         start.elapsed() > Duration::from_millis(500),
-        "{:?}",
+        "11 connections within {:?}, expected more than 500 ms",
         start.elapsed()
     );
 }
@@ -245,7 +241,7 @@
     // The longest call timeout is 15 s, and the time spent connecting is deducted from it.
     assert!(
         Duration::from_millis(timeout_ms) + SLOW_CONNECT <= Duration::from_secs(15),
-        "{timeout_ms}"
+        "the call's timeout of {timeout_ms} ms includes the time spent connecting"
     );
     assert!(call_requested_at.elapsed() > SLOW_CONNECT);
     stream
--- a/crates/heathspurd/tests/ready.rs
+++ b/crates/heathspurd/tests/readiness.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{bind_refusing, start_listening, FullAcceptQueue};
+use common::{address_json, bind_refusing, start_listening, FullAcceptQueue};
 use heathspur_testkit::prelude::*;
 use serde_json::json;
 use std::io::Read;
@@ -12,6 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Time within which a started process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Connections that a peer refuses before it becomes available.
 const REFUSED_CONNECTIONS: usize = 6;
@@ -107,11 +108,10 @@
         } else {
             bind_loopback()
         };
-        let address = |l: &TcpListener| json!(l.local_addr().unwrap());
         let server = ServerFixture::start_with_config(|config| {
-            config["announce"] = address(registration.listener());
-            config["vm"] = address(interpreter.listener());
-            config["store"] = address(&store);
+            config["announce"] = address_json(registration.listener());
+            config["vm"] = address_json(interpreter.listener());
+            config["store"] = address_json(&store);
         });
         StartedServer {
             server,
@@ -154,7 +154,7 @@
     let ready = StartedServer::new(unavailable).wait_until_ready();
     assert!(
         start.elapsed() < READY_TIMEOUT,
-        "{unavailable:?}: {:?}",
+        "{unavailable:?}: ready after {:?}, limit {READY_TIMEOUT:?}",
         start.elapsed()
     );
     ready
@@ -242,6 +242,6 @@
             .filter(|&&duration| duration < READY_TIMEOUT)
             .count()
             >= 9,
-        "{durations:?}"
+        "fewer than nine of ten servers were ready within {READY_TIMEOUT:?}: {durations:?}"
     );
 }
--- a/crates/heathspurd/tests/record.rs
+++ b/crates/heathspurd/tests/record.rs
@@ -1,6 +1,9 @@
 //! Tests of traffic recording by the server process. They read back the recorded files, and check that disk errors do
 //! not affect clients.
 
+mod common;
+
+use common::task_id;
 use heathspur_capture::reassembly::Event;
 use heathspur_capture::{Item, Leg, Options};
 use heathspur_testkit::capture::{parse_capture, ParsedCapture};
@@ -100,7 +103,7 @@
         let bytes = request(txn, Some(&format!("key-{txn}")), b"4929001234567890");
         client.send(&bytes);
         assert_eq!(interpreter.read_apply().2, b"4929001234567890");
-        interpreter.send_value(&format!("{txn:016x}"), "complete", b"approved");
+        interpreter.send_value(&task_id(txn), "complete", b"approved");
         assert_eq!(client.read_response().0, 200);
         sent.push(bytes);
     }
@@ -146,7 +149,10 @@
     // Timestamps are wall-clock times.
     let now = unix_ms() as u64 * 1_000_000;
     let first = capture.requests[0].2.first_byte_at.0;
-    assert!(first <= now && now - first < 600_000_000_000);
+    assert!(
+        first <= now && now - first < 600_000_000_000,
+        "the first request is recorded at {first} ns, and it is {now} ns now"
+    );
 }
 
 #[test]
@@ -194,7 +200,10 @@
             .any(|part| part == text)
     };
     while !(is_recorded(b"\"APPLY\"") && is_recorded(b"CALL 0000000000000001")) {
-        assert!(start.elapsed() < EVENT_TIMEOUT);
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "the command or the call was not recorded"
+        );
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     // The parser must attribute the packets to their links rather than treat them as invalid requests.
@@ -228,7 +237,10 @@
     let start = Instant::now();
     let mut txn = 100;
     while directory.parse().requests.is_empty() {
-        assert!(start.elapsed() < EVENT_TIMEOUT);
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "no request was recorded after the directory was created"
+        );
         serve_requests(&server, &mut interpreter, txn..txn + 1);
         txn += 1;
     }
@@ -251,7 +263,10 @@
     let start = Instant::now();
     let mut txn = 100;
     while directory.parse().requests.is_empty() {
-        assert!(start.elapsed() < EVENT_TIMEOUT);
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "no request was recorded after the directory was created"
+        );
         serve_requests(&server, &mut interpreter, txn..txn + 1);
         txn += 1;
     }
@@ -289,7 +304,7 @@
     for txn in 1..120 {
         client.send(&request(txn, None, &[b'a'; 1900]));
         interpreter.read_apply();
-        interpreter.send_value(&format!("{txn:016x}"), "complete", b"x");
+        interpreter.send_value(&task_id(txn), "complete", b"x");
         assert_eq!(client.read_response().0, 200);
         // Blocks are buffered for a short time, and file sizes are checked when the blocks are written.
         if txn % 20 == 0 {
@@ -304,7 +319,7 @@
     let capture = directory.parse();
     assert!(
         capture.requests.len() > 20 && capture.requests.len() < 119,
-        "{}",
+        "{} requests are left, expected some but not all of 119",
         capture.requests.len()
     );
 }
--- a/crates/heathspurd/tests/signals.rs
+++ b/crates/heathspurd/tests/signals.rs
@@ -1,6 +1,9 @@
 //! Tests of signals that arrive during other work, and of reloads of invalid or changed configurations. They wait for
 //! events; the timeouts expire only if an event never occurs.
 
+mod common;
+
+use common::{address_json, task_id, wait_for_not_accepting_report};
 use heathspur_testkit::prelude::*;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -8,28 +11,17 @@
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// How many times the server attempts to read an invalid configuration before it abandons the reload.
 const READ_ATTEMPTS: usize = 10;
-/// Logged for each failed attempt.
+/// Text that the server logs for each failed attempt.
 const RELOAD_FAILED: &str = "configuration reload failed, keeping the current configuration";
-/// Logged when a drain begins.
+/// Text that the server logs when a drain begins.
 const DRAIN_STARTED: &str = "graceful shutdown started";
 
-/// Returns the identifier of a request as it is written on the wire.
-fn request_id(txn: u64) -> String {
-    format!("{txn:016x}")
-}
-
-/// Waits until the server has reported to the registration service that it accepts no requests.
-fn wait_for_not_accepting_report(reports: &Receiver<Value>) {
-    while reports.recv_timeout(EVENT_TIMEOUT).unwrap() != json!({"accepting": "false"}) {}
-}
-
 /// Sends a health check and returns the status of the response.
 fn health_status(server: &ServerFixture) -> u16 {
     let mut client = server.connect_client();
@@ -37,10 +29,6 @@
     client.read_response().0
 }
 
-fn address_value(listener: &TcpListener) -> Value {
-    json!(listener.local_addr().unwrap())
-}
-
 /// Asserts that there was no connection to this listener. The caller has given the server enough time to connect.
 fn assert_no_connection(listener: &TcpListener) {
     listener.set_nonblocking(true).unwrap();
@@ -48,10 +36,10 @@
 }
 
 /// Asserts that a request is served over this link to the interpreter.
-fn assert_serves(client: &mut Http1Client, interpreter: &mut MockInterpreter, txn: u64) {
+fn assert_request_is_served(client: &mut Http1Client, interpreter: &mut MockInterpreter, txn: u64) {
     client.send(&request(txn, None, b"abc"));
-    assert_eq!(interpreter.read_apply().0, request_id(txn));
-    interpreter.send_value(&request_id(txn), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, task_id(txn));
+    interpreter.send_value(&task_id(txn), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
 }
 
@@ -69,7 +57,7 @@
 
 #[test]
 fn termination_during_repeated_reload_attempts_starts_drain() {
-    // On a busy machine the signal may be sent too late to arrive between the attempts. Then the test starts over.
+    // On a busy machine the signal may be sent too late to arrive between the attempts; the test then starts over.
     loop {
         let server = ServerFixture::start_with_config(|c| {
             // Long enough for everything that the test checks.
@@ -80,10 +68,10 @@
         std::fs::write(&server.config_file, "{\"name\":\"n3\",").unwrap();
         server.process.signal("HUP");
         server.wait_for_log(RELOAD_FAILED);
-        let first_attempt = Instant::now();
+        let first_attempt_failed_at = Instant::now();
         server.process.terminate();
         // All attempts together take 0.9 s.
-        if first_attempt.elapsed() > Duration::from_millis(500) {
+        if first_attempt_failed_at.elapsed() > Duration::from_millis(500) {
             continue;
         }
         let mut attempts = 1;
@@ -112,13 +100,13 @@
     let server = ServerFixture::start();
     let mut interpreter = server.accept_link();
     let mut client = server.connect_client();
-    assert_serves(&mut client, &mut interpreter, 1);
+    assert_request_is_served(&mut client, &mut interpreter, 1);
     let stopped = Arc::new(AtomicBool::new(false));
     let flood = {
         let stopped = stopped.clone();
         let line = format!(
             "{}\n",
-            json!({"verb": "ERROR", "outcome": "STUB", "task": request_id(9)})
+            json!({"verb": "ERROR", "outcome": "STUB", "task": task_id(9)})
         );
         thread::spawn(move || {
             let lines = line.repeat(4096);
@@ -139,7 +127,7 @@
     server.process.terminate();
     server.process.signal("INT");
     wait_for_not_accepting_report(&server.registration_reports);
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     assert_eq!(server.process.wait().code(), Some(0));
     assert_eq!(
@@ -178,8 +166,8 @@
     let reports = server.replace_peer_addresses();
     wait_for_not_accepting_report(&reports);
     let mut interpreter = server.accept_link();
-    assert_eq!(interpreter.read_apply().0, request_id(1));
-    interpreter.send_value(&request_id(1), "complete", b"one");
+    assert_eq!(interpreter.read_apply().0, task_id(1));
+    interpreter.send_value(&task_id(1), "complete", b"one");
     assert_eq!(client.read_response().2, b"one");
     assert_eq!(server.process.wait().code(), Some(0));
 }
@@ -199,7 +187,7 @@
     server.process.signal("HUP");
     let _reports = server.replace_peer_addresses();
     let mut interpreter = server.accept_link();
-    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
 }
 
 #[test]
@@ -221,7 +209,7 @@
     // Opening the FIFO blocks until the server has opened it too. The server then blocks until the test writes to it.
     let mut fifo = std::fs::OpenOptions::new().write(true).open(&file).unwrap();
     let first = settings.to_string();
-    settings["vm"] = address_value(&new_interpreter);
+    settings["vm"] = address_json(&new_interpreter);
     let next: PathBuf = file.with_extension("next");
     std::fs::write(&next, settings.to_string()).unwrap();
     std::fs::rename(&next, &file).unwrap();
@@ -244,14 +232,14 @@
     let mut server = ServerFixture::start();
     let mut interpreter = server.accept_link();
     let mut client = server.connect_client();
-    assert_serves(&mut client, &mut interpreter, 1);
+    assert_request_is_served(&mut client, &mut interpreter, 1);
     let [interpreter_listener, registration, store] = [(); 3].map(|()| bind_loopback());
     for (field, listener) in [
         ("vm", &interpreter_listener),
         ("announce", &registration),
         ("store", &store),
     ] {
-        server.config[field] = address_value(listener);
+        server.config[field] = address_json(listener);
     }
     match text(&mut server.config) {
         Some(text) => std::fs::write(&server.config_file, text).unwrap(),
@@ -260,19 +248,23 @@
     server.process.signal("HUP");
     for _ in 0..READ_ATTEMPTS {
         let line = server.wait_for_log(RELOAD_FAILED);
-        assert!(line.contains(message), "{line}");
+        assert!(
+            line.contains(message),
+            "expected {message:?} in the log line: {line}"
+        );
     }
-    assert_serves(&mut client, &mut interpreter, 2);
+    assert_request_is_served(&mut client, &mut interpreter, 2);
     client.send(&request(3, None, b"abc"));
     interpreter.read_apply();
-    interpreter.send_await(&request_id(3), b"ask");
+    interpreter.send_await(&task_id(3), b"ask");
     let mut call = String::new();
     BufReader::new(accept(&server.store_listener))
         .read_line(&mut call)
         .unwrap();
     assert!(
-        call.starts_with(&format!("CALL {} ", request_id(3))),
-        "{call}"
+        call.starts_with(&format!("CALL {} ", task_id(3))),
+        "expected the call of task {}: {call}",
+        task_id(3)
     );
     [interpreter_listener, registration, store]
         .iter()
@@ -325,7 +317,7 @@
     server.config["settings"]["family-info"]["upstreams"] = json!(9);
     let _reports = server.replace_peer_addresses();
     let mut interpreter = server.accept_link();
-    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
     assert!(server
         .log_lines
         .try_iter()
@@ -343,8 +335,8 @@
     let line = server.wait_for_log("other changed fields require a restart");
     assert!(
         line.ends_with(": stop_ms, limits.memory_mb, settings"),
-        "{line}"
+        "expected the names of the three changed fields: {line}"
     );
     let mut interpreter = server.accept_link();
-    assert_serves(&mut server.connect_client(), &mut interpreter, 1);
+    assert_request_is_served(&mut server.connect_client(), &mut interpreter, 1);
 }
