--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# Build, test, lint and run. `make toy` beside `make run` gives the server all that it talks to.
+# Builds, tests, lints, runs and measures the workspace. `make toy` starts stubs of all services that the server of
+# `make run` connects to.
 .PHONY: build test lint ci run toy measure-pcap measure-http2 measure-members bench bench-full fleet fleet-full
 
 CONFIG ?= examples/config.json
@@ -24,7 +25,8 @@
 toy:
 	cargo run --release --locked --example toy -- $(CONFIG)
 
-# The operators' benches lie beside the repository, where they are there at all. WHY is one plain sentence.
+# The operators' benchmarks are not part of this repository; KIT is the directory where they are expected. WHY gives the
+# reason for a run in one plain sentence.
 KIT ?= ../given/kit
 SITE := $(KIT)/sites/riga-auth.toml
 WHY ?= A check of the program as it stands
@@ -46,7 +48,7 @@
 	$(call have,$(KIT)/more/mass/bin/lbreal)
 	$(KIT)/more/mass/bin/lbreal score $(SITE) --why "$(WHY)"
 
-# The daemon before captures came in: what a request costs is compared with it.
+# The last server without captures. `make measure-pcap` compares the cost of a request with it.
 BEFORE_PCAP := f4ac2d3
 
 target/before-%/heathspurd:
@@ -55,17 +57,17 @@
 	git worktree remove --force target/tree-$*
 	mkdir -p $(@D) && cp target/build-$*/release/heathspurd $@
 
-# Under five minutes, on loopback, with the machine to itself and valgrind on it. Not in CI.
+# Takes under five minutes, on loopback. Needs valgrind and an otherwise idle machine. Not part of CI.
 measure-pcap: build target/before-$(BEFORE_PCAP)/heathspurd
 	target/release/measure pcap --baseline target/before-$(BEFORE_PCAP)/heathspurd --results docs/measurements
 
-# The daemon before HTTP/2 came in.
+# The last server without HTTP/2. `make measure-http2` compares the cost of a request with it.
 BEFORE_HTTP2 := 9802e1b
 
-# Under six minutes, on loopback, with the machine to itself and valgrind on it. Not in CI.
+# Takes under six minutes, on loopback. Needs valgrind and an otherwise idle machine. Not part of CI.
 measure-http2: build target/before-$(BEFORE_HTTP2)/heathspurd
 	target/release/measure http2 --baseline target/before-$(BEFORE_HTTP2)/heathspurd --results docs/measurements
 
-# Under eight minutes: processes on loopback, then the emulator on all cores. Not in CI.
+# Takes under eight minutes: processes on loopback, then the emulator on all cores. Not part of CI.
 measure-members: build
 	target/release/measure members --results docs/measurements
--- a/fuzz/fuzz_targets/capture.rs
+++ b/fuzz/fuzz_targets/capture.rs
@@ -1,4 +1,6 @@
-//! Any bytes through file reader, reassembly and messages together, in pieces, with small bounds that must hold.
+//! Feeds arbitrary bytes in chunks to the capture pipeline (file reader, TCP reassembly and HTTP messages) with small
+//! limits, and checks that the buffered bytes stay bounded. The first byte of the input sets the chunk size.
+//!
 //! The seeded property tests in `crates/heathspur-capture/tests/any.rs` do the same in CI.
 #![no_main]
 
